--- /dev/null
+++ b/capture/pinned_test.go
@@ -0,0 +1,182 @@
+package capture
+
+import (
+	"bytes"
+	"encoding/json"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"porthub/control"
+	"porthub/coordinator"
+	"porthub/recovery"
+	"porthub/testutil"
+)
+
+// filledRecords has a record of each kind with every field set, so that the golden files show every key.
+func filledRecords(t *testing.T) map[string]*Record {
+	t.Helper()
+	return map[string]*Record{
+		"start":   {Seq: 1, Start: ptr(testutil.Filled[Start](t))},
+		"command": {Seq: 2, Command: ptr(testutil.Filled[Command](t))},
+		"gap":     {Seq: 3, Gap: ptr(testutil.Filled[Gap](t))},
+		"end":     {Seq: 4, End: ptr(testutil.Filled[End](t))},
+		"step": {Seq: 5, Step: &Step{Now: 77, Digest: 78, Inputs: filledInputs(t), Orders: filledOrders(t),
+			Notes: []coordinator.Note{testutil.Filled[coordinator.Note](t)}}},
+	}
+}
+
+func ptr[T any](v T) *T { return &v }
+
+func filledInputs(t *testing.T) []coordinator.Input {
+	t.Helper()
+	return []coordinator.Input{
+		testutil.Filled[coordinator.List](t), testutil.Filled[coordinator.Told](t), testutil.Filled[coordinator.Join](t),
+		testutil.Filled[coordinator.Leave](t), testutil.Filled[coordinator.Ack](t), testutil.Filled[coordinator.Report](t),
+		testutil.Filled[coordinator.Probed](t), testutil.Filled[coordinator.Refused](t), testutil.Filled[coordinator.Failed](t),
+	}
+}
+
+func filledOrders(t *testing.T) []control.Order {
+	t.Helper()
+	return []control.Order{
+		testutil.Filled[control.Log](t), testutil.Filled[control.Watch](t), control.Fetch{}, testutil.Filled[control.Sleep](t),
+		testutil.Filled[control.Probe](t), testutil.Filled[control.Tell](t), testutil.Filled[control.Line](t),
+		testutil.Filled[control.Clear](t), testutil.Filled[control.Bind](t), testutil.Filled[control.Withdraw](t),
+		testutil.Filled[control.Admit](t), testutil.Filled[control.Marked](t),
+	}
+}
+
+// The bytes of each kind of record are as the build before the renames wrote them, and read back to the same value.
+func TestRecordBytesArePinned(t *testing.T) {
+	for name, record := range filledRecords(t) {
+		t.Run(name, func(t *testing.T) {
+			var got bytes.Buffer
+			if err := record.encode(&got); err != nil {
+				t.Fatal(err)
+			}
+			testutil.Golden(t, name+".cbor", got.Bytes())
+			var back Record
+			err := cbor.Unmarshal(testutil.ReadGolden(t, name+".cbor"), &back)
+			if err != nil || !reflect.DeepEqual(&back, record) {
+				t.Errorf("read back: %+v, %v, want %+v", back, err, record)
+			}
+			diagnosed, err := cbor.Diagnose(got.Bytes())
+			if err != nil {
+				t.Fatal(err)
+			}
+			testutil.Golden(t, name+".diag", []byte(diagnosed+"\n"))
+		})
+	}
+}
+
+// What capture export prints of each kind of record has the keys of the build before the renames.
+func TestExportedKeysArePinned(t *testing.T) {
+	records := filledRecords(t)
+	for _, name := range slices.Sorted(maps.Keys(records)) {
+		text, err := json.MarshalIndent(records[name].Plain(), "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		testutil.Golden(t, name+".json", append(text, '\n'))
+	}
+}
+
+// The golden records show each kind of input and order that a record can have.
+func TestEveryRecordedTypeIsPinned(t *testing.T) {
+	shown := map[reflect.Type]bool{}
+	for _, v := range filledInputs(t) {
+		shown[reflect.TypeOf(v)] = true
+	}
+	for _, v := range filledOrders(t) {
+		shown[reflect.TypeOf(v)] = true
+	}
+	for of, name := range names {
+		if !shown[of] {
+			t.Errorf("%s (%s) stands in no golden record", name, of)
+		}
+	}
+}
+
+// No field that is stored or exported goes by its Go name.
+func TestRecordedTypesNameTheirKeys(t *testing.T) {
+	recorded := slices.Collect(maps.Keys(names))
+	for _, v := range []any{Start{}, Command{}, Gap{}, End{}, coordinator.Note{}} {
+		recorded = append(recorded, reflect.TypeOf(v))
+	}
+	testutil.RequireKeys(t, "cbor", recorded...)
+	testutil.RequireKeys(t, "cbor", reflect.TypeFor[recovery.Snapshot]())
+	testutil.RequireKeys(t, "json", recorded...)
+	testutil.RequireKeys(t, "json", reflect.TypeFor[Verdict](), reflect.TypeFor[Explanation](), reflect.TypeFor[Stats]())
+}
+
+// The events of the decision module are in no capture of today, but they are what a replay hands it.
+func TestEventsNameTheirKeys(t *testing.T) {
+	for _, v := range []any{control.Up{}, control.List{}, control.Ring{}, control.Probed{}, control.Memo{}, control.Joined{}, control.Left{}, control.Heard{},
+		control.HeardKind{}, control.Usage{}, control.Applied{}, control.Heat{}, control.Given{}, control.Held{}} {
+		testutil.RequireKeys(t, "cbor", reflect.TypeOf(v))
+		testutil.RequireKeys(t, "json", reflect.TypeOf(v))
+	}
+}
+
+// What replay and explain print as JSON has the keys of the build before the renames.
+func TestPrintedKeysArePinned(t *testing.T) {
+	for name, v := range map[string]any{"verdict": testutil.Filled[Verdict](t), "explanation": testutil.Filled[Explanation](t), "stats": testutil.Filled[Stats](t)} {
+		text, err := json.MarshalIndent(v, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		testutil.Golden(t, name+".json", append(text, '\n'))
+	}
+}
+
+// pinnedCapture is a capture of three starts that the build before the renames wrote.
+var pinnedCapture = filepath.Join("testdata", "pinned")
+
+// plainText is a record as capture export prints it: the keys of maps are in order.
+func plainText(t *testing.T, r *Record) []byte {
+	t.Helper()
+	text, err := json.Marshal(r.Plain())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// A capture that the build before the renames wrote is read to the same records and replays to the same orders.
+func TestPinnedCaptureReplays(t *testing.T) {
+	const starts, steps = 3, 120
+	if testutil.Updating() {
+		if err := os.RemoveAll(pinnedCapture); err != nil {
+			t.Fatal(err)
+		}
+		for start := range starts {
+			w := NewWriter(pinnedCapture, Limits{})
+			course(uint64(start+50), "pinned", steps, func(r *Record) { w.Put(r) })
+			w.Close()
+		}
+	}
+	records, reader := read(t, pinnedCapture)
+	var want []*Record
+	for start := range starts {
+		seq := uint64(0)
+		course(uint64(start+50), "pinned", steps, func(r *Record) { seq++; r.Seq = seq; want = append(want, r) })
+	}
+	if len(reader.Damages) > 0 || len(records) != len(want) {
+		t.Fatalf("%d records, want %d; %v", len(records), len(want), reader.Damages)
+	}
+	for i := range want {
+		if got, want := plainText(t, records[i]), plainText(t, want[i]); !bytes.Equal(got, want) {
+			t.Fatalf("record %d reads\n%s\nwant\n%s", i, got, want)
+		}
+	}
+	verdict := replayed(t, pinnedCapture)
+	if verdict.Differs > 0 || verdict.Steps != starts*steps || verdict.Orders < 100 || verdict.Lost() {
+		t.Errorf("%+v", verdict)
+	}
+}
--- a/capture/record.go
+++ b/capture/record.go
@@ -36,11 +36,11 @@
 
 // Start is the first record of a process.
 type Start struct {
-	Format   int                  `cbor:"format"`
-	Build    string               `cbor:"build"` // decisions may differ in another one
-	Wall     int64                `cbor:"wall_us"`
-	Settings coordinator.Settings `cbor:"settings"`
-	Recalled *recovery.Belief     `cbor:"recalled,omitempty"` // what the core was handed of the time before
+	Format   int                  `cbor:"format" json:"Format"`
+	Build    string               `cbor:"build" json:"Build"` // decisions may differ in another one
+	Wall     int64                `cbor:"wall_us" json:"Wall"`
+	Settings coordinator.Settings `cbor:"settings" json:"Settings"`
+	Recalled *recovery.Belief     `cbor:"recalled,omitempty" json:"Recalled"` // what the core was handed of the time before
 }
 
 // Step is one step of the core: what it was told, what the module ordered, and a digest of what went out.
@@ -55,27 +55,27 @@
 
 // Command is an operator's word between two steps.
 type Command struct {
-	Pin   *tables.Pin `cbor:"pin,omitempty"`
-	Unpin int         `cbor:"unpin,omitempty"`
+	Pin   *tables.Pin `cbor:"pin,omitempty" json:"Pin"`
+	Unpin int         `cbor:"unpin,omitempty" json:"Unpin"`
 	// Drain or Undrain names a node.
-	Drain   control.Backend `cbor:"drain,omitempty"`
-	Undrain control.Backend `cbor:"undrain,omitempty"`
-	Reason  string          `cbor:"reason,omitempty"`
+	Drain   control.Backend `cbor:"drain,omitempty" json:"Drain"`
+	Undrain control.Backend `cbor:"undrain,omitempty" json:"Undrain"`
+	Reason  string          `cbor:"reason,omitempty" json:"Reason"`
 	// Say is an operator's word about levels of service, Unsay the number of one that is taken back.
-	Say   *service.Word `cbor:"say,omitempty"`
-	Unsay int           `cbor:"unsay,omitempty"`
+	Say   *service.Word `cbor:"say,omitempty" json:"Say"`
+	Unsay int           `cbor:"unsay,omitempty" json:"Unsay"`
 }
 
 // Gap says that records are missing: what was told then is not known.
 type Gap struct {
-	From uint64 `cbor:"from"`
-	To   uint64 `cbor:"to"` // 0: not known, up to what comes next
-	Why  string `cbor:"why"`
+	From uint64 `cbor:"from" json:"From"`
+	To   uint64 `cbor:"to" json:"To"` // 0: not known, up to what comes next
+	Why  string `cbor:"why" json:"Why"`
 }
 
 // End is the last record of a process that ended by itself.
 type End struct {
-	Steps uint64 `cbor:"steps"`
+	Steps uint64 `cbor:"steps" json:"Steps"`
 }
 
 // ErrFormat is a record that can't be read.
--- /dev/null
+++ b/cmd/porthub/output_test.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"bytes"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"porthub/coordinator"
+	"porthub/daemon"
+	"porthub/drill"
+	"porthub/expect"
+	"porthub/solver"
+	"porthub/solver/fleets"
+	"porthub/testutil"
+)
+
+// printedDocuments are what commands print with --output json, each with every field set.
+func printedDocuments(t *testing.T) map[string]any {
+	t.Helper()
+	failure := testutil.Filled[expect.Failure](t)
+	return map[string]any{
+		"tables": []coordinator.GatewayStatus{testutil.Filled[coordinator.GatewayStatus](t)}, "levels": testutil.Filled[coordinator.Levels](t),
+		"nodes": testutil.Filled[daemon.Nodes](t), "solve": testutil.Filled[solver.Solution](t), "solve-random": testutil.Filled[fleets.Measured](t),
+		"solve-scale": []fleets.Size{testutil.Filled[fleets.Size](t)}, "drill": testutil.Filled[drill.Result](t),
+		"drill-polls": testutil.Filled[drill.HeldPolls](t), "drill-intake": testutil.Filled[drill.IntakeResult](t),
+		"expect": []proven{{File: "file", Name: "name", Line: 1, Cases: 2, Took: 3, Failures: []expect.Failure{failure}}},
+	}
+}
+
+// What commands print with --output json has the keys of the build before the renames.
+func TestPrintedKeysArePinned(t *testing.T) {
+	for name, document := range printedDocuments(t) {
+		t.Run(name, func(t *testing.T) {
+			testutil.RequireKeys(t, "json", reflect.TypeOf(document))
+			var got bytes.Buffer
+			if err := printAny(&got, document); err != nil {
+				t.Fatal(err)
+			}
+			testutil.Golden(t, name+".json", got.Bytes())
+		})
+	}
+}
+
+// What the commands that read captures print of one that the build before the renames wrote.
+func TestCaptureCommandsArePinned(t *testing.T) {
+	dir := filepath.Join("..", "..", "capture", "testdata", "pinned")
+	for name, args := range map[string][]string{
+		"capture-status": {"capture", "status", dir, "--output", "json"},
+		"capture-export": {"capture", "export", dir},
+	} {
+		t.Run(name, func(t *testing.T) {
+			command, got := root(), &bytes.Buffer{}
+			command.SetArgs(args)
+			command.SetOut(got)
+			if err := command.Execute(); err != nil {
+				t.Fatal(err)
+			}
+			text := got.Bytes()
+			if name == "capture-export" { // the first start's records are enough
+				text = bytes.Join(bytes.SplitAfter(text, []byte("\n"))[:40], nil)
+			}
+			testutil.Golden(t, name+".json", text)
+		})
+	}
+}
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -21,17 +21,17 @@
 
 // Settings are what a core is handed at its start.
 type Settings struct {
-	Up          control.Up
-	Epoch       string           // names this start; versions of two starts never look alike
-	SilentAfter micros           // without a word for so long a gateway counts as away
-	AllowEmpty  bool             // an empty list after one that was not is believed
-	Solver      bool             // tables that break limits give way to the solver's
-	Intake      float64          // lines of reports that are taken in a second; 0: all
-	Sources     []string         // registries beside the file, the most trusted first
-	Build       string           // names the build, for snapshots and captures
-	Sync        bool             // documents are synced while the disk is quick enough for it
-	Service     service.Settings // levels of reduced service; without any there are none
-	Fallback    service.Fallback
+	Up          control.Up       `cbor:"Up" json:"Up"`
+	Epoch       string           `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
+	SilentAfter micros           `cbor:"SilentAfter" json:"SilentAfter"` // without a word for so long a gateway counts as away
+	AllowEmpty  bool             `cbor:"AllowEmpty" json:"AllowEmpty"`   // an empty list after one that was not is believed
+	Solver      bool             `cbor:"Solver" json:"Solver"`           // tables that break limits give way to the solver's
+	Intake      float64          `cbor:"Intake" json:"Intake"`           // lines of reports that are taken in a second; 0: all
+	Sources     []string         `cbor:"Sources" json:"Sources"`         // registries beside the file, the most trusted first
+	Build       string           `cbor:"Build" json:"Build"`             // names the build, for snapshots and captures
+	Sync        bool             `cbor:"Sync" json:"Sync"`               // documents are synced while the disk is quick enough for it
+	Service     service.Settings `cbor:"Service" json:"Service"`         // levels of reduced service; without any there are none
+	Fallback    service.Fallback `cbor:"Fallback" json:"Fallback"`
 }
 
 // Core is one coordinator's state. Its zero value does not work: use New.
--- a/coordinator/io.go
+++ b/coordinator/io.go
@@ -19,7 +19,7 @@
 	// List is an answer of the node list, or its failure (How ListFailed, Why says what went wrong).
 	List struct {
 		control.List
-		Why string
+		Why string `cbor:"Why" json:"Why"`
 
 		decided bool // by membership
 	}
@@ -27,70 +27,70 @@
 	Told struct{ membership.Answer }
 	// Join says that a gateway has opened a connection and named itself.
 	Join struct {
-		Gateway  Gateway
-		Conn     Conn
-		Zone     control.Zone
-		Standing bool    // it holds only its standing table
-		Weight   float64 // usual reqs a second; 0: not known
+		Gateway  Gateway      `cbor:"Gateway" json:"Gateway"`
+		Conn     Conn         `cbor:"Conn" json:"Conn"`
+		Zone     control.Zone `cbor:"Zone" json:"Zone"`
+		Standing bool         `cbor:"Standing" json:"Standing"` // it holds only its standing table
+		Weight   float64      `cbor:"Weight" json:"Weight"`     // usual reqs a second; 0: not known
 	}
 	// Leave says that a connection has ended.
 	Leave struct {
-		Gateway Gateway
-		Conn    Conn
+		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
+		Conn    Conn    `cbor:"Conn" json:"Conn"`
 	}
 	// Ack is a gateway's answer to a document: it holds Version now, or refused the one with Nonce (Error is not empty).
 	Ack struct {
-		Gateway Gateway
-		Conn    Conn
-		Doc     Doc
-		Version string
-		Nonce   string
-		Error   string
+		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
+		Conn    Conn    `cbor:"Conn" json:"Conn"`
+		Doc     Doc     `cbor:"Doc" json:"Doc"`
+		Version string  `cbor:"Version" json:"Version"`
+		Nonce   string  `cbor:"Nonce" json:"Nonce"`
+		Error   string  `cbor:"Error" json:"Error"`
 		// Checksum is tables.Checksum of all that the gateway holds; 0: it does not say.
-		Checksum uint64
+		Checksum uint64 `cbor:"Checksum" json:"Checksum"`
 		// Held are the versions that the checksum is of; empty: it does not say.
-		Held [docs]string
+		Held [docs]string `cbor:"Held" json:"Held"`
 	}
 	// Report sums what a gateway did in the last interval.
 	Report struct {
-		Gateway  Gateway
-		Conn     Conn
-		Seq      uint64 // counts a gateway's reports; what is not above the last is a repeat or late
-		Interval control.Micros
-		Kinds    []KindReport
+		Gateway  Gateway        `cbor:"Gateway" json:"Gateway"`
+		Conn     Conn           `cbor:"Conn" json:"Conn"`
+		Seq      uint64         `cbor:"Seq" json:"Seq"` // counts a gateway's reports; what is not above the last is a repeat or late
+		Interval control.Micros `cbor:"Interval" json:"Interval"`
+		Kinds    []KindReport   `cbor:"Kinds" json:"Kinds"`
 	}
 	// Probed is the finding of a probe.
 	Probed struct{ control.Probed }
 	// Refused says that peers were answered with an error, Count times since the last one of these.
 	Refused struct {
-		From  string
-		Why   string
-		Count int
+		From  string `cbor:"From" json:"From"`
+		Why   string `cbor:"Why" json:"Why"`
+		Count int    `cbor:"Count" json:"Count"`
 	}
 	// Failed says that a document could not be handed over; the front tries again by itself.
 	Failed struct {
-		Gateway Gateway
-		Why     string
+		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
+		Why     string  `cbor:"Why" json:"Why"`
 	}
 )
 
 // KindReport is a report's part for one request kind. All counts are of reqs or tries in the interval.
 type KindReport struct {
-	Kind      string
-	Arrived   int // reqs that came, with clients' repeats and denied ones
-	Denied    int // by the level or for want of a line
-	Errored   int // let in and not answered
-	Endpoints []EndpointReport
+	Kind      string           `cbor:"Kind" json:"Kind"`
+	Arrived   int              `cbor:"Arrived" json:"Arrived"` // reqs that came, with clients' repeats and denied ones
+	Denied    int              `cbor:"Denied" json:"Denied"`   // by the level or for want of a line
+	Errored   int              `cbor:"Errored" json:"Errored"` // let in and not answered
+	Endpoints []EndpointReport `cbor:"Endpoints" json:"Endpoints"`
 }
 
 // EndpointReport is what a gateway met at one backend.
 type EndpointReport struct {
-	Backend control.Backend
-	Tries   int // that ended
-	Errored int // of them: errors, refusals, time-outs, failed connects
-	Active  int // not ended yet
-	Answer  control.Micros
-	Loads   control.Loads // by the module's names
+	Backend control.Backend `cbor:"Backend" json:"Backend"`
+	Tries   int             `cbor:"Tries" json:"Tries"`     // that ended
+	Errored int             `cbor:"Errored" json:"Errored"` // of them: errors, refusals, time-outs, failed connects
+	Active  int             `cbor:"Active" json:"Active"`   // not ended yet
+	Answer  control.Micros  `cbor:"Answer" json:"Answer"`
+	Loads   control.Loads   `cbor:"Loads" json:"Loads"` // by the module's names
 }
 
 // Doc is one of the documents that a gateway is given.
@@ -134,13 +134,13 @@
 	}
 	// Note is a record for staff. Event is a short fixed name, Text what happened with its figures.
 	Note struct {
-		Level   NoteLevel
-		Event   string
-		Text    string
-		Gateway Gateway
-		Backend control.Backend
-		Count   int // of the same since the last such record
-		Fields  []Field
+		Level   NoteLevel       `cbor:"Level" json:"Level"`
+		Event   string          `cbor:"Event" json:"Event"`
+		Text    string          `cbor:"Text" json:"Text"`
+		Gateway Gateway         `cbor:"Gateway" json:"Gateway"`
+		Backend control.Backend `cbor:"Backend" json:"Backend"`
+		Count   int             `cbor:"Count" json:"Count"` // of the same since the last such record
+		Fields  []Field         `cbor:"Fields" json:"Fields"`
 	}
 )
 
--- a/coordinator/mode.go
+++ b/coordinator/mode.go
@@ -7,8 +7,8 @@
 
 // Field is one figure or name of a record.
 type Field struct {
-	Key   string
-	Value any // string, float64 or bool
+	Key   string `cbor:"Key" json:"Key"`
+	Value any    `cbor:"Value" json:"Value"` // string, float64 or bool
 }
 
 // modes are the forms of the module's log lines: what the record is called and what its parts are.
--- a/expect/expect.go
+++ b/expect/expect.go
@@ -250,17 +250,17 @@
 
 // Failure is an expectation that does not hold, in one case.
 type Failure struct {
-	Name    string
-	Line    int // of what does not hold
-	What    string
-	Case    int
-	Seed    uint64
-	Gateway string // empty: it is of no gateway
-	Node    string
-	Kind    string
-	At      control.Micros
-	Figure  string // what was
-	Small   string // the smallest case that was found to fail in the same way
+	Name    string         `cbor:"Name" json:"Name"`
+	Line    int            `cbor:"Line" json:"Line"` // of what does not hold
+	What    string         `cbor:"What" json:"What"`
+	Case    int            `cbor:"Case" json:"Case"`
+	Seed    uint64         `cbor:"Seed" json:"Seed"`
+	Gateway string         `cbor:"Gateway" json:"Gateway"` // empty: it is of no gateway
+	Node    string         `cbor:"Node" json:"Node"`
+	Kind    string         `cbor:"Kind" json:"Kind"`
+	At      control.Micros `cbor:"At" json:"At"`
+	Figure  string         `cbor:"Figure" json:"Figure"` // what was
+	Small   string         `cbor:"Small" json:"Small"`   // the smallest case that was found to fail in the same way
 }
 
 func (f Failure) String() string {
--- a/front/files/files.go
+++ b/front/files/files.go
@@ -58,13 +58,13 @@
 
 // Stats counts what was written since the start.
 type Stats struct {
-	Files  int   // written
-	Bytes  int64 // in them
-	Same   int   // not written: they held that already
-	Merged int   // publications that a later one overtook
-	Failed int   // tries that failed
+	Files  int   `cbor:"Files" json:"Files"`   // written
+	Bytes  int64 `cbor:"Bytes" json:"Bytes"`   // in them
+	Same   int   `cbor:"Same" json:"Same"`     // not written: they held that already
+	Merged int   `cbor:"Merged" json:"Merged"` // publications that a later one overtook
+	Failed int   `cbor:"Failed" json:"Failed"` // tries that failed
 	// Unsynced files were moved into place without waiting for the disk.
-	Unsynced int
+	Unsynced int `cbor:"Unsynced" json:"Unsynced"`
 }
 
 const (
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -20,48 +20,48 @@
 // Snapshot is what a coordinator knew at a moment. What the decision module has learned is not in it: its start stays
 // its own.
 type Snapshot struct {
-	Format int            `cbor:"format"`
-	Build  string         `cbor:"build"`
-	Epoch  string         `cbor:"epoch"` // of the start that wrote it
-	At     control.Micros `cbor:"at_us"`
-	Steps  uint64         `cbor:"steps"`
+	Format int            `cbor:"format" json:"Format"`
+	Build  string         `cbor:"build" json:"Build"`
+	Epoch  string         `cbor:"epoch" json:"Epoch"` // of the start that wrote it
+	At     control.Micros `cbor:"at_us" json:"At"`
+	Steps  uint64         `cbor:"steps" json:"Steps"`
 
-	Version  control.Version            `cbor:"list_version"`
-	Nodes    []control.Entry            `cbor:"nodes"` // draining ones too
-	Marks    []solver.Mark              `cbor:"marks,omitempty"`
-	Gateways []Gateway                  `cbor:"gateways,omitempty"`
-	Pins     []tables.Kept              `cbor:"pins,omitempty"`
-	Drains   map[control.Backend]string `cbor:"drains,omitempty"` // by operators, with their reasons
-	Levels   service.Kept               `cbor:"levels"`
-	Kinds    []string                   `cbor:"kinds"` // what positions stand for
-	Zones    []control.Zone             `cbor:"zones"` // tables are numbered by them
+	Version  control.Version            `cbor:"list_version" json:"Version"`
+	Nodes    []control.Entry            `cbor:"nodes" json:"Nodes"` // draining ones too
+	Marks    []solver.Mark              `cbor:"marks,omitempty" json:"Marks"`
+	Gateways []Gateway                  `cbor:"gateways,omitempty" json:"Gateways"`
+	Pins     []tables.Kept              `cbor:"pins,omitempty" json:"Pins"`
+	Drains   map[control.Backend]string `cbor:"drains,omitempty" json:"Drains"` // by operators, with their reasons
+	Levels   service.Kept               `cbor:"levels" json:"Levels"`
+	Kinds    []string                   `cbor:"kinds" json:"Kinds"` // what positions stand for
+	Zones    []control.Zone             `cbor:"zones" json:"Zones"` // tables are numbered by them
 }
 
 // Gateway is what was known of one.
 type Gateway struct {
-	Name    string         `cbor:"name"`
-	Zone    control.Zone   `cbor:"zone"`
-	Heard   control.Micros `cbor:"heard_us"` // its last word
-	Weight  float64        `cbor:"weight"`
-	Usage   []float64      `cbor:"usage,omitempty"` // reqs a second by request kind
-	Version string         `cbor:"version"`         // the last that it confirmed
+	Name    string         `cbor:"name" json:"Name"`
+	Zone    control.Zone   `cbor:"zone" json:"Zone"`
+	Heard   control.Micros `cbor:"heard_us" json:"Heard"` // its last word
+	Weight  float64        `cbor:"weight" json:"Weight"`
+	Usage   []float64      `cbor:"usage,omitempty" json:"Usage"` // reqs a second by request kind
+	Version string         `cbor:"version" json:"Version"`       // the last that it confirmed
 }
 
 // Belief is what of a snapshot is believed.
 type Belief struct {
-	From  string         `cbor:"from"` // the start that it comes from
-	At    control.Micros `cbor:"at_us"`
-	Nodes []control.Entry
+	From  string          `cbor:"from" json:"From"` // the start that it comes from
+	At    control.Micros  `cbor:"at_us" json:"At"`
+	Nodes []control.Entry `cbor:"Nodes" json:"Nodes"`
 	// KnownAt: a node that was not listed then has started since. 0: that is not known.
-	KnownAt  control.Micros
-	Version  control.Version
-	Marks    []solver.Mark
-	Gateways map[string]Gateway
-	Pins     []tables.Kept
-	Drains   map[control.Backend]string
-	Levels   service.Kept
+	KnownAt  control.Micros             `cbor:"KnownAt" json:"KnownAt"`
+	Version  control.Version            `cbor:"Version" json:"Version"`
+	Marks    []solver.Mark              `cbor:"Marks" json:"Marks"`
+	Gateways map[string]Gateway         `cbor:"Gateways" json:"Gateways"`
+	Pins     []tables.Kept              `cbor:"Pins" json:"Pins"`
+	Drains   map[control.Backend]string `cbor:"Drains" json:"Drains"`
+	Levels   service.Kept               `cbor:"Levels" json:"Levels"`
 	// Why says in words what is not believed.
-	Why []string
+	Why []string `cbor:"Why" json:"Why"`
 }
 
 // How long what is believed.
--- a/service/machine.go
+++ b/service/machine.go
@@ -322,14 +322,14 @@
 
 // Kept is what a next start has to know.
 type Kept struct {
-	Levels map[control.Zone]string `cbor:"levels"` // by name: the settings may have changed meanwhile
-	Words  []KeptWord              `cbor:"words,omitempty"`
+	Levels map[control.Zone]string `cbor:"levels" json:"Levels"` // by name: the settings may have changed meanwhile
+	Words  []KeptWord              `cbor:"words,omitempty" json:"Words"`
 }
 
 // KeptWord is a word with its level's name.
 type KeptWord struct {
-	Word  Word   `cbor:"word"`
-	Level string `cbor:"level"`
+	Word  Word   `cbor:"word" json:"Word"`
+	Level string `cbor:"level" json:"Level"`
 }
 
 // Keep tells it.
--- a/service/service.go
+++ b/service/service.go
@@ -50,22 +50,22 @@
 
 // Level is one level as the settings have it.
 type Level struct {
-	Name      string
-	Enter     [Reasons]float64 // at or above: it is entered; 0: the reason does not count
-	Leave     [Reasons]float64 // at or below: it may be left
-	EnterHeld control.Micros   // for so long without a break
-	LeaveHeld control.Micros   // the same, of all reasons together
-	Bounds    Bounds
+	Name      string           `cbor:"Name" json:"Name"`
+	Enter     [Reasons]float64 `cbor:"Enter" json:"Enter"`         // at or above: it is entered; 0: the reason does not count
+	Leave     [Reasons]float64 `cbor:"Leave" json:"Leave"`         // at or below: it may be left
+	EnterHeld control.Micros   `cbor:"EnterHeld" json:"EnterHeld"` // for so long without a break
+	LeaveHeld control.Micros   `cbor:"LeaveHeld" json:"LeaveHeld"` // the same, of all reasons together
+	Bounds    Bounds           `cbor:"Bounds" json:"Bounds"`
 }
 
 // Bounds are what a level does. None of them opens anything that the rules close.
 type Bounds struct {
-	Share     []float64 // by kind: of the admission, in work, that it may use at most; 1: all
-	SecondTry []int     // by kind: the most of the orders for second tries; 3: as it is
-	Cross     float64   // factor on lines to other zones where the own zone has warm ones; 1: as they are
-	Lines     int       // of a kind in one gateway's table at most; 0: as many as there are
-	Probes    float64   // a second at most; 0: no bound
-	Stretch   int       // times the report period; 1: as it is
+	Share     []float64 `cbor:"Share" json:"Share"`         // by kind: of the admission, in work, that it may use at most; 1: all
+	SecondTry []int     `cbor:"SecondTry" json:"SecondTry"` // by kind: the most of the orders for second tries; 3: as it is
+	Cross     float64   `cbor:"Cross" json:"Cross"`         // factor on lines to other zones where the own zone has warm ones; 1: as they are
+	Lines     int       `cbor:"Lines" json:"Lines"`         // of a kind in one gateway's table at most; 0: as many as there are
+	Probes    float64   `cbor:"Probes" json:"Probes"`       // a second at most; 0: no bound
+	Stretch   int       `cbor:"Stretch" json:"Stretch"`     // times the report period; 1: as it is
 }
 
 // None is what holds at the usual service, for so many kinds.
@@ -79,17 +79,17 @@
 
 // Settings are a machine's.
 type Settings struct {
-	Levels []Level // by severity, the least first
-	Zones  []control.Zone
-	Kinds  []string
-	Period control.Micros // of figures
+	Levels []Level        `cbor:"Levels" json:"Levels"` // by severity, the least first
+	Zones  []control.Zone `cbor:"Zones" json:"Zones"`
+	Kinds  []string       `cbor:"Kinds" json:"Kinds"`
+	Period control.Micros `cbor:"Period" json:"Period"` // of figures
 }
 
 // Fallback is what gateways do by the table that they hold while they reach no coordinator.
 type Fallback struct {
-	Level int            // 0: there is none
-	After control.Micros // without a word from a coordinator
-	For   control.Micros // from then on; afterwards the table holds again as it is
+	Level int            `cbor:"Level" json:"Level"` // 0: there is none
+	After control.Micros `cbor:"After" json:"After"` // without a word from a coordinator
+	For   control.Micros `cbor:"For" json:"For"`     // from then on; afterwards the table holds again as it is
 }
 
 // Finding is what is wrong with settings: at which level (from 0), or -1 for all, and which of its keys.
