--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -12,7 +12,7 @@
 	"porthub/tables"
 )
 
-const second control.Micros = 1_000_000
+const second control.Microseconds = 1_000_000
 
 // Format is the version of snapshots that is written.
 const Format = 1
@@ -20,46 +20,46 @@
 // Snapshot is what a coordinator knew at a moment. What the decision module has learned is not in it: its start stays
 // its own.
 type Snapshot struct {
-	Format int            `cbor:"format" json:"Format"`
-	Build  string         `cbor:"build" json:"Build"`
-	Epoch  string         `cbor:"epoch" json:"Epoch"` // of the start that wrote it
-	At     control.Micros `cbor:"at_us" json:"At"`
-	Steps  uint64         `cbor:"steps" json:"Steps"`
+	Format int                  `cbor:"format" json:"Format"`
+	Build  string               `cbor:"build" json:"Build"`
+	Epoch  string               `cbor:"epoch" json:"Epoch"` // of the start that wrote it
+	At     control.Microseconds `cbor:"at_us" json:"At"`
+	Steps  uint64               `cbor:"steps" json:"Steps"`
 
-	Version  control.Version            `cbor:"list_version" json:"Version"`
-	Nodes    []control.Entry            `cbor:"nodes" json:"Nodes"` // draining ones too
-	Marks    []solver.Mark              `cbor:"marks,omitempty" json:"Marks"`
-	Gateways []Gateway                  `cbor:"gateways,omitempty" json:"Gateways"`
-	Pins     []tables.Kept              `cbor:"pins,omitempty" json:"Pins"`
-	Drains   map[control.Backend]string `cbor:"drains,omitempty" json:"Drains"` // by operators, with their reasons
-	Levels   service.Kept               `cbor:"levels" json:"Levels"`
-	Kinds    []string                   `cbor:"kinds" json:"Kinds"` // what positions stand for
-	Zones    []control.Zone             `cbor:"zones" json:"Zones"` // tables are numbered by them
+	Version  control.ListVersion           `cbor:"list_version" json:"Version"`
+	Nodes    []control.Endpoint            `cbor:"nodes" json:"Nodes"` // draining ones too
+	Marks    []solver.Mark                 `cbor:"marks,omitempty" json:"Marks"`
+	Gateways []Gateway                     `cbor:"gateways,omitempty" json:"Gateways"`
+	Pins     []tables.Kept                 `cbor:"pins,omitempty" json:"Pins"`
+	Drains   map[control.EndpointID]string `cbor:"drains,omitempty" json:"Drains"` // by operators, with their reasons
+	Levels   service.Kept                  `cbor:"levels" json:"Levels"`
+	Kinds    []string                      `cbor:"kinds" json:"Kinds"` // what positions stand for
+	Zones    []control.Zone                `cbor:"zones" json:"Zones"` // tables are numbered by them
 }
 
 // Gateway is what was known of one.
 type Gateway struct {
-	Name    string         `cbor:"name" json:"Name"`
-	Zone    control.Zone   `cbor:"zone" json:"Zone"`
-	Heard   control.Micros `cbor:"heard_us" json:"Heard"` // its last word
-	Weight  float64        `cbor:"weight" json:"Weight"`
-	Usage   []float64      `cbor:"usage,omitempty" json:"Usage"` // reqs a second by request kind
-	Version string         `cbor:"version" json:"Version"`       // the last that it confirmed
+	Name    string               `cbor:"name" json:"Name"`
+	Zone    control.Zone         `cbor:"zone" json:"Zone"`
+	Heard   control.Microseconds `cbor:"heard_us" json:"Heard"` // its last word
+	Weight  float64              `cbor:"weight" json:"Weight"`
+	Usage   []float64            `cbor:"usage,omitempty" json:"Usage"` // reqs a second by request kind
+	Version string               `cbor:"version" json:"Version"`       // the last that it confirmed
 }
 
 // Belief is what of a snapshot is believed.
 type Belief struct {
-	From  string          `cbor:"from" json:"From"` // the start that it comes from
-	At    control.Micros  `cbor:"at_us" json:"At"`
-	Nodes []control.Entry `cbor:"Nodes" json:"Nodes"`
+	From  string               `cbor:"from" json:"From"` // the start that it comes from
+	At    control.Microseconds `cbor:"at_us" json:"At"`
+	Nodes []control.Endpoint   `cbor:"Nodes" json:"Nodes"`
 	// KnownAt: a node that was not listed then has started since. 0: that is not known.
-	KnownAt  control.Micros             `cbor:"KnownAt" json:"KnownAt"`
-	Version  control.Version            `cbor:"Version" json:"Version"`
-	Marks    []solver.Mark              `cbor:"Marks" json:"Marks"`
-	Gateways map[string]Gateway         `cbor:"Gateways" json:"Gateways"`
-	Pins     []tables.Kept              `cbor:"Pins" json:"Pins"`
-	Drains   map[control.Backend]string `cbor:"Drains" json:"Drains"`
-	Levels   service.Kept               `cbor:"Levels" json:"Levels"`
+	KnownAt  control.Microseconds          `cbor:"KnownAt" json:"KnownAt"`
+	Version  control.ListVersion           `cbor:"Version" json:"Version"`
+	Marks    []solver.Mark                 `cbor:"Marks" json:"Marks"`
+	Gateways map[string]Gateway            `cbor:"Gateways" json:"Gateways"`
+	Pins     []tables.Kept                 `cbor:"Pins" json:"Pins"`
+	Drains   map[control.EndpointID]string `cbor:"Drains" json:"Drains"`
+	Levels   service.Kept                  `cbor:"Levels" json:"Levels"`
 	// Why says in words what is not believed.
 	Why []string `cbor:"Why" json:"Why"`
 }
@@ -74,17 +74,17 @@
 
 // Believe decides what of a snapshot counts at a start. A clock that has gone back says nothing about how old things are:
 // then only what does not age is believed.
-func Believe(s Snapshot, now control.Micros, kinds []string, zones []control.Zone) Belief {
+func Believe(s Snapshot, now control.Microseconds, kinds []string, zones []control.Zone) Belief {
 	b := Belief{From: s.Epoch, At: s.At, Version: s.Version, Drains: s.Drains, Levels: s.Levels}
 	not := func(format string, args ...any) { b.Why = append(b.Why, fmt.Sprintf(format, args...)) }
 	// The list stands until a fresh one comes: who drains stays drained, who had started stays as warm as it was. A start
 	// that lies ahead is now, so that another clock keeps nobody warm.
 	for _, e := range s.Nodes {
-		if e.Status == control.Gone {
+		if e.Status == control.Removed {
 			continue
 		}
-		if e.Launched > now {
-			e.Launched = now
+		if e.StartedAt > now {
+			e.StartedAt = now
 		}
 		b.Nodes = append(b.Nodes, e)
 	}
@@ -125,13 +125,13 @@
 
 // Started is the start time of a node that the first fresh list names without one: as it was, or, if it was not listed
 // when that was last known, now: whatever started while nobody looked is cold.
-func (b *Belief) Started(node control.Backend, now control.Micros) (at control.Micros, known bool) {
+func (b *Belief) Started(node control.EndpointID, now control.Microseconds) (at control.Microseconds, known bool) {
 	if b == nil || b.KnownAt == 0 {
 		return 0, false
 	}
 	for _, e := range b.Nodes {
-		if e.Backend == node {
-			return e.Launched, true
+		if e.ID == node {
+			return e.StartedAt, true
 		}
 	}
 	return now, true
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -21,7 +21,7 @@
 // known is a snapshot with three nodes, one of them draining, and one gateway.
 func known() Snapshot {
 	return Snapshot{Format: Format, Epoch: "old", At: at, Kinds: kinds, Zones: zones,
-		Nodes: []control.Entry{{Backend: "n1", Zone: "a"}, {Backend: "n2", Zone: "a", Status: control.Draining}, {Backend: "n3", Zone: "b", Launched: at - 5*second}},
+		Nodes: []control.Endpoint{{ID: "n1", Zone: "a"}, {ID: "n2", Zone: "a", Status: control.Draining}, {ID: "n3", Zone: "b", StartedAt: at - 5*second}},
 		Marks: []solver.Mark{{Node: "n3", Kind: 1, Backoff: 8 * second}}, Pins: []tables.Kept{{Pin: tables.Pin{ID: 3, Reason: "why"}}},
 		Gateways: []Gateway{{Name: "g1", Zone: "a", Heard: at - second, Weight: 5, Usage: []float64{4, 1}, Version: "old.7"},
 			{Name: "away", Zone: "a", Heard: at - 300*second}}}
@@ -30,7 +30,7 @@
 // How belief goes with the time that has passed, and with a clock that has gone back.
 func TestHowLongBeliefLasts(t *testing.T) {
 	for _, c := range []struct {
-		after                 control.Micros
+		after                 control.Microseconds
 		marks, gateways, pins bool
 	}{
 		{2 * second, true, true, true},
@@ -45,7 +45,7 @@
 		if len(b.Nodes) != 3 || b.Nodes[1].Status != control.Draining {
 			t.Errorf("after %d s: nodes %v", c.after/second, b.Nodes)
 		}
-		if b.Nodes[2].Launched > at+c.after {
+		if b.Nodes[2].StartedAt > at+c.after {
 			t.Errorf("after %d s: a start that lies ahead", c.after/second)
 		}
 	}
@@ -68,7 +68,7 @@
 // What a first fresh list names without a start time.
 func TestStarted(t *testing.T) {
 	b := Believe(known(), at+10*second, kinds, zones)
-	for node, want := range map[control.Backend]control.Micros{"n1": 0, "n3": at - 5*second, "new": at + 11*second} {
+	for node, want := range map[control.EndpointID]control.Microseconds{"n1": 0, "n3": at - 5*second, "new": at + 11*second} {
 		if got, known := b.Started(node, at+11*second); !known || got != want {
 			t.Errorf("%s: %d, want %d", node, got, want)
 		}
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -245,10 +245,10 @@
 			continue
 		}
 		field := func(name string) string { return i.Metadata[o.Fields[name]] }
-		c := membership.Claim{Node: control.Backend(net.JoinHostPort(host, strconv.Itoa(i.Port))), Instance: i.ID, Zone: control.Zone(field("zone")), Weight: 1,
-			Machine: control.Machine(field("machine")), Status: status(i), Changed: control.Micros(i.Dirty) * 1000,
-			Launched: control.Micros(max(i.ServiceUp, 0)) * 1000, Renewed: control.Micros(i.Renewed) * 1000,
-			Lease: control.Micros(i.LeaseFor) * 1_000_000}
+		c := membership.Claim{Node: control.EndpointID(net.JoinHostPort(host, strconv.Itoa(i.Port))), Instance: i.ID, Zone: control.Zone(field("zone")), Weight: 1,
+			Machine: control.MachineType(field("machine")), Status: status(i), Changed: control.Microseconds(i.Dirty) * 1000,
+			Launched: control.Microseconds(max(i.ServiceUp, 0)) * 1000, Renewed: control.Microseconds(i.Renewed) * 1000,
+			Lease: control.Microseconds(i.LeaseFor) * 1_000_000}
 		if c.Zone == "" {
 			c.Zone = control.Zone(o.Zone)
 		}
@@ -256,7 +256,7 @@
 			c.Weight = w
 		}
 		if p, err := strconv.Atoi(field("pod")); err == nil {
-			c.Pod = control.Pod(p)
+			c.Pod = control.PodID(p)
 		}
 		out = append(out, c)
 	}
--- a/service/bounds.go
+++ b/service/bounds.go
@@ -11,7 +11,7 @@
 
 // Line is one line of a gateway's table as the bounds look at it.
 type Line struct {
-	Backend control.Backend
+	Backend control.EndpointID
 	Weight  float64
 	Own     bool // in the gateway's zone
 	Open    bool
--- a/service/machine.go
+++ b/service/machine.go
@@ -23,21 +23,21 @@
 // state is one scope's. Times are of the last change to what they tell of.
 type state struct {
 	level int // by the figures
-	since control.Micros
+	since control.Microseconds
 	why   string
 
-	met     []control.Micros // by level: since when a reason to enter it is met, without a break; never: it is not
-	under   []control.Micros // by level: since when all reasons for it are under their lower thresholds; never: they are not
-	left    []control.Micros
+	met     []control.Microseconds // by level: since when a reason to enter it is met, without a break; never: it is not
+	under   []control.Microseconds // by level: since when all reasons for it are under their lower thresholds; never: they are not
+	left    []control.Microseconds
 	backoff []int
 	figures Figures
-	knownAt [Reasons]control.Micros
+	knownAt [Reasons]control.Microseconds
 
 	shown   int // with the operators' words
-	shownAt control.Micros
+	shownAt control.Microseconds
 }
 
-const never = control.Micros(-1 << 62)
+const never = control.Microseconds(-1 << 62)
 
 // New starts a machine at the usual service. The settings must pass Check.
 func New(set Settings) *Machine {
@@ -65,7 +65,7 @@
 
 // Step takes the figures of now in and tells what has changed. A scope without figures stays as it was, but for the words
 // of operators.
-func (m *Machine) Step(now control.Micros, figures map[control.Zone]Figures) (changes []Change) {
+func (m *Machine) Step(now control.Microseconds, figures map[control.Zone]Figures) (changes []Change) {
 	m.words = slices.DeleteFunc(m.words, func(w Word) bool { return w.Until <= now })
 	for _, z := range m.scopes {
 		s := m.states[z]
@@ -82,7 +82,7 @@
 }
 
 // step moves one scope by its figures.
-func (m *Machine) step(now control.Micros, s *state, f Figures) {
+func (m *Machine) step(now control.Microseconds, s *state, f Figures) {
 	s.figures = f
 	for r := range Reasons {
 		if f.Known[r] || s.knownAt[r] == 0 {
@@ -116,7 +116,7 @@
 	}
 	if target > s.level { // at once, over all between: each step's wait would cost what the level is to save
 		i := target - 1
-		if s.left[i] != never && now-s.left[i] <= again*m.set.Levels[i].LeaveHeld*control.Micros(s.backoff[i]) {
+		if s.left[i] != never && now-s.left[i] <= again*m.set.Levels[i].LeaveHeld*control.Microseconds(s.backoff[i]) {
 			s.backoff[i] = min(2*s.backoff[i], mostBackoff)
 		} else {
 			s.backoff[i] = 1
@@ -134,23 +134,23 @@
 }
 
 // ends is when a scope's level is left if its reasons stay gone; an unreachable time while they are not.
-func (m *Machine) ends(s *state) control.Micros {
+func (m *Machine) ends(s *state) control.Microseconds {
 	i := s.level - 1
 	if s.under[i] == never {
 		return -never
 	}
-	seen := 2 * m.set.Period * control.Micros(max(1, m.set.Levels[i].Bounds.Stretch))
+	seen := 2 * m.set.Period * control.Microseconds(max(1, m.set.Levels[i].Bounds.Stretch))
 	return max(s.under[i]+m.held(s), s.since+seen)
 }
 
 // held is how long the level's reasons have to be gone.
-func (m *Machine) held(s *state) control.Micros {
-	return m.set.Levels[s.level-1].LeaveHeld * control.Micros(s.backoff[s.level-1])
+func (m *Machine) held(s *state) control.Microseconds {
+	return m.set.Levels[s.level-1].LeaveHeld * control.Microseconds(s.backoff[s.level-1])
 }
 
 // calm tells whether all of a level's reasons are under their lower thresholds. One of which nothing is known is not, for a
 // minute.
-func (m *Machine) calm(now control.Micros, s *state, l Level) bool {
+func (m *Machine) calm(now control.Microseconds, s *state, l Level) bool {
 	for r := range Reasons {
 		switch {
 		case l.Enter[r] == 0:
@@ -185,12 +185,12 @@
 
 // Word is an operator's, until a time.
 type Word struct {
-	ID     int            `json:"id" cbor:"id"`
-	Do     Do             `json:"do" cbor:"do"`
-	Zone   control.Zone   `json:"zone" cbor:"zone"` // Fleet: all
-	Level  int            `json:"level" cbor:"level"`
-	Until  control.Micros `json:"until_us" cbor:"until_us"`
-	Reason string         `json:"reason" cbor:"reason"`
+	ID     int                  `json:"id" cbor:"id"`
+	Do     Do                   `json:"do" cbor:"do"`
+	Zone   control.Zone         `json:"zone" cbor:"zone"` // Fleet: all
+	Level  int                  `json:"level" cbor:"level"`
+	Until  control.Microseconds `json:"until_us" cbor:"until_us"`
+	Reason string               `json:"reason" cbor:"reason"`
 }
 
 // What goes wrong with words.
@@ -206,7 +206,7 @@
 const longest = 24 * 3600 * second
 
 // Say takes an operator's word in; it takes the place of one that says the same of the same scope.
-func (m *Machine) Say(now control.Micros, w Word) (Word, error) {
+func (m *Machine) Say(now control.Microseconds, w Word) (Word, error) {
 	s := m.states[w.Zone]
 	switch {
 	case w.Reason == "":
@@ -262,14 +262,14 @@
 
 // Standing is how one scope stands.
 type Standing struct {
-	Zone     control.Zone   `json:"zone"` // empty: the fleet
-	Level    int            `json:"level"`
-	Name     string         `json:"name"`
-	Since    control.Micros `json:"since_us"`
-	Why      string         `json:"why"`
-	ByItself int            `json:"by_itself"` // the level without operators' words
-	Ends     []string       `json:"ends"`      // what keeps it, and until when it has to be gone
-	Figures  []Figure       `json:"figures"`
+	Zone     control.Zone         `json:"zone"` // empty: the fleet
+	Level    int                  `json:"level"`
+	Name     string               `json:"name"`
+	Since    control.Microseconds `json:"since_us"`
+	Why      string               `json:"why"`
+	ByItself int                  `json:"by_itself"` // the level without operators' words
+	Ends     []string             `json:"ends"`      // what keeps it, and until when it has to be gone
+	Figures  []Figure             `json:"figures"`
 }
 
 // Figure is one figure of a scope with the thresholds of the level that it is at, or of the first one.
@@ -282,7 +282,7 @@
 }
 
 // Standings tell how all scopes stand, the fleet first.
-func (m *Machine) Standings(now control.Micros) (out []Standing) {
+func (m *Machine) Standings(now control.Microseconds) (out []Standing) {
 	for _, z := range m.scopes {
 		s := m.states[z]
 		_, why := m.apply(z, s)
@@ -348,7 +348,7 @@
 
 // Recall takes an earlier start's levels and words over. A level is held from now on as if it had just been entered, and is left
 // by fresh evidence alone; names that are not known any more are passed over, and told.
-func (m *Machine) Recall(now control.Micros, k Kept) (notes []string) {
+func (m *Machine) Recall(now control.Microseconds, k Kept) (notes []string) {
 	for _, z := range m.scopes {
 		name, has := k.Levels[z]
 		if !has {
--- a/service/service.go
+++ b/service/service.go
@@ -7,7 +7,7 @@
 	"porthub/control"
 )
 
-const second control.Micros = 1_000_000
+const second control.Microseconds = 1_000_000
 
 // Reason is a figure that a level goes by.
 type Reason int
@@ -50,12 +50,12 @@
 
 // Level is one level as the settings have it.
 type Level struct {
-	Name      string           `cbor:"Name" json:"Name"`
-	Enter     [Reasons]float64 `cbor:"Enter" json:"Enter"`         // at or above: it is entered; 0: the reason does not count
-	Leave     [Reasons]float64 `cbor:"Leave" json:"Leave"`         // at or below: it may be left
-	EnterHeld control.Micros   `cbor:"EnterHeld" json:"EnterHeld"` // for so long without a break
-	LeaveHeld control.Micros   `cbor:"LeaveHeld" json:"LeaveHeld"` // the same, of all reasons together
-	Bounds    Bounds           `cbor:"Bounds" json:"Bounds"`
+	Name      string               `cbor:"Name" json:"Name"`
+	Enter     [Reasons]float64     `cbor:"Enter" json:"Enter"`         // at or above: it is entered; 0: the reason does not count
+	Leave     [Reasons]float64     `cbor:"Leave" json:"Leave"`         // at or below: it may be left
+	EnterHeld control.Microseconds `cbor:"EnterHeld" json:"EnterHeld"` // for so long without a break
+	LeaveHeld control.Microseconds `cbor:"LeaveHeld" json:"LeaveHeld"` // the same, of all reasons together
+	Bounds    Bounds               `cbor:"Bounds" json:"Bounds"`
 }
 
 // Bounds are what a level does. None of them opens anything that the rules close.
@@ -79,17 +79,17 @@
 
 // Settings are a machine's.
 type Settings struct {
-	Levels []Level        `cbor:"Levels" json:"Levels"` // by severity, the least first
-	Zones  []control.Zone `cbor:"Zones" json:"Zones"`
-	Kinds  []string       `cbor:"Kinds" json:"Kinds"`
-	Period control.Micros `cbor:"Period" json:"Period"` // of figures
+	Levels []Level              `cbor:"Levels" json:"Levels"` // by severity, the least first
+	Zones  []control.Zone       `cbor:"Zones" json:"Zones"`
+	Kinds  []string             `cbor:"Kinds" json:"Kinds"`
+	Period control.Microseconds `cbor:"Period" json:"Period"` // of figures
 }
 
 // Fallback is what gateways do by the table that they hold while they reach no coordinator.
 type Fallback struct {
-	Level int            `cbor:"Level" json:"Level"` // 0: there is none
-	After control.Micros `cbor:"After" json:"After"` // without a word from a coordinator
-	For   control.Micros `cbor:"For" json:"For"`     // from then on; afterwards the table holds again as it is
+	Level int                  `cbor:"Level" json:"Level"` // 0: there is none
+	After control.Microseconds `cbor:"After" json:"After"` // without a word from a coordinator
+	For   control.Microseconds `cbor:"For" json:"For"`     // from then on; afterwards the table holds again as it is
 }
 
 // Finding is what is wrong with settings: at which level (from 0), or -1 for all, and which of its keys.
@@ -157,9 +157,9 @@
 			find(i, "enter_held", "is below 0", "0 or more")
 		}
 		stretch := max(1, l.Bounds.Stretch)
-		if l.LeaveHeld < 2*s.Period*control.Micros(stretch) {
+		if l.LeaveHeld < 2*s.Period*control.Microseconds(stretch) {
 			find(i, "leave_held", fmt.Sprintf("%v s is under two reports at this level", float64(l.LeaveHeld)/float64(second)),
-				"%v s or more: it could be left without evidence", float64(2*s.Period*control.Micros(stretch))/float64(second))
+				"%v s or more: it could be left without evidence", float64(2*s.Period*control.Microseconds(stretch))/float64(second))
 		}
 		s.checkBounds(i, find)
 	}
@@ -242,10 +242,10 @@
 
 // Most is how many changes of one scope's level there can be in a length of time, whatever the figures do: each level is left
 // only after its holding time, which doubles, and each time that it is left it can be entered once more.
-func (s Settings) Most(length control.Micros) (changes int) {
+func (s Settings) Most(length control.Microseconds) (changes int) {
 	ups := 0
 	for _, l := range s.Levels {
-		left, factor := length-l.EnterHeld, control.Micros(1)
+		left, factor := length-l.EnterHeld, control.Microseconds(1)
 		for left >= l.LeaveHeld*factor {
 			left -= l.LeaveHeld*factor + l.EnterHeld
 			changes++
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-func level(name string, enter, leave float64, enterHeld, leaveHeld control.Micros, more ...func(*Level)) Level {
+func level(name string, enter, leave float64, enterHeld, leaveHeld control.Microseconds, more ...func(*Level)) Level {
 	l := Level{Name: name, EnterHeld: enterHeld, LeaveHeld: leaveHeld, Bounds: None(2)}
 	l.Enter[Load], l.Leave[Load] = enter, leave
 	for _, m := range more {
@@ -54,7 +54,7 @@
 // course plays a load by second in the fleet's scope and returns the levels.
 func course(m *Machine, seconds int, load func(s int) float64) (levels []int, changes int) {
 	for s := range seconds {
-		changes += len(m.Step(control.Micros(s)*second, map[control.Zone]Figures{Fleet: loaded(load(s))}))
+		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: loaded(load(s))}))
 		levels = append(levels, m.At("a"))
 	}
 	return levels, changes
@@ -97,7 +97,7 @@
 		if high {
 			load = 1
 		}
-		for range m.Step(control.Micros(s)*second, map[control.Zone]Figures{Fleet: loaded(load)}) {
+		for range m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: loaded(load)}) {
 			n, high = n+1, !high
 		}
 	}
@@ -123,17 +123,17 @@
 			f = loaded(0.2)
 			f.Set(Lost, 0.4)
 		}
-		changes += len(m.Step(control.Micros(s)*second, map[control.Zone]Figures{Fleet: f}))
+		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: f}))
 	}
 	if changes != 1 || m.At("b") != 1 {
 		t.Errorf("%d changes, at %d", changes, m.At("b"))
 	}
 	var unknown Figures
 	unknown.Set(Load, 0.1)
-	at := control.Micros(0)
+	at := control.Microseconds(0)
 	for s := 300; s < 500 && at == 0; s++ {
-		if m.Step(control.Micros(s)*second, map[control.Zone]Figures{Fleet: unknown}); m.At("b") == 0 {
-			at = control.Micros(s - 300)
+		if m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: unknown}); m.At("b") == 0 {
+			at = control.Microseconds(s - 300)
 		}
 	}
 	if at < 59 || at > 75 {
@@ -145,7 +145,7 @@
 func TestScopes(t *testing.T) {
 	m := New(two())
 	for s := range 5 {
-		m.Step(control.Micros(s)*second, map[control.Zone]Figures{Fleet: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
+		m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
 	}
 	if m.At("a") != 2 || m.At("b") != 1 || m.At(Fleet) != 1 {
 		t.Errorf("a %d, b %d", m.At("a"), m.At("b"))
@@ -159,8 +159,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{Zones: []control.Zone{"a"}, Kinds: []string{"view", "save"}, Period: second}
 		for i := range rapid.IntRange(1, 4).Draw(t, "levels") {
-			l := Level{Name: fmt.Sprint("l", i), Bounds: None(2), EnterHeld: control.Micros(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
-				LeaveHeld: control.Micros(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
+			l := Level{Name: fmt.Sprint("l", i), Bounds: None(2), EnterHeld: control.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
+				LeaveHeld: control.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
 			for r := range Reasons {
 				if rapid.IntRange(0, 2).Draw(t, "counts") > 0 {
 					l.Enter[r] = float64(rapid.IntRange(1, 20).Draw(t, "enter")) / 20
@@ -173,7 +173,7 @@
 			return
 		}
 		taken++
-		m, now, changes := New(set), control.Micros(0), 0
+		m, now, changes := New(set), control.Microseconds(0), 0
 		step := func(f Figures) int {
 			now += second
 			n := len(m.Step(now, map[control.Zone]Figures{Fleet: f}))
@@ -231,7 +231,7 @@
 
 // Operators' words: force goes before hold, forbid over both, each ends by itself, and beneath them the figures' own level goes on.
 func TestWords(t *testing.T) {
-	m, now := New(two()), control.Micros(0)
+	m, now := New(two()), control.Microseconds(0)
 	step := func(load float64) {
 		now += second
 		m.Step(now, map[control.Zone]Figures{Fleet: loaded(load)})
@@ -287,7 +287,7 @@
 func TestRecall(t *testing.T) {
 	m := New(two())
 	for s := range 5 {
-		m.Step(control.Micros(s)*second, map[control.Zone]Figures{"a": loaded(2)})
+		m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{"a": loaded(2)})
 	}
 	if _, err := m.Say(5*second, Word{Do: Force, Level: 1, Zone: "b", Until: 100 * second, Reason: "r"}); err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 	}
 	left := 0
 	for s := 10; s < 60; s++ {
-		next.Step(control.Micros(s)*second, map[control.Zone]Figures{"a": loaded(0.1)})
+		next.Step(control.Microseconds(s)*second, map[control.Zone]Figures{"a": loaded(0.1)})
 		if next.At("a") < 3 && left == 0 {
 			left = s
 		}
--- a/solver/estimate.go
+++ b/solver/estimate.go
@@ -10,7 +10,7 @@
 // when full; and what a req of each kind costs beside the others, by how long it takes where nobody waits.
 type Estimate struct {
 	kinds int
-	nodes map[control.Backend]*speed
+	nodes map[control.EndpointID]*speed
 	costs []bin // by kind: answers and their time
 }
 
@@ -30,12 +30,12 @@
 
 // NewEstimate starts with nothing known, of so many kinds.
 func NewEstimate(kinds int) *Estimate {
-	return &Estimate{kinds: kinds, nodes: map[control.Backend]*speed{}, costs: make([]bin, kinds)}
+	return &Estimate{kinds: kinds, nodes: map[control.EndpointID]*speed{}, costs: make([]bin, kinds)}
 }
 
 // Round takes in what all gateways met at a node in so many seconds: its own busy share if it told one (else below 0)
 // and what was met by kind. It is learned from warm nodes only: a cold one would pass for slow for long.
-func (e *Estimate) Round(node control.Backend, seconds, busy float64, warm bool, heard []control.HeardKind) {
+func (e *Estimate) Round(node control.EndpointID, seconds, busy float64, warm bool, heard []control.EndpointClassLoad) {
 	if !(busy > idle) || !warm || seconds <= 0 {
 		return
 	}
@@ -46,10 +46,10 @@
 	}
 	done := 0.0
 	for _, h := range heard {
-		if ok := float64(h.Tries - h.Errored); ok > 0 && int(h.Kind) < e.kinds {
-			done += ok * e.cost(int(h.Kind))
-			if c := &e.costs[h.Kind]; busy < calm {
-				c.n, c.sum = c.n+ok, c.sum+ok*float64(h.Answer)
+		if ok := float64(h.Attempts - h.Failures); ok > 0 && int(h.Class) < e.kinds {
+			done += ok * e.cost(int(h.Class))
+			if c := &e.costs[h.Class]; busy < calm {
+				c.n, c.sum = c.n+ok, c.sum+ok*float64(h.MeanLatency)
 				if c.n > costFull {
 					c.n, c.sum = c.n/2, c.sum/2
 				}
@@ -71,10 +71,10 @@
 }
 
 // Forget drops a node: another process under its name is learned anew.
-func (e *Estimate) Forget(node control.Backend) { delete(e.nodes, node) }
+func (e *Estimate) Forget(node control.EndpointID) { delete(e.nodes, node) }
 
 // Capacity is what a node can do when warm, in mean reqs a second; NaN while too little is known.
-func (e *Estimate) Capacity(node control.Backend) float64 {
+func (e *Estimate) Capacity(node control.EndpointID) float64 {
 	s := e.nodes[node]
 	if s == nil {
 		return math.NaN()
--- a/solver/judge.go
+++ b/solver/judge.go
@@ -24,15 +24,15 @@
 }
 
 type pair struct {
-	node control.Backend
+	node control.EndpointID
 	kind int
 }
 
 type record struct {
 	tries, errored float64
 	state          state
-	since, retryAt control.Micros
-	backoff        control.Micros
+	since, retryAt control.Microseconds
+	backoff        control.Microseconds
 	trialTries     float64
 	trialErrored   float64
 }
@@ -59,8 +59,8 @@
 	odds        = 7 // log of a thousand
 	leastErrors = 4 // by fewer nobody is judged
 	leastBase   = 0.03
-	firstRetry  = control.Micros(4_000_000)
-	lastRetry   = control.Micros(32_000_000)
+	firstRetry  = control.Microseconds(4_000_000)
+	lastRetry   = control.Microseconds(32_000_000)
 	trialTries  = 5   // that a trial takes
 	trialWell   = 0.3 // part of them that may err
 	wellLeast   = 0.2 // with a smaller part of the nodes well for a kind, marks are passed over
@@ -73,25 +73,25 @@
 
 // Round closes a round: heard is what was met since the last one, ready who is listed as ready. It returns a line for
 // each change, with the figures that caused it.
-func (j *Judge) Round(now control.Micros, heard []control.HeardKind, ready []control.Backend) (lines []string) {
+func (j *Judge) Round(now control.Microseconds, heard []control.EndpointClassLoad, ready []control.EndpointID) (lines []string) {
 	for _, r := range j.pairs {
 		r.tries, r.errored = r.tries/2, r.errored/2
 	}
 	for _, h := range heard {
-		if h.Tries <= 0 || int(h.Kind) < 0 || int(h.Kind) >= j.kinds {
+		if h.Attempts <= 0 || int(h.Class) < 0 || int(h.Class) >= j.kinds {
 			continue
 		}
-		r := j.pairs[pair{h.Backend, int(h.Kind)}]
+		r := j.pairs[pair{h.Endpoint, int(h.Class)}]
 		if r == nil {
 			r = &record{}
-			j.pairs[pair{h.Backend, int(h.Kind)}] = r
+			j.pairs[pair{h.Endpoint, int(h.Class)}] = r
 		}
-		r.tries, r.errored = r.tries+float64(h.Tries), r.errored+float64(h.Errored)
+		r.tries, r.errored = r.tries+float64(h.Attempts), r.errored+float64(h.Failures)
 		if r.state == trial {
-			r.trialTries, r.trialErrored = r.trialTries+float64(h.Tries), r.trialErrored+float64(h.Errored)
+			r.trialTries, r.trialErrored = r.trialTries+float64(h.Attempts), r.trialErrored+float64(h.Failures)
 		}
 	}
-	listed := map[control.Backend]bool{}
+	listed := map[control.EndpointID]bool{}
 	for _, b := range ready {
 		listed[b] = true
 	}
@@ -119,7 +119,7 @@
 }
 
 // peers is the error part that a kind has at the nodes that do best by it.
-func (j *Judge) peers(k int, ready []control.Backend) float64 {
+func (j *Judge) peers(k int, ready []control.EndpointID) float64 {
 	var parts []float64
 	for _, b := range ready {
 		if r := j.pairs[pair{b, k}]; r != nil && r.tries >= 2 {
@@ -134,7 +134,7 @@
 }
 
 // others is the error part that a node has by all other kinds, with a little doubt where few were met.
-func (j *Judge) others(b control.Backend, k int) float64 {
+func (j *Judge) others(b control.EndpointID, k int) float64 {
 	tries, errored := 0.0, 0.0
 	for o := range j.kinds {
 		if r := j.pairs[pair{b, o}]; r != nil && o != k {
@@ -147,7 +147,7 @@
 	return errored / tries
 }
 
-func (j *Judge) judge(now control.Micros, b control.Backend, k int, r *record, peers float64) string {
+func (j *Judge) judge(now control.Microseconds, b control.EndpointID, k int, r *record, peers float64) string {
 	switch r.state {
 	case failing:
 		if now >= r.retryAt {
@@ -190,13 +190,13 @@
 	return errored*math.Log(q/base) + (tries-errored)*math.Log((1-q)/(1-base))
 }
 
-func (j *Judge) fail(now control.Micros, r *record) {
+func (j *Judge) fail(now control.Microseconds, r *record) {
 	r.backoff = min(lastRetry, max(firstRetry, 2*r.backoff))
 	r.state, r.since, r.retryAt = failing, now, now+r.backoff
 }
 
 // look passes marks over where too few nodes are left for a kind: the fault is likelier one that all share.
-func (j *Judge) look(k int, ready []control.Backend) string {
+func (j *Judge) look(k int, ready []control.EndpointID) string {
 	left := 0
 	for _, b := range ready {
 		if r := j.pairs[pair{b, k}]; r == nil || r.state != failing {
@@ -211,14 +211,14 @@
 }
 
 // Forget drops all that is held against a node: another process under its name is judged anew.
-func (j *Judge) Forget(b control.Backend) {
+func (j *Judge) Forget(b control.EndpointID) {
 	for k := range j.kinds {
 		delete(j.pairs, pair{b, k})
 	}
 }
 
 // Verdict tells how a node stands with a kind.
-func (j *Judge) Verdict(b control.Backend, k int) Verdict {
+func (j *Judge) Verdict(b control.EndpointID, k int) Verdict {
 	r := j.pairs[pair{b, k}]
 	switch {
 	case r == nil || r.state == well || j.blind[k]:
@@ -232,9 +232,9 @@
 
 // Mark is held against a node for a kind.
 type Mark struct {
-	Node    control.Backend `json:"node"`
-	Kind    int             `json:"kind"`
-	Backoff control.Micros  `json:"backoff_us"`
+	Node    control.EndpointID   `json:"node"`
+	Kind    int                  `json:"kind"`
+	Backoff control.Microseconds `json:"backoff_us"`
 }
 
 // Marks lists what is held against nodes, on trial ones too, in the order of their names.
@@ -250,7 +250,7 @@
 
 // Recall puts nodes that had marks before on trial: by a tenth of their weight a few reqs soon tell. The backoff counts on
 // if one fails again.
-func (j *Judge) Recall(now control.Micros, marks []Mark) {
+func (j *Judge) Recall(now control.Microseconds, marks []Mark) {
 	for _, m := range marks {
 		if m.Kind >= 0 && m.Kind < j.kinds {
 			j.pairs[pair{m.Node, m.Kind}] = &record{state: trial, since: now, backoff: min(max(m.Backoff, firstRetry), lastRetry)}
--- a/standin/gateway.go
+++ b/standin/gateway.go
@@ -511,7 +511,7 @@
 	for _, r := range g.held.Snapshot.Routes {
 		if r.Kind == kind {
 			if !g.heard.IsZero() {
-				r = r.Away(control.Micros(time.Since(g.heard).Microseconds()))
+				r = r.Away(control.Microseconds(time.Since(g.heard).Microseconds()))
 			}
 			return r
 		}
@@ -709,5 +709,5 @@
 }
 
 func line(e ListEntry) tables.Line {
-	return tables.Line{Backend: control.Backend(e.Addr), Zone: control.Zone(e.Zone), Weight: max(e.Weight, 1e-3)}
+	return tables.Line{Backend: control.EndpointID(e.Addr), Zone: control.Zone(e.Zone), Weight: max(e.Weight, 1e-3)}
 }
--- a/tables/book.go
+++ b/tables/book.go
@@ -16,14 +16,14 @@
 // Entry is one version of a table.
 type Entry struct {
 	Version Version
-	At      control.Micros // when it came into being
-	State   State          // by the module
+	At      control.Microseconds // when it came into being
+	State   State                // by the module
 	// Acting is what the weight solver has in its place, by request kind; a kind that is not in it has State.
-	Acting map[control.ReqKind]State
+	Acting map[control.RequestClass]State
 }
 
 // Of is what the version holds for a kind.
-func (e Entry) Of(kind control.ReqKind) State {
+func (e Entry) Of(kind control.RequestClass) State {
 	if s, acts := e.Acting[kind]; acts {
 		return s
 	}
@@ -45,22 +45,22 @@
 
 // Book keeps the versions of all tables and what operators have pinned. It is pure: time is handed in.
 type Book struct {
-	keep   int            // versions of a table
-	most   control.Micros // how old they may be, but for the last one
-	tables map[control.Table][]Entry
-	next   map[control.Table]Version
+	keep   int                  // versions of a table
+	most   control.Microseconds // how old they may be, but for the last one
+	tables map[control.TableID][]Entry
+	next   map[control.TableID]Version
 	pins   []Pin
 	pinned int // numbers pins
 }
 
 // Scope says what a pin holds: a table, all tables of a zone (a group of groups), or the fleet.
 type Scope struct {
-	Table control.Table `json:"table"` // Anything: see Zone
-	Zone  control.Zone  `json:"zone"`  // empty, with Table Anything: the fleet
+	Table control.TableID `json:"table"` // Anything: see Zone
+	Zone  control.Zone    `json:"zone"`  // empty, with Table Anything: the fleet
 }
 
 // Anything stands in a Scope for all tables.
-const Anything control.Table = -1
+const Anything control.TableID = -1
 
 func (s Scope) String() string {
 	switch {
@@ -87,15 +87,15 @@
 
 // Pin holds tables at an earlier state: a version of one table, or what all in scope had at a time.
 type Pin struct {
-	ID      int            `json:"id"`
-	Scope   Scope          `json:"scope"`
-	Version Version        `json:"version,omitempty"` // of a table; 0: by time
-	At      control.Micros `json:"at_us,omitempty"`   // the state that was in force then
-	Since   control.Micros `json:"since_us"`
-	Reason  string         `json:"reason"`
+	ID      int                  `json:"id"`
+	Scope   Scope                `json:"scope"`
+	Version Version              `json:"version,omitempty"` // of a table; 0: by time
+	At      control.Microseconds `json:"at_us,omitempty"`   // the state that was in force then
+	Since   control.Microseconds `json:"since_us"`
+	Reason  string               `json:"reason"`
 	// held are the versions that the pin holds, found when it was made: what came into being at the same moment but
 	// later is not among them.
-	held map[control.Table]Version
+	held map[control.TableID]Version
 }
 
 // What goes wrong with pins.
@@ -106,13 +106,13 @@
 )
 
 // NewBook keeps so many versions of each table, for so long.
-func NewBook(keep int, most control.Micros) *Book {
-	return &Book{keep: max(2, keep), most: most, tables: map[control.Table][]Entry{}, next: map[control.Table]Version{}}
+func NewBook(keep int, most control.Microseconds) *Book {
+	return &Book{keep: max(2, keep), most: most, tables: map[control.TableID][]Entry{}, next: map[control.TableID]Version{}}
 }
 
 // Put says what a table holds from now on, and what acts in its place for some kinds; it is a new version if it is not
 // what it held. Versions that are pinned or that pins of a time need are never let go; of the others the oldest are.
-func (b *Book) Put(now control.Micros, table control.Table, w Weights, acting map[control.ReqKind]Weights) Version {
+func (b *Book) Put(now control.Microseconds, table control.TableID, w Weights, acting map[control.RequestClass]Weights) Version {
 	entries := b.tables[table]
 	var last Entry
 	if n := len(entries); n > 0 {
@@ -121,7 +121,7 @@
 	next := Entry{Version: b.next[table] + 1, At: now, State: last.State.With(w)}
 	for kind, weights := range acting {
 		if next.Acting == nil {
-			next.Acting = map[control.ReqKind]State{}
+			next.Acting = map[control.RequestClass]State{}
 		}
 		next.Acting[kind] = last.Of(kind).With(weights)
 	}
@@ -143,7 +143,7 @@
 }
 
 // needed are the versions that pins hold.
-func (b *Book) needed(table control.Table) map[Version]bool {
+func (b *Book) needed(table control.TableID) map[Version]bool {
 	needed := map[Version]bool{}
 	for _, p := range b.pins {
 		needed[p.held[table]] = true
@@ -152,7 +152,7 @@
 }
 
 // at is the version that was in force at a time.
-func at(entries []Entry, t control.Micros) (Entry, bool) {
+func at(entries []Entry, t control.Microseconds) (Entry, bool) {
 	for _, e := range slices.Backward(entries) {
 		if e.At <= t {
 			return e, true
@@ -162,13 +162,13 @@
 }
 
 // Tables lists the tables that have versions.
-func (b *Book) Tables() []control.Table { return slices.Sorted(maps.Keys(b.tables)) }
+func (b *Book) Tables() []control.TableID { return slices.Sorted(maps.Keys(b.tables)) }
 
 // Versions lists what is kept of a table, the oldest first.
-func (b *Book) Versions(table control.Table) []Entry { return b.tables[table] }
+func (b *Book) Versions(table control.TableID) []Entry { return b.tables[table] }
 
 // Get finds a version of a table.
-func (b *Book) Get(table control.Table, v Version) (Entry, error) {
+func (b *Book) Get(table control.TableID, v Version) (Entry, error) {
 	for _, e := range b.tables[table] {
 		if e.Version == v {
 			return e, nil
@@ -177,7 +177,7 @@
 	return Entry{}, fmt.Errorf("%w: table %d has no version %d: %s", ErrNoVersion, table, v, b.has(table))
 }
 
-func (b *Book) has(table control.Table) string {
+func (b *Book) has(table control.TableID) string {
 	entries := b.tables[table]
 	if len(entries) == 0 {
 		return "it has none"
@@ -186,7 +186,7 @@
 }
 
 // Pin holds what is in scope at an earlier state from now on. It takes the place of a pin of the same scope.
-func (b *Book) Pin(now control.Micros, p Pin) (Pin, error) {
+func (b *Book) Pin(now control.Microseconds, p Pin) (Pin, error) {
 	if p.Reason == "" {
 		return p, ErrNoReason
 	}
@@ -203,7 +203,7 @@
 	}
 	b.pins = slices.DeleteFunc(b.pins, func(o Pin) bool { return o.Scope == p.Scope })
 	b.pinned++
-	p.ID, p.Since, p.held = b.pinned, now, map[control.Table]Version{}
+	p.ID, p.Since, p.held = b.pinned, now, map[control.TableID]Version{}
 	for t, entries := range b.tables {
 		if p.Scope.Table == t && p.Version > 0 {
 			p.held[t] = p.Version
@@ -240,8 +240,8 @@
 // rules' mask over them. Where nothing of the pinned state is left that the rules allow, the rules win and the
 // weights are as they are; overruled says so. Weights of a pinned state are brought to the scale of now, so that a
 // cold backend's part is no larger than it is now.
-func (b *Book) InForce(table control.Table, kind control.ReqKind, zone control.Zone, now Weights,
-	standing func(control.Backend) Standing) (w Weights, pin *Pin, overruled string) {
+func (b *Book) InForce(table control.TableID, kind control.RequestClass, zone control.Zone, now Weights,
+	standing func(control.EndpointID) Standing) (w Weights, pin *Pin, overruled string) {
 	for i := range b.pins {
 		p := &b.pins[i]
 		in := p.Scope.Table == table || p.Scope.Table == Anything && (p.Scope.Zone == "" || p.Scope.Zone == zone)
@@ -268,10 +268,10 @@
 
 // Mask puts the rules over old weights: closed backends have no line, and a cold one's part beside the warm ones is no
 // larger than it is now. It is false where no warm line is left.
-func Mask(old Weights, standing func(control.Backend) Standing) (w Weights, masked int, left bool) {
+func Mask(old Weights, standing func(control.EndpointID) Standing) (w Weights, masked int, left bool) {
 	w = Weights{}
 	warmThen, warmNow := 0.0, 0.0
-	var cold []control.Backend
+	var cold []control.EndpointID
 	for _, be := range slices.Sorted(maps.Keys(old)) {
 		switch s := standing(be); {
 		case s.Closed:
@@ -300,16 +300,16 @@
 
 // Kept is a pin with the states that it holds, for the next start.
 type Kept struct {
-	Pin   Pin                       `json:"pin"`
-	Holds map[control.Table]Weights `json:"holds"`
+	Pin   Pin                         `json:"pin"`
+	Holds map[control.TableID]Weights `json:"holds"`
 	// Acting is what the weight solver had in their place.
-	Acting map[control.Table]map[control.ReqKind]Weights `json:"acting,omitempty"`
+	Acting map[control.TableID]map[control.RequestClass]Weights `json:"acting,omitempty"`
 }
 
 // Keep is what a next start has to know of the pins.
 func (b *Book) Keep() (kept []Kept) {
 	for _, p := range b.pins {
-		k := Kept{Pin: p, Holds: map[control.Table]Weights{}}
+		k := Kept{Pin: p, Holds: map[control.TableID]Weights{}}
 		for t, v := range p.held {
 			if e, err := b.Get(t, v); err == nil {
 				k.Holds[t] = e.State.Weights()
@@ -317,9 +317,9 @@
 					continue
 				}
 				if k.Acting == nil {
-					k.Acting = map[control.Table]map[control.ReqKind]Weights{}
+					k.Acting = map[control.TableID]map[control.RequestClass]Weights{}
 				}
-				k.Acting[t] = map[control.ReqKind]Weights{}
+				k.Acting[t] = map[control.RequestClass]Weights{}
 				for kind, s := range e.Acting {
 					k.Acting[t][kind] = s.Weights()
 				}
@@ -331,10 +331,10 @@
 }
 
 // Recall takes the pins of an earlier start in. The states that they hold become the first versions of their tables.
-func (b *Book) Recall(now control.Micros, kept []Kept) {
+func (b *Book) Recall(now control.Microseconds, kept []Kept) {
 	for _, k := range kept {
 		p := k.Pin
-		p.held = map[control.Table]Version{}
+		p.held = map[control.TableID]Version{}
 		for _, t := range slices.Sorted(maps.Keys(k.Holds)) {
 			p.held[t] = b.Put(now, t, k.Holds[t], k.Acting[t])
 		}
--- a/tables/ledger.go
+++ b/tables/ledger.go
@@ -7,7 +7,7 @@
 	"porthub/control"
 )
 
-const second control.Micros = 1_000_000
+const second control.Microseconds = 1_000_000
 
 // roomAgain is when what found no room is offered again: acknowledgements take about so long.
 const roomAgain = second / 8
@@ -17,8 +17,8 @@
 
 // Budget bounds the messages to one gateway.
 type Budget struct {
-	Most int            // in any span; 0: no bound
-	Span control.Micros // with what is left at its end, since a message arrives a little later than it was published
+	Most int                  // in any span; 0: no bound
+	Span control.Microseconds // with what is left at its end, since a message arrives a little later than it was published
 }
 
 // reserve is how many messages of a span are left to changes that rules wait for: without it a burst of routine changes
@@ -26,17 +26,17 @@
 func (b Budget) reserve() int { return b.Most / 5 }
 
 // pace is the least time between routine messages once half of the span's are used.
-func (b Budget) pace() control.Micros { return b.Span / control.Micros(max(1, 2*b.Most)) }
+func (b Budget) pace() control.Microseconds { return b.Span / control.Microseconds(max(1, 2*b.Most)) }
 
 // Message is one publication on its way.
 type Message struct {
-	Version string         `json:"version"` // of the documents in it; also its nonce
-	Changed [Docs]bool     `json:"changed"`
-	Acked   [Docs]bool     `json:"acked"`
-	Mark    control.Mark   `json:"mark"` // that goes with it; -1: none
-	At      control.Micros `json:"at_us"`
-	Lines   int            `json:"lines"`
-	Level   int            `json:"level"` // of service, by which it was made
+	Version string               `json:"version"` // of the documents in it; also its nonce
+	Changed [Docs]bool           `json:"changed"`
+	Acked   [Docs]bool           `json:"acked"`
+	Mark    control.AckID        `json:"mark"` // that goes with it; -1: none
+	At      control.Microseconds `json:"at_us"`
+	Lines   int                  `json:"lines"`
+	Level   int                  `json:"level"` // of service, by which it was made
 }
 
 func (m Message) done() bool {
@@ -49,7 +49,7 @@
 }
 
 // NoMark stands for no mark.
-const NoMark control.Mark = -1
+const NoMark control.AckID = -1
 
 // Ledger is what one gateway is believed to hold (confirmed, on its way, or not known) and what it may be sent now. It is
 // pure: time is handed in.
@@ -64,11 +64,11 @@
 	changed   [Docs]string // version of the last message with a document in it
 	count     int          // messages in this start
 
-	times   []control.Micros // of messages within the span
-	later   bool             // something had to wait, until laterAt
-	laterAt control.Micros
-	owed    control.Mark // mark of what had to wait
-	retryAt control.Micros
+	times   []control.Microseconds // of messages within the span
+	later   bool                   // something had to wait, until laterAt
+	laterAt control.Microseconds
+	owed    control.AckID // mark of what had to wait
+	retryAt control.Microseconds
 	refused int // in a row
 	wrong   int // checksums in a row that were not what it should hold
 }
@@ -124,7 +124,7 @@
 // Offer says what a gateway is to hold from now on, with the mark that asks for its acknowledgement. Room is how many lines
 // may be added to those on their way to all gateways. Urgent is asked where messages are getting few, or the room is too
 // small: what closes a line does not wait for it, a first table does. The mark of Applied may be one that had to wait.
-func (l *Ledger) Offer(now control.Micros, s Snapshot, mark control.Mark, room int, urgent func() bool) (Verdict, Message) {
+func (l *Ledger) Offer(now control.Microseconds, s Snapshot, mark control.AckID, room int, urgent func() bool) (Verdict, Message) {
 	m := Message{Mark: mark, At: now, Changed: [Docs]bool{l.void || !s.SameClusters(l.sent), l.void || !s.SameRoutes(l.sent)}}
 	if m.Changed == ([Docs]bool{}) {
 		// Marks only grow: the newer one stands for the older, and an older one that waits must not take its place.
@@ -171,7 +171,7 @@
 // mayAt is when the next message may go; now, or before, if it may at once. Urgent ones may as long as the span has
 // any left; routine ones leave a few to them, and once half are used they keep a pace, so that the few left don't go in
 // one burst.
-func (l *Ledger) mayAt(now control.Micros, urgent func() bool) control.Micros {
+func (l *Ledger) mayAt(now control.Microseconds, urgent func() bool) control.Microseconds {
 	used := l.Used(now)
 	b := l.budget
 	if b.Most == 0 || used < b.Most/2 {
@@ -190,20 +190,20 @@
 }
 
 // Used is how many messages the span has had.
-func (l *Ledger) Used(now control.Micros) int {
-	l.times = slices.DeleteFunc(l.times, func(at control.Micros) bool { return now-at > l.budget.Span })
+func (l *Ledger) Used(now control.Microseconds) int {
+	l.times = slices.DeleteFunc(l.times, func(at control.Microseconds) bool { return now-at > l.budget.Span })
 	return len(l.times)
 }
 
 // DueAt is when something that had to wait may go, and whether there is any.
-func (l *Ledger) DueAt() (control.Micros, bool) { return l.laterAt, l.later }
+func (l *Ledger) DueAt() (control.Microseconds, bool) { return l.laterAt, l.later }
 
 // RetryAt is when the whole goes out again, and whether it is to.
-func (l *Ledger) RetryAt() (control.Micros, bool) { return l.retryAt, l.retryAt > 0 }
+func (l *Ledger) RetryAt() (control.Microseconds, bool) { return l.retryAt, l.retryAt > 0 }
 
 // Ack takes an acknowledgement of a document in and returns the messages that are done by it. Only what this start has
 // sent on this connection and is still on its way counts; known is false for all else.
-func (l *Ledger) Ack(now control.Micros, doc int, version string) (done []Message, known bool) {
+func (l *Ledger) Ack(now control.Microseconds, doc int, version string) (done []Message, known bool) {
 	at := slices.IndexFunc(l.waiting, func(m Message) bool { return m.Version == version })
 	if at < 0 {
 		return nil, version == l.confirmed[doc].Version
@@ -223,7 +223,7 @@
 
 // Refuse takes a refusal in: the whole is sent again, later each time, since the gateway may have read at a bad moment
 // and what it holds meanwhile is its last good one. It is false for what is not on its way.
-func (l *Ledger) Refuse(now control.Micros, nonce string) (again control.Micros, known bool) {
+func (l *Ledger) Refuse(now control.Microseconds, nonce string) (again control.Microseconds, known bool) {
 	if !slices.ContainsFunc(l.waiting, func(m Message) bool { return m.Version == nonce }) {
 		return 0, false
 	}
@@ -237,7 +237,7 @@
 // belief is void, and the whole is sent, later each time. Of are the versions that the checksum is of, if the gateway
 // says: words that were overtaken on the way are of an earlier state and prove nothing. (A gateway with several
 // connections was taken to hold something else because its last word on the one came after a later word on the other.)
-func (l *Ledger) Check(now control.Micros, sum uint64, of [Docs]string) (want uint64, right bool) {
+func (l *Ledger) Check(now control.Microseconds, sum uint64, of [Docs]string) (want uint64, right bool) {
 	overtaken := of != [Docs]string{} && of != l.changed
 	if sum == 0 || overtaken || len(l.waiting) > 0 || l.retryAt > 0 || len(l.sent.Clusters) == 0 {
 		return sum, true
@@ -252,7 +252,7 @@
 }
 
 // Retry tells whether the time has come to send the whole again; it tells so once.
-func (l *Ledger) Retry(now control.Micros) bool {
+func (l *Ledger) Retry(now control.Microseconds) bool {
 	if l.retryAt == 0 || now < l.retryAt {
 		return false
 	}
@@ -262,10 +262,10 @@
 
 // Closes tells whether going from one state to another is urgent: a line that is open in the one is not in the other
 // because its backend is closed, or a kind that had none open has one.
-func Closes(from, to Snapshot, closed func(control.Backend) bool) bool {
-	open := map[string]map[control.Backend]bool{}
+func Closes(from, to Snapshot, closed func(control.EndpointID) bool) bool {
+	open := map[string]map[control.EndpointID]bool{}
 	for _, c := range to.Clusters {
-		open[c.Kind] = map[control.Backend]bool{}
+		open[c.Kind] = map[control.EndpointID]bool{}
 		for _, l := range c.Lines {
 			if !l.Withheld {
 				open[c.Kind][l.Backend] = true
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -12,10 +12,10 @@
 
 // Line is one backend in a cluster. Weight is relative to the other lines of its cluster, without a unit, above 0.
 type Line struct {
-	Backend  control.Backend `json:"backend"`
-	Zone     control.Zone    `json:"zone"`
-	Weight   float64         `json:"weight"`
-	Withheld bool            `json:"withheld,omitempty"` // listed, but nothing new may be sent there
+	Backend  control.EndpointID `json:"backend"`
+	Zone     control.Zone       `json:"zone"`
+	Weight   float64            `json:"weight"`
+	Withheld bool               `json:"withheld,omitempty"` // listed, but nothing new may be sent there
 }
 
 // Cluster is all lines of one request kind, by zone and backend.
@@ -32,8 +32,8 @@
 	// Share is the part let in, 0 to 1; 1 lets all in. Only one of Rate and Share is in use at a site.
 	Share float64 `json:"share"`
 	// SecondTry is the order for second tries as control.Admit has it, 0 to 3.
-	SecondTry int            `json:"second_try"`
-	Timeout   control.Micros `json:"timeout_us"` // of all tries together
+	SecondTry int                  `json:"second_try"`
+	Timeout   control.Microseconds `json:"timeout_us"` // of all tries together
 	// Fallback holds in place of Share and SecondTry while no coordinator is reached.
 	Fallback Fallback `json:"fallback,omitzero"`
 }
@@ -41,14 +41,14 @@
 // Fallback is what a gateway does with a kind while it reaches no coordinator: After so long without a word, For so long; then
 // its table holds again as it is. The zero Fallback is none.
 type Fallback struct {
-	After     control.Micros `json:"after_us"`
-	For       control.Micros `json:"for_us"`
-	Share     float64        `json:"share"` // part let in of what the table lets in
-	SecondTry int            `json:"second_try"`
+	After     control.Microseconds `json:"after_us"`
+	For       control.Microseconds `json:"for_us"`
+	Share     float64              `json:"share"` // part let in of what the table lets in
+	SecondTry int                  `json:"second_try"`
 }
 
 // Away is a route as it holds after so long without a word from a coordinator.
-func (r Route) Away(silent control.Micros) Route {
+func (r Route) Away(silent control.Microseconds) Route {
 	if f := r.Fallback; f.For > 0 && silent >= f.After && silent < f.After+f.For {
 		r.Share *= f.Share
 		if r.Rate > 0 {
@@ -161,8 +161,8 @@
 
 // Build makes a cluster of a table's weights; what masked names is withheld. Backends that zone does not know are
 // left out: nobody can tell where they are.
-func Build(kind string, weights map[control.Backend]float64, zone func(control.Backend) (control.Zone, bool),
-	masked func(control.Backend) bool) Cluster {
+func Build(kind string, weights map[control.EndpointID]float64, zone func(control.EndpointID) (control.Zone, bool),
+	masked func(control.EndpointID) bool) Cluster {
 	c := Cluster{Kind: kind}
 	for _, b := range slices.Sorted(maps.Keys(weights)) {
 		if z, known := zone(b); known && weights[b] > 0 {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -15,7 +15,7 @@
 
 // Addressed is an event for one instance.
 type Addressed struct {
-	To    control.Instance
+	To    control.InstanceID
 	Event control.Event
 }
 
@@ -24,7 +24,7 @@
 
 // Batch is what comes at one time.
 type Batch struct {
-	Now    control.Micros
+	Now    control.Microseconds
 	Events []Addressed
 }
 
@@ -33,12 +33,12 @@
 	in   *bufio.Reader
 	line int
 	// the names of one instance's request kinds: usage names a kind by its name
-	kinds map[control.Instance]map[string]control.ReqKind
+	kinds map[control.InstanceID]map[string]control.RequestClass
 }
 
 // NewReader returns a reader of the wire.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<20), kinds: map[control.Instance]map[string]control.ReqKind{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<20), kinds: map[control.InstanceID]map[string]control.RequestClass{}}
 }
 
 // fields of one line, read from left to right; the first complaint sticks.
@@ -119,14 +119,14 @@
 	return s == "1"
 }
 
-func (f *fields) micros(part string) control.Micros { return control.Micros(f.whole(part)) }
+func (f *fields) micros(part string) control.Microseconds { return control.Microseconds(f.whole(part)) }
 
-func (f *fields) loads(part string) control.Loads {
+func (f *fields) loads(part string) control.LoadMetrics {
 	s := f.text(part)
 	if s == "-" || s == "" {
 		return nil
 	}
-	out := control.Loads{}
+	out := control.LoadMetrics{}
 	for _, pair := range strings.Split(s, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(value, 64)
@@ -215,7 +215,7 @@
 }
 
 func (r *Reader) event(f *fields) (Addressed, error) {
-	to := control.Instance(f.text("i"))
+	to := control.InstanceID(f.text("i"))
 	var ev control.Event
 	switch f.name {
 	case "UP":
@@ -225,26 +225,26 @@
 			f.fail("info", err.Error())
 		}
 		up.Seed = seed
-		names := map[string]control.ReqKind{}
-		for k, kind := range up.Kinds {
-			names[kind.Name] = control.ReqKind(k)
+		names := map[string]control.RequestClass{}
+		for k, kind := range up.Classes {
+			names[kind.Name] = control.RequestClass(k)
 		}
 		r.kinds[to] = names
 		ev = up
 	case "CRASH_NOW":
 		ev = Crash{}
 	case "DISCOVERY":
-		list := control.List{Version: control.Version(f.whole("epoch"))}
+		list := control.EndpointUpdate{Version: control.ListVersion(f.whole("epoch"))}
 		how := f.text("how")
 		switch how {
 		case "INCREMENTAL":
-			list.How = control.ListChanges
+			list.Kind = control.Delta
 		case "FULL":
-			list.How = control.ListFull
+			list.Kind = control.Snapshot
 		case "SAVED":
-			list.How = control.ListSaved
+			list.Kind = control.Cached
 		case "FAILED":
-			list.How = control.ListFailed
+			list.Kind = control.Failed
 		default:
 			f.fail("how", fmt.Sprintf("%q is not known", how))
 		}
@@ -260,47 +260,47 @@
 			if err != nil {
 				return Addressed{}, err
 			}
-			list.Entries = append(list.Entries, e)
+			list.Endpoints = append(list.Endpoints, e)
 		}
 		return Addressed{to, list}, nil
 	case "RING":
-		ev = control.Ring{Token: control.Token(f.whole("nonce"))}
+		ev = control.TimerFired{Token: control.TimerToken(f.whole("nonce"))}
 	case "PROBE_DONE":
-		p := control.Probed{Backend: control.Backend(f.text("backend")), Code: f.text("rc")}
-		p.OK = p.Code == "Ok"
-		p.Took, p.Loads = f.micros("costTime"), f.loads("telemetry")
+		p := control.HealthCheckResult{Endpoint: control.EndpointID(f.text("backend")), Code: f.text("rc")}
+		p.Healthy = p.Code == "Ok"
+		p.Duration, p.Metrics = f.micros("costTime"), f.loads("telemetry")
 		ev = p
 	case "MEMO":
-		ev = control.Memo{From: control.Peer(f.whole("from")), Body: f.body("body")}
+		ev = control.PeerMessage{From: control.PeerID(f.whole("from")), Body: f.body("body")}
 	case "SUBSCRIBED":
-		j := control.Joined{Fresh: f.flag("on"), Zone: control.Zone(f.text("site"))}
-		j.Proxy, j.Weight = control.Proxy(f.whole("agent")), f.number("weight")
+		j := control.ProxyConnected{HasDefaultTableOnly: f.flag("on"), Zone: control.Zone(f.text("site"))}
+		j.Proxy, j.Weight = control.ProxyID(f.whole("agent")), f.number("weight")
 		ev = j
 	case "STREAM_DOWN":
-		ev = control.Left{Proxy: control.Proxy(f.whole("agent"))}
+		ev = control.ProxyDisconnected{Proxy: control.ProxyID(f.whole("agent"))}
 	case "TALLY":
-		h := control.Heard{Zone: control.Zone(f.text("site")), Backend: control.Backend(f.text("backend"))}
-		h.Tries, h.Errored = int(f.whole("total")), int(f.whole("lost"))
-		h.Answer, h.Period, h.Loads = f.micros("costTime"), f.micros("periodLen"), f.loads("telemetry")
+		h := control.EndpointLoad{Zone: control.Zone(f.text("site")), Endpoint: control.EndpointID(f.text("backend"))}
+		h.Attempts, h.Failures = int(f.whole("total")), int(f.whole("lost"))
+		h.MeanLatency, h.Period, h.Metrics = f.micros("costTime"), f.micros("periodLen"), f.loads("telemetry")
 		ev = h
 	case "PROXY_STATS":
-		u := control.Usage{Proxy: control.Proxy(f.whole("agent"))}
-		u.Kind = r.kind(to, f)
-		u.Reqs, u.Errored, u.Period = int(f.whole("total")), int(f.whole("lost")), f.micros("periodLen")
+		u := control.ProxyLoad{Proxy: control.ProxyID(f.whole("agent"))}
+		u.Class = r.kind(to, f)
+		u.Requests, u.Failures, u.Period = int(f.whole("total")), int(f.whole("lost")), f.micros("periodLen")
 		ev = u
 	case "TOOK_EFFECT":
-		a := control.Applied{Took: f.micros("costTime"), Proxy: control.Proxy(f.whole("agent"))}
-		a.Mark = control.Mark(f.whole("epoch"))
+		a := control.Acknowledged{Delay: f.micros("costTime"), Proxy: control.ProxyID(f.whole("agent"))}
+		a.AckID = control.AckID(f.whole("epoch"))
 		ev = a
 	case "HEAT":
-		h := control.Heat{Table: control.Table(f.whole("mapId"))}
-		h.Kind = r.kind(to, f)
-		h.Reqs, h.Errored, h.Period = int(f.whole("total")), int(f.whole("lost")), f.micros("periodLen")
+		h := control.SliceLoad{Table: control.TableID(f.whole("mapId"))}
+		h.Class = r.kind(to, f)
+		h.Requests, h.Failures, h.Period = int(f.whole("total")), int(f.whole("lost")), f.micros("periodLen")
 		ev = h
 	case "CHARGE":
-		ev = control.Given{On: f.flag("on"), Table: control.Table(f.whole("mapId"))}
+		ev = control.SliceAssigned{Assigned: f.flag("on"), Table: control.TableID(f.whole("mapId"))}
 	case "RECORDED":
-		h := control.Held{Backend: control.Backend(f.text("backend")), Table: control.Table(f.whole("mapId"))}
+		h := control.SliceWeight{Endpoint: control.EndpointID(f.text("backend")), Table: control.TableID(f.whole("mapId"))}
 		h.Weight = f.number("weight")
 		ev = h
 	default:
@@ -313,28 +313,28 @@
 }
 
 // kind turns a request kind's name into its position; -1 where the instance or the name is not known.
-func (r *Reader) kind(to control.Instance, f *fields) control.ReqKind {
+func (r *Reader) kind(to control.InstanceID, f *fields) control.RequestClass {
 	if k, ok := r.kinds[to][f.text("class")]; ok {
 		return k
 	}
 	return -1
 }
 
-func (r *Reader) entry() (control.Entry, error) {
+func (r *Reader) entry() (control.Endpoint, error) {
 	f, err := r.next()
 	if err == io.EOF {
 		r.line++
-		return control.Entry{}, r.complain(fmt.Errorf("ROW: message: input ends within a list"))
+		return control.Endpoint{}, r.complain(fmt.Errorf("ROW: message: input ends within a list"))
 	}
 	if err != nil {
-		return control.Entry{}, err
+		return control.Endpoint{}, err
 	}
 	if f.name != "ROW" {
-		return control.Entry{}, r.complain(fmt.Errorf("%s: message: expected ROW, the list has fewer than it says", f.name))
+		return control.Endpoint{}, r.complain(fmt.Errorf("%s: message: expected ROW, the list has fewer than it says", f.name))
 	}
-	e := control.Entry{Zone: control.Zone(f.text("site")), Backend: control.Backend(f.text("backend"))}
-	e.Weight, e.Pod = f.number("weight"), control.Pod(f.whole("pod"))
-	e.Launched, e.Machine = f.micros("launched"), control.Machine(f.text("flavor"))
+	e := control.Endpoint{Zone: control.Zone(f.text("site")), ID: control.EndpointID(f.text("backend"))}
+	e.Weight, e.Pod = f.number("weight"), control.PodID(f.whole("pod"))
+	e.StartedAt, e.MachineType = f.micros("launched"), control.MachineType(f.text("flavor"))
 	health := f.text("health")
 	switch health {
 	case "ready":
@@ -342,7 +342,7 @@
 	case "draining":
 		e.Status = control.Draining
 	case "gone":
-		e.Status = control.Gone
+		e.Status = control.Removed
 	default:
 		f.fail("health", fmt.Sprintf("%q is not known", health))
 	}
@@ -354,11 +354,11 @@
 
 // Settings reads the object of settings that UP brings and that a live coordinator finds in its configuration; keys not
 // named here are passed over.
-func Settings(text []byte) (control.Up, error) {
+func Settings(text []byte) (control.Start, error) {
 	var in struct {
 		Az         control.Zone
 		Localities []control.Zone
-		Me         control.Peer
+		Me         control.PeerID
 		Instances  int
 		Discovery  string
 		Weights    string
@@ -367,16 +367,16 @@
 			ClassOwnZone                []bool
 			DataPlaneSize, OutlierAfter int
 			UpdateCap                   int
-			EmptyFor, Period            control.Micros
-			ReloadSpan, Transit         control.Micros
-			WorstTransit                control.Micros
+			EmptyFor, Period            control.Microseconds
+			ReloadSpan, Transit         control.Microseconds
+			WorstTransit                control.Microseconds
 			Envelope, LinesPerS         float64
 			IngestRate, SocketsMin      float64
 			QueueCap                    float64
 			LevelKind                   string
 		}
 		Guarantees struct {
-			AskWithin, Cold, DrainGrace, Fall control.Micros
+			AskWithin, Cold, DrainGrace, Fall control.Microseconds
 			ColdFrom, TipMultiple             float64
 			SoftRemoval                       bool
 		}
@@ -386,47 +386,47 @@
 		}
 		Profiles []struct {
 			Name, Effect, KeyScope string
-			HardLimit, Slo         control.Micros
+			HardLimit, Slo         control.Microseconds
 			Points                 float64
 			OnlyZones              []control.Zone
 		}
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return control.Up{}, err
+		return control.Start{}, err
 	}
-	up := control.Up{
-		Me: in.Me, Instances: max(1, in.Instances), Zone: in.Az, Zones: in.Localities, Proxies: in.Domain.DataPlaneSize,
-		MustAsk: in.Discovery == "ask", EjectAfter: in.Domain.OutlierAfter, ListedWeight: in.Weights != "off",
+	up := control.Start{
+		Self: in.Me, InstanceCount: max(1, in.Instances), Zone: in.Az, Zones: in.Localities, ProxyCount: in.Domain.DataPlaneSize,
+		PollsList: in.Discovery == "ask", EjectionThreshold: in.Domain.OutlierAfter, WeightsListed: in.Weights != "off",
 	}
 	up.Rules = control.RuleSettings{
-		EmptyFor: in.Domain.EmptyFor, DrainGrace: in.Guarantees.DrainGrace, Cold: in.Guarantees.Cold,
-		ColdFrom: in.Guarantees.ColdFrom, TipMultiple: in.Guarantees.TipMultiple, Fall: in.Guarantees.Fall,
-		SoftRemoval: in.Guarantees.SoftRemoval, AskWithin: in.Guarantees.AskWithin, QueueCap: in.Domain.QueueCap,
-		MessageCap: in.Domain.UpdateCap, MessageSpan: in.Domain.ReloadSpan,
-		ProbeAllowed: in.Caps.Probes, PeersAllowed: in.Caps.Peers,
-	}
-	up.Channel = control.ChannelSettings{LinesPerS: in.Domain.LinesPerS, Envelope: in.Domain.Envelope,
-		Transit: in.Domain.Transit, WorstTransit: in.Domain.WorstTransit,
-		Sockets: int(in.Domain.SocketsMin)}
-	up.Reports = control.ReportSettings{Period: in.Domain.Period, Intake: in.Domain.IngestRate, InReport: in.LoadInfo.Source == "inline",
-		Fields: in.LoadInfo.Fields}
+		EmptyTableLimit: in.Domain.EmptyFor, DrainGracePeriod: in.Guarantees.DrainGrace, WarmUp: in.Guarantees.Cold,
+		InitialCapacity: in.Guarantees.ColdFrom, OverloadFactor: in.Guarantees.TipMultiple, OverloadWindow: in.Guarantees.Fall,
+		SoftRemoval: in.Guarantees.SoftRemoval, PollInterval: in.Guarantees.AskWithin, QueueLimit: in.Domain.QueueCap,
+		MessageLimit: in.Domain.UpdateCap, MessageWindow: in.Domain.ReloadSpan,
+		HealthChecksAllowed: in.Caps.Probes, PeerMessagesAllowed: in.Caps.Peers,
+	}
+	up.Channel = control.ChannelSettings{LinesPerSecond: in.Domain.LinesPerS, MessageOverhead: in.Domain.Envelope,
+		Latency: in.Domain.Transit, MaxLatency: in.Domain.WorstTransit,
+		EndpointConnections: int(in.Domain.SocketsMin)}
+	up.Reports = control.ReportSettings{Period: in.Domain.Period, MaxLinesPerSecond: in.Domain.IngestRate, MetricsInReports: in.LoadInfo.Source == "inline",
+		MetricNames: in.LoadInfo.Fields}
 	switch in.Domain.LevelKind {
 	case "share":
-		up.Levels = control.LevelShare
+		up.Admission = control.AdmissionByShare
 	case "rate":
-		up.Levels = control.LevelRate
+		up.Admission = control.AdmissionByRate
 	}
 	for k, p := range in.Profiles {
-		kind := control.KindSettings{Name: p.Name, RepeatScope: p.KeyScope, ResponseTarget: p.Slo,
-			ClientTimeout: p.HardLimit, Payoff: p.Points, OnlyZones: p.OnlyZones}
+		kind := control.ClassSettings{Name: p.Name, DeduplicationScope: p.KeyScope, LatencyObjective: p.Slo,
+			ClientTimeout: p.HardLimit, PriorityWeight: p.Points, AllowedZones: p.OnlyZones}
 		switch p.Effect {
 		case "repeatable":
-			kind.Repeat = control.Replayable
+			kind.Idempotency = control.Idempotent
 		case "by_key":
-			kind.Repeat = control.Uniqued
+			kind.Idempotency = control.IdempotentWithKey
 		}
-		kind.OwnZone = k < len(in.Domain.ClassOwnZone) && in.Domain.ClassOwnZone[k]
-		up.Kinds = append(up.Kinds, kind)
+		kind.LocalZoneOnly = k < len(in.Domain.ClassOwnZone) && in.Domain.ClassOwnZone[k]
+		up.Classes = append(up.Classes, kind)
 	}
 	return up, nil
 }
@@ -447,33 +447,33 @@
 }
 
 // Order writes one order of an instance.
-func (w *Writer) Order(from control.Instance, order control.Order) {
+func (w *Writer) Order(from control.InstanceID, order control.Order) {
 	var parts []any
 	switch o := order.(type) {
 	case control.Log:
 		parts = []any{"RECORD", from, strings.Join(strings.Fields(o.Text), " ")}
-	case control.Watch:
-		parts = []any{"TAIL", from, flag(o.On)}
-	case control.Fetch:
+	case control.WatchEndpoints:
+		parts = []any{"TAIL", from, flag(o.Enabled)}
+	case control.Resync:
 		parts = []any{"QUERY_ALL", from}
-	case control.Sleep:
+	case control.SetTimer:
 		parts = []any{"SLEEP", from, int64(o.After), int64(o.Token)}
-	case control.Probe:
-		parts = []any{"HEALTH_CHECK", from, o.Backend}
-	case control.Tell:
+	case control.CheckHealth:
+		parts = []any{"HEALTH_CHECK", from, o.Endpoint}
+	case control.Broadcast:
 		parts = []any{"BROADCAST_TO", from, "all", base64.StdEncoding.EncodeToString(o.Body)}
-	case control.Line:
-		parts = []any{"LINE", from, int(o.Table), number(o.Weight), o.Backend}
-	case control.Clear:
+	case control.SetWeight:
+		parts = []any{"LINE", from, int(o.Table), number(o.Weight), o.Endpoint}
+	case control.ClearTable:
 		parts = []any{"DROP_LINES", from, int(o.Table)}
-	case control.Bind:
-		parts = []any{"INSTALL", from, int(o.Proxy), int(o.Table), uint64(o.Kinds)}
-	case control.Withdraw:
-		parts = []any{"MASK", from, o.Backend, flag(o.On)}
-	case control.Admit:
-		parts = []any{"GATE_CLASS", from, int(o.Table), uint64(o.Kinds), number(o.Level), o.SecondTry}
-	case control.Marked:
-		parts = []any{"MARK", from, int(o.Mark), flag(o.All)}
+	case control.BindProxy:
+		parts = []any{"INSTALL", from, int(o.Proxy), int(o.Table), uint64(o.Classes)}
+	case control.EjectEndpoint:
+		parts = []any{"MASK", from, o.Endpoint, flag(o.Ejected)}
+	case control.SetAdmission:
+		parts = []any{"GATE_CLASS", from, int(o.Table), uint64(o.Classes), number(o.Level), o.RetryPolicy}
+	case control.RequestAck:
+		parts = []any{"MARK", from, int(o.AckID), flag(o.AllProxies)}
 	default:
 		parts = []any{"EXCEPTION", from, fmt.Sprintf("no wire form for %T", order)}
 	}
@@ -487,7 +487,7 @@
 }
 
 // Exception declares that an instance's decision code has failed.
-func (w *Writer) Exception(from control.Instance, text string) {
+func (w *Writer) Exception(from control.InstanceID, text string) {
 	fmt.Fprintf(w.out, "EXCEPTION\t%s\t%s\n", from, strings.Join(strings.Fields(text), " "))
 }
 
--- a/xds/speak.go
+++ b/xds/speak.go
@@ -290,7 +290,7 @@
 }
 
 // Reporting answers a report: which clusters are wanted and how often.
-func Reporting(period control.Micros) *loadv3.LoadStatsResponse {
+func Reporting(period control.Microseconds) *loadv3.LoadStatsResponse {
 	return &loadv3.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
 		LoadReportingInterval: durationpb.New(time.Duration(period) * time.Microsecond)}
 }
--- a/xds/xds.go
+++ b/xds/xds.go
@@ -112,7 +112,7 @@
 
 // readLine is a line as read, in a zone.
 func readLine(e *endpointv3.LbEndpoint, backend, zone string) tables.Line {
-	return tables.Line{Backend: control.Backend(backend), Zone: control.Zone(zone),
+	return tables.Line{Backend: control.EndpointID(backend), Zone: control.Zone(zone),
 		Weight:   float64(e.GetLoadBalancingWeight().GetValue()) / WeightScale,
 		Withheld: e.HealthStatus == corev3.HealthStatus_DRAINING || e.HealthStatus == corev3.HealthStatus_UNHEALTHY}
 }
@@ -311,7 +311,7 @@
 func readRoute(one *routev3.Route) (tables.Route, error) {
 	action := one.GetRoute()
 	r := tables.Route{Kind: action.GetCluster(), Rate: tables.Unlimited, Share: 1,
-		Timeout: control.Micros(action.GetTimeout().AsDuration().Microseconds())}
+		Timeout: control.Microseconds(action.GetTimeout().AsDuration().Microseconds())}
 	if retry := action.GetRetryPolicy(); retry != nil {
 		if r.SecondTry = int(retry.GetNumRetries().GetValue()); strings.Contains(retry.RetryOn, "5xx") {
 			r.SecondTry++
@@ -324,7 +324,7 @@
 	}
 	if meta := one.GetMetadata().GetFilterMetadata()[FallbackMetadata].GetFields(); meta != nil {
 		number := func(key string) float64 { return meta[key].GetNumberValue() }
-		f := tables.Fallback{After: control.Micros(number(fallbackAfter)) * 1000, For: control.Micros(number(fallbackFor)) * 1000,
+		f := tables.Fallback{After: control.Microseconds(number(fallbackAfter)) * 1000, For: control.Microseconds(number(fallbackFor)) * 1000,
 			Share: number(fallbackShare), SecondTry: int(number(fallbackTry))}
 		if !(f.Share >= 0 && f.Share <= 1) || f.After < 0 || f.For < 0 || f.SecondTry < 0 || f.SecondTry > 3 {
 			return r, fmt.Errorf("%w: route %s: a fallback of %+v", ErrNotXDS, one.Name, f)
