--- a/desk/desk.go
+++ b/desk/desk.go
@@ -11,10 +11,10 @@
 	"porthub/coordinator"
 )
 
-// Moment is what is looked at, and Record one record of its log.
+// LoggedOverview is what is looked at, and Record one record of its log.
 type (
-	Moment = coordinator.Moment
-	Record = coordinator.Record
+	Moment = coordinator.LoggedOverview
+	Record = coordinator.LogRecord
 )
 
 // Source gives moments: a coordinator's now, or a capture's.
@@ -202,7 +202,7 @@
 	switch screens[m.screen] {
 	case "nodes":
 		if nodes := m.nodes(); i < len(nodes) {
-			return string(nodes[i].Node)
+			return string(nodes[i].Endpoint)
 		}
 	case "gateways":
 		if gateways := m.gateways(); i < len(gateways) {
@@ -220,22 +220,22 @@
 }
 
 // nodes are those that match, in order: by name, load, errors, or what is not as usual first.
-func (m Model) nodes() (out []coordinator.NodeOverview) {
-	for _, n := range m.moment.Nodes {
-		if m.matches(string(n.Node), string(n.Zone), n.State, strings.Join(n.Fails, " ")) {
+func (m Model) nodes() (out []coordinator.EndpointOverview) {
+	for _, n := range m.moment.Endpoints {
+		if m.matches(string(n.Endpoint), string(n.Zone), n.State, strings.Join(n.FailingClasses, " ")) {
 			out = append(out, n)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b coordinator.NodeOverview) int {
+	slices.SortStableFunc(out, func(a, b coordinator.EndpointOverview) int {
 		switch nodeOrders[m.sort[1]%len(nodeOrders)] {
 		case "util":
-			return cmp.Compare(b.Util, a.Util)
+			return cmp.Compare(b.Utilization, a.Utilization)
 		case "errors":
-			return cmp.Compare(b.Errored, a.Errored)
+			return cmp.Compare(b.Failures, a.Failures)
 		case "state":
 			return cmp.Compare(odd(b), odd(a))
 		}
-		return cmp.Compare(a.Node, b.Node)
+		return cmp.Compare(a.Endpoint, b.Endpoint)
 	})
 	return out
 }
@@ -246,8 +246,8 @@
 )
 
 // odd is how far a node is from as it should be.
-func odd(n coordinator.NodeOverview) float64 {
-	out := 1 - n.Warmth + float64(len(n.Fails))
+func odd(n coordinator.EndpointOverview) float64 {
+	out := 1 - n.WarmUpProgress + float64(len(n.FailingClasses))
 	if n.State != "ready" {
 		out += 2
 	}
@@ -260,7 +260,7 @@
 func (m Model) gateways() (out []coordinator.GatewayOverview) {
 	for _, g := range m.moment.Gateways {
 		joined := "joined"
-		if !g.Joined {
+		if !g.Connected {
 			joined = "away"
 		}
 		if m.matches(string(g.Gateway), string(g.Zone), g.Level, joined) {
@@ -270,12 +270,12 @@
 	slices.SortStableFunc(out, func(a, b coordinator.GatewayOverview) int {
 		switch gatewayOrders[m.sort[2]%len(gatewayOrders)] {
 		case "usage":
-			return cmp.Compare(b.Usage, a.Usage)
+			return cmp.Compare(b.Demand, a.Demand)
 		case "lag":
-			return cmp.Compare(b.Oldest, a.Oldest)
+			return cmp.Compare(b.OldestUnacknowledged, a.OldestUnacknowledged)
 		case "away":
-			if a.Joined != b.Joined {
-				if b.Joined {
+			if a.Connected != b.Connected {
+				if b.Connected {
 					return -1
 				}
 				return 1
@@ -289,7 +289,7 @@
 // log has the newest first.
 func (m Model) log() (out []Record) {
 	for _, r := range slices.Backward(m.moment.Log) {
-		if m.matches(r.Event, r.Text, r.Of) {
+		if m.matches(r.Event, r.Text, r.Subject) {
 			out = append(out, r)
 		}
 	}
--- a/desk/desk_test.go
+++ b/desk/desk_test.go
@@ -36,41 +36,41 @@
 // night is a fleet on a bad night: a hall lost, a node that fails a kind, a gateway away, a level in force.
 func night(nodes int) Moment {
 	zones := []control.Zone{"hala-a", "hala-b", "hala-ż-北"}
-	m := Moment{Overview: coordinator.Overview{Now: 5000 * second, Began: 1000 * second, Build: "test", Kinds: []string{"schedule", "save-sim"}, OnWay: 120, Limit: 8000,
-		Intake: intake.Stats{Reports: 4321, Part: 0.5, Live: 14, Stopped: 1, Heard: 0.98}}}
+	m := Moment{Overview: coordinator.Overview{Now: 5000 * second, StartedAt: 1000 * second, Build: "test", Classes: []string{"schedule", "save-sim"}, LinesInFlight: 120, LineLimit: 8000,
+		Sampling: intake.Stats{Reports: 4321, SampledFraction: 0.5, Reporting: 14, Silent: 1, ReportsPerGateway: 0.98}}}
 	for i := range nodes {
-		n := coordinator.NodeOverview{Node: control.EndpointID(fmt.Sprintf("10.0.0.%d:8080", i)), Zone: zones[i%3], State: "ready", Since: 1200 * second, Warmth: 1, Capacity: 20,
-			Tries: float64(i), Util: float64(i%10) / 10, Queue: 0.5, Heard: 4999 * second, Senders: 5}
+		n := coordinator.EndpointOverview{Endpoint: control.EndpointID(fmt.Sprintf("10.0.0.%d:8080", i)), Zone: zones[i%3], State: "ready", Since: 1200 * second, WarmUpProgress: 1, Capacity: 20,
+			Attempts: float64(i), Utilization: float64(i%10) / 10, Queue: 0.5, LastReport: 4999 * second, Senders: 5}
 		switch {
 		case i%3 == 1:
-			n.State, n.Why, n.Senders, n.Heard = "gone", "the file dropped it", 0, 0
+			n.State, n.Reason, n.Senders, n.LastReport = "gone", "the file dropped it", 0, 0
 		case i == 3:
-			n.Fails, n.Errored = []string{"schedule"}, 2.5
+			n.FailingClasses, n.Failures = []string{"schedule"}, 2.5
 		case i == 5:
-			n.Warmth = 0.4
+			n.WarmUpProgress = 0.4
 		case i == 6:
-			n.Node = "węzeł-o-bardzo-długiej-nazwie-北京市朝阳区-calc\x1b[31m.example:8080"
+			n.Endpoint = "węzeł-o-bardzo-długiej-nazwie-北京市朝阳区-calc\x1b[31m.example:8080"
 		}
-		m.Nodes = append(m.Nodes, n)
+		m.Endpoints = append(m.Endpoints, n)
 	}
 	for i := range 15 {
-		g := coordinator.GatewayOverview{Gateway: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), Zone: zones[i%3], Joined: i != 4, Heard: 4999 * second, Version: fmt.Sprintf("k3f.%d", 40+i),
-			Usage: float64(3 * i), Lines: 18, Level: "tight"}
+		g := coordinator.GatewayOverview{Gateway: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), Zone: zones[i%3], Connected: i != 4, LastReport: 4999 * second, Version: fmt.Sprintf("k3f.%d", 40+i),
+			Demand: float64(3 * i), OpenEndpoints: 18, Level: "tight"}
 		if i == 7 {
-			g.Waiting, g.Oldest = 2, 1_400_000
+			g.Unacknowledged, g.OldestUnacknowledged = 2, 1_400_000
 		}
 		m.Gateways = append(m.Gateways, g)
 	}
 	for _, z := range zones {
-		for _, k := range m.Kinds {
-			m.Traffic = append(m.Traffic, coordinator.Traffic{Zone: z, Kind: k, Asked: 50, Let: 40, Nodes: 12})
+		for _, k := range m.Classes {
+			m.Traffic = append(m.Traffic, coordinator.Traffic{Zone: z, Class: k, Demand: 50, Admitted: 40, Endpoints: 12})
 		}
 	}
-	m.Levels = coordinator.Levels{Now: m.Now, Levels: []string{"usual", "tight"}, Standings: []service.Standing{{Level: 1, Name: "tight", Since: 4900 * second,
-		Why: "lost 0.33, it is entered at 0.30", Ends: []string{"lost is 0.33 and must be at 0.10"}}, {Zone: zones[0], Name: "usual"}},
-		Words: []service.Word{{ID: 2, Do: service.Forbid, Level: 1, Until: 5600 * second, Reason: "noon"}}}
+	m.Levels = coordinator.DegradationStatus{Now: m.Now, Levels: []string{"usual", "tight"}, Scopes: []service.ScopeStatus{{Level: 1, Name: "tight", Since: 4900 * second,
+		Reason: "lost 0.33, it is entered at 0.30", EndConditions: []string{"lost is 0.33 and must be at 0.10"}}, {Zone: zones[0], Name: "usual"}},
+		Overrides: []service.Override{{ID: 2, Action: service.ForbidLevel, Level: 1, Until: 5600 * second, Reason: "noon"}}}
 	m.Log = []Record{{At: 4900 * second, Level: "warn", Event: "service_level", Text: "the fleet: usual to tight: lost 0.33"},
-		{At: 4990 * second, Level: "info", Event: "solver", Text: "10.0.0.3:8080 fails kind schedule", Of: "10.0.0.3:8080"}}
+		{At: 4990 * second, Level: "info", Event: "solver", Text: "10.0.0.3:8080 fails kind schedule", Subject: "10.0.0.3:8080"}}
 	return m
 }
 
--- a/desk/draw.go
+++ b/desk/draw.go
@@ -30,7 +30,7 @@
 	var lines []string
 	head := "porthub  " + m.source.Name()
 	if m.has {
-		head += fmt.Sprintf("  up %s  %d nodes  %d gateways", length(m.moment.Now-m.moment.Began), len(m.moment.Nodes), len(m.moment.Gateways))
+		head += fmt.Sprintf("  up %s  %d nodes  %d gateways", length(m.moment.Now-m.moment.StartedAt), len(m.moment.Endpoints), len(m.moment.Gateways))
 	}
 	lines = append(lines, bold.Render(fit(head, m.width)))
 	state := ""
@@ -149,33 +149,33 @@
 func (m Model) drawFleet() []string {
 	widths := []int{14, 6, 8, 8, 7, 7, 7}
 	out := []string{bold.Render(m.row(widths, "ZONE", "NODES", "COLD", "CLOSED", "UTIL", "GATEWS", "AWAY"))}
-	for _, st := range m.moment.Levels.Standings {
+	for _, st := range m.moment.Levels.Scopes {
 		if st.Level > 0 {
 			scope := string(st.Zone)
 			if scope == "" {
 				scope = "the fleet"
 			}
-			out = append([]string{warn.Render(fit(fmt.Sprintf("LEVEL %s in %s: %s", st.Name, scope, st.Why), m.width))}, out...)
+			out = append([]string{warn.Render(fit(fmt.Sprintf("LEVEL %s in %s: %s", st.Name, scope, st.Reason), m.width))}, out...)
 		}
 	}
 	for _, z := range m.zones() {
 		nodes, cold, closed, util, heard, gateways, away := 0, 0, 0, 0.0, 0, 0, 0
-		for _, n := range m.moment.Nodes {
+		for _, n := range m.moment.Endpoints {
 			if n.Zone != z {
 				continue
 			}
 			if nodes++; n.Senders == 0 {
 				closed++
-			} else if n.Warmth < 1 {
+			} else if n.WarmUpProgress < 1 {
 				cold++
 			}
-			if n.Heard > 0 {
-				util, heard = util+n.Util, heard+1
+			if n.LastReport > 0 {
+				util, heard = util+n.Utilization, heard+1
 			}
 		}
 		for _, g := range m.moment.Gateways {
 			if g.Zone == z {
-				if gateways++; !g.Joined {
+				if gateways++; !g.Connected {
 					away++
 				}
 			}
@@ -187,10 +187,10 @@
 	out = append(out, "", bold.Render(m.row(widths, "ZONE", "KIND", "ASKED/S", "LET IN/S", "PART", "NODES")))
 	for _, t := range m.moment.Traffic {
 		part := "-"
-		if t.Asked > 0 {
-			part = fmt.Sprintf("%.2f", t.Let/t.Asked)
+		if t.Demand > 0 {
+			part = fmt.Sprintf("%.2f", t.Admitted/t.Demand)
 		}
-		out = append(out, m.row(widths, string(t.Zone), t.Kind, fmt.Sprintf("%.1f", t.Asked), fmt.Sprintf("%.1f", t.Let), part, fmt.Sprint(t.Nodes)))
+		out = append(out, m.row(widths, string(t.Zone), t.Class, fmt.Sprintf("%.1f", t.Demand), fmt.Sprintf("%.1f", t.Admitted), part, fmt.Sprint(t.Endpoints)))
 	}
 	return out
 }
@@ -213,13 +213,13 @@
 	return m.list(" "+head, len(nodes), func(i int) string {
 		n := nodes[i]
 		state := n.State
-		if len(n.Fails) > 0 {
-			state = "fails " + strings.Join(n.Fails, ",")
+		if len(n.FailingClasses) > 0 {
+			state = "fails " + strings.Join(n.FailingClasses, ",")
 		} else if n.Withheld {
 			state = "sick"
 		}
-		return m.row(widths, string(n.Node), string(n.Zone), state, fmt.Sprintf("%.2f", n.Warmth), fmt.Sprintf("%.2f", n.Util), fmt.Sprintf("%.1f", n.Queue),
-			fmt.Sprintf("%.1f", n.Tries), fmt.Sprintf("%.1f", n.Errored), fmt.Sprint(n.Senders))
+		return m.row(widths, string(n.Endpoint), string(n.Zone), state, fmt.Sprintf("%.2f", n.WarmUpProgress), fmt.Sprintf("%.2f", n.Utilization), fmt.Sprintf("%.1f", n.Queue),
+			fmt.Sprintf("%.1f", n.Attempts), fmt.Sprintf("%.1f", n.Failures), fmt.Sprint(n.Senders))
 	})
 }
 
@@ -230,23 +230,23 @@
 	return m.list(" "+head, len(gateways), func(i int) string {
 		g := gateways[i]
 		link, lag := "joined", "-"
-		if !g.Joined {
+		if !g.Connected {
 			link = "away"
 		}
-		if g.Waiting > 0 {
-			lag = length(g.Oldest)
+		if g.Unacknowledged > 0 {
+			lag = length(g.OldestUnacknowledged)
 		}
-		return m.row(widths, string(g.Gateway), string(g.Zone), link, g.Version, fmt.Sprint(g.Waiting), lag, fmt.Sprintf("%.1f", g.Usage), fmt.Sprint(g.Lines), g.Level)
+		return m.row(widths, string(g.Gateway), string(g.Zone), link, g.Version, fmt.Sprint(g.Unacknowledged), lag, fmt.Sprintf("%.1f", g.Demand), fmt.Sprint(g.OpenEndpoints), g.Level)
 	})
 }
 
 func (m Model) drawLevels() (out []string) {
 	add := func(format string, args ...any) { out = append(out, fit(fmt.Sprintf(format, args...), m.width)) }
 	l := m.moment.Levels
-	if len(l.Standings) == 0 {
+	if len(l.Scopes) == 0 {
 		add("no levels of service are named")
 	}
-	for _, s := range l.Standings {
+	for _, s := range l.Scopes {
 		scope := string(s.Zone)
 		if scope == "" {
 			scope = "fleet"
@@ -255,24 +255,24 @@
 		if s.Since > 0 {
 			since = " for " + length(m.moment.Now-s.Since)
 		}
-		add("%s: %s%s  %s", scope, s.Name, since, s.Why)
-		for _, e := range s.Ends {
+		add("%s: %s%s  %s", scope, s.Name, since, s.Reason)
+		for _, e := range s.EndConditions {
 			add("    %s", e)
 		}
 	}
-	for _, w := range l.Words {
-		add("word %d: %s %s in %q for another %s: %s", w.ID, w.Do, l.Levels[min(w.Level, len(l.Levels)-1)], w.Zone, length(w.Until-m.moment.Now), w.Reason)
+	for _, w := range l.Overrides {
+		add("word %d: %s %s in %q for another %s: %s", w.ID, w.Action, l.Levels[min(w.Level, len(l.Levels)-1)], w.Zone, length(w.Until-m.moment.Now), w.Reason)
 	}
 	add("")
 	if s := m.moment.Solver; s != nil {
-		add("solver: acting %t, %d tables, largest load over a limit %.2f %s", s.Acting, s.Tables, s.Worst, s.At)
+		add("solver: acting %t, %d tables, largest load over a limit %.2f %s", s.Active, s.Tables, s.WorstUtilization, s.WorstEndpoint)
 		for _, f := range s.Failing {
 			add("    fails: %s", f)
 		}
 	}
-	in := m.moment.Intake
-	add("intake: %d reports, part %.2f of calm lines, %d gateways report, %d have stopped, %.2f heard", in.Reports, in.Part, in.Live, in.Stopped, in.Heard)
-	add("channel: %.0f lines on their way of %.0f; %d pins", m.moment.OnWay, m.moment.Limit, m.moment.Pins)
+	in := m.moment.Sampling
+	add("intake: %d reports, part %.2f of calm lines, %d gateways report, %d have stopped, %.2f heard", in.Reports, in.SampledFraction, in.Reporting, in.Silent, in.ReportsPerGateway)
+	add("channel: %.0f lines on their way of %.0f; %d pins", m.moment.LinesInFlight, m.moment.LineLimit, m.moment.Pins)
 	return out
 }
 
@@ -282,8 +282,8 @@
 	return m.list(" "+m.row(widths, "AGO", "", "EVENT", "TEXT"), len(log), func(i int) string {
 		r := log[i]
 		text := r.Text
-		if r.Of != "" {
-			text = r.Of + ": " + text
+		if r.Subject != "" {
+			text = r.Subject + ": " + text
 		}
 		return m.row(widths, length(m.moment.Now-r.At), r.Level, r.Event, text)
 	})
@@ -292,22 +292,22 @@
 // explain says of one node or gateway what is known.
 func (m Model) explain() (out []string) {
 	add := func(format string, args ...any) { out = append(out, fit(fmt.Sprintf(format, args...), m.width)) }
-	for _, n := range m.moment.Nodes {
-		if string(n.Node) != m.why {
+	for _, n := range m.moment.Endpoints {
+		if string(n.Endpoint) != m.why {
 			continue
 		}
-		add("node %s in %s", n.Node, n.Zone)
-		add("%s for %s: %s", n.State, length(m.moment.Now-n.Since), n.Why)
-		add("warmth %.2f, can do about %.1f reqs a second", n.Warmth, n.Capacity)
-		if n.Heard > 0 {
-			add("%.1f tries a second (give or take %.1f), %.1f errored, util %.2f, queue %.1f, heard %s ago", n.Tries, n.Error, n.Errored, n.Util, n.Queue,
-				length(m.moment.Now-n.Heard))
+		add("node %s in %s", n.Endpoint, n.Zone)
+		add("%s for %s: %s", n.State, length(m.moment.Now-n.Since), n.Reason)
+		add("warmth %.2f, can do about %.1f reqs a second", n.WarmUpProgress, n.Capacity)
+		if n.LastReport > 0 {
+			add("%.1f tries a second (give or take %.1f), %.1f errored, util %.2f, queue %.1f, heard %s ago", n.Attempts, n.AttemptsError, n.Failures, n.Utilization, n.Queue,
+				length(m.moment.Now-n.LastReport))
 		} else {
 			add("nothing was heard of it")
 		}
 		add("%d gateways may send to it", n.Senders)
-		if len(n.Fails) > 0 {
-			add("it is kept from %s", strings.Join(n.Fails, ", "))
+		if len(n.FailingClasses) > 0 {
+			add("it is kept from %s", strings.Join(n.FailingClasses, ", "))
 		}
 		if n.Withheld {
 			add("the decision module keeps all from it: sick")
@@ -317,13 +317,13 @@
 		if string(g.Gateway) != m.why {
 			continue
 		}
-		add("gateway %s in %s, joined %t, last word %s ago", g.Gateway, g.Zone, g.Joined, length(m.moment.Now-g.Heard))
-		add("holds %s, %d messages on their way, the first for %s", g.Version, g.Waiting, length(g.Oldest))
-		add("%.1f reqs a second come to it, %d open lines, level %s", g.Usage, g.Lines, g.Level)
+		add("gateway %s in %s, joined %t, last word %s ago", g.Gateway, g.Zone, g.Connected, length(m.moment.Now-g.LastReport))
+		add("holds %s, %d messages on their way, the first for %s", g.Version, g.Unacknowledged, length(g.OldestUnacknowledged))
+		add("%.1f reqs a second come to it, %d open lines, level %s", g.Demand, g.OpenEndpoints, g.Level)
 	}
 	add("")
 	for _, r := range m.moment.Log {
-		if r.Of == m.why || strings.Contains(r.Text, m.why) {
+		if r.Subject == m.why || strings.Contains(r.Text, m.why) {
 			add("%s ago  %s  %s", length(m.moment.Now-r.At), r.Event, r.Text)
 		}
 	}
--- a/drill/intake.go
+++ b/drill/intake.go
@@ -219,8 +219,8 @@
 func (t *storm) holding(i int, s tables.Snapshot) {
 	open := false
 	for _, c := range s.Clusters {
-		for _, l := range c.Lines {
-			open = open || !l.Withheld && string(l.Backend) == t.drained
+		for _, l := range c.Endpoints {
+			open = open || !l.Withheld && string(l.Endpoint) == t.drained
 		}
 	}
 	t.f.mu.Lock()
@@ -236,27 +236,27 @@
 	if i != 0 && (t.o.BreakRule == audit.Bare || t.o.BreakRule == audit.Repeat) || t.o.BreakRule == "" {
 		return nil
 	}
-	ever := map[string]tables.Line{}
+	ever := map[string]tables.ClusterEndpoint{}
 	return func(s *tables.Snapshot) {
 		switch t.o.BreakRule {
 		case audit.Bare:
 			s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
-			s.Clusters[0].Lines = nil
+			s.Clusters[0].Endpoints = nil
 		case audit.Repeat:
 			s.Routes = append([]tables.Route(nil), s.Routes...)
 			for k := range s.Routes {
-				s.Routes[k].SecondTry = 3
+				s.Routes[k].RetryPolicy = 3
 			}
 		case audit.Drain: // it keeps every line that it ever had
 			for k := range s.Clusters {
-				s.Clusters[k].Lines = append([]tables.Line(nil), s.Clusters[k].Lines...)
-				for _, l := range s.Clusters[k].Lines {
+				s.Clusters[k].Endpoints = append([]tables.ClusterEndpoint(nil), s.Clusters[k].Endpoints...)
+				for _, l := range s.Clusters[k].Endpoints {
 					l.Withheld = false
-					ever[fmt.Sprint(k, l.Backend)] = l
+					ever[fmt.Sprint(k, l.Endpoint)] = l
 				}
-				s.Clusters[k].Lines = s.Clusters[k].Lines[:0]
+				s.Clusters[k].Endpoints = s.Clusters[k].Endpoints[:0]
 				for _, l := range ever {
-					s.Clusters[k].Lines = append(s.Clusters[k].Lines, l)
+					s.Clusters[k].Endpoints = append(s.Clusters[k].Endpoints, l)
 				}
 			}
 		case audit.Cold: // what has just started gets everything
@@ -265,7 +265,7 @@
 			for _, n := range t.nodes {
 				if t.launched[n.Name] > 0 {
 					for k := range s.Clusters {
-						s.Clusters[k].Lines = []tables.Line{{Backend: control.EndpointID(n.Name), Zone: control.Zone(n.Zone), Weight: 1}}
+						s.Clusters[k].Endpoints = []tables.ClusterEndpoint{{Endpoint: control.EndpointID(n.Name), Zone: control.Zone(n.Zone), Weight: 1}}
 					}
 				}
 			}
@@ -558,7 +558,7 @@
 	t.f.mu.Unlock()
 	known := map[string]int{}
 	for i, n := range h.Nodes {
-		known[string(n.Backend)] = i
+		known[string(n.Endpoint)] = i
 	}
 	views := []*View{&res.Always}
 	if steady {
@@ -580,8 +580,8 @@
 			heardAt := now - time.Duration(h.Now-got.At)*time.Microsecond // a report is of the period before it
 			want := n.Had(heardAt-3*period/2, heardAt-period/2)
 			util, queue := n.Own(heardAt-period, heardAt)
-			v.Tries.add(got.Tries, want, got.TriesError, max(want, 1))
-			v.Util.add(got.Util, util, got.UtilError, 1)
+			v.Tries.add(got.Attempts, want, got.AttemptsError, max(want, 1))
+			v.Util.add(got.Utilization, util, got.UtilizationError, 1)
 			v.Queue.add(got.Queue, queue, got.QueueError, 10)
 		}
 	}
--- a/drill/run.go
+++ b/drill/run.go
@@ -276,7 +276,7 @@
 		cancel()
 		all := err == nil && len(s.Gateways) == len(f.gateways)
 		for _, g := range s.Gateways {
-			all = all && g.Joined && g.Waiting == 0
+			all = all && g.Connected && g.Unacknowledged == 0
 		}
 		if all {
 			return time.Since(began).Seconds()
@@ -346,7 +346,7 @@
 		case c.Name == "level_changes": // of the scope that changed most; no more than the settings allow
 			o.Figure = float64(r.LevelChanges)
 			set, _ := s.Config("", "127.0.0.1:0", 1).ServiceLevels()
-			c.AtMost = float64(set.Most(control.Microseconds(s.Seconds+10) * 1_000_000))
+			c.AtMost = float64(set.MaxChanges(control.Microseconds(s.Seconds+10) * 1_000_000))
 		case c.Name == "over_standing":
 			b, has := r.Baselines[string(standingOnly)]
 			if !has {
@@ -397,7 +397,7 @@
 		f.gateways[0].Spoil = func(s *tables.Snapshot) {
 			if f.world.Now() > half/2 {
 				s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
-				s.Clusters[0].Lines = nil
+				s.Clusters[0].Endpoints = nil
 			}
 		}
 	case audit.Repeat: // all gateways repeat whatever has failed
@@ -405,20 +405,20 @@
 			g.SpoilRetry = true
 		}
 	case audit.Drain: // one gateway keeps every line that it ever had
-		had := map[string]map[string]tables.Line{}
+		had := map[string]map[string]tables.ClusterEndpoint{}
 		f.gateways[0].Spoil = func(s *tables.Snapshot) {
 			s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
 			for i, c := range s.Clusters {
-				if had[c.Kind] == nil {
-					had[c.Kind] = map[string]tables.Line{}
+				if had[c.Class] == nil {
+					had[c.Class] = map[string]tables.ClusterEndpoint{}
 				}
-				for _, l := range c.Lines {
+				for _, l := range c.Endpoints {
 					l.Withheld = false
-					had[c.Kind][string(l.Backend)] = l
+					had[c.Class][string(l.Endpoint)] = l
 				}
-				kept := tables.Cluster{Kind: c.Kind}
-				for _, l := range had[c.Kind] {
-					kept.Lines = append(kept.Lines, l)
+				kept := tables.Cluster{Class: c.Class}
+				for _, l := range had[c.Class] {
+					kept.Endpoints = append(kept.Endpoints, l)
 				}
 				kept.Sort()
 				s.Clusters[i] = kept
@@ -429,11 +429,11 @@
 			g.Spoil = func(s *tables.Snapshot) {
 				s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
 				for i, c := range s.Clusters {
-					c.Lines = append([]tables.Line(nil), c.Lines...)
-					for j, l := range c.Lines {
+					c.Endpoints = append([]tables.ClusterEndpoint(nil), c.Endpoints...)
+					for j, l := range c.Endpoints {
 						for _, n := range f.nodes {
-							if up, launched := n.Up(); n.Addr == string(l.Backend) && up && launched >= 0 {
-								c.Lines[j].Weight = 1000
+							if up, launched := n.Up(); n.Addr == string(l.Endpoint) && up && launched >= 0 {
+								c.Endpoints[j].Weight = 1000
 							}
 						}
 					}
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -16,8 +16,8 @@
 )
 
 func settings(cfg config.Config) coordinator.Settings {
-	set := coordinator.Settings{Up: cfg.Up(), SilentAfter: control.Microseconds(cfg.Gateways.SilentAfter), Solver: true}
-	set.Service, set.Fallback = cfg.ServiceLevels()
+	set := coordinator.Settings{Start: cfg.Up(), SilenceTimeout: control.Microseconds(cfg.Gateways.SilentAfter), SolverEnabled: true}
+	set.Degradation, set.Fallback = cfg.ServiceLevels()
 	return set
 }
 
@@ -56,7 +56,7 @@
 	}
 	// Limits that are reached soon; with the core told of them they are kept.
 	tight := set
-	tight.Up.Rules.QueueLimit, tight.Up.Rules.MessageLimit = 600, 4
+	tight.Start.Rules.QueueLimit, tight.Start.Rules.MessageLimit = 600, 4
 	rules.That = slices.Clone(rules.That)
 	rules.That[4].MessagesMost = 4
 	for i := range 3 {
@@ -66,38 +66,38 @@
 			}
 		}
 	}
-	ever := map[string]tables.Line{}
+	ever := map[string]tables.ClusterEndpoint{}
 	for what, spoil := range map[string]struct {
 		held func(*tables.Snapshot)
 		told func(*coordinator.Settings)
 	}{
-		"never without a node": {held: func(s *tables.Snapshot) { s.Clusters[0].Lines = nil }},
-		"second tries":         {held: func(s *tables.Snapshot) { s.Routes[2].SecondTry = 3 }},
+		"never without a node": {held: func(s *tables.Snapshot) { s.Clusters[0].Endpoints = nil }},
+		"second tries":         {held: func(s *tables.Snapshot) { s.Routes[2].RetryPolicy = 3 }},
 		"drained within": {held: func(s *tables.Snapshot) { // all lines that any gateway ever had stay
 			c := &s.Clusters[0]
-			for _, l := range c.Lines {
+			for _, l := range c.Endpoints {
 				l.Withheld = false
-				ever[string(l.Backend)] = l
+				ever[string(l.Endpoint)] = l
 			}
-			c.Lines = nil
+			c.Endpoints = nil
 			for _, l := range ever {
-				c.Lines = append(c.Lines, l)
+				c.Endpoints = append(c.Endpoints, l)
 			}
 		}},
 		"a cold node's load": {held: func(s *tables.Snapshot) {
 			for k := range s.Clusters { // all get the same, and nothing is turned away
-				s.Clusters[k].Lines = slices.Clone(s.Clusters[k].Lines)
-				for i := range s.Clusters[k].Lines {
-					s.Clusters[k].Lines[i].Weight = 1
-					if s.Clusters[k].Lines[i].Backend[5] < '4' {
-						s.Clusters[k].Lines[i].Weight = 20
+				s.Clusters[k].Endpoints = slices.Clone(s.Clusters[k].Endpoints)
+				for i := range s.Clusters[k].Endpoints {
+					s.Clusters[k].Endpoints[i].Weight = 1
+					if s.Clusters[k].Endpoints[i].Endpoint[5] < '4' {
+						s.Clusters[k].Endpoints[i].Weight = 20
 					}
 				}
 			}
 		}},
-		"messages at most": {told: func(s *coordinator.Settings) { s.Up.Rules.MessageLimit = 0 }},
+		"messages at most": {told: func(s *coordinator.Settings) { s.Start.Rules.MessageLimit = 0 }},
 		"lines on their way": {told: func(s *coordinator.Settings) {
-			s.Up.Rules.QueueLimit = 1e9
+			s.Start.Rules.QueueLimit = 1e9
 		}},
 	} {
 		found := false
@@ -203,7 +203,7 @@
 	}
 	e, set := suite.Expect[0], settings(cfg)
 	e.Fleet.Nodes, e.Fleet.Gateways, e.Length = expect.Range{From: 100, To: 100}, expect.Range{From: 300, To: 300}, 12*control.Microseconds(time.Second/time.Microsecond)
-	set.Up.Rules.QueueLimit = 40000
+	set.Start.Rules.QueueLimit = 40000
 	for b.Loop() {
 		e.Run(set, e.Draw(b.N))
 	}
--- a/expect/host.go
+++ b/expect/host.go
@@ -36,7 +36,7 @@
 		Load: e.Fleet.Load.From + rng.Float64()*(e.Fleet.Load.To-e.Fleet.Load.From), Course: e.Course}
 }
 
-// Kind time goes in a case.
+// Class time goes in a case.
 const (
 	tick   = second / 4
 	settle = 9 * second // before the course begins: gateways have joined, the module has its rounds
@@ -65,7 +65,7 @@
 type gateway struct {
 	name     coordinator.Gateway
 	zone     control.Zone
-	conn     coordinator.Conn
+	conn     coordinator.ConnID
 	rates    []float64 // reqs a second by kind
 	held     tables.Snapshot
 	last     tables.Snapshot // that was sent on this link
@@ -120,7 +120,7 @@
 	version  control.ListVersion
 	listAt   []control.Microseconds // when the list tells what it has not told yet
 	times    float64
-	conns    coordinator.Conn
+	conns    coordinator.ConnID
 	inputs   []coordinator.Input
 	judge    *judge
 	waiting  float64
@@ -138,7 +138,7 @@
 }
 
 func (e Expectation) run(set coordinator.Settings, c Case, by spoilt) []Failure {
-	set.Epoch, set.Up.Seed, set.Up.ProxyCount = "x", c.Seed, c.Gateways
+	set.Epoch, set.Start.Seed, set.Start.ProxyCount = "x", c.Seed, c.Gateways
 	told := set
 	if by.told != nil {
 		by.told(&told)
@@ -153,12 +153,12 @@
 		h.deliver()
 		h.report()
 		h.step()
-		for next := h.core.Next(); next < h.now+tick; next = h.core.Next() {
+		for next := h.core.NextDeadline(); next < h.now+tick; next = h.core.NextDeadline() {
 			at := h.now
 			h.now = max(h.now, next)
 			h.step()
 			h.now = at
-			if next >= h.core.Next() {
+			if next >= h.core.NextDeadline() {
 				break
 			}
 		}
@@ -169,7 +169,7 @@
 }
 
 func (h *host) build() {
-	zones, kinds := h.set.Up.Zones, len(h.set.Up.Classes)
+	zones, kinds := h.set.Start.Zones, len(h.set.Start.Classes)
 	for i := range h.c.Nodes {
 		n := &node{name: control.EndpointID(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], up: true, failing: make([]bool, kinds)}
 		h.byName[n.name] = i
@@ -200,7 +200,7 @@
 	for _, r := range g.rates {
 		weight += r
 	}
-	h.inputs = append(h.inputs, coordinator.Join{Gateway: g.name, Conn: g.conn, Zone: g.zone, Standing: len(g.held.Clusters) == 0, Weight: weight})
+	h.inputs = append(h.inputs, coordinator.GatewayConnected{Gateway: g.name, Conn: g.conn, Zone: g.zone, HasDefaultTableOnly: len(g.held.Clusters) == 0, Weight: weight})
 }
 
 // events lets happen what is due.
@@ -236,7 +236,7 @@
 		}
 	case Fail:
 		for _, n := range h.choose(ev, func(n *node) bool { return n.up }) {
-			for k, kind := range h.set.Up.Classes {
+			for k, kind := range h.set.Start.Classes {
 				n.failing[k] = n.failing[k] || ev.Kind == "" || ev.Kind == kind.Name
 			}
 		}
@@ -260,7 +260,7 @@
 				h.join(g)
 			} else {
 				g.away = true
-				h.inputs = append(h.inputs, coordinator.Leave{Gateway: g.name, Conn: g.conn})
+				h.inputs = append(h.inputs, coordinator.GatewayDisconnected{Gateway: g.name, Conn: g.conn})
 				h.drop(g)
 			}
 		}
@@ -317,7 +317,7 @@
 			l.Endpoints = append(l.Endpoints, control.Endpoint{ID: n.name, Zone: n.zone, Weight: 1, MachineType: "std", StartedAt: n.launched, Status: n.listed})
 		}
 	}
-	h.inputs = append(h.inputs, coordinator.List{EndpointUpdate: l})
+	h.inputs = append(h.inputs, coordinator.EndpointUpdate{EndpointUpdate: l})
 }
 
 // deliver brings publications and acknowledgements whose time has come.
@@ -332,13 +332,13 @@
 		}
 		if m.ack != nil {
 			h.inputs = append(h.inputs, m.ack)
-			h.acked(g, m.ack.(coordinator.Ack).Version)
+			h.acked(g, m.ack.(coordinator.DocumentAck).Version)
 			continue
 		}
 		h.hold(g, m.publish.Snapshot)
 		for d, changed := range m.publish.Changed {
 			if changed {
-				ack := coordinator.Ack{Gateway: g.name, Conn: g.conn, Doc: coordinator.Doc(d), Version: m.publish.Version, Nonce: m.publish.Nonce}
+				ack := coordinator.DocumentAck{Gateway: g.name, Conn: g.conn, Document: coordinator.Document(d), Version: m.publish.Version, Nonce: m.publish.Nonce}
 				h.mails = append(h.mails, mail{h.now + h.e.Fleet.Transit, m.gateway, nil, ack})
 			}
 		}
@@ -376,8 +376,8 @@
 	for k := range s.Clusters {
 		g.open[k], g.halls[k] = g.open[k][:0], 0
 		last := control.Zone("")
-		for _, l := range s.Clusters[k].Lines {
-			if i, known := h.byName[l.Backend]; known && !l.Withheld && l.Weight > 0 {
+		for _, l := range s.Clusters[k].Endpoints {
+			if i, known := h.byName[l.Endpoint]; known && !l.Withheld && l.Weight > 0 {
 				g.open[k] = append(g.open[k], line{i, l.Weight})
 				if l.Zone != last {
 					last = l.Zone
@@ -397,20 +397,20 @@
 		case coordinator.Publish:
 			i := h.gwByName[o.Gateway]
 			g := h.gateways[i]
-			lines := float64(tables.Cost(g.last, o.Snapshot)) + h.set.Up.Channel.MessageOverhead
+			lines := float64(tables.ChangeCost(g.last, o.Snapshot)) + h.set.Start.Channel.MessageOverhead
 			g.waiting = append(g.waiting, posted{o.Version, lines})
 			h.waiting += lines
 			g.last = o.Snapshot
 			g.sent = append(g.sent, h.now)
 			h.judge.sent(g)
 			h.mails = append(h.mails, mail{h.now + h.e.Fleet.Transit, i, &o, nil})
-		case coordinator.Fetch, coordinator.Watch:
+		case coordinator.Resync, coordinator.WatchEndpoints:
 			h.listAt = append([]control.Microseconds{h.now}, h.listAt...)
-		case coordinator.Probe:
-			if i, known := h.byName[o.Backend]; known {
-				h.inputs = append(h.inputs, coordinator.Probed{HealthCheckResult: control.HealthCheckResult{Endpoint: o.Backend, Healthy: h.nodes[i].up, Code: "200", Duration: 5000}})
+		case coordinator.CheckHealth:
+			if i, known := h.byName[o.Endpoint]; known {
+				h.inputs = append(h.inputs, coordinator.HealthCheckResult{HealthCheckResult: control.HealthCheckResult{Endpoint: o.Endpoint, Healthy: h.nodes[i].up, Code: "200", Duration: 5000}})
 			}
-		case coordinator.Note:
+		case coordinator.LogEntry:
 			h.judge.note(o)
 		}
 	}
@@ -418,7 +418,7 @@
 
 // report lets the gateways report whose turn it is: each once a period, spread over it.
 func (h *host) report() {
-	period := h.set.Up.Reports.Period
+	period := h.set.Start.Reports.Period
 	turns := max(1, int(period/tick))
 	now := int((h.now - base) / tick)
 	for i, g := range h.gateways {
@@ -426,18 +426,18 @@
 			continue
 		}
 		g.seq++
-		r := coordinator.Report{Gateway: g.name, Conn: g.conn, Seq: g.seq, Interval: period}
-		for k, kind := range h.set.Up.Classes {
-			one := coordinator.KindReport{Kind: kind.Name, Arrived: int(math.Round(g.arrived[k])), Denied: int(math.Round(g.denied[k])), Errored: int(math.Round(g.errored[k]))}
+		r := coordinator.LoadReport{Gateway: g.name, Conn: g.conn, Sequence: g.seq, Interval: period}
+		for k, kind := range h.set.Start.Classes {
+			one := coordinator.ClassReport{Class: kind.Name, Arrivals: int(math.Round(g.arrived[k])), Rejected: int(math.Round(g.denied[k])), Failures: int(math.Round(g.errored[k]))}
 			for _, n := range slices.Sorted(maps.Keys(g.sums[k])) {
 				s := g.sums[k][n]
 				tries := int(math.Ceil(s.tries - 1e-9))
 				busy := min(1, h.nodes[n].util)
-				one.Endpoints = append(one.Endpoints, coordinator.EndpointReport{Backend: h.nodes[n].name, Tries: tries,
-					Errored: min(tries, int(math.Round(s.errored))), Answer: control.Microseconds(160_000 / max(0.2, 1.1-busy)),
-					Loads: control.LoadMetrics{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
+				one.Endpoints = append(one.Endpoints, coordinator.EndpointReport{Endpoint: h.nodes[n].name, Attempts: tries,
+					Failures: min(tries, int(math.Round(s.errored))), MeanLatency: control.Microseconds(160_000 / max(0.2, 1.1-busy)),
+					Metrics: control.LoadMetrics{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
 			}
-			r.Kinds = append(r.Kinds, one)
+			r.Classes = append(r.Classes, one)
 			g.arrived[k], g.denied[k], g.errored[k] = 0, 0, 0
 			clear(g.sums[k])
 		}
@@ -447,7 +447,7 @@
 
 // warmth is the part of its capacity that a node has.
 func (h *host) warmth(n *node) float64 {
-	r := h.set.Up.Rules
+	r := h.set.Start.Rules
 	if since := h.now - n.launched; n.launched > 0 && since < r.WarmUp {
 		return r.InitialCapacity + (1-r.InitialCapacity)*float64(since)/float64(r.WarmUp)
 	}
@@ -464,7 +464,7 @@
 		came = g.rates[k] * h.times * seconds
 		in = came
 		if k < len(g.held.Routes) {
-			r := g.held.Routes[k].Away(h.now - g.heard)
+			r := g.held.Routes[k].AfterSilence(h.now - g.heard)
 			if in *= r.Share; r.Rate >= 0 {
 				in = min(in, r.Rate*seconds)
 			}
@@ -487,7 +487,7 @@
 		can := mean * h.warmth(n) * seconds
 		n.util = 0.5*n.util + 0.5*n.offered/can
 		n.window = append(n.window, n.offered)
-		if most := max(1, int(h.set.Up.Rules.OverloadWindow/tick)); len(n.window) > most {
+		if most := max(1, int(h.set.Start.Rules.OverloadWindow/tick)); len(n.window) > most {
 			n.window = n.window[1:]
 		}
 	}
--- a/expect/judge.go
+++ b/expect/judge.go
@@ -44,7 +44,7 @@
 		f.Node = string(n.name)
 	}
 	if kind >= 0 {
-		f.Kind = j.h.set.Up.Classes[kind].Name
+		f.Kind = j.h.set.Start.Classes[kind].Name
 	}
 	j.found[i] = f
 }
@@ -53,7 +53,7 @@
 
 // warmFor tells whether a warm ready node is listed that may serve a kind for a zone's gateways.
 func (j *judge) warmFor(kind int, zone control.Zone) bool {
-	k := j.h.set.Up.Classes[kind]
+	k := j.h.set.Start.Classes[kind]
 	for _, n := range j.h.nodes {
 		if n.listed != control.Ready || j.h.warmth(n) < 1 || k.LocalZoneOnly && n.zone != zone {
 			continue
@@ -75,9 +75,9 @@
 	if j.at() < 0 {
 		return
 	}
-	kinds := h.set.Up.Classes
+	kinds := h.set.Start.Classes
 	warm := map[control.Zone][]bool{}
-	for _, z := range h.set.Up.Zones {
+	for _, z := range h.set.Start.Zones {
 		for k := range kinds {
 			warm[z] = append(warm[z], j.warmFor(k, z))
 		}
@@ -99,7 +99,7 @@
 			j.loads(i, t)
 			continue
 		}
-		if most := h.set.Up.Rules.QueueLimit; t.WaitingMost > 0 && most > 0 && h.waiting > t.WaitingMost*most {
+		if most := h.set.Start.Rules.QueueLimit; t.WaitingMost > 0 && most > 0 && h.waiting > t.WaitingMost*most {
 			j.fail(i, nil, nil, -1, "%.0f lines on their way, %.2f of %.0f", h.waiting, h.waiting/most, most)
 		}
 		for _, g := range h.gateways {
@@ -113,7 +113,7 @@
 
 func (j *judge) gateway(i int, t That, g *gateway) {
 	h := j.h
-	for k, kind := range h.set.Up.Classes {
+	for k, kind := range h.set.Start.Classes {
 		if t.Kind != "" && t.Kind != kind.Name {
 			continue
 		}
@@ -127,8 +127,8 @@
 			j.fail(i, g, nil, k, "%d nodes", open)
 		case t.HallsAtLeast > 0 && g.halls[k] < t.HallsAtLeast:
 			j.fail(i, g, nil, k, "%d halls", g.halls[k])
-		case t.RepeatAtMost > 0 && k < len(g.held.Routes) && g.held.Routes[k].SecondTry > t.RepeatAtMost:
-			j.fail(i, g, nil, k, "second tries by order %d", g.held.Routes[k].SecondTry)
+		case t.RepeatAtMost > 0 && k < len(g.held.Routes) && g.held.Routes[k].RetryPolicy > t.RepeatAtMost:
+			j.fail(i, g, nil, k, "second tries by order %d", g.held.Routes[k].RetryPolicy)
 		case t.DrainedWithin > 0:
 			for _, l := range g.open[k] {
 				n := h.nodes[l.node]
@@ -156,8 +156,8 @@
 		switch {
 		case t.LoadAtMost > 0 && warmth == 1 && offered > t.LoadAtMost*can:
 			j.fail(i, nil, n, -1, "offered %.2f of what it can do", offered/can)
-		case t.ColdAtMost > 0 && warmth < 1 && j.knew(n) && offered > t.ColdAtMost*h.set.Up.Rules.OverloadFactor*can:
-			j.fail(i, nil, n, -1, "offered %.2f of what pushes it over, %.1f s after its start", offered/can/h.set.Up.Rules.OverloadFactor, seconds(h.now-n.launched))
+		case t.ColdAtMost > 0 && warmth < 1 && j.knew(n) && offered > t.ColdAtMost*h.set.Start.Rules.OverloadFactor*can:
+			j.fail(i, nil, n, -1, "offered %.2f of what pushes it over, %.1f s after its start", offered/can/h.set.Start.Rules.OverloadFactor, seconds(h.now-n.launched))
 		}
 	}
 }
@@ -165,13 +165,13 @@
 // knew tells whether the list has named a node's start for the grace, and what falls over has come since: of what came
 // before, nobody could have known.
 func (j *judge) knew(n *node) bool {
-	r := j.h.set.Up.Rules
+	r := j.h.set.Start.Rules
 	return n.started == n.launched && j.h.now-n.named > r.DrainGracePeriod+r.OverloadWindow
 }
 
 // sent judges a publication to a gateway.
 func (j *judge) sent(g *gateway) {
-	span := j.h.set.Up.Rules.MessageWindow
+	span := j.h.set.Start.Rules.MessageWindow
 	n := 0
 	for _, at := range g.sent {
 		if j.h.now-at <= span {
@@ -187,13 +187,13 @@
 
 func (j *judge) served(g *gateway, kind int, came, done float64) {
 	for i, t := range j.h.e.That {
-		if t.ServedAtLeast > 0 && j.counts(t) && (t.Kind == "" || t.Kind == j.h.set.Up.Classes[kind].Name) && (t.Zone == "" || t.Zone == g.zone) {
+		if t.ServedAtLeast > 0 && j.counts(t) && (t.Kind == "" || t.Kind == j.h.set.Start.Classes[kind].Name) && (t.Zone == "" || t.Zone == g.zone) {
 			j.asked[i], j.done[i] = j.asked[i]+came, j.done[i]+done
 		}
 	}
 }
 
-func (j *judge) note(n coordinator.Note) {
+func (j *judge) note(n coordinator.LogEntry) {
 	if n.Event != "service_level" {
 		return
 	}
@@ -239,7 +239,7 @@
 		smaller = false
 		var next []Case
 		for _, part := range []int{2, 4} {
-			if n := c.Nodes - c.Nodes/part; n < c.Nodes && n >= len(set.Up.Zones) {
+			if n := c.Nodes - c.Nodes/part; n < c.Nodes && n >= len(set.Start.Zones) {
 				one := c
 				one.Nodes = n
 				next = append(next, one)
--- a/front/files/files.go
+++ b/front/files/files.go
@@ -4,7 +4,7 @@
 //	DIR/GATEWAY/eds.json   ClusterLoadAssignment, one resource a request kind
 //	DIR/GATEWAY/rds.json   RouteConfiguration
 //
-// Endpoints are written before routes. A reader that opens either file reads one whole document, whatever happens to
+// EndpointsDocument are written before routes. A reader that opens either file reads one whole document, whatever happens to
 // the writer: the text goes to a hidden file beside it, is synced and renamed over it.
 package files
 
@@ -214,13 +214,13 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil { // again if somebody has removed it
 		return err
 	}
-	if p.Changed[coordinator.Endpoints] {
+	if p.Changed[coordinator.EndpointsDocument] {
 		m, err := xds.Endpoints(p.Version, p.Nonce, p.Snapshot.Clusters)
 		if err := f.send(filepath.Join(dir, EndpointFile), m, err, p.Sync); err != nil {
 			return err
 		}
 	}
-	if p.Changed[coordinator.Routes] {
+	if p.Changed[coordinator.RoutesDocument] {
 		m, err := xds.RouteDocument(p.Version, p.Nonce, p.Snapshot.Routes)
 		return f.send(filepath.Join(dir, RouteFile), m, err, p.Sync)
 	}
--- a/front/files/files_test.go
+++ b/front/files/files_test.go
@@ -18,14 +18,14 @@
 )
 
 func publication(n, lines int) coordinator.Publish {
-	c := tables.Cluster{Kind: "view"}
+	c := tables.Cluster{Class: "view"}
 	for i := range lines {
-		c.Lines = append(c.Lines, tables.Line{Backend: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i+1)), Zone: "a", Weight: float64(n + 1)})
+		c.Endpoints = append(c.Endpoints, tables.ClusterEndpoint{Endpoint: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i+1)), Zone: "a", Weight: float64(n + 1)})
 	}
 	c.Sort()
 	v := fmt.Sprintf("e.%d", n)
 	return coordinator.Publish{Gateway: "gw", Version: v, Nonce: v, Snapshot: tables.Snapshot{Clusters: []tables.Cluster{c},
-		Routes: []tables.Route{{Kind: "view", Rate: float64(n + 1), Share: 1}}}, Changed: [2]bool{true, true}, Sync: n%2 == 1}
+		Routes: []tables.Route{{Class: "view", Rate: float64(n + 1), Share: 1}}}, Changed: [2]bool{true, true}, Sync: n%2 == 1}
 }
 
 func open(t *testing.T, dir string) (*files.Front, func() []error) {
@@ -76,8 +76,8 @@
 					}
 					var n int
 					_, _ = fmt.Sscanf(u.Doc.Version, "e.%d", &n)
-					if len(u.Doc.Clusters[0].Lines) != lines || u.Doc.Clusters[0].Lines[0].Weight != float64(n+1) || n < last {
-						t.Errorf("version %d after %d with %d lines", n, last, len(u.Doc.Clusters[0].Lines))
+					if len(u.Doc.Clusters[0].Endpoints) != lines || u.Doc.Clusters[0].Endpoints[0].Weight != float64(n+1) || n < last {
+						t.Errorf("version %d after %d with %d lines", n, last, len(u.Doc.Clusters[0].Endpoints))
 					}
 					last = n
 				}
--- a/front/poll/bench_test.go
+++ b/front/poll/bench_test.go
@@ -20,13 +20,13 @@
 func large(lines, version int) tables.Snapshot {
 	var s tables.Snapshot
 	for k := range 3 {
-		c := tables.Cluster{Kind: fmt.Sprint("kind-", k)}
+		c := tables.Cluster{Class: fmt.Sprint("kind-", k)}
 		for i := range lines {
-			l := tables.Line{Backend: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", 1000+i)), Zone: "hala-a", Weight: 1}
+			l := tables.ClusterEndpoint{Endpoint: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", 1000+i)), Zone: "hala-a", Weight: 1}
 			if i == version%lines {
 				l.Weight = 1.5
 			}
-			c.Lines = append(c.Lines, l)
+			c.Endpoints = append(c.Endpoints, l)
 		}
 		c.Sort()
 		s.Clusters = append(s.Clusters, c)
@@ -91,7 +91,7 @@
 		var answered sync.WaitGroup
 		for i := range many {
 			answered.Add(1)
-			h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Doc: coordinator.Endpoints, Hold: time.Minute,
+			h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Doc: coordinator.EndpointsDocument, Hold: time.Minute,
 				Answer: func(*Told, error) { took[i] = time.Since(began); answered.Done() }})
 		}
 		runtime.GC()
--- a/front/poll/hub.go
+++ b/front/poll/hub.go
@@ -71,11 +71,11 @@
 // Request is one poll.
 type Request struct {
 	Gateway coordinator.Gateway
-	Doc     coordinator.Doc
+	Doc     coordinator.Document
 	Version string        // held; empty: none
 	Hold    time.Duration // at most so long
 	// Delta asks for endpoints line by line, or routes one by one: since the publication with this nonce, or beside what
-	// Lines names by name and version.
+	// EndpointsDocument names by name and version.
 	Delta bool
 	Nonce string
 	Lines map[string]string
@@ -245,7 +245,7 @@
 	case r.Delta && base == nil && r.Nonce != "" && r.Lines == nil:
 		r.Answer(nil, ErrBase)
 		return
-	case r.Delta && r.Doc == coordinator.Routes:
+	case r.Delta && r.Doc == coordinator.RoutesDocument:
 		held := r.Lines
 		if base != nil {
 			held = xds.RouteVersions(*base)
@@ -258,10 +258,10 @@
 	case r.Delta:
 		told.Shared, err = xds.ShareDelta(r.Lines, to)
 		lines = linesOf(told, err)
-	case r.Doc == coordinator.Endpoints:
+	case r.Doc == coordinator.EndpointsDocument:
 		told.Shared, err = h.same(nil, to.Clusters, func() (*xds.Shared, error) { return xds.ShareEndpoints(to.Clusters) })
 		for _, c := range to.Clusters {
-			lines += len(c.Lines)
+			lines += len(c.Endpoints)
 		}
 	default:
 		told.Shared, err = xds.ShareRoutes(to.Routes)
@@ -313,7 +313,7 @@
 	var key strings.Builder
 	for _, clusters := range [][]tables.Cluster{from, to} {
 		for _, c := range clusters {
-			fmt.Fprintf(&key, "%p %d %s ", c.Lines, len(c.Lines), c.Kind)
+			fmt.Fprintf(&key, "%p %d %s ", c.Endpoints, len(c.Endpoints), c.Class)
 		}
 		key.WriteByte('>')
 	}
--- a/front/poll/hub_test.go
+++ b/front/poll/hub_test.go
@@ -31,14 +31,14 @@
 }
 
 func publication(gw string, n int, lines ...int) coordinator.Publish {
-	c := tables.Cluster{Kind: "view"}
+	c := tables.Cluster{Class: "view"}
 	for _, i := range lines {
-		c.Lines = append(c.Lines, tables.Line{Backend: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i)), Zone: "a", Weight: 1})
+		c.Endpoints = append(c.Endpoints, tables.ClusterEndpoint{Endpoint: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i)), Zone: "a", Weight: 1})
 	}
 	c.Sort()
 	v := fmt.Sprintf("e.%d", n)
 	return coordinator.Publish{Gateway: coordinator.Gateway(gw), Version: v, Nonce: v, Snapshot: tables.Snapshot{Clusters: []tables.Cluster{c},
-		Routes: []tables.Route{{Kind: "view", Rate: tables.Unlimited, Share: 1}}}, Changed: [2]bool{true, n == 1}}
+		Routes: []tables.Route{{Class: "view", Rate: tables.UnlimitedRate, Share: 1}}}, Changed: [2]bool{true, n == 1}}
 }
 
 func messageOf(t *Told) proto.Message {
@@ -77,7 +77,7 @@
 
 func TestWholeDocuments(t *testing.T) {
 	h := NewHub(10, 3)
-	r := Request{Gateway: "gw", Doc: coordinator.Endpoints, Hold: time.Minute}
+	r := Request{Gateway: "gw", Doc: coordinator.EndpointsDocument, Hold: time.Minute}
 	ch, _ := ask(t, h, r)
 	h.Publish(publication("other", 1, 1))
 	h.Publish(publication("gw", 1, 1, 2))
@@ -100,8 +100,8 @@
 		t.Errorf("given up, and answered %v", x)
 	case <-time.After(20 * time.Millisecond):
 	}
-	// Routes have not changed since the first: their poll is held.
-	ch, _ = ask(t, h, Request{Gateway: "gw", Doc: coordinator.Routes, Version: "e.1", Hold: 20 * time.Millisecond})
+	// RoutesDocument have not changed since the first: their poll is held.
+	ch, _ = ask(t, h, Request{Gateway: "gw", Doc: coordinator.RoutesDocument, Version: "e.1", Hold: 20 * time.Millisecond})
 	if x := get(t, ch); x.m != nil {
 		t.Errorf("routes are told though they are the same: %v", x.m)
 	}
@@ -114,7 +114,7 @@
 	var held tables.Snapshot
 	nonce := ""
 	take := func(lines map[string]string) told {
-		ch, cancel := ask(t, h, Request{Gateway: "gw", Doc: coordinator.Endpoints, Delta: true, Nonce: nonce, Lines: lines, Hold: time.Millisecond})
+		ch, cancel := ask(t, h, Request{Gateway: "gw", Doc: coordinator.EndpointsDocument, Delta: true, Nonce: nonce, Lines: lines, Hold: time.Millisecond})
 		defer cancel()
 		return get(t, ch)
 	}
@@ -182,7 +182,7 @@
 	var answered sync.WaitGroup
 	for i := range many {
 		answered.Add(1)
-		_, ok := h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Doc: coordinator.Endpoints, Hold: time.Minute,
+		_, ok := h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Doc: coordinator.EndpointsDocument, Hold: time.Minute,
 			Answer: func(m *Told, err error) {
 				if m == nil || err != nil {
 					t.Errorf("%v, %v", m, err)
@@ -209,7 +209,7 @@
 func TestPublishedAgain(t *testing.T) {
 	h := NewHub(10, 3)
 	h.Publish(publication("gw", 1, 1, 2))
-	for n, doc := range []coordinator.Doc{coordinator.Endpoints, coordinator.Routes} {
+	for n, doc := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
 		r := Request{Gateway: "gw", Doc: doc, Hold: time.Minute, Delta: true, Nonce: fmt.Sprintf("e.%d", 1+n)}
 		ch, _ := ask(t, h, r)
 		p := publication("gw", 2+n, 1, 2)
@@ -222,25 +222,25 @@
 	}
 }
 
-// Routes go one by one: only the kind whose level moved travels, and one that is gone is named.
+// RoutesDocument go one by one: only the kind whose level moved travels, and one that is gone is named.
 func TestRouteDeltas(t *testing.T) {
 	kinds := []string{"view", "save", "old"}
 	publish := func(n int, rates ...float64) coordinator.Publish {
 		p := publication("gw", n, 1)
 		p.Changed, p.Snapshot.Routes = [2]bool{false, true}, nil
 		for i, r := range rates {
-			p.Snapshot.Routes = append(p.Snapshot.Routes, tables.Route{Kind: kinds[i], Rate: r, Share: 1, Timeout: 1e6})
+			p.Snapshot.Routes = append(p.Snapshot.Routes, tables.Route{Class: kinds[i], Rate: r, Share: 1, Timeout: 1e6})
 		}
 		return p
 	}
 	h := NewHub(10, 3)
-	h.Publish(publish(1, 10, tables.Unlimited, 5))
+	h.Publish(publish(1, 10, tables.UnlimitedRate, 5))
 	var held []tables.Route
 	for n, want := range []struct{ set, gone, hold int }{{3, 0, 3}, {1, 0, 3}, {1, 1, 2}} {
-		r := Request{Gateway: "gw", Doc: coordinator.Routes, Hold: time.Minute, Delta: true}
+		r := Request{Gateway: "gw", Doc: coordinator.RoutesDocument, Hold: time.Minute, Delta: true}
 		if n > 0 {
 			r.Nonce = fmt.Sprintf("e.%d", n)
-			h.Publish([]coordinator.Publish{{}, publish(2, 20, tables.Unlimited, 5), publish(3, 20, 0)}[n])
+			h.Publish([]coordinator.Publish{{}, publish(2, 20, tables.UnlimitedRate, 5), publish(3, 20, 0)}[n])
 		}
 		ch, _ := ask(t, h, r)
 		m, is := get(t, ch).m.(*discoveryv3.DeltaDiscoveryResponse)
--- a/front/poll/model_test.go
+++ b/front/poll/model_test.go
@@ -22,7 +22,7 @@
 	t       interface{ Errorf(string, ...any) }
 	spoil   bool // the gateways pass over lines that are gone
 	hub     *Hub
-	book    *tables.Book
+	book    *tables.VersionStore
 	now     control.Microseconds
 	current tables.Weights
 	closed  map[control.EndpointID]bool
@@ -46,7 +46,7 @@
 var modelKinds = []string{"view"}
 
 func newModel(t interface{ Errorf(string, ...any) }, spoil bool) *model {
-	m := &model{t: t, spoil: spoil, hub: NewHub(10, 1), book: tables.NewBook(8, 1e9), closed: map[control.EndpointID]bool{},
+	m := &model{t: t, spoil: spoil, hub: NewHub(10, 1), book: tables.NewVersionStore(8, 1e9), closed: map[control.EndpointID]bool{},
 		current: tables.Weights{"127.0.0.1:1": 1, "127.0.0.1:2": 1}}
 	for i := range m.gws {
 		m.gws[i] = &polled{fresh: true}
@@ -60,10 +60,10 @@
 	m.now++
 	m.n++
 	m.book.Put(m.now, 1, m.current, nil)
-	w, _, _ := m.book.InForce(1, 0, "a", m.current, func(b control.EndpointID) tables.Standing {
-		return tables.Standing{Closed: m.closed[b], Now: m.current[b]}
+	w, _, _ := m.book.Effective(1, 0, "a", m.current, func(b control.EndpointID) tables.EndpointEligibility {
+		return tables.EndpointEligibility{Closed: m.closed[b], Weight: m.current[b]}
 	})
-	c := tables.Build("view", w, func(control.EndpointID) (control.Zone, bool) { return "a", true },
+	c := tables.BuildCluster("view", w, func(control.EndpointID) (control.Zone, bool) { return "a", true },
 		func(b control.EndpointID) bool { return m.closed[b] })
 	m.last = tables.Snapshot{Clusters: []tables.Cluster{c}}
 	v := fmt.Sprintf("%d.%d", m.epoch, m.n)
@@ -116,7 +116,7 @@
 // ask polls; an earlier answer that has not come is given up, as a client does whose time is up.
 func (m *model) ask(i int) {
 	g := m.gws[i]
-	r := Request{Gateway: coordinator.Gateway(fmt.Sprint(i)), Doc: coordinator.Endpoints, Delta: true, Nonce: g.nonce}
+	r := Request{Gateway: coordinator.Gateway(fmt.Sprint(i)), Doc: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce}
 	if g.fresh {
 		r.Lines = xds.LineVersions(g.held)
 	}
@@ -149,9 +149,9 @@
 		return
 	}
 	g.held.Clusters, g.nonce, g.fresh = clusters, d.Nonce, false
-	for _, l := range clusters[0].Lines {
-		if g.after[l.Backend] && !l.Withheld {
-			m.fail("gateway %d holds %s, which was closed when its answer was made", i, l.Backend)
+	for _, l := range clusters[0].Endpoints {
+		if g.after[l.Endpoint] && !l.Withheld {
+			m.fail("gateway %d holds %s, which was closed when its answer was made", i, l.Endpoint)
 		}
 	}
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -20,47 +20,47 @@
 
 // Settings bound an intake.
 type Settings struct {
-	Lines  float64              // that may be taken in a second; 0: no bound
-	Period control.Microseconds // of reports
-	Seed   uint64
+	MaxLines float64              // that may be taken in a second; 0: no bound
+	Period   control.Microseconds // of reports
+	Seed     uint64
 }
 
-// Line is what a gateway met at a node for a kind.
-type Line struct {
-	Node    control.EndpointID
-	Tries   int
-	Errored int
+// EndpointLine is what a gateway met at a node for a kind.
+type EndpointLine struct {
+	Endpoint control.EndpointID
+	Attempts int
+	Failures int
 }
 
-// Verdict is what becomes of a report's lines.
-type Verdict struct {
+// SamplingDecision is what becomes of a report's lines.
+type SamplingDecision struct {
 	// Calm: lines without news are taken, and each stands for Weight of its sort.
-	Calm   bool
-	Weight float64
-	// Part is what of the report's counts is believed: below 1 for a gateway that suddenly claims many times its traffic.
-	Part float64
+	IncludeRoutine bool
+	Weight         float64
+	// SampledFraction is what of the report's counts is believed: below 1 for a gateway that suddenly claims many times its traffic.
+	TrustedFraction float64
 
 	seconds float64 // that the report is of
 }
 
 // Stats counts, since the start.
 type Stats struct {
-	Reports int64   `json:"reports"`
-	Lines   int64   `json:"lines"`   // offered
-	Taken   int64   `json:"taken"`   // of them
-	News    int64   `json:"news"`    // taken for their news
-	Capped  int64   `json:"capped"`  // reports that claimed too much
-	Part    float64 `json:"part"`    // of calm lines that is taken now
-	Rounds  int64   `json:"rounds"`  // closed
-	Sampled int64   `json:"sampled"` // rounds in which not all were
-	Live    int     `json:"live"`    // gateways that report
-	Stopped int     `json:"stopped"` // gateways that stand, and have not reported for five periods
-	Heard   float64 `json:"heard"`   // reports of the last round for each of the live ones
+	Reports           int64   `json:"reports"`
+	Lines             int64   `json:"lines"`   // offered
+	Taken             int64   `json:"taken"`   // of them
+	HealthSignals     int64   `json:"news"`    // taken for their news
+	Capped            int64   `json:"capped"`  // reports that claimed too much
+	SampledFraction   float64 `json:"part"`    // of calm lines that is taken now
+	Rounds            int64   `json:"rounds"`  // closed
+	Sampled           int64   `json:"sampled"` // rounds in which not all were
+	Reporting         int     `json:"live"`    // gateways that report
+	Silent            int     `json:"stopped"` // gateways that stand, and have not reported for five periods
+	ReportsPerGateway float64 `json:"heard"`   // reports of the last round for each of the live ones
 }
 
-// Intake keeps what the rules need of each gateway and node. Its memory is bounded by the gateways and nodes that it is
+// Sampler keeps what the rules need of each gateway and node. Its memory is bounded by the gateways and nodes that it is
 // told of.
-type Intake struct {
+type Sampler struct {
 	set      Settings
 	part     float64 // p
 	round    uint64
@@ -98,7 +98,7 @@
 	variance       float64 // of tries, by the sampling and by chance
 	lines          int
 	util, queue    own
-	last           Figures
+	last           Estimate
 }
 
 // own sums one of a node's own figures as reports carry it.
@@ -117,17 +117,17 @@
 	return mean, twoSigma * math.Sqrt(max(0, o.squares/o.n-mean*mean)/o.n)
 }
 
-// Figures are what is known of a node from one round, each with the error that it has in 19 of 20 cases.
-type Figures struct {
-	Tries      float64              `json:"tries_per_s"`
-	TriesError float64              `json:"tries_error"`
-	Errored    float64              `json:"errored_per_s"`
-	Util       float64              `json:"util"`
-	UtilError  float64              `json:"util_error"`
-	Queue      float64              `json:"queue"`
-	QueueError float64              `json:"queue_error"`
-	Lines      int                  `json:"lines"` // taken
-	At         control.Microseconds `json:"at_us"`
+// Estimate are what is known of a node from one round, each with the error that it has in 19 of 20 cases.
+type Estimate struct {
+	Attempts         float64              `json:"tries_per_s"`
+	AttemptsError    float64              `json:"tries_error"`
+	Failures         float64              `json:"errored_per_s"`
+	Utilization      float64              `json:"util"`
+	UtilizationError float64              `json:"util_error"`
+	Queue            float64              `json:"queue"`
+	QueueError       float64              `json:"queue_error"`
+	Lines            int                  `json:"lines"` // taken
+	At               control.Microseconds `json:"at_us"`
 }
 
 // What the rules go by.
@@ -142,11 +142,11 @@
 )
 
 // New starts an intake that takes everything.
-func New(set Settings) *Intake {
-	return &Intake{set: set, part: 1, gateways: map[string]*gateway{}, nodes: map[control.EndpointID]*node{}, stats: Stats{Part: 1}, stretch: 1, round: 1}
+func New(set Settings) *Sampler {
+	return &Sampler{set: set, part: 1, gateways: map[string]*gateway{}, nodes: map[control.EndpointID]*node{}, stats: Stats{SampledFraction: 1}, stretch: 1, round: 1}
 }
 
-func (in *Intake) gateway(name string) *gateway {
+func (in *Sampler) gateway(name string) *gateway {
 	g := in.gateways[name]
 	if g == nil {
 		var seed [8]byte
@@ -170,8 +170,8 @@
 	return x ^ x>>16
 }
 
-// Offer decides on a report: how many lines it has, what came to the gateway in the interval.
-func (in *Intake) Offer(now control.Microseconds, name string, lines, arrived int, interval control.Microseconds) Verdict {
+// Decide decides on a report: how many lines it has, what came to the gateway in the interval.
+func (in *Sampler) Decide(now control.Microseconds, name string, lines, arrived int, interval control.Microseconds) SamplingDecision {
 	if in.began == 0 {
 		in.began = now
 	}
@@ -187,87 +187,87 @@
 	in.stats.Reports++
 	in.stats.Lines += int64(lines)
 	in.offered += float64(lines)
-	v := Verdict{Weight: 1 / in.part, Part: 1, seconds: float64(max(1, interval)) / 1e6}
+	v := SamplingDecision{Weight: 1 / in.part, TrustedFraction: 1, seconds: float64(max(1, interval)) / 1e6}
 	rate := float64(arrived) / v.seconds
 	most := sudden * max(g.usage, in.usual)
 	if g.known >= believed && most > 0 && rate > most && g.sudden < believed {
 		// One process that claims the fleet's traffic has counted wrong far likelier than it has grown so in a second.
 		g.sudden++
 		in.stats.Capped++
-		v.Part = most / rate
+		v.TrustedFraction = most / rate
 	} else if rate <= most {
 		g.sudden = 0
 	}
 	if g.known++; g.known == 1 {
 		g.usage = rate
 	}
-	if v.Part == 1 {
+	if v.TrustedFraction == 1 {
 		g.usage += 0.5 * (rate - g.usage)
 	}
 	g.at = now
-	if v.Part == 1 {
+	if v.TrustedFraction == 1 {
 		in.heard, in.reqs = in.heard+1, in.reqs+rate
 	}
 	// By its own reports, not by rounds: one that reports each fourth round would always come to the same place.
 	_, place := math.Modf(g.phase + float64(g.known)*in.part)
-	v.Calm = in.part >= 1 || place < in.part
+	v.IncludeRoutine = in.part >= 1 || place < in.part
 	return v
 }
 
-// News tells whether a line is taken whatever the sampling says.
-func News(l Line) bool {
-	return l.Errored >= 2 && float64(l.Errored) >= newsPart*float64(l.Tries) || l.Errored > 0 && l.Errored == l.Tries
+// HealthSignals tells whether a line is taken whatever the sampling says.
+func IsHealthSignal(l EndpointLine) bool {
+	return l.Failures >= 2 && float64(l.Failures) >= newsPart*float64(l.Attempts) || l.Failures > 0 && l.Failures == l.Attempts
 }
 
-// Take tells whether a line of a report is taken and how many of its sort it stands for.
-func (in *Intake) Take(v Verdict, l Line) (weight float64, taken bool) {
-	news := News(l)
-	if !news && !v.Calm {
+// Sample tells whether a line of a report is taken and how many of its sort it stands for.
+func (in *Sampler) Sample(v SamplingDecision, l EndpointLine) (weight float64, taken bool) {
+	news := IsHealthSignal(l)
+	if !news && !v.IncludeRoutine {
 		return 0, false
 	}
 	weight = 1
 	if in.stats.Taken++; news {
 		in.news++
-		in.stats.News++
+		in.stats.HealthSignals++
 	} else {
 		weight = v.Weight
 	}
-	n := in.nodes[l.Node]
+	n := in.nodes[l.Endpoint]
 	if n == nil {
 		n = &node{}
-		in.nodes[l.Node] = n
+		in.nodes[l.Endpoint] = n
 	}
-	tries := float64(l.Tries) * v.Part / v.seconds
-	n.tries, n.errored, n.lines = n.tries+weight*tries, n.errored+weight*float64(l.Errored)*v.Part/v.seconds, n.lines+1
+	tries := float64(l.Attempts) * v.TrustedFraction / v.seconds
+	n.tries, n.errored, n.lines = n.tries+weight*tries, n.errored+weight*float64(l.Failures)*v.TrustedFraction/v.seconds, n.lines+1
 	n.squares += weight * tries * tries
 	n.variance += weight * (weight - 1) * tries * tries // of a line that is taken with the chance 1/weight
 	n.variance += weight * tries / v.seconds            // of counting what comes at random: of n, the root of n
 	return weight, true
 }
 
-// Loaded adds a node's own figures as a line that was taken carries them.
-func (in *Intake) Loaded(b control.EndpointID, util, queue float64) {
+// AddMetrics adds a node's own figures as a line that was taken carries them.
+func (in *Sampler) AddMetrics(b control.EndpointID, util, queue float64) {
 	if n := in.nodes[b]; n != nil {
 		n.util.add(util)
 		n.queue.add(queue)
 	}
 }
 
-// Close ends a round: what was heard becomes the view, and the part for the next is planned from what came. It returns the
+// EndRound ends a round: what was heard becomes the view, and the part for the next is planned from what came. It returns the
 // gateways that have stopped reporting since the last round, in the order of their names.
-func (in *Intake) Close(now control.Microseconds) (stopped []string) {
+func (in *Sampler) EndRound(now control.Microseconds) (stopped []string) {
 	seconds := float64(now-in.began) / 1e6
 	if seconds <= 0 {
 		return nil
 	}
-	in.stats.Live, in.stats.Stopped = 0, 0
+	in.stats.Reporting, in.stats.Silent = 0, 0
 	for name, g := range in.gateways {
 		switch {
 		case !g.live:
 		case now-g.at <= stops*in.set.Period*control.Microseconds(in.stretch):
-			in.stats.Live++
+			in.stats.Reporting++
 		default:
-			if in.stats.Stopped++; !g.quiet {
+			if in.stats.Silent++; !g.quiet {
 				g.quiet = true
 				stopped = append(stopped, name)
 			}
@@ -275,11 +275,11 @@
 	}
 	slices.Sort(stopped)
 	// One that has stopped reporting goes on sending: it counts, as the mean of the others, and goes into the error.
-	live, reports := float64(in.stats.Live+in.stats.Stopped), float64(max(1, in.reports))
+	live, reports := float64(in.stats.Reporting+in.stats.Silent), float64(max(1, in.reports))
 	scale := live / reports
 	// A report of several periods tells what was in the middle of them.
 	aged := drift * max(0, in.covered*1e6/reports/float64(max(1, in.set.Period))-1) / 2
-	in.stats.Heard = float64(in.reports) / max(1, live)
+	in.stats.ReportsPerGateway = float64(in.reports) / max(1, live)
 	in.stats.Rounds++
 	if in.part < 1 {
 		in.stats.Sampled++
@@ -292,20 +292,20 @@
 		// Of a fleet heard in part: by how much the gateways that were not heard may differ from those that were. One that is
 		// heard twice, since its last report was late, counts twice and tells little more.
 		missing := live * live * max(0, in.twice/(reports*reports)-1/max(1, live)) * max(0, n.squares/reports-mean*mean)
-		f := Figures{Tries: n.tries * scale, TriesError: twoSigma * math.Sqrt(n.variance*scale*scale+missing), Errored: n.errored * scale, Lines: n.lines, At: now}
-		f.Util, f.UtilError = n.util.mean()
+		f := Estimate{Attempts: n.tries * scale, AttemptsError: twoSigma * math.Sqrt(n.variance*scale*scale+missing), Failures: n.errored * scale, Lines: n.lines, At: now}
+		f.Utilization, f.UtilizationError = n.util.mean()
 		f.Queue, f.QueueError = n.queue.mean()
-		f.TriesError += aged * f.Tries
-		f.UtilError += aged * max(f.Util, 0.1)
+		f.AttemptsError += aged * f.Attempts
+		f.UtilizationError += aged * max(f.Utilization, 0.1)
 		f.QueueError += aged * max(f.Queue, 1)
 		*n = node{last: f}
 	}
 	if in.heard > 0 {
 		in.usual = in.reqs / float64(in.heard)
 	}
-	if in.set.Lines > 0 {
-		// News goes first; what is left of the bound is the calm lines'.
-		room := max(0, slack*in.set.Lines*seconds-in.news)
+	if in.set.MaxLines > 0 {
+		// HealthSignals goes first; what is left of the bound is the calm lines'.
+		room := max(0, slack*in.set.MaxLines*seconds-in.news)
 		want := 1.0
 		if calm := in.offered - in.news; calm > room {
 			want = max(leastPart, room/calm)
@@ -317,12 +317,12 @@
 		}
 		// What would come if all reported once a period decides how often they are asked to; going by what does come, the
 		// longer interval would end as soon as it has helped.
-		all := in.offered / reports * float64(in.stats.Live) * 1e6 / float64(max(1, in.set.Period))
+		all := in.offered / reports * float64(in.stats.Reporting) * 1e6 / float64(max(1, in.set.Period))
 		if all > 0 {
-			in.stretch = stretched(in.stretch, slack*in.set.Lines/all)
+			in.stretch = stretched(in.stretch, slack*in.set.MaxLines/all)
 		}
 	}
-	in.stats.Part = in.part
+	in.stats.SampledFraction = in.part
 	in.round++
 	in.began, in.offered, in.news, in.heard, in.reqs, in.reports, in.twice, in.covered = now, 0, 0, 0, 0, 0, 0, 0
 	return stopped
@@ -342,16 +342,16 @@
 	return 1
 }
 
-// View is what is known of a node, with the age of it: the error grows by what a second may change.
-func (in *Intake) View(now control.Microseconds, b control.EndpointID) (f Figures, known bool) {
+// Estimate is what is known of a node, with the age of it: the error grows by what a second may change.
+func (in *Sampler) Estimate(now control.Microseconds, b control.EndpointID) (f Estimate, known bool) {
 	n := in.nodes[b]
 	if n == nil || n.last.At == 0 {
 		return f, false
 	}
 	f = n.last
 	if late := float64(now-f.At)/float64(max(1, in.set.Period)) - 1; late > 0 {
-		f.TriesError += drift * late * f.Tries
-		f.UtilError += drift * late * max(f.Util, 0.1)
+		f.AttemptsError += drift * late * f.Attempts
+		f.UtilizationError += drift * late * max(f.Utilization, 0.1)
 		f.QueueError += drift * late * max(f.Queue, 1)
 	}
 	return f, true
@@ -360,26 +360,26 @@
 // drift is the part of a figure by which it may have changed in a period that was not heard.
 const drift = 0.1
 
-// Left says that a gateway is away: it counts among those that report once it reports again.
-func (in *Intake) Left(name string) {
+// GatewayDisconnected says that a gateway is away: it counts among those that report once it reports again.
+func (in *Sampler) GatewayDisconnected(name string) {
 	if g := in.gateways[name]; g != nil {
 		g.live = false
 	}
 }
 
-// ForgetNode drops a node.
-func (in *Intake) ForgetNode(b control.EndpointID) { delete(in.nodes, b) }
+// ForgetEndpoint drops a node.
+func (in *Sampler) ForgetEndpoint(b control.EndpointID) { delete(in.nodes, b) }
 
-// Defer tells whether a gateway's report should come later: while more than half of the room for what waits is used, one whose
+// ShouldDefer tells whether a gateway's report should come later: while more than half of the room for what waits is used, one whose
 // last report is younger than a period lets the others go first.
-func Defer(waiting, room int, since, period control.Microseconds) bool {
+func ShouldDefer(waiting, room int, since, period control.Microseconds) bool {
 	return waiting > room/2 && since < period
 }
 
-// Gather is how long the core lets inputs gather after a step that took so long. The module looks at all proxies whenever it is
+// BatchDelay is how long the core lets inputs gather after a step that took so long. The module looks at all proxies whenever it is
 // told anything: with ten thousand of them that is some milliseconds, for one acknowledgement as for a thousand. A step
 // that was quick is followed at once; after a long one as much time is left to the rest of the machine.
-func Gather(took control.Microseconds) control.Microseconds {
+func BatchDelay(took control.Microseconds) control.Microseconds {
 	if took < gatherFrom {
 		return 0
 	}
@@ -391,13 +391,15 @@
 	gatherMost = 20000 // a hundredth of what a drain may take is lost by it
 )
 
-// LookAgain is how long after an overview that took so long the next may be made, whoever asks: a second at least, and a hundredth
+// OverviewInterval is how long after an overview that took so long the next may be made, whoever asks: a second at least, and a hundredth
 // of the core's time at most goes into them.
-func LookAgain(took control.Microseconds) control.Microseconds { return max(1_000_000, 100*took) }
+func OverviewInterval(took control.Microseconds) control.Microseconds {
+	return max(1_000_000, 100*took)
+}
 
-// Stretch is how much longer than a period gateways may be asked to wait between reports: what comes then is what can be
+// IntervalFactor is how much longer than a period gateways may be asked to wait between reports: what comes then is what can be
 // taken.
-func (in *Intake) Stretch() int { return in.stretch }
+func (in *Sampler) IntervalFactor() int { return in.stretch }
 
 // Stats returns the counts.
-func (in *Intake) Stats() Stats { return in.stats }
+func (in *Sampler) Stats() Stats { return in.stats }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -31,36 +31,36 @@
 	return [...]string{"up", "starting", "out of service", "down", "unknown"}[min(max(s, Up), Unknown)]
 }
 
-// Claim is what a source says of one node.
-type Claim struct {
-	Node     control.EndpointID   `json:"node"`
-	Instance string               `json:"instance"` // its id at the source; another one is another process
-	Zone     control.Zone         `json:"zone"`
-	Weight   float64              `json:"weight"`
-	Pod      control.PodID        `json:"pod"`
-	Machine  control.MachineType  `json:"machine"`
-	Status   Status               `json:"status"`
-	Launched control.Microseconds `json:"launched_us"` // 0: not said
-	Changed  control.Microseconds `json:"changed_us"`  // when the source last heard a change of it; 0: not said
-	// Renewed is when its lease was renewed last, by the source's clock, and Lease how long one lasts; 0: there are none.
-	Renewed control.Microseconds `json:"renewed_us"`
-	Lease   control.Microseconds `json:"lease_us"`
-	Overdue bool                 `json:"overdue"` // found here: its lease has been over for long
-}
-
-// Answer is a source's word at a time: all that it knows, or a failure.
-type Answer struct {
-	Source string  `json:"source"`
-	Claims []Claim `json:"claims"`
-	Failed string  `json:"failed"` // not empty: it gave no answer, and why; what it said before stands
+// Observation is what a source says of one node.
+type Observation struct {
+	Endpoint    control.EndpointID   `json:"node"`
+	Instance    string               `json:"instance"` // its id at the source; another one is another process
+	Zone        control.Zone         `json:"zone"`
+	Weight      float64              `json:"weight"`
+	Pod         control.PodID        `json:"pod"`
+	MachineType control.MachineType  `json:"machine"`
+	Status      Status               `json:"status"`
+	StartedAt   control.Microseconds `json:"launched_us"` // 0: not said
+	ChangedAt   control.Microseconds `json:"changed_us"`  // when the source last heard a change of it; 0: not said
+	// LeaseRenewedAt is when its lease was renewed last, by the source's clock, and Lease how long one lasts; 0: there are none.
+	LeaseRenewedAt control.Microseconds `json:"renewed_us"`
+	LeaseDuration  control.Microseconds `json:"lease_us"`
+	LeaseExpired   bool                 `json:"overdue"` // found here: its lease has been over for long
+}
+
+// SourceUpdate is a source's word at a time: all that it knows, or a failure.
+type SourceUpdate struct {
+	Source       string        `json:"source"`
+	Observations []Observation `json:"claims"`
+	Error        string        `json:"failed"` // not empty: it gave no answer, and why; what it said before stands
 }
 
 // Settings are a membership's. Binding sources are believed when they drop a node, however many at once: whoever writes a
 // file means it. A registry forgets.
 type Settings struct {
-	Zones   []control.Zone
-	Binding map[string]bool
-	Sources []string // in the order of trust where they say different things of a node's zone or weight
+	Zones         []control.Zone
+	Authoritative map[string]bool
+	Sources       []string // in the order of trust where they say different things of a node's zone or weight
 }
 
 // State is what was decided of a node.
@@ -70,31 +70,31 @@
 const (
 	Ready State = iota
 	Draining
-	Gone
-	Waiting // it has not said yet that it is up, or is kept out for flapping
-	Held    // its registry has dropped it with many others, and it still serves
+	Removed
+	Waiting  // it has not said yet that it is up, or is kept out for flapping
+	Retained // its registry has dropped it with many others, and it still serves
 )
 
 func (s State) String() string {
 	return [...]string{"ready", "draining", "gone", "waiting", "held"}[s]
 }
 
-// Verdict is what was decided of a node, why, and since when.
-type Verdict struct {
-	Node  control.EndpointID   `json:"node"`
-	State State                `json:"-"`
-	Is    string               `json:"state"`
-	Why   string               `json:"why"`
-	Since control.Microseconds `json:"since_us"`
-	Entry control.Endpoint     `json:"entry"`
-	Says  []Said               `json:"says"` // by source
+// Decision is what was decided of a node, why, and since when.
+type Decision struct {
+	Endpoint     control.EndpointID   `json:"node"`
+	State        State                `json:"-"`
+	StateName    string               `json:"state"`
+	Reason       string               `json:"why"`
+	Since        control.Microseconds `json:"since_us"`
+	Listed       control.Endpoint     `json:"entry"`
+	Observations []LastObservation    `json:"says"` // by source
 	// Flaps is how often it has gone down of late, halved each minute; OutUntil: it is kept out that long.
-	Flaps    float64              `json:"flaps"`
-	OutUntil control.Microseconds `json:"out_until_us,omitempty"`
+	Flaps         float64              `json:"flaps"`
+	ExcludedUntil control.Microseconds `json:"out_until_us,omitempty"`
 }
 
-// Said is one source's last word of a node.
-type Said struct {
+// LastObservation is one source's last word of a node.
+type LastObservation struct {
 	Source string               `json:"source"`
 	Text   string               `json:"text"`
 	At     control.Microseconds `json:"at_us"`
@@ -134,13 +134,13 @@
 type source struct {
 	at     control.Microseconds // of its last answer
 	failed string
-	claims map[control.EndpointID]Claim
+	claims map[control.EndpointID]Observation
 	has    bool
 }
 
 type node struct {
 	name     control.EndpointID
-	said     map[string]Claim // last word, by source; of a source that has dropped it: gone from here
+	said     map[string]Observation // last word, by source; of a source that has dropped it: gone from here
 	at       map[string]control.Microseconds
 	dropped  map[string]control.Microseconds // when the source dropped it
 	forgot   map[string]bool                 // it dropped it with many others
@@ -171,8 +171,8 @@
 func (m *Membership) node(b control.EndpointID) *node {
 	n := m.nodes[b]
 	if n == nil {
-		n = &node{name: b, said: map[string]Claim{}, at: map[string]control.Microseconds{}, dropped: map[string]control.Microseconds{}, forgot: map[string]bool{},
-			notStart: map[string]control.Microseconds{}, state: Gone,
+		n = &node{name: b, said: map[string]Observation{}, at: map[string]control.Microseconds{}, dropped: map[string]control.Microseconds{}, forgot: map[string]bool{},
+			notStart: map[string]control.Microseconds{}, state: Removed,
 			since: m.now}
 		m.nodes[b] = n
 	}
@@ -183,8 +183,8 @@
 	m.notes = append(m.notes, fmt.Sprintf(format, args...))
 }
 
-// Served says that a node answered gateways, or met nothing but errors.
-func (m *Membership) Served(now control.Microseconds, b control.EndpointID, done, errored int) {
+// ReportTraffic says that a node answered gateways, or met nothing but errors.
+func (m *Membership) ReportTraffic(now control.Microseconds, b control.EndpointID, done, errored int) {
 	m.now = max(m.now, now)
 	n := m.nodes[b]
 	if n == nil {
@@ -225,19 +225,19 @@
 	return nil
 }
 
-// Take takes an answer in. Claims that make no sense are left out and said.
-func (m *Membership) Take(now control.Microseconds, a Answer) {
+// Apply takes an answer in. Claims that make no sense are left out and said.
+func (m *Membership) Apply(now control.Microseconds, a SourceUpdate) {
 	m.now = max(m.now, now)
 	s := m.sources[a.Source]
 	if s == nil {
-		s = &source{claims: map[control.EndpointID]Claim{}}
+		s = &source{claims: map[control.EndpointID]Observation{}}
 		m.sources[a.Source] = s
 	}
-	if a.Failed != "" {
+	if a.Error != "" {
 		if s.failed == "" {
-			m.note("%s gives no answer: %s; what it said before stands", a.Source, a.Failed)
+			m.note("%s gives no answer: %s; what it said before stands", a.Source, a.Error)
 		}
-		s.failed = a.Failed
+		s.failed = a.Error
 		return
 	}
 	if s.failed != "" {
@@ -250,14 +250,14 @@
 		c := claims[b]
 		n := m.node(b)
 		if old, said := n.said[a.Source]; said {
-			if c.Changed > 0 && c.Changed < old.Changed {
+			if c.ChangedAt > 0 && c.ChangedAt < old.ChangedAt {
 				continue // a peer of the registry that lags: what is known is newer
 			}
-			if restarted && c.Launched > old.Launched {
-				n.notStart[a.Source] = c.Launched // the registry has started anew, not the node
+			if restarted && c.StartedAt > old.StartedAt {
+				n.notStart[a.Source] = c.StartedAt // the registry has started anew, not the node
 			}
-			if at, not := n.notStart[a.Source]; not && c.Launched == at {
-				c.Launched = old.Launched
+			if at, not := n.notStart[a.Source]; not && c.StartedAt == at {
+				c.StartedAt = old.StartedAt
 			}
 		}
 		n.said[a.Source], n.at[a.Source] = c, m.now
@@ -273,40 +273,40 @@
 }
 
 // sound keeps the claims that make sense; of two that claim one address, the one that was started last.
-func (m *Membership) sound(a Answer) map[control.EndpointID]Claim {
-	out := map[control.EndpointID]Claim{}
-	for _, c := range a.Claims {
+func (m *Membership) sound(a SourceUpdate) map[control.EndpointID]Observation {
+	out := map[control.EndpointID]Observation{}
+	for _, c := range a.Observations {
 		if !slices.Contains(m.set.Zones, c.Zone) {
-			m.note("%s names %s in zone %q, which is not one of %v: left out", a.Source, c.Node, c.Zone, m.set.Zones)
+			m.note("%s names %s in zone %q, which is not one of %v: left out", a.Source, c.Endpoint, c.Zone, m.set.Zones)
 			continue
 		}
 		if !(c.Weight > 0) {
 			c.Weight = 1
 		}
-		if c.Launched > m.now { // another machine's clock keeps nobody cold for ever
-			c.Launched = m.now
-			if n := m.nodes[c.Node]; n != nil && (up(n.state) || n.state == Draining) && n.launched > 0 {
-				c.Launched = n.launched
+		if c.StartedAt > m.now { // another machine's clock keeps nobody cold for ever
+			c.StartedAt = m.now
+			if n := m.nodes[c.Endpoint]; n != nil && (up(n.state) || n.state == Draining) && n.launched > 0 {
+				c.StartedAt = n.launched
 			}
 		}
-		if old, twice := out[c.Node]; twice {
-			newer := cmp.Or(cmp.Compare(c.Launched, old.Launched), cmp.Compare(c.Changed, old.Changed), cmp.Compare(c.Instance, old.Instance)) > 0
-			m.note("%s: %s and %s claim %s: the later one counts", a.Source, old.Instance, c.Instance, c.Node)
+		if old, twice := out[c.Endpoint]; twice {
+			newer := cmp.Or(cmp.Compare(c.StartedAt, old.StartedAt), cmp.Compare(c.ChangedAt, old.ChangedAt), cmp.Compare(c.Instance, old.Instance)) > 0
+			m.note("%s: %s and %s claim %s: the later one counts", a.Source, old.Instance, c.Instance, c.Endpoint)
 			if !newer {
 				continue
 			}
 		}
-		out[c.Node] = c
+		out[c.Endpoint] = c
 	}
 	// A registry that preserves itself keeps what has died. By its own clock, the latest renewal that it has seen, a lease
 	// that is long overdue says nothing any more.
 	latest := control.Microseconds(0)
 	for _, c := range out {
-		latest = max(latest, c.Renewed)
+		latest = max(latest, c.LeaseRenewedAt)
 	}
 	for b, c := range out {
-		if c.Status == Up && c.Renewed > 0 && c.Lease > 0 && latest-c.Renewed > 2*c.Lease {
-			c.Overdue = true
+		if c.Status == Up && c.LeaseRenewedAt > 0 && c.LeaseDuration > 0 && latest-c.LeaseRenewedAt > 2*c.LeaseDuration {
+			c.LeaseExpired = true
 			out[b] = c
 		}
 	}
@@ -315,14 +315,14 @@
 
 // restarted tells whether start times have moved for so many nodes at once that the source has started anew, and not they:
 // those that answered all the while have not.
-func (m *Membership) restarted(s *source, claims map[control.EndpointID]Claim) bool {
+func (m *Membership) restarted(s *source, claims map[control.EndpointID]Observation) bool {
 	moved, both := 0, 0
 	for b, c := range claims {
 		old, had := s.claims[b]
-		if !had || old.Launched == 0 {
+		if !had || old.StartedAt == 0 {
 			continue
 		}
-		if both++; c.Launched > old.Launched && m.serves(m.nodes[b]) {
+		if both++; c.StartedAt > old.StartedAt && m.serves(m.nodes[b]) {
 			moved++
 		}
 	}
@@ -335,7 +335,7 @@
 
 // drop finds what a source names no longer. Few at a time have left; many at once, while they still serve, were forgotten,
 // unless the source binds.
-func (m *Membership) drop(name string, s *source, claims map[control.EndpointID]Claim) {
+func (m *Membership) drop(name string, s *source, claims map[control.EndpointID]Observation) {
 	var missing []control.EndpointID
 	serve := 0
 	for b := range s.claims {
@@ -358,7 +358,7 @@
 	}
 	all := len(s.claims) + lately
 	many := len(missing) > 0 && len(missing)+lately >= forgotLeast && float64(len(missing)+lately) >= forgotPart*float64(all) && serve > 0
-	forgot := many && !m.set.Binding[name]
+	forgot := many && !m.set.Authoritative[name]
 	if forgot {
 		m.note("%s dropped %d of %d nodes, %d of them serve: forgotten, not left", name, len(missing), all, serve)
 	}
@@ -378,7 +378,7 @@
 // remembered ends the holding of what a source has forgotten once it names most of it again: what it still does not name
 // left meanwhile. Without it a node that drained and went while its registry answered by halves kept its lines as long as
 // it answered.
-func (m *Membership) remembered(name string, claims map[control.EndpointID]Claim, back int) {
+func (m *Membership) remembered(name string, claims map[control.EndpointID]Observation, back int) {
 	var still []*node
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		if n := m.nodes[b]; n.forgot[name] {
@@ -411,12 +411,12 @@
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		n := m.nodes[b]
 		switch n.state {
-		case Ready, Held:
+		case Ready, Retained:
 			n.entry.Status = control.Ready
 		case Draining:
 			n.entry.Status = control.Draining
 		default:
-			if n.state == Gone && n.drain == "" && len(n.said) == 0 && m.now-n.since > 3600*second {
+			if n.state == Removed && n.drain == "" && len(n.said) == 0 && m.now-n.since > 3600*second {
 				delete(m.nodes, b)
 			}
 			continue
@@ -431,8 +431,8 @@
 	return list, changed, notes
 }
 
-// Answered tells whether any source has ever answered.
-func (m *Membership) Answered() bool { return m.answered() }
+// Initialized tells whether any source has ever answered.
+func (m *Membership) Initialized() bool { return m.answered() }
 
 // ListVersion counts the lists that differed from the one before.
 func (m *Membership) Version() control.ListVersion { return m.version }
@@ -476,7 +476,7 @@
 // decide settles one node by what is said of it now.
 func (m *Membership) decide(n *node) {
 	state, why := m.settle(n)
-	if state == Ready || state == Held || state == Draining {
+	if state == Ready || state == Retained || state == Draining {
 		n.entry = m.entryOf(n)
 	}
 	was := n.state
@@ -493,7 +493,7 @@
 	if state != was || why != n.why {
 		if state != was {
 			n.since = m.now
-			if was != Gone || state != Ready {
+			if was != Removed || state != Ready {
 				m.moved = append(m.moved, move{n.name, was, state, why})
 			}
 		}
@@ -501,7 +501,7 @@
 	}
 }
 
-func up(s State) bool { return s == Ready || s == Held }
+func up(s State) bool { return s == Ready || s == Retained }
 
 // flapped counts a node that has gone down and keeps it out the longer, the more often it does.
 func (m *Membership) flapped(n *node) {
@@ -535,7 +535,7 @@
 			forgotBy = append(forgotBy, name)
 		case c.Status == OutOfService:
 			return Draining, name + " has it out of service"
-		case c.Status == Up && c.Overdue && !m.serves(n):
+		case c.Status == Up && c.LeaseExpired && !m.serves(n):
 			startingBy = append(startingBy, name+" (its lease is overdue)")
 		case c.Status == Up:
 			upBy = append(upBy, name)
@@ -556,11 +556,11 @@
 	case len(startingBy) > 0:
 		return Waiting, "not up yet, or not any more: " + strings.Join(startingBy, ", ")
 	case len(forgotBy) > 0 && m.serves(n) && m.now-n.dropped[forgotBy[0]] < holdFor:
-		return Held, forgotBy[0] + " dropped it with many others, and it answers gateways"
+		return Retained, forgotBy[0] + " dropped it with many others, and it answers gateways"
 	case len(forgotBy) > 0 && m.now-n.dropped[forgotBy[0]] < servesFor && n.served > 0 && !n.failing:
-		return Held, forgotBy[0] + " dropped it with many others"
+		return Retained, forgotBy[0] + " dropped it with many others"
 	default:
-		return Gone, "no source names it"
+		return Removed, "no source names it"
 	}
 }
 
@@ -593,9 +593,9 @@
 			continue
 		}
 		if first {
-			e.Zone, e.Weight, e.Pod, e.MachineType, instance, first = c.Zone, c.Weight, c.Pod, c.Machine, c.Instance, false
+			e.Zone, e.Weight, e.Pod, e.MachineType, instance, first = c.Zone, c.Weight, c.Pod, c.MachineType, c.Instance, false
 		}
-		launched = max(launched, c.Launched)
+		launched = max(launched, c.StartedAt)
 	}
 	switch {
 	case first:
@@ -604,7 +604,7 @@
 		n.launched = m.now // another process under its address that tells no start
 	case launched > n.launched:
 		n.launched = launched
-	case launched == 0 && m.listed && (n.state == Gone || n.state == Waiting && n.launched == 0):
+	case launched == 0 && m.listed && (n.state == Removed || n.state == Waiting && n.launched == 0):
 		n.launched = m.now // new since the first list, or back: nobody says that it ran meanwhile
 	}
 	n.instance = instance
@@ -625,7 +625,7 @@
 			}
 			if up(n.state) {
 				ready++
-			} else if (n.state == Gone || n.state == Waiting) && m.serves(n) && n.drain == "" && !m.bound(n) {
+			} else if (n.state == Removed || n.state == Waiting) && m.serves(n) && n.drain == "" && !m.bound(n) {
 				serving = append(serving, n)
 			}
 		}
@@ -633,10 +633,10 @@
 			continue
 		}
 		for _, n := range serving {
-			if n.state != Held {
+			if n.state != Retained {
 				m.note("%s is held: zone %s would have nobody, and it answers gateways", n.name, z)
 			}
-			n.state, n.why, n.since = Held, "its zone would have nobody, and it answers gateways", m.now
+			n.state, n.why, n.since = Retained, "its zone would have nobody, and it answers gateways", m.now
 		}
 	}
 }
@@ -644,23 +644,23 @@
 // bound tells whether a binding source has dropped a node.
 func (m *Membership) bound(n *node) bool {
 	for name := range n.dropped {
-		if m.set.Binding[name] {
+		if m.set.Authoritative[name] {
 			return true
 		}
 	}
 	return false
 }
 
-// Verdicts tells what was decided of every node and what each source says.
-func (m *Membership) Verdicts() (out []Verdict) {
+// Decisions tells what was decided of every node and what each source says.
+func (m *Membership) Decisions() (out []Decision) {
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		n := m.nodes[b]
-		v := Verdict{Node: b, State: n.state, Is: n.state.String(), Why: n.why, Since: n.since, Entry: n.entry, Flaps: n.flaps}
+		v := Decision{Endpoint: b, State: n.state, StateName: n.state.String(), Reason: n.why, Since: n.since, Listed: n.entry, Flaps: n.flaps}
 		if m.now < n.outUntil {
-			v.OutUntil = n.outUntil
+			v.ExcludedUntil = n.outUntil
 		}
 		if n.drain != "" {
-			v.Says = append(v.Says, Said{"operator", "drain: " + n.drain, n.drainAt})
+			v.Observations = append(v.Observations, LastObservation{"operator", "drain: " + n.drain, n.drainAt})
 		}
 		for _, name := range slices.Sorted(maps.Keys(m.sources)) {
 			c, said := n.said[name]
@@ -674,14 +674,14 @@
 			if f := m.sources[name].failed; f != "" {
 				text += " (it gives no answer now)"
 			}
-			v.Says = append(v.Says, Said{name, text, at})
+			v.Observations = append(v.Observations, LastObservation{name, text, at})
 		}
 		if n.served > 0 {
 			text := "answered"
 			if n.failing {
 				text = "errors since"
 			}
-			v.Says = append(v.Says, Said{"gateways", text, n.served})
+			v.Observations = append(v.Observations, LastObservation{"gateways", text, n.served})
 		}
 		out = append(out, v)
 	}
@@ -699,9 +699,9 @@
 	return out
 }
 
-// Recall takes over what was known before a start: operators' drains, and the nodes of the last list with their start
+// Restore takes over what was known before a start: operators' drains, and the nodes of the last list with their start
 // times, as said by nobody.
-func (m *Membership) Recall(now control.Microseconds, drains map[control.EndpointID]string, entries []control.Endpoint) {
+func (m *Membership) Restore(now control.Microseconds, drains map[control.EndpointID]string, entries []control.Endpoint) {
 	m.now = max(m.now, now)
 	for _, e := range entries {
 		n := m.node(e.ID)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -21,7 +21,7 @@
 }
 
 func newSite(t *testing.T) *site {
-	return &site{t: t, now: 1000 * second, m: New(Settings{Zones: []control.Zone{"a", "b"}, Binding: map[string]bool{"file": true},
+	return &site{t: t, now: 1000 * second, m: New(Settings{Zones: []control.Zone{"a", "b"}, Authoritative: map[string]bool{"file": true},
 		Sources: []string{"file", "eureka", "other"}})}
 }
 
@@ -36,16 +36,16 @@
 
 // says gives a source's whole answer: names with a mark after them, + up, * starting, o out of service, - down.
 func (s *site) says(source string, nodes ...string) {
-	a := Answer{Source: source}
+	a := SourceUpdate{Source: source}
 	for _, n := range nodes {
-		a.Claims = append(a.Claims, claim(n))
+		a.Observations = append(a.Observations, claim(n))
 	}
-	s.m.Take(s.now, a)
+	s.m.Apply(s.now, a)
 	s.step()
 }
 
-func claim(n string) Claim {
-	c := Claim{Node: control.EndpointID(n[:len(n)-1]), Instance: n[:len(n)-1], Zone: control.Zone(n[:1]), Weight: 1, Launched: 10 * second}
+func claim(n string) Observation {
+	c := Observation{Endpoint: control.EndpointID(n[:len(n)-1]), Instance: n[:len(n)-1], Zone: control.Zone(n[:1]), Weight: 1, StartedAt: 10 * second}
 	c.Status = map[byte]Status{'+': Up, '*': Starting, 'o': OutOfService, '-': Down, '?': Unknown}[n[len(n)-1]]
 	return c
 }
@@ -55,7 +55,7 @@
 	for range seconds {
 		s.now += second
 		for _, b := range serving {
-			s.m.Served(s.now, b, 5, 0)
+			s.m.ReportTraffic(s.now, b, 5, 0)
 		}
 		s.step()
 	}
@@ -63,9 +63,9 @@
 
 func (s *site) is(want map[control.EndpointID]string) {
 	s.t.Helper()
-	for _, v := range s.m.Verdicts() {
-		if w, asked := want[v.Node]; asked && v.Is != w {
-			s.t.Errorf("%s is %s (%s), want %s", v.Node, v.Is, v.Why, w)
+	for _, v := range s.m.Decisions() {
+		if w, asked := want[v.Endpoint]; asked && v.StateName != w {
+			s.t.Errorf("%s is %s (%s), want %s", v.Endpoint, v.StateName, v.Reason, w)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 	s.says("eureka", six...)
 	s.lists("a1+", "a2+", "a3o", "b1+", "b2+", "b3+")
 	again := newSite(t)
-	again.m.Recall(again.now, s.m.Drains(), s.listed)
+	again.m.Restore(again.now, s.m.Drains(), s.listed)
 	again.says("eureka", six...)
 	again.lists("a1+", "a2+", "a3o", "b1+", "b2+", "b3+")
 	if err := s.m.Undrain(s.now, "a3"); err != nil || s.m.Undrain(s.now, "a3") == nil {
@@ -213,7 +213,7 @@
 // Registry down from the start, then empty; the other source carries the fleet.
 func TestSourcesStandIn(t *testing.T) {
 	s := newSite(t)
-	s.m.Take(s.now, Answer{Source: "eureka", Failed: "refused"})
+	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Error: "refused"})
 	s.step()
 	if s.changes != 0 {
 		t.Error("a list by nobody's word")
@@ -222,7 +222,7 @@
 	s.lists("a1+", "b1+")
 	s.says("eureka")
 	s.lists("a1+", "b1+")
-	s.m.Take(s.now, Answer{Source: "eureka", Failed: "time-out"})
+	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Error: "time-out"})
 	s.step()
 	s.lists("a1+", "b1+")
 	if text := strings.Join(s.notes, "\n"); !strings.Contains(text, "gives no answer: refused") || !strings.Contains(text, "answers again") {
@@ -236,13 +236,13 @@
 	s := newSite(t)
 	s.says("eureka", six...)
 	s.pass(5, sixNodes...)
-	a := Answer{Source: "eureka"}
+	a := SourceUpdate{Source: "eureka"}
 	for _, n := range six {
 		c := claim(n)
-		c.Launched = s.now
-		a.Claims = append(a.Claims, c)
+		c.StartedAt = s.now
+		a.Observations = append(a.Observations, c)
 	}
-	s.m.Take(s.now, a)
+	s.m.Apply(s.now, a)
 	s.step()
 	for _, b := range sixNodes {
 		if at := s.launched(b); at != 10*second {
@@ -250,10 +250,10 @@
 		}
 	}
 	s.pass(5, sixNodes...)
-	a.Claims = slices.Clone(a.Claims)
-	s.m.Take(s.now, a) // and says so again and again
-	a.Claims[2].Launched = s.now
-	s.m.Take(s.now, a)
+	a.Observations = slices.Clone(a.Observations)
+	s.m.Apply(s.now, a) // and says so again and again
+	a.Observations[2].StartedAt = s.now
+	s.m.Apply(s.now, a)
 	s.step()
 	if at := s.launched("b1"); at != 10*second {
 		t.Errorf("the others are cold since %d", at)
@@ -261,15 +261,15 @@
 	if at := s.launched("a3"); at != s.now {
 		t.Errorf("it has restarted at %d, and counts as started at %d", s.now, at)
 	}
-	a.Claims[1].Instance = "another"
+	a.Observations[1].Instance = "another"
 	s.pass(2)
-	s.m.Take(s.now, a)
+	s.m.Apply(s.now, a)
 	s.step()
 	if at := s.launched("a2"); at != s.now {
 		t.Errorf("another process under its address counts as started at %d, now %d", at, s.now)
 	}
-	a.Claims[0].Launched = s.now + 3600*second
-	s.m.Take(s.now, a)
+	a.Observations[0].StartedAt = s.now + 3600*second
+	s.m.Apply(s.now, a)
 	s.step()
 	if at := s.launched("a1"); at > s.now {
 		t.Errorf("it starts in an hour: %d", at)
@@ -280,19 +280,19 @@
 func TestPeersAndTwins(t *testing.T) {
 	s := newSite(t)
 	out := claim("a1o")
-	out.Changed = s.now
-	s.m.Take(s.now, Answer{Source: "eureka", Claims: []Claim{out, claim("b1+")}})
+	out.ChangedAt = s.now
+	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{out, claim("b1+")}})
 	s.step()
 	lagging := claim("a1+")
-	lagging.Changed = s.now - 30*second
-	s.m.Take(s.now, Answer{Source: "eureka", Claims: []Claim{lagging, claim("b1+")}})
+	lagging.ChangedAt = s.now - 30*second
+	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{lagging, claim("b1+")}})
 	s.step()
 	s.is(map[control.EndpointID]string{"a1": "draining"})
 	old, young := claim("b1+"), claim("b1+")
-	old.Instance, old.Launched = "old", 5*second
-	young.Instance, young.Zone, young.Launched = "young", "a", s.now-second
-	for _, twins := range [][]Claim{{old, young}, {young, old}} {
-		s.m.Take(s.now, Answer{Source: "eureka", Claims: twins})
+	old.Instance, old.StartedAt = "old", 5*second
+	young.Instance, young.Zone, young.StartedAt = "young", "a", s.now-second
+	for _, twins := range [][]Observation{{old, young}, {young, old}} {
+		s.m.Apply(s.now, SourceUpdate{Source: "eureka", Observations: twins})
 		s.step()
 		if at := s.launched("b1"); at != s.now-second {
 			t.Errorf("the older twin counts: %d", at)
@@ -300,7 +300,7 @@
 	}
 	bad := claim("a1+")
 	bad.Zone = "elsewhere"
-	s.m.Take(s.now, Answer{Source: "eureka", Claims: []Claim{bad, young}})
+	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{bad, young}})
 	s.step()
 	if !strings.Contains(strings.Join(s.notes, "\n"), "elsewhere") {
 		t.Error("an unknown zone passes unsaid")
@@ -364,13 +364,13 @@
 	s.says("file", "a1+")
 	s.says("eureka", "a1o", "a2+")
 	s.pass(1, "a1")
-	for _, v := range s.m.Verdicts() {
+	for _, v := range s.m.Decisions() {
 		var said []string
-		for _, x := range v.Says {
+		for _, x := range v.Observations {
 			said = append(said, x.Source+": "+x.Text)
 		}
-		if want := "eureka: out of service, file: up, gateways: answered"; v.Node == "a1" && (strings.Join(said, ", ") != want || v.Is != "draining" || v.Since == 0) {
-			t.Errorf("%v, %s since %d", said, v.Is, v.Since)
+		if want := "eureka: out of service, file: up, gateways: answered"; v.Endpoint == "a1" && (strings.Join(said, ", ") != want || v.StateName != "draining" || v.Since == 0) {
+			t.Errorf("%v, %s since %d", said, v.StateName, v.Since)
 		}
 	}
 }
@@ -401,7 +401,7 @@
 		}
 		s.now += 10 * second
 		for _, b := range steady {
-			s.m.Served(s.now, b, 5, 0)
+			s.m.ReportTraffic(s.now, b, 5, 0)
 		}
 		s.step()
 		listed := map[control.EndpointID]bool{}
@@ -425,11 +425,11 @@
 func TestOverdueLease(t *testing.T) {
 	s := newSite(t)
 	dead, well := claim("a1+"), claim("a2+")
-	dead.Lease, well.Lease, dead.Renewed, well.Renewed = 90*second, 90*second, 100*second, 300*second
-	s.m.Take(s.now, Answer{Source: "eureka", Claims: []Claim{dead, well}})
+	dead.LeaseDuration, well.LeaseDuration, dead.LeaseRenewedAt, well.LeaseRenewedAt = 90*second, 90*second, 100*second, 300*second
+	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{dead, well}})
 	s.step()
 	s.lists("a2+")
-	s.m.Served(s.now, "a1", 3, 0) // it answers after all
+	s.m.ReportTraffic(s.now, "a1", 3, 0) // it answers after all
 	s.step()
 	s.lists("a1+", "a2+")
 }
--- a/recovery/recovery.go
+++ b/recovery/recovery.go
@@ -26,70 +26,70 @@
 	At     control.Microseconds `cbor:"at_us" json:"At"`
 	Steps  uint64               `cbor:"steps" json:"Steps"`
 
-	Version  control.ListVersion           `cbor:"list_version" json:"Version"`
-	Nodes    []control.Endpoint            `cbor:"nodes" json:"Nodes"` // draining ones too
-	Marks    []solver.Mark                 `cbor:"marks,omitempty" json:"Marks"`
-	Gateways []Gateway                     `cbor:"gateways,omitempty" json:"Gateways"`
-	Pins     []tables.Kept                 `cbor:"pins,omitempty" json:"Pins"`
-	Drains   map[control.EndpointID]string `cbor:"drains,omitempty" json:"Drains"` // by operators, with their reasons
-	Levels   service.Kept                  `cbor:"levels" json:"Levels"`
-	Kinds    []string                      `cbor:"kinds" json:"Kinds"` // what positions stand for
-	Zones    []control.Zone                `cbor:"zones" json:"Zones"` // tables are numbered by them
+	Version   control.ListVersion           `cbor:"list_version" json:"Version"`
+	Endpoints []control.Endpoint            `cbor:"nodes" json:"Nodes"` // draining ones too
+	Ejections []solver.Ejection             `cbor:"marks,omitempty" json:"Marks"`
+	Gateways  []Gateway                     `cbor:"gateways,omitempty" json:"Gateways"`
+	Pins      []tables.PinnedVersion        `cbor:"pins,omitempty" json:"Pins"`
+	Drains    map[control.EndpointID]string `cbor:"drains,omitempty" json:"Drains"` // by operators, with their reasons
+	Levels    service.Snapshot              `cbor:"levels" json:"Levels"`
+	Classes   []string                      `cbor:"kinds" json:"Kinds"` // what positions stand for
+	Zones     []control.Zone                `cbor:"zones" json:"Zones"` // tables are numbered by them
 }
 
 // Gateway is what was known of one.
 type Gateway struct {
-	Name    string               `cbor:"name" json:"Name"`
-	Zone    control.Zone         `cbor:"zone" json:"Zone"`
-	Heard   control.Microseconds `cbor:"heard_us" json:"Heard"` // its last word
-	Weight  float64              `cbor:"weight" json:"Weight"`
-	Usage   []float64            `cbor:"usage,omitempty" json:"Usage"` // reqs a second by request kind
-	Version string               `cbor:"version" json:"Version"`       // the last that it confirmed
+	Name       string               `cbor:"name" json:"Name"`
+	Zone       control.Zone         `cbor:"zone" json:"Zone"`
+	LastReport control.Microseconds `cbor:"heard_us" json:"Heard"` // its last word
+	Weight     float64              `cbor:"weight" json:"Weight"`
+	Demand     []float64            `cbor:"usage,omitempty" json:"Usage"` // reqs a second by request kind
+	Version    string               `cbor:"version" json:"Version"`       // the last that it confirmed
 }
 
-// Belief is what of a snapshot is believed.
-type Belief struct {
-	From  string               `cbor:"from" json:"From"` // the start that it comes from
-	At    control.Microseconds `cbor:"at_us" json:"At"`
-	Nodes []control.Endpoint   `cbor:"Nodes" json:"Nodes"`
+// State is what of a snapshot is believed.
+type State struct {
+	Epoch     string               `cbor:"from" json:"From"` // the start that it comes from
+	At        control.Microseconds `cbor:"at_us" json:"At"`
+	Endpoints []control.Endpoint   `cbor:"Nodes" json:"Nodes"`
 	// KnownAt: a node that was not listed then has started since. 0: that is not known.
-	KnownAt  control.Microseconds          `cbor:"KnownAt" json:"KnownAt"`
-	Version  control.ListVersion           `cbor:"Version" json:"Version"`
-	Marks    []solver.Mark                 `cbor:"Marks" json:"Marks"`
-	Gateways map[string]Gateway            `cbor:"Gateways" json:"Gateways"`
-	Pins     []tables.Kept                 `cbor:"Pins" json:"Pins"`
-	Drains   map[control.EndpointID]string `cbor:"Drains" json:"Drains"`
-	Levels   service.Kept                  `cbor:"Levels" json:"Levels"`
-	// Why says in words what is not believed.
-	Why []string `cbor:"Why" json:"Why"`
+	KnownAt   control.Microseconds          `cbor:"KnownAt" json:"KnownAt"`
+	Version   control.ListVersion           `cbor:"Version" json:"Version"`
+	Ejections []solver.Ejection             `cbor:"Marks" json:"Marks"`
+	Gateways  map[string]Gateway            `cbor:"Gateways" json:"Gateways"`
+	Pins      []tables.PinnedVersion        `cbor:"Pins" json:"Pins"`
+	Drains    map[control.EndpointID]string `cbor:"Drains" json:"Drains"`
+	Levels    service.Snapshot              `cbor:"Levels" json:"Levels"`
+	// Discarded says in words what is not believed.
+	Discarded []string `cbor:"Why" json:"Why"`
 }
 
 // How long what is believed.
 const (
 	// MarksFor: a node that failed a kind so long ago may well serve it now; it is tried anew, at the price of a few reqs.
-	MarksFor = 60 * second
+	MaxEjectionAge = 60 * second
 	// UsageFor: traffic of a minute ago is a better guess than none.
-	UsageFor = 60 * second
+	MaxDemandAge = 60 * second
 )
 
-// Believe decides what of a snapshot counts at a start. A clock that has gone back says nothing about how old things are:
+// Restore decides what of a snapshot counts at a start. A clock that has gone back says nothing about how old things are:
 // then only what does not age is believed.
-func Believe(s Snapshot, now control.Microseconds, kinds []string, zones []control.Zone) Belief {
-	b := Belief{From: s.Epoch, At: s.At, Version: s.Version, Drains: s.Drains, Levels: s.Levels}
-	not := func(format string, args ...any) { b.Why = append(b.Why, fmt.Sprintf(format, args...)) }
+func Restore(s Snapshot, now control.Microseconds, kinds []string, zones []control.Zone) State {
+	b := State{Epoch: s.Epoch, At: s.At, Version: s.Version, Drains: s.Drains, Levels: s.Levels}
+	not := func(format string, args ...any) { b.Discarded = append(b.Discarded, fmt.Sprintf(format, args...)) }
 	// The list stands until a fresh one comes: who drains stays drained, who had started stays as warm as it was. A start
 	// that lies ahead is now, so that another clock keeps nobody warm.
-	for _, e := range s.Nodes {
+	for _, e := range s.Endpoints {
 		if e.Status == control.Removed {
 			continue
 		}
 		if e.StartedAt > now {
 			e.StartedAt = now
 		}
-		b.Nodes = append(b.Nodes, e)
+		b.Endpoints = append(b.Endpoints, e)
 	}
 	b.KnownAt = s.At
-	if slices.Equal(kinds, s.Kinds) && slices.Equal(zones, s.Zones) {
+	if slices.Equal(kinds, s.Classes) && slices.Equal(zones, s.Zones) {
 		b.Pins = s.Pins
 	} else if len(s.Pins) > 0 {
 		not("request kinds or zones have changed: %d pins are not believed", len(s.Pins))
@@ -99,23 +99,23 @@
 		not("the clock has gone back by %.1f s: what was learned is not believed", float64(-age)/float64(second))
 		return b
 	}
-	if !slices.Equal(kinds, s.Kinds) {
-		not("request kinds were %v and are %v: what was learned by kind is not believed", s.Kinds, kinds)
+	if !slices.Equal(kinds, s.Classes) {
+		not("request kinds were %v and are %v: what was learned by kind is not believed", s.Classes, kinds)
 		return b
 	}
 	seconds := float64(age) / float64(second)
-	if age <= MarksFor {
-		b.Marks = s.Marks
-	} else if len(s.Marks) > 0 {
-		not("%d marks are %.0f s old", len(s.Marks), seconds)
+	if age <= MaxEjectionAge {
+		b.Ejections = s.Ejections
+	} else if len(s.Ejections) > 0 {
+		not("%d marks are %.0f s old", len(s.Ejections), seconds)
 	}
 	b.Gateways = map[string]Gateway{}
-	if age > UsageFor {
+	if age > MaxDemandAge {
 		not("what gateways held is %.0f s old", seconds)
 		return b
 	}
 	for _, g := range s.Gateways {
-		if now-g.Heard > UsageFor {
+		if now-g.LastReport > MaxDemandAge {
 			continue // it was away for long before that
 		}
 		b.Gateways[g.Name] = g
@@ -123,13 +123,13 @@
 	return b
 }
 
-// Started is the start time of a node that the first fresh list names without one: as it was, or, if it was not listed
+// StartTime is the start time of a node that the first fresh list names without one: as it was, or, if it was not listed
 // when that was last known, now: whatever started while nobody looked is cold.
-func (b *Belief) Started(node control.EndpointID, now control.Microseconds) (at control.Microseconds, known bool) {
+func (b *State) StartTime(node control.EndpointID, now control.Microseconds) (at control.Microseconds, known bool) {
 	if b == nil || b.KnownAt == 0 {
 		return 0, false
 	}
-	for _, e := range b.Nodes {
+	for _, e := range b.Endpoints {
 		if e.ID == node {
 			return e.StartedAt, true
 		}
@@ -138,7 +138,7 @@
 }
 
 // String says in words what is believed.
-func (b *Belief) String() string {
-	return fmt.Sprintf("from start %s: %d nodes, %d marks, %d gateways, %d pins", b.From, len(b.Nodes),
-		len(b.Marks), len(b.Gateways), len(b.Pins))
+func (b *State) String() string {
+	return fmt.Sprintf("from start %s: %d nodes, %d marks, %d gateways, %d pins", b.Epoch, len(b.Endpoints),
+		len(b.Ejections), len(b.Gateways), len(b.Pins))
 }
--- a/recovery/recovery_test.go
+++ b/recovery/recovery_test.go
@@ -20,11 +20,11 @@
 
 // known is a snapshot with three nodes, one of them draining, and one gateway.
 func known() Snapshot {
-	return Snapshot{Format: Format, Epoch: "old", At: at, Kinds: kinds, Zones: zones,
-		Nodes: []control.Endpoint{{ID: "n1", Zone: "a"}, {ID: "n2", Zone: "a", Status: control.Draining}, {ID: "n3", Zone: "b", StartedAt: at - 5*second}},
-		Marks: []solver.Mark{{Node: "n3", Kind: 1, Backoff: 8 * second}}, Pins: []tables.Kept{{Pin: tables.Pin{ID: 3, Reason: "why"}}},
-		Gateways: []Gateway{{Name: "g1", Zone: "a", Heard: at - second, Weight: 5, Usage: []float64{4, 1}, Version: "old.7"},
-			{Name: "away", Zone: "a", Heard: at - 300*second}}}
+	return Snapshot{Format: Format, Epoch: "old", At: at, Classes: kinds, Zones: zones,
+		Endpoints: []control.Endpoint{{ID: "n1", Zone: "a"}, {ID: "n2", Zone: "a", Status: control.Draining}, {ID: "n3", Zone: "b", StartedAt: at - 5*second}},
+		Ejections: []solver.Ejection{{Endpoint: "n3", Class: 1, Backoff: 8 * second}}, Pins: []tables.PinnedVersion{{Pin: tables.Pin{ID: 3, Reason: "why"}}},
+		Gateways: []Gateway{{Name: "g1", Zone: "a", LastReport: at - second, Weight: 5, Demand: []float64{4, 1}, Version: "old.7"},
+			{Name: "away", Zone: "a", LastReport: at - 300*second}}}
 }
 
 // How belief goes with the time that has passed, and with a clock that has gone back.
@@ -34,47 +34,47 @@
 		marks, gateways, pins bool
 	}{
 		{2 * second, true, true, true},
-		{MarksFor + second, false, false, true},
+		{MaxEjectionAge + second, false, false, true},
 		{-second, false, false, true},
 	} {
-		b := Believe(known(), at+c.after, kinds, zones)
-		got := []bool{len(b.Marks) > 0, len(b.Gateways) > 0, len(b.Pins) > 0}
+		b := Restore(known(), at+c.after, kinds, zones)
+		got := []bool{len(b.Ejections) > 0, len(b.Gateways) > 0, len(b.Pins) > 0}
 		if want := []bool{c.marks, c.gateways, c.pins}; !slices.Equal(got, want) {
 			t.Errorf("after %d s: marks, gateways, pins %v, want %v", c.after/second, got, want)
 		}
-		if len(b.Nodes) != 3 || b.Nodes[1].Status != control.Draining {
-			t.Errorf("after %d s: nodes %v", c.after/second, b.Nodes)
+		if len(b.Endpoints) != 3 || b.Endpoints[1].Status != control.Draining {
+			t.Errorf("after %d s: nodes %v", c.after/second, b.Endpoints)
 		}
-		if b.Nodes[2].StartedAt > at+c.after {
+		if b.Endpoints[2].StartedAt > at+c.after {
 			t.Errorf("after %d s: a start that lies ahead", c.after/second)
 		}
 	}
-	if b := Believe(known(), at+second, kinds, zones); len(b.Gateways) != 1 {
+	if b := Restore(known(), at+second, kinds, zones); len(b.Gateways) != 1 {
 		t.Errorf("one that was away for five minutes is believed in: %v", b.Gateways)
 	}
 }
 
 // Positions of kinds and numbers of tables mean nothing after the configuration has changed.
 func TestChangedConfiguration(t *testing.T) {
-	b := Believe(known(), at+second, []string{"save", "view"}, zones)
-	if len(b.Marks)+len(b.Gateways)+len(b.Pins) > 0 || len(b.Nodes) != 3 || !strings.Contains(strings.Join(b.Why, " "), "request kinds") {
+	b := Restore(known(), at+second, []string{"save", "view"}, zones)
+	if len(b.Ejections)+len(b.Gateways)+len(b.Pins) > 0 || len(b.Endpoints) != 3 || !strings.Contains(strings.Join(b.Discarded, " "), "request kinds") {
 		t.Errorf("%+v", b)
 	}
-	if b := Believe(known(), at+second, kinds, []control.Zone{"b", "a"}); len(b.Pins) > 0 || len(b.Marks) == 0 {
+	if b := Restore(known(), at+second, kinds, []control.Zone{"b", "a"}); len(b.Pins) > 0 || len(b.Ejections) == 0 {
 		t.Errorf("zones changed: %+v", b)
 	}
 }
 
 // What a first fresh list names without a start time.
 func TestStarted(t *testing.T) {
-	b := Believe(known(), at+10*second, kinds, zones)
+	b := Restore(known(), at+10*second, kinds, zones)
 	for node, want := range map[control.EndpointID]control.Microseconds{"n1": 0, "n3": at - 5*second, "new": at + 11*second} {
-		if got, known := b.Started(node, at+11*second); !known || got != want {
+		if got, known := b.StartTime(node, at+11*second); !known || got != want {
 			t.Errorf("%s: %d, want %d", node, got, want)
 		}
 	}
-	var none *Belief
-	if _, known := none.Started("n1", at); known {
+	var none *State
+	if _, known := none.StartTime("n1", at); known {
 		t.Error("without belief something is known")
 	}
 	if text := fmt.Sprint(b.String()); !strings.Contains(text, "3 nodes") {
--- a/registry/eureka/bench_test.go
+++ b/registry/eureka/bench_test.go
@@ -31,9 +31,9 @@
 					put(n, "UP")
 				}
 				reg.Forget() // what was registered long ago is in no delta
-				answers := make(chan membership.Answer)
+				answers := make(chan membership.SourceUpdate)
 				c := eureka.New(eureka.Options{Name: "eureka", Addresses: []string{p.Addr}, Deltas: deltas, Poll: time.Microsecond, Timeout: 5 * time.Second,
-					Fields: map[string]string{"zone": "zone"}}, func(a membership.Answer) { answers <- a })
+					Fields: map[string]string{"zone": "zone"}}, func(a membership.SourceUpdate) { answers <- a })
 				ctx, cancel := context.WithCancel(context.Background())
 				done := make(chan struct{})
 				go func() { defer close(done); c.Run(ctx) }()
@@ -45,8 +45,8 @@
 					if n++; n%30 == 0 {
 						reg.Forget() // a minute and a half at a poll each three seconds
 					}
-					if a := <-answers; a.Failed != "" {
-						b.Fatal(a.Failed)
+					if a := <-answers; a.Error != "" {
+						b.Fatal(a.Error)
 					}
 				}
 				s := c.Stats()
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -80,11 +80,11 @@
 type Client struct {
 	o      Options
 	http   *http.Client
-	told   func(membership.Answer)
+	told   func(membership.SourceUpdate)
 	at     int // address in use
 	hold   Holding
 	sum    uint64 // of the last whole answer
-	claims []membership.Claim
+	claims []membership.Observation
 	fails  int
 	again  chan struct{}
 
@@ -92,7 +92,7 @@
 }
 
 // New makes a client; told is called with each answer and each failure, by one goroutine.
-func New(o Options, told func(membership.Answer)) *Client {
+func New(o Options, told func(membership.SourceUpdate)) *Client {
 	o = o.Defaults()
 	return &Client{o: o, told: told, again: make(chan struct{}, 1), http: &http.Client{Timeout: o.Timeout, Transport: &http.Transport{
 		DialContext: (&net.Dialer{Timeout: o.Timeout}).DialContext, MaxIdleConnsPerHost: 2, ResponseHeaderTimeout: o.Timeout}}}
@@ -129,7 +129,7 @@
 			c.failed.Add(1)
 			c.fails++
 			if c.fails%len(c.o.Addresses) == 0 { // all of them have failed
-				c.told(membership.Answer{Source: c.o.Name, Failed: err.Error()})
+				c.told(membership.SourceUpdate{Source: c.o.Name, Error: err.Error()})
 				wait = c.backoff()
 			} else {
 				wait = 0
@@ -138,7 +138,7 @@
 			c.hold.whole = false // a peer has its own deltas
 		default:
 			c.fails = 0
-			c.told(membership.Answer{Source: c.o.Name, Claims: c.claims})
+			c.told(membership.SourceUpdate{Source: c.o.Name, Observations: c.claims})
 			wait += time.Duration(rand.Int64N(int64(c.o.Poll)/10 + 1))
 		}
 		select {
@@ -234,8 +234,8 @@
 	return body, nil
 }
 
-// Claims are what a registry's instances say of nodes. Those that have no address are left out.
-func (o Options) Claims(instances []Instance) (out []membership.Claim) {
+// Observations are what a registry's instances say of nodes. Those that have no address are left out.
+func (o Options) Claims(instances []Instance) (out []membership.Observation) {
 	for _, i := range instances {
 		host := i.IP
 		if o.Hosts || host == "" {
@@ -245,10 +245,10 @@
 			continue
 		}
 		field := func(name string) string { return i.Metadata[o.Fields[name]] }
-		c := membership.Claim{Node: control.EndpointID(net.JoinHostPort(host, strconv.Itoa(i.Port))), Instance: i.ID, Zone: control.Zone(field("zone")), Weight: 1,
-			Machine: control.MachineType(field("machine")), Status: status(i), Changed: control.Microseconds(i.Dirty) * 1000,
-			Launched: control.Microseconds(max(i.ServiceUp, 0)) * 1000, Renewed: control.Microseconds(i.Renewed) * 1000,
-			Lease: control.Microseconds(i.LeaseFor) * 1_000_000}
+		c := membership.Observation{Endpoint: control.EndpointID(net.JoinHostPort(host, strconv.Itoa(i.Port))), Instance: i.ID, Zone: control.Zone(field("zone")), Weight: 1,
+			MachineType: control.MachineType(field("machine")), Status: status(i), ChangedAt: control.Microseconds(i.Dirty) * 1000,
+			StartedAt: control.Microseconds(max(i.ServiceUp, 0)) * 1000, LeaseRenewedAt: control.Microseconds(i.Renewed) * 1000,
+			LeaseDuration: control.Microseconds(i.LeaseFor) * 1_000_000}
 		if c.Zone == "" {
 			c.Zone = control.Zone(o.Zone)
 		}
--- a/registry/eureka/eureka_test.go
+++ b/registry/eureka/eureka_test.go
@@ -41,10 +41,10 @@
 
 func TestGoldenBodies(t *testing.T) {
 	o := eureka.Options{Fields: fields}
-	want := []membership.Claim{
-		{Node: "127.0.0.1:9001", Instance: "c-1", Zone: "a", Weight: 2, Pod: 3, Status: membership.Up, Launched: 1700000001000_000, Changed: 1700000000500_000,
-			Renewed: 1700000090000_000, Lease: 90_000_000},
-		{Node: "127.0.0.2:9002", Instance: "c-2", Zone: "b", Weight: 1, Status: membership.OutOfService, Changed: 1700000000600_000}}
+	want := []membership.Observation{
+		{Endpoint: "127.0.0.1:9001", Instance: "c-1", Zone: "a", Weight: 2, Pod: 3, Status: membership.Up, StartedAt: 1700000001000_000, ChangedAt: 1700000000500_000,
+			LeaseRenewedAt: 1700000090000_000, LeaseDuration: 90_000_000},
+		{Endpoint: "127.0.0.2:9002", Instance: "c-2", Zone: "b", Weight: 1, Status: membership.OutOfService, ChangedAt: 1700000000600_000}}
 	for name, body := range map[string]string{"JSON": wholeJSON, "XML": wholeXML} {
 		a, err := eureka.Parse([]byte(body))
 		if err != nil {
@@ -87,7 +87,7 @@
 			t.Errorf("%v", err)
 		}
 		for _, c := range (eureka.Options{Fields: fields}).Claims(a.Instances) {
-			if c.Node == "" || !(c.Weight > 0) || c.Launched < 0 {
+			if c.Endpoint == "" || !(c.Weight > 0) || c.StartedAt < 0 {
 				t.Errorf("%+v", c)
 			}
 		}
@@ -102,7 +102,7 @@
 	c     *eureka.Client
 
 	mu      sync.Mutex
-	last    membership.Answer
+	last    membership.SourceUpdate
 	answers int
 	failed  []string
 }
@@ -123,11 +123,11 @@
 	if change != nil {
 		change(&o)
 	}
-	s.c = eureka.New(o, func(a membership.Answer) {
+	s.c = eureka.New(o, func(a membership.SourceUpdate) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if a.Failed != "" {
-			s.failed = append(s.failed, a.Failed)
+		if a.Error != "" {
+			s.failed = append(s.failed, a.Error)
 			return
 		}
 		s.last = a
@@ -151,7 +151,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var got []string
-	for _, c := range s.last.Claims {
+	for _, c := range s.last.Observations {
 		got = append(got, fmt.Sprintf("%s %s", c.Instance, c.Status))
 	}
 	return s.answers > 0 && strings.Join(got, ", ") == want
@@ -250,7 +250,7 @@
 		s.until(name, func() bool { return s.has("c-1 up") })
 		s.until(name+" unchanged", func() bool { return s.c.Stats().Unchanged > 2 })
 		s.reg.Remove("CALC", "c-1")
-		s.until(name+" empty", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.last.Claims) == 0 && s.answers > 0 })
+		s.until(name+" empty", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.last.Observations) == 0 && s.answers > 0 })
 	}
 }
 
--- a/service/divide.go
+++ b/service/divide.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Divide divides what the admission lets in among the kinds: total is in work (reqs a second times their cost), asked what is
+// DivideAdmission divides what the admission lets in among the kinds: total is in work (reqs a second times their cost), asked what is
 // asked for of each kind, share the most that each may use of the total. Each gets the floor first; of the rest kinds of more
 // payoff go first, and of equal payoff each gets the same part of what it asks for within its bound. What nobody may use
 // stays unused.
-func Divide(total float64, asked, payoff, share []float64) []float64 {
+func DivideAdmission(total float64, asked, payoff, share []float64) []float64 {
 	bound := func(k int) float64 {
 		if share[k] >= 1 {
 			return asked[k]
@@ -21,7 +21,7 @@
 	floors := 0.0
 	for k := range order {
 		order[k] = k
-		out[k] = Floor * bound(k)
+		out[k] = MinShare * bound(k)
 		floors += out[k]
 	}
 	if floors > total {
@@ -52,6 +52,6 @@
 	return out
 }
 
-// Floor is the part of each kind's own that still comes where its share allows it: a kind that is turned away whole can't be
+// MinShare is the part of each kind's own that still comes where its share allows it: a kind that is turned away whole can't be
 // seen to be wanted, and its callers repeat.
-const Floor = 0.1
+const MinShare = 0.1
--- a/service/service_test.go
+++ b/service/service_test.go
@@ -27,8 +27,8 @@
 }
 
 func level(name string, enter, leave float64, enterHeld, leaveHeld control.Microseconds, more ...func(*Level)) Level {
-	l := Level{Name: name, EnterHeld: enterHeld, LeaveHeld: leaveHeld, Bounds: None(2)}
-	l.Enter[Load], l.Leave[Load] = enter, leave
+	l := Level{Name: name, EnterDelay: enterHeld, LeaveDelay: leaveHeld, Bounds: Unbounded(2)}
+	l.Enter[TriggerLoad], l.Leave[TriggerLoad] = enter, leave
 	for _, m := range more {
 		m(&l)
 	}
@@ -36,26 +36,26 @@
 }
 
 func lost(enter, leave float64) func(*Level) {
-	return func(l *Level) { l.Enter[Lost], l.Leave[Lost] = enter, leave }
+	return func(l *Level) { l.Enter[TriggerLostCapacity], l.Leave[TriggerLostCapacity] = enter, leave }
 }
 
 func two() Settings {
-	return Settings{Zones: []control.Zone{"a", "b"}, Kinds: []string{"view", "save"}, Period: second, Levels: []Level{
+	return Settings{Zones: []control.Zone{"a", "b"}, Classes: []string{"view", "save"}, Period: second, Levels: []Level{
 		level("tight", 1, 0.8, 2*second, 10*second, lost(0.3, 0.1)), level("hard", 1.4, 1.1, 2*second, 10*second, lost(0.5, 0.2))}}
 }
 
-func loaded(load float64) Figures {
-	var f Figures
-	f.Set(Load, load)
-	f.Set(Lost, 0)
+func loaded(load float64) Signals {
+	var f Signals
+	f.Set(TriggerLoad, load)
+	f.Set(TriggerLostCapacity, 0)
 	return f
 }
 
 // course plays a load by second in the fleet's scope and returns the levels.
-func course(m *Machine, seconds int, load func(s int) float64) (levels []int, changes int) {
+func course(m *Controller, seconds int, load func(s int) float64) (levels []int, changes int) {
 	for s := range seconds {
-		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: loaded(load(s))}))
-		levels = append(levels, m.At("a"))
+		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: loaded(load(s))}))
+		levels = append(levels, m.Level("a"))
 	}
 	return levels, changes
 }
@@ -78,7 +78,7 @@
 func TestOscillation(t *testing.T) {
 	one := two()
 	one.Levels = one.Levels[:1]
-	most, worst := one.Most(600*second), 0
+	most, worst := one.MaxChanges(600*second), 0
 	for low := 1; low < 90; low++ {
 		for high := 1; high < 6; high++ {
 			_, n := course(New(one), 600, func(s int) float64 {
@@ -97,7 +97,7 @@
 		if high {
 			load = 1
 		}
-		for range m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: loaded(load)}) {
+		for range m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: loaded(load)}) {
 			n, high = n+1, !high
 		}
 	}
@@ -108,7 +108,7 @@
 	for _, hover := range []float64{0.8, 1, 1.1, 1.4} { // of two levels, a load that jitters about each threshold
 		m := New(two())
 		_, n := course(m, 600, func(s int) float64 { return hover + 0.02*float64(s%3-1) })
-		if n > m.Settings().Most(600*second) || n > 4 {
+		if n > m.Settings().MaxChanges(600*second) || n > 4 {
 			t.Errorf("about %.1f: %d changes", hover, n)
 		}
 	}
@@ -121,18 +121,18 @@
 		f := loaded(1.2)
 		if s%6 >= 3 {
 			f = loaded(0.2)
-			f.Set(Lost, 0.4)
+			f.Set(TriggerLostCapacity, 0.4)
 		}
-		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: f}))
+		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: f}))
 	}
-	if changes != 1 || m.At("b") != 1 {
-		t.Errorf("%d changes, at %d", changes, m.At("b"))
+	if changes != 1 || m.Level("b") != 1 {
+		t.Errorf("%d changes, at %d", changes, m.Level("b"))
 	}
-	var unknown Figures
-	unknown.Set(Load, 0.1)
+	var unknown Signals
+	unknown.Set(TriggerLoad, 0.1)
 	at := control.Microseconds(0)
 	for s := 300; s < 500 && at == 0; s++ {
-		if m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: unknown}); m.At("b") == 0 {
+		if m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: unknown}); m.Level("b") == 0 {
 			at = control.Microseconds(s - 300)
 		}
 	}
@@ -145,10 +145,10 @@
 func TestScopes(t *testing.T) {
 	m := New(two())
 	for s := range 5 {
-		m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{Fleet: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
+		m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
 	}
-	if m.At("a") != 2 || m.At("b") != 1 || m.At(Fleet) != 1 {
-		t.Errorf("a %d, b %d", m.At("a"), m.At("b"))
+	if m.Level("a") != 2 || m.Level("b") != 1 || m.Level(FleetScope) != 1 {
+		t.Errorf("a %d, b %d", m.Level("a"), m.Level("b"))
 	}
 }
 
@@ -157,11 +157,11 @@
 func TestEverySettings(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Zones: []control.Zone{"a"}, Kinds: []string{"view", "save"}, Period: second}
+		set := Settings{Zones: []control.Zone{"a"}, Classes: []string{"view", "save"}, Period: second}
 		for i := range rapid.IntRange(1, 4).Draw(t, "levels") {
-			l := Level{Name: fmt.Sprint("l", i), Bounds: None(2), EnterHeld: control.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
-				LeaveHeld: control.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
-			for r := range Reasons {
+			l := Level{Name: fmt.Sprint("l", i), Bounds: Unbounded(2), EnterDelay: control.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
+				LeaveDelay: control.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
+			for r := range TriggerCount {
 				if rapid.IntRange(0, 2).Draw(t, "counts") > 0 {
 					l.Enter[r] = float64(rapid.IntRange(1, 20).Draw(t, "enter")) / 20
 					l.Leave[r] = max(least[r], l.Enter[r]*rapid.Float64Range(0.1, 0.95).Draw(t, "leave"))
@@ -174,14 +174,14 @@
 		}
 		taken++
 		m, now, changes := New(set), control.Microseconds(0), 0
-		step := func(f Figures) int {
+		step := func(f Signals) int {
 			now += second
-			n := len(m.Step(now, map[control.Zone]Figures{Fleet: f}))
+			n := len(m.Step(now, map[control.Zone]Signals{FleetScope: f}))
 			changes += n
 			return n
 		}
-		draw := func() (f Figures) {
-			for r := range Reasons {
+		draw := func() (f Signals) {
+			for r := range TriggerCount {
 				if rapid.IntRange(0, 9).Draw(t, "known") > 0 {
 					f.Set(r, float64(rapid.IntRange(0, 24).Draw(t, "figure"))/20)
 				}
@@ -194,13 +194,13 @@
 				step(f)
 			}
 		}
-		if most := set.Most(now); changes > most {
+		if most := set.MaxChanges(now); changes > most {
 			t.Fatalf("%d changes in %d s, at most %d by the settings %+v", changes, now/second, most, set.Levels)
 		}
-		constant, last, ups, downs := draw(), m.At("a"), 0, 0
+		constant, last, ups, downs := draw(), m.Level("a"), 0, 0
 		for range 600 {
 			step(constant)
-			if at := m.At("a"); at > last {
+			if at := m.Level("a"); at > last {
 				ups, last = ups+1, at
 			} else if at < last {
 				downs, last = downs+1, at
@@ -209,19 +209,19 @@
 		if ups > len(set.Levels) || ups > 0 && downs > 0 {
 			t.Fatalf("on constant figures %d up and %d down: %+v, %+v", ups, downs, constant, set.Levels)
 		}
-		var calm Figures
-		for r := range Reasons {
+		var calm Signals
+		for r := range TriggerCount {
 			calm.Set(r, 0)
 		}
 		bound := 0
 		for _, l := range set.Levels {
-			bound += int(l.LeaveHeld/second)*mostBackoff + 1
+			bound += int(l.LeaveDelay/second)*mostBackoff + 1
 		}
 		for range bound {
 			step(calm)
 		}
-		if m.At("a") != 0 {
-			t.Fatalf("still at %d after %d calm seconds: %+v", m.At("a"), bound, set.Levels)
+		if m.Level("a") != 0 {
+			t.Fatalf("still at %d after %d calm seconds: %+v", m.Level("a"), bound, set.Levels)
 		}
 	})
 	if taken < 30 {
@@ -234,52 +234,52 @@
 	m, now := New(two()), control.Microseconds(0)
 	step := func(load float64) {
 		now += second
-		m.Step(now, map[control.Zone]Figures{Fleet: loaded(load)})
+		m.Step(now, map[control.Zone]Signals{FleetScope: loaded(load)})
 	}
-	say := func(w Word) Word {
+	say := func(w Override) Override {
 		w.Until, w.Reason = now+20*second, "night"
-		said, err := m.Say(now, w)
+		said, err := m.SetOverride(now, w)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return said
 	}
-	for want, w := range map[error]Word{
-		ErrNoReason: {Do: Force, Level: 1, Until: now + second},
-		ErrNoEnd:    {Do: Force, Level: 1, Reason: "r"},
-		ErrNoZone:   {Do: Force, Zone: "x", Level: 1, Until: now + second, Reason: "r"},
-		ErrNoLevel:  {Do: Forbid, Level: 3, Until: now + second, Reason: "r"},
+	for want, w := range map[error]Override{
+		ErrNoReason: {Action: ForceLevel, Level: 1, Until: now + second},
+		ErrNoEnd:    {Action: ForceLevel, Level: 1, Reason: "r"},
+		ErrNoZone:   {Action: ForceLevel, Zone: "x", Level: 1, Until: now + second, Reason: "r"},
+		ErrNoLevel:  {Action: ForbidLevel, Level: 3, Until: now + second, Reason: "r"},
 	} {
-		if _, err := m.Say(now, w); !errors.Is(err, want) {
+		if _, err := m.SetOverride(now, w); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", w, err)
 		}
 	}
-	forced := say(Word{Do: Force, Level: 1, Zone: "a"})
-	if step(0.2); m.At("a") != 1 || m.At("b") != 0 {
-		t.Errorf("forced: a %d, b %d", m.At("a"), m.At("b"))
+	forced := say(Override{Action: ForceLevel, Level: 1, Zone: "a"})
+	if step(0.2); m.Level("a") != 1 || m.Level("b") != 0 {
+		t.Errorf("forced: a %d, b %d", m.Level("a"), m.Level("b"))
 	}
-	say(Word{Do: Forbid, Level: 2})
+	say(Override{Action: ForbidLevel, Level: 2})
 	for range 5 {
 		step(2)
 	}
-	if m.At("b") != 1 || m.Standings(now)[0].ByItself != 2 {
-		t.Errorf("forbidden: b %d, %+v", m.At("b"), m.Standings(now)[0])
+	if m.Level("b") != 1 || m.Scopes(now)[0].AutomaticLevel != 2 {
+		t.Errorf("forbidden: b %d, %+v", m.Level("b"), m.Scopes(now)[0])
 	}
-	say(Word{Do: Hold})
+	say(Override{Action: HoldLevel})
 	for range 9 {
 		step(0.2)
 	}
-	if _, err := m.Unsay(forced.ID); err != nil {
+	if _, err := m.ClearOverride(forced.ID); err != nil {
 		t.Error(err)
 	}
-	if step(0.2); m.At("b") != 1 {
-		t.Errorf("held: %d", m.At("b"))
+	if step(0.2); m.Level("b") != 1 {
+		t.Errorf("held: %d", m.Level("b"))
 	}
 	for range 30 {
 		step(0.2)
 	}
-	if m.At("a") != 0 || m.At("b") != 0 || len(m.Words()) != 0 {
-		t.Errorf("all words have ended, a %d, b %d, %v", m.At("a"), m.At("b"), m.Words())
+	if m.Level("a") != 0 || m.Level("b") != 0 || len(m.Overrides()) != 0 {
+		t.Errorf("all words have ended, a %d, b %d, %v", m.Level("a"), m.Level("b"), m.Overrides())
 	}
 }
 
@@ -287,28 +287,28 @@
 func TestRecall(t *testing.T) {
 	m := New(two())
 	for s := range 5 {
-		m.Step(control.Microseconds(s)*second, map[control.Zone]Figures{"a": loaded(2)})
+		m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{"a": loaded(2)})
 	}
-	if _, err := m.Say(5*second, Word{Do: Force, Level: 1, Zone: "b", Until: 100 * second, Reason: "r"}); err != nil {
+	if _, err := m.SetOverride(5*second, Override{Action: ForceLevel, Level: 1, Zone: "b", Until: 100 * second, Reason: "r"}); err != nil {
 		t.Fatal(err)
 	}
 	set := two()
 	set.Levels = append([]Level{level("mild", 0.9, 0.7, second, 5*second)}, set.Levels...) // another one stands before them now
 	next := New(set)
-	if notes := next.Recall(10*second, m.Keep()); len(notes) != 0 || next.At("a") != 3 {
-		t.Errorf("%v, a %d", notes, next.At("a"))
+	if notes := next.Restore(10*second, m.Snapshot()); len(notes) != 0 || next.Level("a") != 3 {
+		t.Errorf("%v, a %d", notes, next.Level("a"))
 	}
 	left := 0
 	for s := 10; s < 60; s++ {
-		next.Step(control.Microseconds(s)*second, map[control.Zone]Figures{"a": loaded(0.1)})
-		if next.At("a") < 3 && left == 0 {
+		next.Step(control.Microseconds(s)*second, map[control.Zone]Signals{"a": loaded(0.1)})
+		if next.Level("a") < 3 && left == 0 {
 			left = s
 		}
 	}
-	if left != 20 || next.At("a") != 0 || next.At("b") != 2 {
-		t.Errorf("left at %d s, a %d, b %d", left, next.At("a"), next.At("b"))
+	if left != 20 || next.Level("a") != 0 || next.Level("b") != 2 {
+		t.Errorf("left at %d s, a %d, b %d", left, next.Level("a"), next.Level("b"))
 	}
-	if notes := New(Settings{Zones: set.Zones}).Recall(0, m.Keep()); len(notes) != 2 {
+	if notes := New(Settings{Zones: set.Zones}).Restore(0, m.Snapshot()); len(notes) != 2 {
 		t.Errorf("levels that are gone: %v", notes)
 	}
 }
@@ -316,26 +316,28 @@
 // Settings under which a level can't be left, or would swing, or which waste what can be served, are refused with the reason.
 func TestCheck(t *testing.T) {
 	for says, spoil := range map[string]func(*Settings){
-		"would swing":           func(s *Settings) { s.Levels[0].Leave[Load] = 1 },
-		"can't be left":         func(s *Settings) { s.Levels[0].Leave[Load] = 0 },
-		"is never reached":      func(s *Settings) { s.Levels[0].Enter[Lost] = 1.2 },
-		"less severe":           func(s *Settings) { s.Levels[0].Enter[Load] = 1.5 },
-		"no reason":             func(s *Settings) { s.Levels[0].Enter, s.Levels[0].Leave = [Reasons]float64{}, [Reasons]float64{} },
-		"under two reports":     func(s *Settings) { s.Levels[1].Bounds.Stretch = 8 },
+		"would swing":      func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 1 },
+		"can't be left":    func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 0 },
+		"is never reached": func(s *Settings) { s.Levels[0].Enter[TriggerLostCapacity] = 1.2 },
+		"less severe":      func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = 1.5 },
+		"no reason": func(s *Settings) {
+			s.Levels[0].Enter, s.Levels[0].Leave = [TriggerCount]float64{}, [TriggerCount]float64{}
+		},
+		"under two reports":     func(s *Settings) { s.Levels[1].Bounds.ReportIntervalFactor = 8 },
 		"turned away":           func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
 		"stands twice":          func(s *Settings) { s.Levels[1].Name = "tight" },
-		"stands without enter.": func(s *Settings) { s.Levels[0].Leave[Shed] = 0.4 },
-		"0 to 3":                func(s *Settings) { s.Levels[0].Bounds.SecondTry = []int{4, 0} },
+		"stands without enter.": func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
+		"0 to 3":                func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []int{4, 0} },
 		"of 2 kinds":            func(s *Settings) { s.Levels[0].Bounds.Share = nil },
-		"or 0 for no bound":     func(s *Settings) { s.Levels[0].Bounds.Lines = 1 },
-		"bound as much":         func(s *Settings) { s.Levels[0].Bounds.Stretch = 2 },
-		"both must be":          func(s *Settings) { s.Levels[0].Enter[Load] = math.NaN() },
+		"or 0 for no bound":     func(s *Settings) { s.Levels[0].Bounds.MaxEndpoints = 1 },
+		"bound as much":         func(s *Settings) { s.Levels[0].Bounds.ReportIntervalFactor = 2 },
+		"both must be":          func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = math.NaN() },
 	} {
 		s := two()
 		spoil(&s)
 		var all []string
 		for _, f := range s.Check() {
-			all = append(all, f.Wrong+": "+f.Right)
+			all = append(all, f.Problem+": "+f.Remedy)
 		}
 		if !strings.Contains(strings.Join(all, "\n"), says) {
 			t.Errorf("%q is not said: %v", says, all)
@@ -349,12 +351,12 @@
 // Of what is let in each kind gets its floor, then kinds of more payoff go first; none is over its share, and no more is given
 // than there is.
 func TestDivide(t *testing.T) {
-	got := Divide(100, []float64{80, 60, 50}, []float64{1, 1, 2}, []float64{1, 0.3, 1})
+	got := DivideAdmission(100, []float64{80, 60, 50}, []float64{1, 1, 2}, []float64{1, 0.3, 1})
 	if math.Abs(got[2]-50) > 1e-9 || got[1] > 30 || math.Abs(got[0]+got[1]+got[2]-100) > 1e-9 {
 		t.Errorf("%v", got)
 	}
 	// Payoffs that tie: the same part of what each may have.
-	if got := Divide(50, []float64{80, 20}, []float64{1, 1}, []float64{1, 1}); math.Abs(got[0]-40) > 1e-9 || math.Abs(got[1]-10) > 1e-9 {
+	if got := DivideAdmission(50, []float64{80, 20}, []float64{1, 1}, []float64{1, 1}); math.Abs(got[0]-40) > 1e-9 || math.Abs(got[1]-10) > 1e-9 {
 		t.Errorf("%v", got)
 	}
 	rapid.Check(t, func(t *rapid.T) {
@@ -363,7 +365,7 @@
 			return rapid.SliceOfN(rapid.Float64Range(0, most), n, n).Draw(t, name)
 		}
 		total, asked, payoff, share := rapid.Float64Range(0, 100).Draw(t, "total"), draw("asked", 100), draw("payoff", 3), draw("share", 1)
-		got, sum, can := Divide(total, asked, payoff, share), 0.0, 0.0
+		got, sum, can := DivideAdmission(total, asked, payoff, share), 0.0, 0.0
 		for k, g := range got {
 			if g < 0 || g > asked[k]+1e-9 || g > share[k]*total+1e-9 {
 				t.Fatalf("kind %d gets %v", k, g)
--- a/solver/estimate.go
+++ b/solver/estimate.go
@@ -6,9 +6,9 @@
 	"porthub/control"
 )
 
-// Estimate learns what nodes can do: reqs done in a busy second, in a histogram of four bins by busy share, halved
+// CapacityEstimator learns what nodes can do: reqs done in a busy second, in a histogram of four bins by busy share, halved
 // when full; and what a req of each kind costs beside the others, by how long it takes where nobody waits.
-type Estimate struct {
+type CapacityEstimator struct {
 	kinds int
 	nodes map[control.EndpointID]*speed
 	costs []bin // by kind: answers and their time
@@ -28,14 +28,14 @@
 	idle      = 0.08 // busy share under which nothing is learned
 )
 
-// NewEstimate starts with nothing known, of so many kinds.
-func NewEstimate(kinds int) *Estimate {
-	return &Estimate{kinds: kinds, nodes: map[control.EndpointID]*speed{}, costs: make([]bin, kinds)}
+// NewCapacityEstimator starts with nothing known, of so many kinds.
+func NewCapacityEstimator(kinds int) *CapacityEstimator {
+	return &CapacityEstimator{kinds: kinds, nodes: map[control.EndpointID]*speed{}, costs: make([]bin, kinds)}
 }
 
 // Round takes in what all gateways met at a node in so many seconds: its own busy share if it told one (else below 0)
 // and what was met by kind. It is learned from warm nodes only: a cold one would pass for slow for long.
-func (e *Estimate) Round(node control.EndpointID, seconds, busy float64, warm bool, heard []control.EndpointClassLoad) {
+func (e *CapacityEstimator) Round(node control.EndpointID, seconds, busy float64, warm bool, heard []control.EndpointClassLoad) {
 	if !(busy > idle) || !warm || seconds <= 0 {
 		return
 	}
@@ -71,10 +71,10 @@
 }
 
 // Forget drops a node: another process under its name is learned anew.
-func (e *Estimate) Forget(node control.EndpointID) { delete(e.nodes, node) }
+func (e *CapacityEstimator) Forget(node control.EndpointID) { delete(e.nodes, node) }
 
 // Capacity is what a node can do when warm, in mean reqs a second; NaN while too little is known.
-func (e *Estimate) Capacity(node control.EndpointID) float64 {
+func (e *CapacityEstimator) Capacity(node control.EndpointID) float64 {
 	s := e.nodes[node]
 	if s == nil {
 		return math.NaN()
@@ -90,7 +90,7 @@
 }
 
 // Costs are what reqs of each kind cost beside the mean of all, which is 1.
-func (e *Estimate) Costs() []float64 {
+func (e *CapacityEstimator) Costs() []float64 {
 	out := make([]float64, e.kinds)
 	for k := range out {
 		out[k] = e.cost(k)
@@ -98,7 +98,7 @@
 	return out
 }
 
-func (e *Estimate) cost(k int) float64 {
+func (e *CapacityEstimator) cost(k int) float64 {
 	const doubt = 30 // answers that the mean counts for
 	n, sum := 0.0, 0.0
 	for _, c := range e.costs {
--- a/solver/excess.go
+++ b/solver/excess.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// Excess learns by how much more comes to nodes than their tables plan for them. Gateways avoid for a while what has failed
+// OvershootEstimator learns by how much more comes to nodes than their tables plan for them. Gateways avoid for a while what has failed
 // them, and send its part to what is left; they and their clients try again. When much of a fleet fails or is full that
 // doubles what a node gets, and a cold one falls over at a part that was meant for it. The zero Excess plans for none.
-type Excess struct{ times float64 }
+type OvershootEstimator struct{ times float64 }
 
 // What Excess goes by.
 const (
@@ -14,15 +14,15 @@
 	excessFade = 0.9 // of it stays with each round that shows less
 )
 
-// Planned is what one node was to get and what came to it, tries a second in one round.
-type Planned struct{ Planned, Met float64 }
+// EndpointOutcome is what one node was to get and what came to it, tries a second in one round.
+type EndpointOutcome struct{ Planned, Actual float64 }
 
 // Round takes in what nodes that serve were to get and got.
-func (x *Excess) Round(nodes []Planned) {
+func (x *OvershootEstimator) Round(nodes []EndpointOutcome) {
 	var ratios []float64
 	for _, n := range nodes {
 		if n.Planned >= excessFrom {
-			ratios = append(ratios, n.Met/n.Planned)
+			ratios = append(ratios, n.Actual/n.Planned)
 		}
 	}
 	x.times = max(1, x.times*excessFade)
@@ -38,5 +38,5 @@
 	x.times = min(excessMost, max(x.times, sum/float64(len(top))))
 }
 
-// Times is the factor, 1 or more.
-func (x *Excess) Times() float64 { return max(1, x.times) }
+// Factor is the factor, 1 or more.
+func (x *OvershootEstimator) Factor() float64 { return max(1, x.times) }
--- a/solver/fleet.go
+++ b/solver/fleet.go
@@ -7,8 +7,8 @@
 	"slices"
 )
 
-// Node is a calc node. Work is in units of the caller's choice, the same for all nodes.
-type Node struct {
+// Endpoint is a calc node. Work is in units of the caller's choice, the same for all nodes.
+type Endpoint struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	Pod  int    `json:"pod"`
@@ -24,61 +24,61 @@
 	Closed  bool   `json:"closed,omitempty"` // drains or is gone: nothing may go there
 }
 
-// Kind is a request kind.
-type Kind struct {
-	Name      string   `json:"name"`
-	Payoff    float64  `json:"payoff"`
-	OnlyZones []string `json:"only_zones,omitempty"`
-	OwnZone   bool     `json:"own_zone,omitempty"` // only in the gateway's zone
+// Class is a request kind.
+type Class struct {
+	Name           string   `json:"name"`
+	PriorityWeight float64  `json:"payoff"`
+	AllowedZones   []string `json:"only_zones,omitempty"`
+	LocalZoneOnly  bool     `json:"own_zone,omitempty"` // only in the gateway's zone
 }
 
 // Share is a line that the module wants: a node by its index, and a weight above 0 relative to the others.
 type Share struct {
-	Node   int     `json:"node"`
-	Weight float64 `json:"weight"`
+	Endpoint int     `json:"node"`
+	Weight   float64 `json:"weight"`
 }
 
-// User is a gateway, or a group of gateways that share their tables.
-type User struct {
+// Consumer is a gateway, or a group of gateways that share their tables.
+type Consumer struct {
 	Name   string    `json:"name"`
 	Zone   string    `json:"zone"`
 	Demand []float64 `json:"demand"` // reqs a second, by kind
-	Want   [][]Share `json:"want"`   // by kind
+	Wanted [][]Share `json:"want"`   // by kind
 	// Pod keeps a kind within a pod while that has an open node; 0 and left out: anywhere.
 	Pod []int `json:"pod,omitempty"`
 }
 
 // Fleet is what is to be solved.
 type Fleet struct {
-	Nodes []Node `json:"nodes"`
-	Kinds []Kind `json:"kinds"`
-	Users []User `json:"users"`
-	// Cross is how many times less a node in another zone is wanted than one at home, where the module wants neither;
+	Endpoints []Endpoint `json:"nodes"`
+	Classes   []Class    `json:"kinds"`
+	Consumers []Consumer `json:"users"`
+	// CrossZonePenalty is how many times less a node in another zone is wanted than one at home, where the module wants neither;
 	// 0 stands for 1.
-	Cross float64 `json:"cross,omitempty"`
+	CrossZonePenalty float64 `json:"cross,omitempty"`
 }
 
 // Check names everything that makes a fleet unreadable. Figures that are merely wrong (a capacity that is not a
 // number) are no error: Solve says how it took them.
 func (f Fleet) Check() error {
-	if len(f.Nodes) == 0 || len(f.Kinds) == 0 {
-		return fmt.Errorf("a fleet needs nodes and kinds: it has %d and %d", len(f.Nodes), len(f.Kinds))
+	if len(f.Endpoints) == 0 || len(f.Classes) == 0 {
+		return fmt.Errorf("a fleet needs nodes and kinds: it has %d and %d", len(f.Endpoints), len(f.Classes))
 	}
-	for i, n := range f.Nodes {
-		if len(n.Cost) != 0 && len(n.Cost) != len(f.Kinds) {
-			return fmt.Errorf("nodes[%d] %s: %d costs for %d kinds", i, n.Name, len(n.Cost), len(f.Kinds))
+	for i, n := range f.Endpoints {
+		if len(n.Cost) != 0 && len(n.Cost) != len(f.Classes) {
+			return fmt.Errorf("nodes[%d] %s: %d costs for %d kinds", i, n.Name, len(n.Cost), len(f.Classes))
 		}
-		if len(n.Failing) != 0 && len(n.Failing) != len(f.Kinds) {
-			return fmt.Errorf("nodes[%d] %s: %d failing marks for %d kinds", i, n.Name, len(n.Failing), len(f.Kinds))
+		if len(n.Failing) != 0 && len(n.Failing) != len(f.Classes) {
+			return fmt.Errorf("nodes[%d] %s: %d failing marks for %d kinds", i, n.Name, len(n.Failing), len(f.Classes))
 		}
 	}
-	for i, k := range f.Kinds {
-		if !(k.Payoff > 0) || math.IsInf(k.Payoff, 0) {
-			return fmt.Errorf("kinds[%d] %s: payoff %v must be above 0", i, k.Name, k.Payoff)
+	for i, k := range f.Classes {
+		if !(k.PriorityWeight > 0) || math.IsInf(k.PriorityWeight, 0) {
+			return fmt.Errorf("kinds[%d] %s: payoff %v must be above 0", i, k.Name, k.PriorityWeight)
 		}
 	}
-	for i, u := range f.Users {
-		if len(u.Demand) != len(f.Kinds) || len(u.Want) > len(f.Kinds) || len(u.Pod) != 0 && len(u.Pod) != len(f.Kinds) {
+	for i, u := range f.Consumers {
+		if len(u.Demand) != len(f.Classes) || len(u.Wanted) > len(f.Classes) || len(u.Pod) != 0 && len(u.Pod) != len(f.Classes) {
 			return fmt.Errorf("users[%d] %s: demand, want and pod need one entry a kind", i, u.Name)
 		}
 		for k, d := range u.Demand {
@@ -86,10 +86,10 @@
 				return fmt.Errorf("users[%d] %s: demand[%d] is %v", i, u.Name, k, d)
 			}
 		}
-		for k, lines := range u.Want {
+		for k, lines := range u.Wanted {
 			for _, l := range lines {
-				if l.Node < 0 || l.Node >= len(f.Nodes) || !(l.Weight >= 0) || math.IsInf(l.Weight, 0) {
-					return fmt.Errorf("users[%d] %s: want[%d] names node %d with weight %v", i, u.Name, k, l.Node, l.Weight)
+				if l.Endpoint < 0 || l.Endpoint >= len(f.Endpoints) || !(l.Weight >= 0) || math.IsInf(l.Weight, 0) {
+					return fmt.Errorf("users[%d] %s: want[%d] names node %d with weight %v", i, u.Name, k, l.Endpoint, l.Weight)
 				}
 			}
 		}
@@ -99,17 +99,17 @@
 
 // open tells whether a kind may go to a node from a zone.
 func (f *Fleet) open(j, k int, zone string) bool {
-	n, kind := &f.Nodes[j], &f.Kinds[k]
-	return !n.Closed && (len(n.Failing) == 0 || !n.Failing[k]) && (!kind.OwnZone || n.Zone == zone) &&
-		(len(kind.OnlyZones) == 0 || slices.Contains(kind.OnlyZones, n.Zone))
+	n, kind := &f.Endpoints[j], &f.Classes[k]
+	return !n.Closed && (len(n.Failing) == 0 || !n.Failing[k]) && (!kind.LocalZoneOnly || n.Zone == zone) &&
+		(len(kind.AllowedZones) == 0 || slices.Contains(kind.AllowedZones, n.Zone))
 }
 
 // limits are what may be offered to each node. A capacity that is no number, below 0 or beyond reason counts as the
 // median of the others, as the design has it for what is unheard; 0 is a node that can do nothing.
 func (f *Fleet) limits() (limit []float64, guessed []int) {
 	var known []float64
-	sane := func(n Node) bool { return n.Capacity >= 0 && n.Capacity < unlimited }
-	for _, n := range f.Nodes {
+	sane := func(n Endpoint) bool { return n.Capacity >= 0 && n.Capacity < unlimited }
+	for _, n := range f.Endpoints {
 		if sane(n) && n.Capacity > 0 {
 			known = append(known, n.Capacity)
 		}
@@ -119,7 +119,7 @@
 		slices.Sort(known)
 		median = known[len(known)/2]
 	}
-	for j, n := range f.Nodes {
+	for j, n := range f.Endpoints {
 		c := n.Capacity
 		if !sane(n) || c > 1000*median {
 			c, guessed = median, append(guessed, j)
@@ -138,7 +138,7 @@
 const unlimited = 1e9
 
 // cost is the work that a req of a kind takes at a node; what is no number counts as 1.
-func (n *Node) cost(k int) float64 {
+func (n *Endpoint) cost(k int) float64 {
 	if len(n.Cost) == 0 || !(n.Cost[k] > 0) || math.IsInf(n.Cost[k], 0) {
 		return 1
 	}
@@ -147,15 +147,15 @@
 
 // byPayoff orders kinds by payoff for their mean cost, the best first.
 func (f *Fleet) byPayoff() []int {
-	order := make([]int, len(f.Kinds))
-	worth := make([]float64, len(f.Kinds))
+	order := make([]int, len(f.Classes))
+	worth := make([]float64, len(f.Classes))
 	for k := range order {
 		order[k] = k
 		cost := 0.0
-		for j := range f.Nodes {
-			cost += f.Nodes[j].cost(k)
+		for j := range f.Endpoints {
+			cost += f.Endpoints[j].cost(k)
 		}
-		worth[k] = f.Kinds[k].Payoff / cost
+		worth[k] = f.Classes[k].PriorityWeight / cost
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(worth[b], worth[a]) })
 	return order
@@ -167,13 +167,13 @@
 	return limit
 }
 
-// Open names the nodes that a kind of a user may go to, as Solve takes them: of its pod while that has one.
-func Open(f Fleet, user, kind int) []int {
+// OpenEndpoints names the nodes that a kind of a user may go to, as Solve takes them: of its pod while that has one.
+func OpenEndpoints(f Fleet, user, kind int) []int {
 	p := newProblem(&f)
 	p.limit = Limits(f)
-	key := setKey{kind: kind, zone: f.Users[user].Zone}
-	if len(f.Users[user].Pod) > 0 {
-		key.pod = f.Users[user].Pod[kind]
+	key := setKey{kind: kind, zone: f.Consumers[user].Zone}
+	if len(f.Consumers[user].Pod) > 0 {
+		key.pod = f.Consumers[user].Pod[kind]
 	}
 	return p.newSet(key, 1).nodes
 }
--- a/solver/fleets/baselines.go
+++ b/solver/fleets/baselines.go
@@ -25,12 +25,12 @@
 		x       float64
 	}
 	var puts []put
-	load := make([]float64, len(f.Nodes))
-	for u := range f.Users {
-		for k, rate := range f.Users[u].Demand {
+	load := make([]float64, len(f.Endpoints))
+	for u := range f.Consumers {
+		for k, rate := range f.Consumers[u].Demand {
 			weights := map[int]float64{}
 			open := map[int]bool{}
-			for _, j := range solver.Open(f, u, k) {
+			for _, j := range solver.OpenEndpoints(f, u, k) {
 				open[j] = true
 				switch way {
 				case Even:
@@ -39,21 +39,21 @@
 					weights[j] = limit[j]
 				}
 			}
-			if way == AsWanted && k < len(f.Users[u].Want) {
-				for _, l := range f.Users[u].Want[k] {
-					if !f.Nodes[l.Node].Closed { // drains are kept by any tables
-						weights[l.Node] += l.Weight
+			if way == AsWanted && k < len(f.Consumers[u].Wanted) {
+				for _, l := range f.Consumers[u].Wanted[k] {
+					if !f.Endpoints[l.Endpoint].Closed { // drains are kept by any tables
+						weights[l.Endpoint] += l.Weight
 					}
 				}
 			}
 			total := 0.0
-			for j := range f.Nodes {
+			for j := range f.Endpoints {
 				total += weights[j]
 			}
 			if total == 0 {
 				continue
 			}
-			for j := range f.Nodes {
+			for j := range f.Endpoints {
 				if weights[j] == 0 {
 					continue
 				}
@@ -71,16 +71,16 @@
 		if load[p.j] > limit[p.j] {
 			part = limit[p.j] / load[p.j]
 		}
-		sum += p.x * part * f.Kinds[p.k].Payoff
+		sum += p.x * part * f.Classes[p.k].PriorityWeight
 	}
 	return sum
 }
 
 func cost(f solver.Fleet, j, k int) float64 {
-	if len(f.Nodes[j].Cost) == 0 {
+	if len(f.Endpoints[j].Cost) == 0 {
 		return 1
 	}
-	return f.Nodes[j].Cost[k]
+	return f.Endpoints[j].Cost[k]
 }
 
 // Size is one measurement of Scale.
@@ -112,26 +112,26 @@
 			began := time.Now()
 			first := solver.Solve(f, nil)
 			size.ColdMs, size.ColdSteps = ms(began), first.Certificate.Steps
-			f.Nodes[0].Closed = true
+			f.Endpoints[0].Closed = true
 			began = time.Now()
 			second := solver.Solve(f, first.Certificate.Prices)
 			size.WarmMs, size.WarmSteps = ms(began), second.Certificate.Steps
 			size.Overload = Overload(f, second)
-			for u := range f.Users {
-				for k := range f.Kinds {
+			for u := range f.Consumers {
+				for k := range f.Classes {
 					before := map[int]float64{}
 					for _, l := range first.Weights[u][k] {
-						before[l.Node] = l.Weight
+						before[l.Endpoint] = l.Weight
 					}
 					if before[0] > 0 {
 						size.Touched++
 					}
 					changed := 0
 					for _, l := range second.Weights[u][k] {
-						if old := before[l.Node]; l.Weight < 0.85*old || l.Weight > old/0.85 {
+						if old := before[l.Endpoint]; l.Weight < 0.85*old || l.Weight > old/0.85 {
 							changed++
 						}
-						delete(before, l.Node)
+						delete(before, l.Endpoint)
 					}
 					changed += len(before)
 					size.Changed, size.Weights = size.Changed+changed, size.Weights+len(second.Weights[u][k])
--- a/solver/fleets/measure.go
+++ b/solver/fleets/measure.go
@@ -66,21 +66,21 @@
 			m.Feasible++
 			m.Unplaced = max(m.Unplaced, Unplaced(d.Fleet, s))
 		}
-		for u := range d.Users {
-			for k, rate := range d.Users[u].Demand {
-				if rate > 0 && len(solver.Open(d.Fleet, u, k)) > 0 {
+		for u := range d.Consumers {
+			for k, rate := range d.Consumers[u].Demand {
+				if rate > 0 && len(solver.OpenEndpoints(d.Fleet, u, k)) > 0 {
 					m.LeastLetIn = min(m.LeastLetIn, s.Admit[u][k])
 				}
 			}
 		}
-		best := s.Certificate.Payoff
+		best := s.Certificate.PriorityWeight
 		if oracle {
 			optimum, err := Optimum(d.Fleet)
 			if err != nil || optimum <= 0 {
 				continue
 			}
 			m.Optima++
-			r := s.Certificate.Payoff / optimum
+			r := s.Certificate.PriorityWeight / optimum
 			if ratios = append(ratios, r); r < worst {
 				worst, m.WorstCase = r, d.Case
 			}
@@ -126,16 +126,16 @@
 // Overload is the largest offered load over a node's limit, by the weights and admissions themselves and not by the
 // certificate. Any load on a node that may get none is endless.
 func Overload(f solver.Fleet, s solver.Solution) float64 {
-	limit, load, worst := solver.Limits(f), make([]float64, len(f.Nodes)), 0.0
-	for u := range f.Users {
-		for k, rate := range f.Users[u].Demand {
+	limit, load, worst := solver.Limits(f), make([]float64, len(f.Endpoints)), 0.0
+	for u := range f.Consumers {
+		for k, rate := range f.Consumers[u].Demand {
 			for _, l := range s.Weights[u][k] {
 				cost := 1.0
-				if len(f.Nodes[l.Node].Cost) > 0 {
-					cost = f.Nodes[l.Node].Cost[k]
+				if len(f.Endpoints[l.Endpoint].Cost) > 0 {
+					cost = f.Endpoints[l.Endpoint].Cost[k]
 				}
-				load[l.Node] += rate * s.Admit[u][k] * l.Weight * cost
-				if rate > 0 && l.Weight > 0 && !slices.Contains(solver.Open(f, u, k), l.Node) {
+				load[l.Endpoint] += rate * s.Admit[u][k] * l.Weight * cost
+				if rate > 0 && l.Weight > 0 && !slices.Contains(solver.OpenEndpoints(f, u, k), l.Endpoint) {
 					return math.Inf(1)
 				}
 			}
@@ -152,8 +152,8 @@
 // Unplaced is the part of all demand that is not served.
 func Unplaced(f solver.Fleet, s solver.Solution) float64 {
 	all, left := 0.0, 0.0
-	for u := range f.Users {
-		for k, rate := range f.Users[u].Demand {
+	for u := range f.Consumers {
+		for k, rate := range f.Consumers[u].Demand {
 			sum := 0.0
 			for _, l := range s.Weights[u][k] {
 				sum += l.Weight
--- a/solver/fleets/oracle.go
+++ b/solver/fleets/oracle.go
@@ -20,9 +20,9 @@
 		rate  float64
 	}
 	var sets []*set
-	for u := range f.Users {
-		for k, rate := range f.Users[u].Demand {
-			open := solver.Open(f, u, k)
+	for u := range f.Consumers {
+		for k, rate := range f.Consumers[u].Demand {
+			open := solver.OpenEndpoints(f, u, k)
 			i := slices.IndexFunc(sets, func(s *set) bool { return s.kind == k && slices.Equal(s.nodes, open) })
 			if i < 0 {
 				i = len(sets)
@@ -31,7 +31,7 @@
 			sets[i].rate += rate
 		}
 	}
-	vars, rows := 0, len(sets)+len(f.Nodes)
+	vars, rows := 0, len(sets)+len(f.Endpoints)
 	for _, s := range sets {
 		vars += len(s.nodes)
 	}
@@ -47,11 +47,11 @@
 		for _, j := range s.nodes {
 			a.Set(i, v, 1)
 			cost := 1.0
-			if len(f.Nodes[j].Cost) > 0 {
-				cost = f.Nodes[j].Cost[s.kind]
+			if len(f.Endpoints[j].Cost) > 0 {
+				cost = f.Endpoints[j].Cost[s.kind]
 			}
 			a.Set(len(sets)+j, v, cost)
-			c[v] = -f.Kinds[s.kind].Payoff
+			c[v] = -f.Classes[s.kind].PriorityWeight
 			v++
 		}
 	}
--- a/solver/judge.go
+++ b/solver/judge.go
@@ -9,7 +9,7 @@
 	"porthub/control"
 )
 
-// Judge tells which node fails which request kind while it serves others. It is given what was met at each node by
+// ClassHealth tells which node fails which request kind while it serves others. It is given what was met at each node by
 // kind, once a round, and keeps little: two counts for each pair, halved each round.
 //
 // A pair is held against what its peers make of the same kind (the lower quartile of the nodes' error parts, so that
@@ -17,7 +17,7 @@
 // everything is the decision module's to judge). It fails once what was met is a thousand times likelier from a node
 // that fails than from one that does as its peers do. Where the kind is down everywhere the peers are down as well,
 // and nobody is judged.
-type Judge struct {
+type ClassHealth struct {
 	kinds int
 	pairs map[pair]*record
 	blind []bool // by kind: marks are passed over
@@ -45,14 +45,14 @@
 	trial         // a tenth of its weight, until it has shown itself
 )
 
-// Verdict is how a pair stands.
-type Verdict int
+// ClassStatus is how a pair stands.
+type ClassStatus int
 
 // The verdicts.
 const (
-	Serves Verdict = iota
-	Trial
-	Fails
+	ClassHealthy ClassStatus = iota
+	ClassOnTrial
+	ClassFailing
 )
 
 const (
@@ -66,14 +66,14 @@
 	wellLeast   = 0.2 // with a smaller part of the nodes well for a kind, marks are passed over
 )
 
-// NewJudge starts a judge of so many kinds.
-func NewJudge(kinds int) *Judge {
-	return &Judge{kinds: kinds, pairs: map[pair]*record{}, blind: make([]bool, kinds)}
+// NewClassHealth starts a judge of so many kinds.
+func NewClassHealth(kinds int) *ClassHealth {
+	return &ClassHealth{kinds: kinds, pairs: map[pair]*record{}, blind: make([]bool, kinds)}
 }
 
 // Round closes a round: heard is what was met since the last one, ready who is listed as ready. It returns a line for
 // each change, with the figures that caused it.
-func (j *Judge) Round(now control.Microseconds, heard []control.EndpointClassLoad, ready []control.EndpointID) (lines []string) {
+func (j *ClassHealth) Round(now control.Microseconds, heard []control.EndpointClassLoad, ready []control.EndpointID) (lines []string) {
 	for _, r := range j.pairs {
 		r.tries, r.errored = r.tries/2, r.errored/2
 	}
@@ -119,7 +119,7 @@
 }
 
 // peers is the error part that a kind has at the nodes that do best by it.
-func (j *Judge) peers(k int, ready []control.EndpointID) float64 {
+func (j *ClassHealth) peers(k int, ready []control.EndpointID) float64 {
 	var parts []float64
 	for _, b := range ready {
 		if r := j.pairs[pair{b, k}]; r != nil && r.tries >= 2 {
@@ -134,7 +134,7 @@
 }
 
 // others is the error part that a node has by all other kinds, with a little doubt where few were met.
-func (j *Judge) others(b control.EndpointID, k int) float64 {
+func (j *ClassHealth) others(b control.EndpointID, k int) float64 {
 	tries, errored := 0.0, 0.0
 	for o := range j.kinds {
 		if r := j.pairs[pair{b, o}]; r != nil && o != k {
@@ -147,7 +147,7 @@
 	return errored / tries
 }
 
-func (j *Judge) judge(now control.Microseconds, b control.EndpointID, k int, r *record, peers float64) string {
+func (j *ClassHealth) judge(now control.Microseconds, b control.EndpointID, k int, r *record, peers float64) string {
 	switch r.state {
 	case failing:
 		if now >= r.retryAt {
@@ -190,13 +190,13 @@
 	return errored*math.Log(q/base) + (tries-errored)*math.Log((1-q)/(1-base))
 }
 
-func (j *Judge) fail(now control.Microseconds, r *record) {
+func (j *ClassHealth) fail(now control.Microseconds, r *record) {
 	r.backoff = min(lastRetry, max(firstRetry, 2*r.backoff))
 	r.state, r.since, r.retryAt = failing, now, now+r.backoff
 }
 
 // look passes marks over where too few nodes are left for a kind: the fault is likelier one that all share.
-func (j *Judge) look(k int, ready []control.EndpointID) string {
+func (j *ClassHealth) look(k int, ready []control.EndpointID) string {
 	left := 0
 	for _, b := range ready {
 		if r := j.pairs[pair{b, k}]; r == nil || r.state != failing {
@@ -211,49 +211,49 @@
 }
 
 // Forget drops all that is held against a node: another process under its name is judged anew.
-func (j *Judge) Forget(b control.EndpointID) {
+func (j *ClassHealth) Forget(b control.EndpointID) {
 	for k := range j.kinds {
 		delete(j.pairs, pair{b, k})
 	}
 }
 
-// Verdict tells how a node stands with a kind.
-func (j *Judge) Verdict(b control.EndpointID, k int) Verdict {
+// ClassStatus tells how a node stands with a kind.
+func (j *ClassHealth) Status(b control.EndpointID, k int) ClassStatus {
 	r := j.pairs[pair{b, k}]
 	switch {
 	case r == nil || r.state == well || j.blind[k]:
-		return Serves
+		return ClassHealthy
 	case r.state == trial:
-		return Trial
+		return ClassOnTrial
 	default:
-		return Fails
+		return ClassFailing
 	}
 }
 
-// Mark is held against a node for a kind.
-type Mark struct {
-	Node    control.EndpointID   `json:"node"`
-	Kind    int                  `json:"kind"`
-	Backoff control.Microseconds `json:"backoff_us"`
+// Ejection is held against a node for a kind.
+type Ejection struct {
+	Endpoint control.EndpointID   `json:"node"`
+	Class    int                  `json:"kind"`
+	Backoff  control.Microseconds `json:"backoff_us"`
 }
 
-// Marks lists what is held against nodes, on trial ones too, in the order of their names.
-func (j *Judge) Marks() (marks []Mark) {
+// Ejections lists what is held against nodes, on trial ones too, in the order of their names.
+func (j *ClassHealth) Ejections() (marks []Ejection) {
 	for p, r := range j.pairs {
 		if r.state != well {
-			marks = append(marks, Mark{p.node, p.kind, r.backoff})
+			marks = append(marks, Ejection{p.node, p.kind, r.backoff})
 		}
 	}
-	slices.SortFunc(marks, func(a, b Mark) int { return cmp.Or(cmp.Compare(a.Node, b.Node), a.Kind-b.Kind) })
+	slices.SortFunc(marks, func(a, b Ejection) int { return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), a.Class-b.Class) })
 	return marks
 }
 
-// Recall puts nodes that had marks before on trial: by a tenth of their weight a few reqs soon tell. The backoff counts on
+// Restore puts nodes that had marks before on trial: by a tenth of their weight a few reqs soon tell. The backoff counts on
 // if one fails again.
-func (j *Judge) Recall(now control.Microseconds, marks []Mark) {
+func (j *ClassHealth) Restore(now control.Microseconds, marks []Ejection) {
 	for _, m := range marks {
-		if m.Kind >= 0 && m.Kind < j.kinds {
-			j.pairs[pair{m.Node, m.Kind}] = &record{state: trial, since: now, backoff: min(max(m.Backoff, firstRetry), lastRetry)}
+		if m.Class >= 0 && m.Class < j.kinds {
+			j.pairs[pair{m.Endpoint, m.Class}] = &record{state: trial, since: now, backoff: min(max(m.Backoff, firstRetry), lastRetry)}
 		}
 	}
 }
--- a/solver/keeper.go
+++ b/solver/keeper.go
@@ -7,21 +7,21 @@
 	"slices"
 )
 
-// Keeper decides when the solver's answer acts. The weights wanted pass untouched while they keep the limits; the
+// Activation decides when the solver's answer acts. The weights wanted pass untouched while they keep the limits; the
 // departure begins when they clearly don't, ends when they have clearly kept them for a while, and moves a bounded
 // number of tables in one round.
-type Keeper struct {
+type Activation struct {
 	acting bool
 	over   int // rounds in a row that the limits were broken
 	fine   int // rounds in a row that they were kept
 	prices map[string]float64
-	tables map[Key]Table
+	tables map[TableKey]Table
 }
 
-// Key names one kind's table of a user.
-type Key struct {
-	User string
-	Kind int
+// TableKey names one kind's table of a user.
+type TableKey struct {
+	Consumer string
+	Class    int
 }
 
 // Table is what acts in place of the weights wanted: weights by node name, and the part of demand let in.
@@ -32,15 +32,15 @@
 
 // Round is what a round of the keeper came to.
 type Round struct {
-	Acting bool
+	Active bool
 	// Tables act in place of what is wanted; what is not named here passes as wanted.
-	Tables map[Key]Table
+	Tables map[TableKey]Table
 	Moved  int // tables that changed in this round
-	// Worst is the largest load over a limit that the weights wanted would bring, and At where.
-	Worst       float64
-	At          string
-	Certificate *Certificate
-	Lines       []string // changes of mode, with their figures
+	// WorstUtilization is the largest load over a limit that the weights wanted would bring, and At where.
+	WorstUtilization float64
+	WorstEndpoint    string
+	Certificate      *Certificate
+	Log              []string // changes of mode, with their figures
 }
 
 const (
@@ -54,18 +54,18 @@
 	admitMargin = 0.05
 )
 
-// NewKeeper starts with nothing acting.
-func NewKeeper() *Keeper {
-	return &Keeper{prices: map[string]float64{}, tables: map[Key]Table{}}
+// NewActivation starts with nothing acting.
+func NewActivation() *Activation {
+	return &Activation{prices: map[string]float64{}, tables: map[TableKey]Table{}}
 }
 
 // Step takes a round's fleet, the weights wanted in it. A table that holds a line for a node that fails the kind, or a
 // cold node over its budget, does not wait for load to show. While hold is set what acts goes on acting: somebody is on
 // trial.
-func (k *Keeper) Step(f Fleet, hold bool) Round {
+func (k *Activation) Step(f Fleet, hold bool) Round {
 	r := Round{}
 	worst, at, urgent := offered(f)
-	r.Worst, r.At = worst, at
+	r.WorstUtilization, r.WorstEndpoint = worst, at
 	if worst > enterOver {
 		k.over++
 	} else {
@@ -83,18 +83,18 @@
 			why = fmt.Sprintf("%s would be offered %.2f of its limit", at, worst)
 		}
 		k.acting = true
-		r.Lines = append(r.Lines, "solver acts: "+why)
+		r.Log = append(r.Log, "solver acts: "+why)
 	case k.acting && k.fine >= leaveFor:
 		k.acting, k.over = false, 0
 		r.Moved = len(k.tables)
 		clear(k.tables)
-		r.Lines = append(r.Lines, fmt.Sprintf("solver rests: %s is offered the most, %.2f of its limit", at, worst))
+		r.Log = append(r.Log, fmt.Sprintf("solver rests: %s is offered the most, %.2f of its limit", at, worst))
 	}
-	if r.Acting = k.acting; !k.acting {
+	if r.Active = k.acting; !k.acting {
 		return r
 	}
-	warm := make([]float64, len(f.Nodes))
-	for j, n := range f.Nodes {
+	warm := make([]float64, len(f.Endpoints))
+	for j, n := range f.Endpoints {
 		warm[j] = k.prices[n.Name]
 	}
 	if len(k.prices) == 0 {
@@ -103,7 +103,7 @@
 	s := Solve(f, warm)
 	r.Certificate = &s.Certificate
 	clear(k.prices)
-	for j, n := range f.Nodes {
+	for j, n := range f.Endpoints {
 		k.prices[n.Name] = s.Certificate.Prices[j]
 	}
 	r.Moved = k.move(f, s)
@@ -114,22 +114,22 @@
 // offered finds the largest load over a limit that the weights wanted bring, and what can't wait.
 func offered(f Fleet) (worst float64, at, urgent string) {
 	limit, _ := f.limits()
-	load := make([]float64, len(f.Nodes))
-	for u := range f.Users {
-		user := &f.Users[u]
+	load := make([]float64, len(f.Endpoints))
+	for u := range f.Consumers {
+		user := &f.Consumers[u]
 		for k, rate := range user.Demand {
-			if rate <= 0 || k >= len(user.Want) {
+			if rate <= 0 || k >= len(user.Wanted) {
 				continue
 			}
 			total := 0.0
-			for _, l := range user.Want[k] {
+			for _, l := range user.Wanted[k] {
 				total += l.Weight
 			}
-			for _, l := range user.Want[k] {
-				n := &f.Nodes[l.Node]
-				load[l.Node] += rate * l.Weight / max(total, 1e-12) * n.cost(k)
+			for _, l := range user.Wanted[k] {
+				n := &f.Endpoints[l.Endpoint]
+				load[l.Endpoint] += rate * l.Weight / max(total, 1e-12) * n.cost(k)
 				if len(n.Failing) > 0 && n.Failing[k] && l.Weight > 0 && urgent == "" {
-					urgent = fmt.Sprintf("%s fails %s and stands in %s's table", n.Name, f.Kinds[k].Name, user.Name)
+					urgent = fmt.Sprintf("%s fails %s and stands in %s's table", n.Name, f.Classes[k].Name, user.Name)
 				}
 			}
 		}
@@ -140,10 +140,10 @@
 		}
 		ratio := l / limit[j]
 		if ratio > worst {
-			worst, at = ratio, f.Nodes[j].Name
+			worst, at = ratio, f.Endpoints[j].Name
 		}
-		if f.Nodes[j].Limit > 0 && f.Nodes[j].Limit < 1 && ratio > 1/f.Nodes[j].Limit && urgent == "" {
-			urgent = fmt.Sprintf("%s is cold and would be offered %.2f of its budget", f.Nodes[j].Name, ratio)
+		if f.Endpoints[j].Limit > 0 && f.Endpoints[j].Limit < 1 && ratio > 1/f.Endpoints[j].Limit && urgent == "" {
+			urgent = fmt.Sprintf("%s is cold and would be offered %.2f of its budget", f.Endpoints[j].Name, ratio)
 		}
 	}
 	return worst, at, urgent
@@ -151,27 +151,27 @@
 
 // move brings the tables that act nearer to the solution: those first that take the most load off where it is too
 // much, so many in a round.
-func (k *Keeper) move(f Fleet, s Solution) (moved int) {
+func (k *Activation) move(f Fleet, s Solution) (moved int) {
 	type change struct {
-		key  Key
+		key  TableKey
 		to   Table
 		gain float64
 	}
 	var changes []change
-	seen := map[Key]bool{}
+	seen := map[TableKey]bool{}
 	all := 0
-	for u := range f.Users {
-		user := &f.Users[u]
+	for u := range f.Consumers {
+		user := &f.Consumers[u]
 		for kind, rate := range user.Demand {
 			if rate <= 0 || len(s.Weights[u][kind]) == 0 {
 				continue // nothing is asked for, or nothing is open: what is wanted stays
 			}
 			all++
-			key := Key{user.Name, kind}
+			key := TableKey{user.Name, kind}
 			seen[key] = true
 			to := Table{Weights: map[string]float64{}, Admit: s.Admit[u][kind]}
 			for _, l := range s.Weights[u][kind] {
-				to.Weights[f.Nodes[l.Node].Name] = l.Weight
+				to.Weights[f.Endpoints[l.Endpoint].Name] = l.Weight
 			}
 			now, acts := k.tables[key]
 			if !acts {
@@ -197,14 +197,14 @@
 	return moved
 }
 
-func wanted(f Fleet, user *User, kind int) Table {
+func wanted(f Fleet, user *Consumer, kind int) Table {
 	t := Table{Weights: map[string]float64{}, Admit: 1}
 	total := 0.0
-	for _, l := range user.Want[kind] {
+	for _, l := range user.Wanted[kind] {
 		total += l.Weight
 	}
-	for _, l := range user.Want[kind] {
-		t.Weights[f.Nodes[l.Node].Name] += l.Weight / max(total, 1e-12)
+	for _, l := range user.Wanted[kind] {
+		t.Weights[f.Endpoints[l.Endpoint].Name] += l.Weight / max(total, 1e-12)
 	}
 	return t
 }
--- a/solver/place.go
+++ b/solver/place.go
@@ -37,7 +37,7 @@
 			at[j] += x
 		}
 		for _, l := range d.lines {
-			put(l.Node, in*l.Weight*e[l.Node])
+			put(l.Endpoint, in*l.Weight*e[l.Endpoint])
 		}
 		if d.out > 0 && d.out*s.sum > least*d.z {
 			for n, j := range s.nodes {
@@ -49,7 +49,7 @@
 			at[j] = 0
 		}
 		for _, l := range lots[i] {
-			load[l.node] += l.x * f.Nodes[l.node].cost(d.kind)
+			load[l.node] += l.x * f.Endpoints[l.node].cost(d.kind)
 		}
 	}
 	// F-NORM: what a node is offered is divided by its over-capacity ratio.
@@ -116,7 +116,7 @@
 // nodes: they have the least choice. Each is spread by room, so that no node gets it all.
 func (p *problem) fill(lots [][]lot, load []float64, upTo float64) {
 	f := p.f
-	rank := make([]int, len(f.Kinds))
+	rank := make([]int, len(f.Classes))
 	for i, k := range f.byPayoff() {
 		rank[k] = i
 	}
@@ -145,7 +145,7 @@
 		for _, s := range slices.Sorted(maps.Keys(bySet)) {
 			set, room := &p.sets[s], 0.0
 			for _, j := range set.nodes {
-				room += max(0, upTo*p.limit[j]-load[j]) / f.Nodes[j].cost(set.kind)
+				room += max(0, upTo*p.limit[j]-load[j]) / f.Endpoints[j].cost(set.kind)
 			}
 			part := min(1, room/bySet[s])
 			if part <= 1e-9 {
@@ -153,7 +153,7 @@
 			}
 			// Each takes what it is due from the nodes with the most room, so that few lines are added.
 			byRoom := slices.Clone(set.nodes)
-			free := func(j int) float64 { return max(0, upTo*p.limit[j]-load[j]) / f.Nodes[j].cost(set.kind) }
+			free := func(j int) float64 { return max(0, upTo*p.limit[j]-load[j]) / f.Endpoints[j].cost(set.kind) }
 			slices.SortStableFunc(byRoom, func(a, b int) int { return cmp.Compare(free(b), free(a)) })
 			next := 0
 			for _, i := range order[start:end] {
@@ -166,7 +166,7 @@
 					x := min(due, free(j))
 					if x > 0 {
 						lots[i] = add(lots[i], lot{j, x})
-						load[j] += x * f.Nodes[j].cost(set.kind)
+						load[j] += x * f.Endpoints[j].cost(set.kind)
 						due -= x
 					}
 					if due > 1e-9*d.rate {
@@ -198,17 +198,17 @@
 		if s.Admit[d.user][d.kind] = min(1, sum/d.rate); s.Admit[d.user][d.kind] > 1-1e-6 {
 			s.Admit[d.user][d.kind] = 1
 		}
-		c.Payoff += sum * p.payoff[d.kind]
-		c.Away[d.kind] += max(0, d.rate-sum)
+		c.PriorityWeight += sum * p.payoff[d.kind]
+		c.Shed[d.kind] += max(0, d.rate-sum)
 		for _, l := range lots[i] {
 			if sum > 0 && l.x > 0 {
 				s.Weights[d.user][d.kind] = append(s.Weights[d.user][d.kind], Share{l.node, l.x / sum})
-				c.Load[l.node] += l.x * f.Nodes[l.node].cost(d.kind)
+				c.Load[l.node] += l.x * f.Endpoints[l.node].cost(d.kind)
 			}
 		}
 	}
 	c.Bound = p.bound()
-	c.Why = p.why(c.Away)
+	c.Reason = p.why(c.Shed)
 	return s
 }
 
@@ -222,7 +222,7 @@
 	for i, s := range p.sets {
 		best[i] = math.Inf(-1)
 		for _, j := range s.nodes {
-			best[i] = max(best[i], p.payoff[s.kind]-p.f.Nodes[j].cost(s.kind)*p.price[j])
+			best[i] = max(best[i], p.payoff[s.kind]-p.f.Endpoints[j].cost(s.kind)*p.price[j])
 		}
 	}
 	all := 0.0
@@ -253,7 +253,7 @@
 		if nowhere > 0.99*a {
 			why = "no open node"
 		}
-		parts = append(parts, fmt.Sprintf("%s: %.3g of %.3g reqs a second turned away: %s", p.f.Kinds[k].Name, a, asked[k], why))
+		parts = append(parts, fmt.Sprintf("%s: %.3g of %.3g reqs a second turned away: %s", p.f.Classes[k].Name, a, asked[k], why))
 	}
 	if parts == nil {
 		return "all fits once weights are moved"
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -24,13 +24,13 @@
 	// Residual is the largest overload that the prices left before F-NORM, as a part of the limit.
 	Residual float64 `json:"residual"`
 	Steps    int     `json:"steps"`
-	// Payoff a second that is placed, and a bound that no placement whatever exceeds: by weak duality,
+	// PriorityWeight a second that is placed, and a bound that no placement whatever exceeds: by weak duality,
 	// sum(limit·price) + sum(demand·max(0, payoff - cost·price)).
-	Payoff float64 `json:"payoff"`
-	Bound  float64 `json:"bound"`
-	// Away is the demand turned away, reqs a second by kind, and Why in words.
-	Away []float64 `json:"away"`
-	Why  string    `json:"why"`
+	PriorityWeight float64 `json:"payoff"`
+	Bound          float64 `json:"bound"`
+	// Shed is the demand turned away, reqs a second by kind, and Why in words.
+	Shed   []float64 `json:"away"`
+	Reason string    `json:"why"`
 	// Guessed are nodes whose stated capacity made no sense and was taken as the median.
 	Guessed []int `json:"guessed,omitempty"`
 }
@@ -105,7 +105,7 @@
 		s.Certificate.Guessed = guessed
 		return s
 	}
-	started := len(warm) == len(f.Nodes)
+	started := len(warm) == len(f.Endpoints)
 	if started {
 		for j, price := range warm {
 			if price >= 0 && !math.IsInf(price, 0) {
@@ -114,8 +114,8 @@
 		}
 	}
 	lowest := math.Inf(1)
-	for _, k := range f.Kinds {
-		lowest = min(lowest, k.Payoff)
+	for _, k := range f.Classes {
+		lowest = min(lowest, k.PriorityWeight)
 	}
 	steps, residual := 0, 0.0
 	for i, sharp := range sharpness {
@@ -143,10 +143,10 @@
 }
 
 func newProblem(f *Fleet) *problem {
-	p := &problem{f: f, price: make([]float64, len(f.Nodes)), load: make([]float64, len(f.Nodes)), slope: make([]float64, len(f.Nodes))}
-	for _, k := range f.Kinds {
-		p.e = append(p.e, make([]float64, len(f.Nodes)))
-		p.payoff = append(p.payoff, k.Payoff)
+	p := &problem{f: f, price: make([]float64, len(f.Endpoints)), load: make([]float64, len(f.Endpoints)), slope: make([]float64, len(f.Endpoints))}
+	for _, k := range f.Classes {
+		p.e = append(p.e, make([]float64, len(f.Endpoints)))
+		p.payoff = append(p.payoff, k.PriorityWeight)
 	}
 	return p
 }
@@ -156,13 +156,13 @@
 	f := p.f
 	limit, guessed := f.limits()
 	p.limit = limit
-	cross := f.Cross
+	cross := f.CrossZonePenalty
 	if cross <= 0 {
 		cross = 1
 	}
 	index, work, can := map[setKey]int{}, 0.0, 0.0
-	for u := range f.Users {
-		user := &f.Users[u]
+	for u := range f.Consumers {
+		user := &f.Consumers[u]
 		for k, rate := range user.Demand {
 			if rate <= 0 {
 				continue
@@ -178,10 +178,10 @@
 				p.sets = append(p.sets, p.newSet(key, cross))
 			}
 			d := demand{user: u, kind: k, set: s, rate: rate, out: outside}
-			if k < len(user.Want) {
+			if k < len(user.Wanted) {
 				total := 0.0
-				for _, l := range user.Want[k] {
-					if l.Weight > 0 && p.limit[l.Node] > 0 && has(p.sets[s].nodes, l.Node) {
+				for _, l := range user.Wanted[k] {
+					if l.Weight > 0 && p.limit[l.Endpoint] > 0 && has(p.sets[s].nodes, l.Endpoint) {
 						d.lines = append(d.lines, l)
 						total += l.Weight
 					}
@@ -198,7 +198,7 @@
 			}
 			mean := 0.0
 			for _, j := range p.sets[s].nodes {
-				mean += f.Nodes[j].cost(k) / float64(len(p.sets[s].nodes))
+				mean += f.Endpoints[j].cost(k) / float64(len(p.sets[s].nodes))
 			}
 			work += rate * mean
 			p.demands = append(p.demands, d)
@@ -214,10 +214,10 @@
 func (p *problem) newSet(key setKey, cross float64) set {
 	find := func(pod int) set {
 		s, total := set{kind: key.kind}, 0.0
-		for j := range p.f.Nodes {
-			if p.limit[j] > 0 && p.f.open(j, key.kind, key.zone) && (pod == 0 || p.f.Nodes[j].Pod == pod) {
+		for j := range p.f.Endpoints {
+			if p.limit[j] > 0 && p.f.open(j, key.kind, key.zone) && (pod == 0 || p.f.Endpoints[j].Pod == pod) {
 				w := p.limit[j]
-				if p.f.Nodes[j].Zone != key.zone {
+				if p.f.Endpoints[j].Zone != key.zone {
 					w /= cross
 				}
 				s.nodes, s.prior, total = append(s.nodes, j), append(s.prior, w), total+w
@@ -239,13 +239,13 @@
 func (p *problem) untouched() (Solution, bool) {
 	load := make([]float64, len(p.limit))
 	for _, d := range p.demands {
-		user := &p.f.Users[d.user]
-		if d.kind >= len(user.Want) {
+		user := &p.f.Consumers[d.user]
+		if d.kind >= len(user.Wanted) {
 			return Solution{}, false
 		}
 		total := 0.0
-		for _, l := range user.Want[d.kind] {
-			if l.Weight > 0 && !has(p.sets[d.set].nodes, l.Node) {
+		for _, l := range user.Wanted[d.kind] {
+			if l.Weight > 0 && !has(p.sets[d.set].nodes, l.Endpoint) {
 				return Solution{}, false
 			}
 			total += l.Weight
@@ -253,8 +253,8 @@
 		if total <= 0 {
 			return Solution{}, false
 		}
-		for _, l := range user.Want[d.kind] {
-			load[l.Node] += d.rate * l.Weight / total * p.f.Nodes[l.Node].cost(d.kind)
+		for _, l := range user.Wanted[d.kind] {
+			load[l.Endpoint] += d.rate * l.Weight / total * p.f.Endpoints[l.Endpoint].cost(d.kind)
 		}
 	}
 	for j := range load {
@@ -264,10 +264,10 @@
 	}
 	s := p.empty()
 	s.Untouched = true
-	s.Certificate.Load, s.Certificate.Why = load, "all fits as wanted"
+	s.Certificate.Load, s.Certificate.Reason = load, "all fits as wanted"
 	for _, d := range p.demands {
 		var lines []Share
-		for _, l := range p.f.Users[d.user].Want[d.kind] {
+		for _, l := range p.f.Consumers[d.user].Wanted[d.kind] {
 			if l.Weight > 0 {
 				lines = append(lines, l)
 			}
@@ -280,20 +280,20 @@
 			lines[i].Weight /= total
 		}
 		s.Weights[d.user][d.kind] = lines
-		s.Certificate.Payoff += d.rate * p.payoff[d.kind]
+		s.Certificate.PriorityWeight += d.rate * p.payoff[d.kind]
 	}
-	s.Certificate.Bound = s.Certificate.Payoff
+	s.Certificate.Bound = s.Certificate.PriorityWeight
 	return s, true
 }
 
 func (p *problem) empty() Solution {
-	s := Solution{Weights: make([][][]Share, len(p.f.Users)), Admit: make([][]float64, len(p.f.Users))}
-	for u := range p.f.Users {
-		s.Weights[u] = make([][]Share, len(p.f.Kinds))
-		s.Admit[u] = slices.Repeat([]float64{1}, len(p.f.Kinds))
+	s := Solution{Weights: make([][][]Share, len(p.f.Consumers)), Admit: make([][]float64, len(p.f.Consumers))}
+	for u := range p.f.Consumers {
+		s.Weights[u] = make([][]Share, len(p.f.Classes))
+		s.Admit[u] = slices.Repeat([]float64{1}, len(p.f.Classes))
 	}
 	s.Certificate = Certificate{Load: make([]float64, len(p.limit)), Limit: slices.Clone(p.limit), Prices: slices.Clone(p.price),
-		Away: make([]float64, len(p.f.Kinds))}
+		Shed: make([]float64, len(p.f.Classes))}
 	return s
 }
 
@@ -302,8 +302,8 @@
 func (p *problem) evaluate(beta float64) float64 {
 	f := p.f
 	for k := range p.e {
-		for j := range f.Nodes {
-			p.e[k][j] = math.Exp(-min(600, beta*f.Nodes[j].cost(k)*p.price[j]))
+		for j := range f.Endpoints {
+			p.e[k][j] = math.Exp(-min(600, beta*f.Endpoints[j].cost(k)*p.price[j]))
 		}
 	}
 	clear(p.load)
@@ -320,7 +320,7 @@
 		s, e := &p.sets[d.set], p.e[d.kind]
 		d.z = d.out * s.sum
 		for _, l := range d.lines {
-			d.z += l.Weight * e[l.Node]
+			d.z += l.Weight * e[l.Endpoint]
 		}
 		if d.z <= 0 {
 			d.share = 0
@@ -331,17 +331,17 @@
 		in := d.rate * d.share / d.z
 		s.users += in * d.out
 		for _, l := range d.lines {
-			c := f.Nodes[l.Node].cost(d.kind)
-			x := in * l.Weight * e[l.Node]
-			p.load[l.Node] += c * x
+			c := f.Endpoints[l.Endpoint].cost(d.kind)
+			x := in * l.Weight * e[l.Endpoint]
+			p.load[l.Endpoint] += c * x
 			// What leaves the node goes to the user's other nodes or away; the floor keeps a sole node from a slope of 0.
-			p.slope[l.Node] += c * c * x * max(0.1, 1-x/d.rate)
+			p.slope[l.Endpoint] += c * c * x * max(0.1, 1-x/d.rate)
 		}
 	}
 	for i := range p.sets {
 		s := &p.sets[i]
 		for n, j := range s.nodes {
-			c := f.Nodes[j].cost(s.kind)
+			c := f.Endpoints[j].cost(s.kind)
 			x := s.users * s.prior[n] * p.e[s.kind][j]
 			p.load[j] += c * x
 			p.slope[j] += c * c * x
--- a/solver/solver_test.go
+++ b/solver/solver_test.go
@@ -56,8 +56,8 @@
 			t.Fatalf("offered %.4f of a limit", over)
 		}
 		payoff := 0.0
-		for u := range f.Users {
-			for k, rate := range f.Users[u].Demand {
+		for u := range f.Consumers {
+			for k, rate := range f.Consumers[u].Demand {
 				sum := 0.0
 				for _, l := range s.Weights[u][k] {
 					if !(l.Weight > 0) || l.Weight > 1+1e-9 {
@@ -68,12 +68,12 @@
 				if a := s.Admit[u][k]; a < 0 || a > 1 || rate > 0 && a > 0 && math.Abs(sum-1) > 1e-6 && !(sum == 0 && a <= 1e-6) {
 					t.Fatalf("user %d, kind %d: let in %v, weights sum to %v", u, k, a, sum)
 				}
-				payoff += rate * s.Admit[u][k] * f.Kinds[k].Payoff
+				payoff += rate * s.Admit[u][k] * f.Classes[k].PriorityWeight
 			}
 		}
 		c := s.Certificate
-		if math.Abs(payoff-c.Payoff) > 1e-6*(1+payoff) || c.Payoff > c.Bound*1.03+1e-9 {
-			t.Fatalf("payoff %v, certificate %v, bound %v", payoff, c.Payoff, c.Bound)
+		if math.Abs(payoff-c.PriorityWeight) > 1e-6*(1+payoff) || c.PriorityWeight > c.Bound*1.03+1e-9 {
+			t.Fatalf("payoff %v, certificate %v, bound %v", payoff, c.PriorityWeight, c.Bound)
 		}
 		for j, p := range c.Prices {
 			if p < 0 || math.IsNaN(p) || math.IsInf(p, 0) || c.Limit[j] != limit[j] {
@@ -93,14 +93,14 @@
 	number := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
 	zones, kinds := number("zones", 1, 3), number("kinds", 1, 3)
 	for k := range kinds {
-		kind := solver.Kind{Name: fmt.Sprint("k", k), Payoff: float64(number("payoff", 1, 5)), OwnZone: number("own", 0, 9) == 0}
+		kind := solver.Class{Name: fmt.Sprint("k", k), PriorityWeight: float64(number("payoff", 1, 5)), LocalZoneOnly: number("own", 0, 9) == 0}
 		if number("bound", 0, 5) == 0 {
-			kind.OnlyZones = []string{"z0"}
+			kind.AllowedZones = []string{"z0"}
 		}
-		f.Kinds = append(f.Kinds, kind)
+		f.Classes = append(f.Classes, kind)
 	}
 	for j := range number("nodes", 1, 8) {
-		n := solver.Node{Name: fmt.Sprint("n", j), Zone: fmt.Sprint("z", j%zones), Pod: number("pod", 1, 3),
+		n := solver.Endpoint{Name: fmt.Sprint("n", j), Zone: fmt.Sprint("z", j%zones), Pod: number("pod", 1, 3),
 			Capacity: rapid.SampledFrom([]float64{0, 0.01, 1, 2, 5, 10, 1e9, math.NaN(), math.Inf(1), -1}).Draw(t, "capacity"),
 			Closed:   number("closed", 0, 5) == 0, Limit: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "limit")}
 		for range kinds {
@@ -110,48 +110,48 @@
 		if number("no costs", 0, 3) == 0 {
 			n.Cost = nil
 		}
-		f.Nodes = append(f.Nodes, n)
+		f.Endpoints = append(f.Endpoints, n)
 	}
 	for u := range number("users", 1, 6) {
-		user := solver.User{Name: fmt.Sprint("u", u), Zone: fmt.Sprint("z", number("zone", 0, zones-1))}
+		user := solver.Consumer{Name: fmt.Sprint("u", u), Zone: fmt.Sprint("z", number("zone", 0, zones-1))}
 		for range kinds {
 			user.Demand = append(user.Demand, rapid.SampledFrom([]float64{0, 0.001, 0.5, 2, 9, 400}).Draw(t, "demand"))
 			var lines []solver.Share
-			for j := range f.Nodes {
+			for j := range f.Endpoints {
 				if number("line", 0, 2) > 0 {
-					lines = append(lines, solver.Share{Node: j, Weight: rapid.SampledFrom([]float64{0, 0.01, 1, 30}).Draw(t, "weight")})
+					lines = append(lines, solver.Share{Endpoint: j, Weight: rapid.SampledFrom([]float64{0, 0.01, 1, 30}).Draw(t, "weight")})
 				}
 			}
-			user.Want = append(user.Want, lines)
+			user.Wanted = append(user.Wanted, lines)
 			user.Pod = append(user.Pod, number("user pod", 0, 3))
 		}
-		f.Users = append(f.Users, user)
+		f.Consumers = append(f.Consumers, user)
 	}
 	return f
 }
 
 // plain is a fleet of even nodes in one zone and one kind, all nodes wanted alike.
 func plain(capacities []float64, demands ...float64) (f solver.Fleet) {
-	f.Kinds = []solver.Kind{{Name: "view", Payoff: 1}}
+	f.Classes = []solver.Class{{Name: "view", PriorityWeight: 1}}
 	var lines []solver.Share
 	for j, c := range capacities {
-		f.Nodes = append(f.Nodes, solver.Node{Name: fmt.Sprint("n", j), Zone: "a", Capacity: c})
-		lines = append(lines, solver.Share{Node: j, Weight: 1})
+		f.Endpoints = append(f.Endpoints, solver.Endpoint{Name: fmt.Sprint("n", j), Zone: "a", Capacity: c})
+		lines = append(lines, solver.Share{Endpoint: j, Weight: 1})
 	}
 	for u, d := range demands {
-		f.Users = append(f.Users, solver.User{Name: fmt.Sprint("u", u), Zone: "a", Demand: []float64{d}, Want: [][]solver.Share{lines}})
+		f.Consumers = append(f.Consumers, solver.Consumer{Name: fmt.Sprint("u", u), Zone: "a", Demand: []float64{d}, Wanted: [][]solver.Share{lines}})
 	}
 	return f
 }
 
 func TestWantedWeightsPassUntouched(t *testing.T) {
 	f := plain([]float64{10, 10, 10}, 9, 9)
-	f.Users[0].Want[0] = []solver.Share{{Node: 0, Weight: 3}, {Node: 1, Weight: 1}}
+	f.Consumers[0].Wanted[0] = []solver.Share{{Endpoint: 0, Weight: 3}, {Endpoint: 1, Weight: 1}}
 	s := solver.Solve(f, nil)
-	if !s.Untouched || s.Weights[0][0][0] != (solver.Share{Node: 0, Weight: 0.75}) || len(s.Weights[0][0]) != 2 {
+	if !s.Untouched || s.Weights[0][0][0] != (solver.Share{Endpoint: 0, Weight: 0.75}) || len(s.Weights[0][0]) != 2 {
 		t.Errorf("%+v", s.Weights)
 	}
-	f.Users[0].Demand[0] = 12 // 9 and 4 of it on the first: over its limit
+	f.Consumers[0].Demand[0] = 12 // 9 and 4 of it on the first: over its limit
 	if s := solver.Solve(f, nil); s.Untouched || s.Admit[0][0] != 1 || s.Weights[0][0][0].Weight >= 0.75 {
 		t.Errorf("%+v %+v", s.Weights, s.Certificate)
 	}
@@ -160,20 +160,20 @@
 // The dearest is served first where not all fits, no gateway is starved, and a hot one is not served at others' cost.
 func TestShedByPayoff(t *testing.T) {
 	f := plain([]float64{10, 10}, 10, 30)
-	f.Kinds = append(f.Kinds, solver.Kind{Name: "save", Payoff: 2})
-	for u := range f.Users {
-		f.Users[u].Demand = append(f.Users[u].Demand, 5)
-		f.Users[u].Want = append(f.Users[u].Want, f.Users[u].Want[0])
+	f.Classes = append(f.Classes, solver.Class{Name: "save", PriorityWeight: 2})
+	for u := range f.Consumers {
+		f.Consumers[u].Demand = append(f.Consumers[u].Demand, 5)
+		f.Consumers[u].Wanted = append(f.Consumers[u].Wanted, f.Consumers[u].Wanted[0])
 	}
 	s := solver.Solve(f, nil)
-	for u := range f.Users {
+	for u := range f.Consumers {
 		if s.Admit[u][1] < 0.97 {
 			t.Errorf("user %d is let have %.2f of what pays twice", u, s.Admit[u][1])
 		}
 	}
 	a, b := s.Admit[0][0], s.Admit[1][0]
-	if a < 0.15 || b < 0.15 || math.Abs(a-b) > 0.05 || s.Certificate.Away[0] < 25 {
-		t.Errorf("let in %.2f and %.2f of the other kind, %.1f turned away", a, b, s.Certificate.Away[0])
+	if a < 0.15 || b < 0.15 || math.Abs(a-b) > 0.05 || s.Certificate.Shed[0] < 25 {
+		t.Errorf("let in %.2f and %.2f of the other kind, %.1f turned away", a, b, s.Certificate.Shed[0])
 	}
 }
 
@@ -181,11 +181,11 @@
 // make room there.
 func TestBoundKindWhoseHallEmpties(t *testing.T) {
 	f := plain([]float64{10, 10, 10, 10}, 20)
-	f.Nodes[2].Zone, f.Nodes[3].Zone = "b", "b"
-	f.Kinds = append(f.Kinds, solver.Kind{Name: "issue", Payoff: 3, OnlyZones: []string{"b"}})
-	f.Users[0].Demand = append(f.Users[0].Demand, 9)
-	f.Users[0].Want = append(f.Users[0].Want, []solver.Share{{Node: 2, Weight: 1}, {Node: 3, Weight: 1}})
-	f.Nodes[3].Closed = true
+	f.Endpoints[2].Zone, f.Endpoints[3].Zone = "b", "b"
+	f.Classes = append(f.Classes, solver.Class{Name: "issue", PriorityWeight: 3, AllowedZones: []string{"b"}})
+	f.Consumers[0].Demand = append(f.Consumers[0].Demand, 9)
+	f.Consumers[0].Wanted = append(f.Consumers[0].Wanted, []solver.Share{{Endpoint: 2, Weight: 1}, {Endpoint: 3, Weight: 1}})
+	f.Endpoints[3].Closed = true
 	s := solver.Solve(f, nil)
 	if s.Admit[0][1] < 0.97 || s.Admit[0][0] < 0.97 || fleets.Overload(f, s) > 1.05 {
 		t.Errorf("let in %v, load %v", s.Admit, s.Certificate.Load)
@@ -209,7 +209,7 @@
 	var prices []float64
 	last, turns, falling := 0.25, 0, true
 	for round := range 25 {
-		f.Nodes[0].Capacity *= 0.93
+		f.Endpoints[0].Capacity *= 0.93
 		s := solver.Solve(f, prices)
 		prices = s.Certificate.Prices
 		if over := fleets.Overload(f, s); over > 1.05 {
@@ -217,7 +217,7 @@
 		}
 		w := 0.0
 		for _, l := range s.Weights[0][0] {
-			if l.Node == 0 {
+			if l.Endpoint == 0 {
 				w = l.Weight
 			}
 		}
@@ -257,7 +257,7 @@
 		"few samples, few errors":    {1, func(b control.EndpointID, k int) float64 { return part(b == "a" && k == 1, 0) }, nil},
 		"one try a second, it fails": {1, func(b control.EndpointID, k int) float64 { return part(b == "a" && k == 1, 1) }, nil},
 	} {
-		j := solver.NewJudge(3)
+		j := solver.NewClassHealth(3)
 		for s := range 10 {
 			j.Round(control.Microseconds(s)*second, heard(nodes, 3, c.n, c.errs), nodes)
 		}
@@ -267,7 +267,7 @@
 				want = want || f == b
 			}
 			for k := range 3 {
-				if got := j.Verdict(b, k) != solver.Serves; got != (want && k == 1) {
+				if got := j.Status(b, k) != solver.ClassHealthy; got != (want && k == 1) {
 					t.Errorf("%s: %s kind %d judged %t", name, b, k, got)
 				}
 			}
@@ -286,16 +286,16 @@
 // nodes failing in turn never leave a kind without any.
 func TestJudgeRecovery(t *testing.T) {
 	nodes := []control.EndpointID{"a", "b", "c", "d"}
-	j := solver.NewJudge(2)
+	j := solver.NewClassHealth(2)
 	const second = control.Microseconds(1_000_000)
 	bad := true
-	trials, was, lines := 0, solver.Serves, 0
+	trials, was, lines := 0, solver.ClassHealthy, 0
 	for s := range 110 {
 		if s == 40 {
 			bad = false
 		}
-		v := j.Verdict("a", 1)
-		if v == solver.Trial && was != solver.Trial {
+		v := j.Status("a", 1)
+		if v == solver.ClassOnTrial && was != solver.ClassOnTrial {
 			trials++
 		}
 		was = v
@@ -303,17 +303,17 @@
 			return part(b == "a" && k == 1 && bad, 1)
 		}), nodes))
 	}
-	if trials < 2 || trials > 6 || was != solver.Serves || lines > 4 {
+	if trials < 2 || trials > 6 || was != solver.ClassHealthy || lines > 4 {
 		t.Errorf("%d trials, in the end %v, %d lines", trials, was, lines)
 	}
-	j = solver.NewJudge(2)
+	j = solver.NewClassHealth(2)
 	for s := range 40 {
 		j.Round(control.Microseconds(s)*second, heard(nodes, 2, 20, func(b control.EndpointID, k int) float64 {
 			return part(k == 1 && int(b[0]-'a') <= s/8, 1)
 		}), nodes)
 		left := 0
 		for _, b := range nodes {
-			if j.Verdict(b, 1) != solver.Fails {
+			if j.Status(b, 1) != solver.ClassFailing {
 				left++
 			}
 		}
@@ -332,24 +332,24 @@
 	}
 	calm := plain([]float64{10, 10, 10}, demands...)
 	over := plain([]float64{10, 10, 4}, demands...)
-	k := solver.NewKeeper()
-	if r := k.Step(over, false); r.Acting || len(r.Lines) != 0 {
+	k := solver.NewActivation()
+	if r := k.Step(over, false); r.Active || len(r.Log) != 0 {
 		t.Error("it acts on one round")
 	}
-	if r := k.Step(calm, false); r.Acting {
+	if r := k.Step(calm, false); r.Active {
 		t.Error("it acts on a calm round")
 	}
 	k.Step(over, false)
 	r := k.Step(over, false)
-	if !r.Acting || len(r.Lines) != 1 || r.Moved == 0 || r.Moved > 10 {
-		t.Errorf("acting %t, %v, moved %d", r.Acting, r.Lines, r.Moved)
+	if !r.Active || len(r.Log) != 1 || r.Moved == 0 || r.Moved > 10 {
+		t.Errorf("acting %t, %v, moved %d", r.Active, r.Log, r.Moved)
 	}
 	for range 8 {
 		r = k.Step(over, false)
 	}
 	load := 0.0
-	for u := range over.Users {
-		load += 0.5 * r.Tables[solver.Key{User: over.Users[u].Name}].Weights["n2"]
+	for u := range over.Consumers {
+		load += 0.5 * r.Tables[solver.TableKey{Consumer: over.Consumers[u].Name}].Weights["n2"]
 	}
 	if r.Moved != 0 || load > 4*1.05 {
 		t.Errorf("after ten rounds %d still move and the weak node is offered %.2f of 4", r.Moved, load)
@@ -358,7 +358,7 @@
 	changes := 0
 	for i := range 600 {
 		f := plain([]float64{10, 10, 4 + 2.8*math.Abs(math.Sin(float64(i)/3))}, demands...)
-		changes += len(k.Step(f, false).Lines)
+		changes += len(k.Step(f, false).Log)
 	}
 	if changes > 2 {
 		t.Errorf("%d changes in 600 rounds of hovering load", changes)
@@ -366,23 +366,23 @@
 	for range 3 {
 		r = k.Step(calm, true)
 	}
-	if !r.Acting {
+	if !r.Active {
 		t.Error("it rests while somebody is on trial")
 	}
 	for range 3 {
 		r = k.Step(calm, false)
 	}
-	if r.Acting || len(r.Tables) != 0 {
+	if r.Active || len(r.Tables) != 0 {
 		t.Error("it goes on acting when all is calm")
 	}
-	calm.Nodes[0].Failing = []bool{true}
-	if r := k.Step(calm, true); !r.Acting {
+	calm.Endpoints[0].Failing = []bool{true}
+	if r := k.Step(calm, true); !r.Active {
 		t.Error("it waits while a table names a node that fails the kind")
 	}
 }
 
 func TestEstimate(t *testing.T) {
-	e := solver.NewEstimate(2)
+	e := solver.NewCapacityEstimator(2)
 	if !math.IsNaN(e.Capacity("a")) {
 		t.Error("something is known of nobody")
 	}
@@ -410,22 +410,22 @@
 
 // What comes beyond the plan is learned at once, from the nodes that get most, and fades; a node with little planned says nothing.
 func TestExcess(t *testing.T) {
-	var x solver.Excess
-	if x.Times() != 1 {
-		t.Errorf("nothing known: %v", x.Times())
+	var x solver.OvershootEstimator
+	if x.Factor() != 1 {
+		t.Errorf("nothing known: %v", x.Factor())
 	}
-	x.Round([]solver.Planned{{10, 10}, {10, 4}, {10, 20}, {10, 10}, {0.1, 5}})
-	if got := x.Times(); got < 1.4 || got > 2 {
+	x.Round([]solver.EndpointOutcome{{10, 10}, {10, 4}, {10, 20}, {10, 10}, {0.1, 5}})
+	if got := x.Factor(); got < 1.4 || got > 2 {
 		t.Errorf("one gets twice, one little: %v", got)
 	}
-	x.Round([]solver.Planned{{10, 90}})
-	if x.Times() != 3 {
-		t.Errorf("more than is believed: %v", x.Times())
+	x.Round([]solver.EndpointOutcome{{10, 90}})
+	if x.Factor() != 3 {
+		t.Errorf("more than is believed: %v", x.Factor())
 	}
 	for range 12 {
-		x.Round([]solver.Planned{{10, 10}})
+		x.Round([]solver.EndpointOutcome{{10, 10}})
 	}
-	if x.Times() > 1.01 {
-		t.Errorf("it does not fade: %v", x.Times())
+	if x.Factor() > 1.01 {
+		t.Errorf("it does not fade: %v", x.Factor())
 	}
 }
--- a/standin/gateway.go
+++ b/standin/gateway.go
@@ -156,7 +156,7 @@
 	g.world.Log.Joined(now, g.Name, false)
 }
 
-// Away takes the way to the coordinator from the gateway, or gives it back.
+// AfterSilence takes the way to the coordinator from the gateway, or gives it back.
 func (g *Gateway) Away(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -200,13 +200,13 @@
 
 func snapshot(kinds []string, list []ListEntry) (s tables.Snapshot) {
 	for _, k := range kinds {
-		c := tables.Cluster{Kind: k}
+		c := tables.Cluster{Class: k}
 		for _, e := range list {
-			c.Lines = append(c.Lines, line(e))
+			c.Endpoints = append(c.Endpoints, line(e))
 		}
 		c.Sort()
 		s.Clusters = append(s.Clusters, c)
-		s.Routes = append(s.Routes, tables.Route{Kind: k, Rate: tables.Unlimited, Share: 1})
+		s.Routes = append(s.Routes, tables.Route{Class: k, Rate: tables.UnlimitedRate, Share: 1})
 	}
 	return s
 }
@@ -493,10 +493,10 @@
 	if r.Rate < 0 {
 		return true
 	}
-	b, now := g.bucket[r.Kind], g.world.Now()
+	b, now := g.bucket[r.Class], g.world.Now()
 	if b == nil {
 		b = &bucket{tokens: 1, at: now}
-		g.bucket[r.Kind] = b
+		g.bucket[r.Class] = b
 	}
 	b.tokens = min(max(1, r.Rate/4), b.tokens+r.Rate*(now-b.at).Seconds())
 	b.at = now
@@ -509,19 +509,19 @@
 
 func (g *Gateway) route(kind string) tables.Route {
 	for _, r := range g.held.Snapshot.Routes {
-		if r.Kind == kind {
+		if r.Class == kind {
 			if !g.heard.IsZero() {
-				r = r.Away(control.Microseconds(time.Since(g.heard).Microseconds()))
+				r = r.AfterSilence(control.Microseconds(time.Since(g.heard).Microseconds()))
 			}
 			return r
 		}
 	}
-	return tables.Route{Kind: kind, Rate: tables.Unlimited, Share: 1}
+	return tables.Route{Class: kind, Rate: tables.UnlimitedRate, Share: 1}
 }
 
 // pick chooses a line evenly by weight, other than the one given, and not one that it shuns if there is another.
-func (g *Gateway) pick(kind, not string) (tables.Line, bool) {
-	var best, shunned *tables.Line
+func (g *Gateway) pick(kind, not string) (tables.ClusterEndpoint, bool) {
+	var best, shunned *tables.ClusterEndpoint
 	now := g.world.Now()
 	current := g.picks[kind]
 	if current == nil {
@@ -531,35 +531,35 @@
 	total := 0.0
 	for i := range g.held.Snapshot.Clusters {
 		c := &g.held.Snapshot.Clusters[i]
-		if c.Kind != kind {
+		if c.Class != kind {
 			continue
 		}
-		for j := range c.Lines {
-			l := &c.Lines[j]
-			if l.Withheld || string(l.Backend) == not {
+		for j := range c.Endpoints {
+			l := &c.Endpoints[j]
+			if l.Withheld || string(l.Endpoint) == not {
 				continue
 			}
-			if s := g.shuns[string(l.Backend)]; s != nil && s.until > now {
+			if s := g.shuns[string(l.Endpoint)]; s != nil && s.until > now {
 				shunned = l
 				continue
 			}
-			if _, known := current[string(l.Backend)]; !known { // not all at the same line first
-				current[string(l.Backend)] = g.rng.Float64() * l.Weight
+			if _, known := current[string(l.Endpoint)]; !known { // not all at the same line first
+				current[string(l.Endpoint)] = g.rng.Float64() * l.Weight
 			}
-			current[string(l.Backend)] += l.Weight
+			current[string(l.Endpoint)] += l.Weight
 			total += l.Weight
-			if best == nil || current[string(l.Backend)] > current[string(best.Backend)] {
+			if best == nil || current[string(l.Endpoint)] > current[string(best.Endpoint)] {
 				best = l
 			}
 		}
 	}
 	if best == nil {
 		if best = shunned; best == nil {
-			return tables.Line{}, false
+			return tables.ClusterEndpoint{}, false
 		}
 		return *best, true
 	}
-	current[string(best.Backend)] -= total
+	current[string(best.Endpoint)] -= total
 	return *best, true
 }
 
@@ -577,7 +577,7 @@
 		return
 	}
 	tries := 1
-	switch second := route.SecondTry; {
+	switch second := route.RetryPolicy; {
 	case g.SpoilRetry:
 		tries = 3
 	case second == 3:
@@ -602,10 +602,10 @@
 			}
 			break
 		}
-		not = string(line.Backend)
+		not = string(line.Endpoint)
 		ctx := r.Context()
 		cancel := context.CancelFunc(func() {})
-		if try < tries-1 && (route.SecondTry >= 2 || g.SpoilRetry) {
+		if try < tries-1 && (route.RetryPolicy >= 2 || g.SpoilRetry) {
 			ctx, cancel = context.WithTimeout(ctx, 600*time.Millisecond)
 		}
 		err = g.send(ctx, kind, line, r)
@@ -614,7 +614,7 @@
 			_, _ = io.WriteString(w, "done\n")
 			return
 		}
-		if r.Context().Err() != nil || route.SecondTry == 1 && !errors.Is(err, errDenied) && !g.SpoilRetry {
+		if r.Context().Err() != nil || route.RetryPolicy == 1 && !errors.Is(err, errDenied) && !g.SpoilRetry {
 			break
 		}
 	}
@@ -634,8 +634,8 @@
 }
 
 // send tries one node. The error wraps errDenied where it is proven that nothing ran.
-func (g *Gateway) send(ctx context.Context, kind string, l tables.Line, r *http.Request) error {
-	addr := string(l.Backend)
+func (g *Gateway) send(ctx context.Context, kind string, l tables.ClusterEndpoint, r *http.Request) error {
+	addr := string(l.Endpoint)
 	start := time.Now()
 	g.world.Log.Sent(g.world.Now(), g.Name, addr)
 	g.mu.Lock()
@@ -708,6 +708,6 @@
 	return xds.ReadOrca(res.Header.Get(xds.OrcaHeader)), nil
 }
 
-func line(e ListEntry) tables.Line {
-	return tables.Line{Backend: control.EndpointID(e.Addr), Zone: control.Zone(e.Zone), Weight: max(e.Weight, 1e-3)}
+func line(e ListEntry) tables.ClusterEndpoint {
+	return tables.ClusterEndpoint{Endpoint: control.EndpointID(e.Addr), Zone: control.Zone(e.Zone), Weight: max(e.Weight, 1e-3)}
 }
