--- a/standin/light.go
+++ b/standin/light.go
@@ -210,7 +210,7 @@
 	conn   net.Conn
 
 	held     tables.Snapshot
-	versions [tables.Docs]string
+	versions [tables.DocumentCount]string
 	sums     []map[string]*xds.Endpoint // by kind
 	arrived  []int
 	denied   []int
@@ -265,7 +265,7 @@
 		g.arrived[k] += reqs
 		route := g.held.Routes[k]
 		if g.heardAt > 0 {
-			route = route.Away(control.Microseconds((now - g.heardAt).Microseconds()))
+			route = route.AfterSilence(control.Microseconds((now - g.heardAt).Microseconds()))
 		}
 		let := int(float64(reqs)*route.Share + g.rng.Float64())
 		if route.Rate >= 0 {
@@ -275,7 +275,7 @@
 		g.denied[k] += reqs - let
 		g.Tally.Denied.Add(int64(reqs - let))
 		total := 0.0
-		for _, l := range g.held.Clusters[k].Lines {
+		for _, l := range g.held.Clusters[k].Endpoints {
 			if !l.Withheld {
 				total += l.Weight
 			}
@@ -285,7 +285,7 @@
 			continue
 		}
 		at, left := g.rng.Float64(), let // each line gets its share; the lot decides which ones get the odd reqs
-		for _, l := range g.held.Clusters[k].Lines {
+		for _, l := range g.held.Clusters[k].Endpoints {
 			if l.Withheld || left == 0 {
 				continue
 			}
@@ -293,7 +293,7 @@
 			n := min(left, int(at))
 			at -= float64(n)
 			if left -= n; n > 0 {
-				g.sendTo(k, string(l.Backend), string(l.Zone), n)
+				g.sendTo(k, string(l.Endpoint), string(l.Zone), n)
 			}
 		}
 	}
@@ -379,7 +379,7 @@
 		if len(g.versions[0]) == 0 {
 			next = nextReport // the reports of gateways that joined at once are spread from the first one on
 		}
-		for doc := range tables.Docs {
+		for doc := range tables.DocumentCount {
 			if err := g.ask(doc); err != nil {
 				return err
 			}
@@ -485,10 +485,10 @@
 // judge counts an order to repeat what must not run twice as a repeat that did.
 func (g *LightGateway) judge(routes []tables.Route) {
 	for k, r := range routes {
-		if r.SecondTry > 1 && !g.Kinds[k].Repeats {
+		if r.RetryPolicy > 1 && !g.Kinds[k].Repeats {
 			id := g.rng.Uint64()
-			g.world.Log.Effect(r.Kind, id, 0)
-			g.world.Log.Effect(r.Kind, id, 0)
+			g.world.Log.Effect(r.Class, id, 0)
+			g.world.Log.Effect(r.Class, id, 0)
 		}
 	}
 }
--- a/tables/book.go
+++ b/tables/book.go
@@ -13,41 +13,41 @@
 // Version numbers a table's states, from 1 on; it says nothing about other tables.
 type Version uint64
 
-// Entry is one version of a table.
-type Entry struct {
-	Version Version
-	At      control.Microseconds // when it came into being
-	State   State                // by the module
-	// Acting is what the weight solver has in its place, by request kind; a kind that is not in it has State.
-	Acting map[control.RequestClass]State
+// VersionEntry is one version of a table.
+type VersionEntry struct {
+	Version   Version
+	CreatedAt control.Microseconds // when it came into being
+	State     State                // by the module
+	// Overrides is what the weight solver has in its place, by request kind; a kind that is not in it has State.
+	Overrides map[control.RequestClass]State
 }
 
-// Of is what the version holds for a kind.
-func (e Entry) Of(kind control.RequestClass) State {
-	if s, acts := e.Acting[kind]; acts {
+// ForClass is what the version holds for a kind.
+func (e VersionEntry) ForClass(kind control.RequestClass) State {
+	if s, acts := e.Overrides[kind]; acts {
 		return s
 	}
 	return e.State
 }
 
 // same tells whether two versions hold the same.
-func (e Entry) same(o Entry) bool {
-	if Diff(e.State, o.State).Lines() > 0 || len(e.Acting) != len(o.Acting) {
+func (e VersionEntry) same(o VersionEntry) bool {
+	if Diff(e.State, o.State).Size() > 0 || len(e.Overrides) != len(o.Overrides) {
 		return false
 	}
-	for kind, s := range e.Acting {
-		if t, has := o.Acting[kind]; !has || Diff(s, t).Lines() > 0 {
+	for kind, s := range e.Overrides {
+		if t, has := o.Overrides[kind]; !has || Diff(s, t).Size() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Book keeps the versions of all tables and what operators have pinned. It is pure: time is handed in.
-type Book struct {
+// VersionStore keeps the versions of all tables and what operators have pinned. It is pure: time is handed in.
+type VersionStore struct {
 	keep   int                  // versions of a table
 	most   control.Microseconds // how old they may be, but for the last one
-	tables map[control.TableID][]Entry
+	tables map[control.TableID][]VersionEntry
 	next   map[control.TableID]Version
 	pins   []Pin
 	pinned int // numbers pins
@@ -59,12 +59,12 @@
 	Zone  control.Zone    `json:"zone"`  // empty, with Table Anything: the fleet
 }
 
-// Anything stands in a Scope for all tables.
-const Anything control.TableID = -1
+// AnyTable stands in a Scope for all tables.
+const AnyTable control.TableID = -1
 
 func (s Scope) String() string {
 	switch {
-	case s.Table != Anything:
+	case s.Table != AnyTable:
 		return fmt.Sprintf("table %d", s.Table)
 	case s.Zone != "":
 		return "zone " + string(s.Zone)
@@ -76,7 +76,7 @@
 // narrower orders scopes: a pin of a table goes before one of its zone, that before the fleet's.
 func (s Scope) narrower() int {
 	switch {
-	case s.Table != Anything:
+	case s.Table != AnyTable:
 		return 0
 	case s.Zone != "":
 		return 1
@@ -87,12 +87,12 @@
 
 // Pin holds tables at an earlier state: a version of one table, or what all in scope had at a time.
 type Pin struct {
-	ID      int                  `json:"id"`
-	Scope   Scope                `json:"scope"`
-	Version Version              `json:"version,omitempty"` // of a table; 0: by time
-	At      control.Microseconds `json:"at_us,omitempty"`   // the state that was in force then
-	Since   control.Microseconds `json:"since_us"`
-	Reason  string               `json:"reason"`
+	ID       int                  `json:"id"`
+	Scope    Scope                `json:"scope"`
+	Version  Version              `json:"version,omitempty"` // of a table; 0: by time
+	At       control.Microseconds `json:"at_us,omitempty"`   // the state that was in force then
+	PinnedAt control.Microseconds `json:"since_us"`
+	Reason   string               `json:"reason"`
 	// held are the versions that the pin holds, found when it was made: what came into being at the same moment but
 	// later is not among them.
 	held map[control.TableID]Version
@@ -105,25 +105,25 @@
 	ErrNoPin     = errors.New("no such pin")
 )
 
-// NewBook keeps so many versions of each table, for so long.
-func NewBook(keep int, most control.Microseconds) *Book {
-	return &Book{keep: max(2, keep), most: most, tables: map[control.TableID][]Entry{}, next: map[control.TableID]Version{}}
+// NewVersionStore keeps so many versions of each table, for so long.
+func NewVersionStore(keep int, most control.Microseconds) *VersionStore {
+	return &VersionStore{keep: max(2, keep), most: most, tables: map[control.TableID][]VersionEntry{}, next: map[control.TableID]Version{}}
 }
 
 // Put says what a table holds from now on, and what acts in its place for some kinds; it is a new version if it is not
 // what it held. Versions that are pinned or that pins of a time need are never let go; of the others the oldest are.
-func (b *Book) Put(now control.Microseconds, table control.TableID, w Weights, acting map[control.RequestClass]Weights) Version {
+func (b *VersionStore) Put(now control.Microseconds, table control.TableID, w Weights, acting map[control.RequestClass]Weights) Version {
 	entries := b.tables[table]
-	var last Entry
+	var last VersionEntry
 	if n := len(entries); n > 0 {
 		last = entries[n-1]
 	}
-	next := Entry{Version: b.next[table] + 1, At: now, State: last.State.With(w)}
+	next := VersionEntry{Version: b.next[table] + 1, CreatedAt: now, State: last.State.With(w)}
 	for kind, weights := range acting {
-		if next.Acting == nil {
-			next.Acting = map[control.RequestClass]State{}
+		if next.Overrides == nil {
+			next.Overrides = map[control.RequestClass]State{}
 		}
-		next.Acting[kind] = last.Of(kind).With(weights)
+		next.Overrides[kind] = last.ForClass(kind).With(weights)
 	}
 	if len(entries) > 0 && last.same(next) {
 		return last.Version
@@ -132,7 +132,7 @@
 	entries = append(entries, next)
 	needed := b.needed(table)
 	for i := 0; i < len(entries)-1; {
-		if old := now-entries[i].At > b.most; (old || len(entries) > b.keep) && !needed[entries[i].Version] {
+		if old := now-entries[i].CreatedAt > b.most; (old || len(entries) > b.keep) && !needed[entries[i].Version] {
 			entries = slices.Delete(entries, i, i+1)
 			continue
 		}
@@ -143,7 +143,7 @@
 }
 
 // needed are the versions that pins hold.
-func (b *Book) needed(table control.TableID) map[Version]bool {
+func (b *VersionStore) needed(table control.TableID) map[Version]bool {
 	needed := map[Version]bool{}
 	for _, p := range b.pins {
 		needed[p.held[table]] = true
@@ -152,32 +152,32 @@
 }
 
 // at is the version that was in force at a time.
-func at(entries []Entry, t control.Microseconds) (Entry, bool) {
+func at(entries []VersionEntry, t control.Microseconds) (VersionEntry, bool) {
 	for _, e := range slices.Backward(entries) {
-		if e.At <= t {
+		if e.CreatedAt <= t {
 			return e, true
 		}
 	}
-	return Entry{}, false
+	return VersionEntry{}, false
 }
 
 // Tables lists the tables that have versions.
-func (b *Book) Tables() []control.TableID { return slices.Sorted(maps.Keys(b.tables)) }
+func (b *VersionStore) Tables() []control.TableID { return slices.Sorted(maps.Keys(b.tables)) }
 
 // Versions lists what is kept of a table, the oldest first.
-func (b *Book) Versions(table control.TableID) []Entry { return b.tables[table] }
+func (b *VersionStore) Versions(table control.TableID) []VersionEntry { return b.tables[table] }
 
 // Get finds a version of a table.
-func (b *Book) Get(table control.TableID, v Version) (Entry, error) {
+func (b *VersionStore) Get(table control.TableID, v Version) (VersionEntry, error) {
 	for _, e := range b.tables[table] {
 		if e.Version == v {
 			return e, nil
 		}
 	}
-	return Entry{}, fmt.Errorf("%w: table %d has no version %d: %s", ErrNoVersion, table, v, b.has(table))
+	return VersionEntry{}, fmt.Errorf("%w: table %d has no version %d: %s", ErrNoVersion, table, v, b.has(table))
 }
 
-func (b *Book) has(table control.TableID) string {
+func (b *VersionStore) has(table control.TableID) string {
 	entries := b.tables[table]
 	if len(entries) == 0 {
 		return "it has none"
@@ -186,11 +186,11 @@
 }
 
 // Pin holds what is in scope at an earlier state from now on. It takes the place of a pin of the same scope.
-func (b *Book) Pin(now control.Microseconds, p Pin) (Pin, error) {
+func (b *VersionStore) Pin(now control.Microseconds, p Pin) (Pin, error) {
 	if p.Reason == "" {
 		return p, ErrNoReason
 	}
-	if p.Scope.Table != Anything {
+	if p.Scope.Table != AnyTable {
 		if p.Version > 0 {
 			if _, err := b.Get(p.Scope.Table, p.Version); err != nil {
 				return p, err
@@ -203,11 +203,11 @@
 	}
 	b.pins = slices.DeleteFunc(b.pins, func(o Pin) bool { return o.Scope == p.Scope })
 	b.pinned++
-	p.ID, p.Since, p.held = b.pinned, now, map[control.TableID]Version{}
+	p.ID, p.PinnedAt, p.held = b.pinned, now, map[control.TableID]Version{}
 	for t, entries := range b.tables {
 		if p.Scope.Table == t && p.Version > 0 {
 			p.held[t] = p.Version
-		} else if e, has := at(entries, p.At); has && (p.Scope.Table == Anything || p.Scope.Table == t) {
+		} else if e, has := at(entries, p.At); has && (p.Scope.Table == AnyTable || p.Scope.Table == t) {
 			p.held[t] = e.Version
 		}
 	}
@@ -216,7 +216,7 @@
 }
 
 // Unpin lets a pin go.
-func (b *Book) Unpin(id int) (Pin, error) {
+func (b *VersionStore) Unpin(id int) (Pin, error) {
 	i := slices.IndexFunc(b.pins, func(p Pin) bool { return p.ID == id })
 	if i < 0 {
 		return Pin{}, fmt.Errorf("%w: %d", ErrNoPin, id)
@@ -227,24 +227,24 @@
 }
 
 // Pins lists them, the oldest first.
-func (b *Book) Pins() []Pin { return b.pins }
+func (b *VersionStore) Pins() []Pin { return b.pins }
 
-// Standing is what the rules say of a backend now, whatever an old version holds.
-type Standing struct {
-	Closed bool    // drains, is gone or fails the kind: no line
-	Now    float64 // its weight in the table as the module has it; 0: no line there
-	Cold   bool    // it has at most the weight that it has now, and none if it has none
+// EndpointEligibility is what the rules say of a backend now, whatever an old version holds.
+type EndpointEligibility struct {
+	Closed    bool    // drains, is gone or fails the kind: no line
+	Weight    float64 // its weight in the table as the module has it; 0: no line there
+	WarmingUp bool    // it has at most the weight that it has now, and none if it has none
 }
 
-// InForce is what a table's users are to hold of it for a kind: the weights as they are, or those of the narrowest pin with the
+// Effective is what a table's users are to hold of it for a kind: the weights as they are, or those of the narrowest pin with the
 // rules' mask over them. Where nothing of the pinned state is left that the rules allow, the rules win and the
 // weights are as they are; overruled says so. Weights of a pinned state are brought to the scale of now, so that a
 // cold backend's part is no larger than it is now.
-func (b *Book) InForce(table control.TableID, kind control.RequestClass, zone control.Zone, now Weights,
-	standing func(control.EndpointID) Standing) (w Weights, pin *Pin, overruled string) {
+func (b *VersionStore) Effective(table control.TableID, kind control.RequestClass, zone control.Zone, now Weights,
+	standing func(control.EndpointID) EndpointEligibility) (w Weights, pin *Pin, overruled string) {
 	for i := range b.pins {
 		p := &b.pins[i]
-		in := p.Scope.Table == table || p.Scope.Table == Anything && (p.Scope.Zone == "" || p.Scope.Zone == zone)
+		in := p.Scope.Table == table || p.Scope.Table == AnyTable && (p.Scope.Zone == "" || p.Scope.Zone == zone)
 		if in && (pin == nil || cmp.Or(cmp.Compare(p.Scope.narrower(), pin.Scope.narrower()), cmp.Compare(pin.ID, p.ID)) < 0) {
 			pin = p
 		}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return now, pin, fmt.Sprintf("table %d is younger than the pin", table)
 	}
-	w, masked, left := Mask(old.Of(kind).Weights(), standing)
+	w, masked, left := Mask(old.ForClass(kind).Weights(), standing)
 	if !left {
 		return now, pin, fmt.Sprintf("the rules leave no warm line of table %d: it is as the module has it", table)
 	}
@@ -268,7 +268,7 @@
 
 // Mask puts the rules over old weights: closed backends have no line, and a cold one's part beside the warm ones is no
 // larger than it is now. It is false where no warm line is left.
-func Mask(old Weights, standing func(control.EndpointID) Standing) (w Weights, masked int, left bool) {
+func Mask(old Weights, standing func(control.EndpointID) EndpointEligibility) (w Weights, masked int, left bool) {
 	w = Weights{}
 	warmThen, warmNow := 0.0, 0.0
 	var cold []control.EndpointID
@@ -276,12 +276,12 @@
 		switch s := standing(be); {
 		case s.Closed:
 			masked++
-		case s.Cold:
+		case s.WarmingUp:
 			cold = append(cold, be)
 		default:
 			w[be] = old[be]
-			if warmThen += old[be]; s.Now > 0 {
-				warmNow += s.Now
+			if warmThen += old[be]; s.Weight > 0 {
+				warmNow += s.Weight
 			} else {
 				warmNow += old[be]
 			}
@@ -289,8 +289,8 @@
 	}
 	for _, be := range cold {
 		// Its part beside the warm ones must not grow: the weight of now, as the warm ones' has changed.
-		if s := standing(be); s.Now > 0 && warmNow > 0 {
-			w[be] = min(s.Now, s.Now*warmThen/warmNow)
+		if s := standing(be); s.Weight > 0 && warmNow > 0 {
+			w[be] = min(s.Weight, s.Weight*warmThen/warmNow)
 		} else {
 			masked++
 		}
@@ -298,30 +298,30 @@
 	return w, masked, warmThen > 0
 }
 
-// Kept is a pin with the states that it holds, for the next start.
-type Kept struct {
+// PinnedVersion is a pin with the states that it holds, for the next start.
+type PinnedVersion struct {
 	Pin   Pin                         `json:"pin"`
 	Holds map[control.TableID]Weights `json:"holds"`
-	// Acting is what the weight solver had in their place.
-	Acting map[control.TableID]map[control.RequestClass]Weights `json:"acting,omitempty"`
+	// Overrides is what the weight solver had in their place.
+	Overrides map[control.TableID]map[control.RequestClass]Weights `json:"acting,omitempty"`
 }
 
-// Keep is what a next start has to know of the pins.
-func (b *Book) Keep() (kept []Kept) {
+// Snapshot is what a next start has to know of the pins.
+func (b *VersionStore) Snapshot() (kept []PinnedVersion) {
 	for _, p := range b.pins {
-		k := Kept{Pin: p, Holds: map[control.TableID]Weights{}}
+		k := PinnedVersion{Pin: p, Holds: map[control.TableID]Weights{}}
 		for t, v := range p.held {
 			if e, err := b.Get(t, v); err == nil {
 				k.Holds[t] = e.State.Weights()
-				if len(e.Acting) == 0 {
+				if len(e.Overrides) == 0 {
 					continue
 				}
-				if k.Acting == nil {
-					k.Acting = map[control.TableID]map[control.RequestClass]Weights{}
+				if k.Overrides == nil {
+					k.Overrides = map[control.TableID]map[control.RequestClass]Weights{}
 				}
-				k.Acting[t] = map[control.RequestClass]Weights{}
-				for kind, s := range e.Acting {
-					k.Acting[t][kind] = s.Weights()
+				k.Overrides[t] = map[control.RequestClass]Weights{}
+				for kind, s := range e.Overrides {
+					k.Overrides[t][kind] = s.Weights()
 				}
 			}
 		}
@@ -330,13 +330,13 @@
 	return kept
 }
 
-// Recall takes the pins of an earlier start in. The states that they hold become the first versions of their tables.
-func (b *Book) Recall(now control.Microseconds, kept []Kept) {
+// Restore takes the pins of an earlier start in. The states that they hold become the first versions of their tables.
+func (b *VersionStore) Restore(now control.Microseconds, kept []PinnedVersion) {
 	for _, k := range kept {
 		p := k.Pin
 		p.held = map[control.TableID]Version{}
 		for _, t := range slices.Sorted(maps.Keys(k.Holds)) {
-			p.held[t] = b.Put(now, t, k.Holds[t], k.Acting[t])
+			p.held[t] = b.Put(now, t, k.Holds[t], k.Overrides[t])
 		}
 		b.pinned = max(b.pinned, p.ID)
 		b.pins = append(b.pins, p)
--- a/tables/ledger_test.go
+++ b/tables/ledger_test.go
@@ -9,13 +9,13 @@
 )
 
 func held(weights ...float64) Snapshot {
-	c := Cluster{Kind: "view"}
+	c := Cluster{Class: "view"}
 	for i, w := range weights {
 		if w != 0 {
-			c.Lines = append(c.Lines, Line{Backend: control.EndpointID(rune('a' + i)), Zone: "z", Weight: max(w, -w), Withheld: w < 0})
+			c.Endpoints = append(c.Endpoints, ClusterEndpoint{Endpoint: control.EndpointID(rune('a' + i)), Zone: "z", Weight: max(w, -w), Withheld: w < 0})
 		}
 	}
-	return Snapshot{Clusters: []Cluster{c}, Routes: []Route{{Kind: "view", Rate: Unlimited, Share: 1}}}
+	return Snapshot{Clusters: []Cluster{c}, Routes: []Route{{Class: "view", Rate: UnlimitedRate, Share: 1}}}
 }
 
 const plenty = 1 << 30 // of room
@@ -26,11 +26,11 @@
 // Routine changes as fast as they come must leave room for a drain, and the last of them goes out when it may, with the
 // mark that waits for it.
 func TestDrainAfterABurst(t *testing.T) {
-	l := NewLedger("e", Budget{Most: 20, Span: 10 * second})
-	l.Join()
+	l := NewInFlight("e", Budget{MaxMessages: 20, Window: 10 * second})
+	l.Connect()
 	now, sent, offered := second, 0, 1.0
 	for ; now < 6*second; now += second / 20 {
-		if v, _ := l.Offer(now, held(offered, 1), control.AckID(int(offered)), plenty, no); v == Send {
+		if v, _ := l.Offer(now, held(offered, 1), control.AckID(int(offered)), plenty, no); v == OfferSend {
 			sent++
 		}
 		offered++
@@ -38,12 +38,12 @@
 	if sent != 16 {
 		t.Errorf("%d routine messages in five seconds, want 16", sent)
 	}
-	if v, m := l.Offer(now, held(-offered, 1), NoMark, plenty, yes); v != Send || m.Mark != control.AckID(int(offered-1)) {
+	if v, m := l.Offer(now, held(-offered, 1), NoAckID, plenty, yes); v != OfferSend || m.AckID != control.AckID(int(offered-1)) {
 		t.Errorf("a drain: %v, %+v", v, m)
 	}
 	for i := range 6 {
-		v, _ := l.Offer(now, held(-offered, float64(2+i)), NoMark, plenty, yes)
-		if want := i < 3; (v == Send) != want {
+		v, _ := l.Offer(now, held(-offered, float64(2+i)), NoAckID, plenty, yes)
+		if want := i < 3; (v == OfferSend) != want {
 			t.Errorf("urgent one %d after it: %v", i+1, v)
 		}
 	}
@@ -51,7 +51,7 @@
 	if !later || at <= now {
 		t.Fatalf("what had to wait is due at %d, %t", at, later)
 	}
-	if v, _ := l.Offer(at, held(-offered, 7), NoMark, plenty, yes); v != Send {
+	if v, _ := l.Offer(at, held(-offered, 7), NoAckID, plenty, yes); v != OfferSend {
 		t.Errorf("and does not go then: %v", v)
 	}
 }
@@ -61,11 +61,11 @@
 func TestLedgerAlways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most, span = 10, 10 * second
-		l := NewLedger("e", Budget{Most: most, Span: span})
-		l.Join()
+		l := NewInFlight("e", Budget{MaxMessages: most, Window: span})
+		l.Connect()
 		now := second
 		var times, urgents []control.Microseconds
-		asked, told := NoMark, NoMark
+		asked, told := NoAckID, NoAckID
 		within := func(at []control.Microseconds) (n int) {
 			for _, x := range at {
 				if now-x <= span {
@@ -74,16 +74,16 @@
 			}
 			return n
 		}
-		note := func(v Verdict, m Message, urgent bool) {
+		note := func(v OfferResult, m Message, urgent bool) {
 			switch v {
-			case Applied:
-				told = max(told, m.Mark)
-			case Send:
+			case OfferAcknowledged:
+				told = max(told, m.AckID)
+			case OfferSend:
 				times = append(times, now)
 				if urgent {
 					urgents = append(urgents, now)
 				}
-			case Later:
+			case OfferDeferred:
 				if urgent && within(urgents) < most/5 {
 					t.Fatalf("an urgent change waits after %d urgent ones, %d in all", within(urgents), within(times))
 				}
@@ -101,43 +101,43 @@
 				v, m := l.Offer(now, held(float64(rapid.IntRange(1, 4).Draw(t, "weight"))), asked, plenty, func() bool { return urgent })
 				note(v, m, urgent)
 			case 3:
-				if w := l.Waiting(); len(w) > 0 {
-					for d := range Docs {
+				if w := l.Unacknowledged(); len(w) > 0 {
+					for d := range DocumentCount {
 						done, known := l.Ack(now, d, w[len(w)-1].Version)
 						if !known {
 							t.Fatal("what is on its way is not known")
 						}
 						for _, m := range done {
-							told = max(told, m.Mark)
+							told = max(told, m.AckID)
 						}
-						if len(l.Waiting()) == 0 {
+						if len(l.Unacknowledged()) == 0 {
 							break
 						}
 					}
 				}
 			case 4:
-				if w := l.Waiting(); len(w) > 0 {
-					l.Refuse(now, w[0].Version)
+				if w := l.Unacknowledged(); len(w) > 0 {
+					l.Reject(now, w[0].Version)
 				}
 			case 5:
 				l.Ack(now, 0, "e.9999")
 			}
-			if l.Retry(now) && !l.Voided() {
+			if l.Retry(now) && !l.Invalidated() {
 				t.Fatal("a retry that sends nothing")
 			}
 		}
 		// The end: time passes and all that is sent is confirmed; the last mark asked for has been told.
 		for range 4 {
 			now += span + second
-			v, m := l.Offer(now, l.Sent(), NoMark, plenty, no)
+			v, m := l.Offer(now, l.Sent(), NoAckID, plenty, no)
 			note(v, m, false)
-			if w := l.Waiting(); len(w) > 0 {
-				for d := range Docs {
+			if w := l.Unacknowledged(); len(w) > 0 {
+				for d := range DocumentCount {
 					done, _ := l.Ack(now, d, w[len(w)-1].Version)
 					for _, m := range done {
-						told = max(told, m.Mark)
+						told = max(told, m.AckID)
 					}
-					if len(l.Waiting()) == 0 {
+					if len(l.Unacknowledged()) == 0 {
 						break
 					}
 				}
@@ -164,7 +164,7 @@
 		"the first open line":         {held(-1), held(-1, 1), true},
 		"from nothing":                {Snapshot{}, held(1), true},
 	} {
-		if got := Closes(c.from, c.to, closed); got != c.want {
+		if got := ClosesEndpoint(c.from, c.to, closed); got != c.want {
 			t.Errorf("%s: %t", name, got)
 		}
 	}
@@ -172,16 +172,16 @@
 
 // Checksums and refusals: the whole goes out again, later each time, and once what it holds is right nothing does.
 func TestBeliefIsVoid(t *testing.T) {
-	l := NewLedger("e", Budget{})
-	l.Join()
+	l := NewInFlight("e", Budget{})
+	l.Connect()
 	now, s := second, held(1, 2)
-	if v, _ := l.Offer(now, s, NoMark, plenty, no); v != Send {
+	if v, _ := l.Offer(now, s, NoAckID, plenty, no); v != OfferSend {
 		t.Fatalf("after a join: %v", v)
 	}
 	confirm := func() {
-		for d := range Docs {
-			l.Ack(now, d, l.Waiting()[0].Version)
-			if len(l.Waiting()) == 0 {
+		for d := range DocumentCount {
+			l.Ack(now, d, l.Unacknowledged()[0].Version)
+			if len(l.Unacknowledged()) == 0 {
 				break
 			}
 		}
@@ -189,7 +189,7 @@
 	confirm()
 	last := control.Microseconds(0)
 	for i := range 4 {
-		if _, right := l.Check(now, Checksum(s)+1, [Docs]string{}); right {
+		if _, right := l.VerifyChecksum(now, Checksum(s)+1, [DocumentCount]string{}); right {
 			t.Fatal("a wrong checksum passes")
 		}
 		began := now
@@ -201,22 +201,22 @@
 		} else {
 			last = wait
 		}
-		if v, m := l.Offer(now, s, NoMark, plenty, no); v != Send || m.Changed != [Docs]bool{true, true} {
+		if v, m := l.Offer(now, s, NoAckID, plenty, no); v != OfferSend || m.Changed != [DocumentCount]bool{true, true} {
 			t.Fatalf("void: %v %+v", v, m)
 		}
 		confirm()
 	}
-	if _, right := l.Check(now, Checksum(s), [Docs]string{}); !right || l.Retry(now+60*second) {
+	if _, right := l.VerifyChecksum(now, Checksum(s), [DocumentCount]string{}); !right || l.Retry(now+60*second) {
 		t.Error("the right one does not pass, or is sent again")
 	}
-	if v, _ := l.Offer(now, s, NoMark, plenty, no); v != Nothing {
+	if v, _ := l.Offer(now, s, NoAckID, plenty, no); v != OfferUnchanged {
 		t.Errorf("nothing has changed: %v", v)
 	}
-	l.Offer(now, held(3), NoMark, plenty, no)
-	if _, known := l.Refuse(now, "other.1"); known {
+	l.Offer(now, held(3), NoAckID, plenty, no)
+	if _, known := l.Reject(now, "other.1"); known {
 		t.Error("a refusal of what was never sent counts")
 	}
-	if again, known := l.Refuse(now, l.Waiting()[0].Version); !known || again != 2*second {
+	if again, known := l.Reject(now, l.Unacknowledged()[0].Version); !known || again != 2*second {
 		t.Errorf("a refusal: %d, %t", again, known)
 	}
 }
@@ -224,20 +224,20 @@
 // Where the lines on their way to all gateways leave no room a routine change and a first table wait, with their mark; what
 // closes a line does not.
 func TestNoRoom(t *testing.T) {
-	l := NewLedger("e", Budget{Most: 20, Span: 10 * second})
-	l.Join()
+	l := NewInFlight("e", Budget{MaxMessages: 20, Window: 10 * second})
+	l.Connect()
 	now := second
-	if v, _ := l.Offer(now, held(1, 2), 5, 1, yes); v != Later {
+	if v, _ := l.Offer(now, held(1, 2), 5, 1, yes); v != OfferDeferred {
 		t.Errorf("a first table: %v", v)
 	}
 	at, later := l.DueAt()
-	if v, m := l.Offer(at, held(1, 2), NoMark, plenty, no); !later || v != Send || m.Mark != 5 {
+	if v, m := l.Offer(at, held(1, 2), NoAckID, plenty, no); !later || v != OfferSend || m.AckID != 5 {
 		t.Errorf("with room: %v, %+v", v, m)
 	}
-	if v, _ := l.Offer(at, held(1, 3), 6, 0, no); v != Later {
+	if v, _ := l.Offer(at, held(1, 3), 6, 0, no); v != OfferDeferred {
 		t.Errorf("routine: %v", v)
 	}
-	if v, m := l.Offer(at, held(1, 4), NoMark, 0, yes); v != Send || m.Mark != 6 {
+	if v, m := l.Offer(at, held(1, 4), NoAckID, 0, yes); v != OfferSend || m.AckID != 6 {
 		t.Errorf("urgent: %v, %+v", v, m)
 	}
 }
--- a/tables/tables.go
+++ b/tables/tables.go
@@ -10,9 +10,9 @@
 	"porthub/control"
 )
 
-// Line is one backend in a cluster. Weight is relative to the other lines of its cluster, without a unit, above 0.
-type Line struct {
-	Backend  control.EndpointID `json:"backend"`
+// ClusterEndpoint is one backend in a cluster. Weight is relative to the other lines of its cluster, without a unit, above 0.
+type ClusterEndpoint struct {
+	Endpoint control.EndpointID `json:"backend"`
 	Zone     control.Zone       `json:"zone"`
 	Weight   float64            `json:"weight"`
 	Withheld bool               `json:"withheld,omitempty"` // listed, but nothing new may be sent there
@@ -20,20 +20,20 @@
 
 // Cluster is all lines of one request kind, by zone and backend.
 type Cluster struct {
-	Kind  string `json:"kind"`
-	Lines []Line `json:"lines"`
+	Class     string            `json:"kind"`
+	Endpoints []ClusterEndpoint `json:"lines"`
 }
 
 // Route tells what a gateway does with reqs of one kind.
 type Route struct {
-	Kind string `json:"kind"`
+	Class string `json:"kind"`
 	// Rate is reqs a second let in at this gateway; 0 lets nothing in, below 0 sets no limit.
 	Rate float64 `json:"rate"`
 	// Share is the part let in, 0 to 1; 1 lets all in. Only one of Rate and Share is in use at a site.
 	Share float64 `json:"share"`
-	// SecondTry is the order for second tries as control.Admit has it, 0 to 3.
-	SecondTry int                  `json:"second_try"`
-	Timeout   control.Microseconds `json:"timeout_us"` // of all tries together
+	// RetryPolicy is the order for second tries as control.Admit has it, 0 to 3.
+	RetryPolicy int                  `json:"second_try"`
+	Timeout     control.Microseconds `json:"timeout_us"` // of all tries together
 	// Fallback holds in place of Share and SecondTry while no coordinator is reached.
 	Fallback Fallback `json:"fallback,omitzero"`
 }
@@ -41,20 +41,20 @@
 // Fallback is what a gateway does with a kind while it reaches no coordinator: After so long without a word, For so long; then
 // its table holds again as it is. The zero Fallback is none.
 type Fallback struct {
-	After     control.Microseconds `json:"after_us"`
-	For       control.Microseconds `json:"for_us"`
-	Share     float64              `json:"share"` // part let in of what the table lets in
-	SecondTry int                  `json:"second_try"`
+	After       control.Microseconds `json:"after_us"`
+	Duration    control.Microseconds `json:"for_us"`
+	Share       float64              `json:"share"` // part let in of what the table lets in
+	RetryPolicy int                  `json:"second_try"`
 }
 
-// Away is a route as it holds after so long without a word from a coordinator.
-func (r Route) Away(silent control.Microseconds) Route {
-	if f := r.Fallback; f.For > 0 && silent >= f.After && silent < f.After+f.For {
+// AfterSilence is a route as it holds after so long without a word from a coordinator.
+func (r Route) AfterSilence(silent control.Microseconds) Route {
+	if f := r.Fallback; f.Duration > 0 && silent >= f.After && silent < f.After+f.Duration {
 		r.Share *= f.Share
 		if r.Rate > 0 {
 			r.Rate *= f.Share
 		}
-		r.SecondTry = min(r.SecondTry, f.SecondTry)
+		r.RetryPolicy = min(r.RetryPolicy, f.RetryPolicy)
 	}
 	return r
 }
@@ -66,22 +66,22 @@
 	Level    int       `json:"-"` // of service, by which it was made; not published
 }
 
-// Unlimited is a level that turns nothing away.
-const Unlimited = -1
+// UnlimitedRate is a level that turns nothing away.
+const UnlimitedRate = -1
 
 // Sort puts a cluster's lines into their one order: by zone, then by backend.
 func (c *Cluster) Sort() {
-	slices.SortFunc(c.Lines, order)
+	slices.SortFunc(c.Endpoints, order)
 }
 
 // Equal tells whether two clusters are the same to the letter; both are sorted.
 func (c Cluster) Equal(o Cluster) bool {
-	return c.Kind == o.Kind && (c.same(o) || slices.Equal(c.Lines, o.Lines))
+	return c.Class == o.Class && (c.same(o) || slices.Equal(c.Endpoints, o.Endpoints))
 }
 
 // same tells whether two clusters share their lines: those of gateways on one table do.
 func (c Cluster) same(o Cluster) bool {
-	return len(c.Lines) == len(o.Lines) && (len(c.Lines) == 0 || &c.Lines[0] == &o.Lines[0])
+	return len(c.Endpoints) == len(o.Endpoints) && (len(c.Endpoints) == 0 || &c.Endpoints[0] == &o.Endpoints[0])
 }
 
 // SameClusters tells whether two snapshots have the same clusters.
@@ -92,11 +92,11 @@
 // SameRoutes tells whether two snapshots have the same routes.
 func (s Snapshot) SameRoutes(o Snapshot) bool { return slices.Equal(s.Routes, o.Routes) }
 
-// Open counts the lines of a kind to which something may be sent.
-func (s Snapshot) Open(kind string) (n int) {
+// OpenEndpoints counts the lines of a kind to which something may be sent.
+func (s Snapshot) OpenEndpoints(kind string) (n int) {
 	for _, c := range s.Clusters {
-		for _, l := range c.Lines {
-			if c.Kind == kind && !l.Withheld && l.Weight > 0 {
+		for _, l := range c.Endpoints {
+			if c.Class == kind && !l.Withheld && l.Weight > 0 {
 				n++
 			}
 		}
@@ -104,29 +104,29 @@
 	return n
 }
 
-// Cost is how many lines differ between two snapshots: set anew, changed or gone, routes counted as a line each. It
+// ChangeCost is how many lines differ between two snapshots: set anew, changed or gone, routes counted as a line each. It
 // is what a message that brings a gateway from the one to the other holds besides its head.
-func Cost(from, to Snapshot) (lines int) {
+func ChangeCost(from, to Snapshot) (lines int) {
 	held := map[string]Cluster{}
 	for _, c := range from.Clusters {
-		held[c.Kind] = c
+		held[c.Class] = c
 	}
 	for _, c := range to.Clusters {
-		lines += c.cost(held[c.Kind])
-		delete(held, c.Kind)
+		lines += c.cost(held[c.Class])
+		delete(held, c.Class)
 	}
 	for _, c := range held {
-		lines += len(c.Lines)
+		lines += len(c.Endpoints)
 	}
 	routes := map[string]Route{}
 	for _, r := range from.Routes {
-		routes[r.Kind] = r
+		routes[r.Class] = r
 	}
 	for _, r := range to.Routes {
-		if old, has := routes[r.Kind]; !has || old != r {
+		if old, has := routes[r.Class]; !has || old != r {
 			lines++
 		}
-		delete(routes, r.Kind)
+		delete(routes, r.Class)
 	}
 	return lines + len(routes)
 }
@@ -137,36 +137,36 @@
 		return 0
 	}
 	i, j := 0, 0
-	for i < len(c.Lines) && j < len(o.Lines) {
-		switch order(c.Lines[i], o.Lines[j]) {
+	for i < len(c.Endpoints) && j < len(o.Endpoints) {
+		switch order(c.Endpoints[i], o.Endpoints[j]) {
 		case -1:
 			i++
 		case 1:
 			j++
 		default:
-			if c.Lines[i] == o.Lines[j] {
+			if c.Endpoints[i] == o.Endpoints[j] {
 				lines--
 			}
 			i, j = i+1, j+1
 		}
 		lines++
 	}
-	return lines + len(c.Lines) - i + len(o.Lines) - j
+	return lines + len(c.Endpoints) - i + len(o.Endpoints) - j
 }
 
 // order is the one order of lines: by zone, then by backend.
-func order(a, b Line) int {
-	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Backend, b.Backend))
+func order(a, b ClusterEndpoint) int {
+	return cmp.Or(cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Endpoint, b.Endpoint))
 }
 
-// Build makes a cluster of a table's weights; what masked names is withheld. Backends that zone does not know are
+// BuildCluster makes a cluster of a table's weights; what masked names is withheld. Backends that zone does not know are
 // left out: nobody can tell where they are.
-func Build(kind string, weights map[control.EndpointID]float64, zone func(control.EndpointID) (control.Zone, bool),
+func BuildCluster(kind string, weights map[control.EndpointID]float64, zone func(control.EndpointID) (control.Zone, bool),
 	masked func(control.EndpointID) bool) Cluster {
-	c := Cluster{Kind: kind}
+	c := Cluster{Class: kind}
 	for _, b := range slices.Sorted(maps.Keys(weights)) {
 		if z, known := zone(b); known && weights[b] > 0 {
-			c.Lines = append(c.Lines, Line{Backend: b, Zone: z, Weight: weights[b], Withheld: masked(b)})
+			c.Endpoints = append(c.Endpoints, ClusterEndpoint{Endpoint: b, Zone: z, Weight: weights[b], Withheld: masked(b)})
 		}
 	}
 	c.Sort()
--- a/tables/tables_test.go
+++ b/tables/tables_test.go
@@ -12,11 +12,11 @@
 
 func TestCost(t *testing.T) {
 	c := func(w ...float64) (s Snapshot) {
-		cl := Cluster{Kind: "view"}
+		cl := Cluster{Class: "view"}
 		for i, x := range w {
-			cl.Lines = append(cl.Lines, Line{Backend: control.EndpointID(rune('a' + i)), Zone: "z", Weight: x})
+			cl.Endpoints = append(cl.Endpoints, ClusterEndpoint{Endpoint: control.EndpointID(rune('a' + i)), Zone: "z", Weight: x})
 		}
-		return Snapshot{Clusters: []Cluster{cl}, Routes: []Route{{Kind: "view", Rate: Unlimited, Share: 1}}}
+		return Snapshot{Clusters: []Cluster{cl}, Routes: []Route{{Class: "view", Rate: UnlimitedRate, Share: 1}}}
 	}
 	for name, x := range map[string]struct {
 		from, to Snapshot
@@ -28,7 +28,7 @@
 		"one weight": {c(1, 2), c(1, 3), 1},
 		"one less":   {c(1, 2), c(1), 1},
 	} {
-		if got := Cost(x.from, x.to); got != x.want {
+		if got := ChangeCost(x.from, x.to); got != x.want {
 			t.Errorf("%s: %d lines, want %d", name, got, x.want)
 		}
 		if same := Checksum(x.from) == Checksum(x.to); same != (x.want == 0) {
@@ -58,15 +58,15 @@
 			if got := states[i].Apply(d); !maps.Equal(got.Weights(), weights[j]) {
 				t.Fatalf("the delta from %d leads not to %d", i, j)
 			}
-			if i == j && d.Lines() != 0 {
-				t.Fatalf("%d lines from %d to itself", d.Lines(), i)
+			if i == j && d.Size() != 0 {
+				t.Fatalf("%d lines from %d to itself", d.Size(), i)
 			}
 		}
 	}
 }
 
 func TestBookKeepsWhatIsNeeded(t *testing.T) {
-	b := NewBook(4, 100*second)
+	b := NewVersionStore(4, 100*second)
 	for i := range 10 {
 		b.Put(control.Microseconds(i)*second, 1, Weights{"a": float64(i + 1)}, nil)
 		if i == 2 {
@@ -94,12 +94,12 @@
 }
 
 func TestPins(t *testing.T) {
-	b := NewBook(10, 1000*second)
+	b := NewVersionStore(10, 1000*second)
 	b.Put(1*second, 1, Weights{"a": 1, "b": 1}, nil)
 	b.Put(5*second, 1, Weights{"c": 1, "d": 2}, nil)
 	b.Put(5*second, 2, Weights{"c": 1}, nil)
 	now := Weights{"c": 1, "d": 2}
-	open := func(control.EndpointID) Standing { return Standing{} }
+	open := func(control.EndpointID) EndpointEligibility { return EndpointEligibility{} }
 	for _, c := range []struct {
 		pin  Pin
 		says error
@@ -108,27 +108,27 @@
 		{Pin{Scope: Scope{Table: 1}, Version: 9, Reason: "r"}, ErrNoVersion},
 		{Pin{Scope: Scope{Table: 7}, Version: 1, Reason: "r"}, ErrNoVersion},
 		{Pin{Scope: Scope{Table: 2}, At: 2 * second, Reason: "r"}, ErrNoVersion},
-		{Pin{Scope: Scope{Table: Anything}, Version: 1, Reason: "r"}, ErrNoVersion},
+		{Pin{Scope: Scope{Table: AnyTable}, Version: 1, Reason: "r"}, ErrNoVersion},
 	} {
 		if _, err := b.Pin(6*second, c.pin); !errors.Is(err, c.says) {
 			t.Errorf("%+v: %v", c.pin, err)
 		}
 	}
-	fleet, err := b.Pin(6*second, Pin{Scope: Scope{Table: Anything}, At: 2 * second, Reason: "worse since"})
+	fleet, err := b.Pin(6*second, Pin{Scope: Scope{Table: AnyTable}, At: 2 * second, Reason: "worse since"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if w, _, _ := b.InForce(1, 0, "z", now, open); !maps.Equal(w, Weights{"a": 1, "b": 1}) {
+	if w, _, _ := b.Effective(1, 0, "z", now, open); !maps.Equal(w, Weights{"a": 1, "b": 1}) {
 		t.Errorf("pinned, and holds %v", w)
 	}
-	if w, _, over := b.InForce(2, 0, "z", Weights{"c": 1}, open); !maps.Equal(w, Weights{"c": 1}) || over == "" {
+	if w, _, over := b.Effective(2, 0, "z", Weights{"c": 1}, open); !maps.Equal(w, Weights{"c": 1}) || over == "" {
 		t.Errorf("younger than the pin: %v, %q", w, over)
 	}
 	// The narrower pin goes first.
 	if _, err := b.Pin(7*second, Pin{Scope: Scope{Table: 1}, Version: 2, Reason: "this one is fine"}); err != nil {
 		t.Fatal(err)
 	}
-	if w, _, _ := b.InForce(1, 0, "z", Weights{"x": 1}, open); !maps.Equal(w, now) {
+	if w, _, _ := b.Effective(1, 0, "z", Weights{"x": 1}, open); !maps.Equal(w, now) {
 		t.Errorf("the table's own pin: %v", w)
 	}
 	if _, err := b.Unpin(fleet.ID); err != nil {
@@ -142,16 +142,16 @@
 // Whatever is pinned, nothing closed comes back, nothing cold gets a larger part than it has now, and the rules win
 // where they leave nothing.
 func TestRulesMaskEveryVersion(t *testing.T) {
-	b := NewBook(10, 1000*second)
+	b := NewVersionStore(10, 1000*second)
 	b.Put(1*second, 1, Weights{"a": 1, "b": 1, "cold": 1, "gone": 5, "new": 1}, nil)
 	if _, err := b.Pin(2*second, Pin{Scope: Scope{Table: 1}, Version: 1, Reason: "r"}); err != nil {
 		t.Fatal(err)
 	}
 	now := Weights{"a": 2, "b": 2, "cold": 0.2}
-	standing := func(be control.EndpointID) Standing {
-		return Standing{Closed: be == "gone", Now: now[be], Cold: be == "cold" || be == "new"}
+	standing := func(be control.EndpointID) EndpointEligibility {
+		return EndpointEligibility{Closed: be == "gone", Weight: now[be], WarmingUp: be == "cold" || be == "new"}
 	}
-	w, _, over := b.InForce(1, 0, "z", now, standing)
+	w, _, over := b.Effective(1, 0, "z", now, standing)
 	if w["gone"] != 0 || w["new"] != 0 || w["a"] != 1 || over == "" {
 		t.Errorf("%v, %q", w, over)
 	}
@@ -164,7 +164,7 @@
 	if part, before := w["cold"]/sum(w), now["cold"]/sum(now); part == 0 || part > before*1.0001 {
 		t.Errorf("the cold one's part is %.4f, now %.4f", part, before)
 	}
-	w, pin, over := b.InForce(1, 0, "z", now, func(control.EndpointID) Standing { return Standing{Closed: true} })
+	w, pin, over := b.Effective(1, 0, "z", now, func(control.EndpointID) EndpointEligibility { return EndpointEligibility{Closed: true} })
 	if !maps.Equal(w, now) || pin == nil || over == "" {
 		t.Errorf("with nothing left: %v, %q", w, over)
 	}
@@ -173,7 +173,7 @@
 func BenchmarkVersions(b *testing.B) {
 	for _, lines := range []int{18, 100, 400} {
 		b.Run(fmt.Sprint(lines, "_lines"), func(b *testing.B) {
-			book, w := NewBook(64, 3600*second), Weights{}
+			book, w := NewVersionStore(64, 3600*second), Weights{}
 			for i := range lines {
 				w[control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i))] = 1
 			}
@@ -190,7 +190,7 @@
 
 // What acts in a table's place for a kind is part of its versions, of pins and of what a next start is told.
 func TestActingWeights(t *testing.T) {
-	b := NewBook(10, 1000*second)
+	b := NewVersionStore(10, 1000*second)
 	w := Weights{"a": 1, "b": 1}
 	b.Put(1*second, 1, w, nil)
 	acting := map[control.RequestClass]Weights{2: {"b": 1}}
@@ -206,11 +206,11 @@
 	if v := b.Put(5*second, 1, w, nil); v != 3 {
 		t.Errorf("no longer acting is version %d", v)
 	}
-	next := NewBook(10, 1000*second)
-	next.Recall(6*second, b.Keep())
-	for name, b := range map[string]*Book{"here": b, "after a start": next} {
+	next := NewVersionStore(10, 1000*second)
+	next.Restore(6*second, b.Snapshot())
+	for name, b := range map[string]*VersionStore{"here": b, "after a start": next} {
 		for kind, want := range map[control.RequestClass]Weights{0: w, 2: acting[2]} {
-			if got, _, over := b.InForce(1, kind, "z", Weights{"c": 1}, func(control.EndpointID) Standing { return Standing{} }); !maps.Equal(got, want) || over != "" {
+			if got, _, over := b.Effective(1, kind, "z", Weights{"c": 1}, func(control.EndpointID) EndpointEligibility { return EndpointEligibility{} }); !maps.Equal(got, want) || over != "" {
 				t.Errorf("%s, kind %d: %v, %q", name, kind, got, over)
 			}
 		}
--- a/tables/version.go
+++ b/tables/version.go
@@ -46,8 +46,8 @@
 	return w
 }
 
-// Lines are what the state holds, in the order of names.
-func (s State) Lines() []Weighed { return Diff(State{}, s).Set }
+// Endpoints are what the state holds, in the order of names.
+func (s State) Endpoints() []EndpointWeight { return Diff(State{}, s).Set }
 
 // Len counts the lines.
 func (s State) Len() int {
@@ -69,29 +69,29 @@
 
 // Delta is what leads from one state to another: lines set anew or changed, and lines that go, in the order of names.
 type Delta struct {
-	Set  []Weighed
-	Gone []control.EndpointID
+	Set     []EndpointWeight
+	Removed []control.EndpointID
 }
 
-// Weighed is one line of a table.
-type Weighed struct {
-	Backend control.EndpointID `json:"backend"`
-	Weight  float64            `json:"weight"`
+// EndpointWeight is one line of a table.
+type EndpointWeight struct {
+	Endpoint control.EndpointID `json:"backend"`
+	Weight   float64            `json:"weight"`
 }
 
-// Lines is what the delta costs in lines.
-func (d Delta) Lines() int { return len(d.Set) + len(d.Gone) }
+// Endpoints is what the delta costs in lines.
+func (d Delta) Size() int { return len(d.Set) + len(d.Removed) }
 
 // Diff is the delta from one state to another.
 func Diff(from, to State) (d Delta) {
 	to.each(func(b control.EndpointID, weight float64) {
 		if old, has := from.get(b); !has || old != weight {
-			d.Set = append(d.Set, Weighed{b, weight})
+			d.Set = append(d.Set, EndpointWeight{b, weight})
 		}
 	})
 	from.each(func(b control.EndpointID, _ float64) {
 		if _, has := to.get(b); !has {
-			d.Gone = append(d.Gone, b)
+			d.Removed = append(d.Removed, b)
 		}
 	})
 	return d
@@ -112,19 +112,19 @@
 	}
 	txn := t.Txn()
 	for _, l := range d.Set {
-		txn.Insert([]byte(l.Backend), l.Weight)
+		txn.Insert([]byte(l.Endpoint), l.Weight)
 	}
-	for _, b := range d.Gone {
+	for _, b := range d.Removed {
 		txn.Delete([]byte(b))
 	}
 	return State{txn.Commit()}
 }
 
 // published is a weight as documents have it, a whole number; checksums are of what travels.
-func published(w float64) uint64 { return uint64(min(max(1, math.Round(w*PublishedScale)), 1<<31)) }
+func published(w float64) uint64 { return uint64(min(max(1, math.Round(w*WeightScale)), 1<<31)) }
 
-// PublishedScale is what a weight of 1 becomes in documents.
-const PublishedScale = 10_000
+// WeightScale is what a weight of 1 becomes in documents.
+const WeightScale = 10_000
 
 // Checksum is of all that a gateway holds: every line of every cluster and every route, as published. A gateway can
 // compute it for itself from what it has read; the order of lines does not count.
@@ -145,13 +145,13 @@
 		sum += xxhash.Sum64(buf.Bytes())
 	}
 	for _, c := range s.Clusters {
-		one("cluster", c.Kind)
-		for _, l := range c.Lines {
+		one("cluster", c.Class)
+		for _, l := range c.Endpoints {
 			withheld := uint64(0)
 			if l.Withheld {
 				withheld = 1
 			}
-			one("line", c.Kind, string(l.Zone), string(l.Backend), published(l.Weight), withheld)
+			one("line", c.Class, string(l.Zone), string(l.Endpoint), published(l.Weight), withheld)
 		}
 	}
 	for _, r := range s.Routes {
@@ -160,9 +160,9 @@
 		if r.Rate >= 0 {
 			limited = 1
 		}
-		one("route", r.Kind, limited, uint64(math.Round(r.Share*1e4)), uint64(r.SecondTry), uint64(r.Timeout))
-		if f := r.Fallback; f.For > 0 {
-			one("fallback", r.Kind, uint64(f.After/1000), uint64(f.For/1000), uint64(math.Round(f.Share*1e4)), uint64(f.SecondTry))
+		one("route", r.Class, limited, uint64(math.Round(r.Share*1e4)), uint64(r.RetryPolicy), uint64(r.Timeout))
+		if f := r.Fallback; f.Duration > 0 {
+			one("fallback", r.Class, uint64(f.After/1000), uint64(f.Duration/1000), uint64(math.Round(f.Share*1e4)), uint64(f.RetryPolicy))
 		}
 	}
 	return sum
--- a/xds/delta.go
+++ b/xds/delta.go
@@ -24,18 +24,18 @@
 )
 
 // A line's resource name is kind/zone/address; its version tells weight and whether it is withheld.
-func lineName(kind string, l tables.Line) string {
-	return kind + "/" + string(l.Zone) + "/" + string(l.Backend)
+func lineName(kind string, l tables.ClusterEndpoint) string {
+	return kind + "/" + string(l.Zone) + "/" + string(l.Endpoint)
 }
 
-func lineVersion(l tables.Line) string {
+func lineVersion(l tables.ClusterEndpoint) string {
 	if l.Withheld {
 		return fmt.Sprintf("%d.w", weight(l))
 	}
 	return fmt.Sprintf("%d", weight(l))
 }
 
-func weight(l tables.Line) uint32 {
+func weight(l tables.ClusterEndpoint) uint32 {
 	return uint32(min(max(1, math.Round(l.Weight*WeightScale)), 1<<31))
 }
 
@@ -43,8 +43,8 @@
 func LineVersions(s tables.Snapshot) map[string]string {
 	out := map[string]string{}
 	for _, c := range s.Clusters {
-		for _, l := range c.Lines {
-			out[lineName(c.Kind, l)] = lineVersion(l)
+		for _, l := range c.Endpoints {
+			out[lineName(c.Class, l)] = lineVersion(l)
 		}
 	}
 	return out
@@ -55,17 +55,17 @@
 func RouteVersions(s tables.Snapshot) map[string]string {
 	out := map[string]string{}
 	for _, r := range s.Routes {
-		out[r.Kind] = routeVersion(r)
+		out[r.Class] = routeVersion(r)
 	}
 	return out
 }
 
 func routeVersion(r tables.Route) string {
-	if r.Fallback.For > 0 {
+	if r.Fallback.Duration > 0 {
 		f := r.Fallback
-		return fmt.Sprintf("%g.%g.%d.%d-%d.%d.%g.%d", r.Rate, r.Share, r.SecondTry, r.Timeout, f.After, f.For, f.Share, f.SecondTry)
+		return fmt.Sprintf("%g.%g.%d.%d-%d.%d.%g.%d", r.Rate, r.Share, r.RetryPolicy, r.Timeout, f.After, f.Duration, f.Share, f.RetryPolicy)
 	}
-	return fmt.Sprintf("%g.%g.%d.%d", r.Rate, r.Share, r.SecondTry, r.Timeout)
+	return fmt.Sprintf("%g.%g.%d.%d", r.Rate, r.Share, r.RetryPolicy, r.Timeout)
 }
 
 // RouteDelta is what leads a gateway that holds the routes given to a snapshot's.
@@ -74,10 +74,10 @@
 	seen := map[string]bool{}
 	for _, one := range to.Routes {
 		v := routeVersion(one)
-		if seen[one.Kind] = true; held[one.Kind] == v {
+		if seen[one.Class] = true; held[one.Class] == v {
 			continue
 		}
-		rc, err := configuration(one.Kind, []tables.Route{one})
+		rc, err := configuration(one.Class, []tables.Route{one})
 		if err != nil {
 			return nil, err
 		}
@@ -85,7 +85,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r.Resources = append(r.Resources, &discoveryv3.Resource{Name: one.Kind, Version: v, Resource: res})
+		r.Resources = append(r.Resources, &discoveryv3.Resource{Name: one.Class, Version: v, Resource: res})
 	}
 	for _, name := range slices.Sorted(maps.Keys(held)) {
 		if !seen[name] {
@@ -100,7 +100,7 @@
 func ApplyRouteDelta(kinds []string, held []tables.Route, d *discoveryv3.DeltaDiscoveryResponse) ([]tables.Route, error) {
 	routes := map[string]tables.Route{}
 	for _, r := range held {
-		routes[r.Kind] = r
+		routes[r.Class] = r
 	}
 	for _, name := range d.RemovedResources {
 		delete(routes, name)
@@ -114,7 +114,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if len(read) != 1 || read[0].Kind != res.Name || !slices.Contains(kinds, res.Name) {
+		if len(read) != 1 || read[0].Class != res.Name || !slices.Contains(kinds, res.Name) {
 			return nil, fmt.Errorf("%w: resource %q is not the one route of a known kind", ErrNotXDS, res.Name)
 		}
 		routes[res.Name] = read[0]
@@ -133,8 +133,8 @@
 	r := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: LineType, Nonce: nonce}
 	seen := map[string]bool{}
 	for _, c := range to.Clusters {
-		for _, l := range c.Lines {
-			name, v := lineName(c.Kind, l), lineVersion(l)
+		for _, l := range c.Endpoints {
+			name, v := lineName(c.Class, l), lineVersion(l)
 			if seen[name] = true; held[name] == v {
 				continue
 			}
@@ -160,10 +160,10 @@
 // ApplyDelta makes the clusters that a delta leads to, of the kinds given and in their order. What it was made from
 // stays as it is. A resource that can't be read is an error and changes nothing.
 func ApplyDelta(kinds []string, held tables.Snapshot, d *discoveryv3.DeltaDiscoveryResponse) ([]tables.Cluster, error) {
-	lines := map[string]tables.Line{}
+	lines := map[string]tables.ClusterEndpoint{}
 	for _, c := range held.Clusters {
-		for _, l := range c.Lines {
-			lines[lineName(c.Kind, l)] = l
+		for _, l := range c.Endpoints {
+			lines[lineName(c.Class, l)] = l
 		}
 	}
 	for _, name := range d.RemovedResources {
@@ -183,7 +183,7 @@
 	out := make([]tables.Cluster, len(kinds))
 	index := map[string]int{}
 	for i, k := range kinds {
-		out[i].Kind, index[k] = k, i
+		out[i].Class, index[k] = k, i
 	}
 	for name, l := range lines {
 		kind, _, _ := strings.Cut(name, "/")
@@ -191,7 +191,7 @@
 		if !known {
 			return nil, fmt.Errorf("%w: resource %q is of no known kind", ErrNotXDS, name)
 		}
-		out[i].Lines = append(out[i].Lines, l)
+		out[i].Endpoints = append(out[i].Endpoints, l)
 	}
 	for i := range out {
 		out[i].Sort()
--- a/xds/fuzz_test.go
+++ b/xds/fuzz_test.go
@@ -10,7 +10,7 @@
 
 // Whatever a document or report holds, reading it ends in values or an error.
 func FuzzRead(f *testing.F) {
-	m, err := Endpoints("v", "n", []tables.Cluster{{Kind: "view", Lines: []tables.Line{{Backend: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
+	m, err := Endpoints("v", "n", []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	r, err := RouteDocument("v", "n", []tables.Route{{Kind: "view", Rate: 3, Share: 0.5, SecondTry: 2}})
+	r, err := RouteDocument("v", "n", []tables.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -32,7 +32,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if d, err := Read(text); err == nil {
 			for _, c := range d.Clusters {
-				for _, l := range c.Lines {
+				for _, l := range c.Endpoints {
 					if l.Weight < 0 {
 						t.Errorf("weight %v", l.Weight)
 					}
--- a/xds/xds.go
+++ b/xds/xds.go
@@ -42,7 +42,7 @@
 )
 
 // WeightScale is what a weight of 1 becomes: the published weights are whole numbers from 1 on.
-const WeightScale = tables.PublishedScale
+const WeightScale = tables.WeightScale
 
 // KindHeader is the request header that names a req's kind.
 const KindHeader = "x-request-kind"
@@ -72,7 +72,7 @@
 		}
 		res, err := anypb.New(a)
 		if err != nil {
-			return nil, fmt.Errorf("cluster %s: %w", c.Kind, err)
+			return nil, fmt.Errorf("cluster %s: %w", c.Class, err)
 		}
 		r.Resources = append(r.Resources, res)
 	}
@@ -80,9 +80,9 @@
 }
 
 func assignment(c tables.Cluster) (*endpointv3.ClusterLoadAssignment, error) {
-	a := &endpointv3.ClusterLoadAssignment{ClusterName: c.Kind}
+	a := &endpointv3.ClusterLoadAssignment{ClusterName: c.Class}
 	var zone *endpointv3.LocalityLbEndpoints
-	for _, l := range c.Lines {
+	for _, l := range c.Endpoints {
 		if zone == nil || zone.Locality.Zone != string(l.Zone) {
 			zone = &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: string(l.Zone)}}
 			a.Endpoints = append(a.Endpoints, zone)
@@ -97,8 +97,8 @@
 }
 
 // lbEndpoint is one line as published.
-func lbEndpoint(l tables.Line) (*endpointv3.LbEndpoint, error) {
-	address, err := Address(string(l.Backend))
+func lbEndpoint(l tables.ClusterEndpoint) (*endpointv3.LbEndpoint, error) {
+	address, err := Address(string(l.Endpoint))
 	if err != nil {
 		return nil, err
 	}
@@ -111,8 +111,8 @@
 }
 
 // readLine is a line as read, in a zone.
-func readLine(e *endpointv3.LbEndpoint, backend, zone string) tables.Line {
-	return tables.Line{Backend: control.EndpointID(backend), Zone: control.Zone(zone),
+func readLine(e *endpointv3.LbEndpoint, backend, zone string) tables.ClusterEndpoint {
+	return tables.ClusterEndpoint{Endpoint: control.EndpointID(backend), Zone: control.Zone(zone),
 		Weight:   float64(e.GetLoadBalancingWeight().GetValue()) / WeightScale,
 		Withheld: e.HealthStatus == corev3.HealthStatus_DRAINING || e.HealthStatus == corev3.HealthStatus_UNHEALTHY}
 }
@@ -163,34 +163,34 @@
 
 func route(r tables.Route) (*routev3.Route, error) {
 	action := &routev3.RouteAction{
-		ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: r.Kind},
+		ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: r.Class},
 		Timeout:          durationpb.New(time.Duration(r.Timeout) * time.Microsecond),
 	}
-	switch r.SecondTry {
+	switch r.RetryPolicy {
 	case 0:
 	case 1: // on proof that the first never ran
 		action.RetryPolicy = &routev3.RetryPolicy{RetryOn: "connect-failure,refused-stream", NumRetries: wrapperspb.UInt32(1)}
 	case 2, 3:
 		action.RetryPolicy = &routev3.RetryPolicy{RetryOn: "5xx,reset,connect-failure,refused-stream",
-			NumRetries: wrapperspb.UInt32(uint32(r.SecondTry - 1))}
+			NumRetries: wrapperspb.UInt32(uint32(r.RetryPolicy - 1))}
 	default:
-		return nil, fmt.Errorf("route %s: no such second try: %d", r.Kind, r.SecondTry)
+		return nil, fmt.Errorf("route %s: no such second try: %d", r.Class, r.RetryPolicy)
 	}
-	one := &routev3.Route{Name: r.Kind,
+	one := &routev3.Route{Name: r.Class,
 		Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"},
 			Headers: []*routev3.HeaderMatcher{{Name: KindHeader, HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{
-				StringMatch: exact(r.Kind)}}}},
+				StringMatch: exact(r.Class)}}}},
 		Action: &routev3.Route_Route{Route: action}}
-	if r.Fallback.For > 0 {
-		meta, err := structpb.NewStruct(map[string]any{fallbackAfter: float64(r.Fallback.After / 1000), fallbackFor: float64(r.Fallback.For / 1000),
-			fallbackShare: r.Fallback.Share, fallbackTry: float64(r.Fallback.SecondTry)})
+	if r.Fallback.Duration > 0 {
+		meta, err := structpb.NewStruct(map[string]any{fallbackAfter: float64(r.Fallback.After / 1000), fallbackFor: float64(r.Fallback.Duration / 1000),
+			fallbackShare: r.Fallback.Share, fallbackTry: float64(r.Fallback.RetryPolicy)})
 		if err != nil {
-			return nil, fmt.Errorf("route %s: %w", r.Kind, err)
+			return nil, fmt.Errorf("route %s: %w", r.Class, err)
 		}
 		one.Metadata = &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{FallbackMetadata: meta}}
 	}
 	if r.Share < 1 {
-		one.Match.RuntimeFraction = &corev3.RuntimeFractionalPercent{RuntimeKey: "admission." + r.Kind,
+		one.Match.RuntimeFraction = &corev3.RuntimeFractionalPercent{RuntimeKey: "admission." + r.Class,
 			DefaultValue: &typev3.FractionalPercent{Numerator: uint32(math.Round(max(0, r.Share) * 1e6)),
 				Denominator: typev3.FractionalPercent_MILLION}}
 	}
@@ -213,7 +213,7 @@
 		}
 		settings, err := anypb.New(bucket)
 		if err != nil {
-			return nil, fmt.Errorf("route %s: %w", r.Kind, err)
+			return nil, fmt.Errorf("route %s: %w", r.Class, err)
 		}
 		one.TypedPerFilterConfig = map[string]*anypb.Any{rateFilter: settings}
 	}
@@ -271,10 +271,10 @@
 			if err := res.UnmarshalTo(a); err != nil {
 				return d, fmt.Errorf("%w: resource %d: %v", ErrNotXDS, i, err)
 			}
-			c := tables.Cluster{Kind: a.ClusterName}
+			c := tables.Cluster{Class: a.ClusterName}
 			for _, zone := range a.Endpoints {
 				for _, e := range zone.LbEndpoints {
-					c.Lines = append(c.Lines, readLine(e, hostport(e.GetEndpoint().GetAddress()), zone.GetLocality().GetZone()))
+					c.Endpoints = append(c.Endpoints, readLine(e, hostport(e.GetEndpoint().GetAddress()), zone.GetLocality().GetZone()))
 				}
 			}
 			d.Clusters = append(d.Clusters, c)
@@ -310,11 +310,11 @@
 
 func readRoute(one *routev3.Route) (tables.Route, error) {
 	action := one.GetRoute()
-	r := tables.Route{Kind: action.GetCluster(), Rate: tables.Unlimited, Share: 1,
+	r := tables.Route{Class: action.GetCluster(), Rate: tables.UnlimitedRate, Share: 1,
 		Timeout: control.Microseconds(action.GetTimeout().AsDuration().Microseconds())}
 	if retry := action.GetRetryPolicy(); retry != nil {
-		if r.SecondTry = int(retry.GetNumRetries().GetValue()); strings.Contains(retry.RetryOn, "5xx") {
-			r.SecondTry++
+		if r.RetryPolicy = int(retry.GetNumRetries().GetValue()); strings.Contains(retry.RetryOn, "5xx") {
+			r.RetryPolicy++
 		}
 	}
 	if f := one.GetMatch().GetRuntimeFraction(); f != nil {
@@ -324,9 +324,9 @@
 	}
 	if meta := one.GetMetadata().GetFilterMetadata()[FallbackMetadata].GetFields(); meta != nil {
 		number := func(key string) float64 { return meta[key].GetNumberValue() }
-		f := tables.Fallback{After: control.Microseconds(number(fallbackAfter)) * 1000, For: control.Microseconds(number(fallbackFor)) * 1000,
-			Share: number(fallbackShare), SecondTry: int(number(fallbackTry))}
-		if !(f.Share >= 0 && f.Share <= 1) || f.After < 0 || f.For < 0 || f.SecondTry < 0 || f.SecondTry > 3 {
+		f := tables.Fallback{After: control.Microseconds(number(fallbackAfter)) * 1000, Duration: control.Microseconds(number(fallbackFor)) * 1000,
+			Share: number(fallbackShare), RetryPolicy: int(number(fallbackTry))}
+		if !(f.Share >= 0 && f.Share <= 1) || f.After < 0 || f.Duration < 0 || f.RetryPolicy < 0 || f.RetryPolicy > 3 {
 			return r, fmt.Errorf("%w: route %s: a fallback of %+v", ErrNotXDS, one.Name, f)
 		}
 		r.Fallback = f
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -28,24 +28,24 @@
 
 // What is written is what is read: lines, weights, what is withheld, levels and second tries.
 func TestDocumentsThereAndBack(t *testing.T) {
-	clusters := []tables.Cluster{{Kind: "view", Lines: []tables.Line{{Backend: "127.0.0.1:1", Zone: "a", Weight: 0.25},
-		{Backend: "127.0.0.1:2", Zone: "a", Weight: 1, Withheld: true}, {Backend: "[::1]:3", Zone: "b", Weight: 3.5}}}, {Kind: "save"}}
+	clusters := []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 0.25},
+		{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 1, Withheld: true}, {Endpoint: "[::1]:3", Zone: "b", Weight: 3.5}}}, {Class: "save"}}
 	m, err := Endpoints("v1", "n1", clusters)
 	text := encoded(t, m, err)
 	d, err := Read(text)
 	if err != nil || d.Version != "v1" || d.Nonce != "n1" || !reflect.DeepEqual(d.Clusters, clusters) {
 		t.Errorf("%+v, %v", d, err)
 	}
-	for _, rate := range []float64{tables.Unlimited, 0, 0.37, 1, 7.5, 333, 12345} {
+	for _, rate := range []float64{tables.UnlimitedRate, 0, 0.37, 1, 7.5, 333, 12345} {
 		for second := range 4 {
-			routes := []tables.Route{{Kind: "view", Rate: rate, Share: 1, SecondTry: second, Timeout: 2_500_000}, {Kind: "save", Rate: -1, Share: 0.25}}
+			routes := []tables.Route{{Class: "view", Rate: rate, Share: 1, RetryPolicy: second, Timeout: 2_500_000}, {Class: "save", Rate: -1, Share: 0.25}}
 			m, err := RouteDocument("v2", "n2", routes)
 			d, err := Read(encoded(t, m, err))
 			if err != nil || len(d.Routes) != 2 {
 				t.Fatalf("%+v, %v", d, err)
 			}
 			got := d.Routes[0]
-			if got.SecondTry != second || got.Timeout != 2_500_000 || math.Abs(got.Rate-rate) > 0.01*math.Abs(rate) {
+			if got.RetryPolicy != second || got.Timeout != 2_500_000 || math.Abs(got.Rate-rate) > 0.01*math.Abs(rate) {
 				t.Errorf("rate %v, second try %d: read %+v", rate, second, got)
 			}
 			if d.Routes[1].Share != 0.25 {
@@ -59,7 +59,7 @@
 			t.Fatalf("cut at %d of %d it is taken", n, len(text))
 		}
 	}
-	if _, err := Endpoints("v", "n", []tables.Cluster{{Kind: "k", Lines: []tables.Line{{Backend: "nowhere"}}}}); err == nil {
+	if _, err := Endpoints("v", "n", []tables.Cluster{{Class: "k", Endpoints: []tables.ClusterEndpoint{{Endpoint: "nowhere"}}}}); err == nil {
 		t.Error("a backend without a port is written")
 	}
 }
@@ -114,8 +114,8 @@
 
 // A shared response reads as the one made for a gateway alone, in both encodings, whole and by deltas.
 func TestShared(t *testing.T) {
-	from := tables.Snapshot{Clusters: []tables.Cluster{{Kind: "view", Lines: []tables.Line{{Backend: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
-	to := tables.Snapshot{Clusters: []tables.Cluster{{Kind: "view", Lines: []tables.Line{{Backend: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
+	from := tables.Snapshot{Clusters: []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
+	to := tables.Snapshot{Clusters: []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
 	whole, err := ShareEndpoints(to.Clusters)
 	if err != nil {
 		t.Fatal(err)
