--- a/audit/audit.go
+++ b/audit/audit.go
@@ -42,15 +42,15 @@
 
 // Rule names, as scripts have them.
 const (
-	Bare   = "bare"
-	Repeat = "repeat"
-	Drain  = "drain"
-	Cold   = "cold"
-	Queue  = "queue"
+	EmptyTable      = "bare"
+	DuplicateEffect = "repeat"
+	Drain           = "drain"
+	WarmUp          = "cold"
+	Queue           = "queue"
 )
 
 // Rules lists their names in order.
-var Rules = []string{Bare, Repeat, Drain, Cold, Queue}
+var Rules = []string{EmptyTable, DuplicateEffect, Drain, WarmUp, Queue}
 
 // Verdict is how one rule was kept. Nearest is the part of its limit that was used at the worst moment.
 type Verdict struct {
@@ -353,7 +353,7 @@
 func (l *Log) Judge(end time.Duration) map[string]Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return map[string]Verdict{Bare: l.bare(end), Repeat: l.repeat(), Drain: l.drain(end), Cold: l.cold(end), Queue: l.queue(end)}
+	return map[string]Verdict{EmptyTable: l.bare(end), DuplicateEffect: l.repeat(), Drain: l.drain(end), WarmUp: l.cold(end), Queue: l.queue(end)}
 }
 
 func verdict(nearest float64, where string) Verdict {
--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -52,24 +52,24 @@
 		do    func(l *Log)
 	}{
 		"a calm day": {"", false, 0, func(*Log) {}},
-		"bare too long": {Bare, true, 1.5, func(l *Log) {
+		"bare too long": {EmptyTable, true, 1.5, func(l *Log) {
 			l.Held(30*s, 30*s, "gw", "e.3", tables.Snapshot{Clusters: held("n1").Clusters[:1]})
 		}},
-		"bare not long": {Bare, false, 0.7, func(l *Log) {
+		"bare not long": {EmptyTable, false, 0.7, func(l *Log) {
 			l.Held(30*s, 30*s, "gw", "e.3", held())
 			l.Held(34*s, 34*s, "gw", "e.4", held("n1"))
 		}},
-		"bare while away": {Bare, false, 0, func(l *Log) {
+		"bare while away": {EmptyTable, false, 0, func(l *Log) {
 			l.Joined(30*s, "gw", false)
 			l.Held(30*s, 30*s, "gw", "", held())
 		}},
-		"bare with nobody warm listed": {Bare, false, 0, func(l *Log) {
+		"bare with nobody warm listed": {EmptyTable, false, 0, func(l *Log) {
 			l.List(30*s, map[string]ListState{"n1": Draining, "n2": Ready}, map[string]time.Duration{"n2": 29 * s}, nil)
 			l.Held(30*s, 30*s, "gw", "e.3", held())
 		}},
-		"an effect twice on one try":     {Repeat, true, 2, func(l *Log) { l.Effect("save", 1, 0); l.Effect("save", 1, 0) }},
-		"twice by the client's own word": {Repeat, false, 0, func(l *Log) { l.Effect("save", 1, 0); l.Effect("save", 1, 1) }},
-		"twice what may repeat":          {Repeat, false, 0, func(l *Log) { l.Effect("view", 1, 0); l.Effect("view", 1, 0) }},
+		"an effect twice on one try":     {DuplicateEffect, true, 2, func(l *Log) { l.Effect("save", 1, 0); l.Effect("save", 1, 0) }},
+		"twice by the client's own word": {DuplicateEffect, false, 0, func(l *Log) { l.Effect("save", 1, 0); l.Effect("save", 1, 1) }},
+		"twice what may repeat":          {DuplicateEffect, false, 0, func(l *Log) { l.Effect("view", 1, 0); l.Effect("view", 1, 0) }},
 		"sent after the grace": {Drain, true, 1.2, func(l *Log) {
 			l.List(30*s, map[string]ListState{"n1": Draining, "n2": Ready}, nil, nil)
 			l.Sent(34*s, "gw", "n1")
@@ -99,15 +99,15 @@
 			l.List(33*s, map[string]ListState{"n1": Ready, "n2": Ready}, nil, nil)
 			l.Sent(36*s, "gw", "n1")
 		}},
-		"a cold node crushed": {Cold, true, 1.4, func(l *Log) { burst(l, 23*s, 40) }},
-		"a short heavy burst": {Cold, true, 1.1, func(l *Log) {
+		"a cold node crushed": {WarmUp, true, 1.4, func(l *Log) { burst(l, 23*s, 40) }},
+		"a short heavy burst": {WarmUp, true, 1.1, func(l *Log) {
 			for range 30 {
 				l.Arrived(23*s, "n2", "gw", 0.16)
 			}
 		}},
-		"a cold node busy":            {Cold, false, 0.5, func(l *Log) { burst(l, 23*s, 13) }},
-		"the same when it is warm":    {Cold, false, 0, func(l *Log) { burst(l, 38*s, 40) }},
-		"crushed by one unaware":      {Cold, false, 0, func(l *Log) { burst(l, 20*s+s/10, 12) }},
+		"a cold node busy":            {WarmUp, false, 0.5, func(l *Log) { burst(l, 23*s, 13) }},
+		"the same when it is warm":    {WarmUp, false, 0, func(l *Log) { burst(l, 38*s, 40) }},
+		"crushed by one unaware":      {WarmUp, false, 0, func(l *Log) { burst(l, 20*s+s/10, 12) }},
 		"too many messages":           {Queue, true, 1.05, func(l *Log) { messages(l, 22) }},
 		"as many messages as may be":  {Queue, false, 0.9, func(l *Log) { messages(l, 18) }},
 		"overtaken messages count":    {Queue, true, 1.05, func(l *Log) { l.Held(23*s, 23*s, "gw", "e.40", held("n1")) }},
--- a/capture/bench_test.go
+++ b/capture/bench_test.go
@@ -30,9 +30,9 @@
 			}
 			n := 0
 			for b.Loop() {
-				w.Put(&Record{Step: &Step{Now: control.Microseconds(n), Inputs: inputs}})
+				w.Append(&Record{Step: &Step{Now: control.Microseconds(n), Inputs: inputs}})
 				n++
-				for w.Taken()+uint64(w.limits.Queue)/2 < uint64(n) {
+				for w.Written()+uint64(w.limits.QueueLength)/2 < uint64(n) {
 					runtime.Gosched()
 				}
 			}
--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-func replayed(t *testing.T, path string) Verdict {
+func replayed(t *testing.T, path string) ReplayResult {
 	t.Helper()
 	r, err := Open(path)
 	if err != nil {
@@ -138,8 +138,8 @@
 	dir := t.TempDir()
 	var want []*Record
 	for start := range 3 {
-		w := NewWriter(dir, Limits{Segment: 8 << 10, Budget: 1 << 30})
-		course(uint64(start), fmt.Sprint("e", start), 300, func(r *Record) { w.Put(r); want = append(want, r) })
+		w := NewWriter(dir, Limits{SegmentBytes: 8 << 10, MaxBytes: 1 << 30})
+		course(uint64(start), fmt.Sprint("e", start), 300, func(r *Record) { w.Append(r); want = append(want, r) })
 		w.Close()
 	}
 	got, r := read(t, dir)
@@ -153,7 +153,7 @@
 		}
 	}
 	v := replayed(t, dir)
-	if v.Starts != 3 || v.Differs != 0 || v.Orders < 500 || v.Open != 3 {
+	if v.Starts != 3 || v.Mismatches != 0 || v.Orders < 500 || v.Unfinished != 3 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -167,11 +167,11 @@
 		if r.Step != nil && len(r.Step.Orders) > 3 {
 			if n++; n == 6 {
 				r.Step.Orders = slices.Delete(slices.Clone(r.Step.Orders), 1, 2)
-				spoilt = w.Put(r)
+				spoilt = w.Append(r)
 				return
 			}
 		}
-		w.Put(r)
+		w.Append(r)
 	})
 	w.Close()
 	r, err := Open(dir)
@@ -183,8 +183,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if v.First == nil || v.First.Seq != spoilt || v.First.Order != 1 || v.SameBuild() {
-		t.Errorf("record %d was spoilt: %+v", spoilt, v.First)
+	if v.FirstMismatch == nil || v.FirstMismatch.Seq != spoilt || v.FirstMismatch.Order != 1 || v.SameBuild() {
+		t.Errorf("record %d was spoilt: %+v", spoilt, v.FirstMismatch)
 	}
 }
 
@@ -193,8 +193,8 @@
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
 	course(2, "e", 60, func(r *Record) {
-		w.Put(r)
-		for w.Taken() < r.Seq { // a block each
+		w.Append(r)
+		for w.Written() < r.Seq { // a block each
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
@@ -233,8 +233,8 @@
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
 	course(3, "e", 40, func(r *Record) {
-		w.Put(r)
-		for w.Taken() < r.Seq {
+		w.Append(r)
+		for w.Written() < r.Seq {
 			time.Sleep(100 * time.Microsecond)
 		}
 	})
@@ -277,13 +277,13 @@
 // A segment that was lost is a gap; the next start is compared again.
 func TestLostSegment(t *testing.T) {
 	dir := t.TempDir()
-	limits := Limits{Segment: 4 << 10, Budget: 1 << 30}
+	limits := Limits{SegmentBytes: 4 << 10, MaxBytes: 1 << 30}
 	for start := range 2 {
 		w := NewWriter(dir, limits)
 		course(uint64(start), fmt.Sprint("e", start), 400, func(r *Record) {
-			w.Put(r)
+			w.Append(r)
 			if r.Seq%50 == 0 {
-				for w.Taken() < r.Seq {
+				for w.Written() < r.Seq {
 					time.Sleep(time.Millisecond)
 				}
 			}
@@ -298,7 +298,7 @@
 		t.Fatal(err)
 	}
 	v := replayed(t, dir)
-	if len(v.Gaps) != 1 || v.Starts != 2 || v.Skipped == 0 || !v.Lost() || v.Differs > 0 {
+	if len(v.Gaps) != 1 || v.Starts != 2 || v.Skipped == 0 || !v.Incomplete() || v.Mismatches > 0 {
 		t.Errorf("%+v", v)
 	}
 }
@@ -306,15 +306,15 @@
 // What comes faster than it can be written is a gap that names every record lost; nobody waits.
 func TestMoreThanCanBeWritten(t *testing.T) {
 	dir := t.TempDir()
-	w := NewWriter(dir, Limits{Queue: 2})
+	w := NewWriter(dir, Limits{QueueLength: 2})
 	longest := time.Duration(0)
 	for i := range 20000 {
 		began := time.Now()
-		w.Put(&Record{Step: &Step{Now: control.Microseconds(i)}})
+		w.Append(&Record{Step: &Step{Now: control.Microseconds(i)}})
 		longest = max(longest, time.Since(began))
 	}
 	time.Sleep(100 * time.Millisecond)
-	last := w.Put(&Record{End: &End{}})
+	last := w.Append(&Record{End: &End{}})
 	w.Close()
 	got, _ := read(t, dir)
 	next, lost := uint64(1), uint64(0)
@@ -334,12 +334,12 @@
 // The oldest segments go when the budget is used up; what is left is read, and says that it begins in the middle.
 func TestBudget(t *testing.T) {
 	dir := t.TempDir()
-	limits := Limits{Segment: 4 << 10, Budget: 24 << 10}
+	limits := Limits{SegmentBytes: 4 << 10, MaxBytes: 24 << 10}
 	w := NewWriter(dir, limits)
 	course(1, "e", 1500, func(r *Record) {
-		w.Put(r)
+		w.Append(r)
 		if r.Seq%20 == 0 {
-			for w.Taken() < r.Seq {
+			for w.Written() < r.Seq {
 				time.Sleep(time.Millisecond)
 			}
 		}
@@ -350,7 +350,7 @@
 	for _, s := range segments {
 		total += s.Bytes
 	}
-	if total > limits.Budget || w.Stats().Removed == 0 {
+	if total > limits.MaxBytes || w.Stats().Removed == 0 {
 		t.Errorf("%d bytes in %d segments, %d removed", total, len(segments), w.Stats().Removed)
 	}
 	got, _ := read(t, dir)
@@ -363,7 +363,7 @@
 func TestNewerFormat(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
-	w.Put(&Record{Start: &Start{Format: Format + 1, Build: "v9"}})
+	w.Append(&Record{Start: &Start{Format: Format + 1, Build: "v9"}})
 	w.Close()
 	r, err := Open(dir)
 	if err != nil {
@@ -383,24 +383,24 @@
 	}
 	w := NewWriter(dir, Limits{})
 	for i := range 10 {
-		w.Put(&Record{Step: &Step{Now: control.Microseconds(i)}})
+		w.Append(&Record{Step: &Step{Now: control.Microseconds(i)}})
 	}
 	for end := time.Now().Add(5 * time.Second); w.Stats().Failed < 2 && time.Now().Before(end); {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if s := w.Stats(); s.Why == "" {
+	if s := w.Stats(); s.LastError == "" {
 		t.Errorf("nothing is said: %+v", s)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); w.Stats().Records == 0 && time.Now().Before(end); {
-		w.Put(&Record{Step: &Step{Now: 11}})
+		w.Append(&Record{Step: &Step{Now: 11}})
 		time.Sleep(50 * time.Millisecond)
 	}
 	w.Close()
 	got, _ := read(t, dir)
-	if len(got) < 2 || got[0].Gap == nil || got[0].Gap.From != 1 || !strings.Contains(got[0].Gap.Why, "not a directory") {
+	if len(got) < 2 || got[0].Gap == nil || got[0].Gap.From != 1 || !strings.Contains(got[0].Gap.Reason, "not a directory") {
 		t.Errorf("%+v", got[0])
 	}
 }
@@ -420,11 +420,11 @@
 		}
 	}
 	seed, _ := strconv.Atoi(os.Getenv("PORTHUB_CAPTURE_SEED"))
-	w := NewWriter(dir, Limits{Segment: 16 << 10, Budget: 1 << 30})
+	w := NewWriter(dir, Limits{SegmentBytes: 16 << 10, MaxBytes: 1 << 30})
 	told := uint64(0)
 	course(uint64(seed), fmt.Sprint("e", seed), 4000, func(r *Record) {
-		w.Put(r)
-		if taken := w.Taken(); taken != told {
+		w.Append(r)
+		if taken := w.Written(); taken != told {
 			told = taken
 			fmt.Println("taken", told)
 		}
@@ -492,7 +492,7 @@
 			return true
 		})
 		r.Close()
-		if err != nil || len(v.Gaps) > 0 || v.Lost() || last < taken || v.Differs > 0 {
+		if err != nil || len(v.Gaps) > 0 || v.Incomplete() || last < taken || v.Mismatches > 0 {
 			t.Fatalf("kill %d: record %d was taken, %d is the last, %+v, %v", kill, taken, last, v, err)
 		}
 		torn, orders = torn+len(v.Damages), orders+v.Orders
--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -21,17 +21,17 @@
 	for _, path := range cases {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			v := replayed(t, path)
-			if v.Differs > 0 {
-				t.Errorf("%d of %d steps differ, first %+v", v.Differs, v.Steps, v.First)
+			if v.Mismatches > 0 {
+				t.Errorf("%d of %d steps differ, first %+v", v.Mismatches, v.Steps, v.FirstMismatch)
 			}
-			if v.Steps < 100 || v.Orders < 30 || v.Messages < 3 || v.Lost() || len(v.Gaps) > 0 {
+			if v.Steps < 100 || v.Orders < 30 || v.Messages < 3 || v.Incomplete() || len(v.Gaps) > 0 {
 				t.Errorf("the case says too little, or is damaged: %+v", v)
 			}
 		})
 	}
 }
 
-// What explain says of a node that dies in the lost hall: the list's word, the order, each gateway's table without it.
+// Kind explain says of a node that dies in the lost hall: the list's word, the order, each gateway's table without it.
 func TestExplain(t *testing.T) {
 	path := filepath.Join("testdata", "cases", "zone_loss")
 	if _, err := os.Stat(path); err != nil {
@@ -90,20 +90,20 @@
 		return x
 	}
 	before, after := at(first+3*second), at(when+2*second)
-	if len(before.Holds) == 0 || !strings.Contains(before.Answer, "the list has it as ready") || !before.Holds[0].Confirmed {
-		t.Errorf("before: %q, %+v", before.Answer, before.Holds)
+	if len(before.Gateways) == 0 || !strings.Contains(before.Answer, "the list has it as ready") || !before.Gateways[0].Confirmed {
+		t.Errorf("before: %q, %+v", before.Answer, before.Gateways)
 	}
-	for _, h := range after.Holds { // the hall's gateways have died with it
-		if !h.Away {
+	for _, h := range after.Gateways { // the hall's gateways have died with it
+		if !h.Disconnected {
 			t.Errorf("after: %q, %+v", after.Answer, h)
 		}
 	}
-	if !strings.Contains(after.Answer, "gone") || len(before.Holds) == 0 {
+	if !strings.Contains(after.Answer, "gone") || len(before.Gateways) == 0 {
 		t.Errorf("after: %q", after.Answer)
 	}
 	said := map[string]int{}
-	for _, e := range after.Chain {
-		said[e.What]++
+	for _, e := range after.Events {
+		said[e.Kind]++
 	}
 	for _, what := range []string{"start", "list", "order", "sent", "confirmed", "report"} {
 		if said[what] == 0 {
--- a/capture/explain.go
+++ b/capture/explain.go
@@ -15,30 +15,30 @@
 type Event struct {
 	At   control.Microseconds `json:"at_us"`
 	Seq  uint64               `json:"record"`
-	What string               `json:"what"` // list, probe, report, order, sent, confirmed, note, start or gap
+	Kind string               `json:"what"` // list, probe, report, order, sent, confirmed, note, start or gap
 	Text string               `json:"text"`
 }
 
 // Explanation says why a node got traffic at a time, or why not.
 type Explanation struct {
-	Node   control.EndpointID   `json:"node"`
-	At     control.Microseconds `json:"at_us"`
-	Chain  []Event              `json:"chain"` // the last of each sort before that time, and what led to it
-	Holds  []Holder             `json:"holds"` // gateways that held an open line of it then
-	Answer string               `json:"answer"`
+	Node     control.EndpointID   `json:"node"`
+	At       control.Microseconds `json:"at_us"`
+	Events   []Event              `json:"chain"` // the last of each sort before that time, and what led to it
+	Gateways []GatewayTable       `json:"holds"` // gateways that held an open line of it then
+	Answer   string               `json:"answer"`
 }
 
-// Holder is a gateway that held an open line of the node.
-type Holder struct {
+// GatewayTable is a gateway that held an open line of the node.
+type GatewayTable struct {
 	Gateway coordinator.Gateway `json:"gateway"`
 	Version string              `json:"version"`
-	Kinds   []string            `json:"request_kinds"`
+	Classes []string            `json:"request_kinds"`
 	Weights []float64           `json:"weights"` // by request kind, of its cluster's sum
 	// Confirmed: it has said that it holds this; else it is on its way.
-	Confirmed bool                 `json:"confirmed"`
-	Since     control.Microseconds `json:"since_us"` // when the line was first sent to it
-	Tries     int                  `json:"tries"`    // in its last report before that time
-	Away      bool                 `json:"away"`     // its link had ended: nothing could be told it
+	Confirmed    bool                 `json:"confirmed"`
+	Since        control.Microseconds `json:"since_us"` // when the line was first sent to it
+	Attempts     int                  `json:"tries"`    // in its last report before that time
+	Disconnected bool                 `json:"away"`     // its link had ended: nothing could be told it
 }
 
 // follow keeps what bears on one node while a capture is replayed.
@@ -124,7 +124,7 @@
 	case rec.Gap != nil:
 		f.begin()
 		f.known = false
-		f.say(0, rec.Seq, "gap", "records %d to %d are missing (%s): what was told then is not known", rec.Gap.From, rec.Gap.To, rec.Gap.Why)
+		f.say(0, rec.Seq, "gap", "records %d to %d are missing (%s): what was told then is not known", rec.Gap.From, rec.Gap.To, rec.Gap.Reason)
 	case rec.Command != nil && rec.Command.Pin != nil:
 		f.say(0, rec.Seq, "command", "an operator pinned %s: %s", rec.Command.Pin.Scope, rec.Command.Pin.Reason)
 	case rec.Command != nil && rec.Command.Drain == f.node:
@@ -139,10 +139,10 @@
 }
 
 func recalled(s *Start) string {
-	if s.Recalled == nil {
+	if s.Restored == nil {
 		return ", knowing nothing of the time before"
 	}
-	return ", recalled " + s.Recalled.String()
+	return ", recalled " + s.Restored.String()
 }
 
 func (f *follow) step(rec *Record, outputs []coordinator.Output) {
@@ -324,16 +324,16 @@
 		if len(in.kinds) == 0 {
 			continue
 		}
-		x.Holds = append(x.Holds, Holder{Gateway: name, Version: in.version, Kinds: in.kinds, Weights: in.weights, Confirmed: held != nil && held.version == in.version,
-			Since: in.since, Tries: f.tries[name], Away: f.away[name]})
+		x.Gateways = append(x.Gateways, GatewayTable{Gateway: name, Version: in.version, Classes: in.kinds, Weights: in.weights, Confirmed: held != nil && held.version == in.version,
+			Since: in.since, Attempts: f.tries[name], Disconnected: f.away[name]})
 	}
-	x.Chain = f.short()
+	x.Events = f.short()
 	listed := "it is in no list"
 	closedAt := control.Microseconds(0)
 	if f.entry != nil {
 		listed = "the list has it as " + status(f.entry.Status)
 		for _, e := range f.chain {
-			if e.What == "list" {
+			if e.Kind == "list" {
 				closedAt = e.At
 			}
 		}
@@ -345,8 +345,8 @@
 		}
 	}
 	late, away := 0, 0
-	for _, h := range x.Holds {
-		if h.Away {
+	for _, h := range x.Gateways {
+		if h.Disconnected {
 			away++
 		} else if sent := f.opens[h.Gateway]; len(sent.kinds) == 0 {
 			late++
@@ -355,15 +355,15 @@
 	switch {
 	case !f.known:
 		x.Answer = "records are missing before that time: what held then is not known"
-	case len(x.Holds) == 0 && len(f.chain) == 0:
+	case len(x.Gateways) == 0 && len(f.chain) == 0:
 		x.Answer = "nothing that was recorded names it"
-	case len(x.Holds) == 0:
+	case len(x.Gateways) == 0:
 		x.Answer = fmt.Sprintf("no gateway held an open line of it: %s; tables with it: %s", listed, orNone(tabled))
 	case f.entry != nil && f.entry.Status != control.Ready:
 		x.Answer = fmt.Sprintf("%s since %.1f s, but %d gateways still held a line of it: %d had no link and could be told nothing, to %d the table without it had gone out and was not confirmed",
-			listed, float64(f.at-closedAt)/1e6, len(x.Holds), away, late)
+			listed, float64(f.at-closedAt)/1e6, len(x.Gateways), away, late)
 	default:
-		x.Answer = fmt.Sprintf("%d gateways held an open line of it: %s, and the module's tables name it: %s", len(x.Holds), listed, orNone(tabled))
+		x.Answer = fmt.Sprintf("%d gateways held an open line of it: %s, and the module's tables name it: %s", len(x.Gateways), listed, orNone(tabled))
 	}
 	return x
 }
@@ -380,7 +380,7 @@
 	const each = 8
 	left := map[string]int{}
 	for _, e := range slices.Backward(f.chain) {
-		if left[e.What]++; left[e.What] <= each {
+		if left[e.Kind]++; left[e.Kind] <= each {
 			out = append(out, e)
 		}
 	}
--- a/capture/pinned_test.go
+++ b/capture/pinned_test.go
@@ -27,7 +27,7 @@
 		"gap":     {Seq: 3, Gap: ptr(testutil.Filled[Gap](t))},
 		"end":     {Seq: 4, End: ptr(testutil.Filled[End](t))},
 		"step": {Seq: 5, Step: &Step{Now: 77, Digest: 78, Inputs: filledInputs(t), Orders: filledOrders(t),
-			Notes: []coordinator.LogEntry{testutil.Filled[coordinator.LogEntry](t)}}},
+			Log: []coordinator.LogEntry{testutil.Filled[coordinator.LogEntry](t)}}},
 	}
 }
 
@@ -79,7 +79,7 @@
 func TestExportedKeysArePinned(t *testing.T) {
 	records := filledRecords(t)
 	for _, name := range slices.Sorted(maps.Keys(records)) {
-		text, err := json.MarshalIndent(records[name].Plain(), "", "  ")
+		text, err := json.MarshalIndent(records[name].Export(), "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 	testutil.RequireKeys(t, "cbor", recorded...)
 	testutil.RequireKeys(t, "cbor", reflect.TypeFor[recovery.Snapshot]())
 	testutil.RequireKeys(t, "json", recorded...)
-	testutil.RequireKeys(t, "json", reflect.TypeFor[Verdict](), reflect.TypeFor[Explanation](), reflect.TypeFor[Stats]())
+	testutil.RequireKeys(t, "json", reflect.TypeFor[ReplayResult](), reflect.TypeFor[Explanation](), reflect.TypeFor[Stats]())
 }
 
 // The events of the decision module are in no capture of today, but they are what a replay hands it.
@@ -126,7 +126,7 @@
 
 // What replay and explain print as JSON has the keys of the build before the renames.
 func TestPrintedKeysArePinned(t *testing.T) {
-	for name, v := range map[string]any{"verdict": testutil.Filled[Verdict](t), "explanation": testutil.Filled[Explanation](t), "stats": testutil.Filled[Stats](t)} {
+	for name, v := range map[string]any{"verdict": testutil.Filled[ReplayResult](t), "explanation": testutil.Filled[Explanation](t), "stats": testutil.Filled[Stats](t)} {
 		text, err := json.MarshalIndent(v, "", "  ")
 		if err != nil {
 			t.Fatal(err)
@@ -141,7 +141,7 @@
 // plainText is a record as capture export prints it: the keys of maps are in order.
 func plainText(t *testing.T, r *Record) []byte {
 	t.Helper()
-	text, err := json.Marshal(r.Plain())
+	text, err := json.Marshal(r.Export())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 		}
 		for start := range starts {
 			w := NewWriter(pinnedCapture, Limits{})
-			course(uint64(start+50), "pinned", steps, func(r *Record) { w.Put(r) })
+			course(uint64(start+50), "pinned", steps, func(r *Record) { w.Append(r) })
 			w.Close()
 		}
 	}
@@ -176,7 +176,7 @@
 		}
 	}
 	verdict := replayed(t, pinnedCapture)
-	if verdict.Differs > 0 || verdict.Steps != starts*steps || verdict.Orders < 100 || verdict.Lost() {
+	if verdict.Mismatches > 0 || verdict.Steps != starts*steps || verdict.Orders < 100 || verdict.Incomplete() {
 		t.Errorf("%+v", verdict)
 	}
 }
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -19,7 +19,7 @@
 	Segment string `json:"segment"`
 	Offset  int64  `json:"offset"`
 	Bytes   int64  `json:"bytes"`
-	What    string `json:"what"`
+	Problem string `json:"what"`
 	// Torn: it is the end of a segment, as a killed process leaves it, and nothing that was taken is lost.
 	Torn bool `json:"torn"`
 }
@@ -101,9 +101,9 @@
 			r.next = rec.Gap.To + 1
 			return rec, nil
 		case r.next > 0 && rec.Seq > r.next || r.next == 0 && rec.Seq > 1:
-			gap := &Record{Seq: r.next, Gap: &Gap{From: max(1, r.next), To: rec.Seq - 1, Why: "not in this capture"}}
+			gap := &Record{Seq: r.next, Gap: &Gap{From: max(1, r.next), To: rec.Seq - 1, Reason: "not in this capture"}}
 			if r.next > 0 && len(r.Damages) > 0 && !r.Damages[len(r.Damages)-1].Torn {
-				gap.Gap.Why = "damaged"
+				gap.Gap.Reason = "damaged"
 			}
 			r.held, r.next = rec, rec.Seq+1
 			return gap, nil
--- a/capture/record.go
+++ b/capture/record.go
@@ -40,7 +40,7 @@
 	Build    string               `cbor:"build" json:"Build"` // decisions may differ in another one
 	Wall     int64                `cbor:"wall_us" json:"Wall"`
 	Settings coordinator.Settings `cbor:"settings" json:"Settings"`
-	Recalled *recovery.State      `cbor:"recalled,omitempty" json:"Recalled"` // what the core was handed of the time before
+	Restored *recovery.State      `cbor:"recalled,omitempty" json:"Recalled"` // what the core was handed of the time before
 }
 
 // Step is one step of the core: what it was told, what the module ordered, and a digest of what went out.
@@ -50,7 +50,7 @@
 	Orders []control.Order
 	Digest uint64
 	// Brief notes for staff: event, node and text, as the log has them.
-	Notes []coordinator.LogEntry
+	Log []coordinator.LogEntry
 }
 
 // Command is an operator's word between two steps.
@@ -61,16 +61,16 @@
 	Drain   control.EndpointID `cbor:"drain,omitempty" json:"Drain"`
 	Undrain control.EndpointID `cbor:"undrain,omitempty" json:"Undrain"`
 	Reason  string             `cbor:"reason,omitempty" json:"Reason"`
-	// Say is an operator's word about levels of service, Unsay the number of one that is taken back.
-	Say   *service.Override `cbor:"say,omitempty" json:"Say"`
-	Unsay int               `cbor:"unsay,omitempty" json:"Unsay"`
+	// SetOverride is an operator's word about levels of service, Unsay the number of one that is taken back.
+	SetOverride   *service.Override `cbor:"say,omitempty" json:"Say"`
+	ClearOverride int               `cbor:"unsay,omitempty" json:"Unsay"`
 }
 
 // Gap says that records are missing: what was told then is not known.
 type Gap struct {
-	From uint64 `cbor:"from" json:"From"`
-	To   uint64 `cbor:"to" json:"To"` // 0: not known, up to what comes next
-	Why  string `cbor:"why" json:"Why"`
+	From   uint64 `cbor:"from" json:"From"`
+	To     uint64 `cbor:"to" json:"To"` // 0: not known, up to what comes next
+	Reason string `cbor:"why" json:"Why"`
 }
 
 // End is the last record of a process that ended by itself.
@@ -150,7 +150,7 @@
 		if err != nil {
 			return err
 		}
-		out.Step = &stepOut{r.Step.Now, in, orders, r.Step.Digest, r.Step.Notes}
+		out.Step = &stepOut{r.Step.Now, in, orders, r.Step.Digest, r.Step.Log}
 	}
 	return cbor.MarshalToBuffer(out, to)
 }
@@ -192,7 +192,7 @@
 	if err := cbor.Unmarshal(text, &r); err != nil {
 		return err
 	}
-	s.Now, s.Digest, s.Notes = r.Now, r.Digest, r.Notes
+	s.Now, s.Digest, s.Log = r.Now, r.Digest, r.Notes
 	if s.Inputs, err = untag[coordinator.Input](r.Inputs); err != nil {
 		return err
 	}
@@ -238,8 +238,8 @@
 	return h.Sum64()
 }
 
-// Plain is a record in a form for JSON: inputs and orders beside their names.
-func (r *Record) Plain() map[string]any {
+// Export is a record in a form for JSON: inputs and orders beside their names.
+func (r *Record) Export() map[string]any {
 	out := map[string]any{"record": r.Seq}
 	switch {
 	case r.Start != nil:
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -11,25 +11,25 @@
 	"porthub/coordinator"
 )
 
-// Verdict is what came of a replay.
-type Verdict struct {
-	Starts   int      `json:"starts"`
-	Steps    int      `json:"steps"`
-	Orders   int      `json:"orders"`
-	Messages int      `json:"messages"` // steps whose publications were compared
-	Differs  int      `json:"differing_steps"`
-	Skipped  int      `json:"skipped_steps"` // after a gap, until the next start
-	Gaps     []Gap    `json:"gaps,omitempty"`
-	First    *First   `json:"first,omitempty"`
-	Builds   []string `json:"builds"` // that wrote it
-	Build    string   `json:"build"`  // that replays
-	Damages  []Damage `json:"damages,omitempty"`
-	Open     int      `json:"starts_without_an_end"` // killed, or still running
-	Bytes    int64    `json:"bytes"`
+// ReplayResult is what came of a replay.
+type ReplayResult struct {
+	Starts        int       `json:"starts"`
+	Steps         int       `json:"steps"`
+	Orders        int       `json:"orders"`
+	Messages      int       `json:"messages"` // steps whose publications were compared
+	Mismatches    int       `json:"differing_steps"`
+	Skipped       int       `json:"skipped_steps"` // after a gap, until the next start
+	Gaps          []Gap     `json:"gaps,omitempty"`
+	FirstMismatch *Mismatch `json:"first,omitempty"`
+	Builds        []string  `json:"builds"` // that wrote it
+	Build         string    `json:"build"`  // that replays
+	Damages       []Damage  `json:"damages,omitempty"`
+	Unfinished    int       `json:"starts_without_an_end"` // killed, or still running
+	Bytes         int64     `json:"bytes"`
 }
 
-// First is where a replay departs from the record.
-type First struct {
+// Mismatch is where a replay departs from the record.
+type Mismatch struct {
 	Start    string               `json:"start"` // epoch
 	Seq      uint64               `json:"record"`
 	Now      control.Microseconds `json:"now_us"`
@@ -40,12 +40,12 @@
 }
 
 // SameBuild tells whether all of it was written by the build that replays it.
-func (v Verdict) SameBuild() bool {
+func (v ReplayResult) SameBuild() bool {
 	return !slices.ContainsFunc(v.Builds, func(b string) bool { return b != v.Build })
 }
 
-// Lost tells whether records are missing that were once taken.
-func (v Verdict) Lost() bool {
+// Incomplete tells whether records are missing that were once taken.
+func (v ReplayResult) Incomplete() bool {
 	return slices.ContainsFunc(v.Damages, func(d Damage) bool { return !d.Torn })
 }
 
@@ -54,7 +54,7 @@
 
 // Replay runs a capture through the library and compares the orders one by one. Where records are missing the state is not
 // known until the next start; nothing is compared until then.
-func Replay(r *Reader, build string, watch Watcher) (v Verdict, err error) {
+func Replay(r *Reader, build string, watch Watcher) (v ReplayResult, err error) {
 	v.Build = build
 	var core *coordinator.Core
 	open, epoch := false, ""
@@ -70,7 +70,7 @@
 		switch {
 		case rec.Start != nil:
 			if open {
-				v.Open++
+				v.Unfinished++
 			}
 			s := rec.Start
 			v.Starts++
@@ -79,8 +79,8 @@
 				v.Builds = append(v.Builds, s.Build)
 			}
 			core = coordinator.New(s.Settings)
-			if s.Recalled != nil {
-				core.Restore(control.Microseconds(s.Wall), *s.Recalled)
+			if s.Restored != nil {
+				core.Restore(control.Microseconds(s.Wall), *s.Restored)
 			}
 		case rec.Gap != nil:
 			v.Gaps = append(v.Gaps, *rec.Gap)
@@ -101,9 +101,9 @@
 				v.Messages++
 			}
 			if first := compare(rec, core.Orders(), Digest(outputs)); first != nil {
-				if v.Differs++; v.First == nil {
+				if v.Mismatches++; v.FirstMismatch == nil {
 					first.Start = epoch
-					v.First = first
+					v.FirstMismatch = first
 				}
 			}
 		}
@@ -112,7 +112,7 @@
 		}
 	}
 	if open {
-		v.Open++
+		v.Unfinished++
 	}
 	v.Damages, v.Bytes = r.Damages, r.Bytes
 	return v, nil
@@ -125,10 +125,10 @@
 		_, _ = core.Pin(*c.Pin)
 	case c.Drain != "":
 		_ = core.DrainNode(c.Drain, c.Reason)
-	case c.Say != nil:
-		_, _ = core.SetLevelOverride(*c.Say)
-	case c.Unsay != 0:
-		_, _ = core.ClearLevelOverride(c.Unsay, c.Reason)
+	case c.SetOverride != nil:
+		_, _ = core.SetLevelOverride(*c.SetOverride)
+	case c.ClearOverride != 0:
+		_, _ = core.ClearLevelOverride(c.ClearOverride, c.Reason)
 	case c.Undrain != "":
 		_ = core.UndrainNode(c.Undrain, c.Reason)
 	default:
@@ -136,9 +136,9 @@
 	}
 }
 
-func compare(rec *Record, got []control.Order, digest uint64) *First {
+func compare(rec *Record, got []control.Order, digest uint64) *Mismatch {
 	want := rec.Step.Orders
-	first := &First{Seq: rec.Seq, Now: rec.Step.Now, Order: -1}
+	first := &Mismatch{Seq: rec.Seq, Now: rec.Step.Now, Order: -1}
 	switch at := differ(want, got); {
 	case at >= 0:
 		first.Order, first.Recorded, first.Replayed = at, show(want, at), show(got, at)
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -20,39 +20,39 @@
 
 // Limits bound what a capture costs.
 type Limits struct {
-	Budget  int64         // bytes of all segments; the oldest go first
-	Segment int64         // bytes of one, about
-	Age     time.Duration // of one
-	Queue   int           // records that wait for the disk; more are a gap
+	MaxBytes     int64         // bytes of all segments; the oldest go first
+	SegmentBytes int64         // bytes of one, about
+	SegmentAge   time.Duration // of one
+	QueueLength  int           // records that wait for the disk; more are a gap
 }
 
 // Defaults fill what is left out.
 func (l Limits) Defaults() Limits {
-	if l.Budget == 0 {
-		l.Budget = 1 << 30
+	if l.MaxBytes == 0 {
+		l.MaxBytes = 1 << 30
 	}
-	if l.Segment == 0 {
-		l.Segment = min(64<<20, l.Budget/8)
+	if l.SegmentBytes == 0 {
+		l.SegmentBytes = min(64<<20, l.MaxBytes/8)
 	}
-	if l.Age == 0 {
-		l.Age = time.Hour
+	if l.SegmentAge == 0 {
+		l.SegmentAge = time.Hour
 	}
-	if l.Queue == 0 {
-		l.Queue = 4096
+	if l.QueueLength == 0 {
+		l.QueueLength = 4096
 	}
 	return l
 }
 
 // Stats are a writer's counts since its start.
 type Stats struct {
-	Records int64  `json:"records"` // that the system has taken
-	Bytes   int64  `json:"bytes"`
-	Lost    int64  `json:"lost"` // records of gaps
-	Gaps    int64  `json:"gaps"`
-	Failed  int64  `json:"failed"` // writes
-	Removed int64  `json:"segments_removed"`
-	BusyUS  int64  `json:"busy_us"` // time spent on encoding and writing
-	Why     string `json:"why,omitempty"`
+	Records   int64  `json:"records"` // that the system has taken
+	Bytes     int64  `json:"bytes"`
+	Lost      int64  `json:"lost"` // records of gaps
+	Gaps      int64  `json:"gaps"`
+	Failed    int64  `json:"failed"` // writes
+	Removed   int64  `json:"segments_removed"`
+	BusyUS    int64  `json:"busy_us"` // time spent on encoding and writing
+	LastError string `json:"why,omitempty"`
 }
 
 // Writer appends records to a folder of segments. Put never waits: what the disk can't keep up with, or refuses, is a
@@ -104,19 +104,19 @@
 // again, and what comes meanwhile is a gap.
 func NewWriter(dir string, limits Limits) *Writer {
 	w := &Writer{dir: dir, limits: limits.Defaults(), done: make(chan struct{}), next: 1}
-	w.queue = make(chan *Record, w.limits.Queue)
+	w.queue = make(chan *Record, w.limits.QueueLength)
 	var err error
 	if w.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)); err != nil {
 		panic(err) // only bad options are errors
 	}
 	if err := w.open(); err != nil { // said at once, and tried again with the first record
-		w.count(func(s *Stats) { s.Failed, s.Why = s.Failed+1, err.Error() })
+		w.count(func(s *Stats) { s.Failed, s.LastError = s.Failed+1, err.Error() })
 	}
 	go w.run()
 	return w
 }
 
-// Segment is one file of a capture.
+// SegmentBytes is one file of a capture.
 type Segment struct {
 	Number int
 	Path   string
@@ -144,8 +144,8 @@
 	return out, nil
 }
 
-// Put hands a record over and numbers it. It never waits. What the record holds must not be changed after.
-func (w *Writer) Put(r *Record) uint64 {
+// Append hands a record over and numbers it. It never waits. What the record holds must not be changed after.
+func (w *Writer) Append(r *Record) uint64 {
 	r.Seq = w.last.Add(1)
 	select {
 	case w.queue <- r:
@@ -155,8 +155,8 @@
 	return r.Seq
 }
 
-// Taken is the last record that the system has taken: a killed process loses none up to it.
-func (w *Writer) Taken() uint64 { return w.taken.Load() }
+// Written is the last record that the system has taken: a killed process loses none up to it.
+func (w *Writer) Written() uint64 { return w.taken.Load() }
 
 // Stats returns the counts.
 func (w *Writer) Stats() Stats {
@@ -233,12 +233,12 @@
 	}
 	var err error
 	if w.gapFrom > 0 {
-		err = put(&Record{Seq: w.gapFrom, Gap: &Gap{From: w.gapFrom, To: first - 1, Why: w.why()}})
+		err = put(&Record{Seq: w.gapFrom, Gap: &Gap{From: w.gapFrom, To: first - 1, Reason: w.why()}})
 	}
 	expect := first
 	for _, r := range batch {
 		if err == nil && r.Seq > expect { // some were turned away while this batch was gathered
-			err = put(&Record{Seq: expect, Gap: &Gap{From: expect, To: r.Seq - 1, Why: "more came than could be written"}})
+			err = put(&Record{Seq: expect, Gap: &Gap{From: expect, To: r.Seq - 1, Reason: "more came than could be written"}})
 			w.count(func(s *Stats) { s.Gaps, s.Lost = s.Gaps+1, s.Lost+int64(r.Seq-expect) })
 		}
 		if err == nil {
@@ -260,14 +260,14 @@
 		w.gapFrom = 0
 	}
 	w.taken.Store(batch[len(batch)-1].Seq)
-	w.count(func(s *Stats) { s.Records, s.Why = s.Records+int64(len(batch)), "" })
+	w.count(func(s *Stats) { s.Records, s.LastError = s.Records+int64(len(batch)), "" })
 }
 
 func (w *Writer) why() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.stats.Why != "" {
-		return w.stats.Why
+	if w.stats.LastError != "" {
+		return w.stats.LastError
 	}
 	return "more came than could be written"
 }
@@ -278,12 +278,12 @@
 		w.gapFrom = first
 	}
 	if why != "" {
-		w.count(func(s *Stats) { s.Failed, s.Why = s.Failed+1, why })
+		w.count(func(s *Stats) { s.Failed, s.LastError = s.Failed+1, why })
 	}
 }
 
 func (w *Writer) append(body []byte, records int, first uint64) error {
-	if w.file != nil && (w.size >= w.limits.Segment || time.Since(w.opened) >= w.limits.Age) {
+	if w.file != nil && (w.size >= w.limits.SegmentBytes || time.Since(w.opened) >= w.limits.SegmentAge) {
 		_ = w.file.Close()
 		w.file = nil
 	}
@@ -360,7 +360,7 @@
 		total += s.Bytes
 	}
 	for _, s := range segments {
-		if total+w.limits.Segment <= w.limits.Budget || s.Number == w.number {
+		if total+w.limits.SegmentBytes <= w.limits.MaxBytes || s.Number == w.number {
 			return
 		}
 		if os.Remove(s.Path) == nil {
--- a/choice/host_test.go
+++ b/choice/host_test.go
@@ -61,7 +61,7 @@
 
 // tell gives events at the present time and carries out the orders.
 func (h *host) tell(events ...control.Event) {
-	h.orders = h.in.Take(h.now, events)
+	h.orders = h.in.Step(h.now, events)
 	reached := map[control.ProxyID]float64{}
 	for _, o := range h.orders {
 		switch o := o.(type) {
@@ -121,7 +121,7 @@
 	}
 	if len(applied) > 0 && !h.deaf {
 		h.queued = 0
-		h.in.Take(h.now, applied)
+		h.in.Step(h.now, applied)
 	}
 }
 
--- a/choice/parts.go
+++ b/choice/parts.go
@@ -146,8 +146,8 @@
 		parts: []part{roll, book, pl, ch}}
 }
 
-// Take tells the instance what has happened by now and returns what it wants done.
-func (in *Instance) Take(now micros, events []control.Event) []control.Order {
+// Step tells the instance what has happened by now and returns what it wants done.
+func (in *Instance) Step(now micros, events []control.Event) []control.Order {
 	in.out.orders = nil
 	if !in.awake {
 		in.awake = true
@@ -186,44 +186,44 @@
 // what that one had sent still counts against the limits on lines and messages.
 func (in *Instance) TakeOver(failed *Instance) { in.planner.channel.takeOver(failed.planner.channel) }
 
-// Belief is what an instance takes to be so, for staff to hold against what passes.
-type Belief struct {
-	Proxies, Unsaid     int     // joined, and messages that they have not acknowledged
-	Queued              float64 // lines taken to wait in the channel
-	Ready, Sick, Cold   int     // backends: listed ready; of those, sick from somewhere or eased in
-	Limited             int     // of those, slow for three reports
-	Asked, Served, Room float64 // reqs a second: usage, done as last heard, what the ready ones can do
-	Pace, Use, LetIn    float64 // LetIn 0: levels are off
-	Actors, Tables      int     // kept
-	Waiting             int     // reqs queued, by the backends' own word
+// State is what an instance takes to be so, for staff to hold against what passes.
+type State struct {
+	Proxies, UnacknowledgedMessages       int     // joined, and messages that they have not acknowledged
+	QueuedLines                           float64 // lines taken to wait in the channel
+	Ready, Ejected, WarmingUp             int     // backends: listed ready; of those, sick from somewhere or eased in
+	CapacityLimited                       int     // of those, slow for three reports
+	Demand, Served, Capacity              float64 // reqs a second: usage, done as last heard, what the ready ones can do
+	FleetSpeed, Utilization, AdmittedRate float64 // LetIn 0: levels are off
+	EndpointActors, Tables                int     // kept
+	QueuedRequests                        int     // reqs queued, by the backends' own word
 }
 
-// Belief tells; it changes nothing.
-func (in *Instance) Belief() Belief {
+// State tells; it changes nothing.
+func (in *Instance) State() State {
 	pl, ch := in.planner, in.planner.channel
-	b := Belief{Proxies: len(ch.streams), Queued: ch.waiting(ch.lastAt), Asked: sum(pl.asked), Pace: pl.pace, Use: pl.use, LetIn: pl.letIn,
-		Actors: len(in.endpoints.order), Tables: len(ch.replicas) * len(ch.masks)}
+	b := State{Proxies: len(ch.streams), QueuedLines: ch.waiting(ch.lastAt), Demand: sum(pl.asked), FleetSpeed: pl.pace, Utilization: pl.use, AdmittedRate: pl.letIn,
+		EndpointActors: len(in.endpoints.order), Tables: len(ch.replicas) * len(ch.masks)}
 	for _, s := range ch.streams {
-		b.Unsaid += len(s.unacknowledged)
+		b.UnacknowledgedMessages += len(s.unacknowledged)
 	}
 	for _, v := range pl.views {
 		if !v.ready {
 			continue
 		}
-		b.Ready, b.Served, b.Waiting = b.Ready+1, b.Served+v.served, b.Waiting+int(v.queue)
+		b.Ready, b.Served, b.QueuedRequests = b.Ready+1, b.Served+v.served, b.QueuedRequests+int(v.queue)
 		if slices.Contains(v.sick, true) {
-			b.Sick++
+			b.Ejected++
 		}
 		if v.share < 1 {
-			b.Cold++
+			b.WarmingUp++
 		}
 		if v.limit > 0 {
-			b.Limited++
+			b.CapacityLimited++
 		}
 	}
 	for _, c := range pl.groups {
 		if c.group == pl.perZone {
-			b.Room += c.room
+			b.Capacity += c.room
 		}
 	}
 	return b
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -89,5 +89,5 @@
 	if instance == nil {
 		return nil, ""
 	}
-	return instance.Take(now, events[from:]), ""
+	return instance.Step(now, events[from:]), ""
 }
--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -70,7 +70,7 @@
 				if err != nil {
 					return err
 				}
-				if err := enc.Encode(rec.Plain()); err != nil {
+				if err := enc.Encode(rec.Export()); err != nil {
 					return err
 				}
 			}
@@ -97,7 +97,7 @@
 				}
 				if rec.Gap != nil {
 					gaps++
-					fmt.Fprintf(cmd.OutOrStdout(), "records %d to %d are missing: %s\n", rec.Gap.From, rec.Gap.To, rec.Gap.Why)
+					fmt.Fprintf(cmd.OutOrStdout(), "records %d to %d are missing: %s\n", rec.Gap.From, rec.Gap.To, rec.Gap.Reason)
 				}
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d records, %d bytes, %d gaps\n", r.Records, r.Bytes, gaps)
@@ -112,7 +112,7 @@
 func damages(w io.Writer, all []capture.Damage) error {
 	lost := false
 	for _, d := range all {
-		fmt.Fprintf(w, "%s, offset %d, %d bytes: %s\n", d.Segment, d.Offset, d.Bytes, d.What)
+		fmt.Fprintf(w, "%s, offset %d, %d bytes: %s\n", d.Segment, d.Offset, d.Bytes, d.Problem)
 		lost = lost || !d.Torn
 	}
 	if lost {
@@ -146,14 +146,14 @@
 					return err
 				}
 			} else {
-				fmt.Fprintf(w, "%d starts, %d steps, %d orders, %d steps that published: %d steps differ\n", v.Starts, v.Steps, v.Orders, v.Messages, v.Differs)
+				fmt.Fprintf(w, "%d starts, %d steps, %d orders, %d steps that published: %d steps differ\n", v.Starts, v.Steps, v.Orders, v.Messages, v.Mismatches)
 				for _, g := range v.Gaps {
-					fmt.Fprintf(w, "records %d to %d are missing: %s\n", g.From, g.To, g.Why)
+					fmt.Fprintf(w, "records %d to %d are missing: %s\n", g.From, g.To, g.Reason)
 				}
 				if v.Skipped > 0 {
 					fmt.Fprintf(w, "%d steps after gaps were not compared: what the core knew then is not known\n", v.Skipped)
 				}
-				if f := v.First; f != nil {
+				if f := v.FirstMismatch; f != nil {
 					fmt.Fprintf(w, "first difference: start %s, record %d, at %s, order %d\n  recorded: %s\n  replayed: %s\n", f.Start, f.Seq, clock(f.Now), f.Order,
 						f.Recorded, f.Replayed)
 					for _, in := range f.Inputs {
@@ -165,7 +165,7 @@
 				}
 				_ = damages(w, v.Damages)
 			}
-			if v.Differs > 0 && v.SameBuild() || v.Lost() {
+			if v.Mismatches > 0 && v.SameBuild() || v.Incomplete() {
 				return errNotHeld
 			}
 			return nil
@@ -206,21 +206,21 @@
 			w := cmd.OutOrStdout()
 			fmt.Fprintf(w, "%s at %s: %s\n\n", x.Node, clock(x.At), x.Answer)
 			t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-			for _, e := range x.Chain {
-				fmt.Fprintf(t, "%s\t%s\t%s\n", clock(e.At), e.What, e.Text)
+			for _, e := range x.Events {
+				fmt.Fprintf(t, "%s\t%s\t%s\n", clock(e.At), e.Kind, e.Text)
 			}
-			if len(x.Holds) > 0 {
+			if len(x.Gateways) > 0 {
 				fmt.Fprintf(t, "\ngateway\tversion\tconfirmed\tsince\ttries reported\tlink\trequest kinds\n")
-				for _, h := range x.Holds {
+				for _, h := range x.Gateways {
 					var kinds []string
-					for i, k := range h.Kinds {
+					for i, k := range h.Classes {
 						kinds = append(kinds, fmt.Sprintf("%s %.1f%%", k, 100*h.Weights[i]))
 					}
 					link := "stands"
-					if h.Away {
+					if h.Disconnected {
 						link = "ended"
 					}
-					fmt.Fprintf(t, "%s\t%s\t%t\t%s\t%d\t%s\t%s\n", h.Gateway, h.Version, h.Confirmed, clock(h.Since), h.Tries, link, strings.Join(kinds, ", "))
+					fmt.Fprintf(t, "%s\t%s\t%t\t%s\t%d\t%s\t%s\n", h.Gateway, h.Version, h.Confirmed, clock(h.Since), h.Attempts, link, strings.Join(kinds, ", "))
 				}
 			}
 			return t.Flush()
--- a/cmd/porthub/node.go
+++ b/cmd/porthub/node.go
@@ -62,7 +62,7 @@
 var rereads = []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond}
 
 // follow puts the configuration in force anew with each signal.
-func follow(ctx context.Context, again <-chan os.Signal, n *node.Node, log *zap.Logger) {
+func follow(ctx context.Context, again <-chan os.Signal, n *node.Coordinator, log *zap.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -72,7 +72,7 @@
 }
 
 // momentsOf replays a capture and keeps a moment of each second.
-func momentsOf(dir string) (moments []desk.Moment, err error) {
+func momentsOf(dir string) (moments []desk.Frame, err error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 		}
 		if rec.Step.Now-last >= 1_000_000 {
 			last = rec.Step.Now
-			moments = append(moments, desk.Moment{Overview: core.Overview(), Log: tail})
+			moments = append(moments, desk.Frame{Overview: core.Overview(), Log: tail})
 		}
 		return len(moments) < momentsMost
 	})
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -149,7 +149,7 @@
 		if len(events) == 0 && c.steps > 1 {
 			break
 		}
-		orders := c.module.Take(c.now, events)
+		orders := c.module.Step(c.now, events)
 		events = nil
 		c.orders = append(c.orders, orders...)
 		events = append(events, c.carryOut(orders)...)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -48,12 +48,12 @@
 	tap   func(control.Microseconds, []coordinator.Input, *coordinator.Core)
 
 	core   *coordinator.Core
-	inbox  *inbox.Inbox[event]
+	inbox  *inbox.Mailbox[event]
 	front  *files.Front
 	hub    *poll.Hub
 	source *file.Source // nil: there is no file
 	eureka []*eureka.Client
-	probes *probe.Prober
+	probes *probe.Checker
 	server *server
 	saves  chan any // lists
 	snaps  chan any // snapshots
@@ -163,8 +163,8 @@
 		if dir == "" {
 			dir = filepath.Join(d.cfg.StateDir, captureName)
 		}
-		d.writer = capture.NewWriter(dir, capture.Limits{Budget: int64(o.Config.Capture.Budget), Segment: int64(o.Config.Capture.Segment),
-			Age: time.Duration(o.Config.Capture.Age) * time.Microsecond})
+		d.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(o.Config.Capture.Budget), SegmentBytes: int64(o.Config.Capture.Segment),
+			SegmentAge: time.Duration(o.Config.Capture.Age) * time.Microsecond})
 	}
 	front, err := files.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
 		d.give(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
@@ -297,7 +297,7 @@
 				d.front.Publish(o)
 			}
 		case coordinator.CheckHealth:
-			d.probes.Probe(o.Endpoint)
+			d.probes.Check(o.Endpoint)
 		case coordinator.WatchEndpoints:
 			if d.source != nil {
 				d.source.Watch(o.Enabled)
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -51,7 +51,7 @@
 		}
 		return func(c *coordinator.Core) []byte {
 			w, err := c.ClearLevelOverride(r.ID, r.Reason)
-			return answer(c, w, err, capture.Command{Unsay: r.ID, Reason: r.Reason})
+			return answer(c, w, err, capture.Command{ClearOverride: r.ID, Reason: r.Reason})
 		}, 0, nil
 	}
 	var r LevelRequest
@@ -65,6 +65,6 @@
 	return func(c *coordinator.Core) []byte {
 		w := service.Override{Action: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
 		said, err := c.SetLevelOverride(w)
-		return answer(c, said, err, capture.Command{Say: &w})
+		return answer(c, said, err, capture.Command{SetOverride: &w})
 	}, 0, nil
 }
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -95,7 +95,7 @@
 	}
 	defer c.Close()
 	v, err := capture.Replay(c, Build(), nil)
-	if err != nil || v.Differs > 0 || v.Starts != 2 || v.Orders < 5 || len(v.Gaps) > 0 {
+	if err != nil || v.Mismatches > 0 || v.Starts != 2 || v.Orders < 5 || len(v.Gaps) > 0 {
 		t.Errorf("%+v, %v", v, err)
 	}
 	x, err := capture.Open(filepath.Join(r.dir, "state", captureName))
@@ -104,7 +104,7 @@
 	}
 	defer x.Close()
 	why, err := capture.Explain(x, "127.0.0.1:9001", 1<<62)
-	if err != nil || !slices.ContainsFunc(why.Chain, func(e capture.Event) bool { return e.What == "command" }) {
+	if err != nil || !slices.ContainsFunc(why.Events, func(e capture.Event) bool { return e.Kind == "command" }) {
 		t.Errorf("the operator's word is not in the chain: %+v, %v", why, err)
 	}
 }
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -12,9 +12,9 @@
 
 // probeOptions are those of our own nodes: their names are where they answer, their figures ride on a header.
 func probeOptions(cfg config.Probes) probe.Options {
-	return probe.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, AtOnce: cfg.AtOnce,
+	return probe.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.AtOnce,
 		URL: func(b control.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
-		Loads: func(res *http.Response) control.LoadMetrics {
+		Metrics: func(res *http.Response) control.LoadMetrics {
 			return loads(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
 		}}
 }
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -130,7 +130,7 @@
 	}
 	kept := b // the core ends belief as evidence comes; the record keeps it as it began
 	kept.Discarded = slices.Clone(b.Discarded)
-	start.Recalled = &kept
+	start.Restored = &kept
 	d.core.Restore(now, b)
 	return inputs
 }
@@ -215,7 +215,7 @@
 // capture hands a record over to be written; it never waits.
 func (d *Daemon) capture(r *capture.Record) {
 	if d.writer != nil {
-		d.writer.Put(r)
+		d.writer.Append(r)
 	}
 }
 
@@ -227,13 +227,13 @@
 	step := &capture.Step{Now: now, Inputs: slices.Clone(inputs), Orders: d.core.Orders(), Digest: capture.Digest(outputs)}
 	for _, o := range outputs {
 		if n, is := o.(coordinator.LogEntry); is && n.Level > coordinator.LogDebug {
-			step.Notes = append(step.Notes, n)
+			step.Log = append(step.Log, n)
 		}
 	}
 	d.capture(&capture.Record{Step: step})
-	if s := d.writer.Stats(); s.Gaps != d.gaps || (s.Why != "") != d.cantCapture {
-		d.gaps, d.cantCapture = s.Gaps, s.Why != ""
+	if s := d.writer.Stats(); s.Gaps != d.gaps || (s.LastError != "") != d.cantCapture {
+		d.gaps, d.cantCapture = s.Gaps, s.LastError != ""
 		d.log.Warn("capture", zap.String("text", "records are missing, or are being lost"), zap.Int64("gaps", s.Gaps), zap.Int64("lost", s.Lost),
-			zap.String("why", s.Why))
+			zap.String("why", s.LastError))
 	}
 }
--- a/desk/desk.go
+++ b/desk/desk.go
@@ -13,14 +13,14 @@
 
 // LoggedOverview is what is looked at, and Record one record of its log.
 type (
-	Moment = coordinator.LoggedOverview
+	Frame  = coordinator.LoggedOverview
 	Record = coordinator.LogRecord
 )
 
 // Source gives moments: a coordinator's now, or a capture's.
 type Source interface {
 	// Look gives the moment to be shown, and an error when there is none now.
-	Look() (Moment, error)
+	Look() (Frame, error)
 	// Move goes so many seconds on or back; false: it always shows now.
 	Move(seconds int) bool
 	Name() string
@@ -36,7 +36,7 @@
 	width  int
 	height int
 	screen int
-	moment Moment
+	moment Frame
 	has    bool
 	err    error
 	since  time.Time // of the last good moment
@@ -55,7 +55,7 @@
 }
 
 type looked struct {
-	moment Moment
+	moment Frame
 	err    error
 	at     time.Time
 }
--- a/desk/desk_test.go
+++ b/desk/desk_test.go
@@ -23,20 +23,20 @@
 
 // fixed is a source that gives one moment, or fails.
 type fixed struct {
-	moment Moment
+	moment Frame
 	err    error
 }
 
-func (f *fixed) Look() (Moment, error) { return f.moment, f.err }
-func (f *fixed) Move(int) bool         { return false }
-func (f *fixed) Name() string          { return "127.0.0.1:7070" }
+func (f *fixed) Look() (Frame, error) { return f.moment, f.err }
+func (f *fixed) Move(int) bool        { return false }
+func (f *fixed) Name() string         { return "127.0.0.1:7070" }
 
 const second control.Microseconds = 1_000_000
 
 // night is a fleet on a bad night: a hall lost, a node that fails a kind, a gateway away, a level in force.
-func night(nodes int) Moment {
+func night(nodes int) Frame {
 	zones := []control.Zone{"hala-a", "hala-b", "hala-ż-北"}
-	m := Moment{Overview: coordinator.Overview{Now: 5000 * second, StartedAt: 1000 * second, Build: "test", Classes: []string{"schedule", "save-sim"}, LinesInFlight: 120, LineLimit: 8000,
+	m := Frame{Overview: coordinator.Overview{Now: 5000 * second, StartedAt: 1000 * second, Build: "test", Classes: []string{"schedule", "save-sim"}, LinesInFlight: 120, LineLimit: 8000,
 		Sampling: intake.Stats{Reports: 4321, SampledFraction: 0.5, Reporting: 14, Silent: 1, ReportsPerGateway: 0.98}}}
 	for i := range nodes {
 		n := coordinator.EndpointOverview{Endpoint: control.EndpointID(fmt.Sprintf("10.0.0.%d:8080", i)), Zone: zones[i%3], State: "ready", Since: 1200 * second, WarmUpProgress: 1, Capacity: 20,
@@ -162,7 +162,7 @@
 
 // A recorded course is gone through by its seconds, no further than its ends.
 func TestRecorded(t *testing.T) {
-	r := NewRecorded("capture", []Moment{night(3), night(6), night(9)})
+	r := NewRecorded("capture", []Frame{night(3), night(6), night(9)})
 	m := play(r, "right", "right", "right", "left")
 	if text := ansi.Strip(m.Draw(time.Time{})); !strings.Contains(text, "second 2 of 3") || !strings.Contains(text, "6 nodes") {
 		t.Errorf("%s", text)
--- a/desk/source.go
+++ b/desk/source.go
@@ -26,7 +26,7 @@
 func (l *Live) Move(int) bool { return false }
 
 // Look asks for an overview.
-func (l *Live) Look() (m Moment, err error) {
+func (l *Live) Look() (m Frame, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), l.http.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+l.addr+"/overview", nil)
@@ -48,12 +48,12 @@
 // Recorded is a course that has been, a moment a second.
 type Recorded struct {
 	name    string
-	moments []Moment
+	moments []Frame
 	at      int
 }
 
 // NewRecorded shows moments, the first one first.
-func NewRecorded(name string, moments []Moment) *Recorded {
+func NewRecorded(name string, moments []Frame) *Recorded {
 	return &Recorded{name: name, moments: moments}
 }
 
@@ -69,9 +69,9 @@
 }
 
 // Look is the moment at which it stands.
-func (r *Recorded) Look() (Moment, error) {
+func (r *Recorded) Look() (Frame, error) {
 	if len(r.moments) == 0 {
-		return Moment{}, fmt.Errorf("%s holds no second", r.name)
+		return Frame{}, fmt.Errorf("%s holds no second", r.name)
 	}
 	return r.moments[r.at], nil
 }
--- a/drill/drill_test.go
+++ b/drill/drill_test.go
@@ -102,7 +102,7 @@
 			s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool {
 				return t.What != "crash" && t.What != "answer_lost" && t.What != "shrink"
 			})
-			if rule == audit.Cold {
+			if rule == audit.WarmUp {
 				s.Reqs = 90 // at 50 what comes to a cold node is so near its limit that a busy machine keeps it
 			}
 			r, err := Run(s, Options{Seed: 5, BreakRule: rule, Exe: []string{os.Args[0]}})
@@ -152,7 +152,7 @@
 	t.Parallel()
 	var all sync.WaitGroup
 	defer all.Wait()
-	for _, rule := range []string{"", audit.Bare, audit.Repeat, audit.Drain, audit.Cold} {
+	for _, rule := range []string{"", audit.EmptyTable, audit.DuplicateEffect, audit.Drain, audit.WarmUp} {
 		all.Add(1)
 		go func() {
 			defer all.Done()
--- a/drill/intake.go
+++ b/drill/intake.go
@@ -233,16 +233,16 @@
 
 // spoil breaks a rule on the way to one gateway, for the audit's own test.
 func (t *storm) spoil(i int) func(*tables.Snapshot) {
-	if i != 0 && (t.o.BreakRule == audit.Bare || t.o.BreakRule == audit.Repeat) || t.o.BreakRule == "" {
+	if i != 0 && (t.o.BreakRule == audit.EmptyTable || t.o.BreakRule == audit.DuplicateEffect) || t.o.BreakRule == "" {
 		return nil
 	}
 	ever := map[string]tables.ClusterEndpoint{}
 	return func(s *tables.Snapshot) {
 		switch t.o.BreakRule {
-		case audit.Bare:
+		case audit.EmptyTable:
 			s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
 			s.Clusters[0].Endpoints = nil
-		case audit.Repeat:
+		case audit.DuplicateEffect:
 			s.Routes = append([]tables.Route(nil), s.Routes...)
 			for k := range s.Routes {
 				s.Routes[k].RetryPolicy = 3
@@ -259,7 +259,7 @@
 					s.Clusters[k].Endpoints = append(s.Clusters[k].Endpoints, l)
 				}
 			}
-		case audit.Cold: // what has just started gets everything
+		case audit.WarmUp: // what has just started gets everything
 			t.f.mu.Lock()
 			defer t.f.mu.Unlock()
 			for _, n := range t.nodes {
--- a/drill/run.go
+++ b/drill/run.go
@@ -393,14 +393,14 @@
 func spoiler(f *fleet, rule string) {
 	half := f.length() / 3
 	switch rule {
-	case audit.Bare: // one gateway loses all lines of a kind on the way
+	case audit.EmptyTable: // one gateway loses all lines of a kind on the way
 		f.gateways[0].Spoil = func(s *tables.Snapshot) {
 			if f.world.Now() > half/2 {
 				s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
 				s.Clusters[0].Endpoints = nil
 			}
 		}
-	case audit.Repeat: // all gateways repeat whatever has failed
+	case audit.DuplicateEffect: // all gateways repeat whatever has failed
 		for _, g := range f.gateways {
 			g.SpoilRetry = true
 		}
@@ -424,7 +424,7 @@
 				s.Clusters[i] = kept
 			}
 		}
-	case audit.Cold: // all gateways send nearly everything to what has just come back
+	case audit.WarmUp: // all gateways send nearly everything to what has just come back
 		for _, g := range f.gateways {
 			g.Spoil = func(s *tables.Snapshot) {
 				s.Clusters = append([]tables.Cluster(nil), s.Clusters...)
--- a/expect/expect.go
+++ b/expect/expect.go
@@ -46,14 +46,14 @@
 	Drain   = "drain"   // nodes drain
 	Restart = "restart" // nodes start anew and are cold
 	Fail    = "fail"    // nodes fail a kind, or all
-	Back    = "back"    // all nodes are as at the start again; those that were lost are cold
+	Recover = "back"    // all nodes are as at the start again; those that were lost are cold
 	Away    = "away"    // gateways reach no coordinator
 	Home    = "home"    // all gateways do
 	Times   = "load"    // the load is so many times the usual
 )
 
 // Whats lists them.
-var Whats = []string{Lose, Drain, Restart, Fail, Back, Away, Home, Times}
+var Whats = []string{Lose, Drain, Restart, Fail, Recover, Away, Home, Times}
 
 // Event is one thing that happens.
 type Event struct {
--- a/expect/expect_test.go
+++ b/expect/expect_test.go
@@ -180,7 +180,7 @@
 	}
 	// Half the fleet goes at the moment at which the load doubles: the level comes, and the rules hold at it and when all are back.
 	e.Length = 40_000_000
-	e.Course = []expect.Event{{At: 4_000_000, What: expect.Lose, Part: 0.5}, {At: 4_000_000, What: expect.Times, Size: 2}, {At: 14_000_000, What: expect.Back}}
+	e.Course = []expect.Event{{At: 4_000_000, What: expect.Lose, Part: 0.5}, {At: 4_000_000, What: expect.Times, Size: 2}, {At: 14_000_000, What: expect.Recover}}
 	e.That = []expect.That{{Entered: "tight", From: 4_000_000, To: 12_000_000}, {NeverWithout: 5_000_000}, {DrainedWithin: 3_000_000}, {ColdAtMost: 1},
 		{MessagesMost: 20}, {WaitingMost: 1}}
 	for i := range 4 {
--- a/expect/host.go
+++ b/expect/host.go
@@ -240,7 +240,7 @@
 				n.failing[k] = n.failing[k] || ev.Kind == "" || ev.Kind == kind.Name
 			}
 		}
-	case Back:
+	case Recover:
 		for _, n := range h.nodes {
 			if !n.up || n.draining {
 				n.launched = h.now
--- a/inbox/inbox.go
+++ b/inbox/inbox.go
@@ -9,10 +9,10 @@
 	"github.com/puzpuzpuz/xsync/v4"
 )
 
-// Inbox has two bounded lock-free queues: many goroutines put events in, one owner takes them out. The urgent queue, for the
+// Mailbox has two bounded lock-free queues: many goroutines put events in, one owner takes them out. The urgent queue, for the
 // endpoint list, probes and operators, is emptied first: a drain must not wait behind thousands of reports, nor find the room
 // taken by them.
-type Inbox[T any] struct {
+type Mailbox[T any] struct {
 	urgent, plain *xsync.MPMCQueue[T]
 	waiting       atomic.Int64 // events in the plain queue
 	asleep        atomic.Bool  // the owner is about to wait, or waits, for the bell
@@ -21,15 +21,15 @@
 	stamp         func(T) T // nil: events go in as they are
 }
 
-// BatchMost is how many events the owner takes at a time.
-const BatchMost = 4096
+// MaxBatch is how many events the owner takes at a time.
+const MaxBatch = 4096
 
 // New makes an inbox whose queues have so many places. Each event is passed through stamp, unless that is nil, as it goes in.
-func New[T any](urgent, plain int, stamp func(T) T) *Inbox[T] {
-	return &Inbox[T]{stamp: stamp, urgent: xsync.NewMPMCQueue[T](urgent), plain: xsync.NewMPMCQueue[T](plain), bell: make(chan struct{}, 1)}
+func New[T any](urgent, plain int, stamp func(T) T) *Mailbox[T] {
+	return &Mailbox[T]{stamp: stamp, urgent: xsync.NewMPMCQueue[T](urgent), plain: xsync.NewMPMCQueue[T](plain), bell: make(chan struct{}, 1)}
 }
 
-func (b *Inbox[T]) stamped(e T) T {
+func (b *Mailbox[T]) stamped(e T) T {
 	if b.stamp != nil {
 		return b.stamp(e)
 	}
@@ -37,7 +37,7 @@
 }
 
 // TryPut puts an event into the plain queue and tells whether there was room.
-func (b *Inbox[T]) TryPut(e T) bool {
+func (b *Mailbox[T]) TryPut(e T) bool {
 	if !b.plain.TryEnqueue(b.stamped(e)) {
 		return false
 	}
@@ -47,7 +47,7 @@
 }
 
 // TryPutUrgent puts an event into the urgent queue and tells whether there was room.
-func (b *Inbox[T]) TryPutUrgent(e T) bool {
+func (b *Mailbox[T]) TryPutUrgent(e T) bool {
 	if !b.urgent.TryEnqueue(b.stamped(e)) {
 		return false
 	}
@@ -57,7 +57,7 @@
 
 // PutUrgent puts an event into the urgent queue and waits while that is full. Once the inbox is closed it returns at once, and the
 // event is lost.
-func (b *Inbox[T]) PutUrgent(e T) {
+func (b *Mailbox[T]) PutUrgent(e T) {
 	for !b.TryPutUrgent(e) && !b.closed.Load() {
 		time.Sleep(time.Millisecond)
 	}
@@ -65,16 +65,16 @@
 
 // wake rings for a loop that sleeps. It is asked after the T has been put in, and the loop looks once more after it
 // has said that it sleeps: one of the two sees the other.
-func (b *Inbox[T]) wake() {
+func (b *Mailbox[T]) wake() {
 	if b.asleep.CompareAndSwap(true, false) {
 		b.bell <- struct{}{}
 	}
 }
 
 // Len returns how many events wait in the plain queue.
-func (b *Inbox[T]) Len() int { return int(max(0, b.waiting.Load())) }
+func (b *Mailbox[T]) Len() int { return int(max(0, b.waiting.Load())) }
 
-func (b *Inbox[T]) take() (T, bool) {
+func (b *Mailbox[T]) take() (T, bool) {
 	if e, has := b.urgent.TryDequeue(); has {
 		return e, true
 	}
@@ -86,7 +86,7 @@
 }
 
 // Next waits until there is an event, the time has come or the context ends, and takes what there is, up to a batch.
-func (b *Inbox[T]) Next(ctx context.Context, events []T, wait func() <-chan time.Time) []T {
+func (b *Mailbox[T]) Next(ctx context.Context, events []T, wait func() <-chan time.Time) []T {
 	events = b.drain(events)
 	timer := wait()
 	if len(events) > 0 || timer == nil {
@@ -107,8 +107,8 @@
 	return b.drain(events)
 }
 
-func (b *Inbox[T]) drain(events []T) []T {
-	for len(events) < BatchMost {
+func (b *Mailbox[T]) drain(events []T) []T {
+	for len(events) < MaxBatch {
 		e, has := b.take()
 		if !has {
 			break
@@ -119,4 +119,4 @@
 }
 
 // Close ends the waiting of all that put events in.
-func (b *Inbox[T]) Close() { b.closed.Store(true) }
+func (b *Mailbox[T]) Close() { b.closed.Store(true) }
--- a/inbox/inbox_test.go
+++ b/inbox/inbox_test.go
@@ -67,7 +67,7 @@
 	}
 	b.PutUrgent([2]int{1, 0})
 	events := b.Next(context.Background(), nil, func() <-chan time.Time { return nil })
-	if len(events) != BatchMost || events[0] != [2]int{1, 0} || events[1] != [2]int{0, 0} {
+	if len(events) != MaxBatch || events[0] != [2]int{1, 0} || events[1] != [2]int{0, 0} {
 		t.Errorf("%d events, first %v, %v", len(events), events[0], events[1])
 	}
 	for b.TryPutUrgent([2]int{}) {
@@ -115,7 +115,7 @@
 				events = append(events[:0], e)
 			case <-time.After(time.Second):
 			}
-			for more := true; more && len(events) < BatchMost; {
+			for more := true; more && len(events) < MaxBatch; {
 				select {
 				case e := <-box:
 					events = append(events, e)
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -17,17 +17,17 @@
 // Options say how. URL tells where a backend answers, or that it has no place; Loads reads the figures of an answer whose
 // body is cut after BodyMost bytes.
 type Options struct {
-	Timeout time.Duration
-	AtOnce  int
-	URL     func(control.EndpointID) (string, bool)
-	Loads   func(*http.Response) control.LoadMetrics
+	Timeout       time.Duration
+	MaxConcurrent int
+	URL           func(control.EndpointID) (string, bool)
+	Metrics       func(*http.Response) control.LoadMetrics
 }
 
-// BodyMost is what is read of an answer's body: load reports have a hundred bytes or so.
-const BodyMost = 1 << 16
+// MaxBodyBytes is what is read of an answer's body: load reports have a hundred bytes or so.
+const MaxBodyBytes = 1 << 16
 
-// Prober examines so many at once, with so many waiting.
-type Prober struct {
+// Checker examines so many at once, with so many waiting.
+type Checker struct {
 	o     Options
 	told  func(control.HealthCheckResult)
 	queue chan control.EndpointID
@@ -36,21 +36,21 @@
 }
 
 // New starts a prober; it tells of each probe once.
-func New(o Options, told func(control.HealthCheckResult)) *Prober {
+func New(o Options, told func(control.HealthCheckResult)) *Checker {
 	ctx, end := context.WithCancel(context.Background())
-	p := &Prober{o: o, told: told, queue: make(chan control.EndpointID, 1024), end: end,
+	p := &Checker{o: o, told: told, queue: make(chan control.EndpointID, 1024), end: end,
 		http: &http.Client{Timeout: o.Timeout, Transport: outbound.Transport()}}
-	for range o.AtOnce {
+	for range o.MaxConcurrent {
 		go p.work(ctx)
 	}
 	return p
 }
 
 // Close ends it; what waits is told no more.
-func (p *Prober) Close() { p.end() }
+func (p *Checker) Close() { p.end() }
 
-// Probe asks for one.
-func (p *Prober) Probe(b control.EndpointID) {
+// Check asks for one.
+func (p *Checker) Check(b control.EndpointID) {
 	select {
 	case p.queue <- b:
 	default:
@@ -58,7 +58,7 @@
 	}
 }
 
-func (p *Prober) work(ctx context.Context) {
+func (p *Checker) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -69,7 +69,7 @@
 	}
 }
 
-func (p *Prober) one(ctx context.Context, b control.EndpointID) control.HealthCheckResult {
+func (p *Checker) one(ctx context.Context, b control.EndpointID) control.HealthCheckResult {
 	start := time.Now()
 	found := control.HealthCheckResult{Endpoint: b}
 	url, has := p.o.URL(b)
@@ -88,8 +88,8 @@
 	res.Body = struct {
 		io.Reader
 		io.Closer
-	}{io.LimitReader(res.Body, BodyMost), res.Body}
-	found.Metrics = p.o.Loads(res)
+	}{io.LimitReader(res.Body, MaxBodyBytes), res.Body}
+	found.Metrics = p.o.Metrics(res)
 	_, _ = io.Copy(io.Discard, res.Body)
 	switch {
 	case res.StatusCode < 300:
