--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -19,16 +19,16 @@
 	"porthub/capture"
 	"porthub/clock"
 	"porthub/config"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/front/files"
-	"porthub/front/poll"
-	"porthub/inbox"
-	"porthub/intake"
+	"porthub/healthcheck"
+	"porthub/loadreport"
+	"porthub/mailbox"
 	"porthub/membership"
-	"porthub/probe"
+	"porthub/policyapi"
 	"porthub/registry/eureka"
 	"porthub/registry/file"
+	"porthub/xdsfile"
+	"porthub/xdspoll"
 )
 
 // Options are what a daemon is made of. Clock and Tap may be left out.
@@ -37,7 +37,7 @@
 	Log    *zap.Logger
 	Clock  clock.Clock
 	// Tap is called after each step, by the goroutine that owns the core: with the time, the inputs and the core.
-	Tap func(now control.Microseconds, inputs []coordinator.Input, core *coordinator.Core)
+	Tap func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core)
 }
 
 // Daemon is a running coordinator.
@@ -45,15 +45,15 @@
 	cfg   config.Config
 	log   *zap.Logger
 	clock clock.Clock
-	tap   func(control.Microseconds, []coordinator.Input, *coordinator.Core)
+	tap   func(policyapi.Microseconds, []coordinator.Input, *coordinator.Core)
 
 	core   *coordinator.Core
-	inbox  *inbox.Mailbox[event]
-	front  *files.Front
-	hub    *poll.Hub
+	inbox  *mailbox.Mailbox[event]
+	front  *xdsfile.Front
+	hub    *xdspoll.Hub
 	source *file.Source // nil: there is no file
 	eureka []*eureka.Client
-	probes *probe.Checker
+	probes *healthcheck.Checker
 	server *server
 	saves  chan any // lists
 	snaps  chan any // snapshots
@@ -67,7 +67,7 @@
 	overview     []byte                  // the last one that was made, and when the next may be
 	overviewAt   time.Time
 	came         time.Time // when the first input of this step came; zero: not known
-	rememberedAt control.Microseconds
+	rememberedAt policyapi.Microseconds
 	cantSave     bool // of the goroutine that saves
 	cantCapture  bool
 	gaps         int64
@@ -76,9 +76,9 @@
 // Standing is how a running coordinator stands, as GET /tables answers.
 type Standing struct {
 	coordinator.Status
-	Front files.Stats `json:"front"`
-	Poll  poll.Stats  `json:"poll"`
-	Steps Times       `json:"step_us"` // of the core
+	Front xdsfile.Stats `json:"front"`
+	Poll  xdspoll.Stats `json:"poll"`
+	Steps Times         `json:"step_us"` // of the core
 	// Capture counts what was recorded; nil: it is off.
 	Capture *capture.Stats `json:"capture,omitempty"`
 }
@@ -137,7 +137,7 @@
 	// acknowledges is turned away for what others have sent. (At ten thousand gateways a step of half a second filled 8,192
 	// places, and those that found none came a second later: drains were at 171% of the grace.) Reports are put off long
 	// before, by package intake.
-	d.inbox = inbox.New(urgentLength, max(plainLength, o.Config.Limits.Connections), stamp)
+	d.inbox = mailbox.New(urgentLength, max(plainLength, o.Config.Limits.Connections), stamp)
 	if d.clock == nil {
 		d.clock = clock.New()
 	}
@@ -155,7 +155,7 @@
 		names = append(names, e.Name)
 	}
 	d.set = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.Intake), Sources: names, Start: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
-		SilenceTimeout: control.Microseconds(o.Config.Gateways.SilentAfter), SolverEnabled: o.Config.Solver.Enabled,
+		SilenceTimeout: policyapi.Microseconds(o.Config.Gateways.SilentAfter), SolverEnabled: o.Config.Solver.Enabled,
 		SyncDocuments: o.Config.Front.Files.Sync}
 	d.set.Degradation, d.set.Fallback = o.Config.ServiceLevels()
 	d.core = coordinator.New(d.set)
@@ -166,26 +166,26 @@
 		d.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(o.Config.Capture.Budget), SegmentBytes: int64(o.Config.Capture.Segment),
 			SegmentAge: time.Duration(o.Config.Capture.Age) * time.Microsecond})
 	}
-	front, err := files.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
+	front, err := xdsfile.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
 		d.give(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
 	d.front = front
-	d.hub = poll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
+	d.hub = xdspoll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
 	if d.tracer, err = newTracer(o.Config.Trace); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	version := control.ListVersion(0)
+	version := policyapi.ListVersion(0)
 	if o.Config.Registry.File.Path != "" {
 		d.source = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
-			func(entries []control.Endpoint, err error) {
+			func(entries []policyapi.Endpoint, err error) {
 				version++
-				list := coordinator.EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: version, Kind: control.Snapshot, Endpoints: entries}}
+				list := coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: entries}}
 				if err != nil {
-					list.Kind, list.Error = control.Failed, err.Error()
+					list.Kind, list.Error = policyapi.Failed, err.Error()
 				}
 				d.give(list)
 			})
@@ -193,7 +193,7 @@
 	for _, e := range o.Config.Registry.Eureka {
 		d.eureka = append(d.eureka, eureka.New(eurekaOptions(e), func(a membership.SourceUpdate) { d.give(coordinator.RegistryUpdate{SourceUpdate: a}) }))
 	}
-	d.probes = probe.New(probeOptions(o.Config.Probes), func(p control.HealthCheckResult) { d.give(coordinator.HealthCheckResult{HealthCheckResult: p}) })
+	d.probes = healthcheck.New(probeOptions(o.Config.Probes), func(p policyapi.HealthCheckResult) { d.give(coordinator.HealthCheckResult{HealthCheckResult: p}) })
 	if d.server, err = listen(d, o.Config.Listen); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -205,7 +205,7 @@
 func (d *Daemon) Addr() string { return d.server.addr }
 
 // Front tells what the file front has written.
-func (d *Daemon) Front() files.Stats { return d.front.Stats() }
+func (d *Daemon) Front() xdsfile.Stats { return d.front.Stats() }
 
 // Run steps the core until the context ends. A panic of the core ends it with an error that says where the input
 // stood; gateways go on by their files.
@@ -271,7 +271,7 @@
 				e.reply(answer)
 			}
 		}
-		if wait := intake.BatchDelay(control.Microseconds(time.Since(began).Microseconds())); wait > 0 {
+		if wait := loadreport.BatchDelay(policyapi.Microseconds(time.Since(began).Microseconds())); wait > 0 {
 			time.Sleep(time.Duration(wait) * time.Microsecond)
 		}
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -19,8 +19,8 @@
 	"porthub/client"
 	clk "porthub/clock"
 	"porthub/config"
-	"porthub/control"
 	"porthub/coordinator"
+	"porthub/policyapi"
 	"porthub/xds"
 )
 
@@ -37,9 +37,9 @@
 }
 
 type tapped struct {
-	now    control.Microseconds
+	now    policyapi.Microseconds
 	inputs []coordinator.Input
-	orders []control.Order
+	orders []policyapi.Order
 }
 
 const threeNodes = `[{"targets": ["127.0.0.1:9001", "127.0.0.1:9002"], "labels": {"zone": "a"}},
@@ -71,10 +71,10 @@
 
 func (r *rig) start(clock clk.Clock) {
 	r.t.Helper()
-	d, err := New(Options{Config: r.cfg, Clock: clock, Tap: func(now control.Microseconds, inputs []coordinator.Input, core *coordinator.Core) {
+	d, err := New(Options{Config: r.cfg, Clock: clock, Tap: func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.steps = append(r.steps, tapped{now, append([]coordinator.Input(nil), inputs...), append([]control.Order(nil), core.Orders()...)})
+		r.steps = append(r.steps, tapped{now, append([]coordinator.Input(nil), inputs...), append([]policyapi.Order(nil), core.Orders()...)})
 	}})
 	if err != nil {
 		r.t.Fatal(err)
@@ -199,17 +199,17 @@
 // handClock goes on when the test says so.
 type handClock struct {
 	mu      sync.Mutex
-	now     control.Microseconds
-	waiters map[chan time.Time]control.Microseconds
+	now     policyapi.Microseconds
+	waiters map[chan time.Time]policyapi.Microseconds
 }
 
-func (c *handClock) Now() control.Microseconds {
+func (c *handClock) Now() policyapi.Microseconds {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *handClock) After(d control.Microseconds) <-chan time.Time {
+func (c *handClock) After(d policyapi.Microseconds) <-chan time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ch := make(chan time.Time, 1)
@@ -217,7 +217,7 @@
 	return ch
 }
 
-func (c *handClock) set(to control.Microseconds) {
+func (c *handClock) set(to policyapi.Microseconds) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = to
@@ -232,7 +232,7 @@
 // One scenario through the daemon on loopback, with real files and connections, and once more through the library
 // alone: the same orders, one by one.
 func TestSameOrdersThroughLibraryAndDaemon(t *testing.T) {
-	clock := &handClock{now: 1_000_000_000_000, waiters: map[chan time.Time]control.Microseconds{}}
+	clock := &handClock{now: 1_000_000_000_000, waiters: map[chan time.Time]policyapi.Microseconds{}}
 	r := newRig(t, clock)
 	first := clock.Now()
 	count := func() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.steps) }
@@ -240,7 +240,7 @@
 	a, b := r.gateway("gw-1", "a"), r.gateway("gw-2", "b")
 	for round := range 12 {
 		steps := count()
-		clock.set(first + control.Microseconds(round+1)*250_000)
+		clock.set(first + policyapi.Microseconds(round+1)*250_000)
 		r.until("a step", func() bool { return count() > steps })
 		time.Sleep(15 * time.Millisecond) // for the files
 		load := map[string]float64{"util": 0.5, "queue": 1}
@@ -255,7 +255,7 @@
 	}
 	r.stop()
 	r.stop = func() {}
-	core := coordinator.New(coordinator.Settings{Start: r.cfg.Up(), Epoch: "library", SilenceTimeout: control.Microseconds(r.cfg.Gateways.SilentAfter), SolverEnabled: true})
+	core := coordinator.New(coordinator.Settings{Start: r.cfg.Up(), Epoch: "library", SilenceTimeout: policyapi.Microseconds(r.cfg.Gateways.SilentAfter), SolverEnabled: true})
 	orders, tables := 0, 0
 	for i, s := range r.steps {
 		// Versions are named after the start; what was acknowledged is the same message.
@@ -276,7 +276,7 @@
 				t.Fatalf("step %d, order %d: daemon %#v, library %#v", i, j, s.orders[j], o)
 			}
 			orders++
-			if _, is := o.(control.SetWeight); is {
+			if _, is := o.(policyapi.SetWeight); is {
 				tables++
 			}
 		}
@@ -286,7 +286,7 @@
 	}
 }
 
-func (r *rig) nodes() []control.Endpoint {
+func (r *rig) nodes() []policyapi.Endpoint {
 	s, err := client.Status(context.Background(), r.d.Addr())
 	if err != nil {
 		r.t.Fatal(err)
@@ -559,7 +559,7 @@
 		m := ask()
 		return len(m.Endpoints) == 3 && len(m.Gateways) == 1 && m.Gateways[0].OpenEndpoints > 0 && m.Endpoints[0].Senders == 1
 	})
-	began, made := time.Now(), map[control.Microseconds]bool{}
+	began, made := time.Now(), map[policyapi.Microseconds]bool{}
 	for time.Since(began) < 500*time.Millisecond {
 		made[ask().Now] = true
 	}
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -5,18 +5,18 @@
 	"net/http"
 
 	"porthub/capture"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/service"
+	"porthub/degradation"
+	"porthub/policyapi"
 )
 
 // LevelRequest is the body of POST /levels/say.
 type LevelRequest struct {
-	Do     service.Action       `json:"do"`    // force, forbid or hold
-	Zone   control.Zone         `json:"zone"`  // empty: the fleet
-	Level  string               `json:"level"` // of force and forbid: its name
-	For    control.Microseconds `json:"for_us"`
-	Reason string               `json:"reason"`
+	Do     degradation.Action     `json:"do"`    // force, forbid or hold
+	Zone   policyapi.Zone         `json:"zone"`  // empty: the fleet
+	Level  string                 `json:"level"` // of force and forbid: its name
+	For    policyapi.Microseconds `json:"for_us"`
+	Reason string                 `json:"reason"`
 }
 
 // UnsayRequest is the body of POST /levels/unsay.
@@ -27,13 +27,13 @@
 
 // LevelAnswer answers both.
 type LevelAnswer struct {
-	Word  service.Override `json:"word"`
-	Error string           `json:"error,omitempty"`
+	Word  degradation.Override `json:"word"`
+	Error string               `json:"error,omitempty"`
 }
 
 // levelOperation reads an operator's request about levels; what it returns runs in the loop that owns the core.
 func (d *Daemon) levelOperation(req *http.Request, read func(any) error) (func(*coordinator.Core) []byte, int, error) {
-	answer := func(c *coordinator.Core, w service.Override, err error, record capture.Command) []byte {
+	answer := func(c *coordinator.Core, w degradation.Override, err error, record capture.Command) []byte {
 		if err != nil {
 			return text(LevelAnswer{w, err.Error()})
 		}
@@ -59,11 +59,11 @@
 		return nil, http.StatusBadRequest, err
 	}
 	level, known := d.set.Degradation.LevelNamed(r.Level)
-	if !known && r.Do != service.HoldLevel {
-		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", service.ErrNoLevel, r.Level)
+	if !known && r.Do != degradation.HoldLevel {
+		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", degradation.ErrNoLevel, r.Level)
 	}
 	return func(c *coordinator.Core) []byte {
-		w := service.Override{Action: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
+		w := degradation.Override{Action: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
 		said, err := c.SetLevelOverride(w)
 		return answer(c, said, err, capture.Command{SetOverride: &w})
 	}, 0, nil
--- a/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -6,24 +6,24 @@
 
 	"porthub/capture"
 	"porthub/config"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/intake"
+	"porthub/loadreport"
 	"porthub/membership"
+	"porthub/policyapi"
 	"porthub/registry/eureka"
 )
 
 // Nodes is what GET /nodes answers.
 type Nodes struct {
-	Now        control.Microseconds    `json:"now_us"`
+	Now        policyapi.Microseconds  `json:"now_us"`
 	Nodes      []membership.Decision   `json:"nodes"`
 	Registries map[string]eureka.Stats `json:"registries,omitempty"`
 }
 
 // NodeRequest is the body of POST /nodes/drain and /nodes/undrain.
 type NodeRequest struct {
-	Node   control.EndpointID `json:"node"`
-	Reason string             `json:"reason"`
+	Node   policyapi.EndpointID `json:"node"`
+	Reason string               `json:"reason"`
 }
 
 // NodeAnswer answers it.
@@ -85,8 +85,8 @@
 
 // Estimates is what GET /intake answers.
 type Heard struct {
-	Now      control.Microseconds           `json:"now_us"`
-	Intake   intake.Stats                   `json:"intake"`
+	Now      policyapi.Microseconds         `json:"now_us"`
+	Intake   loadreport.Stats               `json:"intake"`
 	Deferred int64                          `json:"deferred"` // reports that were answered 429
 	Inbox    int                            `json:"inbox"`    // waiting for the core
 	Steps    Times                          `json:"step_us"`
@@ -106,6 +106,6 @@
 		return d.overview
 	}
 	d.overview = text(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.tail})
-	d.overviewAt = began.Add(time.Duration(intake.OverviewInterval(control.Microseconds(time.Since(began).Microseconds()))) * time.Microsecond)
+	d.overviewAt = began.Add(time.Duration(loadreport.OverviewInterval(policyapi.Microseconds(time.Since(began).Microseconds()))) * time.Microsecond)
 	return d.overview
 }
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -12,9 +12,9 @@
 
 	"porthub/capture"
 	"porthub/config"
-	"porthub/control"
+	standin "porthub/emulator/eureka"
 	"porthub/membership"
-	standin "porthub/standin/eureka"
+	"porthub/policyapi"
 	"porthub/xds"
 )
 
@@ -49,7 +49,7 @@
 func TestOperatorsDrain(t *testing.T) {
 	r := newRig(t, nil)
 	g := r.gateway("gw-1", "a")
-	open := func(b control.EndpointID) bool {
+	open := func(b policyapi.EndpointID) bool {
 		g.turn(t, xds.Kind{Name: "view", Arrived: 1})
 		for _, c := range g.held.Snapshot.Clusters {
 			for _, l := range c.Endpoints {
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -7,43 +7,43 @@
 	"net/http"
 
 	"porthub/capture"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // Versions is what GET /tables/versions answers.
 type Versions struct {
-	Now    control.Microseconds `json:"now_us"`
-	Pins   []tables.Pin         `json:"pins"`
-	Tables []TableVersions      `json:"tables"`
+	Now    policyapi.Microseconds `json:"now_us"`
+	Pins   []routing.Pin          `json:"pins"`
+	Tables []TableVersions        `json:"tables"`
 }
 
 // TableVersions is what is kept of one table.
 type TableVersions struct {
-	Table    control.TableID `json:"table"`
-	Zone     control.Zone    `json:"zone,omitempty"` // of the gateways bound to it
-	Gateways int             `json:"gateways"`
-	Versions []VersionOf     `json:"versions"`
+	Table    policyapi.TableID `json:"table"`
+	Zone     policyapi.Zone    `json:"zone,omitempty"` // of the gateways bound to it
+	Gateways int               `json:"gateways"`
+	Versions []VersionOf       `json:"versions"`
 }
 
 // VersionOf is one version of a table.
 type VersionOf struct {
-	Version tables.Version          `json:"version"`
-	At      control.Microseconds    `json:"at_us"`
-	Lines   []tables.EndpointWeight `json:"lines"`
+	Version routing.Version          `json:"version"`
+	At      policyapi.Microseconds   `json:"at_us"`
+	Lines   []routing.EndpointWeight `json:"lines"`
 	// Overrides is what the weight solver had in their place, by request kind.
-	Acting map[string][]tables.EndpointWeight `json:"acting,omitempty"`
+	Acting map[string][]routing.EndpointWeight `json:"acting,omitempty"`
 }
 
 // PinRequest is the body of POST /tables/pin. Of version and ago_us at most one is set; neither holds what is in force.
 type PinRequest struct {
-	Table   *control.TableID     `json:"table"`
-	Zone    control.Zone         `json:"zone"`
-	Fleet   bool                 `json:"fleet"`
-	Version tables.Version       `json:"version"`
-	Ago     control.Microseconds `json:"ago_us"`
-	Reason  string               `json:"reason"`
+	Table   *policyapi.TableID     `json:"table"`
+	Zone    policyapi.Zone         `json:"zone"`
+	Fleet   bool                   `json:"fleet"`
+	Version routing.Version        `json:"version"`
+	Ago     policyapi.Microseconds `json:"ago_us"`
+	Reason  string                 `json:"reason"`
 }
 
 // UnpinRequest is the body of POST /tables/unpin.
@@ -54,8 +54,8 @@
 
 // Operated answers a pin or unpin.
 type Operated struct {
-	Pin   tables.Pin `json:"pin"`
-	Error string     `json:"error,omitempty"`
+	Pin   routing.Pin `json:"pin"`
+	Error string      `json:"error,omitempty"`
 }
 
 // operation reads an operator's request; what it returns runs in the loop that owns the core.
@@ -78,7 +78,7 @@
 			return nil, http.StatusBadRequest, err
 		}
 		scopes := 0
-		p := tables.Pin{Scope: tables.Scope{Table: tables.AnyTable, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
+		p := routing.Pin{Scope: routing.Scope{Table: routing.AnyTable, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
 		if r.Table != nil {
 			p.Scope.Table = *r.Table
 			scopes++
@@ -118,7 +118,7 @@
 	return nil, http.StatusNotFound, fmt.Errorf("nothing answers %s %s", req.Method, req.URL.Path)
 }
 
-func operated(p tables.Pin, err error) []byte {
+func operated(p routing.Pin, err error) []byte {
 	o := Operated{Pin: p}
 	if err != nil {
 		o.Error = err.Error()
@@ -137,9 +137,9 @@
 func versions(c *coordinator.Core) Versions {
 	s := c.Status()
 	v := Versions{Now: s.Now, Pins: c.Versions().Pins()}
-	zones, users := map[control.TableID]control.Zone{}, map[control.TableID]int{}
+	zones, users := map[policyapi.TableID]policyapi.Zone{}, map[policyapi.TableID]int{}
 	for _, g := range s.Gateways {
-		seen := map[control.TableID]bool{}
+		seen := map[policyapi.TableID]bool{}
 		for _, t := range g.Tables {
 			if g.Connected && !seen[t] {
 				zones[t], seen[t] = g.Zone, true
@@ -153,7 +153,7 @@
 			of := VersionOf{Version: e.Version, At: e.CreatedAt, Lines: e.State.Endpoints()}
 			for kind, s := range e.Overrides {
 				if of.Acting == nil {
-					of.Acting = map[string][]tables.EndpointWeight{}
+					of.Acting = map[string][]routing.EndpointWeight{}
 				}
 				of.Acting[c.ClassName(kind)] = s.Endpoints()
 			}
--- a/daemon/pinned_test.go
+++ b/daemon/pinned_test.go
@@ -7,8 +7,8 @@
 	"reflect"
 	"testing"
 
-	"porthub/control"
 	"porthub/coordinator"
+	"porthub/policyapi"
 	"porthub/recovery"
 	"porthub/testutil"
 )
@@ -63,7 +63,7 @@
 // A list that the build before the renames saved is read to the same value.
 func TestPinnedListReads(t *testing.T) {
 	testutil.RequireKeys(t, "json", reflect.TypeFor[savedList]())
-	want := savedList{Version: 7, Entries: []control.Endpoint{testutil.Filled[control.Endpoint](t)}}
+	want := savedList{Version: 7, Entries: []policyapi.Endpoint{testutil.Filled[policyapi.Endpoint](t)}}
 	text, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -5,27 +5,27 @@
 	"time"
 
 	"porthub/config"
-	"porthub/control"
-	"porthub/probe"
+	"porthub/healthcheck"
+	"porthub/policyapi"
 	"porthub/xds"
 )
 
 // probeOptions are those of our own nodes: their names are where they answer, their figures ride on a header.
-func probeOptions(cfg config.Probes) probe.Options {
-	return probe.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.AtOnce,
-		URL: func(b control.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
-		Metrics: func(res *http.Response) control.LoadMetrics {
+func probeOptions(cfg config.Probes) healthcheck.Options {
+	return healthcheck.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.AtOnce,
+		URL: func(b policyapi.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
+		Metrics: func(res *http.Response) policyapi.LoadMetrics {
 			return loads(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
 		}}
 }
 
 // loads turns figures by their ORCA names into the module's.
-func loads(by map[string]float64) control.LoadMetrics {
-	var out control.LoadMetrics
+func loads(by map[string]float64) policyapi.LoadMetrics {
+	var out policyapi.LoadMetrics
 	for name, v := range by {
 		if known, has := config.LoadNames[name]; has {
 			if out == nil {
-				out = control.LoadMetrics{}
+				out = policyapi.LoadMetrics{}
 			}
 			out[known] = v
 		}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -18,12 +18,12 @@
 	"go.uber.org/zap"
 	"google.golang.org/protobuf/proto"
 
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/front/http1"
-	"porthub/front/poll"
-	"porthub/intake"
+	"porthub/http1"
+	"porthub/loadreport"
+	"porthub/policyapi"
 	"porthub/xds"
+	"porthub/xdspoll"
 )
 
 // Bounds on what one peer may cost.
@@ -275,7 +275,7 @@
 				s.answer(p, http.StatusNotModified, "", nil)
 				return
 			}
-			s.hold(p, req, poll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.Hold})
+			s.hold(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.Hold})
 		}, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.DeltaPath:
 		s.delta(p, req, coordinator.EndpointsDocument, xds.LineType, read, fail)
@@ -294,13 +294,13 @@
 			return
 		}
 		// A gateway whose last report is young waits while the core is behind: the others' come first.
-		if intake.ShouldDefer(s.d.inbox.Len(), plainLength, control.Microseconds(time.Since(p.reported).Microseconds()), control.Microseconds(s.d.cfg.Reports.Period)) {
+		if loadreport.ShouldDefer(s.d.inbox.Len(), plainLength, policyapi.Microseconds(time.Since(p.reported).Microseconds()), policyapi.Microseconds(s.d.cfg.Reports.Period)) {
 			s.deferred.Add(1)
 			s.answer(p, http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
 			return
 		}
 		p.reported = time.Now()
-		text, err := xds.Encode(xds.Reporting(control.Microseconds(s.d.cfg.Reports.Period) * control.Microseconds(max(1, s.d.stretch.Load()))))
+		text, err := xds.Encode(xds.Reporting(policyapi.Microseconds(s.d.cfg.Reports.Period) * policyapi.Microseconds(max(1, s.d.stretch.Load()))))
 		if err != nil {
 			fail(http.StatusInternalServerError, err.Error())
 			return
@@ -373,7 +373,7 @@
 	}
 	var inputs []coordinator.Input
 	if main == p && !p.joined {
-		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: control.Zone(node.Zone), HasDefaultTableOnly: node.Standing,
+		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: policyapi.Zone(node.Zone), HasDefaultTableOnly: node.Standing,
 			Weight: node.Weight})
 	}
 	link := main.id
@@ -413,15 +413,15 @@
 }
 
 // hold leaves a poll with the hub until there is something to tell.
-func (s *server) hold(p *peer, req *http.Request, r poll.Request) {
+func (s *server) hold(p *peer, req *http.Request, r xdspoll.Request) {
 	r.Hold = min(r.Hold, time.Duration(s.d.cfg.Front.Poll.Hold)*time.Microsecond)
 	binary := strings.HasPrefix(req.Header.Get("Content-Type"), "application/x-protobuf")
 	kind := jsonType
 	if binary {
 		kind = "application/x-protobuf"
 	}
-	r.Answer = func(told *poll.Told, err error) {
-		if errors.Is(err, poll.ErrBase) {
+	r.Answer = func(told *xdspoll.Told, err error) {
+		if errors.Is(err, xdspoll.ErrBase) {
 			s.answer(p, http.StatusConflict, textType, []byte(err.Error()+"\n"))
 			return
 		}
@@ -467,7 +467,7 @@
 	ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.ResponseNonce, Nonce: m.ResponseNonce,
 		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
 	s.hand(p, node, &ack, func([]byte) {
-		s.hold(p, req, poll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
+		s.hold(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
 			Lines: m.InitialResourceVersions})
 	}, fail)
 }
@@ -477,12 +477,12 @@
 	if err != nil {
 		return node, coordinator.LoadReport{}, err
 	}
-	r := coordinator.LoadReport{Gateway: coordinator.Gateway(node.Name), Sequence: node.Report, Interval: control.Microseconds(interval.Microseconds())}
+	r := coordinator.LoadReport{Gateway: coordinator.Gateway(node.Name), Sequence: node.Report, Interval: policyapi.Microseconds(interval.Microseconds())}
 	for _, k := range kinds {
 		kind := coordinator.ClassReport{Class: k.Name, Arrivals: k.Arrived, Rejected: k.Denied, Failures: k.Errored}
 		for _, e := range k.Endpoints {
-			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Endpoint: control.EndpointID(e.Backend), Attempts: e.Tries,
-				Failures: e.Errored, InFlight: e.Active, MeanLatency: control.Microseconds(e.Answer.Microseconds()), Metrics: loads(e.Loads)})
+			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Endpoint: policyapi.EndpointID(e.Backend), Attempts: e.Tries,
+				Failures: e.Errored, InFlight: e.Active, MeanLatency: policyapi.Microseconds(e.Answer.Microseconds()), Metrics: loads(e.Loads)})
 		}
 		r.Classes = append(r.Classes, kind)
 	}
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -18,10 +18,10 @@
 	"go.uber.org/zap"
 
 	"porthub/capture"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/front/files"
+	"porthub/policyapi"
 	"porthub/recovery"
+	"porthub/xdsfile"
 )
 
 // What is kept for the next start, each whole and renamed: the list whenever it changes, and a snapshot of what the core
@@ -36,8 +36,8 @@
 )
 
 type savedList struct {
-	Version control.ListVersion `json:"version"`
-	Entries []control.Endpoint  `json:"entries"`
+	Version policyapi.ListVersion `json:"version"`
+	Entries []policyapi.Endpoint  `json:"entries"`
 }
 
 // Build names the running build.
@@ -93,11 +93,11 @@
 	}
 	text := binary.LittleEndian.AppendUint32([]byte(snapshotMagic), uint32(s.Format))
 	text = binary.LittleEndian.AppendUint32(text, crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)))
-	return files.Replace(filepath.Join(dir, snapshotName), append(text, body...))
+	return xdsfile.Replace(filepath.Join(dir, snapshotName), append(text, body...))
 }
 
 // recall reads what an earlier start has left and hands the core what is believed of it. It returns the first inputs.
-func (d *Daemon) recall(now control.Microseconds, set coordinator.Settings) []coordinator.Input {
+func (d *Daemon) recall(now policyapi.Microseconds, set coordinator.Settings) []coordinator.Input {
 	start := &capture.Start{Format: capture.Format, Build: set.Build, Wall: int64(now), Settings: set}
 	defer func() { d.capture(&capture.Record{Start: start}) }()
 	if d.cfg.StateDir == "" {
@@ -107,7 +107,7 @@
 	if l, err := readList(d.cfg.StateDir); err != nil {
 		d.log.Warn("saved_list", zap.String("text", "can't be read: started without it"), zap.Error(err))
 	} else if l != nil {
-		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: l.Version, Kind: control.Cached, Endpoints: l.Entries}})
+		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: l.Version, Kind: policyapi.Cached, Endpoints: l.Entries}})
 	}
 	if !d.cfg.Recovery.Enabled {
 		return inputs
@@ -126,7 +126,7 @@
 	}
 	b := recovery.Restore(s, now, kinds, set.Start.Zones)
 	if len(inputs) == 0 && len(b.Endpoints) > 0 {
-		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: b.Version, Kind: control.Cached, Endpoints: b.Endpoints}})
+		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: b.Version, Kind: policyapi.Cached, Endpoints: b.Endpoints}})
 	}
 	kept := b // the core ends belief as evidence comes; the record keeps it as it began
 	kept.Discarded = slices.Clone(b.Discarded)
@@ -153,7 +153,7 @@
 // save takes the place of what waits to be saved.
 func (d *Daemon) save(v any) {
 	for _, c := range []chan any{d.saves, d.snaps} {
-		if _, list := v.(control.EndpointUpdate); list != (c == d.saves) {
+		if _, list := v.(policyapi.EndpointUpdate); list != (c == d.saves) {
 			continue
 		}
 		for {
@@ -171,8 +171,8 @@
 }
 
 // remember has a snapshot written if the last one is old enough, or if there is a reason.
-func (d *Daemon) remember(now control.Microseconds, reason bool) {
-	if d.cfg.StateDir == "" || !reason && now-d.rememberedAt < control.Microseconds(snapshotEvery.Microseconds()) {
+func (d *Daemon) remember(now policyapi.Microseconds, reason bool) {
+	if d.cfg.StateDir == "" || !reason && now-d.rememberedAt < policyapi.Microseconds(snapshotEvery.Microseconds()) {
 		return
 	}
 	d.rememberedAt = now
@@ -191,13 +191,13 @@
 		}
 		var err error
 		switch v := v.(type) {
-		case control.EndpointUpdate:
+		case policyapi.EndpointUpdate:
 			if d.cfg.StateDir == "" {
 				continue
 			}
 			var text []byte
 			if text, err = json.Marshal(savedList{v.Version, v.Endpoints}); err == nil {
-				err = files.Replace(filepath.Join(d.cfg.StateDir, listName), text)
+				err = xdsfile.Replace(filepath.Join(d.cfg.StateDir, listName), text)
 			}
 		case recovery.Snapshot:
 			err = writeSnapshot(d.cfg.StateDir, v)
@@ -220,7 +220,7 @@
 }
 
 // captureStep records a step.
-func (d *Daemon) captureStep(now control.Microseconds, inputs []coordinator.Input, outputs []coordinator.Output) {
+func (d *Daemon) captureStep(now policyapi.Microseconds, inputs []coordinator.Input, outputs []coordinator.Output) {
 	if d.writer == nil {
 		return
 	}
--- a/service/bounds.go
+++ b/degradation/bounds.go
@@ -1,4 +1,4 @@
-package service
+package degradation
 
 import (
 	"cmp"
@@ -6,12 +6,12 @@
 	"math"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // TableEndpoint is one line of a gateway's table as the bounds look at it.
 type TableEndpoint struct {
-	Endpoint  control.EndpointID
+	Endpoint  policyapi.EndpointID
 	Weight    float64
 	Local     bool // in the gateway's zone
 	Open      bool
--- a/service/divide.go
+++ b/degradation/divide.go
@@ -1,4 +1,4 @@
-package service
+package degradation
 
 import (
 	"cmp"
--- a/service/doc.go
+++ b/degradation/doc.go
@@ -1,4 +1,4 @@
-// Package service decides the named levels of reduced service: which one a zone and the fleet are at, why, what would end
+// Package degradation decides the named levels of reduced service: which one a zone and the fleet are at, why, what would end
 // it, and how a level divides what the admission lets in among the request kinds. It is pure: time and figures are
 // handed in.
 //
@@ -7,4 +7,4 @@
 // been met for as long as it says, at once and over any levels between; it is left for the next lower one when all
 // its reasons have been under their lower thresholds for as long, which doubles each time that it is entered again soon.
 // Operators can force, forbid and hold levels until a time.
-package service
+package degradation
--- a/service/machine.go
+++ b/degradation/machine.go
@@ -1,21 +1,21 @@
-package service
+package degradation
 
 import (
 	"errors"
 	"fmt"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // FleetScope stands for all zones together in a scope.
-const FleetScope control.Zone = ""
+const FleetScope policyapi.Zone = ""
 
 // Controller is at a level for the fleet and for each zone.
 type Controller struct {
 	set    Settings
-	scopes []control.Zone // the fleet first
-	states map[control.Zone]*state
+	scopes []policyapi.Zone // the fleet first
+	states map[policyapi.Zone]*state
 	words  []Override
 	number int
 }
@@ -23,25 +23,25 @@
 // state is one scope's. Times are of the last change to what they tell of.
 type state struct {
 	level int // by the figures
-	since control.Microseconds
+	since policyapi.Microseconds
 	why   string
 
-	met     []control.Microseconds // by level: since when a reason to enter it is met, without a break; never: it is not
-	under   []control.Microseconds // by level: since when all reasons for it are under their lower thresholds; never: they are not
-	left    []control.Microseconds
+	met     []policyapi.Microseconds // by level: since when a reason to enter it is met, without a break; never: it is not
+	under   []policyapi.Microseconds // by level: since when all reasons for it are under their lower thresholds; never: they are not
+	left    []policyapi.Microseconds
 	backoff []int
 	figures Signals
-	knownAt [TriggerCount]control.Microseconds
+	knownAt [TriggerCount]policyapi.Microseconds
 
 	shown   int // with the operators' words
-	shownAt control.Microseconds
+	shownAt policyapi.Microseconds
 }
 
-const never = control.Microseconds(-1 << 62)
+const never = policyapi.Microseconds(-1 << 62)
 
 // New starts a machine at the usual service. The settings must pass Check.
 func New(set Settings) *Controller {
-	m := &Controller{set: set, scopes: append([]control.Zone{FleetScope}, set.Zones...), states: map[control.Zone]*state{}}
+	m := &Controller{set: set, scopes: append([]policyapi.Zone{FleetScope}, set.Zones...), states: map[policyapi.Zone]*state{}}
 	for _, z := range m.scopes {
 		s := &state{since: never, shownAt: never}
 		for range set.Levels {
@@ -58,14 +58,14 @@
 
 // Change is a scope that has come to another level.
 type Change struct {
-	Zone     control.Zone // Fleet: all
+	Zone     policyapi.Zone // Fleet: all
 	From, To int
 	Reason   string
 }
 
 // Step takes the figures of now in and tells what has changed. A scope without figures stays as it was, but for the words
 // of operators.
-func (m *Controller) Step(now control.Microseconds, figures map[control.Zone]Signals) (changes []Change) {
+func (m *Controller) Step(now policyapi.Microseconds, figures map[policyapi.Zone]Signals) (changes []Change) {
 	m.words = slices.DeleteFunc(m.words, func(w Override) bool { return w.Until <= now })
 	for _, z := range m.scopes {
 		s := m.states[z]
@@ -82,7 +82,7 @@
 }
 
 // step moves one scope by its figures.
-func (m *Controller) step(now control.Microseconds, s *state, f Signals) {
+func (m *Controller) step(now policyapi.Microseconds, s *state, f Signals) {
 	s.figures = f
 	for r := range TriggerCount {
 		if f.Known[r] || s.knownAt[r] == 0 {
@@ -116,7 +116,7 @@
 	}
 	if target > s.level { // at once, over all between: each step's wait would cost what the level is to save
 		i := target - 1
-		if s.left[i] != never && now-s.left[i] <= again*m.set.Levels[i].LeaveDelay*control.Microseconds(s.backoff[i]) {
+		if s.left[i] != never && now-s.left[i] <= again*m.set.Levels[i].LeaveDelay*policyapi.Microseconds(s.backoff[i]) {
 			s.backoff[i] = min(2*s.backoff[i], mostBackoff)
 		} else {
 			s.backoff[i] = 1
@@ -134,23 +134,23 @@
 }
 
 // ends is when a scope's level is left if its reasons stay gone; an unreachable time while they are not.
-func (m *Controller) ends(s *state) control.Microseconds {
+func (m *Controller) ends(s *state) policyapi.Microseconds {
 	i := s.level - 1
 	if s.under[i] == never {
 		return -never
 	}
-	seen := 2 * m.set.Period * control.Microseconds(max(1, m.set.Levels[i].Bounds.ReportIntervalFactor))
+	seen := 2 * m.set.Period * policyapi.Microseconds(max(1, m.set.Levels[i].Bounds.ReportIntervalFactor))
 	return max(s.under[i]+m.held(s), s.since+seen)
 }
 
 // held is how long the level's reasons have to be gone.
-func (m *Controller) held(s *state) control.Microseconds {
-	return m.set.Levels[s.level-1].LeaveDelay * control.Microseconds(s.backoff[s.level-1])
+func (m *Controller) held(s *state) policyapi.Microseconds {
+	return m.set.Levels[s.level-1].LeaveDelay * policyapi.Microseconds(s.backoff[s.level-1])
 }
 
 // calm tells whether all of a level's reasons are under their lower thresholds. One of which nothing is known is not, for a
 // minute.
-func (m *Controller) calm(now control.Microseconds, s *state, l Level) bool {
+func (m *Controller) calm(now policyapi.Microseconds, s *state, l Level) bool {
 	for r := range TriggerCount {
 		switch {
 		case l.Enter[r] == 0:
@@ -166,7 +166,7 @@
 }
 
 // Level is the level of a zone's gateways: the severer of the zone's and the fleet's.
-func (m *Controller) Level(zone control.Zone) int {
+func (m *Controller) Level(zone policyapi.Zone) int {
 	at := m.states[FleetScope].shown
 	if s := m.states[zone]; s != nil {
 		at = max(at, s.shown)
@@ -185,12 +185,12 @@
 
 // Override is an operator's, until a time.
 type Override struct {
-	ID     int                  `json:"id" cbor:"id"`
-	Action Action               `json:"do" cbor:"do"`
-	Zone   control.Zone         `json:"zone" cbor:"zone"` // Fleet: all
-	Level  int                  `json:"level" cbor:"level"`
-	Until  control.Microseconds `json:"until_us" cbor:"until_us"`
-	Reason string               `json:"reason" cbor:"reason"`
+	ID     int                    `json:"id" cbor:"id"`
+	Action Action                 `json:"do" cbor:"do"`
+	Zone   policyapi.Zone         `json:"zone" cbor:"zone"` // Fleet: all
+	Level  int                    `json:"level" cbor:"level"`
+	Until  policyapi.Microseconds `json:"until_us" cbor:"until_us"`
+	Reason string                 `json:"reason" cbor:"reason"`
 }
 
 // What goes wrong with words.
@@ -206,7 +206,7 @@
 const longest = 24 * 3600 * second
 
 // SetOverride takes an operator's word in; it takes the place of one that says the same of the same scope.
-func (m *Controller) SetOverride(now control.Microseconds, w Override) (Override, error) {
+func (m *Controller) SetOverride(now policyapi.Microseconds, w Override) (Override, error) {
 	s := m.states[w.Zone]
 	switch {
 	case w.Reason == "":
@@ -243,7 +243,7 @@
 
 // apply puts the operators' words over a scope's level: force goes before hold, and what is forbidden is taken off both. The
 // figures' own level goes on beneath, so that no word leaves a trace when it ends.
-func (m *Controller) apply(z control.Zone, s *state) (level int, why string) {
+func (m *Controller) apply(z policyapi.Zone, s *state) (level int, why string) {
 	level, why = s.level, s.why
 	for _, do := range []Action{HoldLevel, ForceLevel, ForbidLevel} {
 		for _, w := range m.words {
@@ -262,14 +262,14 @@
 
 // ScopeStatus is how one scope stands.
 type ScopeStatus struct {
-	Zone           control.Zone         `json:"zone"` // empty: the fleet
-	Level          int                  `json:"level"`
-	Name           string               `json:"name"`
-	Since          control.Microseconds `json:"since_us"`
-	Reason         string               `json:"why"`
-	AutomaticLevel int                  `json:"by_itself"` // the level without operators' words
-	EndConditions  []string             `json:"ends"`      // what keeps it, and until when it has to be gone
-	Signals        []Signal             `json:"figures"`
+	Zone           policyapi.Zone         `json:"zone"` // empty: the fleet
+	Level          int                    `json:"level"`
+	Name           string                 `json:"name"`
+	Since          policyapi.Microseconds `json:"since_us"`
+	Reason         string                 `json:"why"`
+	AutomaticLevel int                    `json:"by_itself"` // the level without operators' words
+	EndConditions  []string               `json:"ends"`      // what keeps it, and until when it has to be gone
+	Signals        []Signal               `json:"figures"`
 }
 
 // Signal is one figure of a scope with the thresholds of the level that it is at, or of the first one.
@@ -282,7 +282,7 @@
 }
 
 // Scopes tell how all scopes stand, the fleet first.
-func (m *Controller) Scopes(now control.Microseconds) (out []ScopeStatus) {
+func (m *Controller) Scopes(now policyapi.Microseconds) (out []ScopeStatus) {
 	for _, z := range m.scopes {
 		s := m.states[z]
 		_, why := m.apply(z, s)
@@ -322,8 +322,8 @@
 
 // Snapshot is what a next start has to know.
 type Snapshot struct {
-	Levels    map[control.Zone]string `cbor:"levels" json:"Levels"` // by name: the settings may have changed meanwhile
-	Overrides []SavedOverride         `cbor:"words,omitempty" json:"Words"`
+	Levels    map[policyapi.Zone]string `cbor:"levels" json:"Levels"` // by name: the settings may have changed meanwhile
+	Overrides []SavedOverride           `cbor:"words,omitempty" json:"Words"`
 }
 
 // SavedOverride is a word with its level's name.
@@ -334,7 +334,7 @@
 
 // Snapshot tells it.
 func (m *Controller) Snapshot() Snapshot {
-	k := Snapshot{Levels: map[control.Zone]string{}}
+	k := Snapshot{Levels: map[policyapi.Zone]string{}}
 	for z, s := range m.states {
 		if s.level > 0 {
 			k.Levels[z] = m.set.Name(s.level)
@@ -348,7 +348,7 @@
 
 // Restore takes an earlier start's levels and words over. A level is held from now on as if it had just been entered, and is left
 // by fresh evidence alone; names that are not known any more are passed over, and told.
-func (m *Controller) Restore(now control.Microseconds, k Snapshot) (notes []string) {
+func (m *Controller) Restore(now policyapi.Microseconds, k Snapshot) (notes []string) {
 	for _, z := range m.scopes {
 		name, has := k.Levels[z]
 		if !has {
--- a/service/service.go
+++ b/degradation/service.go
@@ -1,13 +1,13 @@
-package service
+package degradation
 
 import (
 	"fmt"
 	"math"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
-const second control.Microseconds = 1_000_000
+const second policyapi.Microseconds = 1_000_000
 
 // Trigger is a figure that a level goes by.
 type Trigger int
@@ -50,12 +50,12 @@
 
 // Level is one level as the settings have it.
 type Level struct {
-	Name       string                `cbor:"Name" json:"Name"`
-	Enter      [TriggerCount]float64 `cbor:"Enter" json:"Enter"`         // at or above: it is entered; 0: the reason does not count
-	Leave      [TriggerCount]float64 `cbor:"Leave" json:"Leave"`         // at or below: it may be left
-	EnterDelay control.Microseconds  `cbor:"EnterHeld" json:"EnterHeld"` // for so long without a break
-	LeaveDelay control.Microseconds  `cbor:"LeaveHeld" json:"LeaveHeld"` // the same, of all reasons together
-	Bounds     Bounds                `cbor:"Bounds" json:"Bounds"`
+	Name       string                 `cbor:"Name" json:"Name"`
+	Enter      [TriggerCount]float64  `cbor:"Enter" json:"Enter"`         // at or above: it is entered; 0: the reason does not count
+	Leave      [TriggerCount]float64  `cbor:"Leave" json:"Leave"`         // at or below: it may be left
+	EnterDelay policyapi.Microseconds `cbor:"EnterHeld" json:"EnterHeld"` // for so long without a break
+	LeaveDelay policyapi.Microseconds `cbor:"LeaveHeld" json:"LeaveHeld"` // the same, of all reasons together
+	Bounds     Bounds                 `cbor:"Bounds" json:"Bounds"`
 }
 
 // Bounds are what a level does. None of them opens anything that the rules close.
@@ -79,17 +79,17 @@
 
 // Settings are a machine's.
 type Settings struct {
-	Levels  []Level              `cbor:"Levels" json:"Levels"` // by severity, the least first
-	Zones   []control.Zone       `cbor:"Zones" json:"Zones"`
-	Classes []string             `cbor:"Kinds" json:"Kinds"`
-	Period  control.Microseconds `cbor:"Period" json:"Period"` // of figures
+	Levels  []Level                `cbor:"Levels" json:"Levels"` // by severity, the least first
+	Zones   []policyapi.Zone       `cbor:"Zones" json:"Zones"`
+	Classes []string               `cbor:"Kinds" json:"Kinds"`
+	Period  policyapi.Microseconds `cbor:"Period" json:"Period"` // of figures
 }
 
 // Fallback is what gateways do by the table that they hold while they reach no coordinator.
 type Fallback struct {
-	Level    int                  `cbor:"Level" json:"Level"` // 0: there is none
-	After    control.Microseconds `cbor:"After" json:"After"` // without a word from a coordinator
-	Duration control.Microseconds `cbor:"For" json:"For"`     // from then on; afterwards the table holds again as it is
+	Level    int                    `cbor:"Level" json:"Level"` // 0: there is none
+	After    policyapi.Microseconds `cbor:"After" json:"After"` // without a word from a coordinator
+	Duration policyapi.Microseconds `cbor:"For" json:"For"`     // from then on; afterwards the table holds again as it is
 }
 
 // Finding is what is wrong with settings: at which level (from 0), or -1 for all, and which of its keys.
@@ -157,9 +157,9 @@
 			find(i, "enter_held", "is below 0", "0 or more")
 		}
 		stretch := max(1, l.Bounds.ReportIntervalFactor)
-		if l.LeaveDelay < 2*s.Period*control.Microseconds(stretch) {
+		if l.LeaveDelay < 2*s.Period*policyapi.Microseconds(stretch) {
 			find(i, "leave_held", fmt.Sprintf("%v s is under two reports at this level", float64(l.LeaveDelay)/float64(second)),
-				"%v s or more: it could be left without evidence", float64(2*s.Period*control.Microseconds(stretch))/float64(second))
+				"%v s or more: it could be left without evidence", float64(2*s.Period*policyapi.Microseconds(stretch))/float64(second))
 		}
 		s.checkBounds(i, find)
 	}
@@ -242,10 +242,10 @@
 
 // MaxChanges is how many changes of one scope's level there can be in a length of time, whatever the figures do: each level is left
 // only after its holding time, which doubles, and each time that it is left it can be entered once more.
-func (s Settings) MaxChanges(length control.Microseconds) (changes int) {
+func (s Settings) MaxChanges(length policyapi.Microseconds) (changes int) {
 	ups := 0
 	for _, l := range s.Levels {
-		left, factor := length-l.EnterDelay, control.Microseconds(1)
+		left, factor := length-l.EnterDelay, policyapi.Microseconds(1)
 		for left >= l.LeaveDelay*factor {
 			left -= l.LeaveDelay*factor + l.EnterDelay
 			changes++
--- a/service/service_test.go
+++ b/degradation/service_test.go
@@ -1,4 +1,4 @@
-package service
+package degradation
 
 import (
 	"errors"
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // TestMain gives drawn courses the same draws in each run.
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-func level(name string, enter, leave float64, enterHeld, leaveHeld control.Microseconds, more ...func(*Level)) Level {
+func level(name string, enter, leave float64, enterHeld, leaveHeld policyapi.Microseconds, more ...func(*Level)) Level {
 	l := Level{Name: name, EnterDelay: enterHeld, LeaveDelay: leaveHeld, Bounds: Unbounded(2)}
 	l.Enter[TriggerLoad], l.Leave[TriggerLoad] = enter, leave
 	for _, m := range more {
@@ -40,7 +40,7 @@
 }
 
 func two() Settings {
-	return Settings{Zones: []control.Zone{"a", "b"}, Classes: []string{"view", "save"}, Period: second, Levels: []Level{
+	return Settings{Zones: []policyapi.Zone{"a", "b"}, Classes: []string{"view", "save"}, Period: second, Levels: []Level{
 		level("tight", 1, 0.8, 2*second, 10*second, lost(0.3, 0.1)), level("hard", 1.4, 1.1, 2*second, 10*second, lost(0.5, 0.2))}}
 }
 
@@ -54,7 +54,7 @@
 // course plays a load by second in the fleet's scope and returns the levels.
 func course(m *Controller, seconds int, load func(s int) float64) (levels []int, changes int) {
 	for s := range seconds {
-		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: loaded(load(s))}))
+		changes += len(m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{FleetScope: loaded(load(s))}))
 		levels = append(levels, m.Level("a"))
 	}
 	return levels, changes
@@ -97,7 +97,7 @@
 		if high {
 			load = 1
 		}
-		for range m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: loaded(load)}) {
+		for range m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{FleetScope: loaded(load)}) {
 			n, high = n+1, !high
 		}
 	}
@@ -123,17 +123,17 @@
 			f = loaded(0.2)
 			f.Set(TriggerLostCapacity, 0.4)
 		}
-		changes += len(m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: f}))
+		changes += len(m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{FleetScope: f}))
 	}
 	if changes != 1 || m.Level("b") != 1 {
 		t.Errorf("%d changes, at %d", changes, m.Level("b"))
 	}
 	var unknown Signals
 	unknown.Set(TriggerLoad, 0.1)
-	at := control.Microseconds(0)
+	at := policyapi.Microseconds(0)
 	for s := 300; s < 500 && at == 0; s++ {
-		if m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: unknown}); m.Level("b") == 0 {
-			at = control.Microseconds(s - 300)
+		if m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{FleetScope: unknown}); m.Level("b") == 0 {
+			at = policyapi.Microseconds(s - 300)
 		}
 	}
 	if at < 59 || at > 75 {
@@ -145,7 +145,7 @@
 func TestScopes(t *testing.T) {
 	m := New(two())
 	for s := range 5 {
-		m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{FleetScope: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
+		m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{FleetScope: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
 	}
 	if m.Level("a") != 2 || m.Level("b") != 1 || m.Level(FleetScope) != 1 {
 		t.Errorf("a %d, b %d", m.Level("a"), m.Level("b"))
@@ -157,10 +157,10 @@
 func TestEverySettings(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Zones: []control.Zone{"a"}, Classes: []string{"view", "save"}, Period: second}
+		set := Settings{Zones: []policyapi.Zone{"a"}, Classes: []string{"view", "save"}, Period: second}
 		for i := range rapid.IntRange(1, 4).Draw(t, "levels") {
-			l := Level{Name: fmt.Sprint("l", i), Bounds: Unbounded(2), EnterDelay: control.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
-				LeaveDelay: control.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
+			l := Level{Name: fmt.Sprint("l", i), Bounds: Unbounded(2), EnterDelay: policyapi.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
+				LeaveDelay: policyapi.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
 			for r := range TriggerCount {
 				if rapid.IntRange(0, 2).Draw(t, "counts") > 0 {
 					l.Enter[r] = float64(rapid.IntRange(1, 20).Draw(t, "enter")) / 20
@@ -173,10 +173,10 @@
 			return
 		}
 		taken++
-		m, now, changes := New(set), control.Microseconds(0), 0
+		m, now, changes := New(set), policyapi.Microseconds(0), 0
 		step := func(f Signals) int {
 			now += second
-			n := len(m.Step(now, map[control.Zone]Signals{FleetScope: f}))
+			n := len(m.Step(now, map[policyapi.Zone]Signals{FleetScope: f}))
 			changes += n
 			return n
 		}
@@ -231,10 +231,10 @@
 
 // Operators' words: force goes before hold, forbid over both, each ends by itself, and beneath them the figures' own level goes on.
 func TestWords(t *testing.T) {
-	m, now := New(two()), control.Microseconds(0)
+	m, now := New(two()), policyapi.Microseconds(0)
 	step := func(load float64) {
 		now += second
-		m.Step(now, map[control.Zone]Signals{FleetScope: loaded(load)})
+		m.Step(now, map[policyapi.Zone]Signals{FleetScope: loaded(load)})
 	}
 	say := func(w Override) Override {
 		w.Until, w.Reason = now+20*second, "night"
@@ -287,7 +287,7 @@
 func TestRecall(t *testing.T) {
 	m := New(two())
 	for s := range 5 {
-		m.Step(control.Microseconds(s)*second, map[control.Zone]Signals{"a": loaded(2)})
+		m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{"a": loaded(2)})
 	}
 	if _, err := m.SetOverride(5*second, Override{Action: ForceLevel, Level: 1, Zone: "b", Until: 100 * second, Reason: "r"}); err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 	}
 	left := 0
 	for s := 10; s < 60; s++ {
-		next.Step(control.Microseconds(s)*second, map[control.Zone]Signals{"a": loaded(0.1)})
+		next.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{"a": loaded(0.1)})
 		if next.Level("a") < 3 && left == 0 {
 			left = s
 		}
--- a/standin/gateway.go
+++ b/emulator/gateway.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"cmp"
@@ -17,8 +17,8 @@
 	"time"
 
 	"porthub/client"
-	"porthub/control"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -75,7 +75,7 @@
 	ended  sync.WaitGroup
 
 	// Spoil changes what was read before it is held; SpoilRetry makes it repeat what it must not. For --break-rule.
-	Spoil      func(*tables.Snapshot)
+	Spoil      func(*routing.Snapshot)
 	SpoilRetry bool
 }
 
@@ -176,7 +176,7 @@
 }
 
 // standing draws the first table: some listed nodes, of the gateway's own zone if three are there.
-func (g *Gateway) standing() tables.Snapshot {
+func (g *Gateway) standing() routing.Snapshot {
 	var own, all []ListEntry
 	for _, e := range g.List() {
 		if e.Draining {
@@ -198,15 +198,15 @@
 	return snapshot(g.Kinds, own)
 }
 
-func snapshot(kinds []string, list []ListEntry) (s tables.Snapshot) {
+func snapshot(kinds []string, list []ListEntry) (s routing.Snapshot) {
 	for _, k := range kinds {
-		c := tables.Cluster{Class: k}
+		c := routing.Cluster{Class: k}
 		for _, e := range list {
 			c.Endpoints = append(c.Endpoints, line(e))
 		}
 		c.Sort()
 		s.Clusters = append(s.Clusters, c)
-		s.Routes = append(s.Routes, tables.Route{Class: k, Rate: tables.UnlimitedRate, Share: 1})
+		s.Routes = append(s.Routes, routing.Route{Class: k, Rate: routing.UnlimitedRate, Share: 1})
 	}
 	return s
 }
@@ -486,7 +486,7 @@
 }
 
 // admit takes a token of the kind's level.
-func (g *Gateway) admit(r tables.Route) bool {
+func (g *Gateway) admit(r routing.Route) bool {
 	if r.Share < 1 && g.rng.Float64() >= r.Share {
 		return false
 	}
@@ -507,21 +507,21 @@
 	return true
 }
 
-func (g *Gateway) route(kind string) tables.Route {
+func (g *Gateway) route(kind string) routing.Route {
 	for _, r := range g.held.Snapshot.Routes {
 		if r.Class == kind {
 			if !g.heard.IsZero() {
-				r = r.AfterSilence(control.Microseconds(time.Since(g.heard).Microseconds()))
+				r = r.AfterSilence(policyapi.Microseconds(time.Since(g.heard).Microseconds()))
 			}
 			return r
 		}
 	}
-	return tables.Route{Class: kind, Rate: tables.UnlimitedRate, Share: 1}
+	return routing.Route{Class: kind, Rate: routing.UnlimitedRate, Share: 1}
 }
 
 // pick chooses a line evenly by weight, other than the one given, and not one that it shuns if there is another.
-func (g *Gateway) pick(kind, not string) (tables.ClusterEndpoint, bool) {
-	var best, shunned *tables.ClusterEndpoint
+func (g *Gateway) pick(kind, not string) (routing.ClusterEndpoint, bool) {
+	var best, shunned *routing.ClusterEndpoint
 	now := g.world.Now()
 	current := g.picks[kind]
 	if current == nil {
@@ -555,7 +555,7 @@
 	}
 	if best == nil {
 		if best = shunned; best == nil {
-			return tables.ClusterEndpoint{}, false
+			return routing.ClusterEndpoint{}, false
 		}
 		return *best, true
 	}
@@ -634,7 +634,7 @@
 }
 
 // send tries one node. The error wraps errDenied where it is proven that nothing ran.
-func (g *Gateway) send(ctx context.Context, kind string, l tables.ClusterEndpoint, r *http.Request) error {
+func (g *Gateway) send(ctx context.Context, kind string, l routing.ClusterEndpoint, r *http.Request) error {
 	addr := string(l.Endpoint)
 	start := time.Now()
 	g.world.Log.Sent(g.world.Now(), g.Name, addr)
@@ -708,6 +708,6 @@
 	return xds.ReadOrca(res.Header.Get(xds.OrcaHeader)), nil
 }
 
-func line(e ListEntry) tables.ClusterEndpoint {
-	return tables.ClusterEndpoint{Endpoint: control.EndpointID(e.Addr), Zone: control.Zone(e.Zone), Weight: max(e.Weight, 1e-3)}
+func line(e ListEntry) routing.ClusterEndpoint {
+	return routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(e.Addr), Zone: policyapi.Zone(e.Zone), Weight: max(e.Weight, 1e-3)}
 }
--- a/standin/light.go
+++ b/emulator/light.go
@@ -1,4 +1,4 @@
-package standin
+package emulator
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"porthub/audit"
-	"porthub/control"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -180,9 +180,9 @@
 	Period      time.Duration
 	Binary      bool
 	// Spoil changes what was read before it is held; for the audit's own test.
-	Spoil func(*tables.Snapshot)
+	Spoil func(*routing.Snapshot)
 	// Held is told what it holds from now on.
-	Held  func(tables.Snapshot)
+	Held  func(routing.Snapshot)
 	Tally *LightTally
 }
 
@@ -209,8 +209,8 @@
 	client *bufio.Reader
 	conn   net.Conn
 
-	held     tables.Snapshot
-	versions [tables.DocumentCount]string
+	held     routing.Snapshot
+	versions [routing.DocumentCount]string
 	sums     []map[string]*xds.Endpoint // by kind
 	arrived  []int
 	denied   []int
@@ -265,7 +265,7 @@
 		g.arrived[k] += reqs
 		route := g.held.Routes[k]
 		if g.heardAt > 0 {
-			route = route.AfterSilence(control.Microseconds((now - g.heardAt).Microseconds()))
+			route = route.AfterSilence(policyapi.Microseconds((now - g.heardAt).Microseconds()))
 		}
 		let := int(float64(reqs)*route.Share + g.rng.Float64())
 		if route.Rate >= 0 {
@@ -379,7 +379,7 @@
 		if len(g.versions[0]) == 0 {
 			next = nextReport // the reports of gateways that joined at once are spread from the first one on
 		}
-		for doc := range tables.DocumentCount {
+		for doc := range routing.DocumentCount {
 			if err := g.ask(doc); err != nil {
 				return err
 			}
@@ -483,7 +483,7 @@
 }
 
 // judge counts an order to repeat what must not run twice as a repeat that did.
-func (g *LightGateway) judge(routes []tables.Route) {
+func (g *LightGateway) judge(routes []routing.Route) {
 	for k, r := range routes {
 		if r.RetryPolicy > 1 && !g.Kinds[k].Repeats {
 			id := g.rng.Uint64()
--- a/expect/expect.go
+++ b/expectation/expect.go
@@ -1,14 +1,14 @@
-package expect
+package expectation
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
-const second control.Microseconds = 1_000_000
+const second policyapi.Microseconds = 1_000_000
 
 // Suite is one file of expectations.
 type Suite struct {
@@ -20,7 +20,7 @@
 	Name   string
 	Cases  int    // drawn; 1 if the fleet is fixed
 	Seed   uint64 // of all chance
-	Length control.Microseconds
+	Length policyapi.Microseconds
 	Fleet  Fleet
 	Course []Event
 	That   []That
@@ -36,8 +36,8 @@
 	Gateways Range
 	Load     Range // of what all nodes can do
 	Spread   float64
-	Transit  control.Microseconds // of a message to a gateway, and of its acknowledgement
-	ListLate control.Microseconds // the node list tells so long after the truth
+	Transit  policyapi.Microseconds // of a message to a gateway, and of its acknowledgement
+	ListLate policyapi.Microseconds // the node list tells so long after the truth
 }
 
 // What can befall a fleet.
@@ -57,36 +57,36 @@
 
 // Event is one thing that happens.
 type Event struct {
-	At   control.Microseconds
+	At   policyapi.Microseconds
 	What string
-	Zone control.Zone // of the nodes or gateways; empty: any
-	Part float64      // of them, at least one
-	Kind string       // of fail; empty: all
-	Size float64      // of load
+	Zone policyapi.Zone // of the nodes or gateways; empty: any
+	Part float64        // of them, at least one
+	Kind string         // of fail; empty: all
+	Size float64        // of load
 	Line int
 }
 
 // That is one thing that must hold. Of its figures one is set; the others bound where it counts.
 type That struct {
-	Kind string       // empty: each kind
-	Zone control.Zone // of the gateways; empty: all
-	From control.Microseconds
-	To   control.Microseconds // 0: to the end
+	Kind string         // empty: each kind
+	Zone policyapi.Zone // of the gateways; empty: all
+	From policyapi.Microseconds
+	To   policyapi.Microseconds // 0: to the end
 	Line int
 
-	NeverWithout  control.Microseconds // no gateway is longer without an open line for the kind while a warm ready node is listed
-	NodesAtLeast  int                  // open lines for the kind in each gateway's table
+	NeverWithout  policyapi.Microseconds // no gateway is longer without an open line for the kind while a warm ready node is listed
+	NodesAtLeast  int                    // open lines for the kind in each gateway's table
 	NodesAtMost   int
-	HallsAtLeast  int                  // zones with open lines
-	LoadAtMost    float64              // offered to a warm node over what it can do
-	ColdAtMost    float64              // offered to a cold one over what pushes it over
-	DrainedWithin control.Microseconds // no gateway has an open line to a drained or gone node for longer
-	MessagesMost  int                  // to one gateway within the rules' span
-	WaitingMost   float64              // lines on their way to all over the rules' limit
-	ServedAtLeast float64              // of the kind's reqs
-	RepeatAtMost  int                  // order for second tries
-	Entered       string               // a level of service is
-	NotEntered    string               // a level of service is not
+	HallsAtLeast  int                    // zones with open lines
+	LoadAtMost    float64                // offered to a warm node over what it can do
+	ColdAtMost    float64                // offered to a cold one over what pushes it over
+	DrainedWithin policyapi.Microseconds // no gateway has an open line to a drained or gone node for longer
+	MessagesMost  int                    // to one gateway within the rules' span
+	WaitingMost   float64                // lines on their way to all over the rules' limit
+	ServedAtLeast float64                // of the kind's reqs
+	RepeatAtMost  int                    // order for second tries
+	Entered       string                 // a level of service is
+	NotEntered    string                 // a level of service is not
 }
 
 // what names a That's figure and tells it as operators wrote it.
@@ -141,7 +141,7 @@
 
 // Site is what expectations may name.
 type Site struct {
-	Zones  []control.Zone
+	Zones  []policyapi.Zone
 	Kinds  []string
 	Levels []string
 }
@@ -233,7 +233,7 @@
 
 // meets tells whether two speak of the same gateways, kinds and moments, at least in part.
 func (t That) meets(o That) bool {
-	end := func(x That) control.Microseconds {
+	end := func(x That) policyapi.Microseconds {
 		if x.To == 0 {
 			return 1 << 62
 		}
@@ -250,17 +250,17 @@
 
 // Failure is an expectation that does not hold, in one case.
 type Failure struct {
-	Name    string               `cbor:"Name" json:"Name"`
-	Line    int                  `cbor:"Line" json:"Line"` // of what does not hold
-	What    string               `cbor:"What" json:"What"`
-	Case    int                  `cbor:"Case" json:"Case"`
-	Seed    uint64               `cbor:"Seed" json:"Seed"`
-	Gateway string               `cbor:"Gateway" json:"Gateway"` // empty: it is of no gateway
-	Node    string               `cbor:"Node" json:"Node"`
-	Kind    string               `cbor:"Kind" json:"Kind"`
-	At      control.Microseconds `cbor:"At" json:"At"`
-	Figure  string               `cbor:"Figure" json:"Figure"` // what was
-	Small   string               `cbor:"Small" json:"Small"`   // the smallest case that was found to fail in the same way
+	Name    string                 `cbor:"Name" json:"Name"`
+	Line    int                    `cbor:"Line" json:"Line"` // of what does not hold
+	What    string                 `cbor:"What" json:"What"`
+	Case    int                    `cbor:"Case" json:"Case"`
+	Seed    uint64                 `cbor:"Seed" json:"Seed"`
+	Gateway string                 `cbor:"Gateway" json:"Gateway"` // empty: it is of no gateway
+	Node    string                 `cbor:"Node" json:"Node"`
+	Kind    string                 `cbor:"Kind" json:"Kind"`
+	At      policyapi.Microseconds `cbor:"At" json:"At"`
+	Figure  string                 `cbor:"Figure" json:"Figure"` // what was
+	Small   string                 `cbor:"Small" json:"Small"`   // the smallest case that was found to fail in the same way
 }
 
 func (f Failure) String() string {
--- a/expect/expect_test.go
+++ b/expectation/expect_test.go
@@ -1,4 +1,4 @@
-package expect_test
+package expectation_test
 
 import (
 	"os"
@@ -9,20 +9,20 @@
 	"time"
 
 	"porthub/config"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/expect"
-	"porthub/tables"
+	"porthub/expectation"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 func settings(cfg config.Config) coordinator.Settings {
-	set := coordinator.Settings{Start: cfg.Up(), SilenceTimeout: control.Microseconds(cfg.Gateways.SilentAfter), SolverEnabled: true}
+	set := coordinator.Settings{Start: cfg.Up(), SilenceTimeout: policyapi.Microseconds(cfg.Gateways.SilentAfter), SolverEnabled: true}
 	set.Degradation, set.Fallback = cfg.ServiceLevels()
 	return set
 }
 
 // shipped is the example configuration with its expectations.
-func shipped(t *testing.T, changes ...string) (config.Config, expect.Suite) {
+func shipped(t *testing.T, changes ...string) (config.Config, expectation.Suite) {
 	t.Helper()
 	text, err := os.ReadFile("../examples/porthub.json")
 	if err != nil {
@@ -66,14 +66,14 @@
 			}
 		}
 	}
-	ever := map[string]tables.ClusterEndpoint{}
+	ever := map[string]routing.ClusterEndpoint{}
 	for what, spoil := range map[string]struct {
-		held func(*tables.Snapshot)
+		held func(*routing.Snapshot)
 		told func(*coordinator.Settings)
 	}{
-		"never without a node": {held: func(s *tables.Snapshot) { s.Clusters[0].Endpoints = nil }},
-		"second tries":         {held: func(s *tables.Snapshot) { s.Routes[2].RetryPolicy = 3 }},
-		"drained within": {held: func(s *tables.Snapshot) { // all lines that any gateway ever had stay
+		"never without a node": {held: func(s *routing.Snapshot) { s.Clusters[0].Endpoints = nil }},
+		"second tries":         {held: func(s *routing.Snapshot) { s.Routes[2].RetryPolicy = 3 }},
+		"drained within": {held: func(s *routing.Snapshot) { // all lines that any gateway ever had stay
 			c := &s.Clusters[0]
 			for _, l := range c.Endpoints {
 				l.Withheld = false
@@ -84,7 +84,7 @@
 				c.Endpoints = append(c.Endpoints, l)
 			}
 		}},
-		"a cold node's load": {held: func(s *tables.Snapshot) {
+		"a cold node's load": {held: func(s *routing.Snapshot) {
 			for k := range s.Clusters { // all get the same, and nothing is turned away
 				s.Clusters[k].Endpoints = slices.Clone(s.Clusters[k].Endpoints)
 				for i := range s.Clusters[k].Endpoints {
@@ -121,7 +121,7 @@
 func TestBrokenConfigurationIsNamed(t *testing.T) {
 	cfg, suite := shipped(t, `"client_timeout": "2.5s", "payoff": 1}`, `"client_timeout": "2.5s", "payoff": 1, "only_zones": ["hala-a"]}`)
 	e := suite.Expect[1]
-	e.That = []expect.That{{Kind: "schedule", NodesAtLeast: 1, From: 8_000_000, Line: 33}}
+	e.That = []expectation.That{{Kind: "schedule", NodesAtLeast: 1, From: 8_000_000, Line: 33}}
 	c := e.Draw(0)
 	found := e.Run(settings(cfg), c)
 	if len(found) != 1 || found[0].Gateway == "" || found[0].Kind != "schedule" || found[0].Line != 33 {
@@ -137,7 +137,7 @@
 func TestForAllIsForAll(t *testing.T) {
 	cfg, suite := shipped(t)
 	e := suite.Expect[1]
-	e.Course, e.That = nil, []expect.That{{HallsAtLeast: 2, Line: 4}}
+	e.Course, e.That = nil, []expectation.That{{HallsAtLeast: 2, Line: 4}}
 	for i := range 5 {
 		found := e.Run(settings(cfg), e.Draw(i))
 		if len(found) == 1 && found[0].Gateway != "" && found[0].Figure == "1 halls" {
@@ -154,7 +154,7 @@
 func TestSameCaseSameEnd(t *testing.T) {
 	cfg, suite := shipped(t)
 	e := suite.Expect[0]
-	e.That = []expect.That{{NodesAtLeast: 6}, {LoadAtMost: 0.6}, {ServedAtLeast: 0.999}, {MessagesMost: 2}}
+	e.That = []expectation.That{{NodesAtLeast: 6}, {LoadAtMost: 0.6}, {ServedAtLeast: 0.999}, {MessagesMost: 2}}
 	first := e.Run(settings(cfg), e.Draw(3))
 	if len(first) < 2 || !reflect.DeepEqual(first, e.Run(settings(cfg), e.Draw(3))) {
 		t.Errorf("%v", first)
@@ -170,7 +170,7 @@
 	cfg.Service.Levels = []config.ServiceLevel{{Name: "tight", Enter: config.Reasons{Lost: 0.25}, Leave: config.Reasons{Lost: 0.1}, EnterHeld: 2_000_000,
 		LeaveHeld: 15_000_000, SecondTry: 3, Cross: 1, Stretch: 1}}
 	set, e := settings(cfg), suite.Expect[1]
-	e.That = []expect.That{{Entered: "tight"}, {NotEntered: "tight", To: 4_000_000}}
+	e.That = []expectation.That{{Entered: "tight"}, {NotEntered: "tight", To: 4_000_000}}
 	if f := e.Run(set, e.Draw(0)); len(f) > 0 {
 		t.Errorf("%v", f)
 	}
@@ -180,8 +180,8 @@
 	}
 	// Half the fleet goes at the moment at which the load doubles: the level comes, and the rules hold at it and when all are back.
 	e.Length = 40_000_000
-	e.Course = []expect.Event{{At: 4_000_000, What: expect.Lose, Part: 0.5}, {At: 4_000_000, What: expect.Times, Size: 2}, {At: 14_000_000, What: expect.Recover}}
-	e.That = []expect.That{{Entered: "tight", From: 4_000_000, To: 12_000_000}, {NeverWithout: 5_000_000}, {DrainedWithin: 3_000_000}, {ColdAtMost: 1},
+	e.Course = []expectation.Event{{At: 4_000_000, What: expectation.Lose, Part: 0.5}, {At: 4_000_000, What: expectation.Times, Size: 2}, {At: 14_000_000, What: expectation.Recover}}
+	e.That = []expectation.That{{Entered: "tight", From: 4_000_000, To: 12_000_000}, {NeverWithout: 5_000_000}, {DrainedWithin: 3_000_000}, {ColdAtMost: 1},
 		{MessagesMost: 20}, {WaitingMost: 1}}
 	for i := range 4 {
 		if f := e.Run(set, e.Draw(i)); len(f) > 0 {
@@ -202,7 +202,7 @@
 		b.Fatal(err)
 	}
 	e, set := suite.Expect[0], settings(cfg)
-	e.Fleet.Nodes, e.Fleet.Gateways, e.Length = expect.Range{From: 100, To: 100}, expect.Range{From: 300, To: 300}, 12*control.Microseconds(time.Second/time.Microsecond)
+	e.Fleet.Nodes, e.Fleet.Gateways, e.Length = expectation.Range{From: 100, To: 100}, expectation.Range{From: 300, To: 300}, 12*policyapi.Microseconds(time.Second/time.Microsecond)
 	set.Start.Rules.QueueLimit = 40000
 	for b.Loop() {
 		e.Run(set, e.Draw(b.N))
--- a/expect/host.go
+++ b/expectation/host.go
@@ -1,4 +1,4 @@
-package expect
+package expectation
 
 import (
 	"cmp"
@@ -8,9 +8,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // Case is one drawn fleet with its course.
@@ -46,17 +46,17 @@
 
 // node is one of a case's.
 type node struct {
-	name     control.EndpointID
-	zone     control.Zone
+	name     policyapi.EndpointID
+	zone     policyapi.Zone
 	up       bool
 	draining bool
 	failing  []bool // by kind
-	launched control.Microseconds
+	launched policyapi.Microseconds
 	// By the list as it was last told.
-	listed  control.EndpointStatus
-	closed  control.Microseconds // since when the list closes it; 0: it does not
-	started control.Microseconds // the start that the list names, and since when it names that
-	named   control.Microseconds
+	listed  policyapi.EndpointStatus
+	closed  policyapi.Microseconds // since when the list closes it; 0: it does not
+	started policyapi.Microseconds // the start that the list names, and since when it names that
+	named   policyapi.Microseconds
 	offered float64   // reqs in this tick
 	window  []float64 // of the last ticks
 	util    float64
@@ -64,24 +64,24 @@
 
 type gateway struct {
 	name     coordinator.Gateway
-	zone     control.Zone
+	zone     policyapi.Zone
 	conn     coordinator.ConnID
 	rates    []float64 // reqs a second by kind
-	held     tables.Snapshot
-	last     tables.Snapshot // that was sent on this link
-	open     [][]line        // by kind
+	held     routing.Snapshot
+	last     routing.Snapshot // that was sent on this link
+	open     [][]line         // by kind
 	halls    []int
-	joinedAt control.Microseconds
+	joinedAt policyapi.Microseconds
 	away     bool
 	seq      uint64
 	sums     []map[int]*sum // by kind and node, since the last report
 	arrived  []float64
 	denied   []float64
 	errored  []float64
-	sent     []control.Microseconds
-	without  []control.Microseconds // by kind: since when it has no line; 0: it has
+	sent     []policyapi.Microseconds
+	without  []policyapi.Microseconds // by kind: since when it has no line; 0: it has
 	waiting  []posted
-	heard    control.Microseconds
+	heard    policyapi.Microseconds
 }
 
 type line struct {
@@ -98,7 +98,7 @@
 
 // mail is a publication on its way to a gateway, or an acknowledgement on its way back.
 type mail struct {
-	at      control.Microseconds
+	at      policyapi.Microseconds
 	gateway int
 	publish *coordinator.Publish
 	ack     coordinator.Input
@@ -110,22 +110,22 @@
 	c        Case
 	set      coordinator.Settings
 	core     *coordinator.Core
-	now      control.Microseconds
+	now      policyapi.Microseconds
 	rng      *rand.Rand
 	nodes    []*node
-	byName   map[control.EndpointID]int
+	byName   map[policyapi.EndpointID]int
 	gateways []*gateway
 	gwByName map[coordinator.Gateway]int
 	mails    []mail
-	version  control.ListVersion
-	listAt   []control.Microseconds // when the list tells what it has not told yet
+	version  policyapi.ListVersion
+	listAt   []policyapi.Microseconds // when the list tells what it has not told yet
 	times    float64
 	conns    coordinator.ConnID
 	inputs   []coordinator.Input
 	judge    *judge
 	waiting  float64
 	done     int // events of the course
-	spoil    func(*tables.Snapshot)
+	spoil    func(*routing.Snapshot)
 }
 
 // Run plays a case through a core with the settings given and tells what did not hold, the first of each.
@@ -133,7 +133,7 @@
 
 // spoilt is what tests put between the core and its judge: what a gateway holds, and what the core is told of the limits.
 type spoilt struct {
-	held func(*tables.Snapshot)
+	held func(*routing.Snapshot)
 	told func(*coordinator.Settings)
 }
 
@@ -143,7 +143,7 @@
 	if by.told != nil {
 		by.told(&told)
 	}
-	h := &host{e: e, c: c, set: set, core: coordinator.New(told), now: base, rng: rand.New(rand.NewPCG(c.Seed, 2)), byName: map[control.EndpointID]int{},
+	h := &host{e: e, c: c, set: set, core: coordinator.New(told), now: base, rng: rand.New(rand.NewPCG(c.Seed, 2)), byName: map[policyapi.EndpointID]int{},
 		gwByName: map[coordinator.Gateway]int{}, times: 1, spoil: by.held}
 	h.build()
 	h.judge = newJudge(h)
@@ -171,7 +171,7 @@
 func (h *host) build() {
 	zones, kinds := h.set.Start.Zones, len(h.set.Start.Classes)
 	for i := range h.c.Nodes {
-		n := &node{name: control.EndpointID(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], up: true, failing: make([]bool, kinds)}
+		n := &node{name: policyapi.EndpointID(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], up: true, failing: make([]bool, kinds)}
 		h.byName[n.name] = i
 		h.nodes = append(h.nodes, n)
 	}
@@ -182,7 +182,7 @@
 	}
 	for i := range h.c.Gateways {
 		g := &gateway{name: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), zone: zones[i%len(zones)], arrived: make([]float64, kinds), denied: make([]float64, kinds),
-			errored: make([]float64, kinds), open: make([][]line, kinds), halls: make([]int, kinds), without: make([]control.Microseconds, kinds)}
+			errored: make([]float64, kinds), open: make([][]line, kinds), halls: make([]int, kinds), without: make([]policyapi.Microseconds, kinds)}
 		for range kinds {
 			g.rates = append(g.rates, h.c.Load*mean*float64(h.c.Nodes)*sizes[i]/total/float64(kinds))
 			g.sums = append(g.sums, map[int]*sum{})
@@ -195,7 +195,7 @@
 
 func (h *host) join(g *gateway) {
 	h.conns++
-	g.conn, g.joinedAt, g.seq, g.away, g.last = h.conns, h.now, 0, false, tables.Snapshot{}
+	g.conn, g.joinedAt, g.seq, g.away, g.last = h.conns, h.now, 0, false, routing.Snapshot{}
 	weight := 0.0
 	for _, r := range g.rates {
 		weight += r
@@ -294,27 +294,27 @@
 // list tells the node list as it is now.
 func (h *host) list() {
 	h.version++
-	l := control.EndpointUpdate{Version: h.version, Kind: control.Snapshot}
+	l := policyapi.EndpointUpdate{Version: h.version, Kind: policyapi.Snapshot}
 	for _, n := range h.nodes {
 		was := n.listed
 		switch {
 		case !n.up:
-			n.listed = control.Removed
+			n.listed = policyapi.Removed
 		case n.draining:
-			n.listed = control.Draining
+			n.listed = policyapi.Draining
 		default:
-			n.listed = control.Ready
+			n.listed = policyapi.Ready
 		}
 		if n.started != n.launched {
 			n.started, n.named = n.launched, h.now
 		}
-		if n.listed == control.Ready {
+		if n.listed == policyapi.Ready {
 			n.closed = 0
-		} else if was == control.Ready {
+		} else if was == policyapi.Ready {
 			n.closed = h.now
 		}
-		if n.listed != control.Removed {
-			l.Endpoints = append(l.Endpoints, control.Endpoint{ID: n.name, Zone: n.zone, Weight: 1, MachineType: "std", StartedAt: n.launched, Status: n.listed})
+		if n.listed != policyapi.Removed {
+			l.Endpoints = append(l.Endpoints, policyapi.Endpoint{ID: n.name, Zone: n.zone, Weight: 1, MachineType: "std", StartedAt: n.launched, Status: n.listed})
 		}
 	}
 	h.inputs = append(h.inputs, coordinator.EndpointUpdate{EndpointUpdate: l})
@@ -367,7 +367,7 @@
 }
 
 // hold puts a snapshot in force at a gateway.
-func (h *host) hold(g *gateway, s tables.Snapshot) {
+func (h *host) hold(g *gateway, s routing.Snapshot) {
 	if h.spoil != nil {
 		s.Clusters, s.Routes = slices.Clone(s.Clusters), slices.Clone(s.Routes)
 		h.spoil(&s)
@@ -375,7 +375,7 @@
 	g.held, g.heard = s, h.now
 	for k := range s.Clusters {
 		g.open[k], g.halls[k] = g.open[k][:0], 0
-		last := control.Zone("")
+		last := policyapi.Zone("")
 		for _, l := range s.Clusters[k].Endpoints {
 			if i, known := h.byName[l.Endpoint]; known && !l.Withheld && l.Weight > 0 {
 				g.open[k] = append(g.open[k], line{i, l.Weight})
@@ -397,7 +397,7 @@
 		case coordinator.Publish:
 			i := h.gwByName[o.Gateway]
 			g := h.gateways[i]
-			lines := float64(tables.ChangeCost(g.last, o.Snapshot)) + h.set.Start.Channel.MessageOverhead
+			lines := float64(routing.ChangeCost(g.last, o.Snapshot)) + h.set.Start.Channel.MessageOverhead
 			g.waiting = append(g.waiting, posted{o.Version, lines})
 			h.waiting += lines
 			g.last = o.Snapshot
@@ -405,10 +405,10 @@
 			h.judge.sent(g)
 			h.mails = append(h.mails, mail{h.now + h.e.Fleet.Transit, i, &o, nil})
 		case coordinator.Resync, coordinator.WatchEndpoints:
-			h.listAt = append([]control.Microseconds{h.now}, h.listAt...)
+			h.listAt = append([]policyapi.Microseconds{h.now}, h.listAt...)
 		case coordinator.CheckHealth:
 			if i, known := h.byName[o.Endpoint]; known {
-				h.inputs = append(h.inputs, coordinator.HealthCheckResult{HealthCheckResult: control.HealthCheckResult{Endpoint: o.Endpoint, Healthy: h.nodes[i].up, Code: "200", Duration: 5000}})
+				h.inputs = append(h.inputs, coordinator.HealthCheckResult{HealthCheckResult: policyapi.HealthCheckResult{Endpoint: o.Endpoint, Healthy: h.nodes[i].up, Code: "200", Duration: 5000}})
 			}
 		case coordinator.LogEntry:
 			h.judge.note(o)
@@ -434,8 +434,8 @@
 				tries := int(math.Ceil(s.tries - 1e-9))
 				busy := min(1, h.nodes[n].util)
 				one.Endpoints = append(one.Endpoints, coordinator.EndpointReport{Endpoint: h.nodes[n].name, Attempts: tries,
-					Failures: min(tries, int(math.Round(s.errored))), MeanLatency: control.Microseconds(160_000 / max(0.2, 1.1-busy)),
-					Metrics: control.LoadMetrics{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
+					Failures: min(tries, int(math.Round(s.errored))), MeanLatency: policyapi.Microseconds(160_000 / max(0.2, 1.1-busy)),
+					Metrics: policyapi.LoadMetrics{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
 			}
 			r.Classes = append(r.Classes, one)
 			g.arrived[k], g.denied[k], g.errored[k] = 0, 0, 0
--- a/expect/judge.go
+++ b/expectation/judge.go
@@ -1,10 +1,10 @@
-package expect
+package expectation
 
 import (
 	"fmt"
 
-	"porthub/control"
 	"porthub/coordinator"
+	"porthub/policyapi"
 )
 
 // judge watches a case and keeps the first failure of each expectation.
@@ -13,18 +13,18 @@
 	found   []*Failure // by position in That
 	asked   []float64  // of ServedAtLeast
 	done    []float64
-	entered []control.Microseconds // of Entered and NotEntered: when first, within the time; 0: not
+	entered []policyapi.Microseconds // of Entered and NotEntered: when first, within the time; 0: not
 	where   []string
 }
 
 func newJudge(h *host) *judge {
 	n := len(h.e.That)
-	return &judge{h: h, found: make([]*Failure, n), asked: make([]float64, n), done: make([]float64, n), entered: make([]control.Microseconds, n),
+	return &judge{h: h, found: make([]*Failure, n), asked: make([]float64, n), done: make([]float64, n), entered: make([]policyapi.Microseconds, n),
 		where: make([]string, n)}
 }
 
 // at is the time of the course.
-func (j *judge) at() control.Microseconds { return j.h.now - base - settle }
+func (j *judge) at() policyapi.Microseconds { return j.h.now - base - settle }
 
 // counts tells whether an expectation counts now.
 func (j *judge) counts(t That) bool {
@@ -49,13 +49,13 @@
 	j.found[i] = f
 }
 
-func seconds(m control.Microseconds) float64 { return float64(m) / float64(second) }
+func seconds(m policyapi.Microseconds) float64 { return float64(m) / float64(second) }
 
 // warmFor tells whether a warm ready node is listed that may serve a kind for a zone's gateways.
-func (j *judge) warmFor(kind int, zone control.Zone) bool {
+func (j *judge) warmFor(kind int, zone policyapi.Zone) bool {
 	k := j.h.set.Start.Classes[kind]
 	for _, n := range j.h.nodes {
-		if n.listed != control.Ready || j.h.warmth(n) < 1 || k.LocalZoneOnly && n.zone != zone {
+		if n.listed != policyapi.Ready || j.h.warmth(n) < 1 || k.LocalZoneOnly && n.zone != zone {
 			continue
 		}
 		may := len(k.AllowedZones) == 0
@@ -76,7 +76,7 @@
 		return
 	}
 	kinds := h.set.Start.Classes
-	warm := map[control.Zone][]bool{}
+	warm := map[policyapi.Zone][]bool{}
 	for _, z := range h.set.Start.Zones {
 		for k := range kinds {
 			warm[z] = append(warm[z], j.warmFor(k, z))
--- a/probe/probe.go
+++ b/healthcheck/probe.go
@@ -1,5 +1,5 @@
-// Package probe examines backends by a GET.
-package probe
+// Package healthcheck examines backends by a GET.
+package healthcheck
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"syscall"
 	"time"
 
-	"porthub/control"
-	"porthub/outbound"
+	"porthub/httpclient"
+	"porthub/policyapi"
 )
 
 // Options say how. URL tells where a backend answers, or that it has no place; Loads reads the figures of an answer whose
@@ -19,8 +19,8 @@
 type Options struct {
 	Timeout       time.Duration
 	MaxConcurrent int
-	URL           func(control.EndpointID) (string, bool)
-	Metrics       func(*http.Response) control.LoadMetrics
+	URL           func(policyapi.EndpointID) (string, bool)
+	Metrics       func(*http.Response) policyapi.LoadMetrics
 }
 
 // MaxBodyBytes is what is read of an answer's body: load reports have a hundred bytes or so.
@@ -29,17 +29,17 @@
 // Checker examines so many at once, with so many waiting.
 type Checker struct {
 	o     Options
-	told  func(control.HealthCheckResult)
-	queue chan control.EndpointID
+	told  func(policyapi.HealthCheckResult)
+	queue chan policyapi.EndpointID
 	http  *http.Client
 	end   context.CancelFunc
 }
 
 // New starts a prober; it tells of each probe once.
-func New(o Options, told func(control.HealthCheckResult)) *Checker {
+func New(o Options, told func(policyapi.HealthCheckResult)) *Checker {
 	ctx, end := context.WithCancel(context.Background())
-	p := &Checker{o: o, told: told, queue: make(chan control.EndpointID, 1024), end: end,
-		http: &http.Client{Timeout: o.Timeout, Transport: outbound.Transport()}}
+	p := &Checker{o: o, told: told, queue: make(chan policyapi.EndpointID, 1024), end: end,
+		http: &http.Client{Timeout: o.Timeout, Transport: httpclient.Transport()}}
 	for range o.MaxConcurrent {
 		go p.work(ctx)
 	}
@@ -50,11 +50,11 @@
 func (p *Checker) Close() { p.end() }
 
 // Check asks for one.
-func (p *Checker) Check(b control.EndpointID) {
+func (p *Checker) Check(b policyapi.EndpointID) {
 	select {
 	case p.queue <- b:
 	default:
-		go p.told(control.HealthCheckResult{Endpoint: b, Code: "QueueFull"})
+		go p.told(policyapi.HealthCheckResult{Endpoint: b, Code: "QueueFull"})
 	}
 }
 
@@ -69,9 +69,9 @@
 	}
 }
 
-func (p *Checker) one(ctx context.Context, b control.EndpointID) control.HealthCheckResult {
+func (p *Checker) one(ctx context.Context, b policyapi.EndpointID) policyapi.HealthCheckResult {
 	start := time.Now()
-	found := control.HealthCheckResult{Endpoint: b}
+	found := policyapi.HealthCheckResult{Endpoint: b}
 	url, has := p.o.URL(b)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil || !has {
@@ -79,7 +79,7 @@
 		return found
 	}
 	res, err := p.http.Do(req)
-	found.Duration = control.Microseconds(time.Since(start).Microseconds())
+	found.Duration = policyapi.Microseconds(time.Since(start).Microseconds())
 	if err != nil {
 		found.Code = probeCode(err)
 		return found
--- a/outbound/outbound.go
+++ b/httpclient/outbound.go
@@ -1,5 +1,5 @@
-// Package outbound is how HTTP calls to others are made where descriptors are few.
-package outbound
+// Package httpclient is how HTTP calls to others are made where descriptors are few.
+package httpclient
 
 import (
 	"context"
--- a/outbound/outbound_test.go
+++ b/httpclient/outbound_test.go
@@ -1,4 +1,4 @@
-package outbound
+package httpclient
 
 import (
 	"context"
--- a/intake/intake.go
+++ b/loadreport/intake.go
@@ -1,4 +1,4 @@
-// Package intake decides how much of what gateways report is taken when more comes than can be, so that what is left is
+// Package loadreport decides how much of what gateways report is taken when more comes than can be, so that what is left is
 // unbiased and its error is known. It is pure: time is handed in, chance comes from hashes.
 //
 // A report has two parts. What came to the gateway (three figures or so) is always taken. What it met at nodes, one line for
@@ -8,26 +8,26 @@
 //
 // Reports that are late, lost or asked for less often are missing from a round. What is known of a node is therefore the mean
 // over the reports that came, times the gateways that report; how many of them were not heard goes into the error.
-package intake
+package loadreport
 
 import (
 	"hash/crc32"
 	"math"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // Settings bound an intake.
 type Settings struct {
-	MaxLines float64              // that may be taken in a second; 0: no bound
-	Period   control.Microseconds // of reports
+	MaxLines float64                // that may be taken in a second; 0: no bound
+	Period   policyapi.Microseconds // of reports
 	Seed     uint64
 }
 
 // EndpointLine is what a gateway met at a node for a kind.
 type EndpointLine struct {
-	Endpoint control.EndpointID
+	Endpoint policyapi.EndpointID
 	Attempts int
 	Failures int
 }
@@ -64,11 +64,11 @@
 	set      Settings
 	part     float64 // p
 	round    uint64
-	began    control.Microseconds
+	began    policyapi.Microseconds
 	offered  float64 // lines in this round
 	news     float64
 	gateways map[string]*gateway
-	nodes    map[control.EndpointID]*node
+	nodes    map[policyapi.EndpointID]*node
 	stats    Stats
 	usual    float64 // reqs a second of a gateway, the fleet's mean
 	reports  int     // in this round
@@ -83,7 +83,7 @@
 	phase  float64
 	usage  float64 // reqs a second, half way to the new with each report
 	known  int     // reports
-	at     control.Microseconds
+	at     policyapi.Microseconds
 	sudden int // reports in a row that claimed too much
 	round  uint64
 	times  float64 // reports in that round
@@ -119,15 +119,15 @@
 
 // Estimate are what is known of a node from one round, each with the error that it has in 19 of 20 cases.
 type Estimate struct {
-	Attempts         float64              `json:"tries_per_s"`
-	AttemptsError    float64              `json:"tries_error"`
-	Failures         float64              `json:"errored_per_s"`
-	Utilization      float64              `json:"util"`
-	UtilizationError float64              `json:"util_error"`
-	Queue            float64              `json:"queue"`
-	QueueError       float64              `json:"queue_error"`
-	Lines            int                  `json:"lines"` // taken
-	At               control.Microseconds `json:"at_us"`
+	Attempts         float64                `json:"tries_per_s"`
+	AttemptsError    float64                `json:"tries_error"`
+	Failures         float64                `json:"errored_per_s"`
+	Utilization      float64                `json:"util"`
+	UtilizationError float64                `json:"util_error"`
+	Queue            float64                `json:"queue"`
+	QueueError       float64                `json:"queue_error"`
+	Lines            int                    `json:"lines"` // taken
+	At               policyapi.Microseconds `json:"at_us"`
 }
 
 // What the rules go by.
@@ -143,7 +143,7 @@
 
 // New starts an intake that takes everything.
 func New(set Settings) *Sampler {
-	return &Sampler{set: set, part: 1, gateways: map[string]*gateway{}, nodes: map[control.EndpointID]*node{}, stats: Stats{SampledFraction: 1}, stretch: 1, round: 1}
+	return &Sampler{set: set, part: 1, gateways: map[string]*gateway{}, nodes: map[policyapi.EndpointID]*node{}, stats: Stats{SampledFraction: 1}, stretch: 1, round: 1}
 }
 
 func (in *Sampler) gateway(name string) *gateway {
@@ -171,7 +171,7 @@
 }
 
 // Decide decides on a report: how many lines it has, what came to the gateway in the interval.
-func (in *Sampler) Decide(now control.Microseconds, name string, lines, arrived int, interval control.Microseconds) SamplingDecision {
+func (in *Sampler) Decide(now policyapi.Microseconds, name string, lines, arrived int, interval policyapi.Microseconds) SamplingDecision {
 	if in.began == 0 {
 		in.began = now
 	}
@@ -246,7 +246,7 @@
 }
 
 // AddMetrics adds a node's own figures as a line that was taken carries them.
-func (in *Sampler) AddMetrics(b control.EndpointID, util, queue float64) {
+func (in *Sampler) AddMetrics(b policyapi.EndpointID, util, queue float64) {
 	if n := in.nodes[b]; n != nil {
 		n.util.add(util)
 		n.queue.add(queue)
@@ -255,7 +255,7 @@
 
 // EndRound ends a round: what was heard becomes the view, and the part for the next is planned from what came. It returns the
 // gateways that have stopped reporting since the last round, in the order of their names.
-func (in *Sampler) EndRound(now control.Microseconds) (stopped []string) {
+func (in *Sampler) EndRound(now policyapi.Microseconds) (stopped []string) {
 	seconds := float64(now-in.began) / 1e6
 	if seconds <= 0 {
 		return nil
@@ -264,7 +264,7 @@
 	for name, g := range in.gateways {
 		switch {
 		case !g.live:
-		case now-g.at <= stops*in.set.Period*control.Microseconds(in.stretch):
+		case now-g.at <= stops*in.set.Period*policyapi.Microseconds(in.stretch):
 			in.stats.Reporting++
 		default:
 			if in.stats.Silent++; !g.quiet {
@@ -343,7 +343,7 @@
 }
 
 // Estimate is what is known of a node, with the age of it: the error grows by what a second may change.
-func (in *Sampler) Estimate(now control.Microseconds, b control.EndpointID) (f Estimate, known bool) {
+func (in *Sampler) Estimate(now policyapi.Microseconds, b policyapi.EndpointID) (f Estimate, known bool) {
 	n := in.nodes[b]
 	if n == nil || n.last.At == 0 {
 		return f, false
@@ -368,18 +368,18 @@
 }
 
 // ForgetEndpoint drops a node.
-func (in *Sampler) ForgetEndpoint(b control.EndpointID) { delete(in.nodes, b) }
+func (in *Sampler) ForgetEndpoint(b policyapi.EndpointID) { delete(in.nodes, b) }
 
 // ShouldDefer tells whether a gateway's report should come later: while more than half of the room for what waits is used, one whose
 // last report is younger than a period lets the others go first.
-func ShouldDefer(waiting, room int, since, period control.Microseconds) bool {
+func ShouldDefer(waiting, room int, since, period policyapi.Microseconds) bool {
 	return waiting > room/2 && since < period
 }
 
 // BatchDelay is how long the core lets inputs gather after a step that took so long. The module looks at all proxies whenever it is
 // told anything: with ten thousand of them that is some milliseconds, for one acknowledgement as for a thousand. A step
 // that was quick is followed at once; after a long one as much time is left to the rest of the machine.
-func BatchDelay(took control.Microseconds) control.Microseconds {
+func BatchDelay(took policyapi.Microseconds) policyapi.Microseconds {
 	if took < gatherFrom {
 		return 0
 	}
@@ -393,7 +393,7 @@
 
 // OverviewInterval is how long after an overview that took so long the next may be made, whoever asks: a second at least, and a hundredth
 // of the core's time at most goes into them.
-func OverviewInterval(took control.Microseconds) control.Microseconds {
+func OverviewInterval(took policyapi.Microseconds) policyapi.Microseconds {
 	return max(1_000_000, 100*took)
 }
 
--- a/intake/intake_test.go
+++ b/loadreport/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package loadreport
 
 import (
 	"fmt"
@@ -6,16 +6,16 @@
 	"math/rand/v2"
 	"testing"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
-const second control.Microseconds = 1_000_000
+const second policyapi.Microseconds = 1_000_000
 
 // fleet has gateways that each meet some nodes; what they met is drawn anew each round.
 type fleet struct {
 	rng   *rand.Rand
 	names []string
-	nodes []control.EndpointID
+	nodes []policyapi.EndpointID
 	mean  []float64 // tries of a gateway at a node
 }
 
@@ -25,15 +25,15 @@
 		f.names = append(f.names, fmt.Sprintf("gw-%d", i))
 	}
 	for i := range nodes {
-		f.nodes = append(f.nodes, control.EndpointID(fmt.Sprintf("n%d", i)))
+		f.nodes = append(f.nodes, policyapi.EndpointID(fmt.Sprintf("n%d", i)))
 		f.mean = append(f.mean, 1+3*f.rng.Float64())
 	}
 	return f
 }
 
 // round offers a round of reports and returns what each node really had.
-func (f *fleet) round(in *Sampler, now control.Microseconds, each int, errs func(g, n int) float64) (truth map[control.EndpointID]float64, taken int) {
-	truth = map[control.EndpointID]float64{}
+func (f *fleet) round(in *Sampler, now policyapi.Microseconds, each int, errs func(g, n int) float64) (truth map[policyapi.EndpointID]float64, taken int) {
+	truth = map[policyapi.EndpointID]float64{}
 	for g, name := range f.names {
 		lines := make([]EndpointLine, 0, each)
 		arrived := 0
@@ -62,7 +62,7 @@
 func TestCalm(t *testing.T) {
 	f, in := newFleet(50, 20), New(Settings{MaxLines: 10000, Period: second})
 	for r := range 5 {
-		now := control.Microseconds(r+1) * second
+		now := policyapi.Microseconds(r+1) * second
 		truth, taken := f.round(in, now, 10, nil)
 		in.EndRound(now + second)
 		if taken != 500 {
@@ -82,7 +82,7 @@
 	f, in := newFleet(2000, 100), New(Settings{MaxLines: 2500, Period: second, Seed: 3})
 	cases, within, bias, most := 0, 0, 0.0, 0
 	for r := range 60 {
-		now := control.Microseconds(r+1) * second
+		now := policyapi.Microseconds(r+1) * second
 		truth, taken := f.round(in, now, 10, nil)
 		in.EndRound(now + second)
 		if r < 3 {
@@ -112,7 +112,7 @@
 func TestNewsFirst(t *testing.T) {
 	f, in := newFleet(1000, 100), New(Settings{MaxLines: 1500, Period: second})
 	for r := range 10 {
-		now := control.Microseconds(r+1) * second
+		now := policyapi.Microseconds(r+1) * second
 		failing := func(g, n int) float64 {
 			if n == 13 && r >= 6 {
 				return 1
@@ -136,7 +136,7 @@
 	f, in := newFleet(1000, 50), New(Settings{MaxLines: 1200, Period: second})
 	last, longest := map[string]int{}, 0
 	for r := range 80 {
-		now := control.Microseconds(r+1) * second
+		now := policyapi.Microseconds(r+1) * second
 		for _, name := range f.names {
 			if v := in.Decide(now, name, 10, 10, second); v.IncludeRoutine {
 				if at, heard := last[name]; heard && r > 10 {
@@ -221,7 +221,7 @@
 func TestDefer(t *testing.T) {
 	for _, c := range []struct {
 		waiting int
-		since   control.Microseconds
+		since   policyapi.Microseconds
 		want    bool
 	}{{10, 0, false}, {60, 0, true}, {60, second, false}, {50, 0, false}} {
 		if got := ShouldDefer(c.waiting, 100, c.since, second); got != c.want {
@@ -237,8 +237,8 @@
 	in.began = second
 	cases, within, bias := 0, 0, 0.0
 	for r := range 60 {
-		now := control.Microseconds(r+2) * second
-		truth := map[control.EndpointID]float64{}
+		now := policyapi.Microseconds(r+2) * second
+		truth := map[policyapi.EndpointID]float64{}
 		for g, name := range f.names {
 			lines := make([]EndpointLine, 0, 10)
 			for k := range 10 {
@@ -287,13 +287,13 @@
 	f, in := newFleet(2000, 50), New(Settings{MaxLines: 2500, Period: second})
 	due, changes, last := make([]int, len(f.names)), 0, 1
 	for r := range 100 {
-		now := control.Microseconds(r+1) * second
+		now := policyapi.Microseconds(r+1) * second
 		for g, name := range f.names {
 			if r < due[g] {
 				continue
 			}
 			due[g] = r + in.IntervalFactor()
-			v := in.Decide(now, name, 10, 30, second*control.Microseconds(in.IntervalFactor()))
+			v := in.Decide(now, name, 10, 30, second*policyapi.Microseconds(in.IntervalFactor()))
 			for k := range 10 {
 				in.Sample(v, EndpointLine{Endpoint: f.nodes[(g+k)%50], Attempts: 3})
 			}
@@ -331,11 +331,11 @@
 		in, waiting, cases := New(set), []report(nil), 0
 		out.learned, out.followed = rounds, rounds
 		for r := range rounds {
-			now := control.Microseconds(r+1) * second
+			now := policyapi.Microseconds(r+1) * second
 			if r == turn {
 				f.mean[7] *= 2
 			}
-			truth, failed := map[control.EndpointID]float64{}, 0.0
+			truth, failed := map[policyapi.EndpointID]float64{}, 0.0
 			var came []report
 			for g, name := range f.names {
 				one := report{name: name}
@@ -402,7 +402,7 @@
 
 // A quick step is followed at once, a long one by as much time for the others, within bounds.
 func TestGather(t *testing.T) {
-	for took, want := range map[control.Microseconds]control.Microseconds{300: 0, 1999: 0, 2000: 2000, 9000: 9000, 500_000: 20_000} {
+	for took, want := range map[policyapi.Microseconds]policyapi.Microseconds{300: 0, 1999: 0, 2000: 2000, 9000: 9000, 500_000: 20_000} {
 		if got := BatchDelay(took); got != want {
 			t.Errorf("after %d us it waits %d, want %d", took, got, want)
 		}
--- a/inbox/inbox.go
+++ b/mailbox/inbox.go
@@ -1,5 +1,5 @@
-// Package inbox holds the events that wait for a goroutine that owns some state, in two bounded lock-free queues, one of them urgent.
-package inbox
+// Package mailbox holds the events that wait for a goroutine that owns some state, in two bounded lock-free queues, one of them urgent.
+package mailbox
 
 import (
 	"context"
--- a/inbox/inbox_test.go
+++ b/mailbox/inbox_test.go
@@ -1,4 +1,4 @@
-package inbox
+package mailbox
 
 import (
 	"context"
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -10,10 +10,10 @@
 	"slices"
 	"strings"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
-const second control.Microseconds = 1_000_000
+const second policyapi.Microseconds = 1_000_000
 
 // Status is what a source says of a node.
 type Status int
@@ -33,19 +33,19 @@
 
 // Observation is what a source says of one node.
 type Observation struct {
-	Endpoint    control.EndpointID   `json:"node"`
-	Instance    string               `json:"instance"` // its id at the source; another one is another process
-	Zone        control.Zone         `json:"zone"`
-	Weight      float64              `json:"weight"`
-	Pod         control.PodID        `json:"pod"`
-	MachineType control.MachineType  `json:"machine"`
-	Status      Status               `json:"status"`
-	StartedAt   control.Microseconds `json:"launched_us"` // 0: not said
-	ChangedAt   control.Microseconds `json:"changed_us"`  // when the source last heard a change of it; 0: not said
+	Endpoint    policyapi.EndpointID   `json:"node"`
+	Instance    string                 `json:"instance"` // its id at the source; another one is another process
+	Zone        policyapi.Zone         `json:"zone"`
+	Weight      float64                `json:"weight"`
+	Pod         policyapi.PodID        `json:"pod"`
+	MachineType policyapi.MachineType  `json:"machine"`
+	Status      Status                 `json:"status"`
+	StartedAt   policyapi.Microseconds `json:"launched_us"` // 0: not said
+	ChangedAt   policyapi.Microseconds `json:"changed_us"`  // when the source last heard a change of it; 0: not said
 	// LeaseRenewedAt is when its lease was renewed last, by the source's clock, and Lease how long one lasts; 0: there are none.
-	LeaseRenewedAt control.Microseconds `json:"renewed_us"`
-	LeaseDuration  control.Microseconds `json:"lease_us"`
-	LeaseExpired   bool                 `json:"overdue"` // found here: its lease has been over for long
+	LeaseRenewedAt policyapi.Microseconds `json:"renewed_us"`
+	LeaseDuration  policyapi.Microseconds `json:"lease_us"`
+	LeaseExpired   bool                   `json:"overdue"` // found here: its lease has been over for long
 }
 
 // SourceUpdate is a source's word at a time: all that it knows, or a failure.
@@ -58,7 +58,7 @@
 // Settings are a membership's. Binding sources are believed when they drop a node, however many at once: whoever writes a
 // file means it. A registry forgets.
 type Settings struct {
-	Zones         []control.Zone
+	Zones         []policyapi.Zone
 	Authoritative map[string]bool
 	Sources       []string // in the order of trust where they say different things of a node's zone or weight
 }
@@ -81,23 +81,23 @@
 
 // Decision is what was decided of a node, why, and since when.
 type Decision struct {
-	Endpoint     control.EndpointID   `json:"node"`
-	State        State                `json:"-"`
-	StateName    string               `json:"state"`
-	Reason       string               `json:"why"`
-	Since        control.Microseconds `json:"since_us"`
-	Listed       control.Endpoint     `json:"entry"`
-	Observations []LastObservation    `json:"says"` // by source
+	Endpoint     policyapi.EndpointID   `json:"node"`
+	State        State                  `json:"-"`
+	StateName    string                 `json:"state"`
+	Reason       string                 `json:"why"`
+	Since        policyapi.Microseconds `json:"since_us"`
+	Listed       policyapi.Endpoint     `json:"entry"`
+	Observations []LastObservation      `json:"says"` // by source
 	// Flaps is how often it has gone down of late, halved each minute; OutUntil: it is kept out that long.
-	Flaps         float64              `json:"flaps"`
-	ExcludedUntil control.Microseconds `json:"out_until_us,omitempty"`
+	Flaps         float64                `json:"flaps"`
+	ExcludedUntil policyapi.Microseconds `json:"out_until_us,omitempty"`
 }
 
 // LastObservation is one source's last word of a node.
 type LastObservation struct {
-	Source string               `json:"source"`
-	Text   string               `json:"text"`
-	At     control.Microseconds `json:"at_us"`
+	Source string                 `json:"source"`
+	Text   string                 `json:"text"`
+	At     policyapi.Microseconds `json:"at_us"`
 }
 
 // What the rules go by.
@@ -121,58 +121,58 @@
 // Membership holds what every source said and what was decided of it.
 type Membership struct {
 	set     Settings
-	now     control.Microseconds
-	nodes   map[control.EndpointID]*node
+	now     policyapi.Microseconds
+	nodes   map[policyapi.EndpointID]*node
 	sources map[string]*source
 	notes   []string
 	moved   []move // in this step
-	version control.ListVersion
-	last    []control.Endpoint // as listed last
+	version policyapi.ListVersion
+	last    []policyapi.Endpoint // as listed last
 	listed  bool
 }
 
 type source struct {
-	at     control.Microseconds // of its last answer
+	at     policyapi.Microseconds // of its last answer
 	failed string
-	claims map[control.EndpointID]Observation
+	claims map[policyapi.EndpointID]Observation
 	has    bool
 }
 
 type node struct {
-	name     control.EndpointID
+	name     policyapi.EndpointID
 	said     map[string]Observation // last word, by source; of a source that has dropped it: gone from here
-	at       map[string]control.Microseconds
-	dropped  map[string]control.Microseconds // when the source dropped it
-	forgot   map[string]bool                 // it dropped it with many others
-	notStart map[string]control.Microseconds // start times that are the registry's, not the node's
-	drain    string                          // an operator's reason; empty: none
-	drainAt  control.Microseconds
-	served   control.Microseconds // last answer to a gateway
-	failing  bool                 // nothing but errors since
-	launched control.Microseconds
+	at       map[string]policyapi.Microseconds
+	dropped  map[string]policyapi.Microseconds // when the source dropped it
+	forgot   map[string]bool                   // it dropped it with many others
+	notStart map[string]policyapi.Microseconds // start times that are the registry's, not the node's
+	drain    string                            // an operator's reason; empty: none
+	drainAt  policyapi.Microseconds
+	served   policyapi.Microseconds // last answer to a gateway
+	failing  bool                   // nothing but errors since
+	launched policyapi.Microseconds
 	instance string
-	entry    control.Endpoint
+	entry    policyapi.Endpoint
 
 	state State
 	why   string
-	since control.Microseconds
+	since policyapi.Microseconds
 
 	flaps    float64
-	flapAt   control.Microseconds
-	outUntil control.Microseconds
+	flapAt   policyapi.Microseconds
+	outUntil policyapi.Microseconds
 	out      int
 }
 
 // New starts a membership.
 func New(set Settings) *Membership {
-	return &Membership{set: set, nodes: map[control.EndpointID]*node{}, sources: map[string]*source{}}
+	return &Membership{set: set, nodes: map[policyapi.EndpointID]*node{}, sources: map[string]*source{}}
 }
 
-func (m *Membership) node(b control.EndpointID) *node {
+func (m *Membership) node(b policyapi.EndpointID) *node {
 	n := m.nodes[b]
 	if n == nil {
-		n = &node{name: b, said: map[string]Observation{}, at: map[string]control.Microseconds{}, dropped: map[string]control.Microseconds{}, forgot: map[string]bool{},
-			notStart: map[string]control.Microseconds{}, state: Removed,
+		n = &node{name: b, said: map[string]Observation{}, at: map[string]policyapi.Microseconds{}, dropped: map[string]policyapi.Microseconds{}, forgot: map[string]bool{},
+			notStart: map[string]policyapi.Microseconds{}, state: Removed,
 			since: m.now}
 		m.nodes[b] = n
 	}
@@ -184,7 +184,7 @@
 }
 
 // ReportTraffic says that a node answered gateways, or met nothing but errors.
-func (m *Membership) ReportTraffic(now control.Microseconds, b control.EndpointID, done, errored int) {
+func (m *Membership) ReportTraffic(now policyapi.Microseconds, b policyapi.EndpointID, done, errored int) {
 	m.now = max(m.now, now)
 	n := m.nodes[b]
 	if n == nil {
@@ -198,7 +198,7 @@
 }
 
 // Drain is an operator's word: it holds until it is taken back, whatever sources say. A reason is needed.
-func (m *Membership) Drain(now control.Microseconds, b control.EndpointID, reason string) error {
+func (m *Membership) Drain(now policyapi.Microseconds, b policyapi.EndpointID, reason string) error {
 	m.now = max(m.now, now)
 	if reason == "" {
 		return fmt.Errorf("draining %s needs a reason", b)
@@ -215,7 +215,7 @@
 }
 
 // Undrain takes it back.
-func (m *Membership) Undrain(now control.Microseconds, b control.EndpointID) error {
+func (m *Membership) Undrain(now policyapi.Microseconds, b policyapi.EndpointID) error {
 	m.now = max(m.now, now)
 	n := m.nodes[b]
 	if n == nil || n.drain == "" {
@@ -226,11 +226,11 @@
 }
 
 // Apply takes an answer in. Claims that make no sense are left out and said.
-func (m *Membership) Apply(now control.Microseconds, a SourceUpdate) {
+func (m *Membership) Apply(now policyapi.Microseconds, a SourceUpdate) {
 	m.now = max(m.now, now)
 	s := m.sources[a.Source]
 	if s == nil {
-		s = &source{claims: map[control.EndpointID]Observation{}}
+		s = &source{claims: map[policyapi.EndpointID]Observation{}}
 		m.sources[a.Source] = s
 	}
 	if a.Error != "" {
@@ -273,8 +273,8 @@
 }
 
 // sound keeps the claims that make sense; of two that claim one address, the one that was started last.
-func (m *Membership) sound(a SourceUpdate) map[control.EndpointID]Observation {
-	out := map[control.EndpointID]Observation{}
+func (m *Membership) sound(a SourceUpdate) map[policyapi.EndpointID]Observation {
+	out := map[policyapi.EndpointID]Observation{}
 	for _, c := range a.Observations {
 		if !slices.Contains(m.set.Zones, c.Zone) {
 			m.note("%s names %s in zone %q, which is not one of %v: left out", a.Source, c.Endpoint, c.Zone, m.set.Zones)
@@ -300,7 +300,7 @@
 	}
 	// A registry that preserves itself keeps what has died. By its own clock, the latest renewal that it has seen, a lease
 	// that is long overdue says nothing any more.
-	latest := control.Microseconds(0)
+	latest := policyapi.Microseconds(0)
 	for _, c := range out {
 		latest = max(latest, c.LeaseRenewedAt)
 	}
@@ -315,7 +315,7 @@
 
 // restarted tells whether start times have moved for so many nodes at once that the source has started anew, and not they:
 // those that answered all the while have not.
-func (m *Membership) restarted(s *source, claims map[control.EndpointID]Observation) bool {
+func (m *Membership) restarted(s *source, claims map[policyapi.EndpointID]Observation) bool {
 	moved, both := 0, 0
 	for b, c := range claims {
 		old, had := s.claims[b]
@@ -335,8 +335,8 @@
 
 // drop finds what a source names no longer. Few at a time have left; many at once, while they still serve, were forgotten,
 // unless the source binds.
-func (m *Membership) drop(name string, s *source, claims map[control.EndpointID]Observation) {
-	var missing []control.EndpointID
+func (m *Membership) drop(name string, s *source, claims map[policyapi.EndpointID]Observation) {
+	var missing []policyapi.EndpointID
 	serve := 0
 	for b := range s.claims {
 		if _, still := claims[b]; still {
@@ -378,7 +378,7 @@
 // remembered ends the holding of what a source has forgotten once it names most of it again: what it still does not name
 // left meanwhile. Without it a node that drained and went while its registry answered by halves kept its lines as long as
 // it answered.
-func (m *Membership) remembered(name string, claims map[control.EndpointID]Observation, back int) {
+func (m *Membership) remembered(name string, claims map[policyapi.EndpointID]Observation, back int) {
 	var still []*node
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		if n := m.nodes[b]; n.forgot[name] {
@@ -401,7 +401,7 @@
 }
 
 // Step decides. It returns the list if anything of it has changed, and lines for staff.
-func (m *Membership) Step(now control.Microseconds) (list []control.Endpoint, changed bool, notes []string) {
+func (m *Membership) Step(now policyapi.Microseconds) (list []policyapi.Endpoint, changed bool, notes []string) {
 	m.now = max(m.now, now)
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		m.decide(m.nodes[b])
@@ -412,9 +412,9 @@
 		n := m.nodes[b]
 		switch n.state {
 		case Ready, Retained:
-			n.entry.Status = control.Ready
+			n.entry.Status = policyapi.Ready
 		case Draining:
-			n.entry.Status = control.Draining
+			n.entry.Status = policyapi.Draining
 		default:
 			if n.state == Removed && n.drain == "" && len(n.said) == 0 && m.now-n.since > 3600*second {
 				delete(m.nodes, b)
@@ -435,11 +435,11 @@
 func (m *Membership) Initialized() bool { return m.answered() }
 
 // ListVersion counts the lists that differed from the one before.
-func (m *Membership) Version() control.ListVersion { return m.version }
+func (m *Membership) Version() policyapi.ListVersion { return m.version }
 
 // move is a node's going from one state to another.
 type move struct {
-	node     control.EndpointID
+	node     policyapi.EndpointID
 	was, now State
 	why      string
 }
@@ -580,9 +580,9 @@
 
 // entryOf is what the list says of a node that is up: by the most trusted source that has it up; cold since the latest
 // start that any source tells, or since it was first up if none tells one.
-func (m *Membership) entryOf(n *node) control.Endpoint {
-	e := control.Endpoint{ID: n.name}
-	launched, instance, first := control.Microseconds(0), "", true
+func (m *Membership) entryOf(n *node) policyapi.Endpoint {
+	e := policyapi.Endpoint{ID: n.name}
+	launched, instance, first := policyapi.Microseconds(0), "", true
 	anyUp := false
 	for _, c := range n.said {
 		anyUp = anyUp || c.Status == Up
@@ -664,7 +664,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(m.sources)) {
 			c, said := n.said[name]
-			text, at := "nothing", control.Microseconds(0)
+			text, at := "nothing", policyapi.Microseconds(0)
 			if said {
 				text, at = c.Status.String(), n.at[name]
 			}
@@ -689,8 +689,8 @@
 }
 
 // Drains lists what operators drain, for the next start.
-func (m *Membership) Drains() map[control.EndpointID]string {
-	out := map[control.EndpointID]string{}
+func (m *Membership) Drains() map[policyapi.EndpointID]string {
+	out := map[policyapi.EndpointID]string{}
 	for b, n := range m.nodes {
 		if n.drain != "" {
 			out[b] = n.drain
@@ -701,7 +701,7 @@
 
 // Restore takes over what was known before a start: operators' drains, and the nodes of the last list with their start
 // times, as said by nobody.
-func (m *Membership) Restore(now control.Microseconds, drains map[control.EndpointID]string, entries []control.Endpoint) {
+func (m *Membership) Restore(now policyapi.Microseconds, drains map[policyapi.EndpointID]string, entries []policyapi.Endpoint) {
 	m.now = max(m.now, now)
 	for _, e := range entries {
 		n := m.node(e.ID)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -6,22 +6,22 @@
 	"strings"
 	"testing"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // site is a membership with one registry (eureka) and one file that binds.
 type site struct {
 	t   *testing.T
 	m   *Membership
-	now control.Microseconds
+	now policyapi.Microseconds
 	// listed is the list as it was told last.
-	listed  []control.Endpoint
+	listed  []policyapi.Endpoint
 	changes int
 	notes   []string
 }
 
 func newSite(t *testing.T) *site {
-	return &site{t: t, now: 1000 * second, m: New(Settings{Zones: []control.Zone{"a", "b"}, Authoritative: map[string]bool{"file": true},
+	return &site{t: t, now: 1000 * second, m: New(Settings{Zones: []policyapi.Zone{"a", "b"}, Authoritative: map[string]bool{"file": true},
 		Sources: []string{"file", "eureka", "other"}})}
 }
 
@@ -45,13 +45,13 @@
 }
 
 func claim(n string) Observation {
-	c := Observation{Endpoint: control.EndpointID(n[:len(n)-1]), Instance: n[:len(n)-1], Zone: control.Zone(n[:1]), Weight: 1, StartedAt: 10 * second}
+	c := Observation{Endpoint: policyapi.EndpointID(n[:len(n)-1]), Instance: n[:len(n)-1], Zone: policyapi.Zone(n[:1]), Weight: 1, StartedAt: 10 * second}
 	c.Status = map[byte]Status{'+': Up, '*': Starting, 'o': OutOfService, '-': Down, '?': Unknown}[n[len(n)-1]]
 	return c
 }
 
 // pass lets time go by, a second at a time; the nodes named answer gateways.
-func (s *site) pass(seconds int, serving ...control.EndpointID) {
+func (s *site) pass(seconds int, serving ...policyapi.EndpointID) {
 	for range seconds {
 		s.now += second
 		for _, b := range serving {
@@ -61,7 +61,7 @@
 	}
 }
 
-func (s *site) is(want map[control.EndpointID]string) {
+func (s *site) is(want map[policyapi.EndpointID]string) {
 	s.t.Helper()
 	for _, v := range s.m.Decisions() {
 		if w, asked := want[v.Endpoint]; asked && v.StateName != w {
@@ -75,7 +75,7 @@
 	var got []string
 	for _, e := range s.listed {
 		mark := "+"
-		if e.Status == control.Draining {
+		if e.Status == policyapi.Draining {
 			mark = "o"
 		}
 		got = append(got, string(e.ID)+mark)
@@ -85,7 +85,7 @@
 	}
 }
 
-func (s *site) launched(b control.EndpointID) control.Microseconds {
+func (s *site) launched(b policyapi.EndpointID) policyapi.Microseconds {
 	for _, e := range s.listed {
 		if e.ID == b {
 			return e.StartedAt
@@ -96,14 +96,14 @@
 }
 
 var six = []string{"a1+", "a2+", "a3+", "b1+", "b2+", "b3+"}
-var sixNodes = []control.EndpointID{"a1", "a2", "a3", "b1", "b2", "b3"}
+var sixNodes = []policyapi.EndpointID{"a1", "a2", "a3", "b1", "b2", "b3"}
 
 // The states of a registry one by one.
 func TestStatuses(t *testing.T) {
 	s := newSite(t)
 	s.says("eureka", "a1+", "a2*", "a3o", "b1-", "b2?")
 	s.lists("a1+", "a3o")
-	s.is(map[control.EndpointID]string{"a1": "ready", "a2": "waiting", "a3": "draining", "b1": "waiting", "b2": "gone"})
+	s.is(map[policyapi.EndpointID]string{"a1": "ready", "a2": "waiting", "a3": "draining", "b1": "waiting", "b2": "gone"})
 	s.now += 5 * second
 	s.says("eureka", "a1+", "a2+", "a3+", "b1+", "b2+")
 	s.lists("a1+", "a2+", "a3+", "b1+", "b2+")
@@ -121,11 +121,11 @@
 	s.says("eureka", six...)
 	s.says("file", six...)
 	s.says("file", "a1o", "a2+", "a3+", "b1+", "b2+", "b3+")
-	s.is(map[control.EndpointID]string{"a1": "draining"})
+	s.is(map[policyapi.EndpointID]string{"a1": "draining"})
 	s.says("file", six...)
-	s.is(map[control.EndpointID]string{"a1": "ready"})
+	s.is(map[policyapi.EndpointID]string{"a1": "ready"})
 	s.says("eureka", "a1+", "a2o", "a3+", "b1+", "b2+", "b3+")
-	s.is(map[control.EndpointID]string{"a2": "draining"})
+	s.is(map[policyapi.EndpointID]string{"a2": "draining"})
 	if err := s.m.Drain(s.now, "a3", ""); err == nil {
 		t.Error("a drain without a reason")
 	}
@@ -157,11 +157,11 @@
 	s.says("eureka", "a1+", "a2+", "b3+")
 	s.pass(3, sixNodes...)
 	s.lists(six...)
-	s.is(map[control.EndpointID]string{"a3": "held", "b1": "held", "b2": "held", "a1": "ready"})
+	s.is(map[policyapi.EndpointID]string{"a3": "held", "b1": "held", "b2": "held", "a1": "ready"})
 	s.says("eureka", six...) // it remembers
 	s.lists(six...)
 	s.says("eureka", "a1+", "a2+", "a3+", "b1+", "b2+") // one has left, and answers still
-	s.is(map[control.EndpointID]string{"b3": "gone"})
+	s.is(map[policyapi.EndpointID]string{"b3": "gone"})
 	s.pass(30, sixNodes...)
 	s.says("eureka") // nothing at all
 	s.pass(3, sixNodes...)
@@ -187,17 +187,17 @@
 	s.lists(six...)
 	s.says("eureka", "a1+", "a2+", "a3+", "b2+", "b3+") // b1 was taken out meanwhile
 	s.lists("a1+", "a2+", "a3+", "b2+", "b3+")
-	s.is(map[control.EndpointID]string{"b1": "gone"})
+	s.is(map[policyapi.EndpointID]string{"b1": "gone"})
 }
 
 // By and by: two nodes an answer are forgotten too.
 func TestForgottenByAndBy(t *testing.T) {
 	s := newSite(t)
 	var all []string
-	var nodes []control.EndpointID
+	var nodes []policyapi.EndpointID
 	for i := range 9 {
 		all = append(all, fmt.Sprintf("a%d+", i))
-		nodes = append(nodes, control.EndpointID(fmt.Sprintf("a%d", i)))
+		nodes = append(nodes, policyapi.EndpointID(fmt.Sprintf("a%d", i)))
 	}
 	s.says("eureka", all...)
 	s.pass(5, nodes...)
@@ -287,7 +287,7 @@
 	lagging.ChangedAt = s.now - 30*second
 	s.m.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{lagging, claim("b1+")}})
 	s.step()
-	s.is(map[control.EndpointID]string{"a1": "draining"})
+	s.is(map[policyapi.EndpointID]string{"a1": "draining"})
 	old, young := claim("b1+"), claim("b1+")
 	old.Instance, old.StartedAt = "old", 5*second
 	young.Instance, young.Zone, young.StartedAt = "young", "a", s.now-second
@@ -320,7 +320,7 @@
 			s.says("eureka", six...)
 		}
 		s.pass(5, "a2", "a3", "b1", "b2", "b3")
-		if !slices.ContainsFunc(s.listed, func(e control.Endpoint) bool { return e.ID == "a1" }) {
+		if !slices.ContainsFunc(s.listed, func(e policyapi.Endpoint) bool { return e.ID == "a1" }) {
 			if out++; out > longest {
 				longest = out
 			}
@@ -380,14 +380,14 @@
 func TestThousandNodesOneFlappingHall(t *testing.T) {
 	s := newSite(t)
 	var up, down []string
-	var steady, hall []control.EndpointID
+	var steady, hall []policyapi.EndpointID
 	for i := range 1000 {
 		name := fmt.Sprintf("%c%d", "ab"[i%2], i)
 		up = append(up, name+"+")
 		if i%2 == 1 && i < 600 {
-			hall, down = append(hall, control.EndpointID(name)), append(down, name+"-")
+			hall, down = append(hall, policyapi.EndpointID(name)), append(down, name+"-")
 		} else {
-			steady, down = append(steady, control.EndpointID(name)), append(down, name+"+")
+			steady, down = append(steady, policyapi.EndpointID(name)), append(down, name+"+")
 		}
 	}
 	s.says("eureka", up...)
@@ -404,7 +404,7 @@
 			s.m.ReportTraffic(s.now, b, 5, 0)
 		}
 		s.step()
-		listed := map[control.EndpointID]bool{}
+		listed := map[policyapi.EndpointID]bool{}
 		for _, e := range s.listed {
 			listed[e.ID] = true
 		}
--- a/choice/channel.go
+++ b/policy/channel.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // This file has the channel's state and its mechanics: which proxy is bound to which tables, what the tables hold, and how much
@@ -20,30 +20,30 @@
 	queueCap, envelope float64
 	most               int // messages to one proxy in the span; 0: no limit
 	span, period       micros
-	grace              micros             // within which a withdrawn endpoint has to be out of all tables
-	masks              []control.ClassSet // of the kind sets: a replica has a table for each, in this order
-	replicas           []*replica         // by the number of their first table
-	admits             map[control.ClassSet]control.SetAdmission
-	streams            map[control.ProxyID]*stream
+	grace              micros               // within which a withdrawn endpoint has to be out of all tables
+	masks              []policyapi.ClassSet // of the kind sets: a replica has a table for each, in this order
+	replicas           []*replica           // by the number of their first table
+	admits             map[policyapi.ClassSet]policyapi.SetAdmission
+	streams            map[policyapi.ProxyID]*stream
 	plan               targetState // the last one
-	mark               control.AckID
+	mark               policyapi.AckID
 	lags               [2]micros // how long acknowledgements took to come, at most
 	lagsAt             micros    // since when the first of them stands
 	answered           bool      // something has been acknowledged
 	lastSent, lastAt   micros    // lines of tables or levels; anything
 	queued             float64   // lines that wait, while a turn goes on
 	held               bool      // a table had to wait for others, or for levels
-	turn               control.TableID
-	left               []pendingMessage             // to proxies that have left since: they wait in the channel all the same
-	retryAt            micros                       // when it will be tried again; 0: it need not
-	sentBefore         map[control.ProxyID][]micros // to streams that stand, by an instance that has failed
+	turn               policyapi.TableID
+	left               []pendingMessage               // to proxies that have left since: they wait in the channel all the same
+	retryAt            micros                         // when it will be tried again; 0: it need not
+	sentBefore         map[policyapi.ProxyID][]micros // to streams that stand, by an instance that has failed
 }
 
 // replica is one copy of a group's tables. The proxies of a large group are spread over several, so that a line to all that
 // share a copy takes no more than a part of the queue.
 type replica struct {
 	group   groupID
-	first   control.TableID
+	first   policyapi.TableID
 	tables  []heldTable // by set of kinds
 	streams []*stream   // that are bound to it, by proxy
 	owed    micros      // since when a withdrawn endpoint stands in it; 0: none does
@@ -51,19 +51,19 @@
 }
 
 // table is the number of the table for a set of kinds.
-func (r *replica) table(set int) control.TableID { return r.first + control.TableID(set) }
+func (r *replica) table(set int) policyapi.TableID { return r.first + policyapi.TableID(set) }
 
 // heldTable is what a table was last ordered to hold.
 type heldTable struct {
-	lines   map[control.EndpointID]float64
-	guard   control.SetAdmission // its own level
-	guarded bool                 // it was ordered
-	change  tableChange          // by which it differs from the plan
+	lines   map[policyapi.EndpointID]float64
+	guard   policyapi.SetAdmission // its own level
+	guarded bool                   // it was ordered
+	change  tableChange            // by which it differs from the plan
 }
 
 // stream is what the channel knows of one proxy.
 type stream struct {
-	proxy          control.ProxyID
+	proxy          policyapi.ProxyID
 	joined         micros
 	replica        *replica         // nil: not bound, the proxy goes by what it brought along
 	sent           []micros         // times of the messages in the span
@@ -72,25 +72,25 @@
 }
 
 type pendingMessage struct {
-	mark  control.AckID
+	mark  policyapi.AckID
 	at    micros
 	lines float64
 }
 
 func newChannel(out *outbox, queueCap, envelope float64, most int, span, period, grace micros) *channel {
 	return &channel{out: out, tellHeld: func(note) {}, queueCap: queueCap, envelope: envelope, most: most, span: span, period: period, grace: grace,
-		admits: map[control.ClassSet]control.SetAdmission{}, streams: map[control.ProxyID]*stream{}}
+		admits: map[policyapi.ClassSet]policyapi.SetAdmission{}, streams: map[policyapi.ProxyID]*stream{}}
 }
 
 func (c *channel) take(now micros, n note) {
 	switch n := n.(type) {
-	case control.ProxyConnected:
+	case policyapi.ProxyConnected:
 		c.leave(n.Proxy)
 		c.streams[n.Proxy] = &stream{proxy: n.Proxy, joined: now, sent: c.sentBefore[n.Proxy]}
 		delete(c.sentBefore, n.Proxy)
-	case control.ProxyDisconnected:
+	case policyapi.ProxyDisconnected:
 		c.leave(n.Proxy)
-	case control.Acknowledged:
+	case policyapi.Acknowledged:
 		if s := c.streams[n.Proxy]; s != nil {
 			if i := slices.IndexFunc(s.unacknowledged, func(m pendingMessage) bool { return m.mark == n.AckID }); i >= 0 {
 				c.lagged(now, now-s.unacknowledged[i].at)
@@ -111,7 +111,7 @@
 // takeOver makes known what an instance that has failed had sent: it waits in the channel all the same, and counts for the
 // streams that stand.
 func (c *channel) takeOver(failed *channel) {
-	c.left, c.sentBefore = slices.Clone(failed.left), map[control.ProxyID][]micros{}
+	c.left, c.sentBefore = slices.Clone(failed.left), map[policyapi.ProxyID][]micros{}
 	for _, p := range slices.Sorted(maps.Keys(failed.streams)) {
 		s := failed.streams[p]
 		c.left, c.sentBefore[p] = append(c.left, s.unacknowledged...), s.sent
@@ -120,7 +120,7 @@
 }
 
 // leave forgets a stream, but not what still waits for it in the channel.
-func (c *channel) leave(p control.ProxyID) {
+func (c *channel) leave(p policyapi.ProxyID) {
 	if s := c.streams[p]; s != nil {
 		c.left = append(c.left, s.unacknowledged...)
 		c.unbind(s)
@@ -146,7 +146,7 @@
 	s.replica = r
 	r.streams = append(r.streams, s)
 	for set, mask := range c.masks {
-		c.out.add(control.BindProxy{Proxy: s.proxy, Table: r.table(set), Classes: mask})
+		c.out.add(policyapi.BindProxy{Proxy: s.proxy, Table: r.table(set), Classes: mask})
 	}
 }
 
@@ -166,19 +166,19 @@
 
 // copiesFrom is the first table number of further copies. A group's first copy has its tables where the group's name says, as long as
 // that is below: they keep their numbers over restarts.
-const copiesFrom control.TableID = 1 << 15
+const copiesFrom policyapi.TableID = 1 << 15
 
 // addReplica makes a copy of a group's tables; it costs nothing until somebody is bound to it.
 func (c *channel) addReplica(group groupID) *replica {
-	r := &replica{group: group, first: control.TableID(int(group) * len(c.masks)), tables: make([]heldTable, len(c.masks))}
+	r := &replica{group: group, first: policyapi.TableID(int(group) * len(c.masks)), tables: make([]heldTable, len(c.masks))}
 	for set := range r.tables {
-		r.tables[set].lines = map[control.EndpointID]float64{}
+		r.tables[set].lines = map[policyapi.EndpointID]float64{}
 	}
 	at, taken := c.place(r.first)
 	if taken || r.first >= copiesFrom {
 		r.first = copiesFrom
 		for at, taken = c.place(r.first); taken; at, taken = c.place(r.first) {
-			r.first += control.TableID(len(c.masks))
+			r.first += policyapi.TableID(len(c.masks))
 		}
 	}
 	c.replicas = slices.Insert(c.replicas, at, r)
@@ -187,8 +187,8 @@
 }
 
 // place is where a replica with a table number stands, or would stand.
-func (c *channel) place(first control.TableID) (at int, taken bool) {
-	return slices.BinarySearchFunc(c.replicas, first, func(r *replica, first control.TableID) int { return cmp.Compare(r.first, first) })
+func (c *channel) place(first policyapi.TableID) (at int, taken bool) {
+	return slices.BinarySearchFunc(c.replicas, first, func(r *replica, first policyapi.TableID) int { return cmp.Compare(r.first, first) })
 }
 
 // fill brings the tables of a replica that nobody is bound to up to date.
@@ -214,7 +214,7 @@
 			return false
 		}
 		for set := range r.tables {
-			c.out.add(control.ClearTable{Table: r.table(set)})
+			c.out.add(policyapi.ClearTable{Table: r.table(set)})
 		}
 		return true
 	})
@@ -241,7 +241,7 @@
 		if held[l.backend] = l.weight; l.weight == 0 {
 			delete(held, l.backend)
 		}
-		c.out.add(control.SetWeight{Table: r.table(set), Endpoint: l.backend, Weight: l.weight})
+		c.out.add(policyapi.SetWeight{Table: r.table(set), Endpoint: l.backend, Weight: l.weight})
 	}
 	r.tables[set].change = c.differs(r, set)
 }
@@ -297,7 +297,7 @@
 		}
 		if !marked {
 			c.mark, marked = (c.mark+1)%65536, true
-			c.out.add(control.RequestAck{AckID: c.mark})
+			c.out.add(policyapi.RequestAck{AckID: c.mark})
 		}
 		if len(s.unacknowledged) >= unacknowledgedMost {
 			s.unacknowledged = slices.Delete(s.unacknowledged, 0, 1)
@@ -370,7 +370,7 @@
 	owed       []line // what the rules want: endpoints that are withdrawn, and the first line of a table that would be empty
 	lost       []line // other lines that go
 	rest       []line // lines that come, or have another weight
-	guard      control.SetAdmission
+	guard      policyapi.SetAdmission
 	guardMoves bool
 	replaces   bool // no line that the table holds stays
 }
--- a/choice/channel_test.go
+++ b/policy/channel_test.go
@@ -1,9 +1,9 @@
-package choice
+package policy
 
 import (
 	"testing"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // testGrace is a grace period that a full queue of these tests drains within.
@@ -11,14 +11,14 @@
 
 // planOf plans so many groups, each of so many endpoints of the same weight.
 func planOf(groups, endpoints int) targetState {
-	w := targetState{tables: map[groupID][]tablePlan{}, homes: map[control.ProxyID]groupID{}, ready: map[control.EndpointID]bool{}}
+	w := targetState{tables: map[groupID][]tablePlan{}, homes: map[policyapi.ProxyID]groupID{}, ready: map[policyapi.EndpointID]bool{}}
 	for b := range endpoints {
-		w.ready[control.EndpointID(rune('A'+b))] = true
+		w.ready[policyapi.EndpointID(rune('A'+b))] = true
 	}
 	for g := range groupID(groups) {
 		w.tables[g] = []tablePlan{{guard: everything}}
 		for b := range endpoints {
-			w.tables[g][0].lines = append(w.tables[g][0].lines, line{control.EndpointID(rune('A' + b)), 1})
+			w.tables[g][0].lines = append(w.tables[g][0].lines, line{policyapi.EndpointID(rune('A' + b)), 1})
 		}
 	}
 	return w
@@ -45,11 +45,11 @@
 func channelOf(t *testing.T, proxies int) (*channel, *outbox, targetState) {
 	out := &outbox{}
 	c := newChannel(out, 60000, 6, 20, 10*second, second, testGrace)
-	c.masks = []control.ClassSet{7}
+	c.masks = []policyapi.ClassSet{7}
 	w := planOf(1, 100)
 	for p := range proxies {
-		c.take(0, control.ProxyConnected{Proxy: control.ProxyID(p)})
-		w.homes[control.ProxyID(p)] = 0
+		c.take(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		w.homes[policyapi.ProxyID(p)] = 0
 	}
 	for at := micros(0); c.bound() < proxies; at += second / 10 {
 		c.sendPlan(at, w)
@@ -74,14 +74,14 @@
 func (c *channel) answerAll() {
 	for p, s := range c.streams {
 		for len(s.unacknowledged) > 0 {
-			c.take(0, control.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].mark})
+			c.take(0, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].mark})
 		}
 	}
 }
 
 func (o *outbox) losses() (n int) {
 	for _, order := range o.orders {
-		if l, is := order.(control.SetWeight); is && l.Weight == 0 {
+		if l, is := order.(policyapi.SetWeight); is && l.Weight == 0 {
 			n++
 		}
 	}
@@ -117,7 +117,7 @@
 	c, _, w := channelOf(t, 500)
 	w.urgent = true // lists change all the time
 	for beat := range 20 {
-		w.admits = []control.SetAdmission{{Table: control.AllTables, Classes: 7, Level: 10 + float64(beat), RetryPolicy: 1}}
+		w.admits = []policyapi.SetAdmission{{Table: policyapi.AllTables, Classes: 7, Level: 10 + float64(beat), RetryPolicy: 1}}
 		c.sendPlan(micros(300+beat)*second, w)
 	}
 	if waiting := c.waiting(c.lastAt); waiting == 0 || waiting > 0.5*c.queueCap {
@@ -139,10 +139,10 @@
 		t.Fatalf("%.0f lines wait", before)
 	}
 	for p := range 60 {
-		c.take(now, control.ProxyDisconnected{Proxy: control.ProxyID(p)})
+		c.take(now, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
 	}
 	for p := 60; p < 80; p++ { // the new stream before the old one's end
-		c.take(now, control.ProxyConnected{Proxy: control.ProxyID(p)})
+		c.take(now, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
 	}
 	if after := c.waiting(now); after != before {
 		t.Errorf("%.0f lines waited, %.0f once most have left", before, after)
@@ -156,7 +156,7 @@
 	}
 	now += 4 * second // the queue is that long: all that are there answer
 	for p, s := range c.streams {
-		c.take(now, control.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].mark})
+		c.take(now, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].mark})
 	}
 	if after := c.waiting(now); after != gone || gone != 0.8*before {
 		t.Errorf("%.0f lines wait when all that are there have acknowledged, %.0f went to those who have left", after, gone)
@@ -170,11 +170,11 @@
 func TestNobodyAnswers(t *testing.T) {
 	out := &outbox{}
 	c := newChannel(out, 1000, 6, 0, 10*second, second, testGrace)
-	c.masks = []control.ClassSet{7}
+	c.masks = []policyapi.ClassSet{7}
 	w := planOf(1, 100)
 	for p := range 20 {
-		c.take(0, control.ProxyConnected{Proxy: control.ProxyID(p)})
-		w.homes[control.ProxyID(p)] = 0
+		c.take(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		w.homes[policyapi.ProxyID(p)] = 0
 	}
 	c.sendPlan(0, w)
 	c.sendPlan(30*second, w)
@@ -183,7 +183,7 @@
 		t.Fatalf("%d are bound", bound)
 	}
 	for p := range bound { // they leave, and answer no more
-		c.take(31*second, control.ProxyDisconnected{Proxy: control.ProxyID(p)})
+		c.take(31*second, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
 	}
 	c.sendPlan(61*second, w)
 	if len(c.left) > 0 || c.bound() == 0 {
@@ -195,18 +195,18 @@
 func TestTablesTakeTurns(t *testing.T) {
 	out := &outbox{}
 	c := newChannel(out, 60000, 6, 0, 10*second, second, testGrace)
-	c.masks = []control.ClassSet{7}
+	c.masks = []policyapi.ClassSet{7}
 	const tables = 4
 	w := planOf(tables, 60)
 	for p := range 800 {
-		c.take(0, control.ProxyConnected{Proxy: control.ProxyID(p)})
-		w.homes[control.ProxyID(p)] = groupID(p % tables)
+		c.take(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		w.homes[policyapi.ProxyID(p)] = groupID(p % tables)
 	}
 	for at := micros(0); c.bound() < 800; at += second / 10 {
 		c.sendPlan(at, w)
 		c.answerAll()
 	}
-	sent := map[control.TableID]int{}
+	sent := map[policyapi.TableID]int{}
 	for beat := range 12 {
 		for i := range tables {
 			for b := range w.lines(groupID(i)) {
@@ -216,14 +216,14 @@
 		out.orders = nil
 		c.sendPlan(micros(100+beat)*second, w)
 		for _, order := range out.orders {
-			if l, is := order.(control.SetWeight); is {
+			if l, is := order.(policyapi.SetWeight); is {
 				sent[l.Table]++
 			}
 		}
 		c.answerAll()
 	}
 	for i := range tables {
-		if sent[control.TableID(i)] < 60 {
+		if sent[policyapi.TableID(i)] < 60 {
 			t.Errorf("by table %v lines went out", sent)
 		}
 	}
@@ -234,7 +234,7 @@
 	c, out, w := channelOf(t, 800)
 	levels, lines := 0, 0
 	for beat := range 20 {
-		w.admits = []control.SetAdmission{{Table: control.AllTables, Classes: 7, Level: 10 + float64(beat), RetryPolicy: 1}}
+		w.admits = []policyapi.SetAdmission{{Table: policyapi.AllTables, Classes: 7, Level: 10 + float64(beat), RetryPolicy: 1}}
 		for b := range w.lines(0)[:20] {
 			w.lines(0)[b].weight *= 1.5
 		}
@@ -244,9 +244,9 @@
 		c.sendPlan(now, w)
 		for _, order := range out.orders {
 			switch order.(type) {
-			case control.SetAdmission:
+			case policyapi.SetAdmission:
 				levels++
-			case control.SetWeight:
+			case policyapi.SetWeight:
 				lines++
 			}
 		}
--- a/choice/choice.go
+++ b/policy/choice.go
@@ -1,10 +1,10 @@
-// Package choice holds every decision of porthub, all of them in this file. Its interface is package control
+// Package policy holds every decision of porthub, all of them in this file. Its interface is package control
 // (control/control.go). A host calls New with the start settings, then Take with each batch of events at the
 // batch's time, and carries out the orders that Take returns. An Instance shares nothing and reads no clock
 // but that argument. Its parts talk only by notes in inboxes (parts.go and channel.go have their state and the
 // loop): endpointList follows the list, a backend actor stands for each endpoint, proxyRegistry keeps the
 // proxies and their usage, planner decides tables, prices and levels, channel sends what has changed.
-package choice
+package policy
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 	"math/bits"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // The least period, how long what was heard still holds, and the part of the usage that may be away while
@@ -54,17 +54,17 @@
 func (r *endpointList) again() {
 	r.fails = min(r.fails+1, 4)
 	after := float64(second) * float64(r.fails) * (0.25 + 0.5*r.chance())
-	r.out.add(control.SetTimer{After: micros(after), Token: listToken})
+	r.out.add(policyapi.SetTimer{After: micros(after), Token: listToken})
 }
 
-func (b *backend) listed(e control.Endpoint) {
+func (b *backend) listed(e policyapi.Endpoint) {
 	if e.StartedAt > b.entry.StartedAt {
 		// A new process: what was held against the old one, or learned while it failed, is void.
 		b.limit, b.slow, b.backAt, b.byZone = 0, 0, 0, make([]zoneHealth, len(b.zones))
 	}
 	// Where gone does not bind, a list that drops what it never called draining may be wrong, and half the
 	// fleet with it: such a backend keeps its lines as long as it answers.
-	if b.stray = b.soft && e.Status == control.Removed && b.entry.Status == control.Ready; !b.stray {
+	if b.stray = b.soft && e.Status == policyapi.Removed && b.entry.Status == policyapi.Ready; !b.stray {
 		b.entry = e
 	}
 }
@@ -144,10 +144,10 @@
 // pushed over. It is tried again later and later; where probes are allowed, once one went well.
 func (b *backend) judgeZone(now micros, z int, s *zoneHealth, expect, fleet float64) bool {
 	switch {
-	case b.entry.Status != control.Ready || s.sick && now < s.retryAt:
+	case b.entry.Status != policyapi.Ready || s.sick && now < s.retryAt:
 	case s.sick && b.stray: // not tried again before it is listed
 	case s.sick && b.probes && b.wellAt < s.retryAt:
-		b.out.add(control.CheckHealth{Endpoint: b.id})
+		b.out.add(policyapi.CheckHealth{Endpoint: b.id})
 		s.retryAt = now
 	case s.sick:
 		s.sick, s.against, b.backAt = false, 4, now
@@ -207,7 +207,7 @@
 	var fleet []view
 	const prior = 2 // busy seconds that the listed weight counts for
 	worked, served, learned, near, did, meant, asked, home := 1e-9, 0.0, 0.0, 0.0, 0.0, 0.0, sum(p.asked), 1e-9
-	kinds := map[control.MachineType][]float64{} // mean answer times by machine kind
+	kinds := map[policyapi.MachineType][]float64{} // mean answer times by machine kind
 	for _, id := range slices.Sorted(maps.Keys(p.views)) {
 		v := p.views[id]
 		v.entry.Weight = max(v.entry.Weight, 1e-3)
@@ -321,7 +321,7 @@
 	}
 	p.retired = append(p.retired, p.groups...)
 	p.founded, p.perZone, p.groups = len(fleet), len(fleet), nil
-	p.member, p.homes = map[control.EndpointID]int{}, map[control.ProxyID]int{}
+	p.member, p.homes = map[policyapi.EndpointID]int{}, map[policyapi.ProxyID]int{}
 	for _, n := range count {
 		if n > 0 {
 			p.perZone = max(1, min(p.perZone, n/size))
@@ -440,17 +440,17 @@
 	fleet := p.fleet()
 	p.look(fleet)
 	p.assignGroups(fleet, round)
-	w := targetState{tables: map[groupID][]tablePlan{}, homes: map[control.ProxyID]groupID{},
-		ready: map[control.EndpointID]bool{}, urgent: p.urgent}
+	w := targetState{tables: map[groupID][]tablePlan{}, homes: map[policyapi.ProxyID]groupID{},
+		ready: map[policyapi.EndpointID]bool{}, urgent: p.urgent}
 	for _, f := range p.flows {
 		w.homes[f.proxy] = p.groups[p.homes[f.proxy]].id
 	}
-	p.loads = map[control.EndpointID][]float64{}
+	p.loads = map[policyapi.EndpointID][]float64{}
 	for _, v := range fleet {
 		p.loads[v.id], w.ready[v.id] = make([]float64, len(p.groups)), v.ready
 	}
 	openness := p.openness(fleet)
-	taken := map[control.EndpointID]float64{} // by the kinds that may not go everywhere, whose sets come first
+	taken := map[policyapi.EndpointID]float64{} // by the kinds that may not go everywhere, whose sets come first
 	for _, set := range p.sets {
 		for i, c := range p.groups {
 			if len(c.flows) > 0 || p.held[c.id] { // what proxies still hold is kept up, though they are to move
@@ -516,7 +516,7 @@
 // table makes the lines of a set's table for a zone's proxies. Weights say what backends can do beside the
 // fleet's mean, so that a line changes only when its backend, or the openness, does.
 func (p *planner) table(fleet []view, set kindSet, c group, openness float64,
-	taken map[control.EndpointID]float64) []line {
+	taken map[policyapi.EndpointID]float64) []line {
 	z, home := c.zone, c.worth > 0 && set.serves(p.zones[c.zone])
 	var lines, last []line
 	for _, v := range fleet {
@@ -552,7 +552,7 @@
 	for _, l := range lines {
 		cold, carry = cold || p.views[l.backend].share < 1, carry+l.weight*p.mean
 	}
-	if !cold || c.group == p.perZone || p.levels != control.AdmissionByRate || p.tip <= 1 {
+	if !cold || c.group == p.perZone || p.levels != policyapi.AdmissionByRate || p.tip <= 1 {
 		return everything
 	}
 	return carry * (p.tip - min(1, p.use)) / float64(bits.OnesCount64(uint64(set.mask)))
@@ -591,7 +591,7 @@
 	}
 	// More usage than all speeds learned together is slow to be: it need not wait for slow answers.
 	limited = limited || p.known && total > can
-	if !limited || p.levels == control.AdmissionOff || total <= 0.9*can {
+	if !limited || p.levels == policyapi.AdmissionOff || total <= 0.9*can {
 		letIn = 0
 	}
 	if (letIn > 0) != (p.letIn > 0) {
@@ -628,7 +628,7 @@
 }
 
 // admitByKind deals what is let in out to the request kinds; those of the least payoff are turned away first.
-func (p *planner) admitByKind() []control.SetAdmission {
+func (p *planner) admitByKind() []policyapi.SetAdmission {
 	drop, usage, payoffs := 0.0, make([]float64, len(p.kinds)), map[float64]float64{} // usage by kind, by payoff
 	for _, f := range p.flows {
 		for k, u := range f.usage {
@@ -643,13 +643,13 @@
 	if p.letIn > 0 {
 		drop = max(0, sum(usage)-p.letIn)
 	}
-	admits := make([]control.SetAdmission, len(p.kinds))
+	admits := make([]policyapi.SetAdmission, len(p.kinds))
 	for _, payoff := range slices.Sorted(maps.Keys(payoffs)) {
 		away := min(0.9, drop/max(payoffs[payoff], 1e-9)) // a tenth of each kind still comes: none starves
 		drop -= away * payoffs[payoff]
 		for k, kind := range p.kinds {
 			if kind.PriorityWeight == payoff {
-				admits[k] = control.SetAdmission{Table: control.AllTables, Classes: 1 << k, RetryPolicy: second,
+				admits[k] = policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 1 << k, RetryPolicy: second,
 					Level: p.level(k, away, usage[k])}
 			}
 		}
@@ -676,7 +676,7 @@
 func (p *planner) level(k int, away, usage float64) float64 {
 	if away <= 0 {
 		return everything
-	} else if p.levels == control.AdmissionByShare {
+	} else if p.levels == policyapi.AdmissionByShare {
 		return 1 - away
 	}
 	low, high := 0.0, usage
@@ -742,7 +742,7 @@
 	if pending && now >= c.retryAt {
 		wait := max(shortest, min(hold, c.grace/16))
 		c.retryAt = now + wait
-		c.out.add(control.SetTimer{After: wait, Token: retryToken})
+		c.out.add(policyapi.SetTimer{After: wait, Token: retryToken})
 	}
 }
 
@@ -871,7 +871,7 @@
 // any does.
 func (c *channel) sendTables(now micros, most float64) (held bool) {
 	start, sets := c.turn, len(c.masks)
-	from := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.first+control.TableID(sets) > start })
+	from := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.first+policyapi.TableID(sets) > start })
 	for i := range len(c.replicas) * sets {
 		i = (i + max(0, from)*sets + int(start)%sets) % (len(c.replicas) * sets)
 		r, set := c.replicas[i/sets], i%sets
@@ -916,7 +916,7 @@
 	if !has {
 		return change
 	}
-	held, wanted := r.tables[set].lines, map[control.EndpointID]bool{}
+	held, wanted := r.tables[set].lines, map[policyapi.EndpointID]bool{}
 	var best line // of those that come
 	for _, l := range planned[set].lines {
 		wanted[l.backend] = true
@@ -950,7 +950,7 @@
 	}
 	t := r.tables[set]
 	level := planned[set].guard
-	change.guard = control.SetAdmission{Table: r.table(set), Classes: c.masks[set], Level: level, RetryPolicy: second}
+	change.guard = policyapi.SetAdmission{Table: r.table(set), Classes: c.masks[set], Level: level, RetryPolicy: second}
 	moves := !near(level, t.guard.Level) || second != t.guard.RetryPolicy
 	change.guardMoves = moves && (t.guarded || level < everything)
 	return change
--- a/choice/choice_test.go
+++ b/policy/choice_test.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"maps"
@@ -8,7 +8,7 @@
 	"strconv"
 	"testing"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // A quiet fleet keeps its tries at home, every proxy has a line for every kind, and nothing is turned away.
@@ -16,7 +16,7 @@
 	h := start(t, nil)
 	h.fleet()
 	h.pass(10*second, h.steady(10, 0.3, 200_000))
-	for p, home := range map[control.ProxyID]control.EndpointID{0: "a", 1: "b", 2: "c"} {
+	for p, home := range map[policyapi.ProxyID]policyapi.EndpointID{0: "a", 1: "b", 2: "c"} {
 		for k, table := range h.binds[p] {
 			lines := h.tables[table]
 			if len(lines) != 2 || lines[home+"1"] == 0 || lines[home+"2"] == 0 {
@@ -44,7 +44,7 @@
 	if h.count["probe"] == 0 {
 		t.Fatal("nobody probed it")
 	}
-	h.tell(control.HealthCheckResult{Endpoint: "a1", Healthy: true})
+	h.tell(policyapi.HealthCheckResult{Endpoint: "a1", Healthy: true})
 	h.pass(2*second, h.steady(20, 0.4, 200_000))
 	if w := h.tables[0]["a1"]; w == 0 || w > full/2 {
 		t.Errorf("back with weight %.2f, want a small part of %.2f", w, full)
@@ -76,7 +76,7 @@
 	h := start(t, nil)
 	cold := ready("a", "a1", "a2")
 	cold[0].StartedAt, cold[1].StartedAt = h.now-second, h.now-second
-	h.tell(control.EndpointUpdate{Kind: control.Snapshot, Endpoints: cold}, control.ProxyConnected{Proxy: 0, Zone: "b", Weight: 20})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: cold}, policyapi.ProxyConnected{Proxy: 0, Zone: "b", Weight: 20})
 	h.pass(second, nil)
 	if lines := h.tables[h.binds[0][0]]; len(lines) != 2 {
 		t.Errorf("lines %v", lines)
@@ -89,10 +89,10 @@
 	h.fleet()
 	h.pass(5*second, h.steady(20, 0.8, 200_000))
 	drain := ready("a", "a1")
-	drain[0].Status = control.Draining
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: drain})
+	drain[0].Status = policyapi.Draining
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: drain})
 	h.pass(second, nil)
-	h.tell(control.ProxyConnected{Proxy: 9, Zone: "a", HasDefaultTableOnly: true, Weight: 3})
+	h.tell(policyapi.ProxyConnected{Proxy: 9, Zone: "a", HasDefaultTableOnly: true, Weight: 3})
 	h.pass(second, h.steady(20, 0.8, 200_000))
 	for table, lines := range h.tables {
 		if w, has := lines["a1"]; has {
@@ -111,12 +111,12 @@
 	h.pass(5*second, h.steady(20, 0.5, 200_000))
 	h.pass(second/2, nil)
 	other := ready("b", "b2")
-	other[0].Status = control.Draining
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: other})
+	other[0].Status = policyapi.Draining
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: other})
 	h.now += second / 10
 	drain := ready("a", "a1")
-	drain[0].Status = control.Draining
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: drain})
+	drain[0].Status = policyapi.Draining
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: drain})
 	h.pass(second/2, h.steady(20, 0.5, 200_000)) // the next beat falls in it
 	for table, lines := range h.tables {
 		if w, has := lines["a1"]; has {
@@ -130,7 +130,7 @@
 	h := start(t, nil)
 	h.fleet()
 	h.pass(3*second, h.steady(20, 0.4, 200_000))
-	h.tell(control.EndpointUpdate{Kind: control.Snapshot, Endpoints: append(ready("b", "b1", "b2"), ready("c", "c1")...)})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: append(ready("b", "b1", "b2"), ready("c", "c1")...)})
 	h.pass(second, nil)
 	if lines := h.tables[h.binds[0][0]]; len(lines) != 3 {
 		t.Errorf("the proxy of the lost zone has lines %v", lines)
@@ -146,7 +146,7 @@
 	full := h.tables[0]["a1"]
 	cold := ready("a", "a1")
 	cold[0].StartedAt = h.now - second
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: cold})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: cold})
 	h.pass(second, h.steady(20, 0.5, 200_000))
 	young := h.tables[0]["a1"]
 	if young == 0 || young > 0.3*full {
@@ -158,7 +158,7 @@
 	}
 	h.errors = 0.7
 	cold[0].StartedAt = h.now
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: cold})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: cold})
 	h.pass(5*second, h.steady(60, 1, 1_500_000))
 	if w := h.tables[0]["a1"]; w > 0 {
 		t.Errorf("in the strain the cold backend has weight %.2f", w)
@@ -169,18 +169,18 @@
 // comes; if none does it goes by the saved one before long.
 func TestRestartWaitsForANewerList(t *testing.T) {
 	h := start(t, nil)
-	h.tell(control.EndpointUpdate{Kind: control.Cached, Endpoints: ready("a", "a1", "a2")})
-	h.tell(control.ProxyConnected{Proxy: 0, Zone: "a", Weight: 20})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: ready("a", "a1", "a2")})
+	h.tell(policyapi.ProxyConnected{Proxy: 0, Zone: "a", Weight: 20})
 	if len(h.binds) > 0 {
 		t.Error("bound by the saved list")
 	}
-	h.tell(control.EndpointUpdate{Kind: control.Snapshot, Endpoints: ready("a", "a2")})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: ready("a", "a2")})
 	if lines := h.tables[h.binds[0][0]]; len(lines) != 1 || lines["a2"] == 0 {
 		t.Errorf("lines by the new list: %v", lines)
 	}
 	g := start(t, nil)
-	g.tell(control.EndpointUpdate{Kind: control.Cached, Endpoints: ready("a", "a1")})
-	g.tell(control.ProxyConnected{Proxy: 0, Zone: "a", Weight: 20})
+	g.tell(policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: ready("a", "a1")})
+	g.tell(policyapi.ProxyConnected{Proxy: 0, Zone: "a", Weight: 20})
 	g.pass(3*second, nil)
 	if len(g.binds) == 0 {
 		t.Error("without a newer list nobody was ever bound")
@@ -201,10 +201,10 @@
 
 // A list that must be asked for is asked for again when the call fails, later each time.
 func TestFailedListIsAskedAgain(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.PollsList = true })
+	h := start(t, func(up *policyapi.Start) { up.PollsList = true })
 	h.fleet()
 	for range 5 {
-		h.tell(control.EndpointUpdate{Kind: control.Failed})
+		h.tell(policyapi.EndpointUpdate{Kind: policyapi.Failed})
 		h.pass(4*second, nil)
 	}
 	if h.count["watch"] != 6 {
@@ -263,7 +263,7 @@
 	h.fleet()
 	h.pass(8*second, h.steady(20, 0.5, 200_000))
 	h.pass(8*second, h.steady(20, 0.8, 500_000))
-	for p, home := range map[control.ProxyID]control.EndpointID{0: "a", 1: "b", 2: "c"} {
+	for p, home := range map[policyapi.ProxyID]policyapi.EndpointID{0: "a", 1: "b", 2: "c"} {
 		if lines := h.tables[h.binds[p][0]]; lines[home+"1"] < 0.8 || lines[home+"2"] < 0.8 {
 			t.Errorf("proxy %d has lines %v", p, lines)
 		}
@@ -284,10 +284,10 @@
 
 // A kind that only some zones may serve has tables of its own with no line outside of them.
 func TestKindKeepsToItsZones(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.Classes[1].AllowedZones = []control.Zone{"a", "b"} })
+	h := start(t, func(up *policyapi.Start) { up.Classes[1].AllowedZones = []policyapi.Zone{"a", "b"} })
 	h.fleet()
 	h.pass(8*second, h.steady(60, 0.9, 400_000))
-	for p := range control.ProxyID(3) {
+	for p := range policyapi.ProxyID(3) {
 		lines := h.tables[h.binds[p][1]]
 		if len(lines) == 0 || lines["c1"] > 0 || lines["c2"] > 0 {
 			t.Errorf("proxy %d has lines %v for the kind", p, lines)
@@ -298,13 +298,13 @@
 // However the fleet flaps, no proxy is written more messages than the limit in its span, and with no word of any
 // message applied the queue stays under its limit.
 func TestMessagesAndLinesStayUnderTheLimits(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.Rules.QueueLimit = 400 })
+	h := start(t, func(up *policyapi.Start) { up.Rules.QueueLimit = 400 })
 	h.deaf = true
 	h.fleet()
 	for i := range 300 {
 		e := ready("b", "b1")
-		e[0].Status = control.EndpointStatus(i % 2)
-		h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: e})
+		e[0].Status = policyapi.EndpointStatus(i % 2)
+		h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: e})
 		h.pass(second/10, h.steady(10+i%50, 0.9, micros(200_000+i*3000)))
 	}
 	if h.most["messages"] > 20 {
@@ -318,18 +318,18 @@
 // Late, doubled, contradictory and unknown events do no harm.
 func TestOddEventsAreHarmless(t *testing.T) {
 	h := start(t, nil)
-	h.tell(control.EndpointLoad{Zone: "z", Endpoint: "x", Attempts: -3, Failures: 9}, control.Acknowledged{Proxy: 7, AckID: 3})
+	h.tell(policyapi.EndpointLoad{Zone: "z", Endpoint: "x", Attempts: -3, Failures: 9}, policyapi.Acknowledged{Proxy: 7, AckID: 3})
 	h.fleet()
-	odd := []control.Event{
-		control.EndpointLoad{Zone: "a", Endpoint: "gone", Attempts: 5}, control.EndpointLoad{Zone: "z", Endpoint: "a1", Attempts: 5},
-		control.ProxyLoad{Proxy: 77, Class: 1, Requests: 9}, control.ProxyLoad{Proxy: 0, Class: -1, Requests: 9},
-		control.HealthCheckResult{Endpoint: "x", Healthy: true}, control.ProxyDisconnected{Proxy: 77}, control.ProxyDisconnected{Proxy: 2},
-		control.ProxyDisconnected{Proxy: 2}, control.TimerFired{Token: 99}, control.PeerMessage{From: 3, Body: []byte("?")},
-		control.Acknowledged{Proxy: 0, AckID: 9999}, control.SliceAssigned{Assigned: true, Table: 3}, control.SliceLoad{Table: 3},
-		control.EndpointLoad{Zone: "a", Endpoint: "a1", Attempts: 0, Failures: 4, Metrics: control.LoadMetrics{"busy": -1, "odd": 3}},
-		control.EndpointUpdate{Kind: control.Delta, Endpoints: []control.Endpoint{{ID: "new", Zone: "z"},
-			{ID: "a9", Status: control.Removed}}},
-		control.ProxyConnected{Proxy: 1, Zone: "z"}, control.ProxyConnected{Proxy: 1, Zone: "b", Weight: 5},
+	odd := []policyapi.Event{
+		policyapi.EndpointLoad{Zone: "a", Endpoint: "gone", Attempts: 5}, policyapi.EndpointLoad{Zone: "z", Endpoint: "a1", Attempts: 5},
+		policyapi.ProxyLoad{Proxy: 77, Class: 1, Requests: 9}, policyapi.ProxyLoad{Proxy: 0, Class: -1, Requests: 9},
+		policyapi.HealthCheckResult{Endpoint: "x", Healthy: true}, policyapi.ProxyDisconnected{Proxy: 77}, policyapi.ProxyDisconnected{Proxy: 2},
+		policyapi.ProxyDisconnected{Proxy: 2}, policyapi.TimerFired{Token: 99}, policyapi.PeerMessage{From: 3, Body: []byte("?")},
+		policyapi.Acknowledged{Proxy: 0, AckID: 9999}, policyapi.SliceAssigned{Assigned: true, Table: 3}, policyapi.SliceLoad{Table: 3},
+		policyapi.EndpointLoad{Zone: "a", Endpoint: "a1", Attempts: 0, Failures: 4, Metrics: policyapi.LoadMetrics{"busy": -1, "odd": 3}},
+		policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{{ID: "new", Zone: "z"},
+			{ID: "a9", Status: policyapi.Removed}}},
+		policyapi.ProxyConnected{Proxy: 1, Zone: "z"}, policyapi.ProxyConnected{Proxy: 1, Zone: "b", Weight: 5},
 	}
 	for range 20 {
 		h.tell(odd...)
@@ -376,9 +376,9 @@
 	h.fleet()
 	h.pass(12*second, h.steady(60, 0.3, 400_000))
 	say := h.steady(60, 0.3, 400_000)
-	h.pass(4*second, func() []control.Event {
-		return slices.DeleteFunc(say(), func(ev control.Event) bool {
-			heard, is := ev.(control.EndpointLoad)
+	h.pass(4*second, func() []policyapi.Event {
+		return slices.DeleteFunc(say(), func(ev policyapi.Event) bool {
+			heard, is := ev.(policyapi.EndpointLoad)
 			return is && heard.Zone == "a" && heard.Endpoint == "b1"
 		})
 	})
@@ -391,17 +391,17 @@
 // once, with no word of any message applied, the queue stays under its limit.
 func TestLargeFleetIsPacked(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
-		h := start(t, func(up *control.Start) {
+		h := start(t, func(up *policyapi.Start) {
 			up.ProxyCount, up.Channel.EndpointConnections, up.Rules.QueueLimit = 120, 200, 600
 		})
-		var events []control.Event
+		var events []policyapi.Event
 		for i := range 120 {
-			zone := control.Zone("abc"[i%3 : i%3+1])
+			zone := policyapi.Zone("abc"[i%3 : i%3+1])
 			if i < 36 {
-				id := control.EndpointID(zone) + control.EndpointID(rune('A'+i))
-				events = append(events, control.EndpointUpdate{Endpoints: ready(zone, id)})
+				id := policyapi.EndpointID(zone) + policyapi.EndpointID(rune('A'+i))
+				events = append(events, policyapi.EndpointUpdate{Endpoints: ready(zone, id)})
 			}
-			events = append(events, control.ProxyConnected{Proxy: control.ProxyID(i), Zone: zone, Weight: 2})
+			events = append(events, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(i), Zone: zone, Weight: 2})
 		}
 		h.deaf = deaf
 		h.tell(events...)
@@ -422,14 +422,14 @@
 // are through.
 func TestUnheardIsNotSilent(t *testing.T) {
 	for _, intake := range []float64{8, 200} {
-		h := start(t, func(up *control.Start) { up.Reports.MaxLinesPerSecond = intake })
+		h := start(t, func(up *policyapi.Start) { up.Reports.MaxLinesPerSecond = intake })
 		h.fleet()
 		h.pass(5*second, h.steady(20, 0.4, 200_000))
 		say := h.steady(20, 0.4, 200_000, "a1")
-		h.pass(5*second, func() []control.Event {
+		h.pass(5*second, func() []policyapi.Event {
 			events := say()
 			for i, ev := range events {
-				if heard, is := ev.(control.EndpointLoad); is {
+				if heard, is := ev.(policyapi.EndpointLoad); is {
 					heard.Period = 9 * second
 					events[i] = heard
 				}
@@ -445,10 +445,10 @@
 // Where gone does not bind, a list that calls a serving backend gone takes no line from it; where it binds, it does.
 func TestListCallsServingBackendGone(t *testing.T) {
 	for _, soft := range []bool{true, false} {
-		h := start(t, func(up *control.Start) { up.Rules.SoftRemoval = soft })
+		h := start(t, func(up *policyapi.Start) { up.Rules.SoftRemoval = soft })
 		h.fleet()
 		h.pass(5*second, h.steady(20, 0.4, 200_000))
-		h.tell(control.EndpointUpdate{Kind: control.Snapshot, Endpoints: ready("a", "a2")})
+		h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: ready("a", "a2")})
 		h.pass(5*second, h.steady(20, 0.4, 200_000))
 		if w := h.tables[h.binds[0][0]]["a1"]; (w > 0) != soft {
 			t.Errorf("gone alone binds: %t, weight %.2f", !soft, w)
@@ -462,19 +462,19 @@
 
 // A group of which all but a cold backend are gone borrows from its zone: the cold one must not get all its load.
 func TestColdBackendNeverStandsAlone(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.ProxyCount, up.Channel.EndpointConnections = 12, 20 })
-	var events []control.Event
-	for p, z := range []control.Zone{"a", "b", "c"} {
-		id := control.EndpointID(z)
-		events = append(events, control.EndpointUpdate{Endpoints: ready(z, id+"1", id+"2", id+"3", id+"4")},
-			control.ProxyConnected{Proxy: control.ProxyID(p), Zone: z, Weight: 20})
+	h := start(t, func(up *policyapi.Start) { up.ProxyCount, up.Channel.EndpointConnections = 12, 20 })
+	var events []policyapi.Event
+	for p, z := range []policyapi.Zone{"a", "b", "c"} {
+		id := policyapi.EndpointID(z)
+		events = append(events, policyapi.EndpointUpdate{Endpoints: ready(z, id+"1", id+"2", id+"3", id+"4")},
+			policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p), Zone: z, Weight: 20})
 	}
 	h.tell(events...)
 	h.pass(10*second, h.steady(20, 0.4, 200_000))
 	held := slices.Sorted(maps.Keys(h.tables[h.binds[0][0]]))
 	change := ready("a", held...)
-	change[0].StartedAt, change[1].Status = h.now, control.Draining
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: change})
+	change[0].StartedAt, change[1].Status = h.now, policyapi.Draining
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: change})
 	lines := h.tables[h.binds[0][0]]
 	if w, all := lines[held[0]], sum(slices.Collect(maps.Values(lines))); len(held) != 2 || w == 0 || w > 0.3*all {
 		t.Errorf("held %v, then the cold one has %.2f of %.2f in %v", held, w, all, lines)
@@ -483,11 +483,11 @@
 
 // A coordinator that starts with a short, wrong list divides its zones anew once the true one is there.
 func TestGroupsAfterAShortList(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.ProxyCount, up.Channel.EndpointConnections = 12, 20 })
+	h := start(t, func(up *policyapi.Start) { up.ProxyCount, up.Channel.EndpointConnections = 12, 20 })
 	h.fleet()
 	for i := range 8 {
-		id := control.EndpointID(rune('A' + i))
-		h.tell(control.EndpointUpdate{Endpoints: append(append(ready("a", "a"+id), ready("b", "b"+id)...), ready("c", "c"+id)...)})
+		id := policyapi.EndpointID(rune('A' + i))
+		h.tell(policyapi.EndpointUpdate{Endpoints: append(append(ready("a", "a"+id), ready("b", "b"+id)...), ready("c", "c"+id)...)})
 	}
 	h.pass(9*second, h.steady(10, 0.3, 200_000))
 	if lines := h.tables[h.binds[0][0]]; len(lines) < 2 || len(lines) > 5 {
@@ -498,10 +498,10 @@
 // One proxy's traffic grows a hundredfold before anybody hears of it: what its narrow table lets in of all kinds
 // leaves the cold backend in it under the multiple that it can bear, until it is warm.
 func TestOneProxyCannotPushOverAColdBackend(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.ProxyCount, up.Channel.EndpointConnections = 12, 20 })
+	h := start(t, func(up *policyapi.Start) { up.ProxyCount, up.Channel.EndpointConnections = 12, 20 })
 	h.fleet()
 	h.pass(10*second, h.steady(20, 0.4, 200_000))
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: []control.Endpoint{
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{
 		{ID: "a3", Zone: "a", Weight: 1, MachineType: "std", StartedAt: h.now - 3*second}}})
 	h.pass(second, h.steady(20, 0.4, 200_000))
 	table := h.binds[0][0]
@@ -517,7 +517,7 @@
 }
 
 // guard is the level of a table's own.
-func (h *host) guard(table control.TableID) float64 {
+func (h *host) guard(table policyapi.TableID) float64 {
 	c := h.in.planner.channel
 	for _, r := range c.replicas {
 		if set := int(table - r.first); set >= 0 && set < len(r.tables) {
@@ -554,20 +554,20 @@
 
 // A proxy that has fallen silent without a word acknowledges nothing: what went to it does not hold the others' orders back.
 func TestSilentProxyHoldsNothingBack(t *testing.T) {
-	h := start(t, func(up *control.Start) { up.Rules.QueueLimit = 150 })
+	h := start(t, func(up *policyapi.Start) { up.Rules.QueueLimit = 150 })
 	h.fleet()
 	h.pass(5*second, h.steady(20, 0.5, 200_000))
-	h.mute = []control.ProxyID{2}
+	h.mute = []policyapi.ProxyID{2}
 	other := append(ready("c", "c2"), ready("b", "b2")...)
 	for i := range 30 {
-		other[0].Status = []control.EndpointStatus{control.Draining, control.Ready}[i%2]
+		other[0].Status = []policyapi.EndpointStatus{policyapi.Draining, policyapi.Ready}[i%2]
 		other[1].Status = other[0].Status
-		h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: other})
+		h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: other})
 		h.pass(3*second, h.steady(20, 0.5, 200_000))
 	}
 	drain := ready("a", "a1")
-	drain[0].Status = control.Draining
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: drain})
+	drain[0].Status = policyapi.Draining
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: drain})
 	h.pass(2*second, h.steady(20, 0.5, 200_000))
 	for p, tables := range h.binds {
 		if _, has := h.tables[tables[0]]["a1"]; has {
@@ -584,12 +584,12 @@
 	h := start(t, nil)
 	h.fleet()
 	for i := range 300 {
-		id := control.EndpointID(strconv.Itoa(i))
-		h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: ready("a", id)})
+		id := policyapi.EndpointID(strconv.Itoa(i))
+		h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: ready("a", id)})
 		h.pass(second, h.steady(20, 0.5, 200_000))
 		gone := ready("a", id)
-		gone[0].Status = control.Removed
-		h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: gone})
+		gone[0].Status = policyapi.Removed
+		h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: gone})
 	}
 	h.pass(second, h.steady(20, 0.5, 200_000))
 	in, most := h.in, 6+int(forgotten/second)+3
@@ -600,7 +600,7 @@
 		}
 	}
 	back := ready("a", "299")
-	h.tell(control.EndpointUpdate{Kind: control.Delta, Endpoints: back})
+	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: back})
 	h.pass(2*forgotten, h.steady(20, 0.5, 200_000))
 	if in.endpoints.actors["299"] == nil || in.endpoints.actors["298"] != nil || len(in.endpoints.actors) != 7 {
 		t.Errorf("%d actors", len(in.endpoints.actors))
--- a/choice/parts.go
+++ b/policy/parts.go
@@ -1,4 +1,4 @@
-package choice
+package policy
 
 import (
 	"cmp"
@@ -9,18 +9,18 @@
 	"math"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // This file has the parts' state and how notes get from one to another. What the parts do is in choice.go.
 
-type micros = control.Microseconds
+type micros = policyapi.Microseconds
 
 const (
-	second     micros             = 1_000_000
-	beatToken  control.TimerToken = 1
-	listToken  control.TimerToken = 2
-	retryToken control.TimerToken = 3
+	second     micros               = 1_000_000
+	beatToken  policyapi.TimerToken = 1
+	listToken  policyapi.TimerToken = 2
+	retryToken policyapi.TimerToken = 3
 )
 
 // Notes between the parts; events are notes too.
@@ -33,9 +33,9 @@
 	}
 	batchEnd struct{} // all events have been taken: the registry tells, then the planner plans
 
-	lost     struct{ id control.EndpointID } // long gone: nothing is kept of it
-	settled  struct{}                        // a list newer than the saved one has come
-	roundEnd struct {                        // planner to a backend: judge what you heard
+	lost     struct{ id policyapi.EndpointID } // long gone: nothing is kept of it
+	settled  struct{}                          // a list newer than the saved one has come
+	roundEnd struct {                          // planner to a backend: judge what you heard
 		expect        []float64 // tries that its lines should have brought, by zone of the proxies
 		errored, span float64   // part of all tries that erred; seconds
 		silent        micros    // as in beat
@@ -53,7 +53,7 @@
 		urgent      bool
 	}
 	proxyUsage struct { // a proxy and its usage, reqs a second, by request kind and in all
-		proxy         control.ProxyID
+		proxy         policyapi.ProxyID
 		zone          int
 		usage, round  []float64 // round: reqs heard of in this round
 		at            []micros  // until when they are counted
@@ -65,14 +65,14 @@
 		all, urgent bool
 	}
 	line struct {
-		backend control.EndpointID
+		backend policyapi.EndpointID
 		weight  float64
 	}
 	targetState struct { // planner to the channel: how the proxies should stand
 		tables map[groupID][]tablePlan // of each planned group, by set of kinds; a group that is missing is not planned
-		homes  map[control.ProxyID]groupID
-		ready  map[control.EndpointID]bool // may be offered; what else a table still holds is withdrawn
-		admits []control.SetAdmission
+		homes  map[policyapi.ProxyID]groupID
+		ready  map[policyapi.EndpointID]bool // may be offered; what else a table still holds is withdrawn
+		admits []policyapi.SetAdmission
 		urgent bool
 	}
 	heldGroups struct{ groups map[groupID]bool } // channel to the planner: a proxy is bound to these groups' tables
@@ -105,12 +105,12 @@
 }
 
 // outbox gathers the orders of one Take.
-type outbox struct{ orders []control.Order }
+type outbox struct{ orders []policyapi.Order }
 
-func (o *outbox) add(order control.Order) { o.orders = append(o.orders, order) }
+func (o *outbox) add(order policyapi.Order) { o.orders = append(o.orders, order) }
 
 func (o *outbox) log(format string, args ...any) {
-	o.add(control.Log{Text: fmt.Sprintf(format, args...)})
+	o.add(policyapi.Log{Text: fmt.Sprintf(format, args...)})
 }
 
 // Instance is one coordinator's decisions.
@@ -128,7 +128,7 @@
 }
 
 // New starts an instance.
-func New(up control.Start) *Instance {
+func New(up policyapi.Start) *Instance {
 	out, r, period := &outbox{}, up.Rules, max(up.Reports.Period, shortest)
 	var target micros
 	for _, k := range up.Classes {
@@ -138,7 +138,7 @@
 	pl := newPlanner(out, ch, up.Zones, up.Classes, up.Admission, max(1, up.InstanceCount), up.ProxyCount, up.Channel.EndpointConnections,
 		max(1, up.Reports.MaxLinesPerSecond), r.OverloadFactor, period, savedListHolds(period, r.DrainGracePeriod))
 	ch.tellHeld = pl.put
-	roll := newEndpointList(out, pl, up.PollsList, up.Seed, func(id control.EndpointID) *backend {
+	roll := newEndpointList(out, pl, up.PollsList, up.Seed, func(id policyapi.EndpointID) *backend {
 		return newBackend(id, out, pl, up.Zones, r.WarmUp, r.InitialCapacity, r.HealthChecksAllowed, r.SoftRemoval, target, period)
 	})
 	book := newProxyRegistry(pl, up.Zones, len(up.Classes))
@@ -147,22 +147,22 @@
 }
 
 // Step tells the instance what has happened by now and returns what it wants done.
-func (in *Instance) Step(now micros, events []control.Event) []control.Order {
+func (in *Instance) Step(now micros, events []policyapi.Event) []policyapi.Order {
 	in.out.orders = nil
 	if !in.awake {
 		in.awake = true
-		events = append([]control.Event{wake{}, control.TimerFired{Token: beatToken}}, events...)
+		events = append([]policyapi.Event{wake{}, policyapi.TimerFired{Token: beatToken}}, events...)
 	}
 	for _, ev := range events {
 		switch e := ev.(type) {
-		case control.EndpointLoad:
+		case policyapi.EndpointLoad:
 			in.lines, in.longest = in.lines+1, max(in.longest, e.Period)
-		case control.ProxyLoad:
+		case policyapi.ProxyLoad:
 			in.lines, in.longest = in.lines+1, max(in.longest, e.Period)
-		case control.TimerFired:
+		case policyapi.TimerFired:
 			switch e.Token {
 			case beatToken:
-				in.out.add(control.SetTimer{After: in.period, Token: beatToken})
+				in.out.add(policyapi.SetTimer{After: in.period, Token: beatToken})
 				ev = in.beat(now)
 			case retryToken:
 				ev = retry{}
@@ -274,15 +274,15 @@
 	ask         bool // the list answers only when asked
 	seed, draws uint64
 	fails       int
-	actor       func(control.EndpointID) *backend
-	actors      map[control.EndpointID]*backend
+	actor       func(policyapi.EndpointID) *backend
+	actors      map[policyapi.EndpointID]*backend
 	order       []*backend
-	left        map[control.EndpointID]micros // since when it is gone
+	left        map[policyapi.EndpointID]micros // since when it is gone
 }
 
-func newEndpointList(out *outbox, p *planner, ask bool, seed uint64, actor func(control.EndpointID) *backend) *endpointList {
-	return &endpointList{out: out, planner: p, ask: ask, seed: seed, actor: actor, actors: map[control.EndpointID]*backend{},
-		left: map[control.EndpointID]micros{}}
+func newEndpointList(out *outbox, p *planner, ask bool, seed uint64, actor func(policyapi.EndpointID) *backend) *endpointList {
+	return &endpointList{out: out, planner: p, ask: ask, seed: seed, actor: actor, actors: map[policyapi.EndpointID]*backend{},
+		left: map[policyapi.EndpointID]micros{}}
 }
 
 func (r *endpointList) take(now micros, n note) {
@@ -291,44 +291,44 @@
 		r.forget(now)
 	case wake:
 		if r.ask {
-			r.out.add(control.WatchEndpoints{Enabled: true})
+			r.out.add(policyapi.WatchEndpoints{Enabled: true})
 		}
-	case control.EndpointLoad:
+	case policyapi.EndpointLoad:
 		r.pass(n.Endpoint, n)
-	case control.HealthCheckResult:
+	case policyapi.HealthCheckResult:
 		r.pass(n.Endpoint, n)
-	case control.EndpointUpdate:
+	case policyapi.EndpointUpdate:
 		r.follow(now, n)
 	}
 }
 
-func (r *endpointList) follow(now micros, list control.EndpointUpdate) {
-	if list.Kind == control.Failed {
+func (r *endpointList) follow(now micros, list policyapi.EndpointUpdate) {
+	if list.Kind == policyapi.Failed {
 		r.again()
 		return
 	}
-	if r.fails = 0; list.Kind != control.Cached {
+	if r.fails = 0; list.Kind != policyapi.Cached {
 		r.planner.put(settled{})
 	}
-	seen := map[control.EndpointID]bool{}
+	seen := map[policyapi.EndpointID]bool{}
 	for _, e := range list.Endpoints {
-		if seen[e.ID] = true; r.actors[e.ID] == nil && e.Status != control.Removed {
+		if seen[e.ID] = true; r.actors[e.ID] == nil && e.Status != policyapi.Removed {
 			b := r.actor(e.ID)
 			r.actors[e.ID], r.order = b, append(r.order, b)
 		}
 		r.pass(e.ID, e)
-		r.leave(now, e.ID, e.Status == control.Removed)
+		r.leave(now, e.ID, e.Status == policyapi.Removed)
 	}
 	for _, b := range r.order {
-		if list.Kind != control.Delta && !seen[b.id] {
+		if list.Kind != policyapi.Delta && !seen[b.id] {
 			r.leave(now, b.id, true)
-			b.put(control.Endpoint{ID: b.id, Zone: b.entry.Zone, Weight: b.entry.Weight, Status: control.Removed})
+			b.put(policyapi.Endpoint{ID: b.id, Zone: b.entry.Zone, Weight: b.entry.Weight, Status: policyapi.Removed})
 		}
 	}
 }
 
 // leave notes since when a backend is gone, or that it is not.
-func (r *endpointList) leave(now micros, id control.EndpointID, gone bool) {
+func (r *endpointList) leave(now micros, id policyapi.EndpointID, gone bool) {
 	if _, has := r.left[id]; !gone {
 		delete(r.left, id)
 	} else if !has && r.actors[id] != nil {
@@ -356,7 +356,7 @@
 	return float64(crc32.ChecksumIEEE(key)) / (1 << 32)
 }
 
-func (r *endpointList) pass(id control.EndpointID, n note) {
+func (r *endpointList) pass(id policyapi.EndpointID, n note) {
 	if b := r.actors[id]; b != nil {
 		b.put(n)
 	}
@@ -365,19 +365,19 @@
 // backend is the actor of one backend: what is known of it and how it is judged.
 type backend struct {
 	inbox
-	id                   control.EndpointID
+	id                   policyapi.EndpointID
 	out                  *outbox
 	planner              *planner
-	zones                []control.Zone
+	zones                []policyapi.Zone
 	cold, target, period micros
 	coldFrom             float64
 	probes, soft         bool // soft: gone alone does not bind
 	stray                bool // dropped from the list without a drain
 	lost                 bool // forgotten
-	entry                control.Endpoint
+	entry                policyapi.Endpoint
 	byZone               []zoneHealth
-	loads                control.LoadMetrics // as told this round
-	speed                hist                // by busy share: busy seconds and done reqs
+	loads                policyapi.LoadMetrics // as told this round
+	speed                hist                  // by busy share: busy seconds and done reqs
 	heardAt              micros
 	used                 float64 // busy share, smoothed
 	told                 bool    // it tells its rate
@@ -400,7 +400,7 @@
 	retryAt, backoff       micros
 }
 
-func newBackend(id control.EndpointID, out *outbox, p *planner, zones []control.Zone, cold micros,
+func newBackend(id policyapi.EndpointID, out *outbox, p *planner, zones []policyapi.Zone, cold micros,
 	coldFrom float64, probes, soft bool, target, period micros) *backend {
 	return &backend{id: id, out: out, planner: p, zones: zones, cold: cold, coldFrom: coldFrom, probes: probes, soft: soft,
 		target: target, period: period, byZone: make([]zoneHealth, len(zones))}
@@ -408,10 +408,10 @@
 
 func (b *backend) take(now micros, n note) {
 	switch n := n.(type) {
-	case control.Endpoint:
+	case policyapi.Endpoint:
 		b.listed(n)
 		b.tell(now, true)
-	case control.EndpointLoad:
+	case policyapi.EndpointLoad:
 		if z := slices.Index(b.zones, n.Zone); z >= 0 {
 			s := &b.byZone[z]
 			s.tries += float64(n.Attempts)
@@ -421,7 +421,7 @@
 				b.loads = n.Metrics
 			}
 		}
-	case control.HealthCheckResult:
+	case policyapi.HealthCheckResult:
 		if n.Healthy {
 			b.wellAt = now
 		}
@@ -438,7 +438,7 @@
 		return // what it had in its inbox must not bring it back
 	}
 	v := view{backend: *b, box: &b.inbox, zone: slices.Index(b.zones, b.entry.Zone),
-		ready: b.entry.Status == control.Ready, heard: now-b.heardAt < lately, share: b.share(now), urgent: urgent}
+		ready: b.entry.Status == policyapi.Ready, heard: now-b.heardAt < lately, share: b.share(now), urgent: urgent}
 	for _, s := range b.byZone {
 		v.sick = append(v.sick, s.sick)
 	}
@@ -449,20 +449,20 @@
 type proxyRegistry struct {
 	inbox
 	planner *planner
-	zones   []control.Zone
+	zones   []policyapi.Zone
 	kinds   int
-	flows   map[control.ProxyID]*proxyUsage
+	flows   map[policyapi.ProxyID]*proxyUsage
 	due     bool // there is something to tell the planner
 	urgent  bool
 }
 
-func newProxyRegistry(p *planner, zones []control.Zone, kinds int) *proxyRegistry {
-	return &proxyRegistry{planner: p, zones: zones, kinds: kinds, flows: map[control.ProxyID]*proxyUsage{}}
+func newProxyRegistry(p *planner, zones []policyapi.Zone, kinds int) *proxyRegistry {
+	return &proxyRegistry{planner: p, zones: zones, kinds: kinds, flows: map[policyapi.ProxyID]*proxyUsage{}}
 }
 
 func (k *proxyRegistry) take(now micros, n note) {
 	switch n := n.(type) {
-	case control.ProxyConnected:
+	case policyapi.ProxyConnected:
 		f := k.flows[n.Proxy]
 		if f == nil {
 			f = &proxyUsage{proxy: n.Proxy, usage: make([]float64, k.kinds)}
@@ -476,11 +476,11 @@
 			}
 		}
 		k.due, k.urgent = true, true
-	case control.ProxyDisconnected:
+	case policyapi.ProxyDisconnected:
 		if f := k.flows[n.Proxy]; f != nil {
 			f.joined, k.due = false, true
 		}
-	case control.ProxyLoad:
+	case policyapi.ProxyLoad:
 		if f := k.flows[n.Proxy]; f != nil && f.joined && n.Class >= 0 && int(n.Class) < k.kinds {
 			f.round[n.Class] += float64(n.Requests)
 		}
@@ -526,44 +526,44 @@
 	inbox
 	out         *outbox
 	channel     *channel
-	zones       []control.Zone
-	kinds       []control.ClassSettings
-	levels      control.AdmissionMode
+	zones       []policyapi.Zone
+	kinds       []policyapi.ClassSettings
+	levels      policyapi.AdmissionMode
 	sets        []kindSet
-	views       map[control.EndpointID]view
+	views       map[policyapi.EndpointID]view
 	flows       []*proxyUsage
 	instances   int
-	intake      float64                          // report lines a second
-	mean        float64                          // a backend\'s worth
-	proxies     int                              // of all controllers
-	tip         float64                          // the multiple of its capacity that a cold backend can bear
-	sockets     int                              // connections that the smallest backend takes
-	founded     int                              // backends when the groups were made
-	perZone     int                              // in a zone; one more stands for all of it
-	groups      []group                          // the groups, by zone
-	member      map[control.EndpointID]int       // its group
-	homes       map[control.ProxyID]int          // its group
-	moved       map[control.ProxyID]float64      // when it was last moved
-	clock       float64                          // seconds of rounds with reports, from 100 on: nobody has been moved yet
-	asked       []float64                        // reqs a second, by zone of the proxies
-	loads       map[control.EndpointID][]float64 // reqs a second it should get, by group
-	tries       []float64                        // heard this round, by zone of the proxies
-	blind       []bool                           // by zone: sick marks are passed over
-	errored     float64                          // tries of this round
-	pace        float64                          // what the fleet does now against the speeds learned one by one
-	strain      float64                          // use without what levels turn away
-	use, erring float64                          // the fleet's load over its room, the part of its tries that err
-	letIn       float64                          // published: reqs a second in all; 0: open
-	held        map[groupID]bool                 // groups whose tables proxies are bound to
-	retired     []group                          // of earlier divisions: proxies are still bound to their tables
-	groupsMade  groupID                          // how many have been named so far
-	linesMost   int                              // of a table: more would not fit into the queue with the others of its proxy
-	period      micros                           // of the reports, and so of beats
-	savedHolds  micros                           // how long a saved list may wait for a newer one
-	startedAt   micros                           // when the first note came
-	started     bool                             // it has come
-	settled     bool                             // a list newer than the saved one has come
-	all         bool                             // every known proxy is joined
+	intake      float64                            // report lines a second
+	mean        float64                            // a backend\'s worth
+	proxies     int                                // of all controllers
+	tip         float64                            // the multiple of its capacity that a cold backend can bear
+	sockets     int                                // connections that the smallest backend takes
+	founded     int                                // backends when the groups were made
+	perZone     int                                // in a zone; one more stands for all of it
+	groups      []group                            // the groups, by zone
+	member      map[policyapi.EndpointID]int       // its group
+	homes       map[policyapi.ProxyID]int          // its group
+	moved       map[policyapi.ProxyID]float64      // when it was last moved
+	clock       float64                            // seconds of rounds with reports, from 100 on: nobody has been moved yet
+	asked       []float64                          // reqs a second, by zone of the proxies
+	loads       map[policyapi.EndpointID][]float64 // reqs a second it should get, by group
+	tries       []float64                          // heard this round, by zone of the proxies
+	blind       []bool                             // by zone: sick marks are passed over
+	errored     float64                            // tries of this round
+	pace        float64                            // what the fleet does now against the speeds learned one by one
+	strain      float64                            // use without what levels turn away
+	use, erring float64                            // the fleet's load over its room, the part of its tries that err
+	letIn       float64                            // published: reqs a second in all; 0: open
+	held        map[groupID]bool                   // groups whose tables proxies are bound to
+	retired     []group                            // of earlier divisions: proxies are still bound to their tables
+	groupsMade  groupID                            // how many have been named so far
+	linesMost   int                                // of a table: more would not fit into the queue with the others of its proxy
+	period      micros                             // of the reports, and so of beats
+	savedHolds  micros                             // how long a saved list may wait for a newer one
+	startedAt   micros                             // when the first note came
+	started     bool                               // it has come
+	settled     bool                               // a list newer than the saved one has come
+	all         bool                               // every known proxy is joined
 	due, urgent bool
 	known       bool // a speed has been learned since the start
 	fresh       bool // a round has ended since the last plan
@@ -571,19 +571,19 @@
 
 // kindSet is the request kinds that may go to the same zones; each has a table for each zone's proxies.
 type kindSet struct {
-	mask control.ClassSet
-	only []control.Zone
+	mask policyapi.ClassSet
+	only []policyapi.Zone
 	own  bool
 }
 
 // serves tells whether the kinds may go to a zone.
-func (s kindSet) serves(z control.Zone) bool { return len(s.only) == 0 || slices.Contains(s.only, z) }
+func (s kindSet) serves(z policyapi.Zone) bool { return len(s.only) == 0 || slices.Contains(s.only, z) }
 
 // bound tells whether the kinds may not go everywhere.
 func (s kindSet) bound() bool { return s.own || len(s.only) > 0 }
 
 // setsOf puts kinds that may go to the same zones together: each set has tables of its own, bound ones first.
-func setsOf(kinds []control.ClassSettings) (sets []kindSet) {
+func setsOf(kinds []policyapi.ClassSettings) (sets []kindSet) {
 	for _, bound := range []bool{true, false} {
 		for k, kind := range kinds {
 			set := kindSet{1 << k, kind.AllowedZones, kind.LocalZoneOnly}
@@ -598,12 +598,12 @@
 	return sets
 }
 
-func newPlanner(out *outbox, ch *channel, zones []control.Zone, kinds []control.ClassSettings,
-	levels control.AdmissionMode, instances, proxies, sockets int, intake, tip float64, period, savedHolds micros) *planner {
+func newPlanner(out *outbox, ch *channel, zones []policyapi.Zone, kinds []policyapi.ClassSettings,
+	levels policyapi.AdmissionMode, instances, proxies, sockets int, intake, tip float64, period, savedHolds micros) *planner {
 	p := &planner{out: out, channel: ch, zones: zones, kinds: kinds, levels: levels, sets: setsOf(kinds), period: period, savedHolds: savedHolds, pace: 1,
-		instances: instances, proxies: proxies, sockets: sockets, intake: intake, tip: tip, member: map[control.EndpointID]int{},
-		homes: map[control.ProxyID]int{}, moved: map[control.ProxyID]float64{}, clock: 100, asked: make([]float64, len(zones)),
-		views: map[control.EndpointID]view{}, tries: make([]float64, len(zones)), blind: make([]bool, len(zones))}
+		instances: instances, proxies: proxies, sockets: sockets, intake: intake, tip: tip, member: map[policyapi.EndpointID]int{},
+		homes: map[policyapi.ProxyID]int{}, moved: map[policyapi.ProxyID]float64{}, clock: 100, asked: make([]float64, len(zones)),
+		views: map[policyapi.EndpointID]view{}, tries: make([]float64, len(zones)), blind: make([]bool, len(zones))}
 	for _, set := range p.sets {
 		ch.masks = append(ch.masks, set.mask)
 	}
@@ -614,7 +614,7 @@
 func (p *planner) take(now micros, n note) {
 	if !p.started {
 		if p.started, p.startedAt = true, now; p.savedHolds < p.period { // sooner than the next beat
-			p.out.add(control.SetTimer{After: p.savedHolds, Token: retryToken})
+			p.out.add(policyapi.SetTimer{After: p.savedHolds, Token: retryToken})
 		}
 	}
 	switch n := n.(type) {
@@ -622,7 +622,7 @@
 		p.views[n.id], p.due, p.urgent = n, true, p.urgent || n.urgent
 	case demand:
 		p.flows, p.all, p.due, p.urgent = n.flows, n.all, true, p.urgent || n.urgent
-	case control.EndpointLoad:
+	case policyapi.EndpointLoad:
 		if z := slices.Index(p.zones, n.Zone); z >= 0 {
 			p.tries[z] += float64(n.Attempts)
 			p.errored += float64(n.Failures)
@@ -676,7 +676,7 @@
 }
 
 // load adds what a group's proxies send by the lines of a set's table.
-func (p *planner) load(group int, set kindSet, lines []line, taken map[control.EndpointID]float64) {
+func (p *planner) load(group int, set kindSet, lines []line, taken map[policyapi.EndpointID]float64) {
 	weight, usage := 0.0, 0.0
 	for _, l := range lines {
 		weight += l.weight
