--- a/tables/ledger_test.go
+++ b/routing/ledger_test.go
@@ -1,18 +1,18 @@
-package tables
+package routing
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 func held(weights ...float64) Snapshot {
 	c := Cluster{Class: "view"}
 	for i, w := range weights {
 		if w != 0 {
-			c.Endpoints = append(c.Endpoints, ClusterEndpoint{Endpoint: control.EndpointID(rune('a' + i)), Zone: "z", Weight: max(w, -w), Withheld: w < 0})
+			c.Endpoints = append(c.Endpoints, ClusterEndpoint{Endpoint: policyapi.EndpointID(rune('a' + i)), Zone: "z", Weight: max(w, -w), Withheld: w < 0})
 		}
 	}
 	return Snapshot{Clusters: []Cluster{c}, Routes: []Route{{Class: "view", Rate: UnlimitedRate, Share: 1}}}
@@ -30,7 +30,7 @@
 	l.Connect()
 	now, sent, offered := second, 0, 1.0
 	for ; now < 6*second; now += second / 20 {
-		if v, _ := l.Offer(now, held(offered, 1), control.AckID(int(offered)), plenty, no); v == OfferSend {
+		if v, _ := l.Offer(now, held(offered, 1), policyapi.AckID(int(offered)), plenty, no); v == OfferSend {
 			sent++
 		}
 		offered++
@@ -38,7 +38,7 @@
 	if sent != 16 {
 		t.Errorf("%d routine messages in five seconds, want 16", sent)
 	}
-	if v, m := l.Offer(now, held(-offered, 1), NoAckID, plenty, yes); v != OfferSend || m.AckID != control.AckID(int(offered-1)) {
+	if v, m := l.Offer(now, held(-offered, 1), NoAckID, plenty, yes); v != OfferSend || m.AckID != policyapi.AckID(int(offered-1)) {
 		t.Errorf("a drain: %v, %+v", v, m)
 	}
 	for i := range 6 {
@@ -64,9 +64,9 @@
 		l := NewInFlight("e", Budget{MaxMessages: most, Window: span})
 		l.Connect()
 		now := second
-		var times, urgents []control.Microseconds
+		var times, urgents []policyapi.Microseconds
 		asked, told := NoAckID, NoAckID
-		within := func(at []control.Microseconds) (n int) {
+		within := func(at []policyapi.Microseconds) (n int) {
 			for _, x := range at {
 				if now-x <= span {
 					n++
@@ -93,11 +93,11 @@
 			}
 		}
 		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
-			now += control.Microseconds(rapid.Int64Range(0, int64(second)).Draw(t, "gap"))
+			now += policyapi.Microseconds(rapid.Int64Range(0, int64(second)).Draw(t, "gap"))
 			urgent := rapid.IntRange(0, 9).Draw(t, "urgent") == 0
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1, 2:
-				asked = control.AckID(i)
+				asked = policyapi.AckID(i)
 				v, m := l.Offer(now, held(float64(rapid.IntRange(1, 4).Draw(t, "weight"))), asked, plenty, func() bool { return urgent })
 				note(v, m, urgent)
 			case 3:
@@ -151,7 +151,7 @@
 
 // What is urgent: an open line that a closed backend loses, a kind that gets its first open line.
 func TestCloses(t *testing.T) {
-	closed := func(b control.EndpointID) bool { return b == "a" }
+	closed := func(b policyapi.EndpointID) bool { return b == "a" }
 	for name, c := range map[string]struct {
 		from, to Snapshot
 		want     bool
@@ -187,7 +187,7 @@
 		}
 	}
 	confirm()
-	last := control.Microseconds(0)
+	last := policyapi.Microseconds(0)
 	for i := range 4 {
 		if _, right := l.VerifyChecksum(now, Checksum(s)+1, [DocumentCount]string{}); right {
 			t.Fatal("a wrong checksum passes")
--- a/tables/tables.go
+++ b/routing/tables.go
@@ -1,21 +1,21 @@
-// Package tables says what a gateway holds: for each request kind a cluster of weighted lines and a route that tells
+// Package routing says what a gateway holds: for each request kind a cluster of weighted lines and a route that tells
 // how much is let in and when to try again. It is pure: values in, values out.
-package tables
+package routing
 
 import (
 	"cmp"
 	"maps"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // ClusterEndpoint is one backend in a cluster. Weight is relative to the other lines of its cluster, without a unit, above 0.
 type ClusterEndpoint struct {
-	Endpoint control.EndpointID `json:"backend"`
-	Zone     control.Zone       `json:"zone"`
-	Weight   float64            `json:"weight"`
-	Withheld bool               `json:"withheld,omitempty"` // listed, but nothing new may be sent there
+	Endpoint policyapi.EndpointID `json:"backend"`
+	Zone     policyapi.Zone       `json:"zone"`
+	Weight   float64              `json:"weight"`
+	Withheld bool                 `json:"withheld,omitempty"` // listed, but nothing new may be sent there
 }
 
 // Cluster is all lines of one request kind, by zone and backend.
@@ -32,8 +32,8 @@
 	// Share is the part let in, 0 to 1; 1 lets all in. Only one of Rate and Share is in use at a site.
 	Share float64 `json:"share"`
 	// RetryPolicy is the order for second tries as control.Admit has it, 0 to 3.
-	RetryPolicy int                  `json:"second_try"`
-	Timeout     control.Microseconds `json:"timeout_us"` // of all tries together
+	RetryPolicy int                    `json:"second_try"`
+	Timeout     policyapi.Microseconds `json:"timeout_us"` // of all tries together
 	// Fallback holds in place of Share and SecondTry while no coordinator is reached.
 	Fallback Fallback `json:"fallback,omitzero"`
 }
@@ -41,14 +41,14 @@
 // Fallback is what a gateway does with a kind while it reaches no coordinator: After so long without a word, For so long; then
 // its table holds again as it is. The zero Fallback is none.
 type Fallback struct {
-	After       control.Microseconds `json:"after_us"`
-	Duration    control.Microseconds `json:"for_us"`
-	Share       float64              `json:"share"` // part let in of what the table lets in
-	RetryPolicy int                  `json:"second_try"`
+	After       policyapi.Microseconds `json:"after_us"`
+	Duration    policyapi.Microseconds `json:"for_us"`
+	Share       float64                `json:"share"` // part let in of what the table lets in
+	RetryPolicy int                    `json:"second_try"`
 }
 
 // AfterSilence is a route as it holds after so long without a word from a coordinator.
-func (r Route) AfterSilence(silent control.Microseconds) Route {
+func (r Route) AfterSilence(silent policyapi.Microseconds) Route {
 	if f := r.Fallback; f.Duration > 0 && silent >= f.After && silent < f.After+f.Duration {
 		r.Share *= f.Share
 		if r.Rate > 0 {
@@ -161,8 +161,8 @@
 
 // BuildCluster makes a cluster of a table's weights; what masked names is withheld. Backends that zone does not know are
 // left out: nobody can tell where they are.
-func BuildCluster(kind string, weights map[control.EndpointID]float64, zone func(control.EndpointID) (control.Zone, bool),
-	masked func(control.EndpointID) bool) Cluster {
+func BuildCluster(kind string, weights map[policyapi.EndpointID]float64, zone func(policyapi.EndpointID) (policyapi.Zone, bool),
+	masked func(policyapi.EndpointID) bool) Cluster {
 	c := Cluster{Class: kind}
 	for _, b := range slices.Sorted(maps.Keys(weights)) {
 		if z, known := zone(b); known && weights[b] > 0 {
--- a/tables/tables_test.go
+++ b/routing/tables_test.go
@@ -1,4 +1,4 @@
-package tables
+package routing
 
 import (
 	"errors"
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 func TestCost(t *testing.T) {
 	c := func(w ...float64) (s Snapshot) {
 		cl := Cluster{Class: "view"}
 		for i, x := range w {
-			cl.Endpoints = append(cl.Endpoints, ClusterEndpoint{Endpoint: control.EndpointID(rune('a' + i)), Zone: "z", Weight: x})
+			cl.Endpoints = append(cl.Endpoints, ClusterEndpoint{Endpoint: policyapi.EndpointID(rune('a' + i)), Zone: "z", Weight: x})
 		}
 		return Snapshot{Clusters: []Cluster{cl}, Routes: []Route{{Class: "view", Rate: UnlimitedRate, Share: 1}}}
 	}
@@ -44,7 +44,7 @@
 		w := Weights{}
 		for j := range 30 {
 			if (i*7+j*3)%5 > 1 {
-				w[control.EndpointID(fmt.Sprint("n", j))] = float64(1 + (i+j)%3)
+				w[policyapi.EndpointID(fmt.Sprint("n", j))] = float64(1 + (i+j)%3)
 			}
 		}
 		states, weights = append(states, states[i].With(w)), append(weights, w)
@@ -68,7 +68,7 @@
 func TestBookKeepsWhatIsNeeded(t *testing.T) {
 	b := NewVersionStore(4, 100*second)
 	for i := range 10 {
-		b.Put(control.Microseconds(i)*second, 1, Weights{"a": float64(i + 1)}, nil)
+		b.Put(policyapi.Microseconds(i)*second, 1, Weights{"a": float64(i + 1)}, nil)
 		if i == 2 {
 			if _, err := b.Pin(2*second, Pin{Scope: Scope{Table: 1}, Version: 2, Reason: "night"}); err != nil {
 				t.Fatal(err)
@@ -99,7 +99,7 @@
 	b.Put(5*second, 1, Weights{"c": 1, "d": 2}, nil)
 	b.Put(5*second, 2, Weights{"c": 1}, nil)
 	now := Weights{"c": 1, "d": 2}
-	open := func(control.EndpointID) EndpointEligibility { return EndpointEligibility{} }
+	open := func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{} }
 	for _, c := range []struct {
 		pin  Pin
 		says error
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	now := Weights{"a": 2, "b": 2, "cold": 0.2}
-	standing := func(be control.EndpointID) EndpointEligibility {
+	standing := func(be policyapi.EndpointID) EndpointEligibility {
 		return EndpointEligibility{Closed: be == "gone", Weight: now[be], WarmingUp: be == "cold" || be == "new"}
 	}
 	w, _, over := b.Effective(1, 0, "z", now, standing)
@@ -164,7 +164,7 @@
 	if part, before := w["cold"]/sum(w), now["cold"]/sum(now); part == 0 || part > before*1.0001 {
 		t.Errorf("the cold one's part is %.4f, now %.4f", part, before)
 	}
-	w, pin, over := b.Effective(1, 0, "z", now, func(control.EndpointID) EndpointEligibility { return EndpointEligibility{Closed: true} })
+	w, pin, over := b.Effective(1, 0, "z", now, func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{Closed: true} })
 	if !maps.Equal(w, now) || pin == nil || over == "" {
 		t.Errorf("with nothing left: %v, %q", w, over)
 	}
@@ -175,14 +175,14 @@
 		b.Run(fmt.Sprint(lines, "_lines"), func(b *testing.B) {
 			book, w := NewVersionStore(64, 3600*second), Weights{}
 			for i := range lines {
-				w[control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i))] = 1
+				w[policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", i))] = 1
 			}
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				n++
-				w[control.EndpointID(fmt.Sprintf("127.0.0.1:%d", n%lines))] = float64(n%7 + 1)
-				book.Put(control.Microseconds(n), 1, w, nil)
+				w[policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", n%lines))] = float64(n%7 + 1)
+				book.Put(policyapi.Microseconds(n), 1, w, nil)
 			}
 		})
 	}
@@ -193,7 +193,7 @@
 	b := NewVersionStore(10, 1000*second)
 	w := Weights{"a": 1, "b": 1}
 	b.Put(1*second, 1, w, nil)
-	acting := map[control.RequestClass]Weights{2: {"b": 1}}
+	acting := map[policyapi.RequestClass]Weights{2: {"b": 1}}
 	if v := b.Put(2*second, 1, w, acting); v != 2 {
 		t.Errorf("acting from now on is version %d", v)
 	}
@@ -209,8 +209,8 @@
 	next := NewVersionStore(10, 1000*second)
 	next.Restore(6*second, b.Snapshot())
 	for name, b := range map[string]*VersionStore{"here": b, "after a start": next} {
-		for kind, want := range map[control.RequestClass]Weights{0: w, 2: acting[2]} {
-			if got, _, over := b.Effective(1, kind, "z", Weights{"c": 1}, func(control.EndpointID) EndpointEligibility { return EndpointEligibility{} }); !maps.Equal(got, want) || over != "" {
+		for kind, want := range map[policyapi.RequestClass]Weights{0: w, 2: acting[2]} {
+			if got, _, over := b.Effective(1, kind, "z", Weights{"c": 1}, func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{} }); !maps.Equal(got, want) || over != "" {
 				t.Errorf("%s, kind %d: %v, %q", name, kind, got, over)
 			}
 		}
--- a/tables/version.go
+++ b/routing/version.go
@@ -1,4 +1,4 @@
-package tables
+package routing
 
 import (
 	"bytes"
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // Weights are a table's: by backend, above 0.
-type Weights map[control.EndpointID]float64
+type Weights map[policyapi.EndpointID]float64
 
 // State is one state of a table in a persistent tree: a state made from another one shares with it all that is the
 // same. The zero State is empty.
@@ -27,7 +27,7 @@
 	txn := t.Txn()
 	it := t.Root().Iterator()
 	for key, _, ok := it.Next(); ok; key, _, ok = it.Next() {
-		if w[control.EndpointID(key)] <= 0 {
+		if w[policyapi.EndpointID(key)] <= 0 {
 			txn.Delete(key)
 		}
 	}
@@ -42,7 +42,7 @@
 // Weights are what the state holds.
 func (s State) Weights() Weights {
 	w := Weights{}
-	s.each(func(b control.EndpointID, weight float64) { w[b] = weight })
+	s.each(func(b policyapi.EndpointID, weight float64) { w[b] = weight })
 	return w
 }
 
@@ -57,26 +57,26 @@
 	return s.tree.Len()
 }
 
-func (s State) each(do func(control.EndpointID, float64)) {
+func (s State) each(do func(policyapi.EndpointID, float64)) {
 	if s.tree == nil {
 		return
 	}
 	it := s.tree.Root().Iterator()
 	for key, weight, ok := it.Next(); ok; key, weight, ok = it.Next() {
-		do(control.EndpointID(key), weight)
+		do(policyapi.EndpointID(key), weight)
 	}
 }
 
 // Delta is what leads from one state to another: lines set anew or changed, and lines that go, in the order of names.
 type Delta struct {
 	Set     []EndpointWeight
-	Removed []control.EndpointID
+	Removed []policyapi.EndpointID
 }
 
 // EndpointWeight is one line of a table.
 type EndpointWeight struct {
-	Endpoint control.EndpointID `json:"backend"`
-	Weight   float64            `json:"weight"`
+	Endpoint policyapi.EndpointID `json:"backend"`
+	Weight   float64              `json:"weight"`
 }
 
 // Endpoints is what the delta costs in lines.
@@ -84,12 +84,12 @@
 
 // Diff is the delta from one state to another.
 func Diff(from, to State) (d Delta) {
-	to.each(func(b control.EndpointID, weight float64) {
+	to.each(func(b policyapi.EndpointID, weight float64) {
 		if old, has := from.get(b); !has || old != weight {
 			d.Set = append(d.Set, EndpointWeight{b, weight})
 		}
 	})
-	from.each(func(b control.EndpointID, _ float64) {
+	from.each(func(b policyapi.EndpointID, _ float64) {
 		if _, has := to.get(b); !has {
 			d.Removed = append(d.Removed, b)
 		}
@@ -97,7 +97,7 @@
 	return d
 }
 
-func (s State) get(b control.EndpointID) (float64, bool) {
+func (s State) get(b policyapi.EndpointID) (float64, bool) {
 	if s.tree == nil {
 		return 0, false
 	}
--- a/wire/wire.go
+++ b/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the bench's text wire in terms of package control.
-package wire
+// Package simwire reads and writes the bench's text wire in terms of package control.
+package simwire
 
 import (
 	"bufio"
@@ -10,13 +10,13 @@
 	"strconv"
 	"strings"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // Addressed is an event for one instance.
 type Addressed struct {
-	To    control.InstanceID
-	Event control.Event
+	To    policyapi.InstanceID
+	Event policyapi.Event
 }
 
 // Crash tells that an instance is killed; it is the host's business, not the module's.
@@ -24,7 +24,7 @@
 
 // Batch is what comes at one time.
 type Batch struct {
-	Now    control.Microseconds
+	Now    policyapi.Microseconds
 	Events []Addressed
 }
 
@@ -33,12 +33,12 @@
 	in   *bufio.Reader
 	line int
 	// the names of one instance's request kinds: usage names a kind by its name
-	kinds map[control.InstanceID]map[string]control.RequestClass
+	kinds map[policyapi.InstanceID]map[string]policyapi.RequestClass
 }
 
 // NewReader returns a reader of the wire.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<20), kinds: map[control.InstanceID]map[string]control.RequestClass{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<20), kinds: map[policyapi.InstanceID]map[string]policyapi.RequestClass{}}
 }
 
 // fields of one line, read from left to right; the first complaint sticks.
@@ -119,14 +119,16 @@
 	return s == "1"
 }
 
-func (f *fields) micros(part string) control.Microseconds { return control.Microseconds(f.whole(part)) }
+func (f *fields) micros(part string) policyapi.Microseconds {
+	return policyapi.Microseconds(f.whole(part))
+}
 
-func (f *fields) loads(part string) control.LoadMetrics {
+func (f *fields) loads(part string) policyapi.LoadMetrics {
 	s := f.text(part)
 	if s == "-" || s == "" {
 		return nil
 	}
-	out := control.LoadMetrics{}
+	out := policyapi.LoadMetrics{}
 	for _, pair := range strings.Split(s, ",") {
 		name, value, ok := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(value, 64)
@@ -215,8 +217,8 @@
 }
 
 func (r *Reader) event(f *fields) (Addressed, error) {
-	to := control.InstanceID(f.text("i"))
-	var ev control.Event
+	to := policyapi.InstanceID(f.text("i"))
+	var ev policyapi.Event
 	switch f.name {
 	case "UP":
 		seed := f.seed("nonce64")
@@ -225,26 +227,26 @@
 			f.fail("info", err.Error())
 		}
 		up.Seed = seed
-		names := map[string]control.RequestClass{}
+		names := map[string]policyapi.RequestClass{}
 		for k, kind := range up.Classes {
-			names[kind.Name] = control.RequestClass(k)
+			names[kind.Name] = policyapi.RequestClass(k)
 		}
 		r.kinds[to] = names
 		ev = up
 	case "CRASH_NOW":
 		ev = Crash{}
 	case "DISCOVERY":
-		list := control.EndpointUpdate{Version: control.ListVersion(f.whole("epoch"))}
+		list := policyapi.EndpointUpdate{Version: policyapi.ListVersion(f.whole("epoch"))}
 		how := f.text("how")
 		switch how {
 		case "INCREMENTAL":
-			list.Kind = control.Delta
+			list.Kind = policyapi.Delta
 		case "FULL":
-			list.Kind = control.Snapshot
+			list.Kind = policyapi.Snapshot
 		case "SAVED":
-			list.Kind = control.Cached
+			list.Kind = policyapi.Cached
 		case "FAILED":
-			list.Kind = control.Failed
+			list.Kind = policyapi.Failed
 		default:
 			f.fail("how", fmt.Sprintf("%q is not known", how))
 		}
@@ -264,43 +266,43 @@
 		}
 		return Addressed{to, list}, nil
 	case "RING":
-		ev = control.TimerFired{Token: control.TimerToken(f.whole("nonce"))}
+		ev = policyapi.TimerFired{Token: policyapi.TimerToken(f.whole("nonce"))}
 	case "PROBE_DONE":
-		p := control.HealthCheckResult{Endpoint: control.EndpointID(f.text("backend")), Code: f.text("rc")}
+		p := policyapi.HealthCheckResult{Endpoint: policyapi.EndpointID(f.text("backend")), Code: f.text("rc")}
 		p.Healthy = p.Code == "Ok"
 		p.Duration, p.Metrics = f.micros("costTime"), f.loads("telemetry")
 		ev = p
 	case "MEMO":
-		ev = control.PeerMessage{From: control.PeerID(f.whole("from")), Body: f.body("body")}
+		ev = policyapi.PeerMessage{From: policyapi.PeerID(f.whole("from")), Body: f.body("body")}
 	case "SUBSCRIBED":
-		j := control.ProxyConnected{HasDefaultTableOnly: f.flag("on"), Zone: control.Zone(f.text("site"))}
-		j.Proxy, j.Weight = control.ProxyID(f.whole("agent")), f.number("weight")
+		j := policyapi.ProxyConnected{HasDefaultTableOnly: f.flag("on"), Zone: policyapi.Zone(f.text("site"))}
+		j.Proxy, j.Weight = policyapi.ProxyID(f.whole("agent")), f.number("weight")
 		ev = j
 	case "STREAM_DOWN":
-		ev = control.ProxyDisconnected{Proxy: control.ProxyID(f.whole("agent"))}
+		ev = policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(f.whole("agent"))}
 	case "TALLY":
-		h := control.EndpointLoad{Zone: control.Zone(f.text("site")), Endpoint: control.EndpointID(f.text("backend"))}
+		h := policyapi.EndpointLoad{Zone: policyapi.Zone(f.text("site")), Endpoint: policyapi.EndpointID(f.text("backend"))}
 		h.Attempts, h.Failures = int(f.whole("total")), int(f.whole("lost"))
 		h.MeanLatency, h.Period, h.Metrics = f.micros("costTime"), f.micros("periodLen"), f.loads("telemetry")
 		ev = h
 	case "PROXY_STATS":
-		u := control.ProxyLoad{Proxy: control.ProxyID(f.whole("agent"))}
+		u := policyapi.ProxyLoad{Proxy: policyapi.ProxyID(f.whole("agent"))}
 		u.Class = r.kind(to, f)
 		u.Requests, u.Failures, u.Period = int(f.whole("total")), int(f.whole("lost")), f.micros("periodLen")
 		ev = u
 	case "TOOK_EFFECT":
-		a := control.Acknowledged{Delay: f.micros("costTime"), Proxy: control.ProxyID(f.whole("agent"))}
-		a.AckID = control.AckID(f.whole("epoch"))
+		a := policyapi.Acknowledged{Delay: f.micros("costTime"), Proxy: policyapi.ProxyID(f.whole("agent"))}
+		a.AckID = policyapi.AckID(f.whole("epoch"))
 		ev = a
 	case "HEAT":
-		h := control.SliceLoad{Table: control.TableID(f.whole("mapId"))}
+		h := policyapi.SliceLoad{Table: policyapi.TableID(f.whole("mapId"))}
 		h.Class = r.kind(to, f)
 		h.Requests, h.Failures, h.Period = int(f.whole("total")), int(f.whole("lost")), f.micros("periodLen")
 		ev = h
 	case "CHARGE":
-		ev = control.SliceAssigned{Assigned: f.flag("on"), Table: control.TableID(f.whole("mapId"))}
+		ev = policyapi.SliceAssigned{Assigned: f.flag("on"), Table: policyapi.TableID(f.whole("mapId"))}
 	case "RECORDED":
-		h := control.SliceWeight{Endpoint: control.EndpointID(f.text("backend")), Table: control.TableID(f.whole("mapId"))}
+		h := policyapi.SliceWeight{Endpoint: policyapi.EndpointID(f.text("backend")), Table: policyapi.TableID(f.whole("mapId"))}
 		h.Weight = f.number("weight")
 		ev = h
 	default:
@@ -313,36 +315,36 @@
 }
 
 // kind turns a request kind's name into its position; -1 where the instance or the name is not known.
-func (r *Reader) kind(to control.InstanceID, f *fields) control.RequestClass {
+func (r *Reader) kind(to policyapi.InstanceID, f *fields) policyapi.RequestClass {
 	if k, ok := r.kinds[to][f.text("class")]; ok {
 		return k
 	}
 	return -1
 }
 
-func (r *Reader) entry() (control.Endpoint, error) {
+func (r *Reader) entry() (policyapi.Endpoint, error) {
 	f, err := r.next()
 	if err == io.EOF {
 		r.line++
-		return control.Endpoint{}, r.complain(fmt.Errorf("ROW: message: input ends within a list"))
+		return policyapi.Endpoint{}, r.complain(fmt.Errorf("ROW: message: input ends within a list"))
 	}
 	if err != nil {
-		return control.Endpoint{}, err
+		return policyapi.Endpoint{}, err
 	}
 	if f.name != "ROW" {
-		return control.Endpoint{}, r.complain(fmt.Errorf("%s: message: expected ROW, the list has fewer than it says", f.name))
+		return policyapi.Endpoint{}, r.complain(fmt.Errorf("%s: message: expected ROW, the list has fewer than it says", f.name))
 	}
-	e := control.Endpoint{Zone: control.Zone(f.text("site")), ID: control.EndpointID(f.text("backend"))}
-	e.Weight, e.Pod = f.number("weight"), control.PodID(f.whole("pod"))
-	e.StartedAt, e.MachineType = f.micros("launched"), control.MachineType(f.text("flavor"))
+	e := policyapi.Endpoint{Zone: policyapi.Zone(f.text("site")), ID: policyapi.EndpointID(f.text("backend"))}
+	e.Weight, e.Pod = f.number("weight"), policyapi.PodID(f.whole("pod"))
+	e.StartedAt, e.MachineType = f.micros("launched"), policyapi.MachineType(f.text("flavor"))
 	health := f.text("health")
 	switch health {
 	case "ready":
-		e.Status = control.Ready
+		e.Status = policyapi.Ready
 	case "draining":
-		e.Status = control.Draining
+		e.Status = policyapi.Draining
 	case "gone":
-		e.Status = control.Removed
+		e.Status = policyapi.Removed
 	default:
 		f.fail("health", fmt.Sprintf("%q is not known", health))
 	}
@@ -354,11 +356,11 @@
 
 // Settings reads the object of settings that UP brings and that a live coordinator finds in its configuration; keys not
 // named here are passed over.
-func Settings(text []byte) (control.Start, error) {
+func Settings(text []byte) (policyapi.Start, error) {
 	var in struct {
-		Az         control.Zone
-		Localities []control.Zone
-		Me         control.PeerID
+		Az         policyapi.Zone
+		Localities []policyapi.Zone
+		Me         policyapi.PeerID
 		Instances  int
 		Discovery  string
 		Weights    string
@@ -367,16 +369,16 @@
 			ClassOwnZone                []bool
 			DataPlaneSize, OutlierAfter int
 			UpdateCap                   int
-			EmptyFor, Period            control.Microseconds
-			ReloadSpan, Transit         control.Microseconds
-			WorstTransit                control.Microseconds
+			EmptyFor, Period            policyapi.Microseconds
+			ReloadSpan, Transit         policyapi.Microseconds
+			WorstTransit                policyapi.Microseconds
 			Envelope, LinesPerS         float64
 			IngestRate, SocketsMin      float64
 			QueueCap                    float64
 			LevelKind                   string
 		}
 		Guarantees struct {
-			AskWithin, Cold, DrainGrace, Fall control.Microseconds
+			AskWithin, Cold, DrainGrace, Fall policyapi.Microseconds
 			ColdFrom, TipMultiple             float64
 			SoftRemoval                       bool
 		}
@@ -386,44 +388,44 @@
 		}
 		Profiles []struct {
 			Name, Effect, KeyScope string
-			HardLimit, Slo         control.Microseconds
+			HardLimit, Slo         policyapi.Microseconds
 			Points                 float64
-			OnlyZones              []control.Zone
+			OnlyZones              []policyapi.Zone
 		}
 	}
 	if err := json.Unmarshal(text, &in); err != nil {
-		return control.Start{}, err
+		return policyapi.Start{}, err
 	}
-	up := control.Start{
+	up := policyapi.Start{
 		Self: in.Me, InstanceCount: max(1, in.Instances), Zone: in.Az, Zones: in.Localities, ProxyCount: in.Domain.DataPlaneSize,
 		PollsList: in.Discovery == "ask", EjectionThreshold: in.Domain.OutlierAfter, WeightsListed: in.Weights != "off",
 	}
-	up.Rules = control.RuleSettings{
+	up.Rules = policyapi.RuleSettings{
 		EmptyTableLimit: in.Domain.EmptyFor, DrainGracePeriod: in.Guarantees.DrainGrace, WarmUp: in.Guarantees.Cold,
 		InitialCapacity: in.Guarantees.ColdFrom, OverloadFactor: in.Guarantees.TipMultiple, OverloadWindow: in.Guarantees.Fall,
 		SoftRemoval: in.Guarantees.SoftRemoval, PollInterval: in.Guarantees.AskWithin, QueueLimit: in.Domain.QueueCap,
 		MessageLimit: in.Domain.UpdateCap, MessageWindow: in.Domain.ReloadSpan,
 		HealthChecksAllowed: in.Caps.Probes, PeerMessagesAllowed: in.Caps.Peers,
 	}
-	up.Channel = control.ChannelSettings{LinesPerSecond: in.Domain.LinesPerS, MessageOverhead: in.Domain.Envelope,
+	up.Channel = policyapi.ChannelSettings{LinesPerSecond: in.Domain.LinesPerS, MessageOverhead: in.Domain.Envelope,
 		Latency: in.Domain.Transit, MaxLatency: in.Domain.WorstTransit,
 		EndpointConnections: int(in.Domain.SocketsMin)}
-	up.Reports = control.ReportSettings{Period: in.Domain.Period, MaxLinesPerSecond: in.Domain.IngestRate, MetricsInReports: in.LoadInfo.Source == "inline",
+	up.Reports = policyapi.ReportSettings{Period: in.Domain.Period, MaxLinesPerSecond: in.Domain.IngestRate, MetricsInReports: in.LoadInfo.Source == "inline",
 		MetricNames: in.LoadInfo.Fields}
 	switch in.Domain.LevelKind {
 	case "share":
-		up.Admission = control.AdmissionByShare
+		up.Admission = policyapi.AdmissionByShare
 	case "rate":
-		up.Admission = control.AdmissionByRate
+		up.Admission = policyapi.AdmissionByRate
 	}
 	for k, p := range in.Profiles {
-		kind := control.ClassSettings{Name: p.Name, DeduplicationScope: p.KeyScope, LatencyObjective: p.Slo,
+		kind := policyapi.ClassSettings{Name: p.Name, DeduplicationScope: p.KeyScope, LatencyObjective: p.Slo,
 			ClientTimeout: p.HardLimit, PriorityWeight: p.Points, AllowedZones: p.OnlyZones}
 		switch p.Effect {
 		case "repeatable":
-			kind.Idempotency = control.Idempotent
+			kind.Idempotency = policyapi.Idempotent
 		case "by_key":
-			kind.Idempotency = control.IdempotentWithKey
+			kind.Idempotency = policyapi.IdempotentWithKey
 		}
 		kind.LocalZoneOnly = k < len(in.Domain.ClassOwnZone) && in.Domain.ClassOwnZone[k]
 		up.Classes = append(up.Classes, kind)
@@ -447,32 +449,32 @@
 }
 
 // Order writes one order of an instance.
-func (w *Writer) Order(from control.InstanceID, order control.Order) {
+func (w *Writer) Order(from policyapi.InstanceID, order policyapi.Order) {
 	var parts []any
 	switch o := order.(type) {
-	case control.Log:
+	case policyapi.Log:
 		parts = []any{"RECORD", from, strings.Join(strings.Fields(o.Text), " ")}
-	case control.WatchEndpoints:
+	case policyapi.WatchEndpoints:
 		parts = []any{"TAIL", from, flag(o.Enabled)}
-	case control.Resync:
+	case policyapi.Resync:
 		parts = []any{"QUERY_ALL", from}
-	case control.SetTimer:
+	case policyapi.SetTimer:
 		parts = []any{"SLEEP", from, int64(o.After), int64(o.Token)}
-	case control.CheckHealth:
+	case policyapi.CheckHealth:
 		parts = []any{"HEALTH_CHECK", from, o.Endpoint}
-	case control.Broadcast:
+	case policyapi.Broadcast:
 		parts = []any{"BROADCAST_TO", from, "all", base64.StdEncoding.EncodeToString(o.Body)}
-	case control.SetWeight:
+	case policyapi.SetWeight:
 		parts = []any{"LINE", from, int(o.Table), number(o.Weight), o.Endpoint}
-	case control.ClearTable:
+	case policyapi.ClearTable:
 		parts = []any{"DROP_LINES", from, int(o.Table)}
-	case control.BindProxy:
+	case policyapi.BindProxy:
 		parts = []any{"INSTALL", from, int(o.Proxy), int(o.Table), uint64(o.Classes)}
-	case control.EjectEndpoint:
+	case policyapi.EjectEndpoint:
 		parts = []any{"MASK", from, o.Endpoint, flag(o.Ejected)}
-	case control.SetAdmission:
+	case policyapi.SetAdmission:
 		parts = []any{"GATE_CLASS", from, int(o.Table), uint64(o.Classes), number(o.Level), o.RetryPolicy}
-	case control.RequestAck:
+	case policyapi.RequestAck:
 		parts = []any{"MARK", from, int(o.AckID), flag(o.AllProxies)}
 	default:
 		parts = []any{"EXCEPTION", from, fmt.Sprintf("no wire form for %T", order)}
@@ -487,7 +489,7 @@
 }
 
 // Exception declares that an instance's decision code has failed.
-func (w *Writer) Exception(from control.InstanceID, text string) {
+func (w *Writer) Exception(from policyapi.InstanceID, text string) {
 	fmt.Fprintf(w.out, "EXCEPTION\t%s\t%s\n", from, strings.Join(strings.Fields(text), " "))
 }
 
--- a/wire/wire_test.go
+++ b/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 const up = `UP	coordinator-0	7	{"az":"a","localities":["a","b"],"me":0,"instances":1,"extra":{"x":1},` +
@@ -21,17 +21,17 @@
 	if err != nil || len(b.Events) != 4 || b.Now != 5 {
 		t.Fatalf("%+v, %v", b, err)
 	}
-	if k := b.Events[0].Event.(control.Start).Classes; len(k) != 2 || k[0].Idempotency != control.Idempotent ||
-		k[1].Idempotency != control.NotIdempotent || len(k[1].AllowedZones) != 1 || k[1].LatencyObjective != 1_000_000 {
+	if k := b.Events[0].Event.(policyapi.Start).Classes; len(k) != 2 || k[0].Idempotency != policyapi.Idempotent ||
+		k[1].Idempotency != policyapi.NotIdempotent || len(k[1].AllowedZones) != 1 || k[1].LatencyObjective != 1_000_000 {
 		t.Errorf("kinds %+v", k)
 	}
-	if e := b.Events[1].Event.(control.EndpointUpdate).Endpoints; len(e) != 1 || e[0].Weight != 1.5 || e[0].StartedAt != 0 {
+	if e := b.Events[1].Event.(policyapi.EndpointUpdate).Endpoints; len(e) != 1 || e[0].Weight != 1.5 || e[0].StartedAt != 0 {
 		t.Errorf("entries %+v", e)
 	}
-	if u := b.Events[2].Event.(control.ProxyLoad); u.Class != 1 || u.Requests != 9 || u.Proxy != 4 {
+	if u := b.Events[2].Event.(policyapi.ProxyLoad); u.Class != 1 || u.Requests != 9 || u.Proxy != 4 {
 		t.Errorf("usage %+v", u)
 	}
-	if h := b.Events[3].Event.(control.EndpointLoad); h.Attempts != 14 || h.Failures != 1 || h.Metrics["q"] != 3 {
+	if h := b.Events[3].Event.(policyapi.EndpointLoad); h.Attempts != 14 || h.Failures != 1 || h.Metrics["q"] != 3 {
 		t.Errorf("heard %+v", h)
 	}
 	if _, err := r.Read(); !errors.Is(err, io.EOF) {
@@ -68,9 +68,9 @@
 func TestOrdersAreWritten(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
-	w.Order("c", control.SetWeight{Table: 3, Endpoint: "b:1", Weight: 0.75})
-	w.Order("c", control.SetAdmission{Table: control.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1})
-	w.Order("c", control.Log{Text: "two\tlines\nof it"})
+	w.Order("c", policyapi.SetWeight{Table: 3, Endpoint: "b:1", Weight: 0.75})
+	w.Order("c", policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1})
+	w.Order("c", policyapi.Log{Text: "two\tlines\nof it"})
 	w.Exception("c", "out of\nrange")
 	w.End()
 	want := "LINE\tc\t3\t0.75\tb:1\nGATE_CLASS\tc\t65535\t2\t1e+06\t1\nRECORD\tc\ttwo lines of it\n" +
--- a/solver/estimate.go
+++ b/solver/estimate.go
@@ -3,14 +3,14 @@
 import (
 	"math"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // CapacityEstimator learns what nodes can do: reqs done in a busy second, in a histogram of four bins by busy share, halved
 // when full; and what a req of each kind costs beside the others, by how long it takes where nobody waits.
 type CapacityEstimator struct {
 	kinds int
-	nodes map[control.EndpointID]*speed
+	nodes map[policyapi.EndpointID]*speed
 	costs []bin // by kind: answers and their time
 }
 
@@ -30,12 +30,12 @@
 
 // NewCapacityEstimator starts with nothing known, of so many kinds.
 func NewCapacityEstimator(kinds int) *CapacityEstimator {
-	return &CapacityEstimator{kinds: kinds, nodes: map[control.EndpointID]*speed{}, costs: make([]bin, kinds)}
+	return &CapacityEstimator{kinds: kinds, nodes: map[policyapi.EndpointID]*speed{}, costs: make([]bin, kinds)}
 }
 
 // Round takes in what all gateways met at a node in so many seconds: its own busy share if it told one (else below 0)
 // and what was met by kind. It is learned from warm nodes only: a cold one would pass for slow for long.
-func (e *CapacityEstimator) Round(node control.EndpointID, seconds, busy float64, warm bool, heard []control.EndpointClassLoad) {
+func (e *CapacityEstimator) Round(node policyapi.EndpointID, seconds, busy float64, warm bool, heard []policyapi.EndpointClassLoad) {
 	if !(busy > idle) || !warm || seconds <= 0 {
 		return
 	}
@@ -71,10 +71,10 @@
 }
 
 // Forget drops a node: another process under its name is learned anew.
-func (e *CapacityEstimator) Forget(node control.EndpointID) { delete(e.nodes, node) }
+func (e *CapacityEstimator) Forget(node policyapi.EndpointID) { delete(e.nodes, node) }
 
 // Capacity is what a node can do when warm, in mean reqs a second; NaN while too little is known.
-func (e *CapacityEstimator) Capacity(node control.EndpointID) float64 {
+func (e *CapacityEstimator) Capacity(node policyapi.EndpointID) float64 {
 	s := e.nodes[node]
 	if s == nil {
 		return math.NaN()
--- a/solver/judge.go
+++ b/solver/judge.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // ClassHealth tells which node fails which request kind while it serves others. It is given what was met at each node by
@@ -24,15 +24,15 @@
 }
 
 type pair struct {
-	node control.EndpointID
+	node policyapi.EndpointID
 	kind int
 }
 
 type record struct {
 	tries, errored float64
 	state          state
-	since, retryAt control.Microseconds
-	backoff        control.Microseconds
+	since, retryAt policyapi.Microseconds
+	backoff        policyapi.Microseconds
 	trialTries     float64
 	trialErrored   float64
 }
@@ -59,8 +59,8 @@
 	odds        = 7 // log of a thousand
 	leastErrors = 4 // by fewer nobody is judged
 	leastBase   = 0.03
-	firstRetry  = control.Microseconds(4_000_000)
-	lastRetry   = control.Microseconds(32_000_000)
+	firstRetry  = policyapi.Microseconds(4_000_000)
+	lastRetry   = policyapi.Microseconds(32_000_000)
 	trialTries  = 5   // that a trial takes
 	trialWell   = 0.3 // part of them that may err
 	wellLeast   = 0.2 // with a smaller part of the nodes well for a kind, marks are passed over
@@ -73,7 +73,7 @@
 
 // Round closes a round: heard is what was met since the last one, ready who is listed as ready. It returns a line for
 // each change, with the figures that caused it.
-func (j *ClassHealth) Round(now control.Microseconds, heard []control.EndpointClassLoad, ready []control.EndpointID) (lines []string) {
+func (j *ClassHealth) Round(now policyapi.Microseconds, heard []policyapi.EndpointClassLoad, ready []policyapi.EndpointID) (lines []string) {
 	for _, r := range j.pairs {
 		r.tries, r.errored = r.tries/2, r.errored/2
 	}
@@ -91,7 +91,7 @@
 			r.trialTries, r.trialErrored = r.trialTries+float64(h.Attempts), r.trialErrored+float64(h.Failures)
 		}
 	}
-	listed := map[control.EndpointID]bool{}
+	listed := map[policyapi.EndpointID]bool{}
 	for _, b := range ready {
 		listed[b] = true
 	}
@@ -119,7 +119,7 @@
 }
 
 // peers is the error part that a kind has at the nodes that do best by it.
-func (j *ClassHealth) peers(k int, ready []control.EndpointID) float64 {
+func (j *ClassHealth) peers(k int, ready []policyapi.EndpointID) float64 {
 	var parts []float64
 	for _, b := range ready {
 		if r := j.pairs[pair{b, k}]; r != nil && r.tries >= 2 {
@@ -134,7 +134,7 @@
 }
 
 // others is the error part that a node has by all other kinds, with a little doubt where few were met.
-func (j *ClassHealth) others(b control.EndpointID, k int) float64 {
+func (j *ClassHealth) others(b policyapi.EndpointID, k int) float64 {
 	tries, errored := 0.0, 0.0
 	for o := range j.kinds {
 		if r := j.pairs[pair{b, o}]; r != nil && o != k {
@@ -147,7 +147,7 @@
 	return errored / tries
 }
 
-func (j *ClassHealth) judge(now control.Microseconds, b control.EndpointID, k int, r *record, peers float64) string {
+func (j *ClassHealth) judge(now policyapi.Microseconds, b policyapi.EndpointID, k int, r *record, peers float64) string {
 	switch r.state {
 	case failing:
 		if now >= r.retryAt {
@@ -190,13 +190,13 @@
 	return errored*math.Log(q/base) + (tries-errored)*math.Log((1-q)/(1-base))
 }
 
-func (j *ClassHealth) fail(now control.Microseconds, r *record) {
+func (j *ClassHealth) fail(now policyapi.Microseconds, r *record) {
 	r.backoff = min(lastRetry, max(firstRetry, 2*r.backoff))
 	r.state, r.since, r.retryAt = failing, now, now+r.backoff
 }
 
 // look passes marks over where too few nodes are left for a kind: the fault is likelier one that all share.
-func (j *ClassHealth) look(k int, ready []control.EndpointID) string {
+func (j *ClassHealth) look(k int, ready []policyapi.EndpointID) string {
 	left := 0
 	for _, b := range ready {
 		if r := j.pairs[pair{b, k}]; r == nil || r.state != failing {
@@ -211,14 +211,14 @@
 }
 
 // Forget drops all that is held against a node: another process under its name is judged anew.
-func (j *ClassHealth) Forget(b control.EndpointID) {
+func (j *ClassHealth) Forget(b policyapi.EndpointID) {
 	for k := range j.kinds {
 		delete(j.pairs, pair{b, k})
 	}
 }
 
 // ClassStatus tells how a node stands with a kind.
-func (j *ClassHealth) Status(b control.EndpointID, k int) ClassStatus {
+func (j *ClassHealth) Status(b policyapi.EndpointID, k int) ClassStatus {
 	r := j.pairs[pair{b, k}]
 	switch {
 	case r == nil || r.state == well || j.blind[k]:
@@ -232,9 +232,9 @@
 
 // Ejection is held against a node for a kind.
 type Ejection struct {
-	Endpoint control.EndpointID   `json:"node"`
-	Class    int                  `json:"kind"`
-	Backoff  control.Microseconds `json:"backoff_us"`
+	Endpoint policyapi.EndpointID   `json:"node"`
+	Class    int                    `json:"kind"`
+	Backoff  policyapi.Microseconds `json:"backoff_us"`
 }
 
 // Ejections lists what is held against nodes, on trial ones too, in the order of their names.
@@ -250,7 +250,7 @@
 
 // Restore puts nodes that had marks before on trial: by a tenth of their weight a few reqs soon tell. The backoff counts on
 // if one fails again.
-func (j *ClassHealth) Restore(now control.Microseconds, marks []Ejection) {
+func (j *ClassHealth) Restore(now policyapi.Microseconds, marks []Ejection) {
 	for _, m := range marks {
 		if m.Class >= 0 && m.Class < j.kinds {
 			j.pairs[pair{m.Endpoint, m.Class}] = &record{state: trial, since: now, backoff: min(max(m.Backoff, firstRetry), lastRetry)}
--- a/solver/solver_test.go
+++ b/solver/solver_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	"porthub/control"
+	"porthub/policyapi"
 	"porthub/solver"
 	"porthub/solver/fleets"
 )
@@ -232,34 +232,34 @@
 }
 
 // heard is a second of n tries at each of some nodes for each kind; errs tells which part errs.
-func heard(nodes []control.EndpointID, kinds, n int, errs func(node control.EndpointID, kind int) float64) (out []control.EndpointClassLoad) {
+func heard(nodes []policyapi.EndpointID, kinds, n int, errs func(node policyapi.EndpointID, kind int) float64) (out []policyapi.EndpointClassLoad) {
 	for _, b := range nodes {
 		for k := range kinds {
-			out = append(out, control.EndpointClassLoad{Endpoint: b, Class: control.RequestClass(k), Attempts: n, Failures: int(math.Round(float64(n) * errs(b, k)))})
+			out = append(out, policyapi.EndpointClassLoad{Endpoint: b, Class: policyapi.RequestClass(k), Attempts: n, Failures: int(math.Round(float64(n) * errs(b, k)))})
 		}
 	}
 	return out
 }
 
 func TestJudge(t *testing.T) {
-	nodes := []control.EndpointID{"a", "b", "c", "d", "e"}
-	const second = control.Microseconds(1_000_000)
+	nodes := []policyapi.EndpointID{"a", "b", "c", "d", "e"}
+	const second = policyapi.Microseconds(1_000_000)
 	for name, c := range map[string]struct {
 		n     int
-		errs  func(control.EndpointID, int) float64
-		fails []control.EndpointID // of kind 1, within 10 s
+		errs  func(policyapi.EndpointID, int) float64
+		fails []policyapi.EndpointID // of kind 1, within 10 s
 	}{
-		"one fails one kind":         {5, func(b control.EndpointID, k int) float64 { return part(b == "a" && k == 1, 0.9) }, []control.EndpointID{"a"}},
-		"three of five do":           {5, func(b control.EndpointID, k int) float64 { return part(b <= "c" && k == 1, 1) }, []control.EndpointID{"a", "b", "c"}},
-		"the kind is down":           {5, func(_ control.EndpointID, k int) float64 { return part(k == 1, 1) }, nil},
-		"a node fails everything":    {5, func(b control.EndpointID, _ int) float64 { return part(b == "a", 1) }, nil},
-		"all err a little":           {10, func(control.EndpointID, int) float64 { return 0.2 }, nil},
-		"few samples, few errors":    {1, func(b control.EndpointID, k int) float64 { return part(b == "a" && k == 1, 0) }, nil},
-		"one try a second, it fails": {1, func(b control.EndpointID, k int) float64 { return part(b == "a" && k == 1, 1) }, nil},
+		"one fails one kind":         {5, func(b policyapi.EndpointID, k int) float64 { return part(b == "a" && k == 1, 0.9) }, []policyapi.EndpointID{"a"}},
+		"three of five do":           {5, func(b policyapi.EndpointID, k int) float64 { return part(b <= "c" && k == 1, 1) }, []policyapi.EndpointID{"a", "b", "c"}},
+		"the kind is down":           {5, func(_ policyapi.EndpointID, k int) float64 { return part(k == 1, 1) }, nil},
+		"a node fails everything":    {5, func(b policyapi.EndpointID, _ int) float64 { return part(b == "a", 1) }, nil},
+		"all err a little":           {10, func(policyapi.EndpointID, int) float64 { return 0.2 }, nil},
+		"few samples, few errors":    {1, func(b policyapi.EndpointID, k int) float64 { return part(b == "a" && k == 1, 0) }, nil},
+		"one try a second, it fails": {1, func(b policyapi.EndpointID, k int) float64 { return part(b == "a" && k == 1, 1) }, nil},
 	} {
 		j := solver.NewClassHealth(3)
 		for s := range 10 {
-			j.Round(control.Microseconds(s)*second, heard(nodes, 3, c.n, c.errs), nodes)
+			j.Round(policyapi.Microseconds(s)*second, heard(nodes, 3, c.n, c.errs), nodes)
 		}
 		for _, b := range nodes {
 			want := false
@@ -285,9 +285,9 @@
 // What has failed is tried by a little, later each time it fails again, and serves again once it has shown itself; all
 // nodes failing in turn never leave a kind without any.
 func TestJudgeRecovery(t *testing.T) {
-	nodes := []control.EndpointID{"a", "b", "c", "d"}
+	nodes := []policyapi.EndpointID{"a", "b", "c", "d"}
 	j := solver.NewClassHealth(2)
-	const second = control.Microseconds(1_000_000)
+	const second = policyapi.Microseconds(1_000_000)
 	bad := true
 	trials, was, lines := 0, solver.ClassHealthy, 0
 	for s := range 110 {
@@ -299,7 +299,7 @@
 			trials++
 		}
 		was = v
-		lines += len(j.Round(control.Microseconds(s)*second, heard(nodes, 2, 5, func(b control.EndpointID, k int) float64 {
+		lines += len(j.Round(policyapi.Microseconds(s)*second, heard(nodes, 2, 5, func(b policyapi.EndpointID, k int) float64 {
 			return part(b == "a" && k == 1 && bad, 1)
 		}), nodes))
 	}
@@ -308,7 +308,7 @@
 	}
 	j = solver.NewClassHealth(2)
 	for s := range 40 {
-		j.Round(control.Microseconds(s)*second, heard(nodes, 2, 20, func(b control.EndpointID, k int) float64 {
+		j.Round(policyapi.Microseconds(s)*second, heard(nodes, 2, 20, func(b policyapi.EndpointID, k int) float64 {
 			return part(k == 1 && int(b[0]-'a') <= s/8, 1)
 		}), nodes)
 		left := 0
@@ -387,7 +387,7 @@
 		t.Error("something is known of nobody")
 	}
 	round := func(busy, rate float64, warm bool) {
-		e.Round("a", 1, busy, warm, []control.EndpointClassLoad{{Class: 0, Attempts: int(rate * busy), MeanLatency: 100_000}, {Class: 1, Attempts: int(rate * busy), MeanLatency: 300_000}})
+		e.Round("a", 1, busy, warm, []policyapi.EndpointClassLoad{{Class: 0, Attempts: int(rate * busy), MeanLatency: 100_000}, {Class: 1, Attempts: int(rate * busy), MeanLatency: 300_000}})
 	}
 	for range 20 {
 		round(0.5, 40, true)
--- a/desk/desk.go
+++ b/tui/desk.go
@@ -1,4 +1,4 @@
-package desk
+package tui
 
 import (
 	"cmp"
--- a/desk/desk_test.go
+++ b/tui/desk_test.go
@@ -1,4 +1,4 @@
-package desk
+package tui
 
 import (
 	"errors"
@@ -13,10 +13,10 @@
 	tea "charm.land/bubbletea/v2"
 	"github.com/charmbracelet/x/ansi"
 
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/intake"
-	"porthub/service"
+	"porthub/degradation"
+	"porthub/loadreport"
+	"porthub/policyapi"
 )
 
 var update = flag.Bool("update", false, "write the sessions anew")
@@ -31,15 +31,15 @@
 func (f *fixed) Move(int) bool        { return false }
 func (f *fixed) Name() string         { return "127.0.0.1:7070" }
 
-const second control.Microseconds = 1_000_000
+const second policyapi.Microseconds = 1_000_000
 
 // night is a fleet on a bad night: a hall lost, a node that fails a kind, a gateway away, a level in force.
 func night(nodes int) Frame {
-	zones := []control.Zone{"hala-a", "hala-b", "hala-ż-北"}
+	zones := []policyapi.Zone{"hala-a", "hala-b", "hala-ż-北"}
 	m := Frame{Overview: coordinator.Overview{Now: 5000 * second, StartedAt: 1000 * second, Build: "test", Classes: []string{"schedule", "save-sim"}, LinesInFlight: 120, LineLimit: 8000,
-		Sampling: intake.Stats{Reports: 4321, SampledFraction: 0.5, Reporting: 14, Silent: 1, ReportsPerGateway: 0.98}}}
+		Sampling: loadreport.Stats{Reports: 4321, SampledFraction: 0.5, Reporting: 14, Silent: 1, ReportsPerGateway: 0.98}}}
 	for i := range nodes {
-		n := coordinator.EndpointOverview{Endpoint: control.EndpointID(fmt.Sprintf("10.0.0.%d:8080", i)), Zone: zones[i%3], State: "ready", Since: 1200 * second, WarmUpProgress: 1, Capacity: 20,
+		n := coordinator.EndpointOverview{Endpoint: policyapi.EndpointID(fmt.Sprintf("10.0.0.%d:8080", i)), Zone: zones[i%3], State: "ready", Since: 1200 * second, WarmUpProgress: 1, Capacity: 20,
 			Attempts: float64(i), Utilization: float64(i%10) / 10, Queue: 0.5, LastReport: 4999 * second, Senders: 5}
 		switch {
 		case i%3 == 1:
@@ -66,9 +66,9 @@
 			m.Traffic = append(m.Traffic, coordinator.Traffic{Zone: z, Class: k, Demand: 50, Admitted: 40, Endpoints: 12})
 		}
 	}
-	m.Levels = coordinator.DegradationStatus{Now: m.Now, Levels: []string{"usual", "tight"}, Scopes: []service.ScopeStatus{{Level: 1, Name: "tight", Since: 4900 * second,
+	m.Levels = coordinator.DegradationStatus{Now: m.Now, Levels: []string{"usual", "tight"}, Scopes: []degradation.ScopeStatus{{Level: 1, Name: "tight", Since: 4900 * second,
 		Reason: "lost 0.33, it is entered at 0.30", EndConditions: []string{"lost is 0.33 and must be at 0.10"}}, {Zone: zones[0], Name: "usual"}},
-		Overrides: []service.Override{{ID: 2, Action: service.ForbidLevel, Level: 1, Until: 5600 * second, Reason: "noon"}}}
+		Overrides: []degradation.Override{{ID: 2, Action: degradation.ForbidLevel, Level: 1, Until: 5600 * second, Reason: "noon"}}}
 	m.Log = []Record{{At: 4900 * second, Level: "warn", Event: "service_level", Text: "the fleet: usual to tight: lost 0.33"},
 		{At: 4990 * second, Level: "info", Event: "solver", Text: "10.0.0.3:8080 fails kind schedule", Subject: "10.0.0.3:8080"}}
 	return m
--- a/desk/draw.go
+++ b/tui/draw.go
@@ -1,4 +1,4 @@
-package desk
+package tui
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"charm.land/lipgloss/v2"
 	"github.com/charmbracelet/x/ansi"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 var (
@@ -195,8 +195,8 @@
 	return out
 }
 
-func (m Model) zones() (zones []control.Zone) {
-	seen := map[control.Zone]bool{}
+func (m Model) zones() (zones []policyapi.Zone) {
+	seen := map[policyapi.Zone]bool{}
 	for _, t := range m.moment.Traffic {
 		if !seen[t.Zone] {
 			seen[t.Zone] = true
@@ -331,7 +331,7 @@
 }
 
 // length is a length of time in few letters.
-func length(d control.Microseconds) string {
+func length(d policyapi.Microseconds) string {
 	t := time.Duration(d) * time.Microsecond
 	switch {
 	case t < 0:
--- a/xds/delta.go
+++ b/xds/delta.go
@@ -12,7 +12,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"porthub/tables"
+	"porthub/routing"
 )
 
 // LineType is the type URL of one line, as LEDS has it. DeltaPath and RouteDeltaPath are where DeltaDiscoveryRequests for
@@ -24,23 +24,23 @@
 )
 
 // A line's resource name is kind/zone/address; its version tells weight and whether it is withheld.
-func lineName(kind string, l tables.ClusterEndpoint) string {
+func lineName(kind string, l routing.ClusterEndpoint) string {
 	return kind + "/" + string(l.Zone) + "/" + string(l.Endpoint)
 }
 
-func lineVersion(l tables.ClusterEndpoint) string {
+func lineVersion(l routing.ClusterEndpoint) string {
 	if l.Withheld {
 		return fmt.Sprintf("%d.w", weight(l))
 	}
 	return fmt.Sprintf("%d", weight(l))
 }
 
-func weight(l tables.ClusterEndpoint) uint32 {
+func weight(l routing.ClusterEndpoint) uint32 {
 	return uint32(min(max(1, math.Round(l.Weight*WeightScale)), 1<<31))
 }
 
 // LineVersions are the names and versions of all lines of a snapshot, as initial_resource_versions has them.
-func LineVersions(s tables.Snapshot) map[string]string {
+func LineVersions(s routing.Snapshot) map[string]string {
 	out := map[string]string{}
 	for _, c := range s.Clusters {
 		for _, l := range c.Endpoints {
@@ -52,7 +52,7 @@
 
 // RouteVersions are the names and versions of all routes of a snapshot: by deltas each kind's is a RouteConfiguration of
 // its own, named by the kind.
-func RouteVersions(s tables.Snapshot) map[string]string {
+func RouteVersions(s routing.Snapshot) map[string]string {
 	out := map[string]string{}
 	for _, r := range s.Routes {
 		out[r.Class] = routeVersion(r)
@@ -60,7 +60,7 @@
 	return out
 }
 
-func routeVersion(r tables.Route) string {
+func routeVersion(r routing.Route) string {
 	if r.Fallback.Duration > 0 {
 		f := r.Fallback
 		return fmt.Sprintf("%g.%g.%d.%d-%d.%d.%g.%d", r.Rate, r.Share, r.RetryPolicy, r.Timeout, f.After, f.Duration, f.Share, f.RetryPolicy)
@@ -69,7 +69,7 @@
 }
 
 // RouteDelta is what leads a gateway that holds the routes given to a snapshot's.
-func RouteDelta(version, nonce string, held map[string]string, to tables.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
+func RouteDelta(version, nonce string, held map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	r := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: RouteType, Nonce: nonce}
 	seen := map[string]bool{}
 	for _, one := range to.Routes {
@@ -77,7 +77,7 @@
 		if seen[one.Class] = true; held[one.Class] == v {
 			continue
 		}
-		rc, err := configuration(one.Class, []tables.Route{one})
+		rc, err := configuration(one.Class, []routing.Route{one})
 		if err != nil {
 			return nil, err
 		}
@@ -97,8 +97,8 @@
 
 // ApplyRouteDelta makes the routes that a delta leads to, of the kinds given and in their order. A resource that can't be
 // read is an error and changes nothing.
-func ApplyRouteDelta(kinds []string, held []tables.Route, d *discoveryv3.DeltaDiscoveryResponse) ([]tables.Route, error) {
-	routes := map[string]tables.Route{}
+func ApplyRouteDelta(kinds []string, held []routing.Route, d *discoveryv3.DeltaDiscoveryResponse) ([]routing.Route, error) {
+	routes := map[string]routing.Route{}
 	for _, r := range held {
 		routes[r.Class] = r
 	}
@@ -119,7 +119,7 @@
 		}
 		routes[res.Name] = read[0]
 	}
-	var out []tables.Route
+	var out []routing.Route
 	for _, k := range kinds {
 		if r, has := routes[k]; has {
 			out = append(out, r)
@@ -129,7 +129,7 @@
 }
 
 // Delta is what leads a gateway that holds the lines given to a snapshot's clusters.
-func Delta(version, nonce string, held map[string]string, to tables.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
+func Delta(version, nonce string, held map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	r := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: LineType, Nonce: nonce}
 	seen := map[string]bool{}
 	for _, c := range to.Clusters {
@@ -159,8 +159,8 @@
 
 // ApplyDelta makes the clusters that a delta leads to, of the kinds given and in their order. What it was made from
 // stays as it is. A resource that can't be read is an error and changes nothing.
-func ApplyDelta(kinds []string, held tables.Snapshot, d *discoveryv3.DeltaDiscoveryResponse) ([]tables.Cluster, error) {
-	lines := map[string]tables.ClusterEndpoint{}
+func ApplyDelta(kinds []string, held routing.Snapshot, d *discoveryv3.DeltaDiscoveryResponse) ([]routing.Cluster, error) {
+	lines := map[string]routing.ClusterEndpoint{}
 	for _, c := range held.Clusters {
 		for _, l := range c.Endpoints {
 			lines[lineName(c.Class, l)] = l
@@ -180,7 +180,7 @@
 		}
 		lines[res.Name] = readLine(e, parts[2], parts[1])
 	}
-	out := make([]tables.Cluster, len(kinds))
+	out := make([]routing.Cluster, len(kinds))
 	index := map[string]int{}
 	for i, k := range kinds {
 		out[i].Class, index[k] = k, i
--- a/xds/fuzz_test.go
+++ b/xds/fuzz_test.go
@@ -5,12 +5,12 @@
 
 	loadv3 "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 
-	"porthub/tables"
+	"porthub/routing"
 )
 
 // Whatever a document or report holds, reading it ends in values or an error.
 func FuzzRead(f *testing.F) {
-	m, err := Endpoints("v", "n", []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
+	m, err := Endpoints("v", "n", []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	r, err := RouteDocument("v", "n", []tables.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
+	r, err := RouteDocument("v", "n", []routing.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/xds/shared.go
+++ b/xds/shared.go
@@ -7,7 +7,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"porthub/tables"
+	"porthub/routing"
 )
 
 // Shared is a response without the version and nonce of the gateway that it goes to. Gateways that are to hold the same
@@ -26,25 +26,25 @@
 }
 
 // ShareEndpoints is the response with whole clusters.
-func ShareEndpoints(clusters []tables.Cluster) (*Shared, error) {
+func ShareEndpoints(clusters []routing.Cluster) (*Shared, error) {
 	m, err := Endpoints("", "", clusters)
 	return &Shared{whole: m}, err
 }
 
 // ShareRoutes is the response with routes.
-func ShareRoutes(routes []tables.Route) (*Shared, error) {
+func ShareRoutes(routes []routing.Route) (*Shared, error) {
 	m, err := RouteDocument("", "", routes)
 	return &Shared{whole: m}, err
 }
 
 // ShareDelta is what leads a gateway that holds the lines given to a snapshot's clusters.
-func ShareDelta(held map[string]string, to tables.Snapshot) (*Shared, error) {
+func ShareDelta(held map[string]string, to routing.Snapshot) (*Shared, error) {
 	m, err := Delta("", "", held, to)
 	return &Shared{delta: m}, err
 }
 
 // ShareRouteDelta is what leads a gateway that holds the routes given to a snapshot's.
-func ShareRouteDelta(held map[string]string, to tables.Snapshot) (*Shared, error) {
+func ShareRouteDelta(held map[string]string, to routing.Snapshot) (*Shared, error) {
 	m, err := RouteDelta("", "", held, to)
 	return &Shared{delta: m}, err
 }
--- a/xds/speak.go
+++ b/xds/speak.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/structpb"
 
-	"porthub/control"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // The paths on which messages are posted. Those for documents are the published ones of REST xDS; load reports have
@@ -52,7 +52,7 @@
 	Report   uint64  // number of the report that this message carries, from 1
 	Checksum uint64  // of all that it holds (tables.Checksum); 0: it does not say
 	// Held are the versions of endpoints and routes that the checksum is of; empty: it does not say.
-	Held  [tables.DocumentCount]string
+	Held  [routing.DocumentCount]string
 	Polls bool // it polls for its tables; else it reads files
 	Hold  time.Duration
 }
@@ -67,7 +67,7 @@
 	}
 	if n.Checksum != 0 {
 		fields[metaChecksum] = strconv.FormatUint(n.Checksum, 16)
-		if n.Held != ([tables.DocumentCount]string{}) {
+		if n.Held != ([routing.DocumentCount]string{}) {
 			fields[metaHeld] = []any{n.Held[0], n.Held[1]}
 		}
 	}
@@ -108,7 +108,7 @@
 			return Node{}, fmt.Errorf("%w: node.metadata.%s is %q, no number of base 16", ErrNotXDS, metaChecksum, text)
 		}
 		node.Checksum = sum
-		if held := meta[metaHeld].GetListValue().GetValues(); len(held) == tables.DocumentCount {
+		if held := meta[metaHeld].GetListValue().GetValues(); len(held) == routing.DocumentCount {
 			for d, v := range held {
 				node.Held[d] = v.GetStringValue()
 			}
@@ -290,7 +290,7 @@
 }
 
 // Reporting answers a report: which clusters are wanted and how often.
-func Reporting(period control.Microseconds) *loadv3.LoadStatsResponse {
+func Reporting(period policyapi.Microseconds) *loadv3.LoadStatsResponse {
 	return &loadv3.LoadStatsResponse{SendAllClusters: true, ReportEndpointGranularity: true,
 		LoadReportingInterval: durationpb.New(time.Duration(period) * time.Microsecond)}
 }
--- a/xds/xds.go
+++ b/xds/xds.go
@@ -31,8 +31,8 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"porthub/control"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // The type URLs of the two documents.
@@ -42,7 +42,7 @@
 )
 
 // WeightScale is what a weight of 1 becomes: the published weights are whole numbers from 1 on.
-const WeightScale = tables.WeightScale
+const WeightScale = routing.WeightScale
 
 // KindHeader is the request header that names a req's kind.
 const KindHeader = "x-request-kind"
@@ -63,7 +63,7 @@
 const rateFilter = "envoy.filters.http.local_ratelimit"
 
 // Endpoints makes the document of a gateway's clusters.
-func Endpoints(version, nonce string, clusters []tables.Cluster) (*discoveryv3.DiscoveryResponse, error) {
+func Endpoints(version, nonce string, clusters []routing.Cluster) (*discoveryv3.DiscoveryResponse, error) {
 	r := &discoveryv3.DiscoveryResponse{VersionInfo: version, TypeUrl: EndpointType, Nonce: nonce}
 	for _, c := range clusters {
 		a, err := assignment(c)
@@ -79,7 +79,7 @@
 	return r, nil
 }
 
-func assignment(c tables.Cluster) (*endpointv3.ClusterLoadAssignment, error) {
+func assignment(c routing.Cluster) (*endpointv3.ClusterLoadAssignment, error) {
 	a := &endpointv3.ClusterLoadAssignment{ClusterName: c.Class}
 	var zone *endpointv3.LocalityLbEndpoints
 	for _, l := range c.Endpoints {
@@ -97,7 +97,7 @@
 }
 
 // lbEndpoint is one line as published.
-func lbEndpoint(l tables.ClusterEndpoint) (*endpointv3.LbEndpoint, error) {
+func lbEndpoint(l routing.ClusterEndpoint) (*endpointv3.LbEndpoint, error) {
 	address, err := Address(string(l.Endpoint))
 	if err != nil {
 		return nil, err
@@ -111,8 +111,8 @@
 }
 
 // readLine is a line as read, in a zone.
-func readLine(e *endpointv3.LbEndpoint, backend, zone string) tables.ClusterEndpoint {
-	return tables.ClusterEndpoint{Endpoint: control.EndpointID(backend), Zone: control.Zone(zone),
+func readLine(e *endpointv3.LbEndpoint, backend, zone string) routing.ClusterEndpoint {
+	return routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(backend), Zone: policyapi.Zone(zone),
 		Weight:   float64(e.GetLoadBalancingWeight().GetValue()) / WeightScale,
 		Withheld: e.HealthStatus == corev3.HealthStatus_DRAINING || e.HealthStatus == corev3.HealthStatus_UNHEALTHY}
 }
@@ -134,7 +134,7 @@
 }
 
 // RouteDocument makes the document of a gateway's routes.
-func RouteDocument(version, nonce string, routes []tables.Route) (*discoveryv3.DiscoveryResponse, error) {
+func RouteDocument(version, nonce string, routes []routing.Route) (*discoveryv3.DiscoveryResponse, error) {
 	rc, err := configuration(RouteName, routes)
 	if err != nil {
 		return nil, err
@@ -146,7 +146,7 @@
 	return &discoveryv3.DiscoveryResponse{VersionInfo: version, TypeUrl: RouteType, Nonce: nonce, Resources: []*anypb.Any{res}}, nil
 }
 
-func configuration(name string, routes []tables.Route) (*routev3.RouteConfiguration, error) {
+func configuration(name string, routes []routing.Route) (*routev3.RouteConfiguration, error) {
 	rc := &routev3.RouteConfiguration{Name: name, VirtualHosts: []*routev3.VirtualHost{{Name: "all", Domains: []string{"*"}}}}
 	for _, r := range routes {
 		one, err := route(r)
@@ -161,7 +161,7 @@
 // fillEvery is how often a rate's bucket is filled.
 const fillEvery = 100 * time.Millisecond
 
-func route(r tables.Route) (*routev3.Route, error) {
+func route(r routing.Route) (*routev3.Route, error) {
 	action := &routev3.RouteAction{
 		ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: r.Class},
 		Timeout:          durationpb.New(time.Duration(r.Timeout) * time.Microsecond),
@@ -247,8 +247,8 @@
 // Document is a read document: one of Clusters and Routes is set, by Type.
 type Document struct {
 	Type, Version, Nonce string
-	Clusters             []tables.Cluster
-	Routes               []tables.Route
+	Clusters             []routing.Cluster
+	Routes               []routing.Route
 }
 
 // Read reads a document as a gateway does. A text that is cut short or not a whole document is an error, and what
@@ -271,7 +271,7 @@
 			if err := res.UnmarshalTo(a); err != nil {
 				return d, fmt.Errorf("%w: resource %d: %v", ErrNotXDS, i, err)
 			}
-			c := tables.Cluster{Class: a.ClusterName}
+			c := routing.Cluster{Class: a.ClusterName}
 			for _, zone := range a.Endpoints {
 				for _, e := range zone.LbEndpoints {
 					c.Endpoints = append(c.Endpoints, readLine(e, hostport(e.GetEndpoint().GetAddress()), zone.GetLocality().GetZone()))
@@ -295,7 +295,7 @@
 	return d, nil
 }
 
-func readRoutes(rc *routev3.RouteConfiguration) (out []tables.Route, err error) {
+func readRoutes(rc *routev3.RouteConfiguration) (out []routing.Route, err error) {
 	for _, host := range rc.VirtualHosts {
 		for _, one := range host.Routes {
 			read, err := readRoute(one)
@@ -308,10 +308,10 @@
 	return out, nil
 }
 
-func readRoute(one *routev3.Route) (tables.Route, error) {
+func readRoute(one *routev3.Route) (routing.Route, error) {
 	action := one.GetRoute()
-	r := tables.Route{Class: action.GetCluster(), Rate: tables.UnlimitedRate, Share: 1,
-		Timeout: control.Microseconds(action.GetTimeout().AsDuration().Microseconds())}
+	r := routing.Route{Class: action.GetCluster(), Rate: routing.UnlimitedRate, Share: 1,
+		Timeout: policyapi.Microseconds(action.GetTimeout().AsDuration().Microseconds())}
 	if retry := action.GetRetryPolicy(); retry != nil {
 		if r.RetryPolicy = int(retry.GetNumRetries().GetValue()); strings.Contains(retry.RetryOn, "5xx") {
 			r.RetryPolicy++
@@ -324,7 +324,7 @@
 	}
 	if meta := one.GetMetadata().GetFilterMetadata()[FallbackMetadata].GetFields(); meta != nil {
 		number := func(key string) float64 { return meta[key].GetNumberValue() }
-		f := tables.Fallback{After: control.Microseconds(number(fallbackAfter)) * 1000, Duration: control.Microseconds(number(fallbackFor)) * 1000,
+		f := routing.Fallback{After: policyapi.Microseconds(number(fallbackAfter)) * 1000, Duration: policyapi.Microseconds(number(fallbackFor)) * 1000,
 			Share: number(fallbackShare), RetryPolicy: int(number(fallbackTry))}
 		if !(f.Share >= 0 && f.Share <= 1) || f.After < 0 || f.Duration < 0 || f.RetryPolicy < 0 || f.RetryPolicy > 3 {
 			return r, fmt.Errorf("%w: route %s: a fallback of %+v", ErrNotXDS, one.Name, f)
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -11,7 +11,7 @@
 	loadv3 "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/protobuf/proto"
 
-	"porthub/tables"
+	"porthub/routing"
 )
 
 func encoded(t *testing.T, m proto.Message, err error) []byte {
@@ -28,7 +28,7 @@
 
 // What is written is what is read: lines, weights, what is withheld, levels and second tries.
 func TestDocumentsThereAndBack(t *testing.T) {
-	clusters := []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 0.25},
+	clusters := []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 0.25},
 		{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 1, Withheld: true}, {Endpoint: "[::1]:3", Zone: "b", Weight: 3.5}}}, {Class: "save"}}
 	m, err := Endpoints("v1", "n1", clusters)
 	text := encoded(t, m, err)
@@ -36,9 +36,9 @@
 	if err != nil || d.Version != "v1" || d.Nonce != "n1" || !reflect.DeepEqual(d.Clusters, clusters) {
 		t.Errorf("%+v, %v", d, err)
 	}
-	for _, rate := range []float64{tables.UnlimitedRate, 0, 0.37, 1, 7.5, 333, 12345} {
+	for _, rate := range []float64{routing.UnlimitedRate, 0, 0.37, 1, 7.5, 333, 12345} {
 		for second := range 4 {
-			routes := []tables.Route{{Class: "view", Rate: rate, Share: 1, RetryPolicy: second, Timeout: 2_500_000}, {Class: "save", Rate: -1, Share: 0.25}}
+			routes := []routing.Route{{Class: "view", Rate: rate, Share: 1, RetryPolicy: second, Timeout: 2_500_000}, {Class: "save", Rate: -1, Share: 0.25}}
 			m, err := RouteDocument("v2", "n2", routes)
 			d, err := Read(encoded(t, m, err))
 			if err != nil || len(d.Routes) != 2 {
@@ -59,7 +59,7 @@
 			t.Fatalf("cut at %d of %d it is taken", n, len(text))
 		}
 	}
-	if _, err := Endpoints("v", "n", []tables.Cluster{{Class: "k", Endpoints: []tables.ClusterEndpoint{{Endpoint: "nowhere"}}}}); err == nil {
+	if _, err := Endpoints("v", "n", []routing.Cluster{{Class: "k", Endpoints: []routing.ClusterEndpoint{{Endpoint: "nowhere"}}}}); err == nil {
 		t.Error("a backend without a port is written")
 	}
 }
@@ -114,8 +114,8 @@
 
 // A shared response reads as the one made for a gateway alone, in both encodings, whole and by deltas.
 func TestShared(t *testing.T) {
-	from := tables.Snapshot{Clusters: []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
-	to := tables.Snapshot{Clusters: []tables.Cluster{{Class: "view", Endpoints: []tables.ClusterEndpoint{{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
+	from := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
+	to := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
 	whole, err := ShareEndpoints(to.Clusters)
 	if err != nil {
 		t.Fatal(err)
--- a/front/files/files.go
+++ b/xdsfile/files.go
@@ -1,4 +1,4 @@
-// Package files hands gateways their tables by the xDS v3 filesystem subscription: for each gateway a folder, in it a
+// Package xdsfile hands gateways their tables by the xDS v3 filesystem subscription: for each gateway a folder, in it a
 // DiscoveryResponse for each resource type, moved into place whole.
 //
 //	DIR/GATEWAY/eds.json   ClusterLoadAssignment, one resource a request kind
@@ -6,7 +6,7 @@
 //
 // EndpointsDocument are written before routes. A reader that opens either file reads one whole document, whatever happens to
 // the writer: the text goes to a hidden file beside it, is synced and renamed over it.
-package files
+package xdsfile
 
 import (
 	"errors"
--- a/front/files/files_test.go
+++ b/xdsfile/files_test.go
@@ -1,4 +1,4 @@
-package files_test
+package xdsfile_test
 
 import (
 	"errors"
@@ -11,28 +11,28 @@
 	"time"
 
 	"porthub/client"
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/front/files"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
+	"porthub/xdsfile"
 )
 
 func publication(n, lines int) coordinator.Publish {
-	c := tables.Cluster{Class: "view"}
+	c := routing.Cluster{Class: "view"}
 	for i := range lines {
-		c.Endpoints = append(c.Endpoints, tables.ClusterEndpoint{Endpoint: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i+1)), Zone: "a", Weight: float64(n + 1)})
+		c.Endpoints = append(c.Endpoints, routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", i+1)), Zone: "a", Weight: float64(n + 1)})
 	}
 	c.Sort()
 	v := fmt.Sprintf("e.%d", n)
-	return coordinator.Publish{Gateway: "gw", Version: v, Nonce: v, Snapshot: tables.Snapshot{Clusters: []tables.Cluster{c},
-		Routes: []tables.Route{{Class: "view", Rate: float64(n + 1), Share: 1}}}, Changed: [2]bool{true, true}, Sync: n%2 == 1}
+	return coordinator.Publish{Gateway: "gw", Version: v, Nonce: v, Snapshot: routing.Snapshot{Clusters: []routing.Cluster{c},
+		Routes: []routing.Route{{Class: "view", Rate: float64(n + 1), Share: 1}}}, Changed: [2]bool{true, true}, Sync: n%2 == 1}
 }
 
-func open(t *testing.T, dir string) (*files.Front, func() []error) {
+func open(t *testing.T, dir string) (*xdsfile.Front, func() []error) {
 	t.Helper()
 	var mu sync.Mutex
 	var errs []error
-	f, err := files.Open(dir, 3, func(_ coordinator.Gateway, err error) { mu.Lock(); defer mu.Unlock(); errs = append(errs, err) })
+	f, err := xdsfile.Open(dir, 3, func(_ coordinator.Gateway, err error) { mu.Lock(); defer mu.Unlock(); errs = append(errs, err) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -114,14 +114,14 @@
 	dir := t.TempDir()
 	f, _ := open(t, dir)
 	f.Publish(publication(1, 3))
-	path := filepath.Join(dir, "gw", files.RouteFile)
+	path := filepath.Join(dir, "gw", xdsfile.RouteFile)
 	within(t, "files", func() bool { _, err := os.Stat(path); return err == nil })
 	for _, left := range []string{".eds.json1234", ".rds.json99"} {
 		if err := os.WriteFile(filepath.Join(dir, "gw", left), []byte(`{"versi`), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n, err := files.Sweep(dir); n != 2 || err != nil {
+	if n, err := xdsfile.Sweep(dir); n != 2 || err != nil {
 		t.Errorf("swept %d, %v", n, err)
 	}
 	if _, err := os.Stat(path); err != nil {
--- a/front/poll/bench_test.go
+++ b/xdspoll/bench_test.go
@@ -1,4 +1,4 @@
-package poll
+package xdspoll
 
 import (
 	"fmt"
@@ -10,19 +10,19 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/xds"
 )
 
 // large is a gateway's snapshot: three kinds with so many lines each.
-func large(lines, version int) tables.Snapshot {
-	var s tables.Snapshot
+func large(lines, version int) routing.Snapshot {
+	var s routing.Snapshot
 	for k := range 3 {
-		c := tables.Cluster{Class: fmt.Sprint("kind-", k)}
+		c := routing.Cluster{Class: fmt.Sprint("kind-", k)}
 		for i := range lines {
-			l := tables.ClusterEndpoint{Endpoint: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", 1000+i)), Zone: "hala-a", Weight: 1}
+			l := routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", 1000+i)), Zone: "hala-a", Weight: 1}
 			if i == version%lines {
 				l.Weight = 1.5
 			}
--- a/front/poll/hub.go
+++ b/xdspoll/hub.go
@@ -1,9 +1,9 @@
-// Package poll hands gateways their tables by xDS over HTTP, held open until there is something new: the REST form
+// Package xdspoll hands gateways their tables by xDS over HTTP, held open until there is something new: the REST form
 // (DiscoveryRequest and DiscoveryResponse) for whole documents, and the incremental form (DeltaDiscoveryRequest and
 // DeltaDiscoveryResponse) for endpoints line by line, as LEDS has them. It keeps for each gateway its last publication
 // and a few before, answers a poll that holds an older one at once, and holds one that is up to date. It decides
 // nothing about what is published or when; that is the core's, as for files.
-package poll
+package xdspoll
 
 import (
 	"container/list"
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -59,7 +59,7 @@
 type past struct {
 	nonce    string
 	number   uint64
-	snapshot tables.Snapshot
+	snapshot routing.Snapshot
 }
 
 type waiter struct {
@@ -233,7 +233,7 @@
 	g := h.gateway(r.Gateway)
 	told := &Told{Version: g.version[r.Doc], Nonce: g.last.Nonce}
 	to := g.last.Snapshot
-	var base *tables.Snapshot
+	var base *routing.Snapshot
 	if e, has := g.byNonce[r.Nonce]; has && r.Nonce != "" {
 		s := e.Value.(past).snapshot
 		base = &s
@@ -298,7 +298,7 @@
 // shares is one made answer, and the clusters that it was made from: while it is kept, so are they, and no others can
 // stand where they stand.
 type shares struct {
-	from, to []tables.Cluster
+	from, to []routing.Cluster
 	once     sync.Once
 	shared   *xds.Shared
 	err      error
@@ -309,9 +309,9 @@
 
 // same makes an answer once for all gateways that go from the same clusters to the same. The core hands gateways of one
 // zone on one table the very same lines, so being the same is being in the same place.
-func (h *Hub) same(from, to []tables.Cluster, make func() (*xds.Shared, error)) (*xds.Shared, error) {
+func (h *Hub) same(from, to []routing.Cluster, make func() (*xds.Shared, error)) (*xds.Shared, error) {
 	var key strings.Builder
-	for _, clusters := range [][]tables.Cluster{from, to} {
+	for _, clusters := range [][]routing.Cluster{from, to} {
 		for _, c := range clusters {
 			fmt.Fprintf(&key, "%p %d %s ", c.Endpoints, len(c.Endpoints), c.Class)
 		}
--- a/front/poll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -1,4 +1,4 @@
-package poll
+package xdspoll
 
 import (
 	"errors"
@@ -13,9 +13,9 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -31,14 +31,14 @@
 }
 
 func publication(gw string, n int, lines ...int) coordinator.Publish {
-	c := tables.Cluster{Class: "view"}
+	c := routing.Cluster{Class: "view"}
 	for _, i := range lines {
-		c.Endpoints = append(c.Endpoints, tables.ClusterEndpoint{Endpoint: control.EndpointID(fmt.Sprintf("127.0.0.1:%d", i)), Zone: "a", Weight: 1})
+		c.Endpoints = append(c.Endpoints, routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", i)), Zone: "a", Weight: 1})
 	}
 	c.Sort()
 	v := fmt.Sprintf("e.%d", n)
-	return coordinator.Publish{Gateway: coordinator.Gateway(gw), Version: v, Nonce: v, Snapshot: tables.Snapshot{Clusters: []tables.Cluster{c},
-		Routes: []tables.Route{{Class: "view", Rate: tables.UnlimitedRate, Share: 1}}}, Changed: [2]bool{true, n == 1}}
+	return coordinator.Publish{Gateway: coordinator.Gateway(gw), Version: v, Nonce: v, Snapshot: routing.Snapshot{Clusters: []routing.Cluster{c},
+		Routes: []routing.Route{{Class: "view", Rate: routing.UnlimitedRate, Share: 1}}}, Changed: [2]bool{true, n == 1}}
 }
 
 func messageOf(t *Told) proto.Message {
@@ -111,7 +111,7 @@
 func TestDeltas(t *testing.T) {
 	h := NewHub(10, 3)
 	kinds := []string{"view"}
-	var held tables.Snapshot
+	var held routing.Snapshot
 	nonce := ""
 	take := func(lines map[string]string) told {
 		ch, cancel := ask(t, h, Request{Gateway: "gw", Doc: coordinator.EndpointsDocument, Delta: true, Nonce: nonce, Lines: lines, Hold: time.Millisecond})
@@ -133,7 +133,7 @@
 	}
 	same := func(p coordinator.Publish) {
 		t.Helper()
-		if !slices.EqualFunc(held.Clusters, p.Snapshot.Clusters, tables.Cluster.Equal) {
+		if !slices.EqualFunc(held.Clusters, p.Snapshot.Clusters, routing.Cluster.Equal) {
 			t.Fatalf("holds %v, published %v", held.Clusters, p.Snapshot.Clusters)
 		}
 	}
@@ -229,18 +229,18 @@
 		p := publication("gw", n, 1)
 		p.Changed, p.Snapshot.Routes = [2]bool{false, true}, nil
 		for i, r := range rates {
-			p.Snapshot.Routes = append(p.Snapshot.Routes, tables.Route{Class: kinds[i], Rate: r, Share: 1, Timeout: 1e6})
+			p.Snapshot.Routes = append(p.Snapshot.Routes, routing.Route{Class: kinds[i], Rate: r, Share: 1, Timeout: 1e6})
 		}
 		return p
 	}
 	h := NewHub(10, 3)
-	h.Publish(publish(1, 10, tables.UnlimitedRate, 5))
-	var held []tables.Route
+	h.Publish(publish(1, 10, routing.UnlimitedRate, 5))
+	var held []routing.Route
 	for n, want := range []struct{ set, gone, hold int }{{3, 0, 3}, {1, 0, 3}, {1, 1, 2}} {
 		r := Request{Gateway: "gw", Doc: coordinator.RoutesDocument, Hold: time.Minute, Delta: true}
 		if n > 0 {
 			r.Nonce = fmt.Sprintf("e.%d", n)
-			h.Publish([]coordinator.Publish{{}, publish(2, 20, tables.UnlimitedRate, 5), publish(3, 20, 0)}[n])
+			h.Publish([]coordinator.Publish{{}, publish(2, 20, routing.UnlimitedRate, 5), publish(3, 20, 0)}[n])
 		}
 		ch, _ := ask(t, h, r)
 		m, is := get(t, ch).m.(*discoveryv3.DeltaDiscoveryResponse)
--- a/front/poll/model_test.go
+++ b/xdspoll/model_test.go
@@ -1,4 +1,4 @@
-package poll
+package xdspoll
 
 import (
 	"errors"
@@ -10,9 +10,9 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"pgregory.net/rapid"
 
-	"porthub/control"
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -22,32 +22,32 @@
 	t       interface{ Errorf(string, ...any) }
 	spoil   bool // the gateways pass over lines that are gone
 	hub     *Hub
-	book    *tables.VersionStore
-	now     control.Microseconds
-	current tables.Weights
-	closed  map[control.EndpointID]bool
+	book    *routing.VersionStore
+	now     policyapi.Microseconds
+	current routing.Weights
+	closed  map[policyapi.EndpointID]bool
 	pin     int
 	epoch   int
 	n       int
-	last    tables.Snapshot
+	last    routing.Snapshot
 	gws     [2]*polled
 	failed  bool
 }
 
 // polled is a gateway: what it holds, and the answer that is on its way to it.
 type polled struct {
-	held   tables.Snapshot
+	held   routing.Snapshot
 	nonce  string
 	fresh  bool
 	answer *told
-	after  map[control.EndpointID]bool // what was closed when the answer was made
+	after  map[policyapi.EndpointID]bool // what was closed when the answer was made
 }
 
 var modelKinds = []string{"view"}
 
 func newModel(t interface{ Errorf(string, ...any) }, spoil bool) *model {
-	m := &model{t: t, spoil: spoil, hub: NewHub(10, 1), book: tables.NewVersionStore(8, 1e9), closed: map[control.EndpointID]bool{},
-		current: tables.Weights{"127.0.0.1:1": 1, "127.0.0.1:2": 1}}
+	m := &model{t: t, spoil: spoil, hub: NewHub(10, 1), book: routing.NewVersionStore(8, 1e9), closed: map[policyapi.EndpointID]bool{},
+		current: routing.Weights{"127.0.0.1:1": 1, "127.0.0.1:2": 1}}
 	for i := range m.gws {
 		m.gws[i] = &polled{fresh: true}
 	}
@@ -60,12 +60,12 @@
 	m.now++
 	m.n++
 	m.book.Put(m.now, 1, m.current, nil)
-	w, _, _ := m.book.Effective(1, 0, "a", m.current, func(b control.EndpointID) tables.EndpointEligibility {
-		return tables.EndpointEligibility{Closed: m.closed[b], Weight: m.current[b]}
+	w, _, _ := m.book.Effective(1, 0, "a", m.current, func(b policyapi.EndpointID) routing.EndpointEligibility {
+		return routing.EndpointEligibility{Closed: m.closed[b], Weight: m.current[b]}
 	})
-	c := tables.BuildCluster("view", w, func(control.EndpointID) (control.Zone, bool) { return "a", true },
-		func(b control.EndpointID) bool { return m.closed[b] })
-	m.last = tables.Snapshot{Clusters: []tables.Cluster{c}}
+	c := routing.BuildCluster("view", w, func(policyapi.EndpointID) (policyapi.Zone, bool) { return "a", true },
+		func(b policyapi.EndpointID) bool { return m.closed[b] })
+	m.last = routing.Snapshot{Clusters: []routing.Cluster{c}}
 	v := fmt.Sprintf("%d.%d", m.epoch, m.n)
 	for i := range m.gws {
 		m.hub.Publish(coordinator.Publish{Gateway: coordinator.Gateway(fmt.Sprint(i)), Version: v, Nonce: v, Snapshot: m.last,
@@ -80,7 +80,7 @@
 }{
 	{"change", func(m *model) {
 		m.current = maps.Clone(m.current)
-		m.current[control.EndpointID(fmt.Sprintf("127.0.0.1:%d", 3+m.n%3))] = float64(1 + m.n%2)
+		m.current[policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", 3+m.n%3))] = float64(1 + m.n%2)
 		m.publish()
 	}},
 	{"drain", func(m *model) {
@@ -91,7 +91,7 @@
 		m.publish()
 	}},
 	{"roll back", func(m *model) {
-		if p, err := m.book.Pin(m.now, tables.Pin{Scope: tables.Scope{Table: 1}, Version: 1, Reason: "model"}); err == nil {
+		if p, err := m.book.Pin(m.now, routing.Pin{Scope: routing.Scope{Table: 1}, Version: 1, Reason: "model"}); err == nil {
 			m.pin = p.ID
 			m.publish()
 		}
@@ -170,7 +170,7 @@
 			m.ask(i)
 			m.deliver(i)
 		}
-		if !slices.EqualFunc(g.held.Clusters, m.last.Clusters, tables.Cluster.Equal) {
+		if !slices.EqualFunc(g.held.Clusters, m.last.Clusters, routing.Cluster.Equal) {
 			m.fail("gateway %d holds %v, published was %v", i, g.held.Clusters, m.last.Clusters)
 		}
 	}
