--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -23,12 +23,12 @@
 type host struct {
 	instances map[policyapi.InstanceID]*policy.Instance
 	order     []policyapi.InstanceID // of the batch, in the order in which they first occur
-	events    map[policyapi.InstanceID][]policyapi.Event
+	events    map[policyapi.InstanceID][]simwire.Addressed
 }
 
 func serve(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	h := host{instances: map[policyapi.InstanceID]*policy.Instance{}, events: map[policyapi.InstanceID][]policyapi.Event{}}
+	h := host{instances: map[policyapi.InstanceID]*policy.Instance{}, events: map[policyapi.InstanceID][]simwire.Addressed{}}
 	for {
 		batch, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -51,7 +51,7 @@
 		if _, seen := h.events[ev.To]; !seen {
 			h.order = append(h.order, ev.To)
 		}
-		h.events[ev.To] = append(h.events[ev.To], ev.Event)
+		h.events[ev.To] = append(h.events[ev.To], ev)
 	}
 	for _, id := range h.order {
 		events := h.events[id]
@@ -68,26 +68,29 @@
 }
 
 // act runs one instance; its panic becomes a text. Events up to a crash are moot: their orders would die with it.
-func (h *host) act(id policyapi.InstanceID, now policyapi.Microseconds, events []policyapi.Event) (orders []policyapi.Order, failed string) {
+func (h *host) act(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.Addressed) (orders []policyapi.Order, failed string) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, failed = nil, fmt.Sprint(p)
 		}
 	}()
-	from := 0
-	for i, ev := range events {
-		switch e := ev.(type) {
-		case simwire.Crash:
+	var batch []policyapi.Event
+	for _, ev := range events {
+		if ev.Crash {
 			delete(h.instances, id)
-			from = i + 1
-		case policyapi.Start:
-			h.instances[id] = policy.New(e)
-			from = i + 1
+			batch = nil
+			continue
+		}
+		if start, isStart := ev.Event.(policyapi.Start); isStart {
+			h.instances[id] = policy.New(start)
+			batch = nil
+			continue
 		}
+		batch = append(batch, ev.Event)
 	}
 	instance := h.instances[id]
 	if instance == nil {
 		return nil, ""
 	}
-	return instance.Step(now, events[from:]), ""
+	return instance.Step(now, batch), ""
 }
--- a/coordinator/levels.go
+++ b/coordinator/levels.go
@@ -269,7 +269,7 @@
 		default:
 			r.guard = a.Level
 		}
-		r.secondTry = a.RetryPolicy
+		r.secondTry = int(a.RetryPolicy)
 	}
 	return r
 }
--- a/policy/choice.go
+++ b/policy/choice.go
@@ -636,9 +636,9 @@
 			payoffs[p.kinds[k].PriorityWeight] += u
 		}
 	}
-	second := 1 // on proof that the first never ran: suits every kind
+	second := policyapi.RetryIfNotExecuted // suits every kind
 	if p.letIn > 0 || p.erring > 0.2 {
-		second = 0 // where many are full a second try only fills another
+		second = policyapi.NoRetry // where many are full a second try only fills another
 	}
 	if p.letIn > 0 {
 		drop = max(0, sum(usage)-p.letIn)
@@ -944,7 +944,7 @@
 		change.owed = slices.Insert(change.owed, 0, best)
 	}
 	// A table's own level goes with its lines, so that it is there no later than what it guards.
-	second := 1
+	second := policyapi.RetryIfNotExecuted
 	for _, a := range c.plan.admits {
 		second = a.RetryPolicy
 	}
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -93,7 +93,7 @@
 			if o.Classes&1 != 0 {
 				h.most["level"] = max(h.most["level"], int(o.Level))
 			}
-			h.most["second try"] = max(h.most["second try"], o.RetryPolicy)
+			h.most["second try"] = max(h.most["second try"], int(o.RetryPolicy))
 			for p := range h.binds {
 				reached[p]++
 			}
--- a/policy/parts.go
+++ b/policy/parts.go
@@ -151,7 +151,8 @@
 	in.out.orders = nil
 	if !in.awake {
 		in.awake = true
-		events = append([]policyapi.Event{wake{}, policyapi.TimerFired{Token: beatToken}}, events...)
+		in.deliver(wake{})
+		in.deliver(in.onTimer(now, beatToken))
 	}
 	for _, ev := range events {
 		switch e := ev.(type) {
@@ -160,19 +161,10 @@
 		case policyapi.ProxyLoad:
 			in.lines, in.longest = in.lines+1, max(in.longest, e.Period)
 		case policyapi.TimerFired:
-			switch e.Token {
-			case beatToken:
-				in.out.add(policyapi.SetTimer{After: in.period, Token: beatToken})
-				ev = in.beat(now)
-			case retryToken:
-				ev = retry{}
-			default:
-				ev = wake{}
-			}
-		}
-		for _, p := range in.parts {
-			p.put(ev)
+			in.deliver(in.onTimer(now, e.Token))
+			continue
 		}
+		in.deliver(ev)
 	}
 	in.run(now)
 	for _, p := range []part{in.proxies, in.planner} {
@@ -182,6 +174,26 @@
 	return in.out.orders
 }
 
+// onTimer is what a timer means to the parts.
+func (in *Instance) onTimer(now micros, token policyapi.TimerToken) note {
+	switch token {
+	case beatToken:
+		in.out.add(policyapi.SetTimer{After: in.period, Token: beatToken})
+		return in.beat(now)
+	case retryToken:
+		return retry{}
+	default:
+		return wake{}
+	}
+}
+
+// deliver puts a note into the inboxes of all parts.
+func (in *Instance) deliver(n note) {
+	for _, p := range in.parts {
+		p.put(n)
+	}
+}
+
 // TakeOver tells a new instance, before its first batch, that it takes the place of one whose code has failed. The streams stand:
 // what that one had sent still counts against the limits on lines and messages.
 func (in *Instance) TakeOver(failed *Instance) { in.planner.channel.takeOver(failed.planner.channel) }
--- /dev/null
+++ b/policyapi/doc.go
@@ -0,0 +1,10 @@
+// Package policyapi is the interface between the decision module (package policy) and its hosts: the identifiers, the
+// settings that an instance starts with, the events that a host delivers and the orders that the instance returns.
+//
+// The package holds no behaviour and does no I/O. [Event] and [Order] are closed sets: only the value types of this
+// package, and host types that embed one of them, implement them. Hosts and the module switch on the concrete type.
+//
+// Times and durations are whole microseconds, rates are per second and weights are relative to each other, unless a
+// comment says otherwise. The cbor and json keys are those of captures and saved lists, so a field may be renamed but
+// its keys never change.
+package policyapi
--- /dev/null
+++ b/policyapi/events.go
@@ -0,0 +1,211 @@
+package policyapi
+
+import "fmt"
+
+// Event is something that a host reports to an instance. The set is closed.
+type Event interface{ isEvent() }
+
+// Start starts an instance. It has no tables and knows no proxies and no endpoints yet.
+type Start struct {
+	// Seed makes the random draws of instances differ.
+	Seed uint64 `cbor:"Seed" json:"Seed"`
+	// Self is this instance among its InstanceCount peers.
+	Self          PeerID `cbor:"Me" json:"Me"`
+	InstanceCount int    `cbor:"Instances" json:"Instances"`
+	// Zone is where the instance runs; Zones lists all zones.
+	Zone      Zone            `cbor:"Zone" json:"Zone"`
+	Zones     []Zone          `cbor:"Zones" json:"Zones"`
+	Classes   []ClassSettings `cbor:"Kinds" json:"Kinds"`
+	Rules     RuleSettings    `cbor:"Rules" json:"Rules"`
+	Channel   ChannelSettings `cbor:"Channel" json:"Channel"`
+	Reports   ReportSettings  `cbor:"Reports" json:"Reports"`
+	Admission AdmissionMode   `cbor:"Levels" json:"Levels"`
+	// ProxyCount is the number of proxies of all instances together.
+	ProxyCount int `cbor:"Proxies" json:"Proxies"`
+	// PollsList says that the endpoint list comes only after WatchEndpoints or Resync.
+	PollsList bool `cbor:"MustAsk" json:"MustAsk"`
+	// EjectionThreshold is the number of consecutive failures after which a proxy avoids an endpoint by itself; 0 is
+	// never.
+	EjectionThreshold int `cbor:"EjectAfter" json:"EjectAfter"`
+	// WeightsListed says that Endpoint.Weight is meaningful.
+	WeightsListed bool `cbor:"ListedWeight" json:"ListedWeight"`
+}
+
+// UpdateKind says how an EndpointUpdate relates to the list known before.
+type UpdateKind int
+
+// The values of UpdateKind.
+const (
+	Delta    UpdateKind = iota // the endpoints that changed
+	Snapshot                   // the complete list
+	Cached                     // a complete list saved earlier, possibly out of date
+	Failed                     // the list could not be read
+)
+
+// String returns the name of the kind in lower case.
+func (k UpdateKind) String() string {
+	switch k {
+	case Delta:
+		return "delta"
+	case Snapshot:
+		return "snapshot"
+	case Cached:
+		return "cached"
+	case Failed:
+		return "failed"
+	default:
+		return fmt.Sprintf("UpdateKind(%d)", int(k))
+	}
+}
+
+// EndpointStatus is the state of an endpoint in the list.
+type EndpointStatus int
+
+// The values of EndpointStatus.
+const (
+	Ready    EndpointStatus = iota // may receive requests
+	Draining                       // shuts down gracefully
+	Removed                        // no longer listed; occurs in deltas
+)
+
+// String returns the name of the status in lower case.
+func (s EndpointStatus) String() string {
+	switch s {
+	case Ready:
+		return "ready"
+	case Draining:
+		return "draining"
+	case Removed:
+		return "removed"
+	default:
+		return fmt.Sprintf("EndpointStatus(%d)", int(s))
+	}
+}
+
+// Endpoint is one entry of the endpoint list.
+type Endpoint struct {
+	ID   EndpointID `cbor:"Backend" json:"Backend"`
+	Zone Zone       `cbor:"Zone" json:"Zone"`
+	// Weight is the listed size relative to other endpoints. See Start.WeightsListed.
+	Weight float64 `cbor:"Weight" json:"Weight"`
+	Pod    PodID   `cbor:"Pod" json:"Pod"`
+	// StartedAt is when the process started; 0 is long ago.
+	StartedAt   Microseconds   `cbor:"Launched" json:"Launched"`
+	MachineType MachineType    `cbor:"Machine" json:"Machine"`
+	Status      EndpointStatus `cbor:"Status" json:"Status"`
+}
+
+// LoadMetrics are an endpoint's figures about itself, by the names that the load report protocol gives them, such as
+// "busy" (fraction of CPU in use), "q" (requests queued) and "rate" (requests served per second).
+type LoadMetrics map[string]float64
+
+// The events beside Start.
+type (
+	// EndpointUpdate is a change of the endpoint list, or the whole of it.
+	EndpointUpdate struct {
+		Version   ListVersion `cbor:"Version" json:"Version"`
+		Kind      UpdateKind  `cbor:"How" json:"How"`
+		Endpoints []Endpoint  `cbor:"Entries" json:"Entries"`
+	}
+	// TimerFired reports that a timer set by SetTimer has expired.
+	TimerFired struct {
+		Token TimerToken `cbor:"Token" json:"Token"`
+	}
+	// HealthCheckResult is the result of a CheckHealth.
+	HealthCheckResult struct {
+		Endpoint EndpointID   `cbor:"Backend" json:"Backend"`
+		Healthy  bool         `cbor:"OK" json:"OK"`
+		Code     string       `cbor:"Code" json:"Code"`
+		Duration Microseconds `cbor:"Took" json:"Took"`
+		Metrics  LoadMetrics  `cbor:"Loads" json:"Loads"`
+	}
+	// PeerMessage is a message that another instance sent with Broadcast.
+	PeerMessage struct {
+		From PeerID `cbor:"From" json:"From"`
+		Body []byte `cbor:"Body" json:"Body"`
+	}
+	// ProxyConnected reports that a proxy's stream is established.
+	ProxyConnected struct {
+		Proxy ProxyID `cbor:"Proxy" json:"Proxy"`
+		Zone  Zone    `cbor:"Zone" json:"Zone"`
+		// HasDefaultTableOnly says that the proxy has only the table it started with.
+		HasDefaultTableOnly bool `cbor:"Fresh" json:"Fresh"`
+		// Weight is the proxy's expected demand in requests per second, until its reports replace it.
+		Weight float64 `cbor:"Weight" json:"Weight"`
+	}
+	// ProxyDisconnected reports that a proxy's stream has ended.
+	ProxyDisconnected struct {
+		Proxy ProxyID `cbor:"Proxy" json:"Proxy"`
+	}
+	// EndpointLoad sums what the proxies of one zone observed of an endpoint during a period.
+	EndpointLoad struct {
+		Zone     Zone       `cbor:"Zone" json:"Zone"`
+		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
+		Attempts int        `cbor:"Tries" json:"Tries"`
+		Failures int        `cbor:"Errored" json:"Errored"`
+		// MeanLatency is the mean over the successful attempts; 0 if there were none.
+		MeanLatency Microseconds `cbor:"Answer" json:"Answer"`
+		Period      Microseconds `cbor:"Period" json:"Period"`
+		Metrics     LoadMetrics  `cbor:"Loads" json:"Loads"`
+	}
+	// EndpointClassLoad is the part of an EndpointLoad that belongs to one class. Hosts that cannot tell classes apart
+	// deliver none.
+	EndpointClassLoad struct {
+		Zone        Zone         `cbor:"Zone" json:"Zone"`
+		Endpoint    EndpointID   `cbor:"Backend" json:"Backend"`
+		Class       RequestClass `cbor:"Kind" json:"Kind"`
+		Attempts    int          `cbor:"Tries" json:"Tries"`
+		Failures    int          `cbor:"Errored" json:"Errored"`
+		MeanLatency Microseconds `cbor:"Answer" json:"Answer"`
+		Period      Microseconds `cbor:"Period" json:"Period"`
+	}
+	// ProxyLoad sums the requests of one class that arrived at a proxy during a period.
+	ProxyLoad struct {
+		Proxy    ProxyID      `cbor:"Proxy" json:"Proxy"`
+		Class    RequestClass `cbor:"Kind" json:"Kind"`
+		Requests int          `cbor:"Reqs" json:"Reqs"`
+		Failures int          `cbor:"Errored" json:"Errored"`
+		Period   Microseconds `cbor:"Period" json:"Period"`
+	}
+	// Acknowledged reports that a proxy has applied the message with this AckID and all before it.
+	Acknowledged struct {
+		Proxy ProxyID      `cbor:"Proxy" json:"Proxy"`
+		AckID AckID        `cbor:"Mark" json:"Mark"`
+		Delay Microseconds `cbor:"Took" json:"Took"`
+	}
+	// SliceLoad sums the requests of one class that arrived for a slice of the keys. Like SliceAssigned and
+	// SliceWeight it occurs only at sites with slices.
+	SliceLoad struct {
+		Table    TableID      `cbor:"Table" json:"Table"`
+		Class    RequestClass `cbor:"Kind" json:"Kind"`
+		Requests int          `cbor:"Reqs" json:"Reqs"`
+		Failures int          `cbor:"Errored" json:"Errored"`
+		Period   Microseconds `cbor:"Period" json:"Period"`
+	}
+	// SliceAssigned reports that a slice was assigned to this instance, or withdrawn from it.
+	SliceAssigned struct {
+		Assigned bool    `cbor:"On" json:"On"`
+		Table    TableID `cbor:"Table" json:"Table"`
+	}
+	// SliceWeight is a weight of a slice's table as the store has it.
+	SliceWeight struct {
+		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
+		Table    TableID    `cbor:"Table" json:"Table"`
+		Weight   float64    `cbor:"Weight" json:"Weight"`
+	}
+)
+
+func (Start) isEvent()             {}
+func (EndpointUpdate) isEvent()    {}
+func (TimerFired) isEvent()        {}
+func (HealthCheckResult) isEvent() {}
+func (PeerMessage) isEvent()       {}
+func (ProxyConnected) isEvent()    {}
+func (ProxyDisconnected) isEvent() {}
+func (EndpointLoad) isEvent()      {}
+func (EndpointClassLoad) isEvent() {}
+func (ProxyLoad) isEvent()         {}
+func (Acknowledged) isEvent()      {}
+func (SliceLoad) isEvent()         {}
+func (SliceAssigned) isEvent()     {}
+func (SliceWeight) isEvent()       {}
--- a/proxyproto/board.go
+++ b/proxyproto/board.go
@@ -145,7 +145,7 @@
 			}
 			for k := range b.kinds {
 				if in(o.Classes, k) {
-					gates[policyapi.RequestClass(k)] = gate{rounded(o.Level), o.RetryPolicy}
+					gates[policyapi.RequestClass(k)] = gate{rounded(o.Level), int(o.RetryPolicy)}
 					t.admitted[k] = t.admitted[k] || o.Table == policyapi.AllTables
 				}
 			}
--- a/proxyproto/board_test.go
+++ b/proxyproto/board_test.go
@@ -193,7 +193,7 @@
 				case 3:
 					all := rapid.IntRange(0, 2).Draw(t, "all")
 					g := gate{float64(rapid.IntRange(0, 4).Draw(t, "level")), rapid.IntRange(0, 1).Draw(t, "again")}
-					orders = append(orders, policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 1 << all, Level: g.level, RetryPolicy: g.again})
+					orders = append(orders, policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 1 << all, Level: g.level, RetryPolicy: policyapi.RetryPolicy(g.again)})
 					levels[tables][all] = g
 					for _, m := range streams {
 						m.told[all] = true
@@ -201,7 +201,7 @@
 					cost++
 				case 4:
 					g := gate{float64(rapid.IntRange(0, 4).Draw(t, "level")), rapid.IntRange(0, 1).Draw(t, "again")}
-					orders = append(orders, policyapi.SetAdmission{Table: policyapi.TableID(table), Classes: kinds, Level: g.level, RetryPolicy: g.again})
+					orders = append(orders, policyapi.SetAdmission{Table: policyapi.TableID(table), Classes: kinds, Level: g.level, RetryPolicy: policyapi.RetryPolicy(g.again)})
 					for k := range up.Classes {
 						if in(kinds, k) {
 							levels[table][k] = g
--- a/simwire/wire.go
+++ b/simwire/wire.go
@@ -16,12 +16,11 @@
 // Addressed is an event for one instance.
 type Addressed struct {
 	To    policyapi.InstanceID
-	Event policyapi.Event
+	Event policyapi.Event // nil if Crash
+	// Crash says that the instance is killed. It is the host's business, not the module's.
+	Crash bool
 }
 
-// Crash tells that an instance is killed; it is the host's business, not the module's.
-type Crash struct{}
-
 // Batch is what comes at one time.
 type Batch struct {
 	Now    policyapi.Microseconds
@@ -219,6 +218,7 @@
 func (r *Reader) event(f *fields) (Addressed, error) {
 	to := policyapi.InstanceID(f.text("i"))
 	var ev policyapi.Event
+	crash := false
 	switch f.name {
 	case "UP":
 		seed := f.seed("nonce64")
@@ -234,7 +234,7 @@
 		r.kinds[to] = names
 		ev = up
 	case "CRASH_NOW":
-		ev = Crash{}
+		crash = true
 	case "DISCOVERY":
 		list := policyapi.EndpointUpdate{Version: policyapi.ListVersion(f.whole("epoch"))}
 		how := f.text("how")
@@ -264,7 +264,7 @@
 			}
 			list.Endpoints = append(list.Endpoints, e)
 		}
-		return Addressed{to, list}, nil
+		return Addressed{To: to, Event: list}, nil
 	case "RING":
 		ev = policyapi.TimerFired{Token: policyapi.TimerToken(f.whole("nonce"))}
 	case "PROBE_DONE":
@@ -311,7 +311,7 @@
 	if err := f.close(); err != nil {
 		return Addressed{}, r.complain(err)
 	}
-	return Addressed{to, ev}, nil
+	return Addressed{To: to, Event: ev, Crash: crash}, nil
 }
 
 // kind turns a request kind's name into its position; -1 where the instance or the name is not known.
@@ -473,7 +473,7 @@
 	case policyapi.EjectEndpoint:
 		parts = []any{"MASK", from, o.Endpoint, flag(o.Ejected)}
 	case policyapi.SetAdmission:
-		parts = []any{"GATE_CLASS", from, int(o.Table), uint64(o.Classes), number(o.Level), o.RetryPolicy}
+		parts = []any{"GATE_CLASS", from, int(o.Table), uint64(o.Classes), number(o.Level), int(o.RetryPolicy)}
 	case policyapi.RequestAck:
 		parts = []any{"MARK", from, int(o.AckID), flag(o.AllProxies)}
 	default:
