--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -11,33 +11,33 @@
 // host is the tiny fake host of all stories: it gives an instance its events, keeps the clock and its timers, and
 // notes what the proxies would hold.
 type host struct {
-	t      *testing.T
-	in     *Instance
-	now    micros
-	rings  []ring
-	tables map[policyapi.TableID]map[policyapi.EndpointID]float64
-	binds  map[policyapi.ProxyID][]policyapi.TableID
-	admits map[policyapi.RequestClass]policyapi.SetAdmission
-	orders []policyapi.Order // of the last step
-	count  map[string]int
-	most   map[string]int
+	t          *testing.T
+	instance   *Instance
+	now        micros
+	timers     []timer
+	tables     map[policyapi.TableID]map[policyapi.EndpointID]float64
+	binds      map[policyapi.ProxyID][]policyapi.TableID
+	admissions map[policyapi.RequestClass]policyapi.SetAdmission
+	orders     []policyapi.Order // of the last step
+	count      map[string]int
+	highest    map[string]int
 
-	errors float64              // part of all tries that err
-	liar   policyapi.EndpointID // says that it is full
-	snail  policyapi.EndpointID // answers in four times the time
-	extra  int                  // reqs a second on top at proxy 0
-	deaf   bool                 // nobody acknowledges
-	mute   []policyapi.ProxyID  // these do not
-	queued float64              // lines written and not acknowledged
-	sent   map[policyapi.ProxyID][]micros
+	failureRate         float64              // part of all tries that err
+	falselyFull         policyapi.EndpointID // says that it is full
+	slowEndpoint        policyapi.EndpointID // answers in four times the time
+	extraRate           int                  // reqs a second on top at proxy 0
+	neverAcknowledge    bool                 // nobody acknowledges
+	unacknowledging     []policyapi.ProxyID  // these do not
+	unacknowledgedLines float64              // lines written and not acknowledged
+	sentAt              map[policyapi.ProxyID][]micros
 }
 
-type ring struct {
+type timer struct {
 	at    micros
 	token policyapi.TimerToken
 }
 
-func start(t *testing.T, change func(*policyapi.Start)) *host {
+func newHost(t *testing.T, change func(*policyapi.Start)) *host {
 	up := policyapi.Start{
 		Seed: 7, InstanceCount: 1, Zone: "a", Zones: []policyapi.Zone{"a", "b", "c"},
 		Classes: []policyapi.ClassSettings{
@@ -54,19 +54,19 @@
 	if change != nil {
 		change(&up)
 	}
-	return &host{t: t, in: New(up), now: 100 * second, tables: map[policyapi.TableID]map[policyapi.EndpointID]float64{},
-		binds: map[policyapi.ProxyID][]policyapi.TableID{}, admits: map[policyapi.RequestClass]policyapi.SetAdmission{}, count: map[string]int{},
-		most: map[string]int{}, sent: map[policyapi.ProxyID][]micros{}}
+	return &host{t: t, instance: New(up), now: 100 * second, tables: map[policyapi.TableID]map[policyapi.EndpointID]float64{},
+		binds: map[policyapi.ProxyID][]policyapi.TableID{}, admissions: map[policyapi.RequestClass]policyapi.SetAdmission{}, count: map[string]int{},
+		highest: map[string]int{}, sentAt: map[policyapi.ProxyID][]micros{}}
 }
 
-// tell gives events at the present time and carries out the orders.
-func (h *host) tell(events ...policyapi.Event) {
-	h.orders = h.in.Step(h.now, events)
+// step gives events at the present time and carries out the orders.
+func (h *host) step(events ...policyapi.Event) {
+	h.orders = h.instance.Step(h.now, events)
 	reached := map[policyapi.ProxyID]float64{}
 	for _, o := range h.orders {
 		switch o := o.(type) {
 		case policyapi.SetTimer:
-			h.rings = append(h.rings, ring{h.now + o.After, o.Token})
+			h.timers = append(h.timers, timer{h.now + o.After, o.Token})
 		case policyapi.SetWeight:
 			if h.tables[o.Table] == nil {
 				h.tables[o.Table] = map[policyapi.EndpointID]float64{}
@@ -91,15 +91,15 @@
 			}
 		case policyapi.SetAdmission:
 			if o.Classes&1 != 0 {
-				h.most["level"] = max(h.most["level"], int(o.Level))
+				h.highest["level"] = max(h.highest["level"], int(o.Level))
 			}
-			h.most["second try"] = max(h.most["second try"], int(o.RetryPolicy))
+			h.highest["second try"] = max(h.highest["second try"], int(o.RetryPolicy))
 			for p := range h.binds {
 				reached[p]++
 			}
 			for k := range policyapi.RequestClass(2) {
 				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
-					h.admits[k] = o
+					h.admissions[k] = o
 				}
 			}
 		case policyapi.WatchEndpoints:
@@ -110,45 +110,45 @@
 	}
 	var applied []policyapi.Event
 	for _, p := range slices.Sorted(maps.Keys(reached)) {
-		h.queued += reached[p] + 7
-		h.sent[p] = append(slices.DeleteFunc(h.sent[p], func(at micros) bool { return h.now-at > 10*second }), h.now)
-		h.most["messages"] = max(h.most["messages"], len(h.sent[p]))
+		h.unacknowledgedLines += reached[p] + 7
+		h.sentAt[p] = append(slices.DeleteFunc(h.sentAt[p], func(at micros) bool { return h.now-at > 10*second }), h.now)
+		h.highest["messages"] = max(h.highest["messages"], len(h.sentAt[p]))
 		for _, o := range h.orders {
-			if m, is := o.(policyapi.RequestAck); is && !slices.Contains(h.mute, p) {
+			if m, is := o.(policyapi.RequestAck); is && !slices.Contains(h.unacknowledging, p) {
 				applied = append(applied, policyapi.Acknowledged{Proxy: p, AckID: m.AckID, Delay: second / 5})
 			}
 		}
 	}
-	if len(applied) > 0 && !h.deaf {
-		h.queued = 0
-		h.in.Step(h.now, applied)
+	if len(applied) > 0 && !h.neverAcknowledge {
+		h.unacknowledgedLines = 0
+		h.instance.Step(h.now, applied)
 	}
 }
 
-// pass lets time go by in steps of a tenth of a second; each full second the reports of say are given first.
-func (h *host) pass(d micros, say func() []policyapi.Event) {
+// advance lets time go by in steps of a tenth of a second; each full second the reports of say are given first.
+func (h *host) advance(d micros, say func() []policyapi.Event) {
 	for end := h.now + d; h.now < end; {
 		h.now += second / 10
 		var events []policyapi.Event
 		if say != nil && h.now%second == 0 {
 			events = say()
 		}
-		var later []ring
-		for _, r := range h.rings {
+		var later []timer
+		for _, r := range h.timers {
 			if r.at <= h.now {
 				events = append(events, policyapi.TimerFired{Token: r.token})
 			} else {
 				later = append(later, r)
 			}
 		}
-		h.rings = later
+		h.timers = later
 		if len(events) > 0 {
-			h.tell(events...)
+			h.step(events...)
 		}
 	}
 }
 
-func ready(zone policyapi.Zone, ids ...policyapi.EndpointID) []policyapi.Endpoint {
+func readyEndpoints(zone policyapi.Zone, ids ...policyapi.EndpointID) []policyapi.Endpoint {
 	var entries []policyapi.Endpoint
 	for _, id := range ids {
 		entries = append(entries, policyapi.Endpoint{ID: id, Zone: zone, Weight: 1, MachineType: "std"})
@@ -156,18 +156,18 @@
 	return entries
 }
 
-// fleet starts with two backends in each of three zones and a proxy in each.
-func (h *host) fleet() {
-	entries := append(append(ready("a", "a1", "a2"), ready("b", "b1", "b2")...), ready("c", "c1", "c2")...)
-	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: entries})
+// startFleet starts with two backends in each of three zones and a proxy in each.
+func (h *host) startFleet() {
+	entries := append(append(readyEndpoints("a", "a1", "a2"), readyEndpoints("b", "b1", "b2")...), readyEndpoints("c", "c1", "c2")...)
+	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: entries})
 	for p, z := range []policyapi.Zone{"a", "b", "c"} {
-		h.tell(policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p), Zone: z, HasDefaultTableOnly: true, Weight: 20})
+		h.step(policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p), Zone: z, HasDefaultTableOnly: true, Weight: 20})
 	}
 }
 
-// steady reports rate reqs a second at each proxy, dealt to the backends by the table of the first kind. A backend
+// steadyReports reports rate reqs a second at each proxy, dealt to the backends by the table of the first kind. A backend
 // with ten tries a second is busy by the share given; silent ones answer nothing.
-func (h *host) steady(rate int, busy float64, answer micros, silent ...policyapi.EndpointID) func() []policyapi.Event {
+func (h *host) steadyReports(rate int, busy float64, answer micros, silent ...policyapi.EndpointID) func() []policyapi.Event {
 	return func() []policyapi.Event {
 		var events []policyapi.Event
 		var heard []policyapi.EndpointLoad
@@ -175,7 +175,7 @@
 		for p, z := range []policyapi.Zone{"a", "b", "c"} {
 			id, rate := policyapi.ProxyID(p), rate
 			if p == 0 {
-				rate += h.extra
+				rate += h.extraRate
 			}
 			for k := range policyapi.RequestClass(2) {
 				events = append(events, policyapi.ProxyLoad{Proxy: id, Class: k, Requests: rate / 2, Period: second})
@@ -189,16 +189,16 @@
 				if n := float64(rate) * lines[b] / all; !slices.Contains(silent, b) {
 					tries[b] += n
 					heard = append(heard, policyapi.EndpointLoad{Zone: z, Endpoint: b, Period: second, MeanLatency: answer,
-						Attempts: int(n + 0.5), Failures: int(h.errors*n + 0.5)})
+						Attempts: int(n + 0.5), Failures: int(h.failureRate*n + 0.5)})
 				}
 			}
 		}
 		for _, e := range heard {
 			e.Metrics = policyapi.LoadMetrics{"busy": min(1, busy*tries[e.Endpoint]/10)}
-			if e.Endpoint == h.liar {
+			if e.Endpoint == h.falselyFull {
 				e.Metrics["busy"] = 1
 			}
-			if e.Endpoint == h.snail {
+			if e.Endpoint == h.slowEndpoint {
 				e.MeanLatency *= 4
 			}
 			events = append(events, e)
--- a/policy/withdrawal_test.go
+++ b/policy/withdrawal_test.go
@@ -8,9 +8,9 @@
 	"porthub/policyapi"
 )
 
-// zoneOf starts a coordinator whose first zone has so many endpoints and proxies, in small groups.
-func zoneOf(t *testing.T, endpoints, proxies int, change func(*policyapi.Start)) (*host, []policyapi.EndpointID) {
-	h := start(t, func(up *policyapi.Start) {
+// newZoneHost starts a coordinator whose first zone has so many endpoints and proxies, in small groups.
+func newZoneHost(t *testing.T, endpoints, proxies int, change func(*policyapi.Start)) (*host, []policyapi.EndpointID) {
+	h := newHost(t, func(up *policyapi.Start) {
 		up.ProxyCount, up.Channel.EndpointConnections = 40, 20
 		if change != nil {
 			change(up)
@@ -20,22 +20,22 @@
 	for i := range endpoints {
 		ids = append(ids, policyapi.EndpointID("a"+string(rune('A'+i))))
 	}
-	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: ready("a", ids...)})
+	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: readyEndpoints("a", ids...)})
 	for p := range policyapi.ProxyID(proxies) {
-		h.tell(policyapi.ProxyConnected{Proxy: p, Zone: "a", HasDefaultTableOnly: true, Weight: 20})
+		h.step(policyapi.ProxyConnected{Proxy: p, Zone: "a", HasDefaultTableOnly: true, Weight: 20})
 	}
-	h.pass(3*second, nil)
+	h.advance(3*second, nil)
 	return h, ids
 }
 
-func (h *host) channel() *channel { return h.in.planner.channel }
+func (h *host) channel() *channel { return h.instance.planner.channel }
 
-func (h *host) drain(zone policyapi.Zone, ids ...policyapi.EndpointID) {
-	entries := ready(zone, ids...)
+func (h *host) drainEndpoints(zone policyapi.Zone, ids ...policyapi.EndpointID) {
+	entries := readyEndpoints(zone, ids...)
 	for i := range entries {
 		entries[i].Status = policyapi.Draining
 	}
-	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: entries})
+	h.step(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: entries})
 }
 
 // offers tells whether a proxy's table for a kind has an endpoint, by what was ordered.
@@ -43,34 +43,34 @@
 	return h.tables[h.binds[p][kind]][id] > 0
 }
 
-// wait keeps so much of the queue taken: routine, moves and joinings do not go out.
-func (h *host) wait(part float64) {
-	h.channel().left = []pendingMessage{{at: h.now, lines: part * h.channel().queueCap}}
+// fillQueue keeps so much of the queue taken: routine, moves and joinings do not go out.
+func (h *host) fillQueue(part float64) {
+	h.channel().departed = []pendingMessage{{sentAt: h.now, lines: part * h.channel().queueLimit}}
 }
 
 // A proxy is to move to another group and can't yet: the queue has no room for routine. Its old group has no proxies any more by the
 // plan, and loses an endpoint all the same. (Before, a group that nobody was meant to use was not planned, and what it held not
 // looked at.)
-func TestTableThatIsToBeLeftLosesEndpoints(t *testing.T) {
-	h, ids := zoneOf(t, 8, 1, nil)
-	planner, old := h.in.planner, h.in.planner.homes[0]
-	if planner.perZone < 2 {
-		t.Fatalf("%d groups", planner.perZone)
-	}
-	h.wait(0.5)
-	planner.homes[0] = (old + 1) % planner.perZone
+func TestTableToBeLeftLosesEndpoints(t *testing.T) {
+	h, ids := newZoneHost(t, 8, 1, nil)
+	planner, old := h.instance.planner, h.instance.planner.proxyGroup[0]
+	if planner.groupsPerZone < 2 {
+		t.Fatalf("%d groups", planner.groupsPerZone)
+	}
+	h.fillQueue(0.5)
+	planner.proxyGroup[0] = (old + 1) % planner.groupsPerZone
 	var mine policyapi.EndpointID
 	for _, id := range ids {
 		if h.offers(0, 0, id) {
 			mine = id
 		}
 	}
-	h.drain("a", mine)
+	h.drainEndpoints("a", mine)
 	for range 10 {
-		h.wait(0.5)
-		h.pass(second/10, nil)
+		h.fillQueue(0.5)
+		h.advance(second/10, nil)
 	}
-	if planner.homes[0] == old || h.channel().streams[0].replica.group != planner.groups[old].id {
+	if planner.proxyGroup[0] == old || h.channel().streams[0].replica.group != planner.groups[old].id {
 		t.Fatal("it was to be bound to the old group, and planned to another")
 	}
 	if h.offers(0, 0, mine) {
@@ -80,20 +80,20 @@
 
 // The last endpoint that a kind may go to drains: its table is planned, and empty. (Before, that passed for a table that is not
 // planned, and the proxies kept the endpoint for good.)
-func TestTableWithoutAnEndpointIsEmptied(t *testing.T) {
+func TestTableWithoutEndpointIsEmptied(t *testing.T) {
 	for name, limit := range map[string]func(*policyapi.ClassSettings){
 		"own zone":   func(k *policyapi.ClassSettings) { k.LocalZoneOnly = true },
 		"some zones": func(k *policyapi.ClassSettings) { k.AllowedZones = []policyapi.Zone{"a"} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, _ := zoneOf(t, 1, 1, func(up *policyapi.Start) { limit(&up.Classes[1]) })
-			h.tell(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: ready("b", "b1", "b2")})
-			h.pass(second, nil)
+			h, _ := newZoneHost(t, 1, 1, func(up *policyapi.Start) { limit(&up.Classes[1]) })
+			h.step(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: readyEndpoints("b", "b1", "b2")})
+			h.advance(second, nil)
 			if !h.offers(0, 1, "aA") {
 				t.Fatal("it is not offered what it may use")
 			}
-			h.drain("a", "aA")
-			h.pass(second, nil)
+			h.drainEndpoints("a", "aA")
+			h.advance(second, nil)
 			if h.offers(0, 1, "aA") || h.offers(0, 0, "aA") {
 				t.Error("a second after the drain it is still offered")
 			}
@@ -106,22 +106,22 @@
 
 // The list has more than doubled and the groups are made anew, while the proxies are still bound to tables of the old ones: an
 // endpoint of those drains.
-func TestTablesOfOldGroupsLoseEndpoints(t *testing.T) {
-	h, ids := zoneOf(t, 8, 6, nil)
-	entries := ready("a", ids...)
+func TestTablesOfRetiredGroupsLoseEndpoints(t *testing.T) {
+	h, ids := newZoneHost(t, 8, 6, nil)
+	entries := readyEndpoints("a", ids...)
 	for i := range 30 {
-		entries = append(entries, ready("b", policyapi.EndpointID("b"+string(rune('A'+i))))...)
+		entries = append(entries, readyEndpoints("b", policyapi.EndpointID("b"+string(rune('A'+i))))...)
 	}
 	before := map[policyapi.ProxyID]groupID{}
 	for p, s := range h.channel().streams {
 		before[p] = s.replica.group
 	}
-	h.wait(0.6)
-	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: entries})
-	h.drain("a", ids[:4]...)
+	h.fillQueue(0.6)
+	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: entries})
+	h.drainEndpoints("a", ids[:4]...)
 	for range 10 {
-		h.wait(0.6)
-		h.pass(second/10, nil)
+		h.fillQueue(0.6)
+		h.advance(second/10, nil)
 	}
 	for p, s := range h.channel().streams {
 		if s.replica.group != before[p] {
@@ -133,38 +133,38 @@
 			}
 		}
 	}
-	h.channel().left = nil
-	h.pass(30*second, nil)
-	if n := len(h.in.planner.retired); n > 0 {
+	h.channel().departed = nil
+	h.advance(30*second, nil)
+	if n := len(h.instance.planner.retired); n > 0 {
 		t.Errorf("%d old groups are kept after half a minute", n)
 	}
 }
 
 // So many proxies share a group's tables that a line to all of them does not fit into the queue at once: it goes out in pieces, as
 // acknowledgements come. (Before, all or nothing.)
-func TestLossToMoreProxiesThanTheQueueHolds(t *testing.T) {
+func TestRemovalToMoreProxiesThanQueueHolds(t *testing.T) {
 	for _, c := range []struct{ proxies, lost int }{{3000, 1}, {3000, 3}, {400, 60}} {
 		out := &outbox{}
 		ch := newChannel(out, 6000, 6, 20, 10*second, second, 3*second)
 		ch.masks = []policyapi.ClassSet{7}
-		w := planOf(1, 100)
+		w := newPlan(1, 100)
 		for p := range policyapi.ProxyID(c.proxies) {
-			ch.take(0, policyapi.ProxyConnected{Proxy: p})
-			w.homes[p] = 0
+			ch.receive(0, policyapi.ProxyConnected{Proxy: p})
+			w.proxyGroups[p] = 0
 		}
 		at := micros(0)
-		for ; ch.bound() < c.proxies; at += second / 10 {
-			ch.sendPlan(at, w)
-			ch.answerAll()
+		for ; ch.boundCount() < c.proxies; at += second / 10 {
+			ch.deliverPlan(at, w)
+			ch.acknowledgeAll()
 		}
-		w.withdraw(0, c.lost, 1)
+		w.withdrawEndpoints(0, c.lost, 1)
 		at += second
-		for step := 0; step == 0 || len(ch.losing(at)) > 0; step++ {
-			ch.sendPlan(at, w)
-			if waiting := ch.waiting(at); waiting > ch.queueCap {
-				t.Fatalf("%+v: %.0f lines wait, of %.0f", c, waiting, ch.queueCap)
+		for step := 0; step == 0 || len(ch.replicasWithRemovals(at)) > 0; step++ {
+			ch.deliverPlan(at, w)
+			if waiting := ch.queuedLines(at); waiting > ch.queueLimit {
+				t.Fatalf("%+v: %.0f lines wait, of %.0f", c, waiting, ch.queueLimit)
 			}
-			ch.answerAll()
+			ch.acknowledgeAll()
 			if at += second / 2; step > 100 {
 				t.Fatalf("%+v: the loss does not go out", c)
 			}
@@ -178,14 +178,14 @@
 }
 
 // What drains does not wait behind what looks sick: where both do not fit, the drain goes.
-func TestDrainGoesBeforeSickness(t *testing.T) {
-	c, out, w := channelOf(t, 500)
+func TestDrainGoesBeforeEjection(t *testing.T) {
+	c, out, w := newBoundChannel(t, 500)
 	now := 200 * second
-	drained := w.lines(0)[99].backend
+	drained := w.lines(0)[99].endpoint
 	delete(w.ready, drained)
-	w.tables[0] = []tablePlan{{lines: w.lines(0)[50:99], guard: everything}} // fifty are sick
-	c.left = []pendingMessage{{at: now, lines: 0.8 * c.queueCap}}
-	c.sendPlan(now, w)
+	w.tables[0] = []tablePlan{{lines: w.lines(0)[50:99], level: unlimitedLevel}} // fifty are sick
+	c.departed = []pendingMessage{{sentAt: now, lines: 0.8 * c.queueLimit}}
+	c.deliverPlan(now, w)
 	var lost []policyapi.EndpointID
 	for _, order := range out.orders {
 		if l, is := order.(policyapi.SetWeight); is && l.Weight == 0 {
@@ -198,9 +198,9 @@
 }
 
 // A proxy's tables take most of the queue, or more than all of it: it is bound all the same once nothing waits.
-func TestTablesAsLargeAsTheQueue(t *testing.T) {
+func TestTablesAsLargeAsQueue(t *testing.T) {
 	for _, limit := range []float64{1000, 300, 120, 50} {
-		h, _ := zoneOf(t, 60, 1, func(up *policyapi.Start) {
+		h, _ := newZoneHost(t, 60, 1, func(up *policyapi.Start) {
 			up.Rules.QueueLimit, up.ProxyCount, up.Channel.EndpointConnections = limit, 1, 3000
 		})
 		if h.binds[0] == nil {
@@ -215,41 +215,41 @@
 }
 
 // Few messages may go to a proxy: a loss takes the last of them.
-func TestLossWithFewMessages(t *testing.T) {
+func TestRemovalWithFewMessages(t *testing.T) {
 	for _, most := range []int{1, 2, 3, 4} {
-		h, ids := zoneOf(t, 8, 1, func(up *policyapi.Start) { up.Rules.MessageLimit = most })
-		h.pass(12*second, nil)
+		h, ids := newZoneHost(t, 8, 1, func(up *policyapi.Start) { up.Rules.MessageLimit = most })
+		h.advance(12*second, nil)
 		var mine policyapi.EndpointID
 		for _, id := range ids {
 			if h.offers(0, 0, id) {
 				mine = id
 			}
 		}
-		h.drain("a", mine)
-		h.pass(5*second/2, nil)
+		h.drainEndpoints("a", mine)
+		h.advance(5*second/2, nil)
 		if h.offers(0, 0, mine) {
 			t.Errorf("with %d messages in the span the proxy is still offered %s", most, mine)
 		}
-		if h.most["messages"] > most {
-			t.Errorf("%d messages went out, %d may", h.most["messages"], most)
+		if h.highest["messages"] > most {
+			t.Errorf("%d messages went out, %d may", h.highest["messages"], most)
 		}
 	}
 }
 
 // One proxy was sent all the messages that it may get: the others on its tables do not wait for it.
-func TestLossDoesNotWaitForAProxyWithoutMessages(t *testing.T) {
-	c, _, w := channelOf(t, 10)
+func TestRemovalDoesNotWaitForLimitedProxy(t *testing.T) {
+	c, _, w := newBoundChannel(t, 10)
 	now := 200 * second
-	c.streams[3].sent = slices.Repeat([]micros{now - second}, 20)
-	w.withdraw(0, 1, 1)
-	c.sendPlan(now, w)
+	c.streams[3].sentAt = slices.Repeat([]micros{now - second}, 20)
+	w.withdrawEndpoints(0, 1, 1)
+	c.deliverPlan(now, w)
 	for p, s := range c.streams {
 		if n := len(s.replica.tables[0].lines); (n == 100) != (p == 3) {
 			t.Errorf("proxy %d has %d lines", p, n)
 		}
 	}
-	c.answerAll()
-	c.sendPlan(now+10*second, w)
+	c.acknowledgeAll()
+	c.deliverPlan(now+10*second, w)
 	if n := len(c.streams[3].replica.tables[0].lines); n != 99 {
 		t.Errorf("once it may get messages again it has %d lines", n)
 	}
@@ -257,8 +257,8 @@
 
 // After a start only a saved list is at hand, and no newer one comes: what it calls draining is out of all tables within the grace,
 // also where a report's period is longer than that. An empty list that has come is believed, none is not.
-func TestWhatProxiesBringAlongAfterAStart(t *testing.T) {
-	saved := ready("a", "a1", "a2")
+func TestCachedListAfterStart(t *testing.T) {
+	saved := readyEndpoints("a", "a1", "a2")
 	saved[1].Status = policyapi.Draining
 	for name, c := range map[string]struct {
 		lists []policyapi.EndpointUpdate
@@ -272,12 +272,12 @@
 		"empty from nothing": {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached}, {Kind: policyapi.Snapshot}}, true, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := start(t, func(up *policyapi.Start) { up.Reports.Period = 5 * second })
+			h := newHost(t, func(up *policyapi.Start) { up.Reports.Period = 5 * second })
 			for _, list := range c.lists {
-				h.tell(list)
+				h.step(list)
 			}
-			h.tell(policyapi.ProxyConnected{Proxy: 0, Zone: "a"})
-			h.pass(2*second, nil)
+			h.step(policyapi.ProxyConnected{Proxy: 0, Zone: "a"})
+			h.advance(2*second, nil)
 			if bound := h.binds[0] != nil; bound != c.bound {
 				t.Fatalf("bound: %t", bound)
 			}
@@ -292,16 +292,16 @@
 }
 
 // The queue is full when a drain comes, and is free soon after: the loss does not wait for the next report, which is long in coming.
-func TestLossIsTriedAgainBetweenReports(t *testing.T) {
-	h, ids := zoneOf(t, 4, 2, func(up *policyapi.Start) { up.Reports.Period = 5 * second })
-	h.pass(10*second, nil)
-	h.wait(0.95)
-	h.drain("a", ids[0])
+func TestRemovalIsRetriedBetweenReports(t *testing.T) {
+	h, ids := newZoneHost(t, 4, 2, func(up *policyapi.Start) { up.Reports.Period = 5 * second })
+	h.advance(10*second, nil)
+	h.fillQueue(0.95)
+	h.drainEndpoints("a", ids[0])
 	if !h.offers(0, 0, ids[0]) && !h.offers(1, 0, ids[0]) {
 		t.Fatal("it went out through a full queue, or was not offered")
 	}
-	h.channel().left = nil
-	h.pass(second, nil)
+	h.channel().departed = nil
+	h.advance(second, nil)
 	if h.offers(0, 0, ids[0]) || h.offers(1, 0, ids[0]) {
 		t.Error("a second later it is still offered")
 	}
@@ -309,73 +309,73 @@
 
 // An instance whose code has failed had filled the queue, and sent one proxy most of its messages: the one that takes its place
 // keeps to the limits with that.
-func TestLimitsOverAFailure(t *testing.T) {
-	h, _ := zoneOf(t, 8, 2, nil)
-	failed := h.in
-	failed.planner.channel.streams[1].sent = slices.Repeat([]micros{h.now}, 20)
-	failed.planner.channel.streams[0].unacknowledged = []pendingMessage{{at: h.now, lines: 1234}}
-	h.in = New(policyapi.Start{Zones: []policyapi.Zone{"a"}, Classes: make([]policyapi.ClassSettings, 2), Reports: policyapi.ReportSettings{Period: second},
+func TestLimitsHoldAcrossTakeOver(t *testing.T) {
+	h, _ := newZoneHost(t, 8, 2, nil)
+	failed := h.instance
+	failed.planner.channel.streams[1].sentAt = slices.Repeat([]micros{h.now}, 20)
+	failed.planner.channel.streams[0].unacknowledged = []pendingMessage{{sentAt: h.now, lines: 1234}}
+	h.instance = New(policyapi.Start{Zones: []policyapi.Zone{"a"}, Classes: make([]policyapi.ClassSettings, 2), Reports: policyapi.ReportSettings{Period: second},
 		Rules: policyapi.RuleSettings{QueueLimit: 5000, MessageLimit: 20, MessageWindow: 10 * second, DrainGracePeriod: 3 * second}})
-	h.in.TakeOver(failed)
-	if waiting := h.channel().waiting(h.now); waiting < 1234 {
+	h.instance.TakeOver(failed)
+	if waiting := h.channel().queuedLines(h.now); waiting < 1234 {
 		t.Errorf("%.0f lines wait, 1234 did", waiting)
 	}
-	h.tell(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: ready("a", "a1")}, policyapi.ProxyConnected{Proxy: 0, Zone: "a"}, policyapi.ProxyConnected{Proxy: 1, Zone: "a"})
-	h.pass(second, nil)
+	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: readyEndpoints("a", "a1")}, policyapi.ProxyConnected{Proxy: 0, Zone: "a"}, policyapi.ProxyConnected{Proxy: 1, Zone: "a"})
+	h.advance(second, nil)
 	if h.channel().streams[0].replica == nil || h.channel().streams[1].replica != nil {
 		t.Error("the one with messages left is not bound, or the other is")
 	}
 }
 
 // Messages are few, and one has just gone out: a loss waits for a quarter of the grace at most, however far apart messages should be.
-func TestLossIsNotHeldForLong(t *testing.T) {
-	c, _, w := channelOf(t, 10)
-	c.most = 2 // in ten seconds
+func TestRemovalIsNotDelayedForLong(t *testing.T) {
+	c, _, w := newBoundChannel(t, 10)
+	c.messageLimit = 2 // in ten seconds
 	now := 200 * second
-	c.lastSent = now
-	w.withdraw(0, 1, 1)
-	c.sendPlan(now+testGrace/4, w)
+	c.routineSentAt = now
+	w.withdrawEndpoints(0, 1, 1)
+	c.deliverPlan(now+testGrace/4, w)
 	if n := len(c.replicas[0].tables[0].lines); n != 99 {
 		t.Errorf("after a quarter of the grace the table has %d lines", n)
 	}
 }
 
 // A proxy may get one more message: the loss that would take it waits for those that may follow, and goes while there is time.
-func TestLastMessageTakesAllLosses(t *testing.T) {
-	c, out, w := channelOf(t, 10)
+func TestLastMessageCarriesAllRemovals(t *testing.T) {
+	c, out, w := newBoundChannel(t, 10)
 	now := 200 * second
 	for _, s := range c.streams {
-		s.sent = slices.Repeat([]micros{now - second}, c.most-1)
+		s.sentAt = slices.Repeat([]micros{now - second}, c.messageLimit-1)
 	}
 	for range 3 {
-		w.withdraw(0, 1, 1)
-		c.sendPlan(now, w)
-		if out.losses() > 0 {
+		w.withdrawEndpoints(0, 1, 1)
+		c.deliverPlan(now, w)
+		if out.removals() > 0 {
 			t.Fatal("the first loss took the last message")
 		}
 		now += second
 	}
-	c.sendPlan(now+testGrace/2, w)
-	if n := out.losses(); n != 3 {
+	c.deliverPlan(now+testGrace/2, w)
+	if n := out.removals(); n != 3 {
 		t.Errorf("%d losses went out with the last message, of 3", n)
 	}
 }
 
 // Many proxies join at once and wait for room: what others are owed goes first, it takes less of it.
-func TestDrainGoesBeforeJoinings(t *testing.T) {
-	c, out, w := channelOf(t, 500)
+func TestDrainGoesBeforeNewProxies(t *testing.T) {
+	c, out, w := newBoundChannel(t, 500)
 	now := 200 * second
 	for p := range policyapi.ProxyID(300) {
-		c.take(now, policyapi.ProxyConnected{Proxy: 1000 + p})
-		w.homes[1000+p] = 0
+		c.receive(now, policyapi.ProxyConnected{Proxy: 1000 + p})
+		w.proxyGroups[1000+p] = 0
 	}
-	c.left = []pendingMessage{{at: now, lines: 0.75 * c.queueCap}}
-	w.withdraw(0, 2, 1)
-	c.sendPlan(now, w)
-	if n := out.losses(); n != 2 {
+	c.departed = []pendingMessage{{sentAt: now, lines: 0.75 * c.queueLimit}}
+	w.withdrawEndpoints(0, 2, 1)
+	c.deliverPlan(now, w)
+	if n := out.removals(); n != 2 {
 		t.Errorf("%d losses went out of 2", n)
 	}
-	if bound := c.bound() - 500; bound > 0 {
+	if bound := c.boundCount() - 500; bound > 0 {
 		t.Errorf("%d were bound beside them, though the queue was full", bound)
 	}
 }
