--- /dev/null
+++ b/policy/admission.go
@@ -0,0 +1,141 @@
+package policy
+
+import (
+	"math"
+
+	"porthub/policyapi"
+)
+
+const (
+	// admissionStep is the relative change of the admitted rate that is worth a message. It also trims capacity, so that
+	// what is not sent is safe.
+	admissionStep = 0.05
+	// unlimitedLevel is an admission level that rejects nothing.
+	unlimitedLevel = 1e6
+	// admissionUtilization is the fraction of the capacity above which admission is limited.
+	admissionUtilization = 0.9
+	// minLimitedCapacity is the fraction of an endpoint's available capacity that counts even if it says that it is
+	// full, falsely or alone: one endpoint must not reduce admission at all proxies.
+	minLimitedCapacity = 0.5
+	// queueLatency is the fraction of the latency objective above which latency shows a queue.
+	queueLatency = 0.45
+	// drainReports are the reports in which a queue shall drain.
+	drainReports = 4
+	// maxLatencyCut and minQueuedCapacity bound what a queue takes off the capacity.
+	maxLatencyCut, minQueuedCapacity = 0.5, 0.5
+	// priceStep is the paper's gamma, the fraction of a Newton step that the price moves by.
+	priceStep = 0.4
+	// priceSteps is how often the price moves with each plan: the paper's allocator steps all the time, this one between
+	// reports.
+	priceSteps = 30
+	// rateCap is the multiple of its demand that a proxy's rate may have.
+	rateCap = 2
+	// minPricedDemand is the demand, in requests per second, below which a proxy does not lower the price's floor.
+	minPricedDemand = 0.5
+)
+
+// updateAdmittedRate runs the design's price step and F-NORM on each group and publishes the sum of what the groups
+// admit, only while the demand is above 90% of the summed capacity, on moves past the threshold.
+func (p *planner) updateAdmittedRate(fleet []fleetEndpoint) {
+	capacities, limited := p.groupCapacities(fleet)
+	demand, capacity := sum(p.zoneDemand), sum(capacities)
+	admitted := 0.0
+	for i := range p.groups.list {
+		admitted += p.groups.list[i].admit(capacities[i])
+	}
+	// More demand than all learned speeds together is slow to be: it need not wait for slow answers.
+	limited = limited || p.fleet.speedsKnown && demand > capacity
+	if !limited || p.settings.admissionMode == policyapi.AdmissionOff || demand <= admissionUtilization*capacity {
+		admitted = 0
+	}
+	if (admitted > 0) != (p.admittedRate > 0) {
+		p.out.logf(admissionLog, admitted > 0, demand, capacity)
+	}
+	if admitted == 0 || math.Abs(admitted-p.admittedRate) > admissionStep*p.admittedRate {
+		p.admittedRate = admitted
+	}
+}
+
+// groupCapacities divides the endpoints' capacities among the groups by their load, and reports whether any endpoint has
+// a capacity limit.
+func (p *planner) groupCapacities(fleet []fleetEndpoint) (capacities []float64, limited bool) {
+	capacities = make([]float64, len(p.groups.list))
+	for _, e := range fleet {
+		limited = limited || e.learned.limit > 0
+		ownLoad := sum(p.endpointLoad[e.id])
+		capacity := p.ownCapacity(e, ownLoad)
+		for i, load := range p.endpointLoad[e.id] {
+			capacities[i] += (1 - admissionStep) * capacity * load / max(ownLoad, epsilon)
+		}
+	}
+	return capacities, limited
+}
+
+// ownCapacity is what an endpoint can do for this instance's proxies, whose load on it is ownLoad.
+func (p *planner) ownCapacity(e fleetEndpoint, ownLoad float64) float64 {
+	capacity := e.available
+	if e.learned.limit > 0 {
+		capacity = max(min(e.learned.limit, capacity), capacity*minLimitedCapacity)
+	}
+	// Late answers and queued requests show a queue: less is admitted than can be done until it has drained.
+	drainTime := float64(drainReports * p.settings.reportPeriod)
+	late := max(0, e.load.latency-queueLatency*float64(p.settings.latencyObjective))
+	capacity *= 1 - min(maxLatencyCut, late/drainTime)
+	capacity = max(capacity*minQueuedCapacity, capacity-e.load.queue*float64(second)/drainTime)
+	// With several instances each uses its own proxies' share.
+	capacity *= ownLoad / max(e.load.externalLoad+ownLoad, epsilon)
+	if !p.isLocal(e) {
+		// The busy share never shows more than full: ours is what it did for us and what it has to spare.
+		capacity = min(capacity, e.load.served+max(0, 1-e.load.busyShare)*e.available)
+	}
+	return capacity
+}
+
+// admit solves the group's price and returns the rate that its capacity admits.
+func (g *group) admit(capacity float64) float64 {
+	rates := g.solvePrice(capacity)
+	return min(g.load, normalize(rates, capacity))
+}
+
+// solvePrice moves the group's price by steps of the paper's algorithm 1 (Newton-exact-diagonal) and returns the sum of
+// the proxies' rates at the last price but one.
+func (g *group) solvePrice(capacity float64) (rates float64) {
+	floor := g.priceFloor()
+	for range priceSteps {
+		g.price = max(floor, g.price)
+		var slope float64 // of the rates in the price; rates at their cap do not move
+		rates, slope = g.ratesAt(g.price)
+		if slope < 0 {
+			g.price = max(floor, g.price-priceStep*(rates-capacity)/slope)
+		}
+	}
+	return rates
+}
+
+// priceFloor is the price at which the largest proxy has its rate cap. A lower price admits no more, and with all rates
+// at their caps the slope would be 0 and the price stuck.
+func (g *group) priceFloor() float64 {
+	floor := 1.0
+	for _, proxy := range g.proxies {
+		floor = min(floor, (1.0/rateCap)/max(proxy.total, minPricedDemand))
+	}
+	return floor
+}
+
+// ratesAt returns the sum of the proxies' rates at a price, and its slope.
+func (g *group) ratesAt(price float64) (rates, slope float64) {
+	for _, proxy := range g.proxies {
+		rate := 1 / price
+		rateLimit := rateCap * proxy.total
+		rates += min(rate, rateLimit)
+		if rate <= rateLimit {
+			slope -= rate * rate
+		}
+	}
+	return rates, slope
+}
+
+// normalize is the paper's F-NORM: it divides rates by the ratio by which they exceed the capacity.
+func normalize(rates, capacity float64) float64 {
+	return rates / max(1, rates/max(capacity, epsilon))
+}
--- /dev/null
+++ b/policy/budget.go
@@ -0,0 +1,123 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	// ackIDs is the number of acknowledgement IDs: the protocols carry them in 16 bits.
+	ackIDs = 65536
+	// messageExpiry is the age at which an unacknowledged message counts as delivered or lost, if nobody ever answers.
+	messageExpiry = 60 * second
+	// ackLatencyPeriods are the report periods for which an acknowledgement's latency counts, at least.
+	ackLatencyPeriods = 5
+	// overduePeriods are the report periods, beside one and a half times the longest latency seen, after which a message
+	// does not count as waiting any more.
+	overduePeriods = 2
+	// windowSlackDivisor is the part of the message window that is added to it, for clocks that differ.
+	windowSlackDivisor = 50
+)
+
+// ackLatencies are the longest latencies of acknowledgements seen lately.
+type ackLatencies struct {
+	recent, previous micros // of the present period and the one before
+	since            micros // when the present period began
+	any              bool   // something has been acknowledged
+}
+
+// longest is the longest latency seen lately.
+func (a *ackLatencies) longest() micros { return max(a.recent, a.previous) }
+
+// record takes a latency into account.
+func (a *ackLatencies) record(now, latency, reportPeriod micros) {
+	if now-a.since > ackLatencyPeriods*reportPeriod {
+		a.previous = a.recent
+		a.recent = 0
+		a.since = now
+	}
+	a.recent = max(a.recent, latency)
+	a.any = true
+}
+
+// queuedLines estimates the lines that wait in the channel, by what has been acknowledged, and forgets overdue messages
+// to disconnected proxies. Messages to different proxies may overtake each other, by seconds; but one that has been on
+// its way for much longer than any that was acknowledged lately waits no more: its proxy has stopped answering, or has
+// disconnected, and never acknowledges it. Nor does a message that is a minute old, if nobody ever answers.
+func (c *channel) queuedLines(now micros) (lines float64) {
+	longest := c.acks.longest()
+	overdue := func(m pendingMessage) bool {
+		age := now - m.sentAt
+		return c.acks.any && age > longest+longest/2+overduePeriods*c.reportPeriod || age > messageExpiry
+	}
+	c.departed = slices.DeleteFunc(c.departed, overdue)
+	for _, m := range c.departed {
+		lines += m.lines
+	}
+	for _, s := range c.streams {
+		for _, m := range s.unacknowledged {
+			if !overdue(m) {
+				lines += m.lines
+			}
+		}
+	}
+	return lines
+}
+
+// mostMessagesSent returns the most messages that one proxy was sent in the message window, and forgets older ones.
+func (c *channel) mostMessagesSent(now micros) (most int) {
+	for _, s := range c.streams {
+		s.sentAt = slices.DeleteFunc(s.sentAt, func(at micros) bool {
+			return now-at > c.messageWindow+c.messageWindow/windowSlackDivisor
+		})
+		most = max(most, len(s.sentAt))
+	}
+	return most
+}
+
+// messageLines is what a message costs besides its own lines; the levels for all tables go with each.
+func (c *channel) messageLines() float64 { return c.messageOverhead + float64(len(c.admissions)) + 1 }
+
+// bindCost is what it costs to bind a proxy to a replica's tables.
+func (c *channel) bindCost(r *replica) (lines float64) {
+	for _, table := range r.tables {
+		lines += float64(len(table.lines)+len(c.admissions)) + 2
+		if table.hasAdmission {
+			lines++
+		}
+	}
+	return lines
+}
+
+// charge counts lines to each of some proxies.
+func (c *channel) charge(now micros, streams []*stream, lines float64) {
+	for _, s := range streams {
+		if s.turnLines == 0 {
+			c.turns.queued += c.messageLines()
+		}
+		s.turnLines += lines
+		c.turns.queued += lines
+		c.turns.linesSentAt = now
+	}
+}
+
+// linesThatFit returns how many lines to each of some proxies leave no more than a share of the queue taken.
+func (c *channel) linesThatFit(streams []*stream, share float64) int {
+	if len(streams) == 0 {
+		return math.MaxInt
+	}
+	room := share*c.queueLimit - c.turns.queued
+	for _, s := range streams {
+		if s.turnLines == 0 {
+			room -= c.messageLines()
+		}
+	}
+	return int(max(0, room/float64(len(streams))))
+}
+
+// maxTableLines is the number of lines that a table may have so that all of a proxy's tables fit into the queue
+// together.
+func maxTableLines(queueLimit, messageOverhead float64, placements, classes int) int {
+	perTable := (bindShare*queueLimit - messageOverhead - float64(classes) - 1) / float64(placements)
+	return int(perTable) - classes - 3
+}
--- /dev/null
+++ b/policy/capacity.go
@@ -0,0 +1,160 @@
+package policy
+
+import (
+	"math"
+
+	"porthub/policyapi"
+)
+
+const (
+	// minLearnBusy is the busy fraction below which a round says nothing about an endpoint's speed.
+	minLearnBusy = 0.05
+	// minFullBusy is the busy fraction above which an endpoint may be full.
+	minFullBusy = 0.85
+	// slowAttempts is the least number of attempts that a slow report needs.
+	slowAttempts = 3
+	// slowFailureRate is the fraction of failures that makes a report slow.
+	slowFailureRate = 0.3
+	// slowLatency is the fraction of the latency objective above which the mean latency makes a report slow.
+	slowLatency = 0.6
+	// slowReportsToLimit is the number of slow reports in a row that set a capacity limit.
+	slowReportsToLimit = 3
+	// limitGrowth is the growth of a capacity limit with each report that is not slow.
+	limitGrowth = 1.05
+	// limitRelease is the multiple of the learned speed at which a capacity limit ends.
+	limitRelease = 1.3
+	// recoveryRamp is the time in which an endpoint gets back to its usual load after an ejection.
+	recoveryRamp = 5 * second
+	// recoveryStart is where that ramp begins, as a multiple of the capacity of a new process.
+	recoveryStart = 2
+)
+
+// loadEstimate is the load of an endpoint by its reports.
+type loadEstimate struct {
+	reportedAt   micros
+	served       float64 // requests per second completed for this instance's proxies, smoothed
+	externalLoad float64 // requests per second of other instances' proxies
+	latency      float64 // mean, in microseconds, smoothed; 0: unknown
+	busyShare    float64 // fraction of CPU in use, as last reported
+	queue        float64 // requests queued, as last reported
+	reportsRate  bool    // the endpoint reports its own rate
+	lastRate     float64 // requests per second of the last round, if it was learned from; else 0
+	lastBusy     float64 // busy fraction of the last round, if it was learned from; else 0
+}
+
+// reportedMetrics are the LoadMetrics that the policy uses.
+type reportedMetrics struct {
+	busy, queue, rate float64
+	hasBusy, hasRate  bool
+}
+
+func readMetrics(metrics policyapi.LoadMetrics) (m reportedMetrics) {
+	m.busy, m.hasBusy = metrics["busy"]
+	m.rate, m.hasRate = metrics["rate"]
+	m.queue = metrics["q"]
+	return m
+}
+
+// update takes over a round. The endpoint's own rate counts requests of all proxies, as its busy share does.
+func (l *loadEstimate) update(now micros, totals roundTotals, metrics reportedMetrics) {
+	if completed := totals.attempts - totals.failures; completed > 0 {
+		smooth(&l.latency, totals.latencySum/completed)
+	}
+	if metrics.hasRate {
+		l.externalLoad = max(0, metrics.rate-l.served)
+	}
+	if totals.attempts > 0 {
+		l.reportedAt = now
+		l.reportsRate = metrics.hasRate
+	}
+	if metrics.hasBusy {
+		l.busyShare = metrics.busy
+		l.queue = metrics.queue
+	}
+}
+
+// capacityEstimate is what has been learned of an endpoint's capacity.
+type capacityEstimate struct {
+	throughput  throughputHistogram
+	limit       float64 // requests per second; 0: no limit
+	slowReports int     // in a row
+}
+
+// updateCapacityLimit keeps the design's rule: an endpoint has no capacity limit until it is slow for three reports;
+// the limit is then what it served, raised as it serves more. Beyond the design, a report counts as slow only if
+// latencies or failures and the endpoint's own figures agree, so that neither a few expensive requests nor a false
+// report of being full reduce admission; and the limit grows with each report that is not slow and ends above the
+// learned speed, so that neither passing slowness nor a warm-up leaves a lasting low capacity.
+func (a *endpointActor) updateCapacityLimit(totals roundTotals, rounds float64, mayBeFull bool) {
+	learned := &a.learned
+	late := totals.latencySum > slowLatency*(totals.attempts-totals.failures)*float64(a.settings.latencyObjective)
+	failing := totals.failures > slowFailureRate*totals.attempts
+	if totals.attempts >= slowAttempts && mayBeFull && (failing || late) {
+		learned.slowReports++
+		if learned.slowReports >= slowReportsToLimit && learned.limit == 0 {
+			learned.limit = a.load.served
+		}
+	} else {
+		learned.slowReports = 0
+		learned.limit *= math.Pow(limitGrowth, rounds)
+	}
+	busySeconds, requests := learned.throughput.total()
+	if learned.limit > limitRelease*requests/max(busySeconds, 1) {
+		learned.limit = 0
+	} else if learned.limit > 0 {
+		learned.limit = max(learned.limit, a.load.served)
+	}
+}
+
+// warmUpProgress is the fraction of its capacity that an endpoint has by the slowest warm-up that the rules allow.
+func (a *endpointActor) warmUpProgress(now micros) float64 {
+	rules := &a.settings.rules
+	age := now - a.entry.StartedAt
+	if a.entry.StartedAt <= 0 || age >= rules.WarmUp {
+		return 1
+	}
+	return rules.InitialCapacity + (1-rules.InitialCapacity)*max(0, float64(age)/float64(rules.WarmUp))
+}
+
+// slowStartFactor is the fraction of its usual load that an endpoint may get now. One whose ejection has ended may be a
+// new process that the list does not show yet: its load ramps up from twice that of a new one, while the list may still
+// come.
+func (a *endpointActor) slowStartFactor(now micros) float64 {
+	progress := a.warmUpProgress(now)
+	if a.recoveredAt == 0 {
+		return progress
+	}
+	ramp := recoveryStart*a.settings.rules.InitialCapacity + float64(now-a.recoveredAt)/float64(recoveryRamp)
+	return min(progress, ramp)
+}
+
+// histogramBins are the bins of a throughputHistogram; the last holds everything above it too.
+const histogramBins = 4
+
+// histogramLimit is the number of busy seconds at which a histogram is halved, so that it follows an endpoint's speed.
+const histogramLimit = 12
+
+// throughputHistogram collects busy seconds and completed requests, by coarse busy share.
+type throughputHistogram [histogramBins]struct{ busySeconds, requests float64 }
+
+// add counts requests completed in some busy seconds at a busy share.
+func (h *throughputHistogram) add(busyShare, busySeconds, requests float64) {
+	bin := &h[min(histogramBins-1, int(histogramBins*busyShare))]
+	bin.busySeconds += busySeconds
+	bin.requests += requests
+	if all, _ := h.total(); all <= histogramLimit {
+		return
+	}
+	for i := range h {
+		h[i].busySeconds /= 2
+		h[i].requests /= 2
+	}
+}
+
+func (h *throughputHistogram) total() (busySeconds, requests float64) {
+	for _, bin := range h {
+		busySeconds += bin.busySeconds
+		requests += bin.requests
+	}
+	return busySeconds, requests
+}
--- a/policy/channel_test.go
+++ b/policy/channel_test.go
@@ -41,14 +41,22 @@
 
 func (c *channel) deliverPlan(now micros, w targetState) { c.receive(now, w) }
 
+// newTestChannel returns a channel with the limits given, and usual values for the other settings.
+func newTestChannel(limits deliverySettings) (*channel, *outbox) {
+	limits.messageOverhead = 6
+	limits.messageWindow = 10 * second
+	limits.reportPeriod = second
+	limits.classSets = []policyapi.ClassSet{7}
+	out := &outbox{}
+	return newChannel(out, limits), out
+}
+
 // newBoundChannel is a channel with so many proxies bound to the table of a hundred endpoints, all acknowledged.
 func newBoundChannel(t *testing.T, proxies int) (*channel, *outbox, targetState) {
-	out := &outbox{}
-	c := newChannel(out, 60000, 6, 20, 10*second, second, testGrace)
-	c.masks = []policyapi.ClassSet{7}
+	c, out := newTestChannel(deliverySettings{queueLimit: 60000, messageLimit: 20, drainGracePeriod: testGrace})
 	w := newPlan(1, 100)
 	for p := range proxies {
-		c.receive(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		c.handleEvent(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
 		w.proxyGroups[policyapi.ProxyID(p)] = 0
 	}
 	for at := micros(0); c.boundCount() < proxies; at += second / 10 {
@@ -74,7 +82,7 @@
 func (c *channel) acknowledgeAll() {
 	for p, s := range c.streams {
 		for len(s.unacknowledged) > 0 {
-			c.receive(0, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].ackID})
+			c.handleEvent(0, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].ackID})
 		}
 	}
 }
@@ -100,7 +108,7 @@
 	if lines, lost := len(out.orders)-1, out.removals(); lost != 3 || lines != 3 {
 		t.Fatalf("%d lines are lost, %d ordered, of %d that drain", lost, lines, 3)
 	}
-	if waiting := c.queuedLines(c.deliveredAt); waiting > 0.95*c.queueLimit {
+	if waiting := c.queuedLines(c.turns.deliveredAt); waiting > 0.95*c.queueLimit {
 		t.Errorf("%.0f lines wait, %.0f may", waiting, c.queueLimit)
 	}
 	c.departed, out.orders = nil, nil
@@ -120,7 +128,7 @@
 		w.admissions = []policyapi.SetAdmission{{Table: policyapi.AllTables, Classes: 7, Level: 10 + float64(beat), RetryPolicy: 1}}
 		c.deliverPlan(micros(300+beat)*second, w)
 	}
-	if waiting := c.queuedLines(c.deliveredAt); waiting == 0 || waiting > 0.5*c.queueLimit {
+	if waiting := c.queuedLines(c.turns.deliveredAt); waiting == 0 || waiting > 0.5*c.queueLimit {
 		t.Errorf("%.0f lines wait, of %.0f", waiting, c.queueLimit)
 	}
 }
@@ -139,10 +147,10 @@
 		t.Fatalf("%.0f lines wait", before)
 	}
 	for p := range 60 {
-		c.receive(now, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
+		c.handleEvent(now, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
 	}
 	for p := 60; p < 80; p++ { // the new stream before the old one's end
-		c.receive(now, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		c.handleEvent(now, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
 	}
 	if after := c.queuedLines(now); after != before {
 		t.Errorf("%.0f lines waited, %.0f once most have left", before, after)
@@ -156,7 +164,7 @@
 	}
 	now += 4 * second // the queue is that long: all that are there answer
 	for p, s := range c.streams {
-		c.receive(now, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].ackID})
+		c.handleEvent(now, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].ackID})
 	}
 	if after := c.queuedLines(now); after != gone || gone != 0.8*before {
 		t.Errorf("%.0f lines wait when all that are there have acknowledged, %.0f went to those who have left", after, gone)
@@ -168,12 +176,10 @@
 
 // Nobody ever answers: what went out does not wait for ever, and who joins later is bound.
 func TestNoAcknowledgements(t *testing.T) {
-	out := &outbox{}
-	c := newChannel(out, 1000, 6, 0, 10*second, second, testGrace)
-	c.masks = []policyapi.ClassSet{7}
+	c, _ := newTestChannel(deliverySettings{queueLimit: 1000, drainGracePeriod: testGrace})
 	w := newPlan(1, 100)
 	for p := range 20 {
-		c.receive(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		c.handleEvent(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
 		w.proxyGroups[policyapi.ProxyID(p)] = 0
 	}
 	c.deliverPlan(0, w)
@@ -183,7 +189,7 @@
 		t.Fatalf("%d are bound", bound)
 	}
 	for p := range bound { // they leave, and answer no more
-		c.receive(31*second, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
+		c.handleEvent(31*second, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
 	}
 	c.deliverPlan(61*second, w)
 	if len(c.departed) > 0 || c.boundCount() == 0 {
@@ -193,13 +199,11 @@
 
 // Tables whose change has to wait take turns: none waits for ever behind another that changes all the time.
 func TestTableChangesTakeTurns(t *testing.T) {
-	out := &outbox{}
-	c := newChannel(out, 60000, 6, 0, 10*second, second, testGrace)
-	c.masks = []policyapi.ClassSet{7}
+	c, out := newTestChannel(deliverySettings{queueLimit: 60000, drainGracePeriod: testGrace})
 	const tables = 4
 	w := newPlan(tables, 60)
 	for p := range 800 {
-		c.receive(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
+		c.handleEvent(0, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
 		w.proxyGroups[policyapi.ProxyID(p)] = groupID(p % tables)
 	}
 	for at := micros(0); c.boundCount() < 800; at += second / 10 {
@@ -268,7 +272,7 @@
 		if lost := out.removals(); lost != 3 {
 			t.Errorf("drain %d: %d lines are lost of 3", drain, lost)
 		}
-		if waiting := c.queuedLines(c.deliveredAt); waiting > 0.5*c.queueLimit {
+		if waiting := c.queuedLines(c.turns.deliveredAt); waiting > 0.5*c.queueLimit {
 			t.Errorf("drain %d: %.0f lines wait, of %.0f", drain, waiting, c.queueLimit)
 		}
 	}
--- a/policy/choice_test.go
+++ b/policy/choice_test.go
@@ -518,7 +518,7 @@
 
 // admission is the level of a table's own.
 func (h *host) tableLevel(table policyapi.TableID) float64 {
-	c := h.instance.planner.channel
+	c := h.instance.channel
 	for _, r := range c.replicas {
 		if set := int(table - r.firstTable); set >= 0 && set < len(r.tables) {
 			return r.tables[set].admission.Level
@@ -574,7 +574,7 @@
 			t.Errorf("proxy %d still has the draining backend", p)
 		}
 	}
-	if s := h.instance.actors[3].(*channel).streams[2]; len(s.unacknowledged) > maxUnacknowledged || len(s.unacknowledged) < 10 {
+	if s := h.instance.channel.streams[2]; len(s.unacknowledged) > maxUnacknowledged || len(s.unacknowledged) < 10 {
 		t.Errorf("%d messages to the silent proxy are kept", len(s.unacknowledged))
 	}
 }
@@ -594,7 +594,7 @@
 	h.advance(second, h.steadyReports(20, 0.5, 200_000))
 	in, most := h.instance, 6+int(endpointRetention/second)+3
 	for what, n := range map[string]int{"actors": len(in.endpoints.actors), "order": len(in.endpoints.order), "left": len(in.endpoints.removedAt),
-		"views": len(in.planner.endpoints), "member": len(in.planner.endpointGroup), "loads": len(in.planner.endpointLoad)} {
+		"views": len(in.planner.endpoints), "member": len(in.planner.groups.ofEndpoint), "loads": len(in.planner.endpointLoad)} {
 		if n > most {
 			t.Errorf("%d %s are kept, %d expected", n, what, most)
 		}
--- /dev/null
+++ b/policy/demand.go
@@ -0,0 +1,145 @@
+package policy
+
+import (
+	"maps"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+const (
+	// disconnectedDecay is the factor by which a disconnected proxy's demand shrinks each round, until it is forgotten.
+	disconnectedDecay = 0.97
+	// maxDisconnectedShare is the fraction of the demand that may belong to disconnected proxies while the reports still
+	// count as covering all of it: of hundreds of proxies some always are disconnected.
+	maxDisconnectedShare = 0.05
+)
+
+// proxyDemand is a connected proxy's demand in requests per second.
+type proxyDemand struct {
+	proxy policyapi.ProxyID
+	zone  int       // position in the settings' zones
+	rates []float64 // by request class
+	total float64
+}
+
+// proxyRecord is what the registry retains of a proxy, connected or not.
+type proxyRecord struct {
+	zone          int       // negative: not one of the settings' zones
+	rates         []float64 // by request class
+	roundRequests []float64 // by request class, reported in the present round
+	countedUntil  []micros  // by request class, until when requests are counted
+	connected     bool
+	reported      bool // the rates are measured, not assumed
+}
+
+// applyRound takes the requests of a round into the rates.
+func (p *proxyRecord) applyRound(now micros, round reportRound) {
+	for class := range p.rates {
+		if !p.connected {
+			p.rates[class] *= disconnectedDecay
+			continue
+		}
+		if p.roundRequests[class] <= 0 && now-p.countedUntil[class] <= round.silenceLimit {
+			continue
+		}
+		seconds, step := decayStep(now, p.countedUntil[class], round.seconds)
+		p.rates[class] += step * (p.roundRequests[class]/seconds - p.rates[class])
+		p.roundRequests[class] = 0
+		p.countedUntil[class] = now
+		p.reported = true
+	}
+}
+
+// proxyRegistry follows the proxies and estimates their demand.
+type proxyRegistry struct {
+	mailbox
+	planner    *planner
+	zones      []policyapi.Zone
+	classCount int
+	proxies    map[policyapi.ProxyID]*proxyRecord
+	changed    bool // since the last demandUpdate
+	urgent     bool
+}
+
+func newProxyRegistry(p *planner, zones []policyapi.Zone, classCount int) *proxyRegistry {
+	return &proxyRegistry{planner: p, zones: zones, classCount: classCount, proxies: map[policyapi.ProxyID]*proxyRecord{}}
+}
+
+func (r *proxyRegistry) receive(now micros, m message) {
+	switch m := m.(type) {
+	case hostEvent:
+		r.handleEvent(now, m.event)
+	case reportRound:
+		if m.seconds > 0 {
+			for _, p := range r.proxies {
+				p.applyRound(now, m)
+			}
+		}
+		r.changed = true
+	case batchEnd:
+		if r.changed {
+			r.publish()
+		}
+	}
+}
+
+func (r *proxyRegistry) handleEvent(now micros, event policyapi.Event) {
+	switch event := event.(type) {
+	case policyapi.ProxyConnected:
+		r.connect(now, event)
+	case policyapi.ProxyDisconnected:
+		if p := r.proxies[event.Proxy]; p != nil {
+			p.connected = false
+			r.changed = true
+		}
+	case policyapi.ProxyLoad:
+		p := r.proxies[event.Proxy]
+		known := event.Class >= 0 && int(event.Class) < r.classCount
+		if p != nil && p.connected && known {
+			p.roundRequests[event.Class] += float64(event.Requests)
+		}
+	}
+}
+
+// connect registers a proxy. Its demand is that of before, or else its weight, the same for each class.
+func (r *proxyRegistry) connect(now micros, event policyapi.ProxyConnected) {
+	p := r.proxies[event.Proxy]
+	if p == nil {
+		p = &proxyRecord{rates: make([]float64, r.classCount)}
+		r.proxies[event.Proxy] = p
+	}
+	p.connected = true
+	p.zone = slices.Index(r.zones, event.Zone)
+	p.roundRequests = make([]float64, r.classCount)
+	p.countedUntil = slices.Repeat([]micros{now}, r.classCount)
+	if !p.reported {
+		for class := range p.rates {
+			p.rates[class] = event.Weight / float64(r.classCount)
+		}
+	}
+	r.changed = true
+	r.urgent = true
+}
+
+// publish sends the connected proxies' demand to the planner.
+func (r *proxyRegistry) publish() {
+	update := demandUpdate{urgent: r.urgent}
+	r.changed = false
+	r.urgent = false
+	connected, disconnected := 0.0, 0.0
+	for _, id := range slices.Sorted(maps.Keys(r.proxies)) {
+		p := r.proxies[id]
+		total := sum(p.rates)
+		if !p.connected {
+			disconnected += total
+			continue
+		}
+		connected += total
+		if p.zone >= 0 {
+			update.proxies = append(update.proxies, &proxyDemand{id, p.zone, slices.Clone(p.rates), total})
+		}
+	}
+	update.allConnected = disconnected <= maxDisconnectedShare*connected
+	r.planner.send(update)
+}
--- /dev/null
+++ b/policy/doc.go
@@ -0,0 +1,22 @@
+// Package policy is the decision module of porthub: from load reports, the endpoint list and the state of the proxies'
+// streams it decides which endpoints each proxy may use, with what weights, and how many requests it admits.
+//
+// A host creates an [Instance] with [New], passes each batch of events to [Instance.Step] with the batch's time and
+// carries out the orders that Step returns. The types of events and orders are those of package policyapi. An Instance
+// shares nothing, does no I/O, reads no clock but that argument and draws random numbers from its start seed only, so
+// that the same events always give the same orders.
+//
+// # Structure
+//
+// An Instance consists of actors that communicate only by messages in mailboxes (mailbox.go, messages.go):
+//
+//   - endpointList follows the endpoint list and owns an endpointActor for each endpoint (endpoints.go, endpoint.go).
+//   - endpointActor evaluates one endpoint: outlier detection (health.go), slow start and capacity (capacity.go).
+//   - proxyRegistry estimates each proxy's demand (demand.go).
+//   - planner turns their states into a target state (planner.go): the fleet's capacity (fleet.go), groups of endpoints
+//     and proxies (groups.go, rebalance.go), weights (weights.go), admission rates (admission.go, classes.go).
+//   - channel brings the proxies nearer to the target state within the limits on lines and messages (delivery.go,
+//     removal.go, replica.go, streams.go, budget.go).
+//
+// All times are in microseconds, all rates in requests per second, unless a comment says otherwise.
+package policy
--- /dev/null
+++ b/policy/endpoints.go
@@ -0,0 +1,161 @@
+package policy
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+const (
+	// endpointRetention is how long the state of a removed endpoint is retained: it may be listed again under its ID.
+	endpointRetention = 60 * second
+	// maxPollFailures bounds the poll backoff, which grows by a second with each failure.
+	maxPollFailures = 4
+	// minPollBackoff and pollBackoffJitter are the fixed and the random part of the poll backoff, in seconds for each
+	// failure. Instances must not poll in step.
+	minPollBackoff, pollBackoffJitter = 0.25, 0.5
+)
+
+// endpointList follows the endpoint list and owns the endpoints' actors.
+type endpointList struct {
+	mailbox
+	out       *outbox
+	planner   *planner
+	settings  *settings
+	draws     uint64 // random numbers drawn
+	failures  int    // of polls, in a row
+	actors    map[policyapi.EndpointID]*endpointActor
+	order     []*endpointActor // in the order in which they were first listed
+	removedAt map[policyapi.EndpointID]micros
+}
+
+func newEndpointList(out *outbox, p *planner, s *settings) *endpointList {
+	return &endpointList{
+		out:       out,
+		planner:   p,
+		settings:  s,
+		actors:    map[policyapi.EndpointID]*endpointActor{},
+		removedAt: map[policyapi.EndpointID]micros{},
+	}
+}
+
+func (l *endpointList) receive(now micros, m message) {
+	switch m := m.(type) {
+	case reportRound:
+		l.forgetRemoved(now)
+	case pollList:
+		if l.settings.pollsList {
+			l.out.add(policyapi.WatchEndpoints{Enabled: true})
+		}
+	case hostEvent:
+		l.handleEvent(now, m)
+	}
+}
+
+func (l *endpointList) handleEvent(now micros, m hostEvent) {
+	switch event := m.event.(type) {
+	case policyapi.EndpointLoad:
+		l.forward(event.Endpoint, m)
+	case policyapi.HealthCheckResult:
+		l.forward(event.Endpoint, m)
+	case policyapi.EndpointUpdate:
+		l.apply(now, event)
+	}
+}
+
+// forward sends a message to an endpoint's actor, if it has one.
+func (l *endpointList) forward(id policyapi.EndpointID, m message) {
+	if a := l.actors[id]; a != nil {
+		a.send(m)
+	}
+}
+
+// apply brings the actors up to date with the list.
+func (l *endpointList) apply(now micros, update policyapi.EndpointUpdate) {
+	if update.Kind == policyapi.Failed {
+		l.retryPoll()
+		return
+	}
+	l.failures = 0
+	if update.Kind != policyapi.Cached {
+		l.planner.send(listConfirmed{})
+	}
+	listed := map[policyapi.EndpointID]bool{}
+	for _, e := range update.Endpoints {
+		listed[e.ID] = true
+		l.applyEntry(now, e)
+	}
+	if update.Kind != policyapi.Delta {
+		l.removeUnlisted(now, listed)
+	}
+}
+
+func (l *endpointList) applyEntry(now micros, e policyapi.Endpoint) {
+	if l.actors[e.ID] == nil && e.Status != policyapi.Removed {
+		a := newEndpointActor(e.ID, l.out, l.planner, l.settings)
+		l.actors[e.ID] = a
+		l.order = append(l.order, a)
+	}
+	l.forward(e.ID, entryUpdate{e})
+	l.trackRemoval(now, e.ID, e.Status == policyapi.Removed)
+}
+
+// removeUnlisted treats endpoints that a complete list does not contain as removed.
+func (l *endpointList) removeUnlisted(now micros, listed map[policyapi.EndpointID]bool) {
+	for _, a := range l.order {
+		if listed[a.id] {
+			continue
+		}
+		l.trackRemoval(now, a.id, true)
+		a.send(entryUpdate{policyapi.Endpoint{
+			ID:     a.id,
+			Zone:   a.entry.Zone,
+			Weight: a.entry.Weight,
+			Status: policyapi.Removed,
+		}})
+	}
+}
+
+// trackRemoval records when an endpoint was removed, or that it is listed.
+func (l *endpointList) trackRemoval(now micros, id policyapi.EndpointID, removed bool) {
+	if !removed {
+		delete(l.removedAt, id)
+		return
+	}
+	if _, tracked := l.removedAt[id]; !tracked && l.actors[id] != nil {
+		l.removedAt[id] = now
+	}
+}
+
+// forgetRemoved drops the actors of endpoints that were removed long ago: under ever new IDs they would accumulate.
+// An endpoint whose removal is unconfirmed may still be in tables and keeps its actor.
+func (l *endpointList) forgetRemoved(now micros) {
+	for _, a := range slices.Clone(l.order) {
+		at, removed := l.removedAt[a.id]
+		if !removed || now-at <= endpointRetention || a.unconfirmedRemoval {
+			continue
+		}
+		delete(l.removedAt, a.id)
+		delete(l.actors, a.id)
+		l.order = slices.DeleteFunc(l.order, func(other *endpointActor) bool { return other == a })
+		a.send(endpointForgotten{a.id}) // run still has the actor in its present round
+	}
+}
+
+// retryPoll polls the list again after a failure, with a backoff that grows with each failure in a row.
+func (l *endpointList) retryPoll() {
+	l.failures = min(l.failures+1, maxPollFailures)
+	backoff := float64(second) * float64(l.failures) * (minPollBackoff + pollBackoffJitter*l.random())
+	l.out.add(policyapi.SetTimer{After: micros(backoff), Token: pollToken})
+}
+
+// random draws a number from 0 to below 1. It depends on the seed and the number of draws alone, so that a replay draws
+// the same.
+func (l *endpointList) random() float64 {
+	l.draws++
+	key := binary.LittleEndian.AppendUint64(nil, l.settings.seed)
+	key = binary.LittleEndian.AppendUint64(key, l.draws)
+	return float64(crc32.ChecksumIEEE(key)) / (1 << 32)
+}
--- /dev/null
+++ b/policy/fleet.go
@@ -0,0 +1,204 @@
+package policy
+
+import (
+	"maps"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+const (
+	// minListedWeight replaces listed weights of zero or below.
+	minListedWeight = 1e-3
+	// priorBusySeconds are the busy seconds that the listed weight counts for beside those learned of an endpoint.
+	priorBusySeconds = 2
+	// assumedBusySeconds and assumedHeadroom stand for a fleet of which nothing is learned: it is taken to be able to
+	// serve one and a half times its demand, which weighs like 0.3 busy seconds of each endpoint.
+	assumedBusySeconds, assumedHeadroom = 0.3, 1.5
+	// minFleetSpeed and maxFleetSpeed bound what one round may say of the fleet's speed.
+	minFleetSpeed, maxFleetSpeed = 0.4, 1.5
+	// assumedUtilization is the busy share of an endpoint in a zone of other instances of which nothing was reported,
+	// were it loaded as those of this instance's zones. What is unreported is not idle.
+	assumedUtilization = 0.7
+	// slowEndpointLatency is the multiple of its machine type's mean latency from which an endpoint gets less load.
+	slowEndpointLatency = 1.5
+	// minSlowCapacity is the fraction of its capacity that a slow endpoint keeps: its latency alone never proves more.
+	minSlowCapacity = 0.5
+	// slowStartMargin is the fraction of its part that an endpoint in slow start gets; the rest is for retries and
+	// chance.
+	slowStartMargin = 0.7
+	// maxSlowStartStrain is the strain above which endpoints in slow start get no load: what full endpoints reject
+	// comes on top of their weights.
+	maxSlowStartStrain = 1.5
+	// strainCeiling minus the failure rate divides the strain. It is above 1 to keep the divisor positive.
+	strainCeiling = 1.01
+	// panicThreshold is the fraction of a zone's ready capacity that must not look ejected: below it the fault is
+	// likelier on the way or in the reports.
+	panicThreshold = 0.2
+)
+
+// fleetEstimate is what the planner knows of the fleet as a whole.
+type fleetEstimate struct {
+	meanCapacity        float64 // of an endpoint, requests per second
+	speed               float64 // present speed relative to the speeds learned one by one
+	speedsKnown         bool    // a speed has been learned since the start
+	utilization         float64 // load over available capacity
+	admittedUtilization float64 // the same without what admission rejects
+	failureRate         float64 // fraction of all attempts, smoothed
+}
+
+// fleetEndpoint is an endpoint with its estimated capacity in requests per second.
+type fleetEndpoint struct {
+	endpointState
+	capacity  float64 // at full speed
+	available float64 // now: in slow start, or slow, less
+}
+
+// learnedTotals are sums over the endpoints of local zones.
+type learnedTotals struct {
+	endpoints           float64
+	busySeconds         float64
+	weightedBusySeconds float64 // by listed weight, with assumedBusySeconds for each endpoint
+	requests            float64
+}
+
+// estimateFleet lists the endpoints with their capacities: what they did in a busy second and, while little is known,
+// what their listed weights say. What slows all endpoints at once, or makes all requests more expensive, shows in the
+// fleet's speed within a round, long before each endpoint has learned it, and passes as fast.
+func (p *planner) estimateFleet() []fleetEndpoint {
+	fleet := p.listFleet()
+	totals := p.learnedTotals(fleet)
+	completed, expected, localCapacity := 0.0, 0.0, epsilon
+	for i := range fleet {
+		e := &fleet[i]
+		busySeconds, requests := e.learned.throughput.total()
+		prior := priorBusySeconds * e.entry.Weight * totals.requests / totals.weightedBusySeconds
+		e.capacity = (requests + prior) / (busySeconds + priorBusySeconds)
+		completed += e.load.lastRate
+		expected += e.capacity * e.load.lastBusy
+		if e.ready && p.isLocal(*e) {
+			localCapacity += e.capacity
+		}
+	}
+	p.fleet.speedsKnown = p.fleet.speedsKnown || totals.busySeconds > max(1, totals.endpoints)
+	if p.round.finished && expected > 0 {
+		smooth(&p.fleet.speed, min(maxFleetSpeed, max(minFleetSpeed, completed/expected)))
+	}
+	p.round.finished = false
+	p.estimateAvailable(fleet, localCapacity)
+	return fleet
+}
+
+// listFleet returns the endpoints in the order of their IDs.
+func (p *planner) listFleet() (fleet []fleetEndpoint) {
+	for _, id := range slices.Sorted(maps.Keys(p.endpoints)) {
+		e := fleetEndpoint{endpointState: p.endpoints[id]}
+		e.entry.Weight = max(e.entry.Weight, minListedWeight)
+		fleet = append(fleet, e)
+	}
+	return fleet
+}
+
+func (p *planner) learnedTotals(fleet []fleetEndpoint) learnedTotals {
+	totals := learnedTotals{weightedBusySeconds: epsilon}
+	for _, e := range fleet {
+		if !p.isLocal(e) {
+			continue
+		}
+		busySeconds, requests := e.learned.throughput.total()
+		totals.endpoints++
+		totals.busySeconds += busySeconds
+		totals.weightedBusySeconds += (busySeconds + assumedBusySeconds) * e.entry.Weight
+		totals.requests += requests
+	}
+	totals.requests += assumedBusySeconds * assumedHeadroom * max(sum(p.zoneDemand), 1)
+	return totals
+}
+
+// estimateAvailable scales the capacities by the fleet's speed and derives what is available now. LocalCapacity is that
+// of the ready endpoints in local zones.
+func (p *planner) estimateAvailable(fleet []fleetEndpoint, localCapacity float64) {
+	latencies := latenciesByMachineType(fleet)
+	strain := max(1, p.fleet.admittedUtilization) / (strainCeiling - min(1, p.fleet.failureRate))
+	demand := sum(p.zoneDemand)
+	p.fleet.meanCapacity = 0
+	for i := range fleet {
+		e := &fleet[i]
+		e.capacity *= p.fleet.speed
+		p.fleet.meanCapacity += e.capacity / float64(len(fleet))
+		if !p.isLocal(*e) {
+			e.estimateExternalLoad(demand, localCapacity)
+		}
+		e.available = e.capacity * e.slowStartFactor
+		if others := latencies[e.entry.MachineType]; e.load.latency > 0 {
+			// The product goes first: the order of the operations is part of the decisions.
+			threshold := slowEndpointLatency * sum(others) / float64(len(others))
+			e.available *= min(1, max(minSlowCapacity, threshold/e.load.latency))
+		}
+		if e.slowStartFactor < 1 {
+			// All proxies together must not overload a warming endpoint. Where the others are full, retries and what
+			// avoids them come on top of its weight; just after a restart nothing is known of that.
+			e.available *= slowStartMargin / strain
+			if strain > maxSlowStartStrain || !p.fleet.speedsKnown {
+				e.available = 0
+			}
+		}
+	}
+}
+
+// latenciesByMachineType collects the mean latencies that are known. An endpoint is compared with its machine type: one
+// that stalls or is overloaded gets less load at once.
+func latenciesByMachineType(fleet []fleetEndpoint) map[policyapi.MachineType][]float64 {
+	latencies := map[policyapi.MachineType][]float64{}
+	for _, e := range fleet {
+		if e.load.latency > 0 {
+			latencies[e.entry.MachineType] = append(latencies[e.entry.MachineType], e.load.latency)
+		}
+	}
+	return latencies
+}
+
+// estimateExternalLoad estimates the load of other instances' proxies on an endpoint in one of their zones: by its busy
+// share if that was reported lately, else nearly as in the local zones.
+func (e *fleetEndpoint) estimateExternalLoad(demand, localCapacity float64) {
+	if !e.recentlyReported {
+		e.load.served = 0
+		e.load.busyShare = min(1, assumedUtilization*demand/localCapacity)
+		e.load.externalLoad = e.load.busyShare * e.capacity
+		return
+	}
+	if !e.load.reportsRate {
+		e.load.externalLoad = max(0, e.load.busyShare*e.capacity-e.load.served)
+	}
+}
+
+// updatePanicThreshold ignores ejections where they would nearly empty a zone's tables: all lines stay then.
+func (p *planner) updatePanicThreshold(fleet []fleetEndpoint) {
+	for z, name := range p.settings.zones {
+		healthy, ready := 0.0, 0.0
+		for _, e := range fleet {
+			if !e.ready {
+				continue
+			}
+			ready += e.capacity
+			if !e.ejected[z] {
+				healthy += e.capacity
+			}
+		}
+		panicking := healthy < panicThreshold*ready
+		if panicking != p.panicZones[z] {
+			p.panicZones[z] = panicking
+			p.out.logf(panicLog, name, panicking, healthy, ready)
+		}
+	}
+}
+
+// isLocal reports whether an endpoint is in a zone that has proxies of this instance.
+func (p *planner) isLocal(e fleetEndpoint) bool {
+	return p.settings.instanceCount == 1 || e.zone >= 0 && p.zoneDemand[e.zone] > 0
+}
+
+// isUsable reports whether an endpoint should get requests from a zone's proxies.
+func (p *planner) isUsable(e fleetEndpoint, zone int) bool {
+	return e.ready && (p.panicZones[zone] || !e.ejected[zone])
+}
--- /dev/null
+++ b/policy/health.go
@@ -0,0 +1,133 @@
+package policy
+
+import "porthub/policyapi"
+
+// Outlier detection: an endpoint that answers the proxies of a zone nothing at all, by failures or by silence, is
+// ejected from their tables. One that is merely full answers some requests and stays: without it the others would be
+// overloaded.
+const (
+	// ejectionFailures is the number of consecutive failed or missing attempts that ejects an endpoint of an otherwise
+	// healthy fleet. Even a busy endpoint hardly ever reaches it by chance.
+	ejectionFailures = 12
+	// fleetFailureCeiling minus the fleet's failure rate, squared, divides ejectionFailures: where all endpoints fail,
+	// an ejection needs far more evidence. It is above 1 to keep the divisor positive.
+	fleetFailureCeiling = 1.01
+	// readmissionFailures are the failures that an endpoint starts with after an ejection, so that it is ejected again
+	// sooner.
+	readmissionFailures = 4
+	// minEjection and maxEjection bound the duration of an ejection, which doubles each time.
+	minEjection, maxEjection = 2 * second, 8 * second
+	// ejectionBackoff is the factor by which successive ejections grow.
+	ejectionBackoff = 2
+)
+
+// zoneHealth is what the proxies of one zone observe of an endpoint.
+type zoneHealth struct {
+	// Sums of the present round.
+	attempts   float64
+	failures   float64
+	latencySum float64 // of the successful attempts, in microseconds
+
+	served       float64 // completed requests per second, smoothed
+	latestRate   float64 // the same, of the latest round
+	countedUntil micros  // until when attempts are counted
+
+	consecutiveFailures float64 // attempts that failed or did not come since the last success
+	ejected             bool
+	retryAt             micros // end of the ejection
+	backoff             micros // length of the latest ejection
+}
+
+// roundTotals are sums over the zones of a round.
+type roundTotals struct {
+	attempts   float64
+	failures   float64
+	latencySum float64
+	latestRate float64 // completed requests per second
+	ejected    bool    // from at least one zone, in this round
+}
+
+// closeZones closes the round in all zones and adds up what they observed.
+func (a *endpointActor) closeZones(now micros, round roundClosed) (totals roundTotals) {
+	a.load.served = 0
+	for z := range a.zones {
+		zone := &a.zones[z]
+		totals.attempts += zone.attempts
+		totals.failures += zone.failures
+		totals.latencySum += zone.latencySum
+		expected := 0.0
+		if zone.attempts > 0 || now-zone.countedUntil > round.silenceLimit {
+			expected = round.expectedAttempts[z]
+			zone.countRound(now, round.seconds)
+		} else {
+			zone.latestRate = zone.served
+		}
+		a.load.served += zone.served
+		totals.latestRate += zone.latestRate
+		if a.detectOutlier(now, z, expected, round.failureRate) {
+			totals.ejected = true
+		}
+		zone.attempts = 0
+		zone.failures = 0
+		zone.latencySum = 0
+	}
+	return totals
+}
+
+// countRound takes the attempts of a round into the rate of completed requests.
+func (h *zoneHealth) countRound(now micros, roundSeconds float64) {
+	seconds, step := decayStep(now, h.countedUntil, roundSeconds)
+	h.latestRate = (h.attempts - h.failures) / seconds
+	h.countedUntil = now
+	h.served += step * (h.latestRate - h.served)
+}
+
+// detectOutlier evaluates the round of a zone and reports whether it ejected the endpoint. Expected is the number of
+// attempts that the endpoint's weights should have brought.
+func (a *endpointActor) detectOutlier(now micros, z int, expected, fleetFailureRate float64) (ejected bool) {
+	zone := &a.zones[z]
+	if a.entry.Status != policyapi.Ready {
+		return false
+	}
+	if zone.ejected {
+		a.readmit(now, zone)
+		return false
+	}
+	if zone.attempts > zone.failures {
+		zone.consecutiveFailures = 0
+		if a.slowStartFactor(now) >= 1 {
+			zone.backoff = 0
+		}
+		return false
+	}
+	zone.consecutiveFailures += max(zone.attempts, expected)
+	healthy := fleetFailureCeiling - fleetFailureRate
+	if zone.consecutiveFailures > ejectionFailures/(healthy*healthy) {
+		zone.eject(now)
+		a.out.logf(ejectionLog, a.id, a.settings.zones[z], zone.consecutiveFailures)
+		return true
+	}
+	return false
+}
+
+func (h *zoneHealth) eject(now micros) {
+	h.ejected = true
+	h.backoff = min(max(minEjection, ejectionBackoff*h.backoff), maxEjection)
+	h.retryAt = now + h.backoff
+}
+
+// readmit ends an ejection when its time has passed; where health checks are allowed, once one has passed since. An
+// endpoint whose removal is unconfirmed has to be listed first.
+func (a *endpointActor) readmit(now micros, zone *zoneHealth) {
+	if now < zone.retryAt || a.unconfirmedRemoval {
+		return
+	}
+	if a.settings.rules.HealthChecksAllowed && a.healthyAt < zone.retryAt {
+		a.out.add(policyapi.CheckHealth{Endpoint: a.id})
+		zone.retryAt = now
+		return
+	}
+	zone.ejected = false
+	zone.consecutiveFailures = readmissionFailures
+	a.recoveredAt = now
+}
--- /dev/null
+++ b/policy/planner.go
@@ -0,0 +1,213 @@
+package policy
+
+import (
+	"maps"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+// firstClock is where the planner's clock starts, in seconds. It is far above rebindInterval, so that every proxy may be
+// moved from the start.
+const firstClock = 100
+
+// planner decides the target state: tables, groups and admission.
+type planner struct {
+	mailbox
+	out      *outbox
+	channel  *channel
+	settings *settings
+
+	// What the other actors sent last.
+	endpoints    map[policyapi.EndpointID]endpointState
+	proxies      []*proxyDemand
+	allConnected bool // the reports cover nearly all of the demand
+	list         listStatus
+
+	round  roundCounts
+	fleet  fleetEstimate
+	groups groupSet
+
+	zoneDemand    []float64                          // requests per second, by zone of the proxies
+	endpointLoad  map[policyapi.EndpointID][]float64 // requests per second that an endpoint should get, by group
+	panicZones    []bool                             // by zone of the proxies: ejections are ignored
+	admittedRate  float64                            // published limit on all requests per second; 0: no limit
+	maxTableLines int
+
+	changed bool // since the last plan
+	urgent  bool // a change must not wait for the next routine turn
+}
+
+// roundCounts are the attempts reported in the present round.
+type roundCounts struct {
+	attempts []float64 // by zone of the proxies
+	failures float64
+	clock    float64 // seconds of all rounds with reports
+	finished bool    // a round has ended since the last plan
+}
+
+func newPlanner(out *outbox, ch *channel, s *settings) *planner {
+	zones := len(s.zones)
+	return &planner{
+		out:           out,
+		channel:       ch,
+		settings:      s,
+		endpoints:     map[policyapi.EndpointID]endpointState{},
+		list:          listStatus{cachedHold: cachedListHold(s.reportPeriod, s.rules.DrainGracePeriod)},
+		round:         roundCounts{attempts: make([]float64, zones), clock: firstClock},
+		fleet:         fleetEstimate{speed: 1},
+		groups:        newGroupSet(),
+		zoneDemand:    make([]float64, zones),
+		panicZones:    make([]bool, zones),
+		maxTableLines: maxTableLines(s.rules.QueueLimit, s.messageOverhead, len(s.placements), len(s.classes)),
+	}
+}
+
+func (p *planner) receive(now micros, m message) {
+	p.startList(now)
+	switch m := m.(type) {
+	case endpointState:
+		p.endpoints[m.id] = m
+		p.changed = true
+		p.urgent = p.urgent || m.urgent
+	case demandUpdate:
+		p.proxies = m.proxies
+		p.allConnected = m.allConnected
+		p.changed = true
+		p.urgent = p.urgent || m.urgent
+	case hostEvent:
+		if load, is := m.event.(policyapi.EndpointLoad); is {
+			p.countLoad(load)
+		}
+	case endpointForgotten:
+		delete(p.endpoints, m.id)
+		delete(p.groups.ofEndpoint, m.id)
+	case listConfirmed:
+		p.changed = p.changed || !p.list.confirmed
+		p.list.confirmed = true
+	case boundGroups:
+		p.groups.bound = m.groups
+	case reportRound:
+		if m.seconds > 0 {
+			p.closeRound(m)
+		}
+	case batchEnd:
+		p.planIfChanged(now)
+	}
+}
+
+// countLoad counts a load report toward the present round.
+func (p *planner) countLoad(load policyapi.EndpointLoad) {
+	if z := slices.Index(p.settings.zones, load.Zone); z >= 0 {
+		p.round.attempts[z] += float64(load.Attempts)
+		p.round.failures += float64(load.Failures)
+	}
+}
+
+// closeRound tells the endpoints that a round of reports is over, with what they cannot know alone.
+func (p *planner) closeRound(round reportRound) {
+	p.round.clock += round.seconds
+	failureRate := p.round.failures / max(sum(p.round.attempts), 1)
+	for _, id := range slices.Sorted(maps.Keys(p.endpoints)) {
+		p.endpoints[id].mailbox.send(roundClosed{
+			expectedAttempts: p.expectedAttempts(id),
+			failureRate:      failureRate,
+			seconds:          round.seconds,
+			silenceLimit:     round.silenceLimit,
+			allReported:      p.allConnected,
+		})
+	}
+	smooth(&p.fleet.failureRate, failureRate)
+	clear(p.round.attempts)
+	p.round.failures = 0
+	p.round.finished = true
+}
+
+// expectedAttempts returns the attempts, by zone of the proxies, that an endpoint's weights should have brought.
+func (p *planner) expectedAttempts(id policyapi.EndpointID) []float64 {
+	expected := make([]float64, len(p.settings.zones))
+	for i, load := range p.endpointLoad[id] {
+		if z := p.groups.list[i].zone; p.zoneDemand[z] > 0 {
+			expected[z] += load / p.zoneDemand[z] * p.round.attempts[z]
+		}
+	}
+	return expected
+}
+
+func (p *planner) planIfChanged(now micros) {
+	if p.changed && p.acceptsList(now) {
+		p.plan()
+		p.changed = false
+		p.urgent = false
+	}
+}
+
+// plan decides the target state anew; the channel sends what differs from what the proxies have.
+func (p *planner) plan() {
+	clear(p.zoneDemand)
+	for _, proxy := range p.proxies {
+		p.zoneDemand[proxy.zone] += proxy.total
+	}
+	roundFinished := p.round.finished
+	fleet := p.estimateFleet()
+	p.updatePanicThreshold(fleet)
+	p.assignGroups(fleet, roundFinished)
+	target := targetState{
+		tables:      map[groupID][]tablePlan{},
+		proxyGroups: map[policyapi.ProxyID]groupID{},
+		ready:       map[policyapi.EndpointID]bool{},
+		urgent:      p.urgent,
+	}
+	for _, proxy := range p.proxies {
+		target.proxyGroups[proxy.proxy] = p.groups.list[p.groups.ofProxy[proxy.proxy]].id
+	}
+	p.endpointLoad = map[policyapi.EndpointID][]float64{}
+	for _, e := range fleet {
+		p.endpointLoad[e.id] = make([]float64, len(p.groups.list))
+		target.ready[e.id] = e.ready
+	}
+	p.planTables(fleet, &target)
+	p.updateAdmittedRate(fleet)
+	// A restart forgets how full the fleet is; the levels that proxies still have stay until that is known again.
+	if p.fleet.speedsKnown || p.admittedRate > 0 {
+		target.admissions = p.admitByClass()
+	}
+	p.channel.send(target)
+}
+
+// cachedHoldDivisor divides the drain grace period: what a cached list shows as draining counts as known, so the list
+// may be held back for a part of that period only.
+const cachedHoldDivisor = 4
+
+// cachedListHold returns how long the proxies keep their tables while only a cached list is known. It may contain
+// endpoints that have died, and lack those that have started.
+func cachedListHold(reportPeriod, drainGracePeriod micros) micros {
+	return min(reportPeriod, drainGracePeriod/cachedHoldDivisor)
+}
+
+// listStatus says whether the endpoint list is one to plan by.
+type listStatus struct {
+	cachedHold micros // how long a cached list waits for a newer one
+	started    bool
+	startedAt  micros // when the first message came
+	confirmed  bool   // a list newer than the cached one has arrived
+}
+
+// startList starts the hold of a cached list with the first message. Where it ends sooner than the report period, a
+// timer ends it.
+func (p *planner) startList(now micros) {
+	if p.list.started {
+		return
+	}
+	p.list.started = true
+	p.list.startedAt = now
+	if p.list.cachedHold < p.settings.reportPeriod {
+		p.out.add(policyapi.SetTimer{After: p.list.cachedHold, Token: retryToken})
+	}
+}
+
+// acceptsList reports whether the list at hand is one to plan by: a new one, even an empty one, or a cached one that no
+// newer one has followed for long enough.
+func (p *planner) acceptsList(now micros) bool {
+	return p.list.confirmed || len(p.endpoints) > 0 && now-p.list.startedAt >= p.list.cachedHold
+}
--- /dev/null
+++ b/policy/rebalance.go
@@ -0,0 +1,81 @@
+package policy
+
+import (
+	"math"
+	"slices"
+)
+
+const (
+	// endpointMovesPerPlan is the most endpoints of a zone that change their group with one plan.
+	endpointMovesPerPlan = 3
+	// maxEndpointImbalance is the multiple of the poorest group's capacity that the richest may have.
+	maxEndpointImbalance = 2
+	// maxMovedCapacity is the fraction of that difference below which an endpoint's capacity has to be, so that its move
+	// narrows the difference.
+	maxMovedCapacity = 0.7
+	// proxiesPerMove is the number of proxies for each of which one more may be moved in a round.
+	proxiesPerMove = 50
+	// rebindInterval is the least number of seconds between two moves of a proxy: a move costs connections.
+	rebindInterval = 15
+	// maxMovedDemand is the multiple of the demand that evens out two groups that a moved proxy may have.
+	maxMovedDemand = 1.5
+	// minFullUtilization is the utilization below which a group is left alone.
+	minFullUtilization = 0.9
+	// maxProxyImbalance is the multiple of the emptiest group's utilization that the fullest may have.
+	maxProxyImbalance = 1.25
+)
+
+// rebalanceEndpoints moves endpoints from a zone's group of the most capacity to the one of the least when drains or
+// failures have left them unequal.
+func (p *planner) rebalanceEndpoints(fleet []fleetEndpoint, zone int) {
+	for range endpointMovesPerPlan {
+		poorest, richest := p.groups.extremes(zone, groupCapacity)
+		from, to := &p.groups.list[richest], &p.groups.list[poorest]
+		i := slices.IndexFunc(fleet, func(e fleetEndpoint) bool {
+			return e.zone == zone && p.groups.ofEndpoint[e.id] == richest && p.isUsable(e, zone) &&
+				e.capacity < maxMovedCapacity*(from.capacity-to.capacity)
+		})
+		if i < 0 || from.capacity < maxEndpointImbalance*to.capacity {
+			return
+		}
+		p.groups.ofEndpoint[fleet[i].id] = poorest
+		to.capacity += fleet[i].capacity
+		from.capacity -= fleet[i].capacity
+	}
+}
+
+// rebalanceProxies moves proxies from a zone's fullest group to its emptiest, seldom: only where they differ by much,
+// the fullest is well utilized, and the proxy has not been moved for a while.
+func (p *planner) rebalanceProxies(zone int) {
+	for range 1 + len(p.proxies)/proxiesPerMove {
+		emptiest, fullest := p.groups.extremes(zone, groupUtilization)
+		from, to := &p.groups.list[fullest], &p.groups.list[emptiest]
+		best := p.proxyToMove(from, to)
+		balanced := from.load*to.available < maxProxyImbalance*to.load*from.available
+		if best < 0 || from.load < minFullUtilization*from.available || balanced {
+			return
+		}
+		proxy := from.proxies[best]
+		p.groups.ofProxy[proxy.proxy] = emptiest
+		p.groups.movedAt[proxy.proxy] = p.round.clock
+		to.proxies = append(to.proxies, proxy)
+		from.load -= proxy.total
+		to.load += proxy.total
+		from.proxies = slices.Delete(from.proxies, best, best+1)
+	}
+}
+
+// proxyToMove returns the position of the proxy whose move evens out two groups best, or -1.
+func (p *planner) proxyToMove(from, to *group) int {
+	best := -1
+	gap := (from.load*to.available - to.load*from.available) / max(from.available+to.available, epsilon)
+	for i, proxy := range from.proxies {
+		if proxy.total >= maxMovedDemand*gap || p.round.clock-p.groups.movedAt[proxy.proxy] < rebindInterval {
+			continue
+		}
+		if best < 0 || math.Abs(proxy.total-gap) < math.Abs(from.proxies[best].total-gap) {
+			best = i
+		}
+	}
+	return best
+}
--- /dev/null
+++ b/policy/removal.go
@@ -0,0 +1,145 @@
+package policy
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// removalMessageReserve is the number of messages in the window that are left to removals.
+const removalMessageReserve = 2
+
+// sendWithdrawals sends what the rules want, with most of the queue: first withdrawn endpoints leave the tables, those
+// first where that has been pending for longest; then new proxies get tables in place of the default ones, which takes
+// three times the lines. What else the tables lose follows. It reports whether some of it has to wait.
+func (c *channel) sendWithdrawals(t turn) (pending bool) {
+	losing := c.replicasWithRemovals(t.now)
+	for _, r := range losing {
+		if r.withdrawalSince > 0 && !c.sendRemovals(t, r) {
+			pending = true
+		}
+	}
+	for _, s := range c.newStreams() {
+		if !c.bindPlanned(s) {
+			pending = true
+		}
+	}
+	for _, r := range losing {
+		if r.withdrawalSince == 0 {
+			c.sendRemovals(t, r)
+		}
+	}
+	return pending
+}
+
+// replicasWithRemovals returns the replicas of which a table loses a line, those first in which withdrawn endpoints have
+// been for longest.
+func (c *channel) replicasWithRemovals(now micros) (replicas []*replica) {
+	for _, r := range c.replicas {
+		removed, withdrawn := false, false
+		for _, table := range r.tables {
+			withdrawn = withdrawn || len(table.pending.withdrawn) > 0
+			removed = removed || len(table.pending.withdrawn)+len(table.pending.removed) > 0
+		}
+		if !withdrawn {
+			r.withdrawalSince = 0
+		} else if r.withdrawalSince == 0 {
+			r.withdrawalSince = now
+		}
+		if removed {
+			replicas = append(replicas, r)
+		}
+	}
+	slices.SortStableFunc(replicas, func(a, b *replica) int {
+		return cmp.Compare(cmp.Or(a.withdrawalSince, math.MaxInt64), cmp.Or(b.withdrawalSince, math.MaxInt64))
+	})
+	return replicas
+}
+
+// sendRemovals sends what the tables of a replica lose. It reports whether all withdrawn endpoints are out.
+func (c *channel) sendRemovals(t turn, r *replica) (done bool) {
+	if !t.removals || c.reservesLastMessage(t.now, r) {
+		return false
+	}
+	if c.anyStreamLimited(r) {
+		c.reassign(r)
+		return false
+	}
+	done = true
+	for set := range r.tables {
+		if !c.sendTableRemovals(t.now, r, set) {
+			done = false
+		}
+	}
+	return done
+}
+
+// sendTableRemovals sends what one table loses: the whole change where that takes little, else as many lines as fit. It
+// reports whether the withdrawn endpoints are out.
+func (c *channel) sendTableRemovals(now micros, r *replica, set int) (done bool) {
+	change := r.tables[set].pending
+	losses := slices.Concat(change.withdrawn, change.removed)
+	if len(losses) == 0 {
+		return true
+	}
+	r.removedAt = now
+	share := fullChangeShare // what need not go at once leaves room for the next removal
+	if change.replaces {
+		share = withdrawalShare
+	}
+	if c.linesThatFit(r.streams, share) >= change.size() {
+		c.charge(now, r.streams, float64(change.size()))
+		c.orderAdmission(r, set, change)
+		c.orderLines(r, set, slices.Concat(losses, change.updated))
+		return true
+	}
+	fit := min(len(losses), c.linesThatFit(r.streams, withdrawalShare))
+	if fit <= 0 {
+		return false
+	}
+	c.charge(now, r.streams, float64(fit))
+	c.orderLines(r, set, losses[:fit])
+	return fit >= len(change.withdrawn)
+}
+
+// reservesLastMessage reports whether a replica's removals wait for others that may follow, because they would take the
+// last message that one of its proxies may get: as long as half of the drain grace period is left to the channel, beside
+// the time that acknowledgements were seen to take.
+func (c *channel) reservesLastMessage(now micros, r *replica) bool {
+	if r.withdrawalSince == 0 || now >= r.withdrawalSince+c.drainGracePeriod/2-c.acks.longest() {
+		return false
+	}
+	return slices.ContainsFunc(r.streams, func(s *stream) bool {
+		return c.messageLimit > 0 && len(s.sentAt) == c.messageLimit-1
+	})
+}
+
+// messageLimitReached reports whether a stream may get no more messages now. Some are left to removals and to the first
+// binding.
+func (c *channel) messageLimitReached(s *stream, reserved bool) bool {
+	limit := c.messageLimit
+	if !reserved {
+		limit -= removalMessageReserve
+	}
+	return c.messageLimit > 0 && len(s.sentAt) >= limit
+}
+
+// anyStreamLimited reports whether one of a replica's proxies may get no more messages now.
+func (c *channel) anyStreamLimited(r *replica) bool {
+	return slices.ContainsFunc(r.streams, func(s *stream) bool { return c.messageLimitReached(s, r.withdrawalSince > 0) })
+}
+
+// reassign binds the streams that may still get a message to another replica of their tables: those that may not would
+// delay the removals of all of them.
+func (c *channel) reassign(r *replica) {
+	var fresh *replica
+	for _, s := range slices.Clone(r.streams) {
+		if r.withdrawalSince == 0 || c.messageLimitReached(s, true) || !c.bindingFits(r, withdrawalShare) {
+			continue
+		}
+		if fresh == nil {
+			fresh = c.addReplica(r.group)
+		}
+		c.bind(s, fresh)
+	}
+}
--- /dev/null
+++ b/policy/weights.go
@@ -0,0 +1,185 @@
+package policy
+
+import (
+	"cmp"
+	"math/bits"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+const (
+	// lowUtilization and fullUtilization are the fleet's utilization at which zones begin to spill over, and at which
+	// they are one.
+	lowUtilization, fullUtilization = 0.6, 0.9
+	// maxSpillover bounds the weight of endpoints in other zones beside local ones.
+	maxSpillover = 2
+	// minLocalShare bounds the fraction of a zone's load that its own endpoints can take from below, for the division.
+	minLocalShare = 1e-3
+	// minTableWeight is the least weight of an endpoint that must stay in a table.
+	minTableWeight = 0.01
+	// minLineWeight is the weight below which a line is left out where others remain.
+	minLineWeight = 0.02
+	// minSharedWeight is the fraction of its weight that an endpoint keeps for classes that may go anywhere, however
+	// much restricted classes take.
+	minSharedWeight = 0.2
+)
+
+// tableInputs is what the tables of a plan are built from.
+type tableInputs struct {
+	fleet          []fleetEndpoint
+	spillover      []float64                        // by zone
+	restrictedLoad map[policyapi.EndpointID]float64 // of the restricted classes, whose tables are built first
+}
+
+// planTables plans the tables of all groups that proxies use or are still bound to.
+func (p *planner) planTables(fleet []fleetEndpoint, target *targetState) {
+	p.groups.dropRetired()
+	in := &tableInputs{fleet, p.zoneSpillover(fleet), map[policyapi.EndpointID]float64{}}
+	add := func(id groupID, placement classPlacement, g group) []tableLine {
+		lines := p.buildTable(in, placement, g)
+		target.tables[id] = append(target.tables[id], tablePlan{lines, p.warmUpAdmission(g, placement, lines)})
+		return lines
+	}
+	for _, placement := range p.settings.placements {
+		for i, g := range p.groups.list {
+			if len(g.proxies) > 0 || p.groups.bound[g.id] { // also where all of them are to move
+				lines := add(g.id, placement, g)
+				p.addLoad(in, i, placement, lines)
+			}
+		}
+		for _, g := range p.groups.retired {
+			add(g.id, placement, *p.groups.wholeZone(g.zone))
+		}
+	}
+}
+
+// zoneSpillover returns, by zone, the weight factor of endpoints elsewhere beside local ones: 0 keeps all requests in
+// their zone, 1 treats the fleet as one. A zone with low utilization keeps its requests; as the fleet fills up, or the
+// zone more than the fleet, it spills over: proxies change faster than orders travel, and what is too much for one zone
+// another can take.
+func (p *planner) zoneSpillover(fleet []fleetEndpoint) []float64 {
+	available := make([]float64, len(p.settings.zones))
+	load := slices.Clone(p.zoneDemand)
+	for _, e := range fleet {
+		if !e.ready || e.zone < 0 {
+			continue
+		}
+		load[e.zone] += e.load.externalLoad
+		if p.isUsable(e, e.zone) {
+			available[e.zone] += e.available
+		}
+	}
+	p.updateUtilization(sum(load), sum(available))
+	utilization := p.fleet.utilization
+	spillover := make([]float64, len(p.settings.zones))
+	for z := range spillover {
+		spillover[z] = min(1, max(0, (utilization-lowUtilization)/(fullUtilization-lowUtilization)))
+		// And enough to leave the zone utilized no more than the fleet, or than a zone of low utilization.
+		local := max(lowUtilization, utilization) * available[z] / max(load[z], epsilon)
+		elsewhere := sum(available) - available[z]
+		if local < 1 && elsewhere > 0 {
+			needed := available[z] * (1/max(local, minLocalShare) - 1) / elsewhere
+			spillover[z] = max(spillover[z], min(maxSpillover, needed))
+		}
+	}
+	return spillover
+}
+
+// updateUtilization computes the fleet's utilization, with and without what admission rejects: that strains nobody, but
+// it comes again and again.
+func (p *planner) updateUtilization(load, available float64) {
+	p.fleet.utilization = load / max(available, epsilon)
+	p.fleet.admittedUtilization = p.fleet.utilization
+	if p.admittedRate > 0 {
+		admitted := load - sum(p.zoneDemand) + p.admittedRate
+		p.fleet.admittedUtilization *= min(1, admitted/max(load, epsilon))
+	}
+}
+
+// buildTable makes the lines of a placement's table for a group. Weights are what endpoints can do relative to the mean
+// of the fleet, so that a line changes only when its endpoint, or the spillover, does.
+func (p *planner) buildTable(in *tableInputs, placement classPlacement, g group) []tableLine {
+	zones := p.settings.zones
+	servedLocally := g.capacity > 0 && placement.allows(zones[g.zone])
+	var lines, all []tableLine
+	for _, e := range in.fleet {
+		if !p.mayServe(e, placement, g.zone) {
+			continue
+		}
+		line := tableLine{e.id, max(minTableWeight, e.available/p.fleet.meanCapacity)}
+		all = append(all, line)
+		if !p.isMember(e, g) {
+			continue
+		}
+		if !placement.restricted() { // what serves restricted classes too gets less of the others
+			taken := in.restrictedLoad[e.id] / max(e.available*p.fleet.utilization, epsilon)
+			line.weight *= max(minSharedWeight, 1-taken)
+		}
+		if e.zone != g.zone && servedLocally {
+			line.weight *= in.spillover[g.zone]
+		}
+		if p.isUsable(e, g.zone) && line.weight > minLineWeight {
+			lines = append(lines, line)
+		}
+	}
+	if len(lines) == 0 {
+		lines = all // the first rule: whatever is listed ready beats an empty table
+	}
+	return heaviest(lines, p.maxTableLines)
+}
+
+// mayServe reports whether a placement's requests from a zone's proxies may go to an endpoint.
+func (p *planner) mayServe(e fleetEndpoint, placement classPlacement, zone int) bool {
+	return e.ready && e.zone >= 0 && (!placement.localZoneOnly || e.zone == zone) &&
+		placement.allows(p.settings.zones[e.zone])
+}
+
+// addLoad adds what a group's proxies send by the lines of a placement's table to the endpoints' expected load.
+func (p *planner) addLoad(in *tableInputs, at int, placement classPlacement, lines []tableLine) {
+	weight, demand := 0.0, 0.0
+	for _, line := range lines {
+		weight += line.weight
+	}
+	for _, proxy := range p.groups.list[at].proxies {
+		for class, rate := range proxy.rates {
+			if placement.classes&(1<<class) != 0 {
+				demand += rate
+			}
+		}
+	}
+	for _, line := range lines {
+		p.endpointLoad[line.endpoint][at] += demand * line.weight / weight
+		if placement.restricted() {
+			in.restrictedLoad[line.endpoint] += demand * line.weight / weight
+		}
+	}
+}
+
+// warmUpAdmission is what each proxy of a group may admit of each class while a warming endpoint is in the group's
+// table. A proxy can bring a hundred times its demand before the first report of it has come; on the few endpoints of a
+// group that overloads the warming ones, the more so the larger the fleet is beside its groups. With all classes at this
+// level one proxy, on top of the present load, brings a warming endpoint to slowStartMargin of what it can bear; the rest
+// is for chance and for what still travels. Whole zones need no such limit.
+func (p *planner) warmUpAdmission(g group, placement classPlacement, lines []tableLine) float64 {
+	warming, carried := false, 0.0
+	for _, line := range lines {
+		warming = warming || p.endpoints[line.endpoint].slowStartFactor < 1
+		carried += line.weight * p.fleet.meanCapacity
+	}
+	overload := p.settings.rules.OverloadFactor
+	if !warming || p.groups.isZoneWide(g) || p.settings.admissionMode != policyapi.AdmissionByRate || overload <= 1 {
+		return unlimitedLevel
+	}
+	classes := bits.OnesCount64(uint64(placement.classes))
+	return carried * (overload - min(1, p.fleet.utilization)) / float64(classes)
+}
+
+// heaviest returns the lines of the most weight, as many as a table may have.
+func heaviest(lines []tableLine, most int) []tableLine {
+	if len(lines) <= max(1, most) {
+		return lines
+	}
+	slices.SortStableFunc(lines, func(a, b tableLine) int { return cmp.Compare(b.weight, a.weight) })
+	return lines[:max(1, most)]
+}
--- a/policy/withdrawal_test.go
+++ b/policy/withdrawal_test.go
@@ -28,7 +28,7 @@
 	return h, ids
 }
 
-func (h *host) channel() *channel { return h.instance.planner.channel }
+func (h *host) channel() *channel { return h.instance.channel }
 
 func (h *host) drainEndpoints(zone policyapi.Zone, ids ...policyapi.EndpointID) {
 	entries := readyEndpoints(zone, ids...)
@@ -53,12 +53,12 @@
 // looked at.)
 func TestTableToBeLeftLosesEndpoints(t *testing.T) {
 	h, ids := newZoneHost(t, 8, 1, nil)
-	planner, old := h.instance.planner, h.instance.planner.proxyGroup[0]
-	if planner.groupsPerZone < 2 {
-		t.Fatalf("%d groups", planner.groupsPerZone)
+	groups, old := &h.instance.planner.groups, h.instance.planner.groups.ofProxy[0]
+	if groups.perZone < 2 {
+		t.Fatalf("%d groups", groups.perZone)
 	}
 	h.fillQueue(0.5)
-	planner.proxyGroup[0] = (old + 1) % planner.groupsPerZone
+	groups.ofProxy[0] = (old + 1) % groups.perZone
 	var mine policyapi.EndpointID
 	for _, id := range ids {
 		if h.offers(0, 0, id) {
@@ -70,7 +70,7 @@
 		h.fillQueue(0.5)
 		h.advance(second/10, nil)
 	}
-	if planner.proxyGroup[0] == old || h.channel().streams[0].replica.group != planner.groups[old].id {
+	if groups.ofProxy[0] == old || h.channel().streams[0].replica.group != groups.list[old].id {
 		t.Fatal("it was to be bound to the old group, and planned to another")
 	}
 	if h.offers(0, 0, mine) {
@@ -135,7 +135,7 @@
 	}
 	h.channel().departed = nil
 	h.advance(30*second, nil)
-	if n := len(h.instance.planner.retired); n > 0 {
+	if n := len(h.instance.planner.groups.retired); n > 0 {
 		t.Errorf("%d old groups are kept after half a minute", n)
 	}
 }
@@ -144,12 +144,10 @@
 // acknowledgements come. (Before, all or nothing.)
 func TestRemovalToMoreProxiesThanQueueHolds(t *testing.T) {
 	for _, c := range []struct{ proxies, lost int }{{3000, 1}, {3000, 3}, {400, 60}} {
-		out := &outbox{}
-		ch := newChannel(out, 6000, 6, 20, 10*second, second, 3*second)
-		ch.masks = []policyapi.ClassSet{7}
+		ch, _ := newTestChannel(deliverySettings{queueLimit: 6000, messageLimit: 20, drainGracePeriod: 3 * second})
 		w := newPlan(1, 100)
 		for p := range policyapi.ProxyID(c.proxies) {
-			ch.receive(0, policyapi.ProxyConnected{Proxy: p})
+			ch.handleEvent(0, policyapi.ProxyConnected{Proxy: p})
 			w.proxyGroups[p] = 0
 		}
 		at := micros(0)
@@ -207,7 +205,7 @@
 			t.Errorf("with %.0f lines in the queue the proxy keeps what it brought along", limit)
 			continue
 		}
-		cost := h.channel().messageOverhead() + h.channel().bindCost(h.channel().streams[0].replica)
+		cost := h.channel().messageLines() + h.channel().bindCost(h.channel().streams[0].replica)
 		if cost > limit {
 			t.Errorf("its tables cost %.0f lines, of %.0f", cost, limit)
 		}
@@ -312,8 +310,8 @@
 func TestLimitsHoldAcrossTakeOver(t *testing.T) {
 	h, _ := newZoneHost(t, 8, 2, nil)
 	failed := h.instance
-	failed.planner.channel.streams[1].sentAt = slices.Repeat([]micros{h.now}, 20)
-	failed.planner.channel.streams[0].unacknowledged = []pendingMessage{{sentAt: h.now, lines: 1234}}
+	failed.channel.streams[1].sentAt = slices.Repeat([]micros{h.now}, 20)
+	failed.channel.streams[0].unacknowledged = []pendingMessage{{sentAt: h.now, lines: 1234}}
 	h.instance = New(policyapi.Start{Zones: []policyapi.Zone{"a"}, Classes: make([]policyapi.ClassSettings, 2), Reports: policyapi.ReportSettings{Period: second},
 		Rules: policyapi.RuleSettings{QueueLimit: 5000, MessageLimit: 20, MessageWindow: 10 * second, DrainGracePeriod: 3 * second}})
 	h.instance.TakeOver(failed)
@@ -332,7 +330,7 @@
 	c, _, w := newBoundChannel(t, 10)
 	c.messageLimit = 2 // in ten seconds
 	now := 200 * second
-	c.routineSentAt = now
+	c.turns.linesSentAt = now
 	w.withdrawEndpoints(0, 1, 1)
 	c.deliverPlan(now+testGrace/4, w)
 	if n := len(c.replicas[0].tables[0].lines); n != 99 {
@@ -366,7 +364,7 @@
 	c, out, w := newBoundChannel(t, 500)
 	now := 200 * second
 	for p := range policyapi.ProxyID(300) {
-		c.receive(now, policyapi.ProxyConnected{Proxy: 1000 + p})
+		c.handleEvent(now, policyapi.ProxyConnected{Proxy: 1000 + p})
 		w.proxyGroups[1000+p] = 0
 	}
 	c.departed = []pendingMessage{{sentAt: now, lines: 0.75 * c.queueLimit}}
