--- a/coordinator/io.go
+++ b/coordinator/io.go
@@ -12,8 +12,19 @@
 // ConnID is one connection of a gateway. It is never used twice within a process.
 type ConnID uint64
 
-// Input is something the core is told.
-type Input any
+// Input is an observation that a Core is given in Step. The set is closed: it has the types of this file whose input
+// method marks them, all of them passed by value, since captures record and restore them as values.
+type Input interface{ input() }
+
+func (EndpointUpdate) input()      {}
+func (RegistryUpdate) input()      {}
+func (GatewayConnected) input()    {}
+func (GatewayDisconnected) input() {}
+func (DocumentAck) input()         {}
+func (LoadReport) input()          {}
+func (HealthCheckResult) input()   {}
+func (PeerRejected) input()        {}
+func (PublishFailed) input()       {}
 
 type (
 	// EndpointUpdate is an answer of the node list, or its failure (How ListFailed, Why says what went wrong).
@@ -104,8 +115,16 @@
 
 func (d Document) String() string { return [...]string{"endpoints", "routes"}[d] }
 
-// Output is something the core wants done.
-type Output any
+// Output is an action that a Core asks its caller for. The set is closed, as for Input, and all are passed by value.
+type Output interface{ output() }
+
+func (Publish) output()         {}
+func (CheckHealth) output()     {}
+func (WatchEndpoints) output()  {}
+func (Resync) output()          {}
+func (SaveList) output()        {}
+func (CloseConnection) output() {}
+func (LogEntry) output()        {}
 
 type (
 	// Publish brings a gateway the documents that have changed, endpoints before routes.
