--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"fmt"
 	"os"
 	"slices"
-	"strings"
 	"time"
 
 	"go.opentelemetry.io/otel/attribute"
@@ -98,7 +96,7 @@
 	}
 	told := map[string]int{}
 	for _, in := range inputs {
-		told[strings.TrimPrefix(fmt.Sprintf("%T", in), "coordinator.")]++
+		told[inputName(in)]++
 	}
 	attributes := []attribute.KeyValue{attribute.Int64("step", int64(core.Steps())), attribute.Int("orders", len(core.Orders())),
 		attribute.Int("publications", len(publishes)), attribute.Int64("inbox_wait_us", began.Sub(came).Microseconds())}
@@ -118,6 +116,32 @@
 	span.End()
 }
 
+// inputName is the name of an input in the step's span: its attribute "told.NAME" counts the inputs of that type. Names are
+// written out because they leave the program: whoever reads the spans must not notice that a Go type was renamed.
+func inputName(in coordinator.Input) string {
+	switch in.(type) {
+	case coordinator.EndpointUpdate:
+		return "List"
+	case coordinator.RegistryUpdate:
+		return "Told"
+	case coordinator.GatewayConnected:
+		return "Join"
+	case coordinator.GatewayDisconnected:
+		return "Leave"
+	case coordinator.DocumentAck:
+		return "Ack"
+	case coordinator.LoadReport:
+		return "Report"
+	case coordinator.HealthCheckResult:
+		return "Probed"
+	case coordinator.PeerRejected:
+		return "Refused"
+	case coordinator.PublishFailed:
+		return "Failed"
+	}
+	return "Other"
+}
+
 // acked ends what an acknowledgement confirms: the version, and for its document all before it.
 func (t *tracer) acked(a coordinator.DocumentAck) {
 	all := t.open[a.Gateway]
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -16,6 +16,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"porthub/config"
+	"porthub/coordinator"
 )
 
 // An order is followed from the list's word to the gateway's acknowledgement, in a file and at an endpoint.
@@ -104,3 +105,16 @@
 		t.Errorf("%d publications are followed from the list to an acknowledgement; the endpoint has %v", followed, names)
 	}
 }
+
+// Span attributes name inputs as the builds before did, whatever their Go types are called.
+func TestInputNamesArePinned(t *testing.T) {
+	for name, in := range map[string]coordinator.Input{
+		"List": coordinator.EndpointUpdate{}, "Told": coordinator.RegistryUpdate{}, "Join": coordinator.GatewayConnected{},
+		"Leave": coordinator.GatewayDisconnected{}, "Ack": coordinator.DocumentAck{}, "Report": coordinator.LoadReport{},
+		"Probed": coordinator.HealthCheckResult{}, "Refused": coordinator.PeerRejected{}, "Failed": coordinator.PublishFailed{},
+	} {
+		if got := inputName(in); got != name {
+			t.Errorf("%T is named %q, want %q", in, got, name)
+		}
+	}
+}
