--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -36,47 +36,47 @@
 
 // Core is one coordinator's state. Its zero value does not work: use New.
 type Core struct {
-	set     Settings
-	module  *policy.Instance
-	now     micros
-	began   micros // time of the first step
-	steps   uint64
-	timers  []timer
-	watchAt micros // before it no gateway needs a look
-	proxies []policyapi.ProxyID
-	// restless are the gateways that something is still to be done about.
-	restless map[policyapi.ProxyID]bool
-	orders   []policyapi.Order // of the last step
-	outputs  []Output
+	settings       Settings
+	module         *policy.Instance
+	now            micros
+	startedAt      micros // time of the first step
+	steps          uint64
+	timers         []timer
+	gatewayCheckAt micros // before it no gateway needs a look
+	allProxies     []policyapi.ProxyID
+	// dirtyGateways are the gateways that something is still to be done about.
+	dirtyGateways map[policyapi.ProxyID]bool
+	orders        []policyapi.Order // of the last step
+	outputs       []Output
 
-	list     roster
-	members  *membership.Membership
-	settled  micros // when membership was asked last
-	relisted bool   // the list has changed: documents are checked against it whether the module reaches them or not
-	gateways map[Gateway]*gateway
-	byProxy  map[policyapi.ProxyID]*gateway
-	kinds    map[string]policyapi.RequestClass
+	endpoints        endpointStore
+	members          *membership.Membership
+	membershipStepAt micros // when membership was asked last
+	endpointsChanged bool   // the list has changed: documents are checked against it whether the module reaches them or not
+	gateways         map[Gateway]*gateway
+	byProxy          map[policyapi.ProxyID]*gateway
+	classes          map[string]policyapi.RequestClass
 
 	// What the module has ordered and not taken back.
-	lines     map[policyapi.TableID]map[policyapi.EndpointID]float64
-	levels    map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission
-	withdrawn map[policyapi.EndpointID]bool
+	weights    map[policyapi.TableID]map[policyapi.EndpointID]float64
+	admissions map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission
+	ejected    map[policyapi.EndpointID]bool
 
-	made     map[madeKey]made // in this step
-	book     *routing.VersionStore
-	later    []Output        // of what was done between steps
-	lag      micros          // of confirmations, smoothed over eight
-	unsynced bool            // files go out without a sync
-	solving  *solving        // nil: off
-	leveling *leveling       // nil: there are no levels of service
-	belief   *recovery.State // of the time before this start; nil: none
-	sums     sums
-	intake   *loadreport.Sampler
-	busy     string // the nodes' own figure that is their busy share
-	queued   string // and the one that counts what waits there; empty: none
-	reported bool   // a report has been told to the module
-	counts   map[string]*count
-	onWay    float64 // lines on their way to all gateways, with a message's head
+	clusterCache      map[clusterKey]encodedCluster // in this step
+	versions          *routing.VersionStore
+	deferred          []Output          // of what was done between steps
+	ackDelay          micros            // of confirmations, smoothed over eight
+	syncSuspended     bool              // files go out without a sync
+	solver            *solverState      // nil: off
+	degradation       *degradationState // nil: there are no levels of service
+	recovered         *recovery.State   // of the time before this start; nil: none
+	aggregate         loadAggregate
+	sampler           *loadreport.Sampler
+	utilizationMetric string // the nodes' own figure that is their busy share
+	queueMetric       string // and the one that counts what waits there; empty: none
+	reportDelivered   bool   // a report has been told to the module
+	warnings          map[string]*rateLimitedWarning
+	linesInFlight     float64 // lines on their way to all gateways, with a message's head
 }
 
 type timer struct {
@@ -86,38 +86,38 @@
 
 // New starts a core. The saved list, if there is one, is the first input.
 func New(set Settings) *Core {
-	c := &Core{set: set, module: policy.New(moduleUp(set.Start)), gateways: map[Gateway]*gateway{}, byProxy: map[policyapi.ProxyID]*gateway{},
-		kinds: map[string]policyapi.RequestClass{}, lines: map[policyapi.TableID]map[policyapi.EndpointID]float64{},
-		levels:    map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission{},
-		restless:  map[policyapi.ProxyID]bool{},
-		withdrawn: map[policyapi.EndpointID]bool{}, counts: map[string]*count{}}
+	c := &Core{settings: set, module: policy.New(moduleStart(set.Start)), gateways: map[Gateway]*gateway{}, byProxy: map[policyapi.ProxyID]*gateway{},
+		classes: map[string]policyapi.RequestClass{}, weights: map[policyapi.TableID]map[policyapi.EndpointID]float64{},
+		admissions:    map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission{},
+		dirtyGateways: map[policyapi.ProxyID]bool{},
+		ejected:       map[policyapi.EndpointID]bool{}, warnings: map[string]*rateLimitedWarning{}}
 	for k, kind := range set.Start.Classes {
-		c.kinds[kind.Name] = policyapi.RequestClass(k)
+		c.classes[kind.Name] = policyapi.RequestClass(k)
 	}
-	c.list.entries = map[policyapi.EndpointID]policyapi.Endpoint{}
-	c.list.firstSeen = map[policyapi.EndpointID]micros{}
-	c.sums.reset()
-	c.made = map[madeKey]made{}
-	c.book = routing.NewVersionStore(keepVersions, keepFor)
+	c.endpoints.entries = map[policyapi.EndpointID]policyapi.Endpoint{}
+	c.endpoints.firstSeen = map[policyapi.EndpointID]micros{}
+	c.aggregate.reset()
+	c.clusterCache = map[clusterKey]encodedCluster{}
+	c.versions = routing.NewVersionStore(maxVersions, maxVersionAge)
 	if len(set.Start.Reports.MetricNames) > 0 {
-		c.busy = set.Start.Reports.MetricNames[0]
+		c.utilizationMetric = set.Start.Reports.MetricNames[0]
 	}
 	if len(set.Start.Reports.MetricNames) > 1 {
-		c.queued = set.Start.Reports.MetricNames[1]
+		c.queueMetric = set.Start.Reports.MetricNames[1]
 	}
-	c.intake = loadreport.New(loadreport.Settings{MaxLines: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
+	c.sampler = loadreport.New(loadreport.Settings{MaxLines: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
 	c.members = membership.New(membership.Settings{Zones: set.Start.Zones, Authoritative: map[string]bool{FileSource: true},
 		Sources: append([]string{FileSource}, set.Sources...)})
-	c.leveling = newLeveling(set.Degradation)
+	c.degradation = newDegradationState(set.Degradation)
 	if set.SolverEnabled {
-		c.solving = newSolving(len(set.Start.Classes))
+		c.solver = newSolverState(len(set.Start.Classes))
 	}
 	return c
 }
 
-// moduleUp is what the module is told of the site. It counts a table's line once; to a gateway it travels once for each
+// moduleStart is what the module is told of the site. It counts a table's line once; to a gateway it travels once for each
 // request kind, so of the lines that may wait the module is given its part.
-func moduleUp(up policyapi.Start) policyapi.Start {
+func moduleStart(up policyapi.Start) policyapi.Start {
 	up.Rules.QueueLimit /= float64(max(1, len(up.Classes)))
 	up.Channel.MessageOverhead /= float64(max(1, len(up.Classes)))
 	return up
@@ -128,22 +128,22 @@
 func (c *Core) Step(now micros, inputs []Input) []Output {
 	c.now = max(c.now, now)
 	if c.steps++; c.steps == 1 {
-		c.began = c.now
+		c.startedAt = c.now
 	}
-	c.outputs, c.orders, c.later = c.later, nil, nil
-	clear(c.made)
+	c.outputs, c.orders, c.deferred = c.deferred, nil, nil
+	clear(c.clusterCache)
 	var events []policyapi.Event
 	for _, in := range inputs {
-		events = append(events, c.input(in)...)
+		events = append(events, c.handleInput(in)...)
 	}
-	clear(c.made) // what came may have closed nodes
-	events = append(events, c.settle(false)...)
-	c.probeOn()
-	events = append(events, c.watchGateways()...)
+	clear(c.clusterCache) // what came may have closed nodes
+	events = append(events, c.stepMembership(false)...)
+	c.releaseHealthChecks()
+	events = append(events, c.checkGateways()...)
 	for {
-		due := c.due()
+		due := c.dueTimers()
 		if len(due) > 0 {
-			events = append(events, c.flush()...)
+			events = append(events, c.flushReports()...)
 			events = append(events, due...)
 		}
 		if len(events) == 0 && c.steps > 1 {
@@ -152,19 +152,19 @@
 		orders := c.module.Step(c.now, events)
 		events = nil
 		c.orders = append(c.orders, orders...)
-		events = append(events, c.carryOut(orders)...)
+		events = append(events, c.applyOrders(orders)...)
 		if len(events) == 0 {
 			break
 		}
 	}
-	c.tellCounts()
+	c.flushWarnings()
 	return c.outputs
 }
 
 // NextDeadline is when the core wants to be stepped again, even without an input.
 func (c *Core) NextDeadline() micros {
 	next := c.now + second
-	next = min(next, c.watchAt)
+	next = min(next, c.gatewayCheckAt)
 	for _, t := range c.timers {
 		next = min(next, t.at)
 	}
@@ -177,14 +177,14 @@
 // Orders are the module's orders of the last step, for those who compare them.
 func (c *Core) Orders() []policyapi.Order { return c.orders }
 
-func (c *Core) out(o Output) { c.outputs = append(c.outputs, o) }
+func (c *Core) emit(o Output) { c.outputs = append(c.outputs, o) }
 
-func (c *Core) note(level LogLevel, event, format string, args ...any) {
-	c.out(LogEntry{Level: level, Event: event, Text: fmt.Sprintf(format, args...)})
+func (c *Core) log(level LogLevel, event, format string, args ...any) {
+	c.emit(LogEntry{Level: level, Event: event, Text: fmt.Sprintf(format, args...)})
 }
 
-// due takes the timers that are due, in the order of their times.
-func (c *Core) due() (events []policyapi.Event) {
+// pending takes the timers that are due, in the order of their times.
+func (c *Core) dueTimers() (events []policyapi.Event) {
 	slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	n := 0
 	for n < len(c.timers) && c.timers[n].at <= c.now {
@@ -195,77 +195,77 @@
 	return events
 }
 
-func (c *Core) input(in Input) []policyapi.Event {
+func (c *Core) handleInput(in Input) []policyapi.Event {
 	switch in := in.(type) {
 	case EndpointUpdate:
-		return c.listed(in)
+		return c.handleEndpointUpdate(in)
 	case RegistryUpdate:
 		c.members.Apply(c.now, in.SourceUpdate)
-		return c.settle(true)
+		return c.stepMembership(true)
 	case GatewayConnected:
-		return c.join(in)
+		return c.connectGateway(in)
 	case GatewayDisconnected:
-		return c.leave(in)
+		return c.handleDisconnect(in)
 	case DocumentAck:
-		return c.ack(in)
+		return c.handleAck(in)
 	case LoadReport:
-		c.report(in)
+		c.handleReport(in)
 	case HealthCheckResult:
-		if _, known := c.list.entries[in.Endpoint]; known {
+		if _, known := c.endpoints.entries[in.Endpoint]; known {
 			return []policyapi.Event{in.HealthCheckResult}
 		}
 	case PeerRejected:
-		c.complain("bad_input", "", "%s: %s", in.From, in.Reason)
-		c.counts["bad_input"].n += in.Count - 1
+		c.warn("bad_input", "", "%s: %s", in.From, in.Reason)
+		c.warnings["bad_input"].count += in.Count - 1
 	case PublishFailed:
-		c.complain("publish_failed", in.Gateway, "%s", in.Reason)
+		c.warn("publish_failed", in.Gateway, "%s", in.Reason)
 	default:
 		panic(fmt.Sprintf("coordinator: no such input: %T", in))
 	}
 	return nil
 }
 
-// carryOut keeps what the module ordered and publishes what has changed for each gateway. It returns what the module
+// applyOrders keeps what the module ordered and publishes what has changed for each gateway. It returns what the module
 // must be told at once: acknowledgements of messages that hold nothing new.
-func (c *Core) carryOut(orders []policyapi.Order) []policyapi.Event {
+func (c *Core) applyOrders(orders []policyapi.Order) []policyapi.Event {
 	touched := map[policyapi.TableID]bool{}
 	all, mark := false, policyapi.AckID(-1)
 	bound := map[policyapi.ProxyID]bool{}
 	for _, order := range orders {
 		switch o := order.(type) {
 		case policyapi.Log:
-			c.out(mode(o.Text))
+			c.emit(parsePolicyLog(o.Text))
 		case policyapi.WatchEndpoints:
-			c.out(WatchEndpoints{o.Enabled})
+			c.emit(WatchEndpoints{o.Enabled})
 		case policyapi.Resync:
-			c.out(Resync{})
+			c.emit(Resync{})
 		case policyapi.SetTimer:
 			c.timers = append(c.timers, timer{c.now + o.After, o.Token})
 		case policyapi.CheckHealth:
-			c.probe(o.Endpoint)
+			c.checkHealth(o.Endpoint)
 		case policyapi.SetWeight:
 			touched[o.Table] = true
-			if c.lines[o.Table] == nil {
-				c.lines[o.Table] = map[policyapi.EndpointID]float64{}
+			if c.weights[o.Table] == nil {
+				c.weights[o.Table] = map[policyapi.EndpointID]float64{}
 			}
-			if c.lines[o.Table][o.Endpoint] = o.Weight; o.Weight == 0 {
-				delete(c.lines[o.Table], o.Endpoint)
+			if c.weights[o.Table][o.Endpoint] = o.Weight; o.Weight == 0 {
+				delete(c.weights[o.Table], o.Endpoint)
 			}
 		case policyapi.ClearTable:
 			touched[o.Table] = true
-			delete(c.lines, o.Table)
-			delete(c.levels, o.Table)
+			delete(c.weights, o.Table)
+			delete(c.admissions, o.Table)
 		case policyapi.BindProxy:
 			if g := c.byProxy[o.Proxy]; g != nil {
-				for k := range c.set.Start.Classes {
+				for k := range c.settings.Start.Classes {
 					if o.Classes == 0 || o.Classes&(1<<k) != 0 {
-						g.binds[k], bound[o.Proxy] = o.Table, true
+						g.tables[k], bound[o.Proxy] = o.Table, true
 					}
 				}
 			}
 		case policyapi.EjectEndpoint:
-			c.withdrawn[o.Endpoint] = o.Ejected
-			for t, lines := range c.lines {
+			c.ejected[o.Endpoint] = o.Ejected
+			for t, lines := range c.weights {
 				if _, has := lines[o.Endpoint]; has {
 					touched[t] = true
 				}
@@ -274,126 +274,126 @@
 			if all = all || o.Table == policyapi.AllTables; o.Table != policyapi.AllTables {
 				touched[o.Table] = true
 			}
-			if c.levels[o.Table] == nil {
-				c.levels[o.Table] = map[policyapi.RequestClass]policyapi.SetAdmission{}
+			if c.admissions[o.Table] == nil {
+				c.admissions[o.Table] = map[policyapi.RequestClass]policyapi.SetAdmission{}
 			}
-			for k := range c.set.Start.Classes {
+			for k := range c.settings.Start.Classes {
 				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
-					c.levels[o.Table][policyapi.RequestClass(k)] = o
+					c.admissions[o.Table][policyapi.RequestClass(k)] = o
 				}
 			}
 		case policyapi.RequestAck:
 			mark, all = o.AckID, all || o.AllProxies
 		}
 	}
-	clear(c.made)
+	clear(c.clusterCache)
 	var events []policyapi.Event
 	var solved map[policyapi.TableID]bool
-	if c.solving != nil && c.solving.due {
-		c.solving.due = false
-		solved = c.solve()
-		clear(c.made)
+	if c.solver != nil && c.solver.pending {
+		c.solver.pending = false
+		solved = c.solveTables()
+		clear(c.clusterCache)
 	}
 	for _, t := range slices.Sorted(maps.Keys(union(touched, solved))) {
-		if len(c.lines[t]) > 0 {
-			c.book.Put(c.now, t, c.lines[t], c.actingOf(t))
+		if len(c.weights[t]) > 0 {
+			c.versions.Put(c.now, t, c.weights[t], c.solverWeightsByClass(t))
 		}
 	}
-	for _, proxy := range c.concerned(all || c.relisted || len(touched)+len(solved) > 0, bound) {
+	for _, proxy := range c.affectedProxies(all || c.endpointsChanged || len(touched)+len(solved) > 0, bound) {
 		g := c.byProxy[proxy]
 		reached := all || bound[proxy]
-		for _, t := range g.binds {
+		for _, t := range g.tables {
 			reached = reached || touched[t]
-			g.owed = g.owed || solved[t]
+			g.publishPending = g.publishPending || solved[t]
 		}
-		if c.relisted && g.checkAt == 0 {
-			g.checkAt = c.now + c.set.Start.Rules.DrainGracePeriod/4 // the module sees to it, nearly always
+		if c.endpointsChanged && g.checkAt == 0 {
+			g.checkAt = c.now + c.settings.Start.Rules.DrainGracePeriod/4 // the module sees to it, nearly always
 		}
-		reached = reached || g.owed && c.mayPublish(g) || c.checkDue(g)
+		reached = reached || g.publishPending && c.mayPublishUnordered(g) || c.checkDue(g)
 		// One that is put out for not acknowledging may well read: drains still go to it.
-		if (g.joined || g.linked && c.checkDue(g)) && g.bound() && (reached || g.ledger.Invalidated()) {
+		if (g.joined || g.connected && c.checkDue(g)) && g.bound() && (reached || g.inFlight.Invalidated()) {
 			events = append(events, c.publish(g, mark)...)
 		}
-		c.watch(g)
+		c.updateGateway(g)
 	}
-	c.relisted = false
+	c.endpointsChanged = false
 	return events
 }
 
-// concerned are the gateways that a change may reach, in the order of their joining: all, or those that were bound anew
+// affectedProxies are the gateways that a change may reach, in the order of their joining: all, or those that were bound anew
 // and those that something is still to be done about. Between rounds orders concern one gateway or none, and a look at
 // each of thousands would be most of the step.
-func (c *Core) concerned(everyone bool, bound map[policyapi.ProxyID]bool) []policyapi.ProxyID {
+func (c *Core) affectedProxies(everyone bool, bound map[policyapi.ProxyID]bool) []policyapi.ProxyID {
 	if !everyone {
-		return slices.Sorted(maps.Keys(union(bound, c.restless)))
+		return slices.Sorted(maps.Keys(union(bound, c.dirtyGateways)))
 	}
-	for len(c.proxies) < len(c.gateways) {
-		c.proxies = append(c.proxies, policyapi.ProxyID(len(c.proxies)))
+	for len(c.allProxies) < len(c.gateways) {
+		c.allProxies = append(c.allProxies, policyapi.ProxyID(len(c.allProxies)))
 	}
-	return c.proxies
+	return c.allProxies
 }
 
 // snapshot is what a gateway is to hold by the module's orders. Whatever the module's tables say, nothing that
 // drains or is gone stays open: a table the module has stopped laying out may still be somebody's.
 func (c *Core) snapshot(g *gateway) routing.Snapshot {
 	var s routing.Snapshot
-	if c.leveling != nil {
-		s.Level = c.leveling.machine.Level(g.zone)
+	if c.degradation != nil {
+		s.Level = c.degradation.controller.Level(g.zone)
 	}
-	for k, kind := range c.set.Start.Classes {
-		table, k := g.binds[k], policyapi.RequestClass(k)
-		key := madeKey{table, k, g.zone}
-		made, has := c.made[key]
+	for k, kind := range c.settings.Start.Classes {
+		table, k := g.tables[k], policyapi.RequestClass(k)
+		key := clusterKey{table, k, g.zone}
+		made, has := c.clusterCache[key]
 		if !has {
-			made = c.make(g, key, kind.Name)
-			c.made[key] = made
+			made = c.tableCluster(g, key, kind.Name)
+			c.clusterCache[key] = made
 		}
-		admit := made.admit
-		if c.fewer(g) {
-			s.Clusters = append(s.Clusters, c.build(kind.Name, c.narrowed(g.zone, string(g.name), made.weights)))
+		admit := made.admittedShare
+		if c.hasOwnTable(g) {
+			s.Clusters = append(s.Clusters, c.buildCluster(kind.Name, c.limitTable(g.zone, string(g.name), made.weights)))
 		} else {
 			s.Clusters = append(s.Clusters, made.cluster)
 		}
-		to := c.bounded(g, k, c.moduleRoute(g, k))
-		r := routing.Route{Class: kind.Name, Rate: to.most(), Share: to.share, RetryPolicy: to.secondTry, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
-		if c.set.Start.Admission == policyapi.AdmissionByRate {
-			r.Rate = g.cap(int(k), admit, r)
+		to := c.applyLevelBounds(g, k, c.classAdmission(g, k))
+		r := routing.Route{Class: kind.Name, Rate: to.effectiveRate(), Share: to.share, RetryPolicy: to.retryPolicy, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
+		if c.settings.Start.Admission == policyapi.AdmissionByRate {
+			r.Rate = g.solverRate(int(k), admit, r)
 		}
 		s.Routes = append(s.Routes, r)
 	}
 	return s
 }
 
-// made is a table's cluster for a kind. Gateways of a zone on one table share it within a step: with thousands of them
-// most of a step went into making the same again.
-type made struct {
-	cluster routing.Cluster
-	weights map[policyapi.EndpointID]float64
-	admit   float64
+// encodedCluster is a table's cluster for a kind. Gateways of a zone on one table share it within a step: with thousands of them
+// effectiveRate of a step went into making the same again.
+type encodedCluster struct {
+	cluster       routing.Cluster
+	weights       map[policyapi.EndpointID]float64
+	admittedShare float64
 }
 
-type madeKey struct {
+type clusterKey struct {
 	table policyapi.TableID
-	kind  policyapi.RequestClass
+	class policyapi.RequestClass
 	zone  policyapi.Zone
 }
 
-func (c *Core) make(g *gateway, key madeKey, name string) made {
-	weights, admit, acts := c.acting(key.table, int(key.kind))
+func (c *Core) tableCluster(g *gateway, key clusterKey, name string) encodedCluster {
+	weights, admit, acts := c.solverWeights(key.table, int(key.class))
 	if !acts {
-		weights = c.lines[key.table]
+		weights = c.weights[key.table]
 	}
-	weights = c.inForce(g, key.table, int(key.kind), weights)
-	weights = c.narrowed(g.zone, "", weights)
-	return made{c.build(name, weights), weights, admit}
+	weights = c.effectiveWeights(g, key.table, int(key.class), weights)
+	weights = c.limitTable(g.zone, "", weights)
+	return encodedCluster{c.buildCluster(name, weights), weights, admit}
 }
 
-// build makes a cluster, with nothing open that the rules close.
-func (c *Core) build(name string, weights map[policyapi.EndpointID]float64) routing.Cluster {
-	return routing.BuildCluster(name, weights, c.list.zone, func(b policyapi.EndpointID) bool {
-		return c.withdrawn[b] || c.list.closed(b, c.set.Start.Rules.SoftRemoval)
+// buildCluster makes a cluster, with nothing open that the rules close.
+func (c *Core) buildCluster(name string, weights map[policyapi.EndpointID]float64) routing.Cluster {
+	return routing.BuildCluster(name, weights, c.endpoints.zoneOf, func(b policyapi.EndpointID) bool {
+		return c.ejected[b] || c.endpoints.closed(b, c.settings.Start.Rules.SoftRemoval)
 	})
 }
 
-// everything is a rate that no gateway comes near; the module says so to turn nothing away.
-const everything = 1e6
+// unlimitedAdmission is a rate that no gateway comes near; the module says so to turn nothing away.
+const unlimitedAdmission = 1e6
--- a/coordinator/levels_test.go
+++ b/coordinator/levels_test.go
@@ -8,8 +8,8 @@
 	"porthub/routing"
 )
 
-// named gives the host two levels: view may use three tenths, and in the severer one no second tries and no crossing.
-func named(s *Settings) {
+// withLevels gives the host two levels: view may use three tenths, and in the severer one no second tries and no crossing.
+func withLevels(s *Settings) {
 	s.Start.ProxyCount = 2
 	s.Degradation = degradation.Settings{Zones: s.Start.Zones, Classes: []string{"view", "save"}, Period: second}
 	for i, name := range []string{"tight", "hard"} {
@@ -25,9 +25,9 @@
 	s.Fallback = degradation.Fallback{Level: 1, After: 10 * second, Duration: 60 * second}
 }
 
-func (h *host) route(g Gateway, k int) routing.Route { return h.held[g].Snapshot.Routes[k] }
+func (h *harness) route(g Gateway, k int) routing.Route { return h.published[g].Snapshot.Routes[k] }
 
-func (h *host) force(level int, zone policyapi.Zone) degradation.Override {
+func (h *harness) forceLevel(level int, zone policyapi.Zone) degradation.Override {
 	h.t.Helper()
 	w, err := h.core.SetLevelOverride(degradation.Override{Action: degradation.ForceLevel, Zone: zone, Level: level, Until: h.now + 600*second, Reason: "a test"})
 	if err != nil {
@@ -39,11 +39,11 @@
 // At a level its kind gets its share of what is let in, the other is not touched, and gateways are known to hold it; without
 // the level all is as before.
 func TestLevelDividesAdmission(t *testing.T) {
-	h := newHost(t, named)
-	h.fleet()
-	h.pass(5*second, "g1", "g2")
-	word := h.force(1, degradation.FleetScope)
-	h.pass(5*second, "g1", "g2")
+	h := newHarness(t, withLevels)
+	h.startFleet()
+	h.advance(5*second, "g1", "g2")
+	word := h.forceLevel(1, degradation.FleetScope)
+	h.advance(5*second, "g1", "g2")
 	// Of 20 reqs a second at a gateway, both kinds alike, view may use 6 of its 10.
 	if view, save := h.route("g1", 0), h.route("g1", 1); view.Rate < 4.5 || view.Rate > 7.5 || save.Rate != routing.UnlimitedRate {
 		t.Errorf("view %v, save %v", view.Rate, save.Rate)
@@ -51,15 +51,15 @@
 	if l := h.core.Degradation(); l.Scopes[0].Name != "tight" || l.Gateways["a"][1] != 1 || l.Gateways["b"][1] != 1 {
 		t.Errorf("%+v", l)
 	}
-	before := h.sent["g1"]
-	h.pass(30*second, "g1", "g2")
-	if n := h.sent["g1"] - before; n > 3 {
+	before := h.publishCount["g1"]
+	h.advance(30*second, "g1", "g2")
+	if n := h.publishCount["g1"] - before; n > 3 {
 		t.Errorf("%d messages in half a minute of the same traffic", n)
 	}
 	if _, err := h.core.ClearLevelOverride(word.ID, "over"); err != nil {
 		t.Fatal(err)
 	}
-	h.pass(3*second, "g1", "g2")
+	h.advance(3*second, "g1", "g2")
 	if view := h.route("g1", 0); view.Rate != routing.UnlimitedRate || h.core.Degradation().Gateways["a"][0] != 1 {
 		t.Errorf("without it: %+v, %+v", view, h.core.Degradation().Gateways)
 	}
@@ -68,29 +68,29 @@
 // Half the capacity goes at once: the level is entered after its time, says why, and is left one step at a time when it is back;
 // whatever a level cuts, no closed node gets a line and no cold one more than before.
 func TestLevelByLostCapacity(t *testing.T) {
-	h := newHost(t, named)
-	h.fleet()
-	h.pass(12*second, "g1", "g2")
-	e := append(entries("a", "a1:1", "a2:1"), entries("b", "b1:1", "b2:1")...)
-	h.list(e[:1]...) // three of four
-	h.pass(3*second, "g1", "g2")
-	if l := h.core.Degradation(); l.Scopes[0].Level != 2 || h.notes["service_level"] == 0 {
+	h := newHarness(t, withLevels)
+	h.startFleet()
+	h.advance(12*second, "g1", "g2")
+	e := append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)
+	h.setEndpoints(e[:1]...) // three of four
+	h.advance(3*second, "g1", "g2")
+	if l := h.core.Degradation(); l.Scopes[0].Level != 2 || h.logged["service_level"] == 0 {
 		t.Errorf("three of four nodes are gone: %+v", l.Scopes[0])
 	}
 	if r := h.route("g1", 1); r.RetryPolicy != 0 || h.core.ReportIntervalFactor() != 2 {
 		t.Errorf("second try %d, stretch %d", r.RetryPolicy, h.core.ReportIntervalFactor())
 	}
 	for _, g := range []Gateway{"g1", "g2"} {
-		if open := h.open(g, "view"); len(open) != 1 || open[0] != "a1:1" {
+		if open := h.openEndpoints(g, "view"); len(open) != 1 || open[0] != "a1:1" {
 			t.Errorf("%s may send to %v", g, open)
 		}
 	}
-	h.list(e...) // they are back, and cold
+	h.setEndpoints(e...) // they are back, and cold
 	cold := 0.0
 	for range 40 {
-		h.pass(second, "g1", "g2")
-		cold = max(cold, h.weight("g1", "view", "a2:1"))
-		if h.core.warmth(h.core.list.entries["a2:1"]) < 0.5 && cold > 0.5 {
+		h.advance(second, "g1", "g2")
+		cold = max(cold, h.endpointShare("g1", "view", "a2:1"))
+		if h.core.warmUpProgress(h.core.endpoints.entries["a2:1"]) < 0.5 && cold > 0.5 {
 			t.Fatalf("a cold node gets %.2f of g1's", cold)
 		}
 	}
@@ -100,35 +100,35 @@
 }
 
 // Crossing is cut only where the own zone has most of the warm weight; a gateway whose zone is lost keeps its lines.
-func TestLevelCutsCrossing(t *testing.T) {
-	h := newHost(t, named)
-	h.fleet()
-	h.pass(5*second, "g1", "g2")
-	h.force(2, degradation.FleetScope)
-	h.list(entries("b", "b1:1", "b2:1")...)
-	h.pass(5*second, "g1", "g2")
-	if len(h.open("g1", "save")) == 0 {
+func TestLevelLimitsCrossZoneTraffic(t *testing.T) {
+	h := newHarness(t, withLevels)
+	h.startFleet()
+	h.advance(5*second, "g1", "g2")
+	h.forceLevel(2, degradation.FleetScope)
+	h.setEndpoints(readyEndpoints("b", "b1:1", "b2:1")...)
+	h.advance(5*second, "g1", "g2")
+	if len(h.openEndpoints("g1", "save")) == 0 {
 		t.Error("the gateway of the lost zone has no line")
 	}
 }
 
 // Fewer lines: each gateway a few others, and what drains goes all the same.
-func TestLevelBoundsLines(t *testing.T) {
-	h := newHost(t, func(s *Settings) {
-		named(s)
+func TestLevelLimitsEndpoints(t *testing.T) {
+	h := newHarness(t, func(s *Settings) {
+		withLevels(s)
 		s.Degradation.Levels[0].Bounds.MaxEndpoints = 3
 	})
-	e := entries("a", "a1:1", "a2:1", "a3:1", "a4:1", "a5:1", "a6:1", "a7:1", "a8:1")
-	h.list(e...)
+	e := readyEndpoints("a", "a1:1", "a2:1", "a3:1", "a4:1", "a5:1", "a6:1", "a7:1", "a8:1")
+	h.setEndpoints(e...)
 	for _, g := range []Gateway{"g1", "g2", "g3"} {
-		h.join(g, "a")
+		h.connect(g, "a")
 	}
-	h.pass(5*second, "g1", "g2", "g3")
-	h.force(1, "a")
-	h.pass(3*second, "g1", "g2", "g3")
+	h.advance(5*second, "g1", "g2", "g3")
+	h.forceLevel(1, "a")
+	h.advance(3*second, "g1", "g2", "g3")
 	all := map[policyapi.EndpointID]bool{}
 	for _, g := range []Gateway{"g1", "g2", "g3"} {
-		open := h.open(g, "view")
+		open := h.openEndpoints(g, "view")
 		if len(open) != 3 {
 			t.Errorf("%s has %v", g, open)
 		}
@@ -139,30 +139,30 @@
 	if len(all) < 5 {
 		t.Errorf("three gateways share %v", all)
 	}
-	gone := h.open("g1", "view")[0]
+	gone := h.openEndpoints("g1", "view")[0]
 	for i := range e {
 		if e[i].ID == gone {
 			e[i].Status = policyapi.Draining
 		}
 	}
-	h.list(e...)
-	h.pass(2*second, "g1", "g2", "g3")
-	for _, b := range h.open("g1", "view") {
+	h.setEndpoints(e...)
+	h.advance(2*second, "g1", "g2", "g3")
+	for _, b := range h.openEndpoints("g1", "view") {
 		if b == gone {
 			t.Error("a drained node has a line")
 		}
 	}
-	if len(h.open("g1", "view")) != 3 {
-		t.Errorf("after the drain %v", h.open("g1", "view"))
+	if len(h.openEndpoints("g1", "view")) != 3 {
+		t.Errorf("after the drain %v", h.openEndpoints("g1", "view"))
 	}
 }
 
 // A gateway that can't be reached falls back by what its routes carry, for as long as they say; a restart stays at the level;
 // a gateway that comes back with an old one is given the one of now.
 func TestLevelFallbackAndRestart(t *testing.T) {
-	h := newHost(t, named)
-	h.fleet()
-	h.pass(5*second, "g1", "g2")
+	h := newHarness(t, withLevels)
+	h.startFleet()
+	h.advance(5*second, "g1", "g2")
 	r := h.route("g1", 0)
 	if r.Fallback.After != 10*second || r.Fallback.Duration != 60*second || r.Fallback.Share < 0.5 || r.Fallback.Share > 0.65 {
 		t.Fatalf("it carries %+v", r.Fallback)
@@ -172,34 +172,34 @@
 			t.Errorf("after %d s it lets in %v", silent/second, got)
 		}
 	}
-	h.force(2, "a")
-	h.pass(3*second, "g1", "g2")
+	h.forceLevel(2, "a")
+	h.advance(3*second, "g1", "g2")
 	h.restart(second, "g1", "g2")
-	h.pass(3*second, "g1", "g2")
+	h.advance(3*second, "g1", "g2")
 	if l := h.core.Degradation(); l.Scopes[1].Name != "hard" || len(l.Overrides) != 1 || h.route("g1", 1).RetryPolicy != 0 {
 		t.Errorf("after a restart: %+v", l)
 	}
-	h.tell(GatewayDisconnected{Gateway: "g1", Conn: h.conns["g1"]})
+	h.step(GatewayDisconnected{Gateway: "g1", Conn: h.conns["g1"]})
 	if _, err := h.core.ClearLevelOverride(h.core.Degradation().Overrides[0].ID, "over"); err != nil {
 		t.Fatal(err)
 	}
-	h.pass(20*second, "g2")
-	h.join("g1", "a")
-	h.pass(3*second, "g1", "g2")
+	h.advance(20*second, "g2")
+	h.connect("g1", "a")
+	h.advance(3*second, "g1", "g2")
 	if l := h.core.Degradation(); l.Scopes[1].Level != 0 || l.Gateways["a"][0] != 1 || h.route("g1", 0).Rate != routing.UnlimitedRate {
 		t.Errorf("back with an old level: %+v, %+v", l.Scopes[1], h.route("g1", 0))
 	}
 }
 
 // A table's own rate guards its cold nodes: a level that gives a kind all that it asks for does not lift it.
-func TestLevelKeepsTheGuard(t *testing.T) {
-	h := newHost(t, named)
-	h.fleet()
-	h.pass(5*second, "g1", "g2")
-	h.force(1, degradation.FleetScope)
+func TestLevelKeepsTheWarmUpRate(t *testing.T) {
+	h := newHarness(t, withLevels)
+	h.startFleet()
+	h.advance(5*second, "g1", "g2")
+	h.forceLevel(1, degradation.FleetScope)
 	g := h.core.gateways["g1"]
-	h.core.levels[g.binds[1]] = map[policyapi.RequestClass]policyapi.SetAdmission{1: {Table: g.binds[1], Level: 4, RetryPolicy: 1}}
-	h.pass(4*second, "g1", "g2")
+	h.core.admissions[g.tables[1]] = map[policyapi.RequestClass]policyapi.SetAdmission{1: {Table: g.tables[1], Level: 4, RetryPolicy: 1}}
+	h.advance(4*second, "g1", "g2")
 	if r := h.core.snapshot(g).Routes[1]; r.Rate != 4 {
 		t.Errorf("the guard of 4 reqs a second has become %v", r.Rate)
 	}
--- a/coordinator/members.go
+++ b/coordinator/members.go
@@ -12,17 +12,17 @@
 // FileSource is the name of the node list's file among the sources. It binds: whoever writes it means it.
 const FileSource = "file"
 
-// file hands a list of the file to membership.
-func (c *Core) file(in EndpointUpdate) []policyapi.Event {
+// handleFileUpdate hands a list of the file to membership.
+func (c *Core) handleFileUpdate(in EndpointUpdate) []policyapi.Event {
 	a := membership.SourceUpdate{Source: FileSource}
 	seen := map[policyapi.EndpointID]bool{}
 	for _, e := range in.Endpoints {
 		if seen[e.ID] {
-			c.complain("list_twice", "", "%s stands twice: the first one counts", e.ID)
+			c.warn("list_twice", "", "%s stands twice: the first one counts", e.ID)
 			continue
 		}
-		if !slices.Contains(c.set.Start.Zones, e.Zone) {
-			c.complain("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.set.Start.Zones)
+		if !slices.Contains(c.settings.Start.Zones, e.Zone) {
+			c.warn("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.settings.Start.Zones)
 			continue
 		}
 		seen[e.ID] = true
@@ -35,29 +35,29 @@
 		}
 		a.Observations = append(a.Observations, claim)
 	}
-	c.list.fileVersion = in.Version
+	c.endpoints.fileVersion = in.Version
 	c.members.Apply(c.now, a)
-	return c.settle(true)
+	return c.stepMembership(true)
 }
 
-// settleEvery is how often membership is asked though no source has said anything: holds end, nodes are let in again.
-const settleEvery = second / 4
+// membershipInterval is how often membership is asked though no source has said anything: holds end, nodes are let in again.
+const membershipInterval = second / 4
 
-// settle asks membership and takes its list. A source that answered is a list to the module even if nothing has changed,
+// stepMembership asks membership and takes its list. A source that answered is a list to the module even if nothing has changed,
 // since it may have asked for one.
-func (c *Core) settle(answered bool) []policyapi.Event {
-	if !answered && c.now-c.settled < settleEvery {
+func (c *Core) stepMembership(answered bool) []policyapi.Event {
+	if !answered && c.now-c.membershipStepAt < membershipInterval {
 		return nil
 	}
-	c.settled = c.now
+	c.membershipStepAt = c.now
 	entries, changed, notes := c.members.Step(c.now)
 	for _, line := range notes {
-		c.out(LogEntry{Level: LogInfo, Event: "membership", Text: line})
+		c.emit(LogEntry{Level: LogInfo, Event: "membership", Text: line})
 	}
 	if !changed && !answered || !c.members.Initialized() {
 		return nil
 	}
-	return c.listed(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: max(c.list.fileVersion, c.members.Version()), Kind: policyapi.Snapshot, Endpoints: entries}, decided: true})
+	return c.handleEndpointUpdate(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: max(c.endpoints.fileVersion, c.members.Version()), Kind: policyapi.Snapshot, Endpoints: entries}, decided: true})
 }
 
 // DrainNode takes a node out at an operator's word, until UndrainNode takes it back; it survives restarts.
@@ -65,8 +65,8 @@
 	if err := c.members.Drain(c.now, b, reason); err != nil {
 		return err
 	}
-	c.later = append(c.later, LogEntry{Level: LogWarn, Event: "drained", Endpoint: b, Text: "an operator drains it: " + reason})
-	c.settled = 0
+	c.deferred = append(c.deferred, LogEntry{Level: LogWarn, Event: "drained", Endpoint: b, Text: "an operator drains it: " + reason})
+	c.membershipStepAt = 0
 	return nil
 }
 
@@ -75,8 +75,8 @@
 	if err := c.members.Undrain(c.now, b); err != nil {
 		return err
 	}
-	c.later = append(c.later, LogEntry{Level: LogWarn, Event: "undrained", Endpoint: b, Text: "an operator lets it in again: " + reason})
-	c.settled = 0
+	c.deferred = append(c.deferred, LogEntry{Level: LogWarn, Event: "undrained", Endpoint: b, Text: "an operator lets it in again: " + reason})
+	c.membershipStepAt = 0
 	return nil
 }
 
--- a/coordinator/mode.go
+++ b/coordinator/mode.go
@@ -11,8 +11,8 @@
 	Value any    `cbor:"Value" json:"Value"` // string, float64 or bool
 }
 
-// modes are the forms of the module's log lines: what the record is called and what its parts are.
-var modes = []struct {
+// policyLogFormats are the forms of the module's log lines: what the record is called and what its parts are.
+var policyLogFormats = []struct {
 	event string
 	form  *regexp.Regexp
 	keys  []string
@@ -23,10 +23,10 @@
 		[]string{"zone", "on", "well", "of"}},
 }
 
-// mode reads a line of the module into a record. A line of another form is a record with its text alone.
-func mode(text string) LogEntry {
+// parsePolicyLog reads a line of the module into a record. A line of another form is a record with its text alone.
+func parsePolicyLog(text string) LogEntry {
 	n := LogEntry{Level: LogInfo, Event: "mode", Text: text}
-	for _, m := range modes {
+	for _, m := range policyLogFormats {
 		parts := m.form.FindStringSubmatch(text)
 		if parts == nil {
 			continue
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -71,8 +71,8 @@
 
 // Overview tells it; it changes nothing. It looks at every line of every gateway's table once.
 func (c *Core) Overview() Overview {
-	o := Overview{Now: c.now, StartedAt: c.began, Build: c.set.Build, Classes: c.kindNames(), Levels: c.Degradation(), Solver: c.solverStatus(), Sampling: c.intake.Stats(),
-		LinesInFlight: c.onWay, LineLimit: c.set.Start.Rules.QueueLimit, Pins: len(c.book.Pins())}
+	o := Overview{Now: c.now, StartedAt: c.startedAt, Build: c.settings.Build, Classes: c.classNames(), Levels: c.Degradation(), Solver: c.solverStatus(), Sampling: c.sampler.Stats(),
+		LinesInFlight: c.linesInFlight, LineLimit: c.settings.Start.Rules.QueueLimit, Pins: len(c.versions.Pins())}
 	if o.Solver != nil {
 		o.Solver.Explanations = nil
 	}
@@ -82,19 +82,19 @@
 		kind int
 	}
 	open := map[reach]map[policyapi.EndpointID]bool{}
-	deals := c.deals()
+	deals := c.zoneAllocations()
 	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
 		g := c.gateways[name]
-		one := GatewayOverview{Gateway: name, Zone: g.zone, Connected: g.joined, LastReport: g.heardAt, Version: g.ledger.Confirmed(int(EndpointsDocument)).Version,
-			Unacknowledged: len(g.ledger.Unacknowledged()), Level: o.Levels.Levels[min(g.ledger.Level(), len(o.Levels.Levels)-1)]}
+		one := GatewayOverview{Gateway: name, Zone: g.zone, Connected: g.joined, LastReport: g.lastMessageAt, Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version,
+			Unacknowledged: len(g.inFlight.Unacknowledged()), Level: o.Levels.Levels[min(g.inFlight.Level(), len(o.Levels.Levels)-1)]}
 		if one.Unacknowledged > 0 {
-			one.OldestUnacknowledged = c.now - g.ledger.Unacknowledged()[0].SentAt
+			one.OldestUnacknowledged = c.now - g.inFlight.Unacknowledged()[0].SentAt
 		}
-		for _, u := range g.usage {
+		for _, u := range g.demand {
 			one.Demand += u
 		}
 		mine := map[policyapi.EndpointID]bool{}
-		for k, cl := range g.ledger.Sent().Clusters {
+		for k, cl := range g.inFlight.Sent().Clusters {
 			at := reach{g.zone, k}
 			if open[at] == nil {
 				open[at] = map[policyapi.EndpointID]bool{}
@@ -111,24 +111,24 @@
 		}
 		o.Gateways = append(o.Gateways, one)
 	}
-	for _, z := range c.set.Start.Zones {
+	for _, z := range c.settings.Start.Zones {
 		for k, kind := range o.Classes {
-			o.Traffic = append(o.Traffic, Traffic{z, kind, deals[z][k].asked, deals[z][k].let, len(open[reach{z, k}])})
+			o.Traffic = append(o.Traffic, Traffic{z, kind, deals[z][k].demand, deals[z][k].admitted, len(open[reach{z, k}])})
 		}
 	}
 	capacity := c.capacities()
 	for _, v := range c.members.Decisions() {
-		e, known := c.list.entries[v.Endpoint]
+		e, known := c.endpoints.entries[v.Endpoint]
 		n := EndpointOverview{Endpoint: v.Endpoint, Zone: v.Listed.Zone, State: v.StateName, Reason: v.Reason, Since: v.Since, Senders: senders[v.Endpoint], Capacity: capacity[v.Endpoint],
-			Withheld: c.withdrawn[v.Endpoint]}
+			Withheld: c.ejected[v.Endpoint]}
 		if known {
-			n.WarmUpProgress = c.warmth(e)
+			n.WarmUpProgress = c.warmUpProgress(e)
 		}
-		if f, heard := c.intake.Estimate(c.now, v.Endpoint); heard {
+		if f, heard := c.sampler.Estimate(c.now, v.Endpoint); heard {
 			n.Attempts, n.Failures, n.Utilization, n.Queue, n.AttemptsError, n.LastReport = f.Attempts, f.Failures, f.Utilization, f.Queue, f.AttemptsError, f.At
 		}
 		for k, kind := range o.Classes {
-			if c.solving != nil && c.solving.judge.Status(v.Endpoint, k) != solver.ClassHealthy {
+			if c.solver != nil && c.solver.health.Status(v.Endpoint, k) != solver.ClassHealthy {
 				n.FailingClasses = append(n.FailingClasses, kind)
 			}
 		}
@@ -152,8 +152,8 @@
 	Subject string                 `json:"of,omitempty"` // gateway or node
 }
 
-// tailMost records of the log are kept for overviews.
-const tailMost = 200
+// maxLogTail records of the log are kept for overviews.
+const maxLogTail = 200
 
 // AppendLog adds a note to the log's last records. What was handed out before stays as it was.
 func AppendLog(tail []LogRecord, now policyapi.Microseconds, n LogEntry) []LogRecord {
@@ -164,8 +164,8 @@
 	if n.Endpoint != "" {
 		r.Subject = string(n.Endpoint)
 	}
-	if len(tail) >= tailMost {
-		tail = slices.Clone(tail[len(tail)-tailMost+1:])
+	if len(tail) >= maxLogTail {
+		tail = slices.Clone(tail[len(tail)-maxLogTail+1:])
 	}
 	return append(tail, r)
 }
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -50,41 +50,41 @@
 // Estimates tells what reports say of the nodes.
 func (c *Core) Estimates() (loadreport.Stats, []EndpointEstimate) {
 	var out []EndpointEstimate
-	for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
-		if f, known := c.intake.Estimate(c.now, b); known {
+	for _, b := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
+		if f, known := c.sampler.Estimate(c.now, b); known {
 			out = append(out, EndpointEstimate{b, f})
 		}
 	}
-	return c.intake.Stats(), out
+	return c.sampler.Stats(), out
 }
 
 // ReportIntervalFactor is how much longer than the period gateways are asked to wait between reports.
 func (c *Core) ReportIntervalFactor() int {
-	if c.leveling == nil {
-		return c.intake.IntervalFactor()
+	if c.degradation == nil {
+		return c.sampler.IntervalFactor()
 	}
-	m := c.leveling.machine
-	return max(c.intake.IntervalFactor(), m.Settings().Bounds(m.Level(degradation.FleetScope)).ReportIntervalFactor)
+	m := c.degradation.controller
+	return max(c.sampler.IntervalFactor(), m.Settings().Bounds(m.Level(degradation.FleetScope)).ReportIntervalFactor)
 }
 
 // Status tells how the core stands. It changes nothing.
 func (c *Core) Status() Status {
-	s := Status{Now: c.now, Steps: c.steps, Solver: c.solverStatus(), Sampling: c.intake.Stats()}
+	s := Status{Now: c.now, Steps: c.steps, Solver: c.solverStatus(), Sampling: c.sampler.Stats()}
 	_, s.Estimates = c.Estimates()
-	for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
-		s.Endpoints = append(s.Endpoints, c.list.entries[b])
+	for _, b := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
+		s.Endpoints = append(s.Endpoints, c.endpoints.entries[b])
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
 		g := c.gateways[name]
-		one := GatewayStatus{Gateway: name, Zone: g.zone, Connected: g.joined, Since: g.heardAt, Unacknowledged: len(g.ledger.Unacknowledged()),
-			Published: g.ledger.MessageCount(), Tables: slices.Clone(g.binds), Snapshot: g.ledger.Sent()}
+		one := GatewayStatus{Gateway: name, Zone: g.zone, Connected: g.joined, Since: g.lastMessageAt, Unacknowledged: len(g.inFlight.Unacknowledged()),
+			Published: g.inFlight.MessageCount(), Tables: slices.Clone(g.tables), Snapshot: g.inFlight.Sent()}
 		if g.joined {
 			one.Since = g.joinedAt
 		}
 		for d := range documentCount {
-			one.Confirmed[d], one.ConfirmedAt[d] = g.ledger.Confirmed(int(d)).Version, int64(g.ledger.Confirmed(int(d)).SentAt)
+			one.Confirmed[d], one.ConfirmedAt[d] = g.inFlight.Confirmed(int(d)).Version, int64(g.inFlight.Confirmed(int(d)).SentAt)
 		}
-		for i, m := range g.ledger.Unacknowledged() {
+		for i, m := range g.inFlight.Unacknowledged() {
 			if one.UnacknowledgedLines += m.Lines; i == 0 {
 				one.OldestUnacknowledged = c.now - m.SentAt
 			}
