--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -22,7 +22,7 @@
 	seq      uint64 // of its last report
 	heardAt  micros // last word of any kind
 	joinedAt micros
-	ledger   *routing.InFlight // what it holds, and what it may be sent
+	ledger   *routing.Delivery // what it holds, and what it may be sent
 
 	usage []float64       // by kind: reqs a second that came to it, half way to the new value with each report
 	caps  map[int]float64 // rates that were told lately: by kind what the solver's admission came to, then what a level's did
@@ -57,7 +57,7 @@
 			c.out(CloseConnection{in.Conn, "too many gateways"})
 			return nil
 		}
-		g = &gateway{name: in.Gateway, proxy: policyapi.ProxyID(len(c.gateways)), ledger: routing.NewInFlight(c.set.Epoch, c.budget())}
+		g = &gateway{name: in.Gateway, proxy: policyapi.ProxyID(len(c.gateways)), ledger: routing.NewDelivery(c.set.Epoch, c.budget())}
 		c.gateways[in.Gateway], c.byProxy[g.proxy] = g, g
 	}
 	if !slices.Contains(c.set.Start.Zones, in.Zone) {
@@ -165,7 +165,7 @@
 			if events = append(events, c.letIn(g)...); !g.joined && g.bound() && c.checkDue(g) {
 				events = append(events, c.publish(g, routing.NoAckID)...)
 			}
-		case g.bound() && (g.ledger.Retry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
+		case g.bound() && (g.ledger.StartRetry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
 			events = append(events, c.publish(g, routing.NoAckID)...)
 		}
 	}
@@ -269,7 +269,7 @@
 	s := c.snapshot(g)
 	g.checkAt = 0
 	verdict, m := g.ledger.Offer(c.now, s, mark, c.room(), func() bool {
-		return routing.ClosesEndpoint(g.ledger.Sent(), s, func(b policyapi.EndpointID) bool {
+		return routing.IsUrgentChange(g.ledger.Sent(), s, func(b policyapi.EndpointID) bool {
 			return c.withdrawn[b] || c.list.closed(b, c.set.Start.Rules.SoftRemoval)
 		})
 	})
--- a/coordinator/levels_test.go
+++ b/coordinator/levels_test.go
@@ -168,7 +168,7 @@
 		t.Fatalf("it carries %+v", r.Fallback)
 	}
 	for silent, want := range map[policyapi.Microseconds]float64{0: 1, 9 * second: 1, 10 * second: r.Fallback.Share, 69 * second: r.Fallback.Share, 70 * second: 1} {
-		if got := r.AfterSilence(silent).Share; got != want {
+		if got := r.WithoutCoordinator(silent).Share; got != want {
 			t.Errorf("after %d s it lets in %v", silent/second, got)
 		}
 	}
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -150,12 +150,12 @@
 	for _, t := range c.Versions().Tables() {
 		one := TableVersions{Table: t, Zone: zones[t], Gateways: users[t]}
 		for _, e := range c.Versions().Versions(t) {
-			of := VersionOf{Version: e.Version, At: e.CreatedAt, Lines: e.State.Endpoints()}
+			of := VersionOf{Version: e.Version, At: e.CreatedAt, Lines: e.State.Entries()}
 			for kind, s := range e.Overrides {
 				if of.Acting == nil {
 					of.Acting = map[string][]routing.EndpointWeight{}
 				}
-				of.Acting[c.ClassName(kind)] = s.Endpoints()
+				of.Acting[c.ClassName(kind)] = s.Entries()
 			}
 			one.Versions = append(one.Versions, of)
 		}
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -156,7 +156,7 @@
 	g.world.Log.Joined(now, g.Name, false)
 }
 
-// AfterSilence takes the way to the coordinator from the gateway, or gives it back.
+// WithoutCoordinator takes the way to the coordinator from the gateway, or gives it back.
 func (g *Gateway) Away(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -511,7 +511,7 @@
 	for _, r := range g.held.Snapshot.Routes {
 		if r.Class == kind {
 			if !g.heard.IsZero() {
-				r = r.AfterSilence(policyapi.Microseconds(time.Since(g.heard).Microseconds()))
+				r = r.WithoutCoordinator(policyapi.Microseconds(time.Since(g.heard).Microseconds()))
 			}
 			return r
 		}
--- a/emulator/light.go
+++ b/emulator/light.go
@@ -265,7 +265,7 @@
 		g.arrived[k] += reqs
 		route := g.held.Routes[k]
 		if g.heardAt > 0 {
-			route = route.AfterSilence(policyapi.Microseconds((now - g.heardAt).Microseconds()))
+			route = route.WithoutCoordinator(policyapi.Microseconds((now - g.heardAt).Microseconds()))
 		}
 		let := int(float64(reqs)*route.Share + g.rng.Float64())
 		if route.Rate >= 0 {
--- a/expectation/host.go
+++ b/expectation/host.go
@@ -464,7 +464,7 @@
 		came = g.rates[k] * h.times * seconds
 		in = came
 		if k < len(g.held.Routes) {
-			r := g.held.Routes[k].AfterSilence(h.now - g.heard)
+			r := g.held.Routes[k].WithoutCoordinator(h.now - g.heard)
 			if in *= r.Share; r.Rate >= 0 {
 				in = min(in, r.Rate*seconds)
 			}
--- a/routing/book.go
+++ b/routing/book.go
@@ -300,8 +300,8 @@
 
 // PinnedVersion is a pin with the states that it holds, for the next start.
 type PinnedVersion struct {
-	Pin   Pin                           `json:"pin"`
-	Holds map[policyapi.TableID]Weights `json:"holds"`
+	Pin     Pin                           `json:"pin"`
+	Weights map[policyapi.TableID]Weights `json:"holds"`
 	// Overrides is what the weight solver had in their place.
 	Overrides map[policyapi.TableID]map[policyapi.RequestClass]Weights `json:"acting,omitempty"`
 }
@@ -309,10 +309,10 @@
 // Snapshot is what a next start has to know of the pins.
 func (b *VersionStore) Snapshot() (kept []PinnedVersion) {
 	for _, p := range b.pins {
-		k := PinnedVersion{Pin: p, Holds: map[policyapi.TableID]Weights{}}
+		k := PinnedVersion{Pin: p, Weights: map[policyapi.TableID]Weights{}}
 		for t, v := range p.held {
 			if e, err := b.Get(t, v); err == nil {
-				k.Holds[t] = e.State.Weights()
+				k.Weights[t] = e.State.Weights()
 				if len(e.Overrides) == 0 {
 					continue
 				}
@@ -335,8 +335,8 @@
 	for _, k := range kept {
 		p := k.Pin
 		p.held = map[policyapi.TableID]Version{}
-		for _, t := range slices.Sorted(maps.Keys(k.Holds)) {
-			p.held[t] = b.Put(now, t, k.Holds[t], k.Overrides[t])
+		for _, t := range slices.Sorted(maps.Keys(k.Weights)) {
+			p.held[t] = b.Put(now, t, k.Weights[t], k.Overrides[t])
 		}
 		b.pinned = max(b.pinned, p.ID)
 		b.pins = append(b.pins, p)
--- a/routing/ledger.go
+++ b/routing/ledger.go
@@ -53,9 +53,9 @@
 // NoAckID stands for no mark.
 const NoAckID policyapi.AckID = -1
 
-// InFlight is what one gateway is believed to hold (confirmed, on its way, or not known) and what it may be sent now. It is
+// Delivery is what one gateway is believed to hold (confirmed, on its way, or not known) and what it may be sent now. It is
 // pure: time is handed in.
-type InFlight struct {
+type Delivery struct {
 	epoch  string // names this start: versions of two starts never look alike
 	budget Budget
 
@@ -75,36 +75,36 @@
 	wrong   int // checksums in a row that were not what it should hold
 }
 
-// NewInFlight is the ledger of a gateway that nothing is known of.
-func NewInFlight(epoch string, b Budget) *InFlight {
-	return &InFlight{epoch: epoch, budget: b, owed: NoAckID}
+// NewDelivery is the ledger of a gateway that nothing is known of.
+func NewDelivery(epoch string, b Budget) *Delivery {
+	return &Delivery{epoch: epoch, budget: b, owed: NoAckID}
 }
 
 // Connect begins a connection: what the gateway holds is not known. What it was sent before still counts against the limit.
-func (l *InFlight) Connect() {
-	*l = InFlight{epoch: l.epoch, budget: l.budget, count: l.count, times: l.times, confirmed: l.confirmed, wrong: l.wrong, void: true, owed: NoAckID}
+func (l *Delivery) Connect() {
+	*l = Delivery{epoch: l.epoch, budget: l.budget, count: l.count, times: l.times, confirmed: l.confirmed, wrong: l.wrong, void: true, owed: NoAckID}
 }
 
 // Disconnect ends it: what is on its way will not be confirmed.
-func (l *InFlight) Disconnect() { l.waiting = nil }
+func (l *Delivery) Disconnect() { l.waiting = nil }
 
 // Invalidate says that what the gateway holds is not known any more.
-func (l *InFlight) Invalidate() { l.void = true }
+func (l *Delivery) Invalidate() { l.void = true }
 
 // Invalidated tells whether the whole has to go out.
-func (l *InFlight) Invalidated() bool { return l.void }
+func (l *Delivery) Invalidated() bool { return l.void }
 
 // Sent is what the gateway holds once all on its way has come.
-func (l *InFlight) Sent() Snapshot { return l.sent }
+func (l *Delivery) Sent() Snapshot { return l.sent }
 
 // Unacknowledged are the messages on their way, the oldest first.
-func (l *InFlight) Unacknowledged() []Message { return l.waiting }
+func (l *Delivery) Unacknowledged() []Message { return l.waiting }
 
 // Confirmed is the last acknowledged message of a document; At is when it was acknowledged.
-func (l *InFlight) Confirmed(doc int) Message { return l.confirmed[doc] }
+func (l *Delivery) Confirmed(doc int) Message { return l.confirmed[doc] }
 
 // Level is the level of service that the gateway is known to hold: that of the last message but those on their way.
-func (l *InFlight) Level() int {
+func (l *Delivery) Level() int {
 	if len(l.waiting) == 0 {
 		return l.sent.Level
 	}
@@ -112,7 +112,7 @@
 }
 
 // MessageCount is how many messages there were in this start.
-func (l *InFlight) MessageCount() int { return l.count }
+func (l *Delivery) MessageCount() int { return l.count }
 
 // OfferResult is what becomes of a state offered.
 type OfferResult int
@@ -128,7 +128,7 @@
 // Offer says what a gateway is to hold from now on, with the mark that asks for its acknowledgement. Room is how many lines
 // may be added to those on their way to all gateways. Urgent is asked where messages are getting few, or the room is too
 // small: what closes a line does not wait for it, a first table does. The mark of Applied may be one that had to wait.
-func (l *InFlight) Offer(now policyapi.Microseconds, s Snapshot, mark policyapi.AckID, room int, urgent func() bool) (OfferResult, Message) {
+func (l *Delivery) Offer(now policyapi.Microseconds, s Snapshot, mark policyapi.AckID, room int, urgent func() bool) (OfferResult, Message) {
 	m := Message{AckID: mark, SentAt: now, Changed: [DocumentCount]bool{l.void || !s.SameClusters(l.sent), l.void || !s.SameRoutes(l.sent)}}
 	if m.Changed == ([DocumentCount]bool{}) {
 		// Marks only grow: the newer one stands for the older, and an older one that waits must not take its place.
@@ -175,7 +175,7 @@
 // mayAt is when the next message may go; now, or before, if it may at once. Urgent ones may as long as the span has
 // any left; routine ones leave a few to them, and once half are used they keep a pace, so that the few left don't go in
 // one burst.
-func (l *InFlight) mayAt(now policyapi.Microseconds, urgent func() bool) policyapi.Microseconds {
+func (l *Delivery) mayAt(now policyapi.Microseconds, urgent func() bool) policyapi.Microseconds {
 	used := l.UsedMessages(now)
 	b := l.budget
 	if b.MaxMessages == 0 || used < b.MaxMessages/2 {
@@ -194,20 +194,20 @@
 }
 
 // UsedMessages is how many messages the span has had.
-func (l *InFlight) UsedMessages(now policyapi.Microseconds) int {
+func (l *Delivery) UsedMessages(now policyapi.Microseconds) int {
 	l.times = slices.DeleteFunc(l.times, func(at policyapi.Microseconds) bool { return now-at > l.budget.Window })
 	return len(l.times)
 }
 
 // DueAt is when something that had to wait may go, and whether there is any.
-func (l *InFlight) DueAt() (policyapi.Microseconds, bool) { return l.laterAt, l.later }
+func (l *Delivery) DueAt() (policyapi.Microseconds, bool) { return l.laterAt, l.later }
 
 // RetryAt is when the whole goes out again, and whether it is to.
-func (l *InFlight) RetryAt() (policyapi.Microseconds, bool) { return l.retryAt, l.retryAt > 0 }
+func (l *Delivery) RetryAt() (policyapi.Microseconds, bool) { return l.retryAt, l.retryAt > 0 }
 
 // Ack takes an acknowledgement of a document in and returns the messages that are done by it. Only what this start has
 // sent on this connection and is still on its way counts; known is false for all else.
-func (l *InFlight) Ack(now policyapi.Microseconds, doc int, version string) (done []Message, known bool) {
+func (l *Delivery) Ack(now policyapi.Microseconds, doc int, version string) (done []Message, known bool) {
 	at := slices.IndexFunc(l.waiting, func(m Message) bool { return m.Version == version })
 	if at < 0 {
 		return nil, version == l.confirmed[doc].Version
@@ -227,7 +227,7 @@
 
 // Reject takes a refusal in: the whole is sent again, later each time, since the gateway may have read at a bad moment
 // and what it holds meanwhile is its last good one. It is false for what is not on its way.
-func (l *InFlight) Reject(now policyapi.Microseconds, nonce string) (again policyapi.Microseconds, known bool) {
+func (l *Delivery) Reject(now policyapi.Microseconds, nonce string) (again policyapi.Microseconds, known bool) {
 	if !slices.ContainsFunc(l.waiting, func(m Message) bool { return m.Version == nonce }) {
 		return 0, false
 	}
@@ -241,7 +241,7 @@
 // belief is void, and the whole is sent, later each time. Of are the versions that the checksum is of, if the gateway
 // says: words that were overtaken on the way are of an earlier state and prove nothing. (A gateway with several
 // connections was taken to hold something else because its last word on the one came after a later word on the other.)
-func (l *InFlight) VerifyChecksum(now policyapi.Microseconds, sum uint64, of [DocumentCount]string) (want uint64, right bool) {
+func (l *Delivery) VerifyChecksum(now policyapi.Microseconds, sum uint64, of [DocumentCount]string) (want uint64, right bool) {
 	overtaken := of != [DocumentCount]string{} && of != l.changed
 	if sum == 0 || overtaken || len(l.waiting) > 0 || l.retryAt > 0 || len(l.sent.Clusters) == 0 {
 		return sum, true
@@ -255,8 +255,8 @@
 	return want, false
 }
 
-// Retry tells whether the time has come to send the whole again; it tells so once.
-func (l *InFlight) Retry(now policyapi.Microseconds) bool {
+// StartRetry tells whether the time has come to send the whole again; it tells so once.
+func (l *Delivery) StartRetry(now policyapi.Microseconds) bool {
 	if l.retryAt == 0 || now < l.retryAt {
 		return false
 	}
@@ -264,9 +264,9 @@
 	return true
 }
 
-// ClosesEndpoint tells whether going from one state to another is urgent: a line that is open in the one is not in the other
+// IsUrgentChange tells whether going from one state to another is urgent: a line that is open in the one is not in the other
 // because its backend is closed, or a kind that had none open has one.
-func ClosesEndpoint(from, to Snapshot, closed func(policyapi.EndpointID) bool) bool {
+func IsUrgentChange(from, to Snapshot, closed func(policyapi.EndpointID) bool) bool {
 	open := map[string]map[policyapi.EndpointID]bool{}
 	for _, c := range to.Clusters {
 		open[c.Class] = map[policyapi.EndpointID]bool{}
--- a/routing/ledger_test.go
+++ b/routing/ledger_test.go
@@ -26,7 +26,7 @@
 // Routine changes as fast as they come must leave room for a drain, and the last of them goes out when it may, with the
 // mark that waits for it.
 func TestDrainAfterABurst(t *testing.T) {
-	l := NewInFlight("e", Budget{MaxMessages: 20, Window: 10 * second})
+	l := NewDelivery("e", Budget{MaxMessages: 20, Window: 10 * second})
 	l.Connect()
 	now, sent, offered := second, 0, 1.0
 	for ; now < 6*second; now += second / 20 {
@@ -61,7 +61,7 @@
 func TestLedgerAlways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const most, span = 10, 10 * second
-		l := NewInFlight("e", Budget{MaxMessages: most, Window: span})
+		l := NewDelivery("e", Budget{MaxMessages: most, Window: span})
 		l.Connect()
 		now := second
 		var times, urgents []policyapi.Microseconds
@@ -122,7 +122,7 @@
 			case 5:
 				l.Ack(now, 0, "e.9999")
 			}
-			if l.Retry(now) && !l.Invalidated() {
+			if l.StartRetry(now) && !l.Invalidated() {
 				t.Fatal("a retry that sends nothing")
 			}
 		}
@@ -164,7 +164,7 @@
 		"the first open line":         {held(-1), held(-1, 1), true},
 		"from nothing":                {Snapshot{}, held(1), true},
 	} {
-		if got := ClosesEndpoint(c.from, c.to, closed); got != c.want {
+		if got := IsUrgentChange(c.from, c.to, closed); got != c.want {
 			t.Errorf("%s: %t", name, got)
 		}
 	}
@@ -172,7 +172,7 @@
 
 // Checksums and refusals: the whole goes out again, later each time, and once what it holds is right nothing does.
 func TestBeliefIsVoid(t *testing.T) {
-	l := NewInFlight("e", Budget{})
+	l := NewDelivery("e", Budget{})
 	l.Connect()
 	now, s := second, held(1, 2)
 	if v, _ := l.Offer(now, s, NoAckID, plenty, no); v != OfferSend {
@@ -193,7 +193,7 @@
 			t.Fatal("a wrong checksum passes")
 		}
 		began := now
-		for !l.Retry(now) {
+		for !l.StartRetry(now) {
 			now += second / 4
 		}
 		if wait := now - began; wait <= last {
@@ -206,7 +206,7 @@
 		}
 		confirm()
 	}
-	if _, right := l.VerifyChecksum(now, Checksum(s), [DocumentCount]string{}); !right || l.Retry(now+60*second) {
+	if _, right := l.VerifyChecksum(now, Checksum(s), [DocumentCount]string{}); !right || l.StartRetry(now+60*second) {
 		t.Error("the right one does not pass, or is sent again")
 	}
 	if v, _ := l.Offer(now, s, NoAckID, plenty, no); v != OfferUnchanged {
@@ -224,7 +224,7 @@
 // Where the lines on their way to all gateways leave no room a routine change and a first table wait, with their mark; what
 // closes a line does not.
 func TestNoRoom(t *testing.T) {
-	l := NewInFlight("e", Budget{MaxMessages: 20, Window: 10 * second})
+	l := NewDelivery("e", Budget{MaxMessages: 20, Window: 10 * second})
 	l.Connect()
 	now := second
 	if v, _ := l.Offer(now, held(1, 2), 5, 1, yes); v != OfferDeferred {
--- a/routing/tables.go
+++ b/routing/tables.go
@@ -47,8 +47,8 @@
 	RetryPolicy int                    `json:"second_try"`
 }
 
-// AfterSilence is a route as it holds after so long without a word from a coordinator.
-func (r Route) AfterSilence(silent policyapi.Microseconds) Route {
+// WithoutCoordinator is a route as it holds after so long without a word from a coordinator.
+func (r Route) WithoutCoordinator(silent policyapi.Microseconds) Route {
 	if f := r.Fallback; f.Duration > 0 && silent >= f.After && silent < f.After+f.Duration {
 		r.Share *= f.Share
 		if r.Rate > 0 {
--- a/routing/version.go
+++ b/routing/version.go
@@ -46,8 +46,8 @@
 	return w
 }
 
-// Endpoints are what the state holds, in the order of names.
-func (s State) Endpoints() []EndpointWeight { return Diff(State{}, s).Set }
+// Entries are what the state holds, in the order of names.
+func (s State) Entries() []EndpointWeight { return Diff(State{}, s).Set }
 
 // Len counts the lines.
 func (s State) Len() int {
@@ -79,22 +79,22 @@
 	Weight   float64              `json:"weight"`
 }
 
-// Endpoints is what the delta costs in lines.
+// Entries is what the delta costs in lines.
 func (d Delta) Size() int { return len(d.Set) + len(d.Removed) }
 
 // Diff is the delta from one state to another.
-func Diff(from, to State) (d Delta) {
+func Diff(from, to State) (delta Delta) {
 	to.each(func(b policyapi.EndpointID, weight float64) {
 		if old, has := from.get(b); !has || old != weight {
-			d.Set = append(d.Set, EndpointWeight{b, weight})
+			delta.Set = append(delta.Set, EndpointWeight{b, weight})
 		}
 	})
 	from.each(func(b policyapi.EndpointID, _ float64) {
 		if _, has := to.get(b); !has {
-			d.Removed = append(d.Removed, b)
+			delta.Removed = append(delta.Removed, b)
 		}
 	})
-	return d
+	return delta
 }
 
 func (s State) get(b policyapi.EndpointID) (float64, bool) {
