--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -22,7 +22,7 @@
 	reportSequence uint64 // of its last report
 	lastMessageAt  micros // last word of any kind
 	joinedAt       micros
-	inFlight       *routing.InFlight // what it holds, and what it may be sent
+	inFlight       *routing.Delivery // what it holds, and what it may be sent
 
 	demand         []float64       // by kind: reqs a second that came to it, half way to the new value with each report
 	publishedRates map[int]float64 // rates that were told lately: by kind what the solver's admission came to, then what a level's did
@@ -57,7 +57,7 @@
 			c.emit(CloseConnection{in.Conn, "too many gateways"})
 			return nil
 		}
-		g = &gateway{name: in.Gateway, proxy: policyapi.ProxyID(len(c.gateways)), inFlight: routing.NewInFlight(c.settings.Epoch, c.messageBudget())}
+		g = &gateway{name: in.Gateway, proxy: policyapi.ProxyID(len(c.gateways)), inFlight: routing.NewDelivery(c.settings.Epoch, c.messageBudget())}
 		c.gateways[in.Gateway], c.byProxy[g.proxy] = g, g
 	}
 	if !slices.Contains(c.settings.Start.Zones, in.Zone) {
@@ -165,7 +165,7 @@
 			if events = append(events, c.admitGateway(g)...); !g.joined && g.bound() && c.checkDue(g) {
 				events = append(events, c.publish(g, routing.NoAckID)...)
 			}
-		case g.bound() && (g.inFlight.Retry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
+		case g.bound() && (g.inFlight.StartRetry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
 			events = append(events, c.publish(g, routing.NoAckID)...)
 		}
 	}
@@ -269,7 +269,7 @@
 	s := c.snapshot(g)
 	g.checkAt = 0
 	verdict, m := g.inFlight.Offer(c.now, s, mark, c.availableLines(), func() bool {
-		return routing.ClosesEndpoint(g.inFlight.Sent(), s, func(b policyapi.EndpointID) bool {
+		return routing.IsUrgentChange(g.inFlight.Sent(), s, func(b policyapi.EndpointID) bool {
 			return c.ejected[b] || c.endpoints.closed(b, c.settings.Start.Rules.SoftRemoval)
 		})
 	})
