--- a/proxyproto/doc.go
+++ b/proxyproto/doc.go
@@ -1,4 +1,9 @@
-// Package proxyproto speaks the operators' platform's protocol: its messages to events, once they have passed all checks,
-// and orders to its messages, stream by stream. It is pure: bytes and values in, values and bytes out. The limits in it come
-// from the protocol, the settings or the configuration; it decides nothing that steers traffic.
+// Package proxyproto implements the operators' protocol between a coordinator and its proxies and collectors. It decodes and
+// validates incoming messages into events of package policyapi, and encodes orders of the decision module as one message for each
+// proxy's stream. It also reads the coordinator's configuration and discovery's endpoint lists.
+//
+// The package is pure: bytes and values in, values and bytes out. Its limits come from the protocol, the settings or the
+// configuration; it takes no decision that steers traffic.
+//
+// A message that breaks the protocol is reported as an error that wraps [ErrRejected] or [ErrMalformed] and a [*ProtocolError].
 package proxyproto
--- /dev/null
+++ b/proxyproto/metrics.go
@@ -0,0 +1,58 @@
+package proxyproto
+
+import (
+	"math"
+	"strings"
+
+	"porthub/policyapi"
+)
+
+// MetricNames maps the load figures' names on the platform to those that the decision module knows. The protocol's page has names of
+// its own, settings and reports use the module's: either is accepted.
+var MetricNames = map[string]string{
+	"inflight":   "rif",
+	"util":       "busy",
+	"queue":      "q",
+	"qps":        "rate",
+	"eps":        "fail_rate",
+	"latency_ms": "lat_ms",
+
+	"rif":       "rif",
+	"busy":      "busy",
+	"q":         "q",
+	"rate":      "rate",
+	"fail_rate": "fail_rate",
+	"lat_ms":    "lat_ms",
+}
+
+// parseLoadReport parses a load report of the form name:figure,name:figure. A report with an unusable figure is rejected as a whole:
+// its other figures can't be relied on. Names that are not known are passed over; "" and "-" are reports without figures.
+func parseLoadReport(text string) (policyapi.LoadMetrics, bool) {
+	if text == "" || text == "-" {
+		return nil, true
+	}
+	metrics := policyapi.LoadMetrics{}
+	for pair := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(pair, ":")
+		v, ok := parseDecimal(value)
+		if !ok || v < 0 || v > math.MaxInt32 || name == "" {
+			return nil, false
+		}
+		if known, has := MetricNames[name]; has {
+			metrics[known] = v
+		}
+	}
+	return metrics, true
+}
+
+// ParseMetrics converts the JSON object of a load report. Values that are no figures, and names that are not known, are passed over.
+func ParseMetrics(report map[string]any) policyapi.LoadMetrics {
+	metrics := policyapi.LoadMetrics{}
+	for name, value := range report {
+		v, isNumber := value.(float64)
+		if known, has := MetricNames[name]; isNumber && has && v >= 0 && v <= math.MaxInt32 {
+			metrics[known] = v
+		}
+	}
+	return metrics
+}
--- a/proxyserver/watches.go
+++ b/proxyserver/watches.go
@@ -145,8 +145,8 @@
 
 // applyList takes a list in. Of one that can't be read in full what it says of others counts, and the whole list is due.
 func (n *Coordinator) applyList(ctx context.Context, batch []policyapi.Event, in discoveryEvent) []policyapi.Event {
-	for _, why := range in.listing.Dropped {
-		n.log.Warn("an entry of the list is passed over", zap.String("why", why))
+	for _, dropped := range in.listing.Dropped {
+		n.log.Warn("an entry of the list is passed over", zap.Error(dropped))
 	}
 	list := in.listing.Update
 	if list.Kind == policyapi.Delta && list.Version < n.version {
