--- /dev/null
+++ b/proxyproto/endpointlist.go
@@ -0,0 +1,183 @@
+package proxyproto
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"porthub/policyapi"
+)
+
+// ErrNotAList is an answer of discovery's that is no endpoint list at all.
+var ErrNotAList = errors.New("not an endpoint list")
+
+// EntryError is an entry of an endpoint list that can't be used.
+type EntryError struct {
+	Host   string // as far as it could be read
+	Reason string
+}
+
+func (e *EntryError) Error() string { return fmt.Sprintf("host %q: %s", e.Host, e.Reason) }
+
+// EndpointList is one answer of discovery's.
+type EndpointList struct {
+	Update               policyapi.EndpointUpdate
+	HealthCheckAddresses map[policyapi.EndpointID]string // host:port, of endpoints that have a usable one
+	Dropped              []*EntryError                   // one for each entry that can't be used
+	Unreadable           []policyapi.EndpointID          // endpoints of dropped entries whose name could be read
+	HasUnnamed           bool                            // a dropped entry has no readable name: any endpoint that seems to be missing may be it
+}
+
+// Keys of an endpoint list in JSON.
+type endpointListJSON struct {
+	Seq   *int64            `json:"seq"`
+	Whole *bool             `json:"whole"`
+	Hosts []json.RawMessage `json:"hosts"`
+}
+
+// Keys of an entry.
+type endpointEntryJSON struct {
+	Host     string  `json:"host"`
+	Dial     string  `json:"dial"`
+	Site     string  `json:"site"`
+	Class    string  `json:"class"`
+	Health   string  `json:"health"`
+	Block    int     `json:"block"`
+	Share    float64 `json:"share"`
+	BornAtMs float64 `json:"born_ms"`
+}
+
+// endpointIdentity is what suffices to withdraw an endpoint from all tables.
+type endpointIdentity struct{ host, health string }
+
+// Keys of an entry's identity. Each value is decoded on its own.
+type endpointIdentityJSON struct {
+	Host   json.RawMessage `json:"host"`
+	Health json.RawMessage `json:"health"`
+}
+
+var endpointStatuses = map[string]policyapi.EndpointStatus{
+	"Ready":       policyapi.Ready,
+	"Terminating": policyapi.Draining,
+	"Gone":        policyapi.Removed,
+}
+
+// ReadEndpointList decodes a snapshot or a delta. An entry that can't be used is dropped alone; a text that is no list is an error,
+// which wraps ErrNotAList.
+func ReadEndpointList(text []byte, zones []policyapi.Zone) (EndpointList, error) {
+	var in endpointListJSON
+	if err := json.Unmarshal(text, &in); err != nil {
+		return EndpointList{}, fmt.Errorf("%w: %w", ErrNotAList, err)
+	}
+	if in.Seq == nil || in.Whole == nil || *in.Seq < 0 {
+		return EndpointList{}, fmt.Errorf("%w: seq or whole is missing, or seq is below 0", ErrNotAList)
+	}
+	list := EndpointList{
+		Update:               policyapi.EndpointUpdate{Version: policyapi.ListVersion(*in.Seq), Kind: policyapi.Delta},
+		HealthCheckAddresses: map[policyapi.EndpointID]string{},
+	}
+	if *in.Whole {
+		list.Update.Kind = policyapi.Snapshot
+	}
+	for _, raw := range in.Hosts {
+		endpoint, address, err := readEntry(raw, zones)
+		if err != nil {
+			list.drop(raw, err)
+			continue
+		}
+		list.Update.Endpoints = append(list.Update.Endpoints, endpoint)
+		if address != "" {
+			list.HealthCheckAddresses[endpoint.ID] = address
+		}
+	}
+	return list, nil
+}
+
+// drop records an entry that can't be used.
+func (l *EndpointList) drop(raw []byte, reason *EntryError) {
+	l.Dropped = append(l.Dropped, reason)
+	identity, err := readIdentity(raw)
+	if err != nil || !isEncodableName(identity.host) {
+		l.HasUnnamed = true
+		return
+	}
+	l.Unreadable = append(l.Unreadable, policyapi.EndpointID(identity.host))
+}
+
+// readIdentity decodes an entry's name and health, whatever its other fields hold.
+func readIdentity(raw []byte) (identity endpointIdentity, err error) {
+	var fields endpointIdentityJSON
+	if err := json.Unmarshal(raw, &fields); err != nil {
+		return identity, err
+	}
+	if err := json.Unmarshal(fields.Host, &identity.host); err != nil {
+		return identity, err
+	}
+	if err := json.Unmarshal(fields.Health, &identity.health); err != nil {
+		identity.health = "" // the name alone still identifies the endpoint
+	}
+	return identity, nil
+}
+
+// isEncodableName reports whether messages can carry an endpoint's name.
+func isEncodableName(name string) bool { return name != "" && !strings.ContainsAny(name, ",+ \r\n") }
+
+// readEntry decodes an entry and its health-check address, which is empty if there is no usable one. For an endpoint that drains or is
+// removed, name and health suffice: the drain must not be lost because another field can't be used.
+func readEntry(raw []byte, zones []policyapi.Zone) (policyapi.Endpoint, string, *EntryError) {
+	identity, err := readIdentity(raw)
+	var in endpointEntryJSON
+	if err == nil {
+		err = json.Unmarshal(raw, &in)
+	}
+	var reason string
+	if err != nil {
+		reason = err.Error()
+	} else {
+		reason = in.invalid(zones)
+	}
+	if reason != "" {
+		status, known := endpointStatuses[identity.health]
+		if known && status != policyapi.Ready && isEncodableName(identity.host) {
+			return policyapi.Endpoint{ID: policyapi.EndpointID(identity.host), Status: status}, "", nil
+		}
+		return policyapi.Endpoint{}, "", &EntryError{Host: identity.host, Reason: reason}
+	}
+	address := in.Dial
+	if !isHostPort(address) {
+		address = "" // it can be named in tables, but not checked
+	}
+	return in.endpoint(), address, nil
+}
+
+// invalid says why an entry can't be used; "" if it can.
+func (e *endpointEntryJSON) invalid(zones []policyapi.Zone) string {
+	status, known := endpointStatuses[e.Health]
+	switch {
+	case !isEncodableName(e.Host):
+		return "no message can carry this name"
+	case !known:
+		return fmt.Sprintf("health %q is not known", e.Health)
+	case status != policyapi.Removed && !slices.Contains(zones, policyapi.Zone(e.Site)):
+		return fmt.Sprintf("site %q is not in the settings", e.Site)
+	case e.Share < 0 || e.Share > math.MaxInt32 || e.BornAtMs < 0 || e.BornAtMs > maxTimeMilliseconds:
+		return fmt.Sprintf("share %g or born_ms %g is out of range", e.Share, e.BornAtMs)
+	default:
+		return ""
+	}
+}
+
+func (e *endpointEntryJSON) endpoint() policyapi.Endpoint {
+	return policyapi.Endpoint{
+		ID:          policyapi.EndpointID(e.Host),
+		Zone:        policyapi.Zone(e.Site),
+		Weight:      e.Share,
+		Pod:         policyapi.PodID(e.Block),
+		StartedAt:   millisecondsToMicroseconds(e.BornAtMs),
+		MachineType: policyapi.MachineType(e.Class),
+		Status:      endpointStatuses[e.Health],
+	}
+}
--- /dev/null
+++ b/proxyproto/publisher_test.go
@@ -0,0 +1,130 @@
+package proxyproto
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+
+	"porthub/policyapi"
+	"porthub/resp"
+)
+
+// messageTexts returns the parts of a message, each as its words in one line.
+func messageTexts(t interface{ Fatal(...any) }, bytes []byte) (texts []string) {
+	for len(bytes) > 0 {
+		words, size, err := resp.Take(bytes, IncomingLimits)
+		if err != nil || size == 0 {
+			t.Fatal("not complete messages: ", err)
+		}
+		texts = append(texts, resp.Text(words, MaxMessageBytes))
+		bytes = bytes[size:]
+	}
+	return texts
+}
+
+func TestPublisherEncodesOrders(t *testing.T) {
+	publisher := NewPublisher(testSettings.Classes)
+	for proxy := range policyapi.ProxyID(2) {
+		publisher.Connect(policyapi.ProxyConnected{Proxy: proxy})
+	}
+	everyClass := policyapi.ClassSet(0)
+	for _, step := range []struct {
+		name   string
+		orders []policyapi.Order
+		want   map[policyapi.ProxyID]string
+	}{
+		{"weights of a table without proxies", []policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 0.75}, policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1.23456789}}, nil},
+		{"bind", []policyapi.Order{policyapi.BindProxy{Proxy: 1, Table: 1}, policyapi.RequestAck{AckID: 4}},
+			map[policyapi.ProxyID]string{1: "CONFIG replace 1 rows s-1:1.23457,s-2:0.75 stamp 4"}},
+		{"weight", []policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-2"}, policyapi.RequestAck{AckID: 5}}, map[policyapi.ProxyID]string{1: "CONFIG rows s-2:0 stamp 5"}},
+		{"admission for all tables", []policyapi.Order{policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1}},
+			map[policyapi.ProxyID]string{0: "CONFIG for save gate 1000000 again 1", 1: "CONFIG for save gate 1000000 again 1"}},
+		{"admission of a table", []policyapi.Order{policyapi.SetAdmission{Table: 1, Level: 2.5, RetryPolicy: 0}}, map[policyapi.ProxyID]string{1: "CONFIG gate 2.5 again 0"}},
+		{"lower level with the table's own retry policy", []policyapi.Order{policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 0.5, RetryPolicy: 1}},
+			map[policyapi.ProxyID]string{0: "CONFIG for save gate 0.5 again 1", 1: "CONFIG for save gate 0.5 again 0"}},
+		{"another table for two classes", []policyapi.Order{policyapi.SetWeight{Table: 2, Endpoint: "s-1", Weight: 1}, policyapi.BindProxy{Proxy: 1, Table: 2, Classes: 3}, policyapi.RequestAck{AckID: 6}},
+			map[policyapi.ProxyID]string{1: "CONFIG for view+save replace 1 rows s-1:1 part 1|CONFIG for save gate 0.5 again 1 stamp 6"}},
+		{"ejection", []policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true}}, map[policyapi.ProxyID]string{0: "CONFIG drop s-1", 1: "CONFIG drop s-1"}},
+		{"ejection lifted", []policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1"}, policyapi.RequestAck{AckID: 7}},
+			map[policyapi.ProxyID]string{0: "CONFIG undrop s-1 stamp 7", 1: "CONFIG undrop s-1 stamp 7"}},
+		{"ack id alone", []policyapi.Order{policyapi.RequestAck{AckID: 8}}, nil},
+		{"ack id for all proxies", []policyapi.Order{policyapi.RequestAck{AckID: 9, AllProxies: true}}, map[policyapi.ProxyID]string{0: "CONFIG stamp 9", 1: "CONFIG stamp 9"}},
+		{"cleared table", []policyapi.Order{policyapi.ClearTable{Table: 2}}, map[policyapi.ProxyID]string{1: "CONFIG for view+save replace 1 part 1|CONFIG for save gate 0.5 again 1"}},
+		{"bind of a disconnected proxy", []policyapi.Order{policyapi.BindProxy{Proxy: 7, Table: 1, Classes: everyClass}}, nil},
+		{"order without a message", []policyapi.Order{policyapi.Log{Text: "x"}}, nil},
+	} {
+		t.Run(step.name, func(t *testing.T) {
+			got := map[policyapi.ProxyID]string{}
+			for _, message := range publisher.Apply(step.orders) {
+				got[message.Proxy] = strings.Join(messageTexts(t, message.Bytes), "|")
+			}
+			if !maps.Equal(got, step.want) {
+				t.Errorf("%v, want %v", got, step.want)
+			}
+		})
+	}
+}
+
+// A proxy keeps its ejections when its stream is replaced: those lifted meanwhile are lifted on the new one.
+func TestEjectionsSurviveReconnect(t *testing.T) {
+	publisher := NewPublisher(testSettings.Classes)
+	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
+	publisher.Apply([]policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true}, policyapi.EjectEndpoint{Endpoint: "s-2", Ejected: true}})
+	publisher.Disconnect(1)
+	publisher.Apply([]policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1"}})
+	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
+	got := publisher.Apply([]policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 1}, policyapi.BindProxy{Proxy: 1, Table: 1}})
+	if len(got) != 1 || strings.Join(messageTexts(t, got[0].Bytes), "|") != "CONFIG replace 1 rows s-2:1 drop s-2 undrop s-1" {
+		t.Errorf("%+v", got)
+	}
+	publisher.ForgetEndpoints([]policyapi.EndpointID{"s-2"})
+	if len(publisher.ejected) != 0 || len(publisher.proxyEjections[1]) != 0 {
+		t.Errorf("%v, %v are left", publisher.ejected, publisher.proxyEjections)
+	}
+}
+
+// A large table is sent in several parts, each within the protocol's bound.
+func TestLargeTableIsSplitIntoParts(t *testing.T) {
+	publisher := NewPublisher(testSettings.Classes)
+	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
+	var orders []policyapi.Order
+	for i := range 3*maxRowsPerPart + 1 {
+		orders = append(orders, policyapi.SetWeight{Table: 1, Endpoint: policyapi.EndpointID(fmt.Sprintf("s-%090d", i)), Weight: 1})
+	}
+	got := publisher.Apply(append(orders, policyapi.BindProxy{Proxy: 1, Table: 1}, policyapi.RequestAck{AckID: 1}))
+	parts := messageTexts(t, got[0].Bytes)
+	if len(parts) != 4 || !strings.HasSuffix(parts[3], "stamp 1") || !strings.HasSuffix(parts[2], "part 1") || strings.Contains(parts[1], "replace") {
+		t.Errorf("%d parts", len(parts))
+	}
+}
+
+// A stream is bound in the batch that changes its table, before or after the change, or is bound to another one: its message is what
+// holds at the end of the batch.
+func TestBindAndWeightInOneBatch(t *testing.T) {
+	setUp := []policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1}, policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 1},
+		policyapi.SetWeight{Table: 2, Endpoint: "s-3", Weight: 1}}
+	bind := func(table policyapi.TableID) policyapi.Order { return policyapi.BindProxy{Proxy: 1, Table: table} }
+	drain := policyapi.SetWeight{Table: 1, Endpoint: "s-1"}
+	for name, c := range map[string]struct {
+		before, batch []policyapi.Order
+		want          string
+	}{
+		"bound, then removed":              {setUp, []policyapi.Order{bind(1), drain}, "CONFIG replace 1 rows s-2:1"},
+		"removed, then bound":              {setUp, []policyapi.Order{drain, bind(1)}, "CONFIG replace 1 rows s-2:1"},
+		"removed, then bound elsewhere":    {append(slices.Clone(setUp), bind(1)), []policyapi.Order{drain, bind(2)}, "CONFIG replace 1 rows s-3:1"},
+		"bound elsewhere, then removed":    {append(slices.Clone(setUp), bind(1)), []policyapi.Order{bind(2), drain}, "CONFIG replace 1 rows s-3:1"},
+		"removed, restored, removed again": {append(slices.Clone(setUp), bind(1)), []policyapi.Order{drain, setUp[0], drain}, "CONFIG rows s-1:0"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			publisher := NewPublisher(testSettings.Classes)
+			publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
+			publisher.Apply(c.before)
+			messages := publisher.Apply(c.batch)
+			if len(messages) != 1 || strings.Join(messageTexts(t, messages[0].Bytes), "|") != c.want {
+				t.Errorf("%+v", messages)
+			}
+		})
+	}
+}
