--- a/capture/capture_test.go
+++ b/capture/capture_test.go
@@ -25,7 +25,7 @@
 
 const second policyapi.Microseconds = 1_000_000
 
-func settings(epoch string) coordinator.Settings {
+func testSettings(epoch string) coordinator.Settings {
 	return coordinator.Settings{Epoch: epoch, Build: "test", SilenceTimeout: 3 * second, SolverEnabled: true, Start: policyapi.Start{Seed: 1, InstanceCount: 1, Zone: "a", Zones: []policyapi.Zone{"a", "b"},
 		Classes: []policyapi.ClassSettings{{Name: "view", Idempotency: policyapi.Idempotent, LatencyObjective: 750_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
 			{Name: "save", LatencyObjective: 750_000, ClientTimeout: 2_000_000, PriorityWeight: 2}},
@@ -36,13 +36,13 @@
 		Admission: policyapi.AdmissionByRate, ProxyCount: 4, PollsList: true}}
 }
 
-// course runs a core through a drawn course (lists with drains, joins, late and repeated reports, acknowledgements,
+// runScenario runs a core through a drawn course (lists with drains, joins, late and repeated reports, acknowledgements,
 // pins) and hands each record over. It is the same for the same seed.
-func course(seed uint64, epoch string, steps int, put func(*Record)) {
+func runScenario(seed uint64, epoch string, steps int, put func(*Record)) {
 	rng := rand.New(rand.NewPCG(seed, 7))
-	set := settings(epoch)
+	set := testSettings(epoch)
 	core := coordinator.New(set)
-	put(&Record{Start: &Start{Format: Format, Build: "test", Wall: int64(second), Settings: set}})
+	put(&Record{Start: &Start{Format: Format, Build: "test", WallTime: int64(second), Settings: set}})
 	now := 1000 * second
 	var acks []coordinator.Input
 	seqs := map[int]uint64{}
@@ -99,7 +99,7 @@
 	}
 }
 
-func read(t *testing.T, path string) ([]*Record, *Reader) {
+func readAll(t *testing.T, path string) ([]*Record, *Reader) {
 	t.Helper()
 	r, err := Open(path)
 	if err != nil {
@@ -119,7 +119,7 @@
 	}
 }
 
-func replayed(t *testing.T, path string) ReplayResult {
+func replayCapture(t *testing.T, path string) ReplayResult {
 	t.Helper()
 	r, err := Open(path)
 	if err != nil {
@@ -134,15 +134,15 @@
 }
 
 // What was put comes back, record by record, over several segments and starts, and replays to the same orders.
-func TestRoundTrip(t *testing.T) {
+func TestRoundTripOverSegmentsAndStarts(t *testing.T) {
 	dir := t.TempDir()
 	var want []*Record
 	for start := range 3 {
 		w := NewWriter(dir, Limits{SegmentBytes: 8 << 10, MaxBytes: 1 << 30})
-		course(uint64(start), fmt.Sprint("e", start), 300, func(r *Record) { w.Append(r); want = append(want, r) })
+		runScenario(uint64(start), fmt.Sprint("e", start), 300, func(r *Record) { w.Append(r); want = append(want, r) })
 		w.Close()
 	}
-	got, r := read(t, dir)
+	got, r := readAll(t, dir)
 	if len(r.Damages) > 0 || len(got) != len(want) {
 		t.Fatalf("%d records of %d, %v", len(got), len(want), r.Damages)
 	}
@@ -152,18 +152,18 @@
 			t.Fatalf("record %d: %+v, want %+v", i, got[i].Step, want[i].Step)
 		}
 	}
-	v := replayed(t, dir)
+	v := replayCapture(t, dir)
 	if v.Starts != 3 || v.Mismatches != 0 || v.Orders < 500 || v.Unfinished != 3 {
 		t.Errorf("%+v", v)
 	}
 }
 
 // A record that says something else than the core decides is found, with its inputs; the rest is read on.
-func TestReplayFindsADifference(t *testing.T) {
+func TestReplayReportsMismatch(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
 	n, spoilt := 0, uint64(0)
-	course(5, "e", 200, func(r *Record) {
+	runScenario(5, "e", 200, func(r *Record) {
 		if r.Step != nil && len(r.Step.Orders) > 3 {
 			if n++; n == 6 {
 				r.Step.Orders = slices.Delete(slices.Clone(r.Step.Orders), 1, 2)
@@ -189,10 +189,10 @@
 }
 
 // A segment cut off anywhere, as a killed process leaves it, opens and gives all that stands before.
-func TestTornAnywhere(t *testing.T) {
+func TestTruncatedSegmentKeepsRecordsBeforeTheCut(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
-	course(2, "e", 60, func(r *Record) {
+	runScenario(2, "e", 60, func(r *Record) {
 		w.Append(r)
 		for w.Written() < r.Seq { // a block each
 			time.Sleep(100 * time.Microsecond)
@@ -204,14 +204,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, _ := read(t, dir)
+	all, _ := readAll(t, dir)
 	cut := filepath.Join(t.TempDir(), "00000001.cap")
 	before := 0
 	for n := 0; n <= len(text); n += 1 + n/900 {
 		if err := os.WriteFile(cut, text[:n], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		got, r := read(t, cut)
+		got, r := readAll(t, cut)
 		for i, rec := range got {
 			if rec.Seq != all[i].Seq || rec.Gap != nil {
 				t.Fatalf("cut at %d: record %d is %+v", n, i, rec)
@@ -229,10 +229,10 @@
 
 // A flipped bit anywhere costs its block and no more, is told, and never gives a record that was not written; replay
 // stops comparing there and says so.
-func TestFlippedBit(t *testing.T) {
+func TestFlippedBitCostsOneBlock(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
-	course(3, "e", 40, func(r *Record) {
+	runScenario(3, "e", 40, func(r *Record) {
 		w.Append(r)
 		for w.Written() < r.Seq {
 			time.Sleep(100 * time.Microsecond)
@@ -244,7 +244,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	all, _ := read(t, dir)
+	all, _ := readAll(t, dir)
 	path := filepath.Join(t.TempDir(), "00000001.cap")
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
@@ -254,7 +254,7 @@
 		if err := os.WriteFile(path, bad, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		got, r := read(t, path)
+		got, r := readAll(t, path)
 		if len(r.Damages) != 1 || r.Damages[0].Torn && len(got) < len(all)-1 {
 			t.Fatalf("bit at %d: %v", at, r.Damages)
 		}
@@ -268,19 +268,19 @@
 				t.Fatalf("bit at %d: record %d is not what was written", at, rec.Seq)
 			}
 		}
-		if at >= len(fileMagic) && missing > 1 {
+		if at >= len(segmentMagic) && missing > 1 {
 			t.Fatalf("bit at %d: %d records are missing", at, missing)
 		}
 	}
 }
 
 // A segment that was lost is a gap; the next start is compared again.
-func TestLostSegment(t *testing.T) {
+func TestMissingSegmentIsAGap(t *testing.T) {
 	dir := t.TempDir()
 	limits := Limits{SegmentBytes: 4 << 10, MaxBytes: 1 << 30}
 	for start := range 2 {
 		w := NewWriter(dir, limits)
-		course(uint64(start), fmt.Sprint("e", start), 400, func(r *Record) {
+		runScenario(uint64(start), fmt.Sprint("e", start), 400, func(r *Record) {
 			w.Append(r)
 			if r.Seq%50 == 0 {
 				for w.Written() < r.Seq {
@@ -297,14 +297,14 @@
 	if err := os.Remove(segments[1].Path); err != nil {
 		t.Fatal(err)
 	}
-	v := replayed(t, dir)
+	v := replayCapture(t, dir)
 	if len(v.Gaps) != 1 || v.Starts != 2 || v.Skipped == 0 || !v.Incomplete() || v.Mismatches > 0 {
 		t.Errorf("%+v", v)
 	}
 }
 
 // What comes faster than it can be written is a gap that names every record lost; nobody waits.
-func TestMoreThanCanBeWritten(t *testing.T) {
+func TestQueueOverflowIsAGap(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{QueueLength: 2})
 	longest := time.Duration(0)
@@ -316,7 +316,7 @@
 	time.Sleep(100 * time.Millisecond)
 	last := w.Append(&Record{End: &End{}})
 	w.Close()
-	got, _ := read(t, dir)
+	got, _ := readAll(t, dir)
 	next, lost := uint64(1), uint64(0)
 	for _, rec := range got {
 		if rec.Seq != next {
@@ -332,11 +332,11 @@
 }
 
 // The oldest segments go when the budget is used up; what is left is read, and says that it begins in the middle.
-func TestBudget(t *testing.T) {
+func TestOldestSegmentsAreRemovedAtTheLimit(t *testing.T) {
 	dir := t.TempDir()
 	limits := Limits{SegmentBytes: 4 << 10, MaxBytes: 24 << 10}
 	w := NewWriter(dir, limits)
-	course(1, "e", 1500, func(r *Record) {
+	runScenario(1, "e", 1500, func(r *Record) {
 		w.Append(r)
 		if r.Seq%20 == 0 {
 			for w.Written() < r.Seq {
@@ -353,14 +353,14 @@
 	if total > limits.MaxBytes || w.Stats().Removed == 0 {
 		t.Errorf("%d bytes in %d segments, %d removed", total, len(segments), w.Stats().Removed)
 	}
-	got, _ := read(t, dir)
+	got, _ := readAll(t, dir)
 	if len(got) < 50 || got[0].Gap == nil {
 		t.Errorf("%d records, the first %+v", len(got), got[0])
 	}
 }
 
 // A format from the future is told apart from damage, with the build that wrote it.
-func TestNewerFormat(t *testing.T) {
+func TestNewerFormatIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
 	w.Append(&Record{Start: &Start{Format: Format + 1, Build: "v9"}})
@@ -376,7 +376,7 @@
 }
 
 // A folder that can't be written costs a gap and nobody waits; once it can be, all goes on.
-func TestFolderThatCantBeWritten(t *testing.T) {
+func TestUnwritableDirectoryIsAGap(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "capture")
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -399,7 +399,7 @@
 		time.Sleep(50 * time.Millisecond)
 	}
 	w.Close()
-	got, _ := read(t, dir)
+	got, _ := readAll(t, dir)
 	if len(got) < 2 || got[0].Gap == nil || got[0].Gap.From != 1 || !strings.Contains(got[0].Gap.Reason, "not a directory") {
 		t.Errorf("%+v", got[0])
 	}
@@ -422,7 +422,7 @@
 	seed, _ := strconv.Atoi(os.Getenv("PORTHUB_CAPTURE_SEED"))
 	w := NewWriter(dir, Limits{SegmentBytes: 16 << 10, MaxBytes: 1 << 30})
 	told := uint64(0)
-	course(uint64(seed), fmt.Sprint("e", seed), 4000, func(r *Record) {
+	runScenario(uint64(seed), fmt.Sprint("e", seed), 4000, func(r *Record) {
 		w.Append(r)
 		if taken := w.Written(); taken != told {
 			told = taken
@@ -435,7 +435,7 @@
 	fmt.Println("end", s.Gaps, s.Lost, s.Failed)
 }
 
-func spawn(t *testing.T, dir string, seed int, env ...string) (*exec.Cmd, *bufio.Scanner) {
+func startChild(t *testing.T, dir string, seed int, env ...string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestChild$", "-test.v")
 	cmd.Env = append(append(os.Environ(), "PORTHUB_CAPTURE_CHILD="+dir, fmt.Sprint("PORTHUB_CAPTURE_SEED=", seed)), env...)
@@ -452,7 +452,7 @@
 
 // Killed at drawn points: no record that the system had taken is lost, the store opens, and what is read replays to the
 // same orders. PORTHUB_KILLS sets how many points; CI takes few.
-func TestKilledAtAnyPoint(t *testing.T) {
+func TestKilledWriterLosesNoWrittenRecord(t *testing.T) {
 	kills := 12
 	if n, err := strconv.Atoi(os.Getenv("PORTHUB_KILLS")); err == nil {
 		kills = n
@@ -464,7 +464,7 @@
 		if kill%10 == 0 {
 			dir = t.TempDir() // ten starts beside each other
 		}
-		cmd, lines := spawn(t, dir, kill)
+		cmd, lines := startChild(t, dir, kill)
 		time.Sleep(time.Duration(rng.IntN(300_000)) * time.Microsecond)
 		_ = cmd.Process.Kill()
 		taken := uint64(0)
@@ -502,9 +502,9 @@
 
 // A disk that takes no more, with a part of a write written: the process goes on, the gaps are told, and everything
 // that is no gap reads as it was written.
-func TestFullDisk(t *testing.T) {
+func TestFullDiskLeavesGaps(t *testing.T) {
 	dir := t.TempDir()
-	cmd, lines := spawn(t, dir, 1, "PORTHUB_CAPTURE_LIMIT=9000")
+	cmd, lines := startChild(t, dir, 1, "PORTHUB_CAPTURE_LIMIT=9000")
 	end := ""
 	for lines.Scan() {
 		if strings.HasPrefix(lines.Text(), "end ") {
@@ -518,7 +518,7 @@
 	if n, _ := fmt.Sscanf(end, "end %d %d %d", &gaps, &lost, &failed); n != 3 || failed == 0 {
 		t.Fatalf("no write failed: %q", end)
 	}
-	got, r := read(t, dir)
+	got, r := readAll(t, dir)
 	noted := 0
 	for _, rec := range got {
 		if rec.Gap != nil {
--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -20,18 +20,18 @@
 	}
 	for _, path := range cases {
 		t.Run(filepath.Base(path), func(t *testing.T) {
-			v := replayed(t, path)
+			v := replayCapture(t, path)
 			if v.Mismatches > 0 {
 				t.Errorf("%d of %d steps differ, first %+v", v.Mismatches, v.Steps, v.FirstMismatch)
 			}
-			if v.Steps < 100 || v.Orders < 30 || v.Messages < 3 || v.Incomplete() || len(v.Gaps) > 0 {
+			if v.Steps < 100 || v.Orders < 30 || v.PublishingSteps < 3 || v.Incomplete() || len(v.Gaps) > 0 {
 				t.Errorf("the case says too little, or is damaged: %+v", v)
 			}
 		})
 	}
 }
 
-// Kind explain says of a node that dies in the lost hall: the list's word, the order, each gateway's table without it.
+// What explain says of a node that dies in the lost hall: the list's word, the order, each gateway's table without it.
 func TestExplain(t *testing.T) {
 	path := filepath.Join("testdata", "cases", "zone_loss")
 	if _, err := os.Stat(path); err != nil {
@@ -41,7 +41,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, last, err := Times(r)
+	first, last, err := TimeRange(r)
 	r.Close()
 	if err != nil || last-first < 8*second {
 		t.Fatalf("%d to %d, %v", first, last, err)
@@ -110,7 +110,7 @@
 			t.Errorf("the chain has no %s: %v", what, said)
 		}
 	}
-	if x := at(last); x.Node != node {
+	if x := at(last); x.Endpoint != node {
 		t.Error(x)
 	}
 	r, _ = Open(path)
--- a/capture/explain.go
+++ b/capture/explain.go
@@ -21,7 +21,7 @@
 
 // Explanation says why a node got traffic at a time, or why not.
 type Explanation struct {
-	Node     policyapi.EndpointID   `json:"node"`
+	Endpoint policyapi.EndpointID   `json:"node"`
 	At       policyapi.Microseconds `json:"at_us"`
 	Events   []Event                `json:"chain"` // the last of each sort before that time, and what led to it
 	Gateways []GatewayTable         `json:"holds"` // gateways that held an open line of it then
@@ -41,8 +41,8 @@
 	Disconnected bool                   `json:"away"`     // its link had ended: nothing could be told it
 }
 
-// follow keeps what bears on one node while a capture is replayed.
-type follow struct {
+// endpointHistory keeps what bears on one node while a capture is replayed.
+type endpointHistory struct {
 	node    policyapi.EndpointID
 	at      policyapi.Microseconds
 	chain   []Event
@@ -64,8 +64,8 @@
 	weights []float64
 }
 
-// Times finds the time of the first and last record of a capture that have one.
-func Times(r *Reader) (first, last policyapi.Microseconds, err error) {
+// TimeRange finds the time of the first and last record of a capture that have one.
+func TimeRange(r *Reader) (first, last policyapi.Microseconds, err error) {
 	for {
 		rec, err := r.Next()
 		if err == io.EOF {
@@ -84,7 +84,7 @@
 
 // Explain replays a capture up to a time and says what led to the node's lines as they were then.
 func Explain(r *Reader, node policyapi.EndpointID, at policyapi.Microseconds) (Explanation, error) {
-	f := &follow{node: node, at: at, weights: map[policyapi.TableID]float64{}}
+	f := &endpointHistory{node: node, at: at, weights: map[policyapi.TableID]float64{}}
 	f.begin()
 	seen := false
 	_, err := Replay(r, "", func(rec *Record, core *coordinator.Core, outputs []coordinator.Output) bool {
@@ -104,7 +104,7 @@
 	return f.explain(), nil
 }
 
-func (f *follow) begin() {
+func (f *endpointHistory) begin() {
 	f.opens, f.holds = map[coordinator.Gateway]*line{}, map[coordinator.Gateway]*line{}
 	f.tries, f.errs = map[coordinator.Gateway]int{}, map[coordinator.Gateway]int{}
 	clear(f.weights)
@@ -112,15 +112,15 @@
 	f.known = true
 }
 
-func (f *follow) say(at policyapi.Microseconds, seq uint64, what, format string, args ...any) {
+func (f *endpointHistory) say(at policyapi.Microseconds, seq uint64, what, format string, args ...any) {
 	f.chain = append(f.chain, Event{at, seq, what, fmt.Sprintf(format, args...)})
 }
 
-func (f *follow) record(rec *Record, outputs []coordinator.Output) {
+func (f *endpointHistory) record(rec *Record, outputs []coordinator.Output) {
 	switch {
 	case rec.Start != nil:
 		f.begin()
-		f.say(policyapi.Microseconds(rec.Start.Wall), rec.Seq, "start", "the coordinator started (%s)%s", rec.Start.Build, recalled(rec.Start))
+		f.say(policyapi.Microseconds(rec.Start.WallTime), rec.Seq, "start", "the coordinator started (%s)%s", rec.Start.Build, recalled(rec.Start))
 	case rec.Gap != nil:
 		f.begin()
 		f.known = false
@@ -145,7 +145,7 @@
 	return ", recalled " + s.Restored.String()
 }
 
-func (f *follow) step(rec *Record, outputs []coordinator.Output) {
+func (f *endpointHistory) step(rec *Record, outputs []coordinator.Output) {
 	now, seq := rec.Step.Now, rec.Seq
 	for _, in := range rec.Step.Inputs {
 		switch in := in.(type) {
@@ -211,7 +211,7 @@
 	}
 }
 
-func (f *follow) list(now policyapi.Microseconds, seq uint64, l coordinator.EndpointUpdate) {
+func (f *endpointHistory) list(now policyapi.Microseconds, seq uint64, l coordinator.EndpointUpdate) {
 	for _, e := range l.Endpoints {
 		if e.ID != f.node {
 			continue
@@ -235,7 +235,7 @@
 }
 
 // told follows what a registry says of the node.
-func (f *follow) told(now policyapi.Microseconds, seq uint64, a coordinator.RegistryUpdate) {
+func (f *endpointHistory) told(now policyapi.Microseconds, seq uint64, a coordinator.RegistryUpdate) {
 	text := "does not name it"
 	for _, c := range a.Observations {
 		if c.Endpoint == f.node {
@@ -255,7 +255,7 @@
 	return [...]string{"ready", "draining", "gone"}[min(max(s, 0), 2)]
 }
 
-func (f *follow) report(now policyapi.Microseconds, seq uint64, r coordinator.LoadReport) {
+func (f *endpointHistory) report(now policyapi.Microseconds, seq uint64, r coordinator.LoadReport) {
 	tries, errored := 0, 0
 	for _, k := range r.Classes {
 		for _, e := range k.Endpoints {
@@ -272,7 +272,7 @@
 	f.tries[r.Gateway], f.errs[r.Gateway] = tries, errored
 }
 
-func (f *follow) publish(now policyapi.Microseconds, seq uint64, p coordinator.Publish) {
+func (f *endpointHistory) publish(now policyapi.Microseconds, seq uint64, p coordinator.Publish) {
 	if !p.Changed[coordinator.EndpointsDocument] {
 		return
 	}
@@ -313,8 +313,8 @@
 }
 
 // explain sums up: who held it, by what, and why nothing had taken it away.
-func (f *follow) explain() Explanation {
-	x := Explanation{Node: f.node, At: f.at}
+func (f *endpointHistory) explain() Explanation {
+	x := Explanation{Endpoint: f.node, At: f.at}
 	for _, name := range slices.Sorted(maps.Keys(f.opens)) {
 		sent, held := f.opens[name], f.holds[name]
 		in := sent
@@ -376,7 +376,7 @@
 }
 
 // short keeps the last few of each sort, in order: a flapping node has hundreds.
-func (f *follow) short() (out []Event) {
+func (f *endpointHistory) short() (out []Event) {
 	const each = 8
 	left := map[string]int{}
 	for _, e := range slices.Backward(f.chain) {
--- a/capture/pinned_test.go
+++ b/capture/pinned_test.go
@@ -96,7 +96,7 @@
 	for _, v := range filledOrders(t) {
 		shown[reflect.TypeOf(v)] = true
 	}
-	for of, name := range names {
+	for of, name := range recordNames {
 		if !shown[of] {
 			t.Errorf("%s (%s) stands in no golden record", name, of)
 		}
@@ -105,7 +105,7 @@
 
 // No field that is stored or exported goes by its Go name.
 func TestRecordedTypesNameTheirKeys(t *testing.T) {
-	recorded := slices.Collect(maps.Keys(names))
+	recorded := slices.Collect(maps.Keys(recordNames))
 	for _, v := range []any{Start{}, Command{}, Gap{}, End{}, coordinator.LogEntry{}} {
 		recorded = append(recorded, reflect.TypeOf(v))
 	}
@@ -157,15 +157,15 @@
 		}
 		for start := range starts {
 			w := NewWriter(pinnedCapture, Limits{})
-			course(uint64(start+50), "pinned", steps, func(r *Record) { w.Append(r) })
+			runScenario(uint64(start+50), "pinned", steps, func(r *Record) { w.Append(r) })
 			w.Close()
 		}
 	}
-	records, reader := read(t, pinnedCapture)
+	records, reader := readAll(t, pinnedCapture)
 	var want []*Record
 	for start := range starts {
 		seq := uint64(0)
-		course(uint64(start+50), "pinned", steps, func(r *Record) { seq++; r.Seq = seq; want = append(want, r) })
+		runScenario(uint64(start+50), "pinned", steps, func(r *Record) { seq++; r.Seq = seq; want = append(want, r) })
 	}
 	if len(reader.Damages) > 0 || len(records) != len(want) {
 		t.Fatalf("%d records, want %d; %v", len(records), len(want), reader.Damages)
@@ -175,7 +175,7 @@
 			t.Fatalf("record %d reads\n%s\nwant\n%s", i, got, want)
 		}
 	}
-	verdict := replayed(t, pinnedCapture)
+	verdict := replayCapture(t, pinnedCapture)
 	if verdict.Mismatches > 0 || verdict.Steps != starts*steps || verdict.Orders < 100 || verdict.Incomplete() {
 		t.Errorf("%+v", verdict)
 	}
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -55,12 +55,12 @@
 			return nil, err
 		}
 		if len(r.segments) == 0 {
-			return nil, fmt.Errorf("capture: %s holds no segments (*%s)", path, suffix)
+			return nil, fmt.Errorf("capture: %s holds no segments (*%s)", path, segmentSuffix)
 		}
 	} else {
 		r.segments = []Segment{{0, path, info.Size()}}
 	}
-	r.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(blockMost))
+	r.decoder, err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockSize))
 	if err != nil {
 		return nil, fmt.Errorf("capture: %w", err)
 	}
@@ -124,7 +124,7 @@
 	}
 	text := r.pending[8 : 8+n]
 	r.pending = r.pending[8+n:]
-	if crc32.Checksum(text, castagnoli) != sum {
+	if crc32.Checksum(text, crcTable) != sum {
 		return nil, fmt.Errorf("%w: a record's checksum is wrong", ErrFormat)
 	}
 	rec := &Record{}
@@ -160,15 +160,15 @@
 				r.next = 0
 			}
 			r.number = s.Number
-			magic := make([]byte, len(fileMagic))
-			if _, err := f.ReadAt(magic, 0); err != nil || string(magic) != fileMagic {
-				if r.size < int64(len(fileMagic)) {
+			magic := make([]byte, len(segmentMagic))
+			if _, err := f.ReadAt(magic, 0); err != nil || string(magic) != segmentMagic {
+				if r.size < int64(len(segmentMagic)) {
 					r.damage(r.size, "no head", true)
 				} else {
-					r.damage(int64(len(fileMagic)), "another head: no capture, or a damaged one", false)
+					r.damage(int64(len(segmentMagic)), "another head: no capture, or a damaged one", false)
 				}
 			}
-			r.offset = int64(len(fileMagic))
+			r.offset = int64(len(segmentMagic))
 		}
 		if r.offset >= r.size {
 			_ = r.text.Close()
@@ -191,7 +191,7 @@
 
 // read reads the block at an offset; why says what is wrong with it.
 func (r *Reader) read(offset int64) (body []byte, whole int64, why string) {
-	head := make([]byte, blockHead)
+	head := make([]byte, blockHeaderSize)
 	if _, err := r.text.ReadAt(head, offset); err != nil {
 		return nil, 0, endsWithin + "a block's head"
 	}
@@ -199,24 +199,24 @@
 		return nil, 0, "no block begins here"
 	}
 	n := int64(binary.LittleEndian.Uint32(head[8:]))
-	if n > blockMost {
+	if n > maxBlockSize {
 		return nil, 0, fmt.Sprintf("a block of %d bytes", n)
 	}
-	if offset+blockHead+n > r.size {
+	if offset+blockHeaderSize+n > r.size {
 		return nil, 0, endsWithin + "a block"
 	}
-	text := make([]byte, blockHead-8+n)
+	text := make([]byte, blockHeaderSize-8+n)
 	if _, err := r.text.ReadAt(text, offset+8); err != nil {
 		return nil, 0, err.Error()
 	}
-	if crc32.Checksum(text, castagnoli) != binary.LittleEndian.Uint32(head[4:]) {
+	if crc32.Checksum(text, crcTable) != binary.LittleEndian.Uint32(head[4:]) {
 		return nil, 0, "a block's checksum is wrong"
 	}
-	body, err := r.decoder.DecodeAll(text[blockHead-8:], nil)
+	body, err := r.decoder.DecodeAll(text[blockHeaderSize-8:], nil)
 	if err != nil {
 		return nil, 0, "a block can't be decompressed: " + err.Error()
 	}
-	return body, blockHead + n, ""
+	return body, blockHeaderSize + n, ""
 }
 
 // skip goes on to the next whole block of the segment, or to its end.
--- a/capture/record.go
+++ b/capture/record.go
@@ -38,7 +38,7 @@
 type Start struct {
 	Format   int                  `cbor:"format" json:"Format"`
 	Build    string               `cbor:"build" json:"Build"` // decisions may differ in another one
-	Wall     int64                `cbor:"wall_us" json:"Wall"`
+	WallTime int64                `cbor:"wall_us" json:"Wall"`
 	Settings coordinator.Settings `cbor:"settings" json:"Settings"`
 	Restored *recovery.State      `cbor:"recalled,omitempty" json:"Recalled"` // what the core was handed of the time before
 }
@@ -82,7 +82,7 @@
 var ErrFormat = errors.New("no record of a capture")
 
 // The names of inputs and orders in records. A name once given stays.
-var names, types = naming(map[string]any{
+var recordNames, recordTypes = naming(map[string]any{
 	"list": coordinator.EndpointUpdate{}, "told": coordinator.RegistryUpdate{}, "join": coordinator.GatewayConnected{}, "leave": coordinator.GatewayDisconnected{}, "ack": coordinator.DocumentAck{},
 	"report": coordinator.LoadReport{}, "probed": coordinator.HealthCheckResult{}, "refused": coordinator.PeerRejected{}, "failed": coordinator.PublishFailed{},
 
@@ -99,17 +99,17 @@
 	return n, t
 }
 
-// tagged is an input or order with its name.
-type tagged struct {
+// taggedValue is an input or order with its name.
+type taggedValue struct {
 	_     struct{} `cbor:",toarray"`
 	Name  string
 	Value cbor.RawMessage
 }
 
-type stepRecord struct {
+type encodedStep struct {
 	Now    policyapi.Microseconds `cbor:"now_us"`
-	Inputs []tagged               `cbor:"in,omitempty"`
-	Orders []tagged               `cbor:"out,omitempty"`
+	Inputs []taggedValue          `cbor:"in,omitempty"`
+	Orders []taggedValue          `cbor:"out,omitempty"`
 	Digest uint64                 `cbor:"digest,omitempty"`
 	Notes  []coordinator.LogEntry `cbor:"notes,omitempty"`
 }
@@ -158,7 +158,7 @@
 func tag[T any](values []T) ([]taggedOut, error) {
 	out := make([]taggedOut, len(values))
 	for i, v := range values {
-		name, known := names[reflect.TypeOf(v)]
+		name, known := recordNames[reflect.TypeOf(v)]
 		if !known {
 			return nil, fmt.Errorf("capture: %T has no name", v)
 		}
@@ -167,9 +167,9 @@
 	return out, nil
 }
 
-func untag[T any](in []tagged) (out []T, err error) {
+func untag[T any](in []taggedValue) (out []T, err error) {
 	for _, t := range in {
-		kind, known := types[t.Name]
+		kind, known := recordTypes[t.Name]
 		if !known {
 			return nil, fmt.Errorf("%w: %q is not known here: a newer build wrote it", ErrFormat, t.Name)
 		}
@@ -188,7 +188,7 @@
 
 // UnmarshalCBOR reads a step.
 func (s *Step) UnmarshalCBOR(text []byte) (err error) {
-	var r stepRecord
+	var r encodedStep
 	if err := cbor.Unmarshal(text, &r); err != nil {
 		return err
 	}
@@ -263,7 +263,7 @@
 func plain[T any](values []T) []map[string]any {
 	out := []map[string]any{}
 	for _, v := range values {
-		out = append(out, map[string]any{names[reflect.TypeOf(v)]: v})
+		out = append(out, map[string]any{recordNames[reflect.TypeOf(v)]: v})
 	}
 	return out
 }
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -13,19 +13,19 @@
 
 // ReplayResult is what came of a replay.
 type ReplayResult struct {
-	Starts        int       `json:"starts"`
-	Steps         int       `json:"steps"`
-	Orders        int       `json:"orders"`
-	Messages      int       `json:"messages"` // steps whose publications were compared
-	Mismatches    int       `json:"differing_steps"`
-	Skipped       int       `json:"skipped_steps"` // after a gap, until the next start
-	Gaps          []Gap     `json:"gaps,omitempty"`
-	FirstMismatch *Mismatch `json:"first,omitempty"`
-	Builds        []string  `json:"builds"` // that wrote it
-	Build         string    `json:"build"`  // that replays
-	Damages       []Damage  `json:"damages,omitempty"`
-	Unfinished    int       `json:"starts_without_an_end"` // killed, or still running
-	Bytes         int64     `json:"bytes"`
+	Starts          int       `json:"starts"`
+	Steps           int       `json:"steps"`
+	Orders          int       `json:"orders"`
+	PublishingSteps int       `json:"messages"` // steps whose publications were compared
+	Mismatches      int       `json:"differing_steps"`
+	Skipped         int       `json:"skipped_steps"` // after a gap, until the next start
+	Gaps            []Gap     `json:"gaps,omitempty"`
+	FirstMismatch   *Mismatch `json:"first,omitempty"`
+	Builds          []string  `json:"builds"` // that wrote it
+	Build           string    `json:"build"`  // that replays
+	Damages         []Damage  `json:"damages,omitempty"`
+	Unfinished      int       `json:"starts_without_an_end"` // killed, or still running
+	Bytes           int64     `json:"bytes"`
 }
 
 // Mismatch is where a replay departs from the record.
@@ -80,7 +80,7 @@
 			}
 			core = coordinator.New(s.Settings)
 			if s.Restored != nil {
-				core.Restore(policyapi.Microseconds(s.Wall), *s.Restored)
+				core.Restore(policyapi.Microseconds(s.WallTime), *s.Restored)
 			}
 		case rec.Gap != nil:
 			v.Gaps = append(v.Gaps, *rec.Gap)
@@ -98,7 +98,7 @@
 			outputs = core.Step(rec.Step.Now, rec.Step.Inputs)
 			v.Orders += len(rec.Step.Orders)
 			if rec.Step.Digest != 0 {
-				v.Messages++
+				v.PublishingSteps++
 			}
 			if first := compare(rec, core.Orders(), Digest(outputs)); first != nil {
 				if v.Mismatches++; v.FirstMismatch == nil {
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -84,20 +84,20 @@
 
 // A block: what a write holds. All numbers are little-endian.
 const (
-	fileMagic  = "PHCAP01\n"
-	blockMagic = 0x314b4c42 // "BLK1"
-	blockHead  = 4 + 4 + 4 + 4 + 8
-	blockMost  = 256 << 20 // bytes of one, decoded or not
-	suffix     = ".cap"
+	segmentMagic    = "PHCAP01\n"
+	blockMagic      = 0x314b4c42 // "BLK1"
+	blockHeaderSize = 4 + 4 + 4 + 4 + 8
+	maxBlockSize    = 256 << 20 // bytes of one, decoded or not
+	segmentSuffix   = ".cap"
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // How many records make a block at most, how long one waits for more, and how long a refused write is not tried again.
 const (
-	batchMost = 128
-	batchWait = 50 * time.Millisecond
-	retryWait = time.Second
+	maxBatchRecords = 128
+	maxBatchWait    = 50 * time.Millisecond
+	writeRetryDelay = time.Second
 )
 
 // NewWriter begins a new segment in a folder, beside what an earlier process left. Where it can't, that is tried again and
@@ -130,8 +130,8 @@
 		return nil, fmt.Errorf("capture: %w", err)
 	}
 	for _, e := range entries {
-		n, err := strconv.Atoi(strings.TrimSuffix(e.Name(), suffix))
-		if err != nil || !strings.HasSuffix(e.Name(), suffix) {
+		n, err := strconv.Atoi(strings.TrimSuffix(e.Name(), segmentSuffix))
+		if err != nil || !strings.HasSuffix(e.Name(), segmentSuffix) {
 			continue
 		}
 		info, err := e.Info()
@@ -175,9 +175,9 @@
 	defer close(w.done)
 	for r := range w.queue {
 		batch := []*Record{r}
-		timer := time.NewTimer(batchWait)
+		timer := time.NewTimer(maxBatchWait)
 	gather:
-		for len(batch) < batchMost {
+		for len(batch) < maxBatchRecords {
 			select {
 			case r, more := <-w.queue:
 				if !more {
@@ -227,7 +227,7 @@
 		}
 		head, text := body.Bytes()[at:at+8], body.Bytes()[at+8:]
 		binary.LittleEndian.PutUint32(head, uint32(len(text)))
-		binary.LittleEndian.PutUint32(head[4:], crc32.Checksum(text, castagnoli))
+		binary.LittleEndian.PutUint32(head[4:], crc32.Checksum(text, crcTable))
 		records++
 		return nil
 	}
@@ -251,7 +251,7 @@
 	}
 	if err != nil {
 		w.miss(first, err.Error())
-		w.retryAt = time.Now().Add(retryWait)
+		w.retryAt = time.Now().Add(writeRetryDelay)
 		return
 	}
 	if w.gapFrom > 0 {
@@ -292,17 +292,17 @@
 			return err
 		}
 	}
-	block := make([]byte, blockHead, blockHead+len(body)/4)
+	block := make([]byte, blockHeaderSize, blockHeaderSize+len(body)/4)
 	block = w.encoder.EncodeAll(body, block)
 	binary.LittleEndian.PutUint32(block, blockMagic)
-	binary.LittleEndian.PutUint32(block[8:], uint32(len(block)-blockHead))
+	binary.LittleEndian.PutUint32(block[8:], uint32(len(block)-blockHeaderSize))
 	binary.LittleEndian.PutUint32(block[12:], uint32(records))
 	binary.LittleEndian.PutUint64(block[16:], first)
-	binary.LittleEndian.PutUint32(block[4:], crc32.Checksum(block[8:], castagnoli))
+	binary.LittleEndian.PutUint32(block[4:], crc32.Checksum(block[8:], crcTable))
 	n, err := w.file.Write(block)
 	if err != nil {
 		// A part of a block must not stand before the next one, and a file that can't grow is left for another.
-		if cerr := w.file.Truncate(w.size); cerr != nil || w.size > int64(len(fileMagic)) {
+		if cerr := w.file.Truncate(w.size); cerr != nil || w.size > int64(len(segmentMagic)) {
 			_ = w.file.Close()
 			w.file = nil
 		} else if _, serr := w.file.Seek(w.size, 0); serr != nil {
@@ -331,19 +331,19 @@
 	}
 	for {
 		w.number++
-		f, err := os.OpenFile(filepath.Join(w.dir, fmt.Sprintf("%08d%s", w.number, suffix)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+		f, err := os.OpenFile(filepath.Join(w.dir, fmt.Sprintf("%08d%s", w.number, segmentSuffix)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
 		if errors.Is(err, os.ErrExist) {
 			continue
 		}
 		if err != nil {
 			return err
 		}
-		if _, err := f.WriteString(fileMagic); err != nil {
+		if _, err := f.WriteString(segmentMagic); err != nil {
 			_ = f.Close()
 			_ = os.Remove(f.Name())
 			return err
 		}
-		w.file, w.size, w.opened = f, int64(len(fileMagic)), time.Now()
+		w.file, w.size, w.opened = f, int64(len(segmentMagic)), time.Now()
 		w.budget()
 		return nil
 	}
--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -38,7 +38,7 @@
 				return err
 			}
 			defer r.Close()
-			first, last, err := capture.Times(r)
+			first, last, err := capture.TimeRange(r)
 			if err != nil {
 				return err
 			}
@@ -146,7 +146,7 @@
 					return err
 				}
 			} else {
-				fmt.Fprintf(w, "%d starts, %d steps, %d orders, %d steps that published: %d steps differ\n", v.Starts, v.Steps, v.Orders, v.Messages, v.Mismatches)
+				fmt.Fprintf(w, "%d starts, %d steps, %d orders, %d steps that published: %d steps differ\n", v.Starts, v.Steps, v.Orders, v.PublishingSteps, v.Mismatches)
 				for _, g := range v.Gaps {
 					fmt.Fprintf(w, "records %d to %d are missing: %s\n", g.From, g.To, g.Reason)
 				}
@@ -204,7 +204,7 @@
 				return printAny(cmd.OutOrStdout(), x)
 			}
 			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%s at %s: %s\n\n", x.Node, clock(x.At), x.Answer)
+			fmt.Fprintf(w, "%s at %s: %s\n\n", x.Endpoint, clock(x.At), x.Answer)
 			t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 			for _, e := range x.Events {
 				fmt.Fprintf(t, "%s\t%s\t%s\n", clock(e.At), e.Kind, e.Text)
@@ -247,7 +247,7 @@
 			return 0, err
 		}
 		defer r.Close()
-		first, last, err := capture.Times(r)
+		first, last, err := capture.TimeRange(r)
 		if strings.HasPrefix(at, "-") {
 			first = last
 		}
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -98,7 +98,7 @@
 
 // recall reads what an earlier start has left and hands the core what is believed of it. It returns the first inputs.
 func (d *Daemon) recall(now policyapi.Microseconds, set coordinator.Settings) []coordinator.Input {
-	start := &capture.Start{Format: capture.Format, Build: set.Build, Wall: int64(now), Settings: set}
+	start := &capture.Start{Format: capture.Format, Build: set.Build, WallTime: int64(now), Settings: set}
 	defer func() { d.capture(&capture.Record{Start: start}) }()
 	if d.cfg.StateDir == "" {
 		return nil
