--- a/capture/bench_test.go
+++ b/capture/bench_test.go
@@ -32,7 +32,7 @@
 			for b.Loop() {
 				w.Append(&Record{Step: &Step{Now: policyapi.Microseconds(n), Inputs: inputs}})
 				n++
-				for w.Written()+uint64(w.limits.QueueLength)/2 < uint64(n) {
+				for w.Written()+uint64(cap(w.queue))/2 < uint64(n) {
 					runtime.Gosched()
 				}
 			}
--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -101,11 +101,11 @@
 	if !strings.Contains(after.Answer, "gone") || len(before.Gateways) == 0 {
 		t.Errorf("after: %q", after.Answer)
 	}
-	said := map[string]int{}
+	said := map[EventKind]int{}
 	for _, e := range after.Events {
 		said[e.Kind]++
 	}
-	for _, what := range []string{"start", "list", "order", "sent", "confirmed", "report"} {
+	for _, what := range []EventKind{"start", "list", "order", "sent", "confirmed", "report"} {
 		if said[what] == 0 {
 			t.Errorf("the chain has no %s: %v", what, said)
 		}
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -1,9 +1,7 @@
 package capture
 
 import (
-	"errors"
 	"fmt"
-	"io"
 	"reflect"
 	"slices"
 
@@ -11,7 +9,7 @@
 	"porthub/policyapi"
 )
 
-// ReplayResult is what came of a replay.
+// ReplayResult is the outcome of a replay.
 type ReplayResult struct {
 	Starts          int       `json:"starts"`
 	Steps           int       `json:"steps"`
@@ -21,105 +19,131 @@
 	Skipped         int       `json:"skipped_steps"` // after a gap, until the next start
 	Gaps            []Gap     `json:"gaps,omitempty"`
 	FirstMismatch   *Mismatch `json:"first,omitempty"`
-	Builds          []string  `json:"builds"` // that wrote it
-	Build           string    `json:"build"`  // that replays
+	Builds          []string  `json:"builds"` // that wrote the capture
+	Build           string    `json:"build"`  // that replayed it
 	Damages         []Damage  `json:"damages,omitempty"`
 	Unfinished      int       `json:"starts_without_an_end"` // killed, or still running
 	Bytes           int64     `json:"bytes"`
 }
 
-// Mismatch is where a replay departs from the record.
+// Mismatch is a step whose replay differs from the record.
 type Mismatch struct {
-	Start    string                 `json:"start"` // epoch
+	Start    string                 `json:"start"` // epoch of the core
 	Seq      uint64                 `json:"record"`
 	Now      policyapi.Microseconds `json:"now_us"`
-	Order    int                    `json:"order"` // position; -1: the orders agree and what was published does not
+	Order    int                    `json:"order"` // position; -1: the orders are the same and the publications are not
 	Recorded string                 `json:"recorded"`
 	Replayed string                 `json:"replayed"`
 	Inputs   []string               `json:"inputs"`
 }
 
-// SameBuild tells whether all of it was written by the build that replays it.
+// maxInputText is how many bytes of each input a mismatch shows: a list of a whole fleet would hide the rest.
+const maxInputText = 400
+
+// SameBuild reports whether all of the capture was written by the build that replayed it.
 func (v ReplayResult) SameBuild() bool {
 	return !slices.ContainsFunc(v.Builds, func(b string) bool { return b != v.Build })
 }
 
-// Incomplete tells whether records are missing that were once taken.
+// Incomplete reports whether records are missing that had been written completely.
 func (v ReplayResult) Incomplete() bool {
 	return slices.ContainsFunc(v.Damages, func(d Damage) bool { return !d.Torn })
 }
 
-// Watcher sees each record and the core after it; core is nil where the state is not known.
+// Watcher is called after each record with the core as it then is; core is nil where its state is unknown. Replay ends
+// when it returns false.
 type Watcher func(r *Record, core *coordinator.Core, outputs []coordinator.Output) (more bool)
 
-// Replay runs a capture through the library and compares the orders one by one. Where records are missing the state is not
-// known until the next start; nothing is compared until then.
-func Replay(r *Reader, build string, watch Watcher) (v ReplayResult, err error) {
-	v.Build = build
-	var core *coordinator.Core
-	open, epoch := false, ""
-	for {
-		rec, err := r.Next()
-		if errors.Is(err, io.EOF) {
-			break
-		}
+// Replay runs a capture through the core of this build and compares the orders one by one. After a gap the state of the
+// core is unknown: nothing is compared until the next start. The watcher may be nil. The result is valid up to the place
+// of an error.
+func Replay(r *Reader, build string, watch Watcher) (ReplayResult, error) {
+	replay := replayer{result: ReplayResult{Build: build}}
+	for record, err := range r.All() {
 		if err != nil {
-			return v, err
+			return replay.result, err
 		}
-		var outputs []coordinator.Output
-		switch {
-		case rec.Start != nil:
-			if open {
-				v.Unfinished++
-			}
-			s := rec.Start
-			v.Starts++
-			open, epoch = true, s.Settings.Epoch
-			if !slices.Contains(v.Builds, s.Build) {
-				v.Builds = append(v.Builds, s.Build)
-			}
-			core = coordinator.New(s.Settings)
-			if s.Restored != nil {
-				core.Restore(policyapi.Microseconds(s.WallTime), *s.Restored)
-			}
-		case rec.Gap != nil:
-			v.Gaps = append(v.Gaps, *rec.Gap)
-			core = nil
-		case rec.End != nil:
-			open = false
-		case core == nil:
-			if rec.Step != nil {
-				v.Skipped++
-			}
-		case rec.Command != nil:
-			command(core, *rec.Command)
-		case rec.Step != nil:
-			v.Steps++
-			outputs = core.Step(rec.Step.Now, rec.Step.Inputs)
-			v.Orders += len(rec.Step.Orders)
-			if rec.Step.Digest != 0 {
-				v.PublishingSteps++
-			}
-			if first := compare(rec, core.Orders(), Digest(outputs)); first != nil {
-				if v.Mismatches++; v.FirstMismatch == nil {
-					first.Start = epoch
-					v.FirstMismatch = first
-				}
-			}
-		}
-		if watch != nil && !watch(rec, core, outputs) {
+		outputs := replay.apply(record)
+		if watch != nil && !watch(record, replay.core, outputs) {
 			break
 		}
 	}
-	if open {
-		v.Unfinished++
+	if replay.running {
+		replay.result.Unfinished++
+	}
+	replay.result.Damages = r.Damages
+	replay.result.Bytes = r.Bytes
+	return replay.result, nil
+}
+
+// replayer is the state of a replay.
+type replayer struct {
+	result  ReplayResult
+	core    *coordinator.Core // nil: its state is unknown
+	running bool              // the recorded process has started and not ended
+	epoch   string
+}
+
+// apply hands a record to the core and returns what the core puts out.
+func (p *replayer) apply(record *Record) []coordinator.Output {
+	switch {
+	case record.Start != nil:
+		p.start(record.Start)
+	case record.Gap != nil:
+		p.result.Gaps = append(p.result.Gaps, *record.Gap)
+		p.core = nil
+	case record.End != nil:
+		p.running = false
+	case p.core == nil:
+		if record.Step != nil {
+			p.result.Skipped++
+		}
+	case record.Command != nil:
+		applyCommand(p.core, *record.Command)
+	case record.Step != nil:
+		return p.step(record)
+	}
+	return nil
+}
+
+func (p *replayer) start(start *Start) {
+	if p.running {
+		p.result.Unfinished++
+	}
+	p.running = true
+	p.epoch = start.Settings.Epoch
+	p.result.Starts++
+	if !slices.Contains(p.result.Builds, start.Build) {
+		p.result.Builds = append(p.result.Builds, start.Build)
+	}
+	p.core = coordinator.New(start.Settings)
+	if start.Restored != nil {
+		p.core.Restore(policyapi.Microseconds(start.WallTime), *start.Restored)
 	}
-	v.Damages, v.Bytes = r.Damages, r.Bytes
-	return v, nil
 }
 
-// command gives an operator's word again; it held when it was given.
-func command(core *coordinator.Core, c Command) {
+func (p *replayer) step(record *Record) []coordinator.Output {
+	p.result.Steps++
+	p.result.Orders += len(record.Step.Orders)
+	if record.Step.Digest != 0 {
+		p.result.PublishingSteps++
+	}
+	outputs := p.core.Step(record.Step.Now, record.Step.Inputs)
+	mismatch := compareStep(record, p.core.Orders(), Digest(outputs))
+	if mismatch == nil {
+		return outputs
+	}
+	p.result.Mismatches++
+	if p.result.FirstMismatch == nil {
+		mismatch.Start = p.epoch
+		p.result.FirstMismatch = mismatch
+	}
+	return outputs
+}
+
+// applyCommand repeats an operator's command. Only commands that succeeded are recorded, so their errors are of no
+// interest.
+func applyCommand(core *coordinator.Core, c Command) {
 	switch {
 	case c.Pin != nil:
 		_, _ = core.Pin(*c.Pin)
@@ -136,35 +160,38 @@
 	}
 }
 
-func compare(rec *Record, got []policyapi.Order, digest uint64) *Mismatch {
-	want := rec.Step.Orders
-	first := &Mismatch{Seq: rec.Seq, Now: rec.Step.Now, Order: -1}
-	switch at := differ(want, got); {
-	case at >= 0:
-		first.Order, first.Recorded, first.Replayed = at, show(want, at), show(got, at)
-	case digest != rec.Step.Digest:
-		first.Recorded, first.Replayed = fmt.Sprintf("publications %x", rec.Step.Digest), fmt.Sprintf("publications %x", digest)
-	default:
+// compareStep returns nil if the replayed orders and publications are those of the record.
+func compareStep(record *Record, replayed []policyapi.Order, digest uint64) *Mismatch {
+	recorded := record.Step.Orders
+	mismatch := &Mismatch{Seq: record.Seq, Now: record.Step.Now, Order: -1}
+	if i, differ := firstDifference(recorded, replayed); differ {
+		mismatch.Order = i
+		mismatch.Recorded = orderText(recorded, i)
+		mismatch.Replayed = orderText(replayed, i)
+	} else if digest != record.Step.Digest {
+		mismatch.Recorded = fmt.Sprintf("publications %x", record.Step.Digest)
+		mismatch.Replayed = fmt.Sprintf("publications %x", digest)
+	} else {
 		return nil
 	}
-	for _, in := range rec.Step.Inputs {
-		text := fmt.Sprintf("%T %+v", in, in)
-		first.Inputs = append(first.Inputs, text[:min(len(text), 400)])
+	for _, input := range record.Step.Inputs {
+		text := fmt.Sprintf("%T %+v", input, input)
+		mismatch.Inputs = append(mismatch.Inputs, text[:min(len(text), maxInputText)])
 	}
-	return first
+	return mismatch
 }
 
-// differ is the position of the first order that is not the same; -1: there is none.
-func differ(a, b []policyapi.Order) int {
+// firstDifference returns the position of the first order that is not the same in both lists.
+func firstDifference(a, b []policyapi.Order) (position int, differ bool) {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || !reflect.DeepEqual(a[i], b[i]) {
-			return i
+			return i, true
 		}
 	}
-	return -1
+	return 0, false
 }
 
-func show(orders []policyapi.Order, i int) string {
+func orderText(orders []policyapi.Order, i int) string {
 	if i >= len(orders) {
 		return fmt.Sprintf("nothing: %d orders in all", len(orders))
 	}
--- /dev/null
+++ b/capture/segment.go
@@ -0,0 +1,84 @@
+package capture
+
+import (
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// The layout of a segment: its magic and then blocks, each a header and a body that is a zstd frame. All numbers are
+// little-endian.
+const (
+	segmentSuffix   = ".cap"
+	segmentMagic    = "PHCAP01\n"
+	segmentHeadSize = int64(len(segmentMagic))
+
+	blockMagic      = 0x314b4c42        // "BLK1"
+	blockHeaderSize = 4 + 4 + 4 + 4 + 8 // magic, checksum, length of the body, records, number of the first record
+	checksummedFrom = 4 + 4             // the checksum covers all that follows it in the block
+	maxBlockSize    = 256 << 20         // bytes of a body, compressed or not: a damaged length must not take all memory
+)
+
+// crcTable is of CRC-32C, which processors compute in hardware.
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
+
+// Segment is one file of a capture.
+type Segment struct {
+	Number int
+	Path   string
+	Bytes  int64
+}
+
+// Segments lists the segments of a directory, the oldest first. Other files are passed over.
+func Segments(dir string) ([]Segment, error) {
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		return nil, fmt.Errorf("capture: %w", err)
+	}
+	var out []Segment
+	for _, entry := range entries {
+		name, isSegment := strings.CutSuffix(entry.Name(), segmentSuffix)
+		number, err := strconv.Atoi(name)
+		if !isSegment || err != nil {
+			continue
+		}
+		info, err := entry.Info()
+		if err != nil {
+			continue // removed by the writer in the meantime
+		}
+		out = append(out, Segment{Number: number, Path: filepath.Join(dir, entry.Name()), Bytes: info.Size()})
+	}
+	slices.SortFunc(out, func(a, b Segment) int { return a.Number - b.Number })
+	return out, nil
+}
+
+// blockHeader is the part of a block's header that reading needs.
+type blockHeader struct {
+	checksum uint32
+	bodySize int64
+}
+
+// putBlockHeader fills the header of a block whose body follows in the same slice.
+func putBlockHeader(block []byte, records int, firstRecord uint64) {
+	binary.LittleEndian.PutUint32(block, blockMagic)
+	binary.LittleEndian.PutUint32(block[8:], uint32(len(block)-blockHeaderSize))
+	binary.LittleEndian.PutUint32(block[12:], uint32(records))
+	binary.LittleEndian.PutUint64(block[16:], firstRecord)
+	binary.LittleEndian.PutUint32(block[4:], crc32.Checksum(block[checksummedFrom:], crcTable))
+}
+
+// parseBlockHeader reads a header; ok is false if no block begins there.
+func parseBlockHeader(text []byte) (header blockHeader, ok bool) {
+	if binary.LittleEndian.Uint32(text) != blockMagic {
+		return blockHeader{}, false
+	}
+	return blockHeader{
+		checksum: binary.LittleEndian.Uint32(text[4:]),
+		bodySize: int64(binary.LittleEndian.Uint32(text[8:])),
+	}, true
+}
--- /dev/null
+++ b/capture/segment_writer.go
@@ -0,0 +1,146 @@
+package capture
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/klauspost/compress/zstd"
+)
+
+// segmentWriter appends blocks to the newest segment of a directory, begins new segments and removes old ones. It is not
+// safe for concurrent use.
+type segmentWriter struct {
+	dir     string
+	limits  Limits
+	encoder *zstd.Encoder
+	// removed is called for each segment that is removed.
+	removed func()
+
+	file   *os.File // nil: the next block begins a segment
+	number int      // of the newest segment
+	size   int64    // bytes of file
+	opened time.Time
+}
+
+func newSegmentWriter(dir string, limits Limits, removed func()) *segmentWriter {
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
+	if err != nil {
+		panic(err) // only invalid options are errors
+	}
+	return &segmentWriter{dir: dir, limits: limits, encoder: encoder, removed: removed}
+}
+
+// append writes a block and returns its size in bytes. After an error no part of the block is left in the segment, or
+// the segment is given up.
+func (s *segmentWriter) append(body *blockBody, firstRecord uint64) (int, error) {
+	if s.file != nil && s.segmentIsFull() {
+		s.close()
+	}
+	if s.file == nil {
+		if err := s.open(); err != nil {
+			return 0, err
+		}
+	}
+	text := body.buffer.Bytes()
+	block := make([]byte, blockHeaderSize, blockHeaderSize+len(text)/4)
+	block = s.encoder.EncodeAll(text, block)
+	putBlockHeader(block, body.records, firstRecord)
+	n, err := s.file.Write(block)
+	if err != nil {
+		s.discardPartialBlock()
+		s.enforceLimit() // removing old segments may free a full disk
+		return 0, err
+	}
+	s.size += int64(n)
+	return n, nil
+}
+
+func (s *segmentWriter) segmentIsFull() bool {
+	return s.size >= s.limits.SegmentBytes || time.Since(s.opened) >= s.limits.SegmentAge
+}
+
+// discardPartialBlock makes sure that the next block does not follow a part of one. Only a segment without blocks is
+// used again: one that can't grow any more is left for another.
+func (s *segmentWriter) discardPartialBlock() {
+	err := s.file.Truncate(s.size)
+	if err == nil && s.size <= segmentHeadSize {
+		_, err = s.file.Seek(s.size, io.SeekStart)
+		if err == nil {
+			return
+		}
+	}
+	s.close()
+}
+
+// close ends the segment; the next block begins another one.
+func (s *segmentWriter) close() {
+	if s.file != nil {
+		_ = s.file.Close()
+		s.file = nil
+	}
+}
+
+// open begins a segment, numbered after all that exist.
+func (s *segmentWriter) open() error {
+	if err := os.MkdirAll(s.dir, 0o755); err != nil {
+		return err
+	}
+	segments, err := Segments(s.dir)
+	if err != nil {
+		return err
+	}
+	if n := len(segments); n > 0 {
+		s.number = max(s.number, segments[n-1].Number)
+	}
+	file, err := s.createNext()
+	if err != nil {
+		return err
+	}
+	if _, err := file.WriteString(segmentMagic); err != nil {
+		_ = file.Close()
+		_ = os.Remove(file.Name())
+		return err
+	}
+	s.file = file
+	s.size = segmentHeadSize
+	s.opened = time.Now()
+	s.enforceLimit()
+	return nil
+}
+
+// createNext creates the file with the next free number.
+func (s *segmentWriter) createNext() (*os.File, error) {
+	for {
+		s.number++
+		path := filepath.Join(s.dir, fmt.Sprintf("%08d%s", s.number, segmentSuffix))
+		file, err := os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
+		if !errors.Is(err, os.ErrExist) {
+			return file, err
+		}
+	}
+}
+
+// enforceLimit removes the oldest segments until the capture and one more segment fit into the limit.
+func (s *segmentWriter) enforceLimit() {
+	segments, err := Segments(s.dir)
+	if err != nil {
+		return
+	}
+	total := int64(0)
+	for _, segment := range segments {
+		total += segment.Bytes
+	}
+	for _, segment := range segments {
+		if total+s.limits.SegmentBytes <= s.limits.MaxBytes || segment.Number == s.number {
+			return
+		}
+		if os.Remove(segment.Path) == nil {
+			total -= segment.Bytes
+			s.removed()
+		}
+	}
+}
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -1,32 +1,20 @@
 package capture
 
 import (
-	"bytes"
-	"encoding/binary"
-	"errors"
-	"fmt"
-	"hash/crc32"
-	"os"
-	"path/filepath"
-	"slices"
-	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"github.com/klauspost/compress/zstd"
 )
 
 // Limits bound what a capture costs.
 type Limits struct {
-	MaxBytes     int64         // bytes of all segments; the oldest go first
-	SegmentBytes int64         // bytes of one, about
-	SegmentAge   time.Duration // of one
-	QueueLength  int           // records that wait for the disk; more are a gap
+	MaxBytes     int64         // bytes of all segments; the oldest are removed first
+	SegmentBytes int64         // bytes of one segment, approximately
+	SegmentAge   time.Duration // age at which a segment is closed
+	QueueLength  int           // records that wait to be written; what exceeds it becomes a gap
 }
 
-// Defaults fill what is left out.
+// Defaults returns the limits with zero fields set to their defaults.
 func (l Limits) Defaults() Limits {
 	if l.MaxBytes == 0 {
 		l.MaxBytes = 1 << 30
@@ -45,118 +33,78 @@
 
 // Stats are a writer's counts since its start.
 type Stats struct {
-	Records   int64  `json:"records"` // that the system has taken
+	Records   int64  `json:"records"` // written to the file system
 	Bytes     int64  `json:"bytes"`
-	Lost      int64  `json:"lost"` // records of gaps
+	Lost      int64  `json:"lost"` // records in gaps
 	Gaps      int64  `json:"gaps"`
-	Failed    int64  `json:"failed"` // writes
+	Failed    int64  `json:"failed"` // failed writes
 	Removed   int64  `json:"segments_removed"`
-	BusyUS    int64  `json:"busy_us"` // time spent on encoding and writing
+	BusyUS    int64  `json:"busy_us"` // microseconds spent on encoding and writing
 	LastError string `json:"why,omitempty"`
 }
 
-// Writer appends records to a folder of segments. Put never waits: what the disk can't keep up with, or refuses, is a
-// gap, written as such once it can be.
-type Writer struct {
-	dir    string
-	limits Limits
-	queue  chan *Record
-	done   chan struct{}
-	once   sync.Once
-
-	lost  atomic.Int64 // since the last gap was written
-	last  atomic.Uint64
-	taken atomic.Uint64 // the last record that the system has
-
-	// Of the goroutine that writes.
-	file    *os.File
-	number  int
-	size    int64
-	opened  time.Time
-	encoder *zstd.Encoder
-	retryAt time.Time
-	next    uint64 // the record that should come next
-	gapFrom uint64
-
-	mu    sync.Mutex
-	stats Stats
-}
-
-// A block: what a write holds. All numbers are little-endian.
-const (
-	segmentMagic    = "PHCAP01\n"
-	blockMagic      = 0x314b4c42 // "BLK1"
-	blockHeaderSize = 4 + 4 + 4 + 4 + 8
-	maxBlockSize    = 256 << 20 // bytes of one, decoded or not
-	segmentSuffix   = ".cap"
-)
-
-var crcTable = crc32.MakeTable(crc32.Castagnoli)
-
-// How many records make a block at most, how long one waits for more, and how long a refused write is not tried again.
 const (
+	// maxBatchRecords and maxBatchWait bound a block: larger ones compress better, but a killed process loses more.
 	maxBatchRecords = 128
 	maxBatchWait    = 50 * time.Millisecond
+	// writeRetryDelay is how long nothing is written after a failed write, so that a full disk is not hammered.
 	writeRetryDelay = time.Second
+	// queueOverflow is the reason of a gap that is not due to a failed write.
+	queueOverflow = "more came than could be written"
 )
 
-// NewWriter begins a new segment in a folder, beside what an earlier process left. Where it can't, that is tried again and
-// again, and what comes meanwhile is a gap.
-func NewWriter(dir string, limits Limits) *Writer {
-	w := &Writer{dir: dir, limits: limits.Defaults(), done: make(chan struct{}), next: 1}
-	w.queue = make(chan *Record, w.limits.QueueLength)
-	var err error
-	if w.encoder, err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1)); err != nil {
-		panic(err) // only bad options are errors
-	}
-	if err := w.open(); err != nil { // said at once, and tried again with the first record
-		w.count(func(s *Stats) { s.Failed, s.LastError = s.Failed+1, err.Error() })
-	}
-	go w.run()
-	return w
+// Writer appends records to a directory of segments. It never blocks its caller: records that the disk can't keep up
+// with, or refuses, become a [Gap], which is written as soon as that is possible. Append, Written and Stats may be called
+// concurrently.
+type Writer struct {
+	queue     chan *Record
+	done      chan struct{} // closed when the writing goroutine has ended
+	closeOnce sync.Once
+	lastSeq   atomic.Uint64 // number of the last appended record
+	written   atomic.Uint64 // number of the last record that the file system has
+
+	mu    sync.Mutex // guards stats
+	stats Stats
+
+	output gapTracker // used by the writing goroutine only
 }
 
-// SegmentBytes is one file of a capture.
-type Segment struct {
-	Number int
-	Path   string
-	Bytes  int64
+// gapTracker is the state of the writing goroutine.
+type gapTracker struct {
+	segments *segmentWriter
+	retryAt  time.Time // no writes until then
+	nextSeq  uint64    // number expected of the next batch
+	gapFrom  uint64    // first record of the gap that is not written yet; 0: there is none
 }
 
-// Segments lists a folder's segments, the oldest first.
-func Segments(dir string) (out []Segment, err error) {
-	entries, err := os.ReadDir(dir)
-	if err != nil {
-		return nil, fmt.Errorf("capture: %w", err)
-	}
-	for _, e := range entries {
-		n, err := strconv.Atoi(strings.TrimSuffix(e.Name(), segmentSuffix))
-		if err != nil || !strings.HasSuffix(e.Name(), segmentSuffix) {
-			continue
-		}
-		info, err := e.Info()
-		if err != nil {
-			continue // removed meanwhile
-		}
-		out = append(out, Segment{n, filepath.Join(dir, e.Name()), info.Size()})
+// NewWriter begins a new segment in a directory, beside those of earlier processes. If that fails it is tried again
+// with the next records, which become a gap until it succeeds. Close must be called: it ends the goroutine that NewWriter
+// starts.
+func NewWriter(dir string, limits Limits) *Writer {
+	limits = limits.Defaults()
+	w := &Writer{queue: make(chan *Record, limits.QueueLength), done: make(chan struct{})}
+	w.output.nextSeq = 1
+	w.output.segments = newSegmentWriter(dir, limits, func() { w.updateStats(func(s *Stats) { s.Removed++ }) })
+	if err := w.output.segments.open(); err != nil {
+		w.countFailure(err)
 	}
-	slices.SortFunc(out, func(a, b Segment) int { return a.Number - b.Number })
-	return out, nil
+	go w.run()
+	return w
 }
 
-// Append hands a record over and numbers it. It never waits. What the record holds must not be changed after.
+// Append queues a record and returns the number it gave it. It never blocks. What the record refers to must not be
+// changed afterwards. Append must not be called after Close.
 func (w *Writer) Append(r *Record) uint64 {
-	r.Seq = w.last.Add(1)
+	r.Seq = w.lastSeq.Add(1)
 	select {
 	case w.queue <- r:
-	default:
-		w.lost.Add(1)
+	default: // its number is missing in the next batch, which becomes a gap
 	}
 	return r.Seq
 }
 
-// Written is the last record that the system has taken: a killed process loses none up to it.
-func (w *Writer) Written() uint64 { return w.taken.Load() }
+// Written returns the number of the last record that the file system has: a killed process loses none up to it.
+func (w *Writer) Written() uint64 { return w.written.Load() }
 
 // Stats returns the counts.
 func (w *Writer) Stats() Stats {
@@ -165,207 +113,145 @@
 	return w.stats
 }
 
-// Close writes what waits.
+// Close writes what is queued and ends the writing goroutine. It may be called more than once.
 func (w *Writer) Close() {
-	w.once.Do(func() { close(w.queue) })
+	w.closeOnce.Do(func() { close(w.queue) })
 	<-w.done
 }
 
+// run writes what is queued. It is the goroutine of NewWriter and ends when Close has closed the queue.
 func (w *Writer) run() {
 	defer close(w.done)
-	for r := range w.queue {
-		batch := []*Record{r}
-		timer := time.NewTimer(maxBatchWait)
-	gather:
-		for len(batch) < maxBatchRecords {
-			select {
-			case r, more := <-w.queue:
-				if !more {
-					break gather
-				}
-				batch = append(batch, r)
-			case <-timer.C:
-				break gather
-			}
-		}
-		timer.Stop()
-		began := time.Now()
-		w.write(batch)
-		w.count(func(s *Stats) { s.BusyUS += time.Since(began).Microseconds() })
-	}
-	if w.file != nil {
-		_ = w.file.Close()
+	defer w.output.segments.close()
+	for first := range w.queue {
+		batch := w.gather(first)
+		start := time.Now()
+		w.writeBatch(batch)
+		w.updateStats(func(s *Stats) { s.BusyUS += time.Since(start).Microseconds() })
 	}
 }
 
-func (w *Writer) count(do func(*Stats)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	do(&w.stats)
+// gather collects records until a batch is full, has waited long enough, or the queue is closed.
+func (w *Writer) gather(first *Record) []*Record {
+	batch := []*Record{first}
+	timer := time.NewTimer(maxBatchWait)
+	defer timer.Stop()
+	for len(batch) < maxBatchRecords {
+		select {
+		case r, open := <-w.queue:
+			if !open {
+				return batch
+			}
+			batch = append(batch, r)
+		case <-timer.C:
+			return batch
+		}
+	}
+	return batch
 }
 
-// write appends a batch as one block. Where numbers are missing, or an earlier batch could not be written, it begins
-// with the gap.
-func (w *Writer) write(batch []*Record) {
+// writeBatch appends a batch as one block. It begins with a gap if numbers are missing before it or an earlier batch
+// could not be written.
+func (w *Writer) writeBatch(batch []*Record) {
+	output := &w.output
 	first := batch[0].Seq
-	if w.gapFrom == 0 && first > w.next {
-		w.gapFrom = w.next
+	last := batch[len(batch)-1].Seq
+	if output.gapFrom == 0 && first > output.nextSeq {
+		output.gapFrom = output.nextSeq
 	}
-	w.next = batch[len(batch)-1].Seq + 1
-	if time.Now().Before(w.retryAt) {
-		w.miss(first, "")
+	output.nextSeq = last + 1
+	if time.Now().Before(output.retryAt) {
+		output.extendGap(first)
 		return
 	}
-	var body bytes.Buffer
-	records := 0
-	put := func(r *Record) error {
-		at := body.Len()
-		body.Write(make([]byte, 8))
-		if err := r.encode(&body); err != nil {
-			body.Truncate(at)
-			return err
-		}
-		head, text := body.Bytes()[at:at+8], body.Bytes()[at+8:]
-		binary.LittleEndian.PutUint32(head, uint32(len(text)))
-		binary.LittleEndian.PutUint32(head[4:], crc32.Checksum(text, crcTable))
-		records++
-		return nil
-	}
-	var err error
-	if w.gapFrom > 0 {
-		err = put(&Record{Seq: w.gapFrom, Gap: &Gap{From: w.gapFrom, To: first - 1, Reason: w.why()}})
-	}
-	expect := first
-	for _, r := range batch {
-		if err == nil && r.Seq > expect { // some were turned away while this batch was gathered
-			err = put(&Record{Seq: expect, Gap: &Gap{From: expect, To: r.Seq - 1, Reason: "more came than could be written"}})
-			w.count(func(s *Stats) { s.Gaps, s.Lost = s.Gaps+1, s.Lost+int64(r.Seq-expect) })
-		}
-		if err == nil {
-			err = put(r)
-		}
-		expect = r.Seq + 1
-	}
-	if err == nil {
-		err = w.append(body.Bytes(), records, first)
-	}
-	if err != nil {
-		w.miss(first, err.Error())
-		w.retryAt = time.Now().Add(writeRetryDelay)
+	if err := w.writeBlock(batch); err != nil {
+		output.extendGap(first)
+		w.countFailure(err)
+		output.retryAt = time.Now().Add(writeRetryDelay)
 		return
 	}
-	if w.gapFrom > 0 {
-		missing := int64(first - w.gapFrom)
-		w.count(func(s *Stats) { s.Gaps, s.Lost = s.Gaps+1, s.Lost+missing })
-		w.gapFrom = 0
+	if output.gapFrom > 0 {
+		w.countGap(first - output.gapFrom)
+		output.gapFrom = 0
 	}
-	w.taken.Store(batch[len(batch)-1].Seq)
-	w.count(func(s *Stats) { s.Records, s.LastError = s.Records+int64(len(batch)), "" })
+	w.written.Store(last)
+	w.updateStats(func(s *Stats) {
+		s.Records += int64(len(batch))
+		s.LastError = ""
+	})
 }
 
-func (w *Writer) why() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.stats.LastError != "" {
-		return w.stats.LastError
+// extendGap makes a batch, named by its first record, part of the gap.
+func (g *gapTracker) extendGap(first uint64) {
+	if g.gapFrom == 0 {
+		g.gapFrom = first
 	}
-	return "more came than could be written"
 }
 
-// miss makes a batch part of the gap.
-func (w *Writer) miss(first uint64, why string) {
-	if w.gapFrom == 0 {
-		w.gapFrom = first
-	}
-	if why != "" {
-		w.count(func(s *Stats) { s.Failed, s.LastError = s.Failed+1, why })
-	}
-}
-
-func (w *Writer) append(body []byte, records int, first uint64) error {
-	if w.file != nil && (w.size >= w.limits.SegmentBytes || time.Since(w.opened) >= w.limits.SegmentAge) {
-		_ = w.file.Close()
-		w.file = nil
-	}
-	if w.file == nil {
-		if err := w.open(); err != nil {
-			return err
-		}
+func (w *Writer) writeBlock(batch []*Record) error {
+	body, err := w.encodeBatch(batch)
+	if err != nil {
+		return err
 	}
-	block := make([]byte, blockHeaderSize, blockHeaderSize+len(body)/4)
-	block = w.encoder.EncodeAll(body, block)
-	binary.LittleEndian.PutUint32(block, blockMagic)
-	binary.LittleEndian.PutUint32(block[8:], uint32(len(block)-blockHeaderSize))
-	binary.LittleEndian.PutUint32(block[12:], uint32(records))
-	binary.LittleEndian.PutUint64(block[16:], first)
-	binary.LittleEndian.PutUint32(block[4:], crc32.Checksum(block[8:], crcTable))
-	n, err := w.file.Write(block)
+	size, err := w.output.segments.append(body, batch[0].Seq)
 	if err != nil {
-		// A part of a block must not stand before the next one, and a file that can't grow is left for another.
-		if cerr := w.file.Truncate(w.size); cerr != nil || w.size > int64(len(segmentMagic)) {
-			_ = w.file.Close()
-			w.file = nil
-		} else if _, serr := w.file.Seek(w.size, 0); serr != nil {
-			_ = w.file.Close()
-			w.file = nil
-		}
-		w.budget() // a full disk may have room again
 		return err
 	}
-	w.size += int64(n)
-	w.count(func(s *Stats) { s.Bytes += int64(n) })
+	w.updateStats(func(s *Stats) { s.Bytes += int64(size) })
 	return nil
 }
 
-// open begins a segment.
-func (w *Writer) open() error {
-	if err := os.MkdirAll(w.dir, 0o755); err != nil {
-		return err
-	}
-	segments, err := Segments(w.dir)
-	if err != nil {
-		return err
-	}
-	if n := len(segments); n > 0 {
-		w.number = max(w.number, segments[n-1].Number)
-	}
-	for {
-		w.number++
-		f, err := os.OpenFile(filepath.Join(w.dir, fmt.Sprintf("%08d%s", w.number, segmentSuffix)), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o644)
-		if errors.Is(err, os.ErrExist) {
-			continue
+func (w *Writer) encodeBatch(batch []*Record) (*blockBody, error) {
+	body := &blockBody{}
+	expected := batch[0].Seq
+	if from := w.output.gapFrom; from > 0 {
+		if err := body.add(gapRecord(from, expected-1, w.gapReason())); err != nil {
+			return nil, err
 		}
-		if err != nil {
-			return err
+	}
+	for _, r := range batch {
+		if r.Seq > expected { // the queue was full while this batch was gathered
+			err := body.add(gapRecord(expected, r.Seq-1, queueOverflow))
+			w.countGap(r.Seq - expected)
+			if err != nil {
+				return nil, err
+			}
 		}
-		if _, err := f.WriteString(segmentMagic); err != nil {
-			_ = f.Close()
-			_ = os.Remove(f.Name())
-			return err
+		if err := body.add(r); err != nil {
+			return nil, err
 		}
-		w.file, w.size, w.opened = f, int64(len(segmentMagic)), time.Now()
-		w.budget()
-		return nil
+		expected = r.Seq + 1
 	}
+	return body, nil
 }
 
-// budget removes the oldest segments until all fit.
-func (w *Writer) budget() {
-	segments, err := Segments(w.dir)
-	if err != nil {
-		return
-	}
-	total := int64(0)
-	for _, s := range segments {
-		total += s.Bytes
-	}
-	for _, s := range segments {
-		if total+w.limits.SegmentBytes <= w.limits.MaxBytes || s.Number == w.number {
-			return
-		}
-		if os.Remove(s.Path) == nil {
-			total -= s.Bytes
-			w.count(func(st *Stats) { st.Removed++ })
-		}
+func gapRecord(from, to uint64, reason string) *Record {
+	return &Record{Seq: from, Gap: &Gap{From: from, To: to, Reason: reason}}
+}
+
+func (w *Writer) gapReason() string {
+	if err := w.Stats().LastError; err != "" {
+		return err
 	}
+	return queueOverflow
+}
+
+func (w *Writer) updateStats(update func(*Stats)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	update(&w.stats)
+}
+
+func (w *Writer) countGap(lost uint64) {
+	w.updateStats(func(s *Stats) {
+		s.Gaps++
+		s.Lost += int64(lost)
+	})
+}
+
+func (w *Writer) countFailure(err error) {
+	w.updateStats(func(s *Stats) {
+		s.Failed++
+		s.LastError = err.Error()
+	})
 }
