--- /dev/null
+++ b/docs_test.go
@@ -0,0 +1,249 @@
+package porthub
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"os/exec"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// history are pages that tell what was, with the names that the code had then.
+var history = []string{"docs/rounds.md", "docs/incidents", "CHANGELOG.md"}
+
+var (
+	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
+	markupLink = regexp.MustCompile(`\]\(([^)\s]+)\)`)
+	testName   = regexp.MustCompile(`\b(Test|Fuzz|Benchmark)[A-Z]\w+`)
+	// goName is a package and a name in it, as in `coordinator.Core.Step`.
+	goName = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*)(?:\.([A-Za-z]\w*))?(?:\(.*\))?$`)
+	// filePath is a path of this repository, with a folder or with the ending of a file.
+	filePath = regexp.MustCompile(`^[\w.-]+(/[\w.-]+)*/?$`)
+)
+
+// formerPackages are names that packages had before they took the field's terms.
+var formerPackages = regexp.MustCompile(`^(choice|control|wire|platform|platform/node|intake|service|tables|front/\w+|probe|outbound|inbox|standin|drill|desk|expect)(/\w+\.go|\.[A-Z]\w*.*|/)$`)
+
+// pages returns the text of each page, without the history if that is to be left out.
+func pages(t *testing.T, withHistory bool) map[string]string {
+	t.Helper()
+	texts := map[string]string{}
+	err := filepath.WalkDir(".", func(name string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() && (name == "journal" || name == ".git" || name == "bin") {
+			return fs.SkipDir
+		}
+		isHistory := slices.ContainsFunc(history, func(h string) bool { return strings.HasPrefix(filepath.ToSlash(name), h) })
+		if filepath.Ext(name) != ".md" || isHistory && !withHistory {
+			return nil
+		}
+		text, err := os.ReadFile(name)
+		texts[filepath.ToSlash(name)] = string(text)
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(texts) < 10 {
+		t.Fatalf("only %d pages", len(texts))
+	}
+	return texts
+}
+
+// packagePaths lists the folders of this module's packages.
+func packagePaths(t *testing.T) []string {
+	t.Helper()
+	out, err := exec.Command("go", "list", "./...").Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var paths []string
+	for _, p := range strings.Fields(string(out)) {
+		if below, is := strings.CutPrefix(p, "porthub/"); is {
+			paths = append(paths, below)
+		}
+	}
+	return paths
+}
+
+// The architecture page's table of packages has each package of the module, and no other.
+func TestArchitecturePageNamesEveryPackage(t *testing.T) {
+	page, err := os.ReadFile("docs/architecture.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, table, found := strings.Cut(string(page), "| package | what it is |")
+	table, _, ended := strings.Cut(table, "\n\n")
+	if !found || !ended {
+		t.Fatal("docs/architecture.md has no table of packages")
+	}
+	var named []string
+	for _, row := range strings.Split(table, "\n") {
+		cells := strings.Split(row, "|")
+		if len(cells) < 3 {
+			continue
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(cells[1], -1) {
+			named = append(named, span[1])
+		}
+	}
+	packages := packagePaths(t)
+	for _, p := range packages {
+		if !slices.Contains(named, p) {
+			t.Errorf("the page does not name package %s", p)
+		}
+	}
+	for _, p := range named {
+		if !slices.Contains(packages, p) {
+			t.Errorf("the page names %s, which is no package", p)
+		}
+	}
+}
+
+// Links and paths of files in the pages lead somewhere.
+func TestPagesLinkToFilesThatExist(t *testing.T) {
+	for name, text := range pages(t, false) {
+		for _, link := range markupLink.FindAllStringSubmatch(text, -1) {
+			target, _, _ := strings.Cut(link[1], "#")
+			if target == "" || strings.Contains(target, "://") {
+				continue
+			}
+			if _, err := os.Stat(filepath.Join(path.Dir(name), target)); err != nil {
+				t.Errorf("%s links to %s: %v", name, link[1], err)
+			}
+		}
+		for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
+			if formerPackages.MatchString(span[1]) {
+				t.Errorf("%s names %s, of a package that has another name now", name, span[1])
+				continue
+			}
+			if !isRepositoryPath(span[1]) {
+				continue
+			}
+			if _, err := os.Stat(span[1]); err != nil {
+				t.Errorf("%s names %s, which does not exist", name, span[1])
+			}
+		}
+	}
+}
+
+// isRepositoryPath tells whether a code span is meant as a path from the root: its first folder exists here, or it is a file of Go or a page.
+func isRepositoryPath(span string) bool {
+	if !filePath.MatchString(span) {
+		return false
+	}
+	first, _, hasFolder := strings.Cut(span, "/")
+	if !hasFolder {
+		return false
+	}
+	info, err := os.Stat(first)
+	isFolder := err == nil && info.IsDir()
+	return isFolder || strings.HasSuffix(span, ".go") || strings.HasSuffix(span, ".md")
+}
+
+// declared collects the names that the packages declare: "package.Name" and "package.Type.Member", with tests' functions by
+// their names alone.
+func declared(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	for _, folder := range append(packagePaths(t), ".") {
+		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, file := range files {
+			parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, parser.SkipObjectResolution)
+			if err != nil {
+				t.Fatal(err)
+			}
+			collect(names, strings.TrimSuffix(parsed.Name.Name, "_test"), parsed)
+		}
+	}
+	return names
+}
+
+func collect(names map[string]bool, pkg string, file *ast.File) {
+	names[pkg] = true
+	for _, decl := range file.Decls {
+		switch d := decl.(type) {
+		case *ast.FuncDecl:
+			collectFunc(names, pkg, d)
+		case *ast.GenDecl:
+			for _, spec := range d.Specs {
+				collectSpec(names, pkg, spec)
+			}
+		}
+	}
+}
+
+func collectFunc(names map[string]bool, pkg string, d *ast.FuncDecl) {
+	if testName.MatchString(d.Name.Name) {
+		names[d.Name.Name] = true
+	}
+	if d.Recv == nil {
+		names[pkg+"."+d.Name.Name] = true
+		return
+	}
+	receiver := d.Recv.List[0].Type
+	if star, is := receiver.(*ast.StarExpr); is {
+		receiver = star.X
+	}
+	if generic, is := receiver.(*ast.IndexExpr); is {
+		receiver = generic.X
+	}
+	if id, is := receiver.(*ast.Ident); is {
+		names[pkg+"."+id.Name+"."+d.Name.Name] = true
+	}
+}
+
+func collectSpec(names map[string]bool, pkg string, spec ast.Spec) {
+	switch s := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range s.Names {
+			names[pkg+"."+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		names[pkg+"."+s.Name.Name] = true
+		if body, is := s.Type.(*ast.StructType); is {
+			for _, field := range body.Fields.List {
+				for _, name := range field.Names {
+					names[pkg+"."+s.Name.Name+"."+name.Name] = true
+				}
+			}
+		}
+	}
+}
+
+// Names of Go that the pages have in code spans are declared: `package.Name`, `package.Type.Member`, and tests by their names.
+func TestPagesNameWhatTheCodeDeclares(t *testing.T) {
+	names := declared(t)
+	for name, text := range pages(t, false) {
+		for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
+			m := goName.FindStringSubmatch(span[1])
+			if m == nil || !names[m[1]] {
+				continue
+			}
+			full := m[1] + "." + m[2]
+			if m[3] != "" {
+				full += "." + m[3]
+			}
+			if !names[full] {
+				t.Errorf("%s names %s, which is not declared", name, span[1])
+			}
+		}
+		for _, test := range testName.FindAllString(text, -1) {
+			if !names[test] {
+				t.Errorf("%s names the test %s, which does not exist", name, test)
+			}
+		}
+	}
+}
