--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -68,7 +68,8 @@
 func (p *planner) estimateFleet() []fleetEndpoint {
 	fleet := p.listFleet()
 	totals := p.learnedTotals(fleet)
-	completed, expected, localCapacity := 0.0, 0.0, epsilon
+	completed, expected := 0.0, 0.0 // requests per second of the last round
+	localCapacity := epsilon
 	for i := range fleet {
 		e := &fleet[i]
 		busySeconds, requests := e.learned.throughput.total()
