--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,6 @@
-// Command adapter hosts instances of the decision module on the bench's wire.
+// Command adapter hosts instances of the decision module for the simulator: it reads batches of events from standard
+// input and writes replies with the instances' orders to standard output, until the input ends. It exits with status 1
+// and a message on standard error if the input is not as the protocol says, or output fails.
 package main
 
 import (
@@ -19,46 +21,45 @@
 	}
 }
 
-// host keeps the instances of this process; they share nothing.
-type host struct {
-	instances map[policyapi.InstanceID]*policy.Instance
-	order     []policyapi.InstanceID // of the batch, in the order in which they first occur
-	events    map[policyapi.InstanceID][]simwire.Addressed
-}
-
+// serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r, w := simwire.NewReader(in), simwire.NewWriter(out)
-	h := host{instances: map[policyapi.InstanceID]*policy.Instance{}, events: map[policyapi.InstanceID][]simwire.Addressed{}}
+	h := host{instances: map[policyapi.InstanceID]*policy.Instance{}}
 	for {
 		batch, err := r.Read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
-			return err
+			return fmt.Errorf("read a batch: %w", err)
 		}
-		h.turn(batch, w)
+		h.handle(batch, w)
 		if err := w.End(); err != nil {
-			return err
+			return fmt.Errorf("write a reply: %w", err)
 		}
 	}
 }
 
-// turn deals a batch out to its instances and writes what they order.
-func (h *host) turn(batch simwire.Batch, w *simwire.Writer) {
-	h.order = h.order[:0]
-	for _, ev := range batch.Events {
-		if _, seen := h.events[ev.To]; !seen {
-			h.order = append(h.order, ev.To)
+// host runs the instances of this process, which share nothing.
+type host struct {
+	instances map[policyapi.InstanceID]*policy.Instance
+}
+
+// handle distributes a batch among its instances and writes what they order, in the order in which the instances first
+// occur in the batch.
+func (h *host) handle(batch simwire.Batch, w *simwire.Writer) {
+	var order []policyapi.InstanceID
+	events := map[policyapi.InstanceID][]simwire.Addressed{}
+	for _, event := range batch.Events {
+		if _, seen := events[event.To]; !seen {
+			order = append(order, event.To)
 		}
-		h.events[ev.To] = append(h.events[ev.To], ev)
+		events[event.To] = append(events[event.To], event)
 	}
-	for _, id := range h.order {
-		events := h.events[id]
-		delete(h.events, id)
-		orders, failed := h.act(id, batch.Now, events)
-		if failed != "" {
-			w.Exception(id, failed)
+	for _, id := range order {
+		orders, err := h.step(id, batch.Now, events[id])
+		if err != nil {
+			w.Exception(id, err.Error())
 			continue
 		}
 		for _, o := range orders {
@@ -67,30 +68,31 @@
 	}
 }
 
-// act runs one instance; its panic becomes a text. Events up to a crash are moot: their orders would die with it.
-func (h *host) act(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.Addressed) (orders []policyapi.Order, failed string) {
+// step runs one instance and turns its panic into an error. Events up to a crash or a start are dropped: their orders
+// would die with the instance that they were for.
+func (h *host) step(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.Addressed) (orders []policyapi.Order, err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			orders, failed = nil, fmt.Sprint(p)
+			orders, err = nil, errors.New(fmt.Sprint(p))
 		}
 	}()
 	var batch []policyapi.Event
-	for _, ev := range events {
-		if ev.Crash {
+	for _, event := range events {
+		if event.Crash {
 			delete(h.instances, id)
 			batch = nil
 			continue
 		}
-		if start, isStart := ev.Event.(policyapi.Start); isStart {
+		if start, is := event.Event.(policyapi.Start); is {
 			h.instances[id] = policy.New(start)
 			batch = nil
 			continue
 		}
-		batch = append(batch, ev.Event)
+		batch = append(batch, event.Event)
 	}
 	instance := h.instances[id]
 	if instance == nil {
-		return nil, ""
+		return nil, nil
 	}
-	return instance.Step(now, batch), ""
+	return instance.Step(now, batch), nil
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// The adapter answers every batch, drops events for instances that do not run, forgets a crashed one, and stops with
-// an error on input that ends in mid-batch.
+// The adapter answers every batch, drops events for instances that do not run, forgets a crashed one, and stops with an
+// error on input that ends in mid-batch.
 func TestServe(t *testing.T) {
-	up := "UP\tcoordinator-0\t7\t{\"localities\":[\"a\"],\"discovery\":\"ask\"," +
+	start := "UP\tcoordinator-0\t7\t{\"localities\":[\"a\"],\"discovery\":\"ask\"," +
 		"\"profiles\":[{\"name\":\"view\",\"points\":1,\"slo\":750000}]}\n"
-	in := "TURN\t1\nEOB\nTURN\t2\nRING\tcoordinator-5\t1\nEOB\nTURN\t3\n" + up + "EOB\n" +
+	in := "TURN\t1\nEOB\nTURN\t2\nRING\tcoordinator-5\t1\nEOB\nTURN\t3\n" + start + "EOB\n" +
 		"TURN\t4\nCRASH_NOW\tcoordinator-0\nRING\tcoordinator-0\t1\nEOB\n"
 	var out strings.Builder
 	if err := serve(strings.NewReader(in), &out); err != nil {
@@ -21,9 +21,25 @@
 		t.Errorf("replies %q", replies)
 	}
 	if !strings.Contains(replies[2], "TAIL\tcoordinator-0\t1\n") || !strings.Contains(replies[2], "SLEEP\t") {
-		t.Errorf("the started instance says %q", replies[2])
+		t.Errorf("the started instance replies %q", replies[2])
 	}
 	if err := serve(strings.NewReader("TURN\t1\nRING\tcoordinator-0\t1\n"), &out); err == nil {
-		t.Error("input that ends in mid-batch is taken")
+		t.Error("input that ends in mid-batch is accepted")
+	}
+}
+
+// An instance whose code panics, here over a zone list without zones, is reported as an exception, and the others go on.
+func TestPanicIsReported(t *testing.T) {
+	in := "TURN\t1\n" +
+		"UP\tbad\t7\t{\"localities\":[]}\n" +
+		"UP\tgood\t7\t{\"localities\":[\"a\"],\"profiles\":[{\"name\":\"view\",\"slo\":750000}]}\n" +
+		"DISCOVERY\tbad\t1\tFULL\t1\nROW\ta\tb:1\t1\t0\t-\tstd\tready\n" +
+		"EOB\n"
+	var out strings.Builder
+	if err := serve(strings.NewReader(in), &out); err != nil {
+		t.Fatal(err)
+	}
+	if !strings.Contains(out.String(), "EXCEPTION\tbad\t") || !strings.Contains(out.String(), "SLEEP\tgood\t") {
+		t.Errorf("reply %q", out.String())
 	}
 }
--- a/policyapi/ids.go
+++ b/policyapi/ids.go
@@ -35,5 +35,8 @@
 // AllTables stands in SetAdmission for every connected proxy, whatever table it is bound to.
 const AllTables TableID = 65535
 
+// UnknownClass is the class of requests that the settings do not name.
+const UnknownClass RequestClass = -1
+
 // ClassSet is a set of request classes: bit k stands for class k. The empty set stands for all classes.
 type ClassSet uint64
--- /dev/null
+++ b/simwire/doc.go
@@ -0,0 +1,6 @@
+// Package simwire reads and writes the simulator's text protocol in terms of package policyapi.
+//
+// A [Reader] returns the batches of events, a [Writer] writes the orders of a reply. Lines consist of parts separated by
+// tabs; the names of messages and parts are those of the simulator's protocol page. [Settings] reads the settings object
+// that starts an instance, which a live coordinator finds in its configuration too.
+package simwire
--- /dev/null
+++ b/simwire/fields.go
@@ -0,0 +1,175 @@
+package simwire
+
+import (
+	"encoding/base64"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"porthub/policyapi"
+)
+
+// SyntaxError is a line that is not as the protocol says.
+type SyntaxError struct {
+	Line    int    // counted from 1
+	Message string // name of the message, or the text of a line that does not end
+	Part    string // name of the part
+	Reason  string
+}
+
+func (e *SyntaxError) Error() string {
+	return fmt.Sprintf("line %d: %s: %s: %s", e.Line, e.Message, e.Part, e.Reason)
+}
+
+// absent stands for a part without a value.
+const absent = "-"
+
+// fields is the parts of one line, read from left to right. The first error is retained, and close returns it; values
+// after it are of no use.
+type fields struct {
+	line    int
+	message string // the first part, the name of the message
+	rest    string
+	done    bool // all parts are read
+	err     *SyntaxError
+}
+
+// newFields starts to read a line.
+func newFields(line int, text string) *fields {
+	f := &fields{line: line, rest: text}
+	f.message = f.text("message")
+	return f
+}
+
+func (f *fields) fail(part, reason string) {
+	if f.err == nil {
+		f.err = &SyntaxError{f.line, f.message, part, reason}
+	}
+}
+
+// text reads the next part.
+func (f *fields) text(part string) string {
+	if f.done {
+		f.fail(part, "missing")
+		return ""
+	}
+	head, rest, more := strings.Cut(f.rest, "\t")
+	f.rest = rest
+	f.done = !more
+	return head
+}
+
+// last reads the rest of the line as one part, which may contain tabs.
+func (f *fields) last(part string) string {
+	if f.done {
+		f.fail(part, "missing")
+		return ""
+	}
+	f.done = true
+	return f.rest
+}
+
+// integer reads a whole number; 0 if it is absent.
+func (f *fields) integer(part string) int64 {
+	s := f.text(part)
+	if s == absent {
+		return 0
+	}
+	v, err := strconv.ParseInt(s, 10, 64)
+	if err != nil {
+		f.fail(part, fmt.Sprintf("%q is not a whole number", s))
+	}
+	return v
+}
+
+// seed reads 64 bits, written as a whole number with or without a sign.
+func (f *fields) seed(part string) uint64 {
+	s := f.text(part)
+	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
+		return v
+	}
+	v, err := strconv.ParseInt(s, 10, 64)
+	if err != nil {
+		f.fail(part, fmt.Sprintf("%q is not a whole number", s))
+	}
+	return uint64(v)
+}
+
+// number reads a decimal number; 0 if it is absent.
+func (f *fields) number(part string) float64 {
+	s := f.text(part)
+	if s == absent {
+		return 0
+	}
+	v, err := strconv.ParseFloat(s, 64)
+	if err != nil {
+		f.fail(part, fmt.Sprintf("%q is not a number", s))
+	}
+	return v
+}
+
+// flag reads 0 or 1.
+func (f *fields) flag(part string) bool {
+	s := f.text(part)
+	if s != "0" && s != "1" {
+		f.fail(part, fmt.Sprintf("%q is neither 0 nor 1", s))
+	}
+	return s == "1"
+}
+
+func (f *fields) micros(part string) policyapi.Microseconds {
+	return policyapi.Microseconds(f.integer(part))
+}
+
+func (f *fields) count(part string) int { return int(f.integer(part)) }
+
+func (f *fields) endpoint() policyapi.EndpointID { return policyapi.EndpointID(f.text("backend")) }
+
+func (f *fields) proxy() policyapi.ProxyID { return policyapi.ProxyID(f.integer("agent")) }
+
+func (f *fields) table() policyapi.TableID { return policyapi.TableID(f.integer("mapId")) }
+
+func (f *fields) zone() policyapi.Zone { return policyapi.Zone(f.text("site")) }
+
+// metrics reads a list of name:value.
+func (f *fields) metrics(part string) policyapi.LoadMetrics {
+	s := f.text(part)
+	if s == absent || s == "" {
+		return nil
+	}
+	metrics := policyapi.LoadMetrics{}
+	for pair := range strings.SplitSeq(s, ",") {
+		name, value, ok := strings.Cut(pair, ":")
+		v, err := strconv.ParseFloat(value, 64)
+		if !ok || err != nil {
+			f.fail(part, fmt.Sprintf("%q is not name:value", pair))
+			return metrics
+		}
+		metrics[name] = v
+	}
+	return metrics
+}
+
+// body reads bytes in base64.
+func (f *fields) body(part string) []byte {
+	s := f.text(part)
+	if s == absent {
+		return nil
+	}
+	b, err := base64.StdEncoding.DecodeString(s)
+	if err != nil {
+		f.fail(part, "not base64")
+	}
+	return b
+}
+
+// close ends the line and returns its first error.
+func (f *fields) close() error {
+	if f.err == nil && !f.done {
+		f.fail("end of line", "more parts than the message has")
+	}
+	if f.err != nil {
+		return f.err
+	}
+	return nil
+}
