--- a/policy/admission.go
+++ b/policy/admission.go
@@ -28,6 +28,8 @@
 	// priceSteps is how often the price moves with each plan: the paper's allocator steps all the time, this one between
 	// reports.
 	priceSteps = 30
+	// maxPriceFloor bounds the floor of the prices: it is where they start.
+	maxPriceFloor = 1.0
 	// rateCap is the multiple of its demand that a proxy's rate may have.
 	rateCap = 2
 	// minPricedDemand is the demand, in requests per second, below which a proxy does not lower the price's floor.
@@ -115,7 +117,7 @@
 // priceFloor is the price at which the largest proxy has its rate cap. A lower price admits no more, and with all rates
 // at their caps the slope would be 0 and the price stuck.
 func (g *group) priceFloor() float64 {
-	floor := 1.0
+	floor := maxPriceFloor
 	for _, proxy := range g.proxies {
 		floor = min(floor, (1.0/rateCap)/max(proxy.total, minPricedDemand))
 	}
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -15,6 +15,15 @@
 	// overduePeriods are the report periods, beside one and a half times the longest latency seen, after which a message
 	// does not count as waiting any more.
 	overduePeriods = 2
+	// overdueLatencyDivisor is the part of the longest latency seen that is added to it then.
+	overdueLatencyDivisor = 2
+	// ackLines is the cost of the request to acknowledge a message, in lines.
+	ackLines = 1
+	// bindLines is what a binding is charged besides the lines and levels of its table: the line that the protocol says,
+	// and one to spare.
+	bindLines = 2
+	// ownLevelLines is the cost of a table's own level.
+	ownLevelLines = 1
 	// windowSlackDivisor is the part of the message window that is added to it, for clocks that differ.
 	windowSlackDivisor = 50
 )
@@ -48,7 +57,7 @@
 	longest := c.acks.longest()
 	overdue := func(m pendingMessage) bool {
 		age := now - m.sentAt
-		return c.acks.any && age > longest+longest/2+overduePeriods*c.reportPeriod || age > messageExpiry
+		return c.acks.any && age > longest+longest/overdueLatencyDivisor+overduePeriods*c.reportPeriod || age > messageExpiry
 	}
 	c.departed = slices.DeleteFunc(c.departed, overdue)
 	for _, m := range c.departed {
@@ -76,14 +85,16 @@
 }
 
 // messageLines is what a message costs besides its own lines; the levels for all tables go with each.
-func (c *channel) messageLines() float64 { return c.messageOverhead + float64(len(c.admissions)) + 1 }
+func (c *channel) messageLines() float64 {
+	return c.messageOverhead + float64(len(c.admissions)) + ackLines
+}
 
 // bindCost is what it costs to bind a proxy to a replica's tables.
 func (c *channel) bindCost(r *replica) (lines float64) {
 	for _, table := range r.tables {
-		lines += float64(len(table.lines)+len(c.admissions)) + 2
+		lines += float64(len(table.lines)+len(c.admissions)) + bindLines
 		if table.hasAdmission {
-			lines++
+			lines += ownLevelLines
 		}
 	}
 	return lines
@@ -118,6 +129,6 @@
 // maxTableLines is the number of lines that a table may have so that all of a proxy's tables fit into the queue
 // together.
 func maxTableLines(queueLimit, messageOverhead float64, placements, classes int) int {
-	perTable := (bindShare*queueLimit - messageOverhead - float64(classes) - 1) / float64(placements)
-	return int(perTable) - classes - 3
+	perTable := (bindShare*queueLimit - messageOverhead - float64(classes) - ackLines) / float64(placements)
+	return int(perTable) - classes - bindLines - ownLevelLines
 }
--- a/policy/delivery.go
+++ b/policy/delivery.go
@@ -21,10 +21,14 @@
 const (
 	// routineMessageDivisor leaves half of the messages to urgent changes.
 	routineMessageDivisor = 2
+	// urgentMessages of urgentMessagesOf messages are the limit for urgent changes.
+	urgentMessages, urgentMessagesOf = 3, 4
 	// urgentMessageReserve is the number of messages to a proxy that urgent changes leave in the window.
 	urgentMessageReserve = 2
 	// routineMessageInterval spaces routine messages so that half of the limit suffices.
 	routineMessageInterval = 2
+	// urgentIntervalDivisor shortens the interval of routine messages for urgent changes.
+	urgentIntervalDivisor = 2
 	// removalIntervalDivisor and removalGraceDivisor bound how long removals wait after another message, by the routine
 	// interval and the drain grace period.
 	removalIntervalDivisor, removalGraceDivisor = 2, 4
@@ -81,8 +85,8 @@
 	t := turn{now: now, removalDelay: min(interval/removalIntervalDivisor, c.drainGracePeriod/removalGraceDivisor)}
 	limit := c.messageLimit / routineMessageDivisor
 	if c.target.urgent {
-		interval /= 2
-		limit = min(c.messageLimit*3/4, c.messageLimit-urgentMessageReserve)
+		interval /= urgentIntervalDivisor
+		limit = min(c.messageLimit*urgentMessages/urgentMessagesOf, c.messageLimit-urgentMessageReserve)
 	}
 	idle := now - c.turns.linesSentAt
 	t.routine = idle >= interval && (c.messageLimit == 0 || sent < limit)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -10,13 +10,17 @@
 //
 // An Instance consists of actors that communicate only by messages in mailboxes (mailbox.go, messages.go):
 //
-//   - endpointList follows the endpoint list and owns an endpointActor for each endpoint (endpoints.go, endpoint.go).
-//   - endpointActor evaluates one endpoint: outlier detection (health.go), slow start and capacity (capacity.go).
+//   - endpointList follows the endpoint list and owns an endpointActor for each endpoint (endpoints.go).
+//   - endpointActor evaluates one endpoint (endpoint.go): outlier detection (health.go), capacity and slow start
+//     (capacity.go).
 //   - proxyRegistry estimates each proxy's demand (demand.go).
 //   - planner turns their states into a target state (planner.go): the fleet's capacity (fleet.go), groups of endpoints
-//     and proxies (groups.go, rebalance.go), weights (weights.go), admission rates (admission.go, classes.go).
-//   - channel brings the proxies nearer to the target state within the limits on lines and messages (delivery.go,
-//     removal.go, replica.go, streams.go, budget.go).
+//     and proxies (groups.go, rebalance.go), weights (weights.go) and admission (admission.go, classes.go).
+//   - channel brings the proxies nearer to the target state within the limits on lines and messages (channel.go): the
+//     order of what goes out (delivery.go, removal.go), the tables and their differences (replica.go, diff.go), the
+//     proxies' streams (streams.go) and the queue (budget.go).
+//
+// instance.go has the loop that delivers the messages. A reader starts best with planner.plan and channel.deliver.
 //
 // All times are in microseconds, all rates in requests per second, unless a comment says otherwise.
 package policy
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -29,5 +29,5 @@
 	if last != 0 {
 		seconds = max(roundSeconds, float64(now-last)/float64(second))
 	}
-	return seconds, 1 - math.Pow(0.5, seconds/roundSeconds)
+	return seconds, 1 - math.Pow(1-smoothing, seconds/roundSeconds)
 }
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -30,7 +30,8 @@
 	// maxSlowStartPressure is the pressure above which endpoints in slow start get no load: what full endpoints reject
 	// comes on top of their weights.
 	maxSlowStartPressure = 1.5
-	// pressureCeiling minus the failure rate divides the utilization; the quotient is the pressure on the fleet. It is above 1 to keep the divisor positive.
+	// pressureCeiling minus the failure rate divides the utilization; the quotient is the pressure on the fleet. It is
+	// above 1 to keep the divisor positive.
 	pressureCeiling = 1.01
 	// panicThreshold is the fraction of a zone's ready capacity that must not look ejected: below it the fault is
 	// likelier on the way or in the reports.
--- a/policy/removal.go
+++ b/policy/removal.go
@@ -9,6 +9,10 @@
 // removalMessageReserve is the number of messages in the window that are left to removals.
 const removalMessageReserve = 2
 
+// lastMessageGraceDivisor is the part of the drain grace period for which removals wait that would take a proxy's last
+// message.
+const lastMessageGraceDivisor = 2
+
 // sendWithdrawals sends what the rules want, with most of the queue: first withdrawn endpoints leave the tables, those
 // first where that has been pending for longest; then new proxies get tables in place of the default ones, which takes
 // three times the lines. What else the tables lose follows. It reports whether some of it has to wait.
@@ -106,7 +110,7 @@
 // last message that one of its proxies may get: as long as half of the drain grace period is left to the channel, beside
 // the time that acknowledgements were seen to take.
 func (c *channel) reservesLastMessage(now micros, r *replica) bool {
-	if r.withdrawalSince == 0 || now >= r.withdrawalSince+c.drainGracePeriod/2-c.acks.longest() {
+	if r.withdrawalSince == 0 || now >= r.withdrawalSince+c.drainGracePeriod/lastMessageGraceDivisor-c.acks.longest() {
 		return false
 	}
 	return slices.ContainsFunc(r.streams, func(s *stream) bool {
