--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -16,7 +16,7 @@
 type harness struct {
 	t             *testing.T
 	core          *Core
-	now           micros
+	now           microseconds
 	unresponsive  map[Gateway]bool
 	conns         map[Gateway]ConnID
 	published     map[Gateway]Publish
@@ -75,7 +75,7 @@
 }
 
 // advance lets time go by; each second the gateways named report a calm second.
-func (h *harness) advance(d micros, gateways ...Gateway) {
+func (h *harness) advance(d microseconds, gateways ...Gateway) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, max(h.now+1, h.core.NextDeadline()))
 		var inputs []Input
@@ -172,9 +172,9 @@
 	h.startFleet()
 	e := append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)
 	e[0].Status = policyapi.Draining
-	g := h.core.gateways["g2"]
+	g := h.core.gateways.byName["g2"]
 	stale := policyapi.TableID(4000) // as if the module had moved on and the bind were still on its way
-	h.core.weights[stale] = map[policyapi.EndpointID]float64{"a1:1": 1, "b1:1": 1}
+	h.core.tables.weights[stale] = map[policyapi.EndpointID]float64{"a1:1": 1, "b1:1": 1}
 	g.tables = slices.Repeat([]policyapi.TableID{stale}, 2)
 	h.setEndpoints(e...)
 	h.advance(second, "g1", "g2")
@@ -209,10 +209,10 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.unresponsive["g2"] = true
-	h.core.gateways["g2"].inFlight.Invalidate()
+	h.core.gateways.byName["g2"].inFlight.Invalidate()
 	h.setEndpoints(readyEndpoints("a", "a1:1", "a2:1")...)
 	h.advance(5*second, "g1", "g2")
-	if g := h.core.gateways["g2"]; g.joined || !g.connected || h.logged["no_acknowledgement"] != 1 {
+	if g := h.core.gateways.byName["g2"]; g.joined || !g.connected || h.logged["no_acknowledgement"] != 1 {
 		t.Fatalf("joined %t, linked %t, notes %v", g.joined, g.connected, h.logged)
 	}
 	before := h.publishCount["g1"]
@@ -231,7 +231,7 @@
 	}
 	h.unresponsive["g2"] = false
 	h.advance(60*second, "g1", "g2")
-	if !h.core.gateways["g2"].joined || slices.Contains(h.openEndpoints("g2", "view"), "b2:1") {
+	if !h.core.gateways.byName["g2"].joined || slices.Contains(h.openEndpoints("g2", "view"), "b2:1") {
 		t.Errorf("it acknowledges again and has %v", h.openEndpoints("g2", "view"))
 	}
 }
@@ -241,7 +241,7 @@
 	h.startFleet()
 	h.unresponsive["g1"] = true
 	h.setEndpoints(readyEndpoints("a", "a1:1")...)
-	g := h.core.gateways["g1"]
+	g := h.core.gateways.byName["g1"]
 	waiting := len(g.inFlight.Unacknowledged())
 	if waiting == 0 {
 		t.Fatal("nothing is on its way")
@@ -289,11 +289,11 @@
 		t.Error("the first connection stays open")
 	}
 	h.step(GatewayDisconnected{Gateway: "g1", Conn: old})
-	if g := h.core.gateways["g1"]; !g.joined || g.conn != h.conns["g1"] {
+	if g := h.core.gateways.byName["g1"]; !g.joined || g.conn != h.conns["g1"] {
 		t.Errorf("joined %t on %d", g.joined, g.conn)
 	}
 	h.step(GatewayDisconnected{Gateway: "g1", Conn: h.conns["g1"]})
-	if h.core.gateways["g1"].joined {
+	if h.core.gateways.byName["g1"].joined {
 		t.Error("its own end is no leave")
 	}
 }
@@ -302,7 +302,7 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.advance(5*second, "g1")
-	if h.core.gateways["g2"].joined || !h.core.gateways["g1"].joined || h.logged["silent"] != 1 {
+	if h.core.gateways.byName["g2"].joined || !h.core.gateways.byName["g1"].joined || h.logged["silent"] != 1 {
 		t.Errorf("notes %v", h.logged)
 	}
 }
@@ -327,10 +327,10 @@
 		r := good(h)
 		spoil(&r)
 		h.step(r)
-		if len(h.core.aggregate.proxies) != 0 || h.logged["report_bad"]+h.logged["report_repeated"] != 1 {
+		if len(h.core.reports.aggregate.proxies) != 0 || h.logged["report_bad"]+h.logged["report_repeated"] != 1 {
 			t.Errorf("%s: taken in, %v", name, h.logged)
 		}
-		if h.step(good(h)); len(h.core.aggregate.proxies) == 0 {
+		if h.step(good(h)); len(h.core.reports.aggregate.proxies) == 0 {
 			t.Errorf("%s: the next good one is not taken", name)
 		}
 	}
@@ -352,7 +352,7 @@
 	e := append(readyEndpoints("a", "a1:1", "a2:1", "a3:1", "a1:1"), readyEndpoints("x", "x1:1")...)
 	e[1].StartedAt = h.now + 3600*second
 	h.setEndpoints(e...)
-	for node, launched := range map[policyapi.EndpointID]micros{"a1:1": 0, "a2:1": h.now, "a3:1": h.now} {
+	for node, launched := range map[policyapi.EndpointID]microseconds{"a1:1": 0, "a2:1": h.now, "a3:1": h.now} {
 		if got := h.core.endpoints.entries[node]; got.Status != policyapi.Ready || got.StartedAt != launched {
 			t.Errorf("%s: status %d, launched %d, want %d", node, got.Status, got.StartedAt, launched)
 		}
@@ -379,7 +379,7 @@
 	}
 	h.now = at
 	h.advance(3*second, "g1", "g2")
-	if !h.core.gateways["g1"].joined || !h.core.gateways["g2"].joined {
+	if !h.core.gateways.byName["g1"].joined || !h.core.gateways.byName["g2"].joined {
 		t.Error("gateways lost by a step of the clock")
 	}
 }
@@ -412,7 +412,7 @@
 func TestMessagesStayUnderTheLimit(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
-	var at []micros
+	var at []microseconds
 	before := h.publishCount["g1"]
 	for i := range 300 {
 		e := append(readyEndpoints("a", "a1:1", "a2:1", "a3:1"), readyEndpoints("b", "b1:1", "b2:1")...)
@@ -427,7 +427,7 @@
 		}
 	}
 	for i := range at {
-		if n := i + 1 - slices.IndexFunc(at, func(x micros) bool { return at[i]-x <= 10*second }); n > 20 {
+		if n := i + 1 - slices.IndexFunc(at, func(x microseconds) bool { return at[i]-x <= 10*second }); n > 20 {
 			t.Fatalf("%d messages within 10 s", n)
 		}
 	}
@@ -479,7 +479,8 @@
 // Each form of the module's lines becomes a record with its figures.
 func TestPolicyLogLines(t *testing.T) {
 	for text, want := range map[string]LogEntry{
-		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "levels", Fields: []LogField{{"on", true}, {"asked", 479.2}, {"can", 428.3}}},
+		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "levels",
+			Fields: []LogField{{"on", true}, {"asked", 479.2}, {"can", 428.3}}},
 		"1.2.3.4:5 sick from a: of about 13 tries in a row none was done": {Event: "sick",
 			Fields: []LogField{{"node", "1.2.3.4:5"}, {"zone", "a"}, {"tries", 13.0}}},
 		"sick marks of b passed over: false, 3 of 9 reqs a second well": {Event: "passed_over",
@@ -551,7 +552,7 @@
 func TestWrongChecksum(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
-	g := h.core.gateways["g1"]
+	g := h.core.gateways.byName["g1"]
 	say := func(sum uint64) {
 		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
 	}
@@ -578,7 +579,7 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
-	g := h.core.gateways["g1"]
+	g := h.core.gateways.byName["g1"]
 	before := h.publishCount["g1"]
 	say := func(held [documentCount]string) {
 		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: held})
@@ -619,7 +620,7 @@
 	if slices.Contains(h.openEndpoints("g1", "save"), "a1:1") || !slices.Contains(h.openEndpoints("g1", "view"), "a1:1") {
 		t.Fatalf("the solver does not act: save by %v", h.openEndpoints("g1", "save"))
 	}
-	table := h.core.gateways["g1"].tables[1]
+	table := h.core.gateways.byName["g1"].tables[1]
 	versions := h.core.Versions().Versions(table)
 	last := versions[len(versions)-1]
 	if _, has := last.ForClass(1).Weights()["a1:1"]; has || last.ForClass(0).Weights()["a1:1"] == 0 {
--- a/coordinator/degradation_test.go
+++ b/coordinator/degradation_test.go
@@ -197,8 +197,8 @@
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
 	h.forceLevel(1, degradation.FleetScope)
-	g := h.core.gateways["g1"]
-	h.core.admissions[g.tables[1]] = map[policyapi.RequestClass]policyapi.SetAdmission{1: {Table: g.tables[1], Level: 4, RetryPolicy: 1}}
+	g := h.core.gateways.byName["g1"]
+	h.core.tables.admissions[g.tables[1]] = map[policyapi.RequestClass]policyapi.SetAdmission{1: {Table: g.tables[1], Level: 4, RetryPolicy: 1}}
 	h.advance(4*second, "g1", "g2")
 	if r := h.core.snapshot(g).Routes[1]; r.Rate != 4 {
 		t.Errorf("the guard of 4 reqs a second has become %v", r.Rate)
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -1,14 +1,27 @@
-// Package coordinator is the core of porthub: inputs with their time go in, outputs come out. It reads no clock,
-// starts no goroutine and does no I/O, so a test that feeds it time gets the same orders as a daemon that runs live.
-//
-// A Core owns one instance of the decision module (package choice). It turns what the outside tells into the module's
-// events, keeps the tables, binds and levels that the module ordered, and from them what each gateway is to hold
-// (package tables). What goes out is a Publish for each gateway whose state has changed; it counts as on its way until
-// the gateway has acknowledged both of its documents.
-//
-// What the core decides beyond the module, all of it here:
-//   - which reports and acknowledgements are believed (reports.go, gateways.go),
-//   - when a gateway counts as joined or away (gateways.go),
-//   - which node lists are believed and what a node's start time is (list.go),
-//   - that nothing that drains, is gone or failed the checks stays open in any document (publish.go).
+// Package coordinator is the core of the control plane. A Core is a state machine: Step takes the time and the inputs that
+// have arrived (endpoint updates, connections, load reports, acknowledgements) and returns the outputs that its caller
+// carries out (documents to publish, health checks, log entries). It reads no clock, starts no goroutine and does no I/O,
+// so a replay of recorded inputs gives the recorded outputs.
+//
+// A Core owns one instance of the decision module (package policy). It turns inputs into the module's events, keeps the
+// tables, bindings and admission levels that the module orders, and derives from them the snapshot that each gateway is to
+// hold (package routing). A snapshot that has changed goes out as a Publish; it is in flight until the gateway has
+// acknowledged both of its documents.
+//
+// The files by concern:
+//
+//   - core.go: Core, its step and deadline; settings.go, timers.go, outbox.go and warnings.go: its parts
+//   - inputs.go, outputs.go: the closed sets of what goes in and out; logevents.go: the names of log entries
+//   - endpoints.go, membership.go: which endpoint lists are accepted and when an endpoint has started
+//   - gateways.go, gatewaychecks.go: connections, and what has to be done about a gateway when
+//   - publish.go, acks.go: what goes out to a gateway and what it acknowledges
+//   - orders.go, snapshot.go, admission.go: the module's orders, and the snapshot of a gateway that follows from them
+//   - reports.go, reportcheck.go, aggregate.go: load reports on their way to the module
+//   - solver.go, solverfleet.go, solvertables.go: what package solver is given and what becomes of its answer
+//   - degradation.go, loadsignals.go, overrides.go, healthchecks.go: levels of reduced service (package degradation)
+//   - versions.go, recovery.go: pinned tables, and state carried over a restart
+//   - status.go, overview.go, logtail.go: documents for operators
+//
+// Whatever the module, the solver, a pin or a level says: no snapshot offers an endpoint that drains, is ejected or is
+// gone (snapshot.go).
 package coordinator
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -7,118 +7,149 @@
 	"porthub/policyapi"
 )
 
-// endpointStore is the node list as it is believed.
+// endpointStore is the endpoint list as it was last accepted.
 type endpointStore struct {
-	entries     map[policyapi.EndpointID]policyapi.Endpoint // gone ones too: their zone is still needed
-	firstSeen   map[policyapi.EndpointID]micros
-	initialized bool // a list has come
-	version     policyapi.ListVersion
-	// fileVersion is of the file's last list.
-	fileVersion policyapi.ListVersion
+	entries     map[policyapi.EndpointID]policyapi.Endpoint // removed ones too: their zone is still needed
+	initialized bool                                        // a fresh list has come
+	fileVersion policyapi.ListVersion                       // of the file's last list
+	changed     bool                                        // since gateways' documents were last checked against the list
 }
 
-func (r *endpointStore) zoneOf(b policyapi.EndpointID) (policyapi.Zone, bool) {
-	e, has := r.entries[b]
-	return e.Zone, has
+func newEndpointStore() endpointStore {
+	return endpointStore{entries: map[policyapi.EndpointID]policyapi.Endpoint{}}
 }
 
-// closed tells whether nothing new may go to a backend. Where gone alone does not bind (soft), one dropped from the
-// endpoints without a drain is for the module to judge: it may keep its lines while it answers.
-func (r *endpointStore) closed(b policyapi.EndpointID, soft bool) bool {
-	status := r.entries[b].Status
-	return status == policyapi.Draining || status == policyapi.Removed && !soft
+func (s *endpointStore) zoneOf(endpoint policyapi.EndpointID) (policyapi.Zone, bool) {
+	entry, known := s.entries[endpoint]
+	return entry.Zone, known
 }
 
-func (r *endpointStore) readyCount() (n int) {
-	for _, e := range r.entries {
-		if e.Status == policyapi.Ready {
+// closed tells whether nothing new may go to an endpoint. With softRemoval, one that left the list without a drain is the
+// decision module's to judge: it may keep its weights while it answers.
+func (s *endpointStore) closed(endpoint policyapi.EndpointID, softRemoval bool) bool {
+	status := s.entries[endpoint].Status
+	return status == policyapi.Draining || status == policyapi.Removed && !softRemoval
+}
+
+func (s *endpointStore) readyCount() (n int) {
+	for _, entry := range s.entries {
+		if entry.Status == policyapi.Ready {
 			n++
 		}
 	}
 	return n
 }
 
-// handleEndpointUpdate takes a list in. A list that names nobody after one that did is a broken source far likelier than an empty
-// fleet: it is refused, unless the settings allow it, and what was known stays.
+// listed returns the endpoints that are not removed, in the order of their names.
+func (s *endpointStore) listed() (entries []policyapi.Endpoint) {
+	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
+		if entry := s.entries[id]; entry.Status != policyapi.Removed {
+			entries = append(entries, entry)
+		}
+	}
+	return entries
+}
+
+// handleEndpointUpdate applies an endpoint list. One that names no endpoint after one that did comes from a broken source
+// far more often than from an empty fleet: it is not accepted unless the settings allow it, and the last list stays.
 func (c *Core) handleEndpointUpdate(in EndpointUpdate) []policyapi.Event {
 	if in.Kind == policyapi.Failed {
-		c.warn("list_failed", "", "%s", in.Error)
+		c.warn(eventEndpointListFailed, "", "%s", in.Error)
 		return []policyapi.Event{in.EndpointUpdate}
 	}
-	if was := c.endpoints.readyCount(); in.Kind != policyapi.Delta && len(in.Endpoints) == 0 && was > 0 && !c.settings.AllowEmptyList {
-		c.warn("list_empty", "", "it names nobody, the last one %d: not believed", was)
+	if ready := c.endpoints.readyCount(); in.Kind != policyapi.Delta && len(in.Endpoints) == 0 && ready > 0 && !c.settings.AllowEmptyList {
+		c.warn(eventEndpointListEmpty, "", "it names no endpoint, the last one %d: not accepted", ready)
 		return []policyapi.Event{policyapi.EndpointUpdate{Version: in.Version, Kind: policyapi.Failed}}
 	}
 	if in.Kind == policyapi.Snapshot && !in.decided {
 		return c.handleFileUpdate(in)
 	}
-	seen := map[policyapi.EndpointID]bool{}
+	in.Endpoints = c.applyEndpoints(in.EndpointUpdate)
+	return []policyapi.Event{in.EndpointUpdate}
+}
+
+// applyEndpoints puts an update into the store and returns its valid entries, each with its start time.
+func (c *Core) applyEndpoints(update policyapi.EndpointUpdate) []policyapi.Endpoint {
+	named := map[policyapi.EndpointID]bool{}
 	var entries []policyapi.Endpoint
-	for _, e := range in.Endpoints {
-		if seen[e.ID] || !slices.Contains(c.settings.Start.Zones, e.Zone) {
+	for _, entry := range update.Endpoints {
+		if named[entry.ID] || !slices.Contains(c.settings.Start.Zones, entry.Zone) {
 			continue
 		}
-		seen[e.ID] = true
-		entries = append(entries, c.withStartTime(e, in.Kind))
+		named[entry.ID] = true
+		entries = append(entries, c.withStartTime(entry, update.Kind))
 	}
-	if in.Kind != policyapi.Delta {
-		for _, b := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
-			if old := c.endpoints.entries[b]; !seen[b] && old.Status != policyapi.Removed {
-				old.Status = policyapi.Removed
-				c.endpoints.entries[b] = old
-				c.sampler.ForgetEndpoint(b)
-			}
-		}
+	changed := update.Kind != policyapi.Delta
+	if changed {
+		c.removeUnnamed(named)
 	}
-	changed := in.Kind != policyapi.Delta
-	for _, e := range entries {
-		changed = changed || c.endpoints.entries[e.ID] != e
-		c.endpoints.entries[e.ID] = e
+	for _, entry := range entries {
+		changed = changed || c.endpoints.entries[entry.ID] != entry
+		c.endpoints.entries[entry.ID] = entry
 	}
-	if in.Kind != policyapi.Cached {
+	if update.Kind != policyapi.Cached {
 		c.endpoints.initialized = true
-		c.emit(SaveList{policyapi.EndpointUpdate{Version: in.Version, Kind: policyapi.Cached, Endpoints: c.listedEndpoints()}})
+		c.outbox.emit(SaveList{policyapi.EndpointUpdate{Version: update.Version, Kind: policyapi.Cached, Endpoints: c.endpoints.listed()}})
 	}
-	clear(c.clusterCache)
-	if c.endpointsChanged = c.endpointsChanged || changed; changed {
-		c.log(LogDebug, "list", "version %d: %d entries, %d ready", in.Version, len(entries), c.endpoints.readyCount())
+	clear(c.clusters)
+	if changed {
+		c.endpoints.changed = true
+		c.outbox.log(LogDebug, eventEndpointList, "version %d: %d endpoints, %d ready", update.Version, len(entries), c.endpoints.readyCount())
 	}
-	in.Endpoints = entries
-	return []policyapi.Event{in.EndpointUpdate}
+	return entries
 }
 
-// listedEndpoints lists what is not gone, in the order of names.
-func (c *Core) listedEndpoints() (entries []policyapi.Endpoint) {
-	for _, b := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
-		if e := c.endpoints.entries[b]; e.Status != policyapi.Removed {
-			entries = append(entries, e)
+// removeUnnamed marks as removed what a complete list does not name.
+func (c *Core) removeUnnamed(named map[policyapi.EndpointID]bool) {
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
+		entry := c.endpoints.entries[id]
+		if named[id] || entry.Status == policyapi.Removed {
+			continue
 		}
+		entry.Status = policyapi.Removed
+		c.endpoints.entries[id] = entry
+		c.reports.sampler.ForgetEndpoint(id)
 	}
-	return entries
 }
 
-// withStartTime gives an entry its start time. A source that states none still says something by naming a backend that it
-// did not name before, or that was gone: it has just started. What the first list names has been there for long. A
-// start that lies ahead of our clock is now: another machine's clock must not keep a backend cold for ever.
-func (c *Core) withStartTime(e policyapi.Endpoint, how policyapi.UpdateKind) policyapi.Endpoint {
-	old, known := c.endpoints.entries[e.ID]
+// withStartTime gives an entry its start time. A source that states none still tells it by naming an endpoint that it did
+// not name before, or that was removed: it has just started. What the first list names has run for long. A start ahead of
+// our clock is now: another machine's clock must not keep an endpoint warming up for ever.
+func (c *Core) withStartTime(entry policyapi.Endpoint, kind policyapi.UpdateKind) policyapi.Endpoint {
+	last, known := c.endpoints.entries[entry.ID]
 	switch {
-	case e.StartedAt > c.now:
-		if e.StartedAt = c.now; known && old.StartedAt > 0 && old.Status != policyapi.Removed {
-			e.StartedAt = old.StartedAt
+	case entry.StartedAt > c.now:
+		entry.StartedAt = c.now
+		if known && last.StartedAt > 0 && last.Status != policyapi.Removed {
+			entry.StartedAt = last.StartedAt
 		}
-	case e.StartedAt > 0:
-	case how == policyapi.Cached:
-		e.StartedAt = old.StartedAt
+	case entry.StartedAt > 0:
+	case kind == policyapi.Cached:
+		entry.StartedAt = last.StartedAt
 	case !c.endpoints.initialized:
 		// The first fresh list of a start: what was not listed before the restart has started since.
-		if e.StartedAt = old.StartedAt; !known {
-			e.StartedAt, _ = c.recovered.StartTime(e.ID, c.now)
+		entry.StartedAt = last.StartedAt
+		if !known {
+			entry.StartedAt, _ = c.recovered.StartTime(entry.ID, c.now)
 		}
-	case !known || old.Status == policyapi.Removed:
-		e.StartedAt = c.now
+	case !known || last.Status == policyapi.Removed:
+		entry.StartedAt = c.now
 	default:
-		e.StartedAt = old.StartedAt
+		entry.StartedAt = last.StartedAt
 	}
-	return e
+	return entry
+}
+
+// warmUpProgress is the part of its capacity that an endpoint has by the slowest course the rules allow, up to 1.
+func (c *Core) warmUpProgress(endpoint policyapi.Endpoint) float64 {
+	rules := c.settings.Start.Rules
+	if endpoint.StartedAt <= 0 || c.now-endpoint.StartedAt >= rules.WarmUp {
+		return 1
+	}
+	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(c.now-endpoint.StartedAt)/float64(rules.WarmUp)
+}
+
+// isClosed tells whether no snapshot may offer an endpoint, whatever the tables say.
+func (c *Core) isClosed(endpoint policyapi.EndpointID) bool {
+	return c.tables.ejected[endpoint] || c.endpoints.closed(endpoint, c.settings.Start.Rules.SoftRemoval)
 }
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -1,355 +1,222 @@
 package coordinator
 
 import (
-	"math"
+	"maps"
 	"slices"
-	"strings"
 
 	"porthub/policyapi"
 	"porthub/routing"
 )
 
-// gateway is one that has ever joined.
+// gateway is the state of a gateway that has ever connected.
 type gateway struct {
-	name      Gateway
-	proxy     policyapi.ProxyID
-	zone      policyapi.Zone
-	conn      ConnID
-	connected bool // a connection stands
-	joined    bool // the module counts it as joined
-	tables    []policyapi.TableID
-
-	reportSequence uint64 // of its last report
-	lastMessageAt  micros // last word of any kind
-	joinedAt       micros
-	inFlight       *routing.InFlight // what it holds, and what it may be sent
-
-	demand         []float64       // by kind: reqs a second that came to it, half way to the new value with each report
-	publishedRates map[int]float64 // rates that were told lately: by kind what the solver's admission came to, then what a level's did
-	publishPending bool            // something has changed that has not gone out
-	linesInFlight  float64         // lines on their way to it
-	// checkAt is when what it holds is held against the list, 0: nothing has changed there.
-	checkAt micros
-
-	expulsions       int    // times it was put out for not acknowledging
-	admitAfter       micros // not joined again before
-	defaultTableOnly bool
+	name  Gateway
+	proxy policyapi.ProxyID // its index in gatewaySet.inOrder
+	zone  policyapi.Zone
+
+	conn             ConnID
+	connected        bool // conn is open
+	joined           bool // the decision module counts it as connected
+	defaultTableOnly bool // as stated on connecting
 	weight           float64
+	joinedAt         microseconds
+	lastMessageAt    microseconds // of any message
+	expulsions       int          // since its last acknowledgement, for not acknowledging
+	joinAfter        microseconds // it does not join again before
+
+	tables   []policyapi.TableID // by request class; unboundTable: none yet
+	inFlight *routing.InFlight   // what it holds, and what it may be sent
+	// publishPending is set when its snapshot may have changed and has not gone out.
+	publishPending bool
+	linesInFlight  float64
+	// listCheckAt is when its documents are checked against the endpoint list; 0: the list has not changed.
+	listCheckAt microseconds
+
+	reportSequence uint64 // of its last report on this connection; 0: none yet
+	// demand is the requests per second that it receives, by class, smoothed with a factor of a half for each report;
+	// empty: not known.
+	demand []float64
+	// publishedRates are the admission rates that it was last given, so that small changes need no message.
+	publishedRates map[rateKey]float64
 }
 
 const unboundTable policyapi.TableID = -1
 
-func (g *gateway) bound() bool { return len(g.tables) > 0 && !slices.Contains(g.tables, unboundTable) }
+func (g *gateway) bound() bool {
+	return len(g.tables) > 0 && !slices.Contains(g.tables, unboundTable)
+}
 
-// connectGateway takes a gateway in. One that connects twice under one name is one gateway: the later connection stands and
-// the earlier is closed, since the later one knows best that the earlier is dead.
-func (c *Core) connectGateway(in GatewayConnected) []policyapi.Event {
-	var events []policyapi.Event
-	g := c.gateways[in.Gateway]
-	defer func() {
-		if g != nil {
-			c.updateGateway(g)
-		}
-	}()
-	if g == nil {
-		if len(c.gateways) >= maxGateways {
-			c.warn("too_many_gateways", in.Gateway, "there are %d already", len(c.gateways))
-			c.emit(CloseConnection{in.Conn, "too many gateways"})
-			return nil
-		}
-		g = &gateway{name: in.Gateway, proxy: policyapi.ProxyID(len(c.gateways)), inFlight: routing.NewInFlight(c.settings.Epoch, c.messageBudget())}
-		c.gateways[in.Gateway], c.byProxy[g.proxy] = g, g
+// oldestUnacknowledged is when the first of the messages in flight to it was sent, if there is any.
+func (g *gateway) oldestUnacknowledged() (routing.Message, bool) {
+	messages := g.inFlight.Unacknowledged()
+	if len(messages) == 0 {
+		return routing.Message{}, false
 	}
-	if !slices.Contains(c.settings.Start.Zones, in.Zone) {
-		c.warn("bad_zone", in.Gateway, "zone %q is not one of %v", in.Zone, c.settings.Start.Zones)
-		c.emit(CloseConnection{in.Conn, "unknown zone"})
-		return nil
-	}
-	if g.connected && g.conn != in.Conn {
-		c.warn("name_taken_over", in.Gateway, "a second connection under this name: the first one is closed")
-		c.emit(CloseConnection{g.conn, "another connection under this name"})
-		events = append(events, c.disconnectGateway(g)...)
-	}
-	g.conn, g.connected, g.zone, g.lastMessageAt, g.defaultTableOnly, g.weight = in.Conn, true, in.Zone, c.now, in.HasDefaultTableOnly, in.Weight
-	g.reportSequence = 0
-	if events = append(events, c.admitGateway(g)...); !g.joined && g.bound() {
-		// It has to wait for being let in, and what has drained while it was away still stands in its files.
-		g.inFlight.Invalidate()
-		events = append(events, c.publish(g, routing.NoAckID)...)
-	}
-	return events
+	return messages[0], true
 }
 
-// messageBudget is what the rules allow of messages to one gateway; a file is written a little later than it was published.
-func (c *Core) messageBudget() routing.Budget {
-	return routing.Budget{MaxMessages: c.settings.Start.Rules.MessageLimit, Window: c.settings.Start.Rules.MessageWindow + messageWindowSlack}
+// demandOf is the requests per second that it receives of a class; 0 if not known.
+func (g *gateway) demandOf(class int) float64 {
+	if class >= len(g.demand) {
+		return 0
+	}
+	return g.demand[class]
 }
 
-// maxGateways bounds what names alone can cost.
+// maxGateways bounds what names alone can cost in memory.
 const maxGateways = 60000
 
-// admitGateway joins a linked gateway unless it has to wait.
-func (c *Core) admitGateway(g *gateway) []policyapi.Event {
-	if !g.connected || g.joined || c.now < g.admitAfter {
-		return nil
-	}
-	g.joined, g.joinedAt = true, c.now
-	g.tables = slices.Repeat([]policyapi.TableID{unboundTable}, len(c.settings.Start.Classes))
-	g.inFlight.Connect()
-	c.restoreGateway(g)
-	g.checkAt = 0
-	defer c.updateGateway(g)
-	return []policyapi.Event{policyapi.ProxyConnected{Proxy: g.proxy, Zone: g.zone, HasDefaultTableOnly: g.defaultTableOnly, Weight: g.weight}}
+// gatewaySet is all gateways that have ever connected.
+type gatewaySet struct {
+	byName  map[Gateway]*gateway
+	inOrder []*gateway // in the order of their first connections, indexed by ProxyID
+	// dirty are the gateways that something is still to be done about, though no order concerns them.
+	dirty map[policyapi.ProxyID]bool
+	// nextCheckAt is when the first of them needs a check; before, no time is spent on any.
+	nextCheckAt microseconds
+	// linesInFlight is the sum over all gateways.
+	linesInFlight float64
 }
 
-// disconnectGateway ends a gateway's connection as far as the module goes; it keeps its files and goes on by them.
-func (c *Core) disconnectGateway(g *gateway) []policyapi.Event {
-	was := g.joined
-	g.connected, g.joined = false, false
-	c.sampler.GatewayDisconnected(string(g.name))
-	g.inFlight.Disconnect()
-	c.updateLinesInFlight(g)
-	if was {
-		return []policyapi.Event{policyapi.ProxyDisconnected{Proxy: g.proxy}}
-	}
-	return nil
+func newGatewaySet() gatewaySet {
+	return gatewaySet{byName: map[Gateway]*gateway{}, dirty: map[policyapi.ProxyID]bool{}}
 }
 
-func (c *Core) handleDisconnect(in GatewayDisconnected) []policyapi.Event {
-	g := c.gateways[in.Gateway]
-	if g == nil || g.conn != in.Conn || !g.connected {
-		return nil // a connection that another one had replaced
-	}
-	return c.disconnectGateway(g)
-}
-
-// sender is the gateway that a message comes from, if its connection is the one that stands.
-func (c *Core) sender(name Gateway, conn ConnID) *gateway {
-	g := c.gateways[name]
-	if g == nil || !g.connected || g.conn != conn {
-		return nil
-	}
-	g.lastMessageAt = c.now
+func (s *gatewaySet) add(name Gateway, inFlight *routing.InFlight) *gateway {
+	g := &gateway{name: name, proxy: policyapi.ProxyID(len(s.inOrder)), inFlight: inFlight}
+	s.byName[name] = g
+	s.inOrder = append(s.inOrder, g)
 	return g
 }
 
-// checkGateways finds gateways that have fallen silent and those whose time to be let in again has come. One that
-// reports but acknowledges nothing is put out as well: its unsaid lines would hold everyone's orders back. It comes
-// in again later each time, so that it costs only itself.
-//
-// With thousands of gateways a look at each took most of a step: nobody is looked at before the first of them is due.
-func (c *Core) checkGateways() []policyapi.Event {
-	if c.now < c.gatewayCheckAt {
+// byProxy returns nil for a proxy that is none of the gateways.
+func (s *gatewaySet) byProxy(proxy policyapi.ProxyID) *gateway {
+	if proxy < 0 || int(proxy) >= len(s.inOrder) {
 		return nil
 	}
-	var events []policyapi.Event
-	for p := range policyapi.ProxyID(len(c.gateways)) {
-		g := c.byProxy[p]
-		waiting := g.inFlight.Unacknowledged()
-		laterAt, later := g.inFlight.DueAt()
-		switch {
-		case !g.connected:
-		case c.now-g.lastMessageAt > c.settings.SilenceTimeout:
-			c.warn("silent", g.name, "no word for %.1f s: it counts as away", float64(c.now-g.lastMessageAt)/float64(second))
-			c.emit(CloseConnection{g.conn, "silent"})
-			events = append(events, c.disconnectGateway(g)...)
-		case g.joined && len(waiting) > 0 && c.now-waiting[0].SentAt > c.ackTimeout():
-			g.expulsions++
-			g.admitAfter = c.now + min(second<<min(g.expulsions, 6), 60*second)
-			c.warn("no_acknowledgement", g.name, "version %s not acknowledged for %.1f s: it counts as away for %.0f s",
-				waiting[0].Version, float64(c.now-waiting[0].SentAt)/float64(second), float64(g.admitAfter-c.now)/float64(second))
-			was := g.connected
-			events = append(events, c.disconnectGateway(g)...)
-			g.connected = was
-		case !g.joined:
-			if events = append(events, c.admitGateway(g)...); !g.joined && g.bound() && c.checkDue(g) {
-				events = append(events, c.publish(g, routing.NoAckID)...)
-			}
-		case g.bound() && (g.inFlight.Retry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
-			events = append(events, c.publish(g, routing.NoAckID)...)
-		}
-	}
-	c.gatewayCheckAt = c.now + maxCheckInterval
-	for p := range policyapi.ProxyID(len(c.gateways)) {
-		c.gatewayCheckAt = min(c.gatewayCheckAt, c.nextCheck(c.byProxy[p]))
-	}
-	c.gatewayCheckAt = max(c.gatewayCheckAt, c.now+minCheckInterval)
-	return events
+	return s.inOrder[proxy]
 }
 
-// Gateways are looked at so often at least and at most.
-const (
-	maxCheckInterval = 10 * second
-	minCheckInterval = second / 1000
-)
-
-// never is a time that does not come.
-const never micros = 1 << 62
-
-// nextCheck is the first moment at which watchGateways has something to do about a gateway as it stands.
-func (c *Core) nextCheck(g *gateway) micros {
-	if !g.connected {
-		return never
+// sorted returns the gateways in the order of their names.
+func (s *gatewaySet) sorted() []*gateway {
+	all := make([]*gateway, 0, len(s.byName))
+	for _, name := range slices.Sorted(maps.Keys(s.byName)) {
+		all = append(all, s.byName[name])
 	}
-	at := g.lastMessageAt + c.settings.SilenceTimeout + 1
-	waiting := g.inFlight.Unacknowledged()
-	switch {
-	case !g.joined:
-		if at = min(at, g.admitAfter); g.bound() && g.checkAt > 0 {
-			at = min(at, g.checkAt)
-		}
-		return at
-	case len(waiting) > 0:
-		at = min(at, waiting[0].SentAt+c.ackTimeout()+1)
-	}
-	if g.bound() {
-		if g.checkAt > 0 {
-			at = min(at, g.checkAt)
-		}
-		if later, has := g.inFlight.DueAt(); has {
-			at = min(at, later)
-		}
-		if retry, has := g.inFlight.RetryAt(); has {
-			at = min(at, retry)
-		}
-	}
-	return at
+	return all
 }
 
-// updateGateway has a gateway looked at when it needs it; whatever brings that forward says so here.
-func (c *Core) updateGateway(g *gateway) {
-	c.updateLinesInFlight(g)
-	c.gatewayCheckAt = min(c.gatewayCheckAt, c.nextCheck(g))
-	if g.publishPending || g.checkAt > 0 || g.inFlight.Invalidated() {
-		c.dirtyGateways[g.proxy] = true
-	} else {
-		delete(c.dirtyGateways, g.proxy)
+// affected returns the gateways that a change may reach, in the order of their first connections: all, or those that were
+// bound to another table and the dirty ones. Between rounds orders concern one gateway or none, and visiting each of
+// thousands would be most of the step.
+func (s *gatewaySet) affected(all bool, bound map[policyapi.ProxyID]bool) []*gateway {
+	if all {
+		return s.inOrder
 	}
-}
-
-// updateLinesInFlight keeps the sum of lines on their way.
-func (c *Core) updateLinesInFlight(g *gateway) {
-	lines := 0.0
-	for _, m := range g.inFlight.Unacknowledged() {
-		lines += float64(m.Lines) + c.settings.Start.Channel.MessageOverhead
+	var some []*gateway
+	for _, proxy := range slices.Sorted(maps.Keys(union(bound, s.dirty))) {
+		some = append(some, s.inOrder[proxy])
 	}
-	c.linesInFlight += lines - g.linesInFlight
-	g.linesInFlight = lines
+	return some
 }
 
-// availableLines is how many lines a message may have now: a coordinator counts what it has sent and sends no more than has been
-// acknowledged. One that alone is more than all the room goes when nothing else is on its way.
-func (c *Core) availableLines() int {
-	most := c.settings.Start.Rules.QueueLimit
-	if most <= 0 || c.linesInFlight < 1 {
-		return math.MaxInt
-	}
-	return int(queueTarget*most - c.linesInFlight - c.settings.Start.Channel.MessageOverhead)
-}
-
-// queueTarget of the lines that may wait is used; what closes a line goes beyond it.
-const queueTarget = 0.85
-
-// ackTimeout is how long an acknowledgement may take: ten times the longest way there and back, and no less than the
-// time after which a gateway counts as silent.
-func (c *Core) ackTimeout() micros {
-	return max(10*c.settings.Start.Channel.MaxLatency, c.settings.SilenceTimeout)
-}
-
-// checkDue tells whether it is time to hold a gateway's tables against the list. The module takes drained lines out by
-// itself; what it has not reached by then, an old table or a gateway that is put out, is masked here.
-func (c *Core) checkDue(g *gateway) bool { return g.checkAt > 0 && c.now >= g.checkAt }
-
-// messageWindowSlack is left at the end of the messages' span: a file is written a little later than it was published.
-const messageWindowSlack = second / 2
-
-// publish brings a gateway to what it should hold, as its ledger says.
-func (c *Core) publish(g *gateway, mark policyapi.AckID) []policyapi.Event {
-	defer c.updateGateway(g)
-	s := c.snapshot(g)
-	g.checkAt = 0
-	verdict, m := g.inFlight.Offer(c.now, s, mark, c.availableLines(), func() bool {
-		return routing.ClosesEndpoint(g.inFlight.Sent(), s, func(b policyapi.EndpointID) bool {
-			return c.ejected[b] || c.endpoints.closed(b, c.settings.Start.Rules.SoftRemoval)
-		})
-	})
-	if verdict != routing.OfferDeferred {
-		g.publishPending = false
+// union returns the keys of both maps.
+func union[K comparable, V any](a, b map[K]V) map[K]bool {
+	all := map[K]bool{}
+	for k := range a {
+		all[k] = true
 	}
-	switch verdict {
-	case routing.OfferAcknowledged:
-		return []policyapi.Event{policyapi.Acknowledged{Proxy: g.proxy, AckID: m.AckID}}
-	case routing.OfferSend:
-		c.emit(Publish{Gateway: g.name, Version: m.Version, Nonce: m.Version, Snapshot: s, Changed: m.Changed, Sync: c.syncDocuments()})
+	for k := range b {
+		all[k] = true
 	}
-	return nil
+	return all
 }
 
-// handleAck takes an acknowledgement in. Only what this process has published to this gateway and is still on its way
-// counts; anything else (an earlier start's version at joining, a repeat, an invention) is passed over, and noted
-// where it is no version a gateway could hold.
-func (c *Core) handleAck(in DocumentAck) []policyapi.Event {
-	g := c.sender(in.Gateway, in.Conn)
-	if g == nil || in.Document < 0 || in.Document >= documentCount {
-		return nil
+// handleConnect admits a connection. A gateway that connects twice under one name is one gateway: the later connection
+// replaces the earlier, since the gateway knows best that the earlier is dead.
+func (c *Core) handleConnect(in GatewayConnected) []policyapi.Event {
+	g := c.gateways.byName[in.Gateway]
+	if g == nil {
+		if count := len(c.gateways.inOrder); count >= maxGateways {
+			c.warn(eventTooManyGateways, in.Gateway, "there are %d already", count)
+			c.outbox.emit(CloseConnection{in.Conn, "too many gateways"})
+			return nil
+		}
+		g = c.gateways.add(in.Gateway, routing.NewInFlight(c.settings.Epoch, c.messageBudget()))
 	}
 	defer c.updateGateway(g)
-	if in.Error != "" {
-		return c.handleRejection(g, in)
-	}
-	done, known := g.inFlight.Ack(c.now, int(in.Document), in.Version)
-	if !known && strings.HasPrefix(in.Version, c.settings.Epoch+".") {
-		c.warn("unknown_version", g.name, "acknowledged %s %s, which is not on its way to it", in.Document, in.Version)
+	if !slices.Contains(c.settings.Start.Zones, in.Zone) {
+		c.warn(eventGatewayUnknownZone, in.Gateway, "zone %q is not one of %v", in.Zone, c.settings.Start.Zones)
+		c.outbox.emit(CloseConnection{in.Conn, "unknown zone"})
+		return nil
 	}
 	var events []policyapi.Event
-	for _, m := range done {
-		g.expulsions = 0
-		c.ackDelay += (c.now - m.SentAt - c.ackDelay) / 8
-		if m.AckID >= 0 {
-			events = append(events, policyapi.Acknowledged{Proxy: g.proxy, AckID: m.AckID, Delay: c.now - m.SentAt})
-		}
+	if g.connected && g.conn != in.Conn {
+		c.warn(eventConnectionReplaced, in.Gateway, "a second connection under this name: the first one is closed")
+		c.outbox.emit(CloseConnection{g.conn, "another connection under this name"})
+		events = append(events, c.disconnectGateway(g)...)
 	}
-	if known && g.joined {
-		if want, right := g.inFlight.VerifyChecksum(c.now, in.Checksum, in.ChecksumVersions); !right {
-			c.warn("wrong_checksum", g.name, "it holds %x, not %x: the whole is sent again", in.Checksum, want)
-		}
+	g.conn = in.Conn
+	g.connected = true
+	g.zone = in.Zone
+	g.lastMessageAt = c.now
+	g.defaultTableOnly = in.HasDefaultTableOnly
+	g.weight = in.Weight
+	g.reportSequence = 0
+	events = append(events, c.joinGateway(g)...)
+	if !g.joined && g.bound() {
+		// It has to wait before it joins, and its files may still offer what has drained since it disconnected.
+		g.inFlight.Invalidate()
+		events = append(events, c.publish(g, routing.NoAckID)...)
 	}
 	return events
 }
 
-// syncDocuments tells whether documents are brought to the disk before they are moved into place: never, unless the settings
-// ask for it. A disk that others keep busy takes a second for each, and a sync that has begun can't be called off: on
-// such a machine drains came eleven seconds late. While confirmations take more than
-// a tenth of the grace, or half of the gateways wait for longer than that, documents are moved into place unsynced; once
-// they take less than a fortieth, synced again.
-func (c *Core) syncDocuments() bool {
-	if !c.settings.SyncDocuments {
-		return false
+// joinGateway has a connected gateway join unless it has to wait.
+func (c *Core) joinGateway(g *gateway) []policyapi.Event {
+	if !g.connected || g.joined || c.now < g.joinAfter {
+		return nil
 	}
-	grace, waiting, joined := c.settings.Start.Rules.DrainGracePeriod, 0, 0
-	for _, g := range c.gateways {
-		if g.joined {
-			if joined++; len(g.inFlight.Unacknowledged()) > 0 && c.now-g.inFlight.Unacknowledged()[0].SentAt > grace/10 {
-				waiting++
-			}
-		}
+	g.joined = true
+	g.joinedAt = c.now
+	g.tables = slices.Repeat([]policyapi.TableID{unboundTable}, len(c.settings.Start.Classes))
+	g.inFlight.Connect()
+	c.restoreDemand(g)
+	g.listCheckAt = 0
+	c.updateGateway(g)
+	return []policyapi.Event{policyapi.ProxyConnected{Proxy: g.proxy, Zone: g.zone, HasDefaultTableOnly: g.defaultTableOnly, Weight: g.weight}}
+}
+
+// handleDisconnect ignores the end of a connection that another one has replaced.
+func (c *Core) handleDisconnect(in GatewayDisconnected) []policyapi.Event {
+	g := c.gateways.byName[in.Gateway]
+	if g == nil || g.conn != in.Conn || !g.connected {
+		return nil
 	}
-	late := c.ackDelay > grace/10 || 2*waiting > joined
-	switch {
-	case !c.syncSuspended && late:
-		c.syncSuspended = true
-		c.log(LogWarn, "slow_disk", "confirmations take %d ms, %d of %d gateways wait: files are not synced", c.ackDelay/1000, waiting, joined)
-	case c.syncSuspended && !late && c.ackDelay < grace/40:
-		c.syncSuspended = false
-		c.log(LogInfo, "slow_disk", "confirmations take %d ms: files are synced again", c.ackDelay/1000)
+	return c.disconnectGateway(g)
+}
+
+// disconnectGateway ends a gateway's connection as far as the decision module goes; the gateway keeps its files and goes on
+// by them.
+func (c *Core) disconnectGateway(g *gateway) []policyapi.Event {
+	wasJoined := g.joined
+	g.connected = false
+	g.joined = false
+	c.reports.sampler.GatewayDisconnected(string(g.name))
+	g.inFlight.Disconnect()
+	c.updateLinesInFlight(g)
+	if !wasJoined {
+		return nil
 	}
-	return !c.syncSuspended
+	return []policyapi.Event{policyapi.ProxyDisconnected{Proxy: g.proxy}}
 }
 
-// handleRejection notes a refusal; the ledger has the whole sent again.
-func (c *Core) handleRejection(g *gateway, in DocumentAck) []policyapi.Event {
-	if again, known := g.inFlight.Reject(c.now, in.Nonce); known {
-		c.warn("refused", g.name, "%s %s: %.200s: sent again in %.0f s", in.Document, in.Nonce, in.Error, float64(again)/float64(second))
+// sender is the gateway that a message comes from; nil if it did not come on the gateway's present connection.
+func (c *Core) sender(name Gateway, conn ConnID) *gateway {
+	g := c.gateways.byName[name]
+	if g == nil || !g.connected || g.conn != conn {
+		return nil
 	}
-	return nil
+	g.lastMessageAt = c.now
+	return g
 }
--- /dev/null
+++ b/coordinator/loadsignals.go
@@ -0,0 +1,207 @@
+package coordinator
+
+import (
+	"maps"
+	"math"
+	"slices"
+
+	"porthub/degradation"
+	"porthub/policyapi"
+)
+
+// minWeight is the weight by which an endpoint without one counts.
+const minWeight = 1e-9
+
+// minLearningUtilization is the utilization below which an endpoint's capacity can't be estimated from it.
+const minLearningUtilization = 0.1
+
+// scopeCounts is what degradation signals of a zone, or of the fleet, are computed from.
+type scopeCounts struct {
+	readyCapacity float64 // of ready endpoints, by weight and warm-up
+	gateways      float64 // connected or not long gone
+	disconnected  float64 // of them
+}
+
+// countScopes counts by zone and for the fleet.
+func (c *Core) countScopes() map[policyapi.Zone]*scopeCounts {
+	counts := map[policyapi.Zone]*scopeCounts{degradation.FleetScope: {}}
+	scopesOf := func(zone policyapi.Zone) []*scopeCounts {
+		if counts[zone] == nil {
+			counts[zone] = &scopeCounts{}
+		}
+		if zone == degradation.FleetScope { // a gateway that never named a valid zone
+			return []*scopeCounts{counts[zone]}
+		}
+		return []*scopeCounts{counts[zone], counts[degradation.FleetScope]}
+	}
+	for _, zone := range c.settings.Start.Zones {
+		scopesOf(zone)
+	}
+	for _, e := range c.endpoints.listed() {
+		if e.Status != policyapi.Ready || c.tables.ejected[e.ID] {
+			continue
+		}
+		for _, scope := range scopesOf(e.Zone) {
+			scope.readyCapacity += max(e.Weight, minWeight) * c.warmUpProgress(e)
+		}
+	}
+	for _, g := range c.gateways.inOrder {
+		if !g.connected && c.now-g.lastMessageAt >= gatewayMemory {
+			continue
+		}
+		for _, scope := range scopesOf(g.zone) {
+			scope.gateways++
+			if !g.joined {
+				scope.disconnected++
+			}
+		}
+	}
+	return counts
+}
+
+// degradationSignals are the signals of the fleet and of each zone; passed is the time since they were measured last.
+func (c *Core) degradationSignals(passed microseconds, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) map[policyapi.Zone]degradation.Signals {
+	d := c.degradation
+	counts := c.countScopes()
+	awaiting := c.awaitingGateways()
+	signals := map[policyapi.Zone]degradation.Signals{}
+	scopes := append([]policyapi.Zone{degradation.FleetScope}, c.settings.Start.Zones...)
+	for _, scope := range scopes {
+		var s degradation.Signals
+		if load, known := c.offeredLoad(scope, allocations, capacity); known {
+			s.Set(degradation.TriggerLoad, load)
+		}
+		if c.endpoints.initialized {
+			ready := counts[scope].readyCapacity
+			d.peakCapacity[scope] = max(ready, d.peakCapacity[scope]*math.Exp2(-float64(passed)/float64(peakCapacityHalfLife)))
+			s.Set(degradation.TriggerLostCapacity, 1-ready/max(d.peakCapacity[scope], minWeight))
+		}
+		if gateways := counts[scope].gateways; gateways > 0 && !awaiting {
+			s.Set(degradation.TriggerUnreachable, counts[scope].disconnected/gateways)
+		}
+		if scope == degradation.FleetScope {
+			s.Set(degradation.TriggerShedReports, 1-c.reports.sampler.Stats().SampledFraction)
+			s.Set(degradation.TriggerBehind, c.publicationLag())
+		}
+		signals[scope] = s
+	}
+	return signals
+}
+
+// publicationLag is how far publications are behind: the part of the drain grace period that acknowledgements take, or the part
+// of the queue that is in flight if that is larger.
+func (c *Core) publicationLag() float64 {
+	rules := c.settings.Start.Rules
+	lag := float64(c.acks.delay) / float64(rules.DrainGracePeriod)
+	if rules.QueueLimit > 0 {
+		lag = max(lag, c.gateways.linesInFlight/rules.QueueLimit)
+	}
+	return lag
+}
+
+// capacities are what endpoints can do now, in mean requests per second; one whose capacity is not known is left out.
+func (c *Core) capacities() map[policyapi.EndpointID]float64 {
+	capacities := map[policyapi.EndpointID]float64{}
+	for _, e := range c.endpoints.listed() {
+		if e.Status != policyapi.Ready || c.tables.ejected[e.ID] {
+			continue
+		}
+		if capacity, known := c.learnedCapacity(e.ID); known && capacity > 0 {
+			capacities[e.ID] = capacity * c.warmUpProgress(e)
+		}
+	}
+	return capacities
+}
+
+// learnedCapacity is an endpoint's capacity by the solver's estimate or else by its utilization.
+func (c *Core) learnedCapacity(endpoint policyapi.EndpointID) (capacity float64, known bool) {
+	if c.solver != nil {
+		if capacity = c.solver.estimate.Capacity(endpoint); !math.IsNaN(capacity) {
+			return capacity, true
+		}
+	}
+	estimate, known := c.reports.sampler.Estimate(c.now, endpoint)
+	if !known || estimate.Utilization <= minLearningUtilization {
+		return 0, false
+	}
+	return (estimate.Attempts - estimate.Failures) / estimate.Utilization, true // what it does in a busy second
+}
+
+// zoneAllocations sums up for each zone and class the demand, and what the decision module admits of it.
+func (c *Core) zoneAllocations() map[policyapi.Zone][]allocation {
+	zones := map[policyapi.Zone][]allocation{}
+	for _, zone := range c.settings.Start.Zones {
+		zones[zone] = make([]allocation, len(c.settings.Start.Classes))
+	}
+	for _, g := range c.gateways.inOrder {
+		if !g.joined || !g.bound() || len(zones[g.zone]) == 0 {
+			continue
+		}
+		for class, demand := range g.demand {
+			sum := &zones[g.zone][class]
+			sum.demand += demand
+			sum.admitted += c.policyAdmission(g, policyapi.RequestClass(class)).admittedRate(demand)
+		}
+	}
+	return zones
+}
+
+// offeredLoad is the work that is demanded over what the endpoints can do which serve a zone, or all for the fleet's scope.
+func (c *Core) offeredLoad(scope policyapi.Zone, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) (load float64, known bool) {
+	demand, admitted := 0.0, 0.0
+	for zone, byClass := range allocations {
+		if scope != degradation.FleetScope && zone != scope {
+			continue
+		}
+		for _, a := range byClass {
+			demand += a.demand
+			admitted += a.admitted
+		}
+	}
+	if admitted <= 0 {
+		return 0, false
+	}
+	attempts, total := 0.0, 0.0     // of all endpoints
+	utilization, weight := 0.0, 0.0 // sums by how much of the zone's traffic each endpoint gets
+	for _, id := range slices.Sorted(maps.Keys(capacity)) {
+		estimate, reported := c.reports.sampler.Estimate(c.now, id)
+		if !reported {
+			continue
+		}
+		attempts += estimate.Attempts
+		total += capacity[id]
+		if n, has := c.reports.aggregate.attempts(scope, id); has {
+			utilization += float64(n) * estimate.Attempts / capacity[id]
+			weight += float64(n)
+		}
+	}
+	switch {
+	case scope == degradation.FleetScope && total > 0:
+		return attempts / total * demand / admitted, true
+	case weight > 0:
+		return utilization / weight * demand / admitted, true
+	}
+	return 0, false
+}
+
+// allocate divides what is admitted of a zone among the classes by a level's bounds, in work.
+func (c *Core) allocate(sums []allocation, bounds degradation.Bounds) []allocation {
+	costs := make([]float64, len(sums))
+	weights := make([]float64, len(sums))
+	demand := make([]float64, len(sums))
+	total := 0.0
+	for class, sum := range sums {
+		costs[class] = 1
+		if c.solver != nil {
+			costs[class] = c.solver.estimate.Costs()[class]
+		}
+		weights[class] = c.settings.Start.Classes[class].PriorityWeight
+		demand[class] = sum.demand * costs[class]
+		total += sum.admitted * costs[class]
+	}
+	allocated := slices.Clone(sums)
+	for class, work := range degradation.DivideAdmission(total, demand, weights, bounds.Share) {
+		allocated[class].allocated = work / costs[class]
+	}
+	return allocated
+}
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -7,78 +7,101 @@
 	"porthub/policyapi"
 )
 
-// Package membership decides who belongs to the fleet; here is only what it is told and what becomes of its word.
-
-// FileSource is the name of the node list's file among the sources. It binds: whoever writes it means it.
+// FileSource is the name of the endpoint list's file among the sources. It is authoritative: whoever writes it means it.
 const FileSource = "file"
 
-// handleFileUpdate hands a list of the file to membership.
+// membershipInterval is how often membership is stepped though no source has answered: quarantines end, endpoints are
+// readmitted.
+const membershipInterval = second / 4
+
+// membershipState joins package membership, which decides who belongs to the fleet, to the core.
+type membershipState struct {
+	*membership.Membership
+	steppedAt microseconds // 0: step it next time, whatever the interval
+}
+
+func newMembershipState(settings Settings) membershipState {
+	return membershipState{Membership: membership.New(membership.Settings{
+		Zones:         settings.Start.Zones,
+		Authoritative: map[string]bool{FileSource: true},
+		Sources:       append([]string{FileSource}, settings.Sources...),
+	})}
+}
+
+func (c *Core) handleRegistryUpdate(in RegistryUpdate) []policyapi.Event {
+	c.membership.Apply(c.now, in.SourceUpdate)
+	return c.stepMembership(true)
+}
+
+// handleFileUpdate hands a complete list of the file to membership.
 func (c *Core) handleFileUpdate(in EndpointUpdate) []policyapi.Event {
-	a := membership.SourceUpdate{Source: FileSource}
-	seen := map[policyapi.EndpointID]bool{}
+	update := membership.SourceUpdate{Source: FileSource}
+	named := map[policyapi.EndpointID]bool{}
 	for _, e := range in.Endpoints {
-		if seen[e.ID] {
-			c.warn("list_twice", "", "%s stands twice: the first one counts", e.ID)
+		if named[e.ID] {
+			c.warn(eventEndpointDuplicate, "", "%s is listed twice: the first entry counts", e.ID)
 			continue
 		}
 		if !slices.Contains(c.settings.Start.Zones, e.Zone) {
-			c.warn("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.settings.Start.Zones)
+			c.warn(eventEndpointUnknownZone, "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.settings.Start.Zones)
 			continue
 		}
-		seen[e.ID] = true
-		claim := membership.Observation{Endpoint: e.ID, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, MachineType: e.MachineType, StartedAt: e.StartedAt}
-		switch e.Status {
-		case policyapi.Draining:
-			claim.Status = membership.OutOfService
-		case policyapi.Removed:
+		named[e.ID] = true
+		if e.Status == policyapi.Removed {
 			continue
 		}
-		a.Observations = append(a.Observations, claim)
+		observation := membership.Observation{Endpoint: e.ID, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, MachineType: e.MachineType, StartedAt: e.StartedAt}
+		if e.Status == policyapi.Draining {
+			observation.Status = membership.OutOfService
+		}
+		update.Observations = append(update.Observations, observation)
 	}
 	c.endpoints.fileVersion = in.Version
-	c.members.Apply(c.now, a)
+	c.membership.Apply(c.now, update)
 	return c.stepMembership(true)
 }
 
-// membershipInterval is how often membership is asked though no source has said anything: holds end, nodes are let in again.
-const membershipInterval = second / 4
-
-// stepMembership asks membership and takes its list. A source that answered is a list to the module even if nothing has changed,
-// since it may have asked for one.
+// stepMembership steps membership and applies its list. After a source has answered, the decision module gets a list even
+// if nothing has changed, since it may have asked for one.
 func (c *Core) stepMembership(answered bool) []policyapi.Event {
-	if !answered && c.now-c.membershipStepAt < membershipInterval {
+	if !answered && c.now-c.membership.steppedAt < membershipInterval {
 		return nil
 	}
-	c.membershipStepAt = c.now
-	entries, changed, notes := c.members.Step(c.now)
-	for _, line := range notes {
-		c.emit(LogEntry{Level: LogInfo, Event: "membership", Text: line})
+	c.membership.steppedAt = c.now
+	entries, changed, notes := c.membership.Step(c.now)
+	for _, text := range notes {
+		c.outbox.emit(LogEntry{Level: LogInfo, Event: eventMembership, Text: text})
 	}
-	if !changed && !answered || !c.members.Initialized() {
+	if !changed && !answered || !c.membership.Initialized() {
 		return nil
 	}
-	return c.handleEndpointUpdate(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: max(c.endpoints.fileVersion, c.members.Version()), Kind: policyapi.Snapshot, Endpoints: entries}, decided: true})
+	version := max(c.endpoints.fileVersion, c.membership.Version())
+	return c.handleEndpointUpdate(EndpointUpdate{
+		EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: entries},
+		decided:        true,
+	})
 }
 
-// DrainNode takes a node out at an operator's word, until UndrainNode takes it back; it survives restarts.
-func (c *Core) DrainNode(b policyapi.EndpointID, reason string) error {
-	if err := c.members.Drain(c.now, b, reason); err != nil {
+// DrainNode drains an endpoint at an operator's command, until UndrainNode; the drain survives restarts. It fails if
+// membership does not know the endpoint.
+func (c *Core) DrainNode(endpoint policyapi.EndpointID, reason string) error {
+	if err := c.membership.Drain(c.now, endpoint, reason); err != nil {
 		return err
 	}
-	c.deferred = append(c.deferred, LogEntry{Level: LogWarn, Event: "drained", Endpoint: b, Text: "an operator drains it: " + reason})
-	c.membershipStepAt = 0
+	c.outbox.logLater(LogEntry{Level: LogWarn, Event: eventDrained, Endpoint: endpoint, Text: "drained by an operator: " + reason})
+	c.membership.steppedAt = 0
 	return nil
 }
 
-// UndrainNode takes an operator's drain back.
-func (c *Core) UndrainNode(b policyapi.EndpointID, reason string) error {
-	if err := c.members.Undrain(c.now, b); err != nil {
+// UndrainNode ends an operator's drain. It fails if there is none.
+func (c *Core) UndrainNode(endpoint policyapi.EndpointID, reason string) error {
+	if err := c.membership.Undrain(c.now, endpoint); err != nil {
 		return err
 	}
-	c.deferred = append(c.deferred, LogEntry{Level: LogWarn, Event: "undrained", Endpoint: b, Text: "an operator lets it in again: " + reason})
-	c.membershipStepAt = 0
+	c.outbox.logLater(LogEntry{Level: LogWarn, Event: eventUndrained, Endpoint: endpoint, Text: "undrained by an operator: " + reason})
+	c.membership.steppedAt = 0
 	return nil
 }
 
-// Members tells what was decided of every node and why.
-func (c *Core) Members() []membership.Decision { return c.members.Decisions() }
+// Members returns what membership has decided of every endpoint, and why.
+func (c *Core) Members() []membership.Decision { return c.membership.Decisions() }
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -1,15 +1,13 @@
 package coordinator
 
 import (
-	"maps"
-	"slices"
-
 	"porthub/loadreport"
+	"porthub/membership"
 	"porthub/policyapi"
-	"porthub/solver"
+	"porthub/routing"
 )
 
-// Overview is how a coordinator stands, without any table: small enough to be asked for each second.
+// Overview is the state of a coordinator without any table: small enough to be polled each second.
 type Overview struct {
 	Now           policyapi.Microseconds `json:"now_us"`
 	StartedAt     policyapi.Microseconds `json:"began_us"`
@@ -26,7 +24,7 @@
 	Pins          int                    `json:"pins"`
 }
 
-// EndpointOverview is one node. Rates are a second, times the core's.
+// EndpointOverview is the state of one endpoint. Rates are per second, times the core's in microseconds.
 type EndpointOverview struct {
 	Endpoint       policyapi.EndpointID   `json:"node"`
 	Zone           policyapi.Zone         `json:"zone"`
@@ -34,33 +32,33 @@
 	Reason         string                 `json:"why"`
 	Since          policyapi.Microseconds `json:"since_us"`
 	WarmUpProgress float64                `json:"warmth"`
-	Capacity       float64                `json:"capacity"` // reqs; 0: not known
+	Capacity       float64                `json:"capacity"` // requests per second; 0: not known
 	Attempts       float64                `json:"tries"`
 	Failures       float64                `json:"errored"`
 	Utilization    float64                `json:"util"`
 	Queue          float64                `json:"queue"`
 	AttemptsError  float64                `json:"tries_error"`
-	LastReport     policyapi.Microseconds `json:"heard_us"` // when; 0: never
-	Senders        int                    `json:"senders"`  // gateways with an open line to it
+	LastReport     policyapi.Microseconds `json:"heard_us"` // 0: none
+	Senders        int                    `json:"senders"`  // gateways that may send to it
 	FailingClasses []string               `json:"fails,omitempty"`
-	Withheld       bool                   `json:"withheld"` // by the module
+	Withheld       bool                   `json:"withheld"` // ejected by the decision module
 }
 
-// GatewayOverview is one gateway.
+// GatewayOverview is the state of one gateway.
 type GatewayOverview struct {
 	Gateway              Gateway                `json:"gateway"`
 	Zone                 policyapi.Zone         `json:"zone"`
 	Connected            bool                   `json:"joined"`
 	LastReport           policyapi.Microseconds `json:"heard_us"`
-	Version              string                 `json:"version"` // confirmed, of endpoints
+	Version              string                 `json:"version"` // confirmed, of the endpoints document
 	Unacknowledged       int                    `json:"waiting"`
-	OldestUnacknowledged policyapi.Microseconds `json:"oldest_us"` // age of the first message on its way
-	Demand               float64                `json:"usage"`     // reqs a second
-	OpenEndpoints        int                    `json:"lines"`     // open, of all kinds
+	OldestUnacknowledged policyapi.Microseconds `json:"oldest_us"` // age of the first message in flight
+	Demand               float64                `json:"usage"`     // requests per second
+	OpenEndpoints        int                    `json:"lines"`     // that it may send to, summed over the classes
 	Level                string                 `json:"level"`
 }
 
-// Traffic is what comes to the gateways of a zone of a kind, and what is let in.
+// Traffic is the demand on the gateways of a zone for a class, and what is admitted of it, in requests per second.
 type Traffic struct {
 	Zone      policyapi.Zone `json:"zone"`
 	Class     string         `json:"kind"`
@@ -69,103 +67,134 @@
 	Endpoints int            `json:"nodes"` // that gateways of the zone may send to
 }
 
-// Overview tells it; it changes nothing. It looks at every line of every gateway's table once.
+// Overview returns the state of the coordinator without tables. It changes nothing, and visits every line of every gateway's
+// table once.
 func (c *Core) Overview() Overview {
-	o := Overview{Now: c.now, StartedAt: c.startedAt, Build: c.settings.Build, Classes: c.classNames(), Levels: c.Degradation(), Solver: c.solverStatus(), Sampling: c.sampler.Stats(),
-		LinesInFlight: c.linesInFlight, LineLimit: c.settings.Start.Rules.QueueLimit, Pins: len(c.versions.Pins())}
+	o := Overview{
+		Now:           c.now,
+		StartedAt:     c.startedAt,
+		Build:         c.settings.Build,
+		Classes:       c.classNames(),
+		Levels:        c.Degradation(),
+		Solver:        c.solverStatus(),
+		Sampling:      c.reports.sampler.Stats(),
+		LinesInFlight: c.gateways.linesInFlight,
+		LineLimit:     c.settings.Start.Rules.QueueLimit,
+		Pins:          len(c.versions.Pins()),
+	}
 	if o.Solver != nil {
 		o.Solver.Explanations = nil
 	}
-	senders := map[policyapi.EndpointID]int{}
-	type reach struct {
-		zone policyapi.Zone
-		kind int
-	}
-	open := map[reach]map[policyapi.EndpointID]bool{}
-	deals := c.zoneAllocations()
-	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
-		g := c.gateways[name]
-		one := GatewayOverview{Gateway: name, Zone: g.zone, Connected: g.joined, LastReport: g.lastMessageAt, Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version,
-			Unacknowledged: len(g.inFlight.Unacknowledged()), Level: o.Levels.Levels[min(g.inFlight.Level(), len(o.Levels.Levels)-1)]}
-		if one.Unacknowledged > 0 {
-			one.OldestUnacknowledged = c.now - g.inFlight.Unacknowledged()[0].SentAt
-		}
-		for _, u := range g.demand {
-			one.Demand += u
-		}
-		mine := map[policyapi.EndpointID]bool{}
-		for k, cl := range g.inFlight.Sent().Clusters {
-			at := reach{g.zone, k}
-			if open[at] == nil {
-				open[at] = map[policyapi.EndpointID]bool{}
-			}
-			for _, l := range cl.Endpoints {
-				if !l.Withheld && l.Weight > 0 {
-					one.OpenEndpoints++
-					mine[l.Endpoint], open[at][l.Endpoint] = true, true
-				}
-			}
-		}
-		for b := range mine {
-			senders[b]++
-		}
+	reach := newReachability()
+	for _, g := range c.gateways.sorted() {
+		one := c.gatewayOverview(g, o.Levels.Levels)
+		one.OpenEndpoints = reach.add(g.zone, g.inFlight.Sent().Clusters)
 		o.Gateways = append(o.Gateways, one)
 	}
-	for _, z := range c.settings.Start.Zones {
-		for k, kind := range o.Classes {
-			o.Traffic = append(o.Traffic, Traffic{z, kind, deals[z][k].demand, deals[z][k].admitted, len(open[reach{z, k}])})
+	allocations := c.zoneAllocations()
+	for _, zone := range c.settings.Start.Zones {
+		for class, name := range o.Classes {
+			sum := allocations[zone][class]
+			o.Traffic = append(o.Traffic, Traffic{Zone: zone, Class: name, Demand: sum.demand, Admitted: sum.admitted, Endpoints: reach.endpoints(zone, class)})
 		}
 	}
 	capacity := c.capacities()
-	for _, v := range c.members.Decisions() {
-		e, known := c.endpoints.entries[v.Endpoint]
-		n := EndpointOverview{Endpoint: v.Endpoint, Zone: v.Listed.Zone, State: v.StateName, Reason: v.Reason, Since: v.Since, Senders: senders[v.Endpoint], Capacity: capacity[v.Endpoint],
-			Withheld: c.ejected[v.Endpoint]}
-		if known {
-			n.WarmUpProgress = c.warmUpProgress(e)
-		}
-		if f, heard := c.sampler.Estimate(c.now, v.Endpoint); heard {
-			n.Attempts, n.Failures, n.Utilization, n.Queue, n.AttemptsError, n.LastReport = f.Attempts, f.Failures, f.Utilization, f.Queue, f.AttemptsError, f.At
-		}
-		for k, kind := range o.Classes {
-			if c.solver != nil && c.solver.health.Status(v.Endpoint, k) != solver.ClassHealthy {
-				n.FailingClasses = append(n.FailingClasses, kind)
-			}
+	for _, decision := range c.membership.Decisions() {
+		one := c.endpointOverview(decision)
+		one.Capacity = capacity[decision.Endpoint]
+		one.Senders = reach.senders[decision.Endpoint]
+		o.Endpoints = append(o.Endpoints, one)
+	}
+	return o
+}
+
+func (c *Core) gatewayOverview(g *gateway, levels []string) GatewayOverview {
+	o := GatewayOverview{
+		Gateway:        g.name,
+		Zone:           g.zone,
+		Connected:      g.joined,
+		LastReport:     g.lastMessageAt,
+		Version:        g.inFlight.Confirmed(int(EndpointsDocument)).Version,
+		Unacknowledged: len(g.inFlight.Unacknowledged()),
+		Level:          levels[min(g.inFlight.Level(), len(levels)-1)],
+	}
+	if oldest, waiting := g.oldestUnacknowledged(); waiting {
+		o.OldestUnacknowledged = c.now - oldest.SentAt
+	}
+	for _, demand := range g.demand {
+		o.Demand += demand
+	}
+	return o
+}
+
+func (c *Core) endpointOverview(decision membership.Decision) EndpointOverview {
+	id := decision.Endpoint
+	o := EndpointOverview{
+		Endpoint: id,
+		Zone:     decision.Listed.Zone,
+		State:    decision.StateName,
+		Reason:   decision.Reason,
+		Since:    decision.Since,
+		Withheld: c.tables.ejected[id],
+	}
+	if entry, known := c.endpoints.entries[id]; known {
+		o.WarmUpProgress = c.warmUpProgress(entry)
+	}
+	if estimate, reported := c.reports.sampler.Estimate(c.now, id); reported {
+		o.Attempts = estimate.Attempts
+		o.Failures = estimate.Failures
+		o.Utilization = estimate.Utilization
+		o.Queue = estimate.Queue
+		o.AttemptsError = estimate.AttemptsError
+		o.LastReport = estimate.At
+	}
+	for class, settings := range c.settings.Start.Classes {
+		if !c.classHealthy(id, class) {
+			o.FailingClasses = append(o.FailingClasses, settings.Name)
 		}
-		o.Endpoints = append(o.Endpoints, n)
 	}
 	return o
 }
 
-// LoggedOverview is an overview with the log's last records.
-type LoggedOverview struct {
-	Overview
-	Log []LogRecord `json:"log"`
+// reachability counts which endpoints gateways may send to.
+type reachability struct {
+	senders map[policyapi.EndpointID]int // gateways that may send to it
+	open    map[zoneClass]map[policyapi.EndpointID]bool
 }
 
-// LogRecord is one record of the log.
-type LogRecord struct {
-	At      policyapi.Microseconds `json:"at_us"`
-	Level   string                 `json:"level"`
-	Event   string                 `json:"event"`
-	Text    string                 `json:"text"`
-	Subject string                 `json:"of,omitempty"` // gateway or node
+type zoneClass struct {
+	zone  policyapi.Zone
+	class int
 }
 
-// maxLogTail records of the log are kept for overviews.
-const maxLogTail = 200
+func newReachability() *reachability {
+	return &reachability{senders: map[policyapi.EndpointID]int{}, open: map[zoneClass]map[policyapi.EndpointID]bool{}}
+}
 
-// AppendLog adds a note to the log's last records. What was handed out before stays as it was.
-func AppendLog(tail []LogRecord, now policyapi.Microseconds, n LogEntry) []LogRecord {
-	r := LogRecord{At: now, Level: "info", Event: n.Event, Text: n.Text, Subject: string(n.Gateway)}
-	if n.Level == LogWarn {
-		r.Level = "warn"
-	}
-	if n.Endpoint != "" {
-		r.Subject = string(n.Endpoint)
+// add counts a gateway's clusters and returns how many of their endpoints it may send to.
+func (r *reachability) add(zone policyapi.Zone, clusters []routing.Cluster) (open int) {
+	mine := map[policyapi.EndpointID]bool{}
+	for class, cluster := range clusters {
+		key := zoneClass{zone, class}
+		if r.open[key] == nil {
+			r.open[key] = map[policyapi.EndpointID]bool{}
+		}
+		for _, e := range cluster.Endpoints {
+			if e.Withheld || e.Weight <= 0 {
+				continue
+			}
+			open++
+			mine[e.Endpoint] = true
+			r.open[key][e.Endpoint] = true
+		}
 	}
-	if len(tail) >= maxLogTail {
-		tail = slices.Clone(tail[len(tail)-maxLogTail+1:])
+	for id := range mine {
+		r.senders[id]++
 	}
-	return append(tail, r)
+	return open
+}
+
+// endpoints is how many endpoints the gateways of a zone may send a class to.
+func (r *reachability) endpoints(zone policyapi.Zone, class int) int {
+	return len(r.open[zoneClass{zone, class}])
 }
--- a/coordinator/policylog.go
+++ b/coordinator/policylog.go
@@ -5,42 +5,54 @@
 	"strconv"
 )
 
-// LogField is one figure or name of a record.
-type LogField struct {
-	Key   string `cbor:"Key" json:"Key"`
-	Value any    `cbor:"Value" json:"Value"` // string, float64 or bool
-}
-
-// policyLogFormats are the forms of the module's log lines: what the record is called and what its parts are.
+// policyLogFormats are the forms of the decision module's log lines: the event that each is logged as, and the keys of its
+// figures.
 var policyLogFormats = []struct {
 	event string
 	form  *regexp.Regexp
 	keys  []string
 }{
-	{"levels", regexp.MustCompile(`^levels on: (true|false), ([\d.]+) reqs a second asked, ([\d.]+) can be done$`), []string{"on", "asked", "can"}},
-	{"sick", regexp.MustCompile(`^(\S+) sick from (\S+): of about (\d+) tries in a row none was done$`), []string{"node", "zone", "tries"}},
-	{"passed_over", regexp.MustCompile(`^sick marks of (\S+) passed over: (true|false), (\d+) of (\d+) reqs a second well$`),
-		[]string{"zone", "on", "well", "of"}},
+	{
+		event: eventAdmission,
+		form:  regexp.MustCompile(`^levels on: (true|false), ([\d.]+) reqs a second asked, ([\d.]+) can be done$`),
+		keys:  []string{"on", "asked", "can"},
+	},
+	{
+		event: eventEndpointEjected,
+		form:  regexp.MustCompile(`^(\S+) sick from (\S+): of about (\d+) tries in a row none was done$`),
+		keys:  []string{"node", "zone", "tries"},
+	},
+	{
+		event: eventPanicThreshold,
+		form:  regexp.MustCompile(`^sick marks of (\S+) passed over: (true|false), (\d+) of (\d+) reqs a second well$`),
+		keys:  []string{"zone", "on", "well", "of"},
+	},
 }
 
-// parsePolicyLog reads a line of the module into a record. A line of another form is a record with its text alone.
+// parsePolicyLog makes a log line of the decision module an entry with its figures as fields. A line of no known form is an
+// entry with its text alone.
 func parsePolicyLog(text string) LogEntry {
-	n := LogEntry{Level: LogInfo, Event: "mode", Text: text}
-	for _, m := range policyLogFormats {
-		parts := m.form.FindStringSubmatch(text)
+	entry := LogEntry{Level: LogInfo, Event: eventPolicy, Text: text}
+	for _, format := range policyLogFormats {
+		parts := format.form.FindStringSubmatch(text)
 		if parts == nil {
 			continue
 		}
-		n.Event = m.event
-		for i, key := range m.keys {
-			var v any = parts[i+1]
-			if f, err := strconv.ParseFloat(parts[i+1], 64); err == nil {
-				v = f
-			} else if b, err := strconv.ParseBool(parts[i+1]); err == nil {
-				v = b
-			}
-			n.Fields = append(n.Fields, LogField{key, v})
+		entry.Event = format.event
+		for i, key := range format.keys {
+			entry.Fields = append(entry.Fields, LogField{key, parseLogValue(parts[i+1])})
 		}
 	}
-	return n
+	return entry
+}
+
+// parseLogValue is a number or a truth value if the text is one, or else the text.
+func parseLogValue(text string) any {
+	if number, err := strconv.ParseFloat(text, 64); err == nil {
+		return number
+	}
+	if truth, err := strconv.ParseBool(text); err == nil {
+		return truth
+	}
+	return text
 }
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -11,7 +11,7 @@
 )
 
 // restart ends a core after so long and starts another one from what the first remembers; the gateways dial again.
-func (h *harness) restart(down micros, gateways ...Gateway) {
+func (h *harness) restart(down microseconds, gateways ...Gateway) {
 	h.t.Helper()
 	s := h.core.Snapshot()
 	set := h.core.settings
@@ -80,7 +80,7 @@
 	h := newHarness(t, func(s *Settings) { s.Start.ProxyCount = 2 })
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
-	table := h.core.gateways["g1"].tables[0]
+	table := h.core.gateways.byName["g1"].tables[0]
 	h.core.versions.Put(h.now, table, routing.Weights{"a1:1": 3, "a2:1": 1}, nil)
 	if _, err := h.core.Pin(routing.Pin{Scope: routing.Scope{Table: table}, Reason: "a test"}); err != nil {
 		t.Fatal(err)
@@ -89,12 +89,12 @@
 	if w := h.endpointShare("g1", "view", "a1:1"); w != 0.75 {
 		t.Fatalf("pinned at 0.75, %.2f", w)
 	}
-	usage := h.core.gateways["g1"].demand
+	usage := h.core.gateways.byName["g1"].demand
 	h.restart(second)
 	h.restart(second, "g2")
 	h.restart(second)
 	h.restart(second, "g1", "g2")
-	if got := h.core.gateways["g1"].demand; len(got) != len(usage) || got[0] != usage[0] {
+	if got := h.core.gateways.byName["g1"].demand; len(got) != len(usage) || got[0] != usage[0] {
 		t.Errorf("usage %v, was %v", got, usage)
 	}
 	h.advance(20*second, "g1", "g2")
--- /dev/null
+++ b/coordinator/reportcheck.go
@@ -0,0 +1,74 @@
+package coordinator
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+// Bounds on what one report may state; a gateway is one process.
+const (
+	maxReportInterval = 120 * second
+	maxReportCount    = 10_000_000
+	maxMetric         = 1e9
+)
+
+var errReportInvalid = errors.New("invalid load report")
+
+// classNamed is the request class of a name. Of two classes with one name it is the last.
+func (c *Core) classNamed(name string) (policyapi.RequestClass, bool) {
+	for i, class := range slices.Backward(c.settings.Start.Classes) {
+		if class.Name == name {
+			return policyapi.RequestClass(i), true
+		}
+	}
+	return 0, false
+}
+
+// validateReport checks a report's figures; its error wraps errReportInvalid.
+func (c *Core) validateReport(r LoadReport) error {
+	if r.Interval <= 0 || r.Interval > maxReportInterval {
+		return fmt.Errorf("%w: its interval of %.1f s is not between 0 and %.0f s", errReportInvalid, seconds(r.Interval), seconds(maxReportInterval))
+	}
+	named := map[string]bool{}
+	for _, class := range r.Classes {
+		if _, known := c.classNamed(class.Class); !known || named[class.Class] {
+			return fmt.Errorf("%w: cluster %q is no request class or is named twice", errReportInvalid, class.Class)
+		}
+		named[class.Class] = true
+		if err := class.validate(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (r ClassReport) validate() error {
+	for _, n := range []int{r.Arrivals, r.Rejected, r.Failures} {
+		if n < 0 || n > maxReportCount {
+			return fmt.Errorf("%w: cluster %q counts %d requests", errReportInvalid, r.Class, n)
+		}
+	}
+	for _, line := range r.Endpoints {
+		if err := line.validate(); err != nil {
+			return fmt.Errorf("%w: cluster %q, %s: %w", errReportInvalid, r.Class, line.Endpoint, err)
+		}
+	}
+	return nil
+}
+
+func (r EndpointReport) validate() error {
+	validCounts := r.Attempts >= 0 && r.Attempts <= maxReportCount && r.Failures >= 0 && r.Failures <= r.Attempts
+	if !validCounts || r.MeanLatency < 0 || r.MeanLatency > maxReportInterval {
+		return fmt.Errorf("%d attempts, %d failures, mean latency %d us", r.Attempts, r.Failures, r.MeanLatency)
+	}
+	for name, v := range r.Metrics {
+		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 || v > maxMetric {
+			return fmt.Errorf("metric %q is %v", name, v)
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/coordinator/snapshot.go
@@ -0,0 +1,83 @@
+package coordinator
+
+import (
+	"porthub/policyapi"
+	"porthub/routing"
+)
+
+// clusterCache holds the clusters of the tables. Gateways of a zone on one table share them within a step: with thousands of
+// gateways most of a step went into building the same again.
+type clusterCache map[clusterKey]tableCluster
+
+type clusterKey struct {
+	table policyapi.TableID
+	class policyapi.RequestClass
+	zone  policyapi.Zone
+}
+
+// tableCluster is a table's cluster for a class, as the gateways of a zone get it.
+type tableCluster struct {
+	cluster       routing.Cluster
+	weights       map[policyapi.EndpointID]float64
+	admittedShare float64 // by the solver; 1: all
+}
+
+// snapshot is what a gateway is to hold by the module's orders and all that goes over them.
+func (c *Core) snapshot(g *gateway) routing.Snapshot {
+	var s routing.Snapshot
+	if c.degradation != nil {
+		s.Level = c.degradation.controller.Level(g.zone)
+	}
+	for k := range c.settings.Start.Classes {
+		class := policyapi.RequestClass(k)
+		table := c.tableCluster(g, class)
+		cluster := table.cluster
+		if c.hasOwnTable(g) {
+			cluster = c.buildCluster(class, c.limitOwnEndpoints(g, table.weights))
+		}
+		s.Clusters = append(s.Clusters, cluster)
+		s.Routes = append(s.Routes, c.route(g, class, table.admittedShare))
+	}
+	return s
+}
+
+// tableCluster is the cluster of a gateway's table for a class, as all gateways of its zone on that table get it.
+func (c *Core) tableCluster(g *gateway, class policyapi.RequestClass) tableCluster {
+	key := clusterKey{g.tables[class], class, g.zone}
+	if cached, has := c.clusters[key]; has {
+		return cached
+	}
+	weights, admittedShare, active := c.solverWeights(key.table, int(class))
+	if !active {
+		weights = c.tables.weights[key.table]
+	}
+	weights = c.effectiveWeights(g, key.table, int(class), weights)
+	weights = c.limitCrossZone(g.zone, weights)
+	built := tableCluster{cluster: c.buildCluster(class, weights), weights: weights, admittedShare: admittedShare}
+	c.clusters[key] = built
+	return built
+}
+
+// buildCluster makes a cluster in which every closed endpoint is withheld. Whatever the module's tables say: a table that it
+// has stopped laying out may still be some gateway's.
+func (c *Core) buildCluster(class policyapi.RequestClass, weights map[policyapi.EndpointID]float64) routing.Cluster {
+	return routing.BuildCluster(c.ClassName(class), weights, c.endpoints.zoneOf, c.isClosed)
+}
+
+// route is a gateway's admission and retry policy for a class.
+func (c *Core) route(g *gateway, class policyapi.RequestClass, admittedShare float64) routing.Route {
+	admission := c.applyLevelBounds(g, class, c.policyAdmission(g, class))
+	settings := c.settings.Start.Classes[class]
+	r := routing.Route{
+		Class:       settings.Name,
+		Rate:        admission.effectiveRate(),
+		Share:       admission.share,
+		RetryPolicy: admission.retryPolicy,
+		Timeout:     settings.ClientTimeout,
+		Fallback:    c.fallback(g, class),
+	}
+	if c.settings.Start.Admission == policyapi.AdmissionByRate {
+		r.Rate = g.solverRate(int(class), admittedShare, r.Rate)
+	}
+	return r
+}
--- /dev/null
+++ b/coordinator/solvertables.go
@@ -0,0 +1,69 @@
+package coordinator
+
+import (
+	"maps"
+	"strconv"
+
+	"porthub/policyapi"
+	"porthub/routing"
+	"porthub/solver"
+)
+
+// solveTables asks the solver which tables it replaces, and returns those that this has changed.
+func (c *Core) solveTables() map[policyapi.TableID]bool {
+	s := c.solver
+	fleet, hold := c.solverFleet()
+	if len(fleet.Consumers) == 0 || len(fleet.Endpoints) == 0 || fleet.Check() != nil {
+		return nil
+	}
+	before := maps.Clone(s.tables)
+	s.round = s.activation.Step(fleet, hold)
+	for _, text := range s.round.Log {
+		c.outbox.emit(LogEntry{Level: LogInfo, Event: eventSolver, Text: text})
+	}
+	s.tables = maps.Clone(s.round.Tables)
+	changed := map[policyapi.TableID]bool{}
+	for key := range union(before, s.tables) {
+		last, was := before[key]
+		now, is := s.tables[key]
+		if was == is && maps.Equal(last.Weights, now.Weights) && last.Admit == now.Admit {
+			continue
+		}
+		if table, err := strconv.Atoi(key.Consumer); err == nil {
+			changed[policyapi.TableID(table)] = true
+		}
+	}
+	return changed
+}
+
+// solverWeights is what the solver has in place of a table's weights for a class, with the share of the demand that it admits;
+// active tells whether there is any.
+func (c *Core) solverWeights(table policyapi.TableID, class int) (weights map[policyapi.EndpointID]float64, admittedShare float64, active bool) {
+	if c.solver == nil {
+		return nil, 1, false
+	}
+	solved, active := c.solver.tables[solver.TableKey{Consumer: consumerName(table), Class: class}]
+	if !active {
+		return nil, 1, false
+	}
+	weights = make(map[policyapi.EndpointID]float64, len(solved.Weights))
+	for name, weight := range solved.Weights {
+		weights[policyapi.EndpointID(name)] = weight * float64(len(solved.Weights)) // about 1 each, as the module's are
+	}
+	return weights, solved.Admit, true
+}
+
+// solverWeightsByClass is what the solver has in place of a table's weights, by class; nil: nothing.
+func (c *Core) solverWeightsByClass(table policyapi.TableID) (byClass map[policyapi.RequestClass]routing.Weights) {
+	for class := range c.settings.Start.Classes {
+		weights, _, active := c.solverWeights(table, class)
+		if !active {
+			continue
+		}
+		if byClass == nil {
+			byClass = map[policyapi.RequestClass]routing.Weights{}
+		}
+		byClass[policyapi.RequestClass(class)] = weights
+	}
+	return byClass
+}
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -10,24 +10,24 @@
 	"porthub/routing"
 )
 
-// GatewayStatus is how one gateway stands. Times are the core's, in microseconds.
+// GatewayStatus is the state of one gateway. Times are the core's, in microseconds.
 type GatewayStatus struct {
 	Gateway              Gateway                `json:"gateway"`
 	Zone                 policyapi.Zone         `json:"zone"`
 	Connected            bool                   `json:"joined"`
-	Since                policyapi.Microseconds `json:"since_us"` // joined or, if it is away, last heard
+	Since                policyapi.Microseconds `json:"since_us"` // when it joined or, if it is disconnected, its last message
 	Version              string                 `json:"version"`  // last published
 	Confirmed            [documentCount]string  `json:"confirmed"`
 	ConfirmedAt          [documentCount]int64   `json:"confirmed_at_us"`
-	Unacknowledged       int                    `json:"waiting"` // messages not acknowledged
+	Unacknowledged       int                    `json:"waiting"` // messages in flight
 	UnacknowledgedLines  int                    `json:"waiting_lines"`
 	OldestUnacknowledged policyapi.Microseconds `json:"oldest_waiting_us"` // age of the first of them
 	Published            int                    `json:"published"`
-	Tables               []policyapi.TableID    `json:"tables"` // by request kind
+	Tables               []policyapi.TableID    `json:"tables"` // by request class
 	Snapshot             routing.Snapshot       `json:"snapshot"`
 }
 
-// Status is how a coordinator stands.
+// Status is the state of a coordinator with all tables.
 type Status struct {
 	Now       policyapi.Microseconds `json:"now_us"`
 	Steps     uint64                 `json:"steps"`
@@ -38,62 +38,75 @@
 	Estimates []EndpointEstimate     `json:"heard"`
 }
 
-// EndpointEstimate is what reports say of a node now, with the error that each figure has in 19 of 20 cases.
+// EndpointEstimate is what reports state of an endpoint now, with the error that each figure has in 19 of 20 cases.
 type EndpointEstimate struct {
 	Endpoint policyapi.EndpointID `json:"node"`
 	loadreport.Estimate
 }
 
-// Now is the time of the last step.
-func (c *Core) Now() policyapi.Microseconds { return c.now }
-
-// Estimates tells what reports say of the nodes.
+// Estimates returns the state of report sampling and what reports state of the endpoints, in the order of their names.
 func (c *Core) Estimates() (loadreport.Stats, []EndpointEstimate) {
-	var out []EndpointEstimate
-	for _, b := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
-		if f, known := c.sampler.Estimate(c.now, b); known {
-			out = append(out, EndpointEstimate{b, f})
+	var estimates []EndpointEstimate
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
+		if estimate, known := c.reports.sampler.Estimate(c.now, id); known {
+			estimates = append(estimates, EndpointEstimate{id, estimate})
 		}
 	}
-	return c.sampler.Stats(), out
+	return c.reports.sampler.Stats(), estimates
 }
 
-// ReportIntervalFactor is how much longer than the period gateways are asked to wait between reports.
+// ReportIntervalFactor is how many report periods gateways are asked to wait between two reports.
 func (c *Core) ReportIntervalFactor() int {
+	factor := c.reports.sampler.IntervalFactor()
 	if c.degradation == nil {
-		return c.sampler.IntervalFactor()
+		return factor
 	}
-	m := c.degradation.controller
-	return max(c.sampler.IntervalFactor(), m.Settings().Bounds(m.Level(degradation.FleetScope)).ReportIntervalFactor)
+	bounds, _ := c.degradation.bounds(degradation.FleetScope)
+	return max(factor, bounds.ReportIntervalFactor)
 }
 
-// Status tells how the core stands. It changes nothing.
+// Status returns the state of the coordinator with all tables. It changes nothing.
 func (c *Core) Status() Status {
-	s := Status{Now: c.now, Steps: c.steps, Solver: c.solverStatus(), Sampling: c.sampler.Stats()}
-	_, s.Estimates = c.Estimates()
-	for _, b := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
-		s.Endpoints = append(s.Endpoints, c.endpoints.entries[b])
+	s := Status{Now: c.now, Steps: c.steps, Solver: c.solverStatus()}
+	s.Sampling, s.Estimates = c.Estimates()
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
+		s.Endpoints = append(s.Endpoints, c.endpoints.entries[id])
 	}
-	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
-		g := c.gateways[name]
-		one := GatewayStatus{Gateway: name, Zone: g.zone, Connected: g.joined, Since: g.lastMessageAt, Unacknowledged: len(g.inFlight.Unacknowledged()),
-			Published: g.inFlight.MessageCount(), Tables: slices.Clone(g.tables), Snapshot: g.inFlight.Sent()}
-		if g.joined {
-			one.Since = g.joinedAt
-		}
-		for d := range documentCount {
-			one.Confirmed[d], one.ConfirmedAt[d] = g.inFlight.Confirmed(int(d)).Version, int64(g.inFlight.Confirmed(int(d)).SentAt)
-		}
-		for i, m := range g.inFlight.Unacknowledged() {
-			if one.UnacknowledgedLines += m.Lines; i == 0 {
-				one.OldestUnacknowledged = c.now - m.SentAt
-			}
-			one.Version = m.Version
-		}
-		if one.Version == "" {
-			one.Version = one.Confirmed[EndpointsDocument]
-		}
-		s.Gateways = append(s.Gateways, one)
+	for _, g := range c.gateways.sorted() {
+		s.Gateways = append(s.Gateways, c.gatewayStatus(g))
 	}
 	return s
 }
+
+func (c *Core) gatewayStatus(g *gateway) GatewayStatus {
+	messages := g.inFlight.Unacknowledged()
+	status := GatewayStatus{
+		Gateway:        g.name,
+		Zone:           g.zone,
+		Connected:      g.joined,
+		Since:          g.lastMessageAt,
+		Unacknowledged: len(messages),
+		Published:      g.inFlight.MessageCount(),
+		Tables:         slices.Clone(g.tables),
+		Snapshot:       g.inFlight.Sent(),
+	}
+	if g.joined {
+		status.Since = g.joinedAt
+	}
+	for document := range documentCount {
+		confirmed := g.inFlight.Confirmed(int(document))
+		status.Confirmed[document] = confirmed.Version
+		status.ConfirmedAt[document] = int64(confirmed.SentAt)
+	}
+	for _, message := range messages {
+		status.UnacknowledgedLines += message.Lines
+		status.Version = message.Version
+	}
+	if oldest, waiting := g.oldestUnacknowledged(); waiting {
+		status.OldestUnacknowledged = c.now - oldest.SentAt
+	}
+	if status.Version == "" {
+		status.Version = status.Confirmed[EndpointsDocument]
+	}
+	return status
+}
--- /dev/null
+++ b/coordinator/timers.go
@@ -0,0 +1,41 @@
+package coordinator
+
+import (
+	"cmp"
+	"slices"
+
+	"porthub/policyapi"
+)
+
+// timerQueue holds the timers that the decision module has set.
+type timerQueue struct{ pending []timer }
+
+type timer struct {
+	at    microseconds
+	token policyapi.TimerToken
+}
+
+func (q *timerQueue) set(at microseconds, token policyapi.TimerToken) {
+	q.pending = append(q.pending, timer{at, token})
+}
+
+// fire removes the timers that are due and returns their events in the order of their times; of two at the same time the
+// one that was set first comes first.
+func (q *timerQueue) fire(now microseconds) (events []policyapi.Event) {
+	slices.SortStableFunc(q.pending, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
+	fired := 0
+	for fired < len(q.pending) && q.pending[fired].at <= now {
+		events = append(events, policyapi.TimerFired{Token: q.pending[fired].token})
+		fired++
+	}
+	q.pending = q.pending[fired:]
+	return events
+}
+
+// next is the time of the first timer, or limit if none comes before it.
+func (q *timerQueue) next(limit microseconds) microseconds {
+	for _, t := range q.pending {
+		limit = min(limit, t.at)
+	}
+	return limit
+}
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -5,7 +5,6 @@
 
 	"porthub/policyapi"
 	"porthub/routing"
-	"porthub/solver"
 )
 
 // How many versions of a table are kept, and for how long.
@@ -14,67 +13,68 @@
 	maxVersionAge = 3600 * second
 )
 
-// Pin holds tables at an earlier state; it is in force from the next step on. A pin without a version or time holds
-// what is in force now.
-func (c *Core) Pin(p routing.Pin) (routing.Pin, error) {
-	if p.Version == 0 && p.At == 0 {
-		p.At = c.now
+// Pin holds tables at an earlier version; it takes effect with the next step. A pin without a version or time holds what is in
+// effect now. It fails with routing's error if there is no such version.
+func (c *Core) Pin(pin routing.Pin) (routing.Pin, error) {
+	if pin.Version == 0 && pin.At == 0 {
+		pin.At = c.now
 	}
-	held, err := c.versions.Pin(c.now, p)
-	if err == nil {
-		c.applyPins(LogEntry{Level: LogWarn, Event: "pinned", Text: fmt.Sprintf("%s: %s (pin %d): %s", held.Scope, pinTarget(held), held.ID, held.Reason)})
+	set, err := c.versions.Pin(c.now, pin)
+	if err != nil {
+		return set, err
 	}
-	return held, err
+	c.pinsChanged(eventPinned, fmt.Sprintf("%s: %s (pin %d): %s", set.Scope, pinTarget(set), set.ID, set.Reason))
+	return set, nil
 }
 
-// Unpin lets a pin go.
+// Unpin removes a pin. It fails with routing's error if there is none of that ID.
 func (c *Core) Unpin(id int, reason string) (routing.Pin, error) {
-	p, err := c.versions.Unpin(id)
-	if err == nil {
-		c.applyPins(LogEntry{Level: LogWarn, Event: "unpinned", Text: fmt.Sprintf("%s (pin %d): %s", p.Scope, p.ID, reason)})
+	pin, err := c.versions.Unpin(id)
+	if err != nil {
+		return pin, err
 	}
-	return p, err
+	c.pinsChanged(eventUnpinned, fmt.Sprintf("%s (pin %d): %s", pin.Scope, pin.ID, reason))
+	return pin, nil
 }
 
-func pinTarget(p routing.Pin) string {
-	if p.Version > 0 {
-		return fmt.Sprintf("version %d", p.Version)
+// Versions returns the versions and pins of all tables; the caller must not change it.
+func (c *Core) Versions() *routing.VersionStore { return c.versions }
+
+func pinTarget(pin routing.Pin) string {
+	if pin.Version > 0 {
+		return fmt.Sprintf("version %d", pin.Version)
 	}
-	return fmt.Sprintf("as at %d us", p.At)
+	return fmt.Sprintf("as at %d us", pin.At)
 }
 
-// applyPins has all gateways' documents held against the pins.
-func (c *Core) applyPins(n LogEntry) {
-	c.deferred = append(c.deferred, n)
-	for _, g := range c.gateways {
-		g.publishPending = true
-		c.updateGateway(g)
-	}
+// pinsChanged logs a change of the pins and has the snapshots of all gateways compared with what they hold.
+func (c *Core) pinsChanged(event, text string) {
+	c.outbox.logLater(LogEntry{Level: LogWarn, Event: event, Text: text})
+	c.markPending(func(*gateway) bool { return true })
 }
 
-// effectiveWeights is what a gateway is to hold of a table for a kind, with the pins and the rules' mask over it.
-func (c *Core) effectiveWeights(g *gateway, table policyapi.TableID, kind int, w map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
+// effectiveWeights is what a gateway is to hold of a table for a class, with the pins over it.
+func (c *Core) effectiveWeights(g *gateway, table policyapi.TableID, class int, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	if len(c.versions.Pins()) == 0 {
-		return w
+		return weights
 	}
-	held, pin, overruled := c.versions.Effective(table, policyapi.RequestClass(kind), g.zone, w, func(b policyapi.EndpointID) routing.EndpointEligibility {
-		return c.eligibility(b, kind, w)
-	})
+	eligible := func(endpoint policyapi.EndpointID) routing.EndpointEligibility {
+		return c.eligibility(endpoint, class, weights)
+	}
+	effective, pin, overruled := c.versions.Effective(table, policyapi.RequestClass(class), g.zone, weights, eligible)
 	if overruled != "" {
-		c.warn("pin_overruled", "", "pin %d: %s", pin.ID, overruled)
+		c.warn(eventPinOverruled, "", "pin %d: %s", pin.ID, overruled)
 	}
-	return held
+	return effective
 }
 
-// eligibility is what the rules say of a backend now, whatever old weights say.
-func (c *Core) eligibility(b policyapi.EndpointID, kind int, w map[policyapi.EndpointID]float64) routing.EndpointEligibility {
-	e, known := c.endpoints.entries[b]
-	closed := !known || e.Status != policyapi.Ready || c.ejected[b]
-	if c.solver != nil && c.solver.health.Status(b, kind) != solver.ClassHealthy {
-		closed = true
+// eligibility is what the rules say of an endpoint now, whatever pinned weights say.
+func (c *Core) eligibility(endpoint policyapi.EndpointID, class int, weights map[policyapi.EndpointID]float64) routing.EndpointEligibility {
+	entry, known := c.endpoints.entries[endpoint]
+	closed := !known || entry.Status != policyapi.Ready || c.tables.ejected[endpoint] || !c.classHealthy(endpoint, class)
+	return routing.EndpointEligibility{
+		Closed:    closed,
+		Weight:    weights[endpoint],
+		WarmingUp: known && c.warmUpProgress(entry) < 1,
 	}
-	return routing.EndpointEligibility{Closed: closed, Weight: w[b], WarmingUp: known && c.warmUpProgress(e) < 1}
 }
-
-// VersionStore is the versions and pins of all tables; it must not be changed.
-func (c *Core) Versions() *routing.VersionStore { return c.versions }
