--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -212,7 +212,7 @@
 	h.core.gateways.byName["g2"].inFlight.Invalidate()
 	h.setEndpoints(readyEndpoints("a", "a1:1", "a2:1")...)
 	h.advance(5*second, "g1", "g2")
-	if g := h.core.gateways.byName["g2"]; g.joined || !g.connected || h.logged["no_acknowledgement"] != 1 {
+	if g := h.core.gateways.byName["g2"]; g.joined || !g.connected || h.logged["ack_timeout"] != 1 {
 		t.Fatalf("joined %t, linked %t, notes %v", g.joined, g.connected, h.logged)
 	}
 	before := h.publishCount["g1"]
@@ -274,7 +274,7 @@
 	}
 	h.unresponsive["g1"] = false
 	h.advance(3*second, "g1", "g2")
-	if h.publishCount["g1"] == before || len(g.inFlight.Unacknowledged()) != 0 || h.logged["refused"] != 1 {
+	if h.publishCount["g1"] == before || len(g.inFlight.Unacknowledged()) != 0 || h.logged["document_rejected"] != 1 {
 		t.Errorf("sent %d times, %d on their way, %v", h.publishCount["g1"]-before, len(g.inFlight.Unacknowledged()), h.logged)
 	}
 }
@@ -302,7 +302,7 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.advance(5*second, "g1")
-	if h.core.gateways.byName["g2"].joined || !h.core.gateways.byName["g1"].joined || h.logged["silent"] != 1 {
+	if h.core.gateways.byName["g2"].joined || !h.core.gateways.byName["g1"].joined || h.logged["gateway_silent"] != 1 {
 		t.Errorf("notes %v", h.logged)
 	}
 }
@@ -327,7 +327,7 @@
 		r := good(h)
 		spoil(&r)
 		h.step(r)
-		if len(h.core.reports.aggregate.proxies) != 0 || h.logged["report_bad"]+h.logged["report_repeated"] != 1 {
+		if len(h.core.reports.aggregate.proxies) != 0 || h.logged["report_invalid"]+h.logged["report_duplicate"] != 1 {
 			t.Errorf("%s: taken in, %v", name, h.logged)
 		}
 		if h.step(good(h)); len(h.core.reports.aggregate.proxies) == 0 {
@@ -341,7 +341,7 @@
 	h.startFleet()
 	watches := h.watchRequests
 	h.setEndpoints()
-	if h.core.endpoints.readyCount() != 4 || h.logged["list_empty"] != 1 {
+	if h.core.endpoints.readyCount() != 4 || h.logged["endpoint_list_empty"] != 1 {
 		t.Errorf("an empty list: %d ready, %v", h.core.endpoints.readyCount(), h.logged)
 	}
 	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Kind: policyapi.Failed}, Error: "half written"})
@@ -357,7 +357,7 @@
 			t.Errorf("%s: status %d, launched %d, want %d", node, got.Status, got.StartedAt, launched)
 		}
 	}
-	if h.logged["list_twice"] != 1 || h.logged["list_zone"] != 1 || h.core.endpoints.readyCount() != 3 {
+	if h.logged["endpoint_duplicate"] != 1 || h.logged["endpoint_unknown_zone"] != 1 || h.core.endpoints.readyCount() != 3 {
 		t.Errorf("%d ready, %v", h.core.endpoints.readyCount(), h.logged)
 	}
 	h.now += second
@@ -479,13 +479,13 @@
 // Each form of the module's lines becomes a record with its figures.
 func TestPolicyLogLines(t *testing.T) {
 	for text, want := range map[string]LogEntry{
-		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "levels",
-			Fields: []LogField{{"on", true}, {"asked", 479.2}, {"can", 428.3}}},
-		"1.2.3.4:5 sick from a: of about 13 tries in a row none was done": {Event: "sick",
-			Fields: []LogField{{"node", "1.2.3.4:5"}, {"zone", "a"}, {"tries", 13.0}}},
-		"sick marks of b passed over: false, 3 of 9 reqs a second well": {Event: "passed_over",
-			Fields: []LogField{{"zone", "b"}, {"on", false}, {"well", 3.0}, {"of", 9.0}}},
-		"something new": {Event: "mode"},
+		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "admission",
+			Fields: []LogField{{"limited", true}, {"demand", 479.2}, {"capacity", 428.3}}},
+		"1.2.3.4:5 sick from a: of about 13 tries in a row none was done": {Event: "endpoint_ejected",
+			Fields: []LogField{{"endpoint", "1.2.3.4:5"}, {"zone", "a"}, {"attempts", 13.0}}},
+		"sick marks of b passed over: false, 3 of 9 reqs a second well": {Event: "panic_threshold",
+			Fields: []LogField{{"zone", "b"}, {"active", false}, {"healthy", 3.0}, {"total", 9.0}}},
+		"something new": {Event: "policy"},
 	} {
 		if got := parsePolicyLog(text); got.Event != want.Event || !reflect.DeepEqual(got.Fields, want.Fields) || got.Text != text {
 			t.Errorf("%+v", got)
@@ -557,12 +557,12 @@
 		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
 	}
 	before := h.publishCount["g1"]
-	if say(routing.Checksum(h.published["g1"].Snapshot)); h.logged["wrong_checksum"] != 0 {
+	if say(routing.Checksum(h.published["g1"].Snapshot)); h.logged["checksum_mismatch"] != 0 {
 		t.Error("the right checksum voids belief")
 	}
 	say(12345)
 	h.advance(3*second, "g1", "g2")
-	if h.publishCount["g1"] != before+1 || h.logged["wrong_checksum"] != 1 {
+	if h.publishCount["g1"] != before+1 || h.logged["checksum_mismatch"] != 1 {
 		t.Errorf("sent %d times, %v", h.publishCount["g1"]-before, h.logged)
 	}
 	for range 200 {
@@ -584,10 +584,10 @@
 	say := func(held [documentCount]string) {
 		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: held})
 	}
-	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["wrong_checksum"] != 0 || h.publishCount["g1"] != before {
+	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["checksum_mismatch"] != 0 || h.publishCount["g1"] != before {
 		t.Errorf("overtaken: %v", h.logged)
 	}
-	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, g.inFlight.Confirmed(int(RoutesDocument)).Version}); h.logged["wrong_checksum"] != 1 {
+	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, g.inFlight.Confirmed(int(RoutesDocument)).Version}); h.logged["checksum_mismatch"] != 1 {
 		t.Errorf("of what it holds now: %v", h.logged)
 	}
 }
--- a/coordinator/logevents.go
+++ b/coordinator/logevents.go
@@ -4,46 +4,46 @@
 // line in CHANGELOG.md.
 const (
 	// The decision module's own lines, by their form (policylog.go).
-	eventPolicy          = "mode" // of no known form
-	eventAdmission       = "levels"
-	eventEndpointEjected = "sick"
-	eventPanicThreshold  = "passed_over"
+	eventPolicy          = "policy" // of no known form
+	eventAdmission       = "admission"
+	eventEndpointEjected = "endpoint_ejected"
+	eventPanicThreshold  = "panic_threshold"
 
 	// Endpoint lists and membership.
-	eventEndpointList        = "list"
-	eventEndpointListFailed  = "list_failed"
-	eventEndpointListEmpty   = "list_empty"
-	eventEndpointDuplicate   = "list_twice"
-	eventEndpointUnknownZone = "list_zone"
+	eventEndpointList        = "endpoint_list"
+	eventEndpointListFailed  = "endpoint_list_failed"
+	eventEndpointListEmpty   = "endpoint_list_empty"
+	eventEndpointDuplicate   = "endpoint_duplicate"
+	eventEndpointUnknownZone = "endpoint_unknown_zone"
 	eventMembership          = "membership"
 	eventDrained             = "drained"
 	eventUndrained           = "undrained"
 
 	// Gateways: connections, documents, acknowledgements.
 	eventTooManyGateways    = "too_many_gateways"
-	eventGatewayUnknownZone = "bad_zone"
-	eventConnectionReplaced = "name_taken_over"
-	eventGatewaySilent      = "silent"
-	eventAckTimeout         = "no_acknowledgement"
+	eventGatewayUnknownZone = "gateway_unknown_zone"
+	eventConnectionReplaced = "connection_replaced"
+	eventGatewaySilent      = "gateway_silent"
+	eventAckTimeout         = "ack_timeout"
 	eventUnknownVersion     = "unknown_version"
-	eventChecksumMismatch   = "wrong_checksum"
-	eventDocumentRejected   = "refused"
+	eventChecksumMismatch   = "checksum_mismatch"
+	eventDocumentRejected   = "document_rejected"
 	eventPublishFailed      = "publish_failed"
 	eventSlowDisk           = "slow_disk"
-	eventInvalidInput       = "bad_input"
+	eventInvalidInput       = "invalid_input"
 
 	// Load reports.
-	eventReportDuplicate   = "report_repeated"
-	eventReportInvalid     = "report_bad"
-	eventReportImplausible = "report_sudden"
-	eventReportsStopped    = "stopped_reporting"
+	eventReportDuplicate   = "report_duplicate"
+	eventReportInvalid     = "report_invalid"
+	eventReportImplausible = "report_implausible"
+	eventReportsStopped    = "reports_stopped"
 
 	// Solver, levels of service, pins, recovery.
 	eventSolver        = "solver"
 	eventServiceLevel  = "service_level"
-	eventLevelOverride = "level_word"
+	eventLevelOverride = "level_override"
 	eventPinned        = "pinned"
 	eventUnpinned      = "unpinned"
 	eventPinOverruled  = "pin_overruled"
-	eventStateRestored = "recalled"
+	eventStateRestored = "state_restored"
 )
--- a/coordinator/policylog.go
+++ b/coordinator/policylog.go
@@ -15,17 +15,17 @@
 	{
 		event: eventAdmission,
 		form:  regexp.MustCompile(`^levels on: (true|false), ([\d.]+) reqs a second asked, ([\d.]+) can be done$`),
-		keys:  []string{"on", "asked", "can"},
+		keys:  []string{"limited", "demand", "capacity"},
 	},
 	{
 		event: eventEndpointEjected,
 		form:  regexp.MustCompile(`^(\S+) sick from (\S+): of about (\d+) tries in a row none was done$`),
-		keys:  []string{"node", "zone", "tries"},
+		keys:  []string{"endpoint", "zone", "attempts"},
 	},
 	{
 		event: eventPanicThreshold,
 		form:  regexp.MustCompile(`^sick marks of (\S+) passed over: (true|false), (\d+) of (\d+) reqs a second well$`),
-		keys:  []string{"zone", "on", "well", "of"},
+		keys:  []string{"zone", "active", "healthy", "total"},
 	},
 }
 
