--- a/coordinator/gatewaychecks.go
+++ b/coordinator/gatewaychecks.go
@@ -70,7 +70,7 @@
 // republishDue tells whether a joined gateway is to be published to though no order concerns it: its documents are to be sent
 // again, the list has changed, or a message had to wait for its turn.
 func (c *Core) republishDue(g *gateway) bool {
-	if g.inFlight.Retry(c.now) || c.listCheckDue(g) {
+	if g.inFlight.StartRetry(c.now) || c.listCheckDue(g) {
 		return true
 	}
 	dueAt, waiting := g.inFlight.DueAt()
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -25,7 +25,7 @@
 	joinAfter        microseconds // it does not join again before
 
 	tables   []policyapi.TableID // by request class; unboundTable: none yet
-	inFlight *routing.InFlight   // what it holds, and what it may be sent
+	inFlight *routing.Delivery   // what it holds, and what it may be sent
 	// publishPending is set when its snapshot may have changed and has not gone out.
 	publishPending bool
 	linesInFlight  float64
@@ -82,7 +82,7 @@
 	return gatewaySet{byName: map[Gateway]*gateway{}, dirty: map[policyapi.ProxyID]bool{}}
 }
 
-func (s *gatewaySet) add(name Gateway, inFlight *routing.InFlight) *gateway {
+func (s *gatewaySet) add(name Gateway, inFlight *routing.Delivery) *gateway {
 	g := &gateway{name: name, proxy: policyapi.ProxyID(len(s.inOrder)), inFlight: inFlight}
 	s.byName[name] = g
 	s.inOrder = append(s.inOrder, g)
@@ -142,7 +142,7 @@
 			c.outbox.emit(CloseConnection{in.Conn, "too many gateways"})
 			return nil
 		}
-		g = c.gateways.add(in.Gateway, routing.NewInFlight(c.settings.Epoch, c.messageBudget()))
+		g = c.gateways.add(in.Gateway, routing.NewDelivery(c.settings.Epoch, c.messageBudget()))
 	}
 	defer c.updateGateway(g)
 	if !slices.Contains(c.settings.Start.Zones, in.Zone) {
--- a/coordinator/publish.go
+++ b/coordinator/publish.go
@@ -36,7 +36,7 @@
 	snapshot := c.snapshot(g)
 	g.listCheckAt = 0
 	result, message := g.inFlight.Offer(c.now, snapshot, ackID, c.availableLines(), func() bool {
-		return routing.ClosesEndpoint(g.inFlight.Sent(), snapshot, c.isClosed)
+		return routing.IsUrgentChange(g.inFlight.Sent(), snapshot, c.isClosed)
 	})
 	if result != routing.OfferDeferred {
 		g.publishPending = false
