--- a/coordinator/acks.go
+++ b/coordinator/acks.go
@@ -42,8 +42,8 @@
 		c.handleRejection(g, in)
 		return nil
 	}
-	acknowledged, known := g.inFlight.Ack(c.now, int(in.Document), in.Version)
-	if !known && strings.HasPrefix(in.Version, c.settings.Epoch+".") {
+	acknowledged, ok := g.delivery.Ack(c.now, int(in.Document), in.Version)
+	if !ok && strings.HasPrefix(in.Version, c.settings.Epoch+".") {
 		c.warn(eventUnknownVersion, g.name, "acknowledged %s %s, which is not in flight to it", in.Document, in.Version)
 	}
 	var events []policyapi.Event
@@ -55,8 +55,8 @@
 			events = append(events, policyapi.Acknowledged{Proxy: g.proxy, AckID: message.AckID, Delay: delay})
 		}
 	}
-	if known && g.joined {
-		if want, matches := g.inFlight.VerifyChecksum(c.now, in.Checksum, in.ChecksumVersions); !matches {
+	if ok && g.joined {
+		if want, matches := g.delivery.VerifyChecksum(c.now, in.Checksum, in.ChecksumVersions); !matches {
 			c.warn(eventChecksumMismatch, g.name, "its checksum is %x, not %x: its documents are sent again", in.Checksum, want)
 		}
 	}
@@ -65,7 +65,7 @@
 
 // handleRejection logs a rejected document; it is sent again, complete, after a backoff.
 func (c *Core) handleRejection(g *gateway, in DocumentAck) {
-	if retryIn, known := g.inFlight.Reject(c.now, in.Nonce); known {
+	if retryIn, ok := g.delivery.Reject(c.now, in.Nonce); ok {
 		c.warn(eventDocumentRejected, g.name, "%s %s: %.200s: sent again in %.0f s", in.Document, in.Nonce, in.Error, seconds(retryIn))
 	}
 }
--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -144,7 +144,7 @@
 // admittedRate is the requests per second that a gateway admits of a class by what it holds.
 func (g *gateway) admittedRate(class int) float64 {
 	admitted := g.demandOf(class)
-	routes := g.inFlight.Sent().Routes
+	routes := g.delivery.Sent().Routes
 	if class >= len(routes) {
 		return admitted
 	}
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -118,7 +118,7 @@
 	case LoadReport:
 		c.handleReport(in)
 	case HealthCheckResult:
-		if _, known := c.endpoints.entries[in.Endpoint]; known {
+		if _, ok := c.endpoints.entries[in.Endpoint]; ok {
 			return []policyapi.Event{in.HealthCheckResult}
 		}
 	case PeerRejected:
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -209,7 +209,7 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.unresponsive["g2"] = true
-	h.core.gateways.byName["g2"].inFlight.Invalidate()
+	h.core.gateways.byName["g2"].delivery.Invalidate()
 	h.setEndpoints(readyEndpoints("a", "a1:1", "a2:1")...)
 	h.advance(5*second, "g1", "g2")
 	if g := h.core.gateways.byName["g2"]; g.joined || !g.connected || h.logged["ack_timeout"] != 1 {
@@ -242,11 +242,11 @@
 	h.unresponsive["g1"] = true
 	h.setEndpoints(readyEndpoints("a", "a1:1")...)
 	g := h.core.gateways.byName["g1"]
-	waiting := len(g.inFlight.Unacknowledged())
+	waiting := len(g.delivery.Unacknowledged())
 	if waiting == 0 {
 		t.Fatal("nothing is on its way")
 	}
-	m := g.inFlight.Unacknowledged()[0]
+	m := g.delivery.Unacknowledged()[0]
 	for name, ack := range map[string]DocumentAck{
 		"never sent":         {Version: "e.999", Nonce: "e.999"},
 		"another start's":    {Version: "x.1", Nonce: "x.1"},
@@ -259,8 +259,8 @@
 		if ack.Conn == 0 {
 			ack.Conn = h.conns["g1"]
 		}
-		if h.step(ack); len(g.inFlight.Unacknowledged()) != waiting {
-			t.Errorf("%s: %d on their way, %d before", name, len(g.inFlight.Unacknowledged()), waiting)
+		if h.step(ack); len(g.delivery.Unacknowledged()) != waiting {
+			t.Errorf("%s: %d on their way, %d before", name, len(g.delivery.Unacknowledged()), waiting)
 		}
 	}
 	if h.logged["unknown_version"] == 0 {
@@ -274,8 +274,8 @@
 	}
 	h.unresponsive["g1"] = false
 	h.advance(3*second, "g1", "g2")
-	if h.publishCount["g1"] == before || len(g.inFlight.Unacknowledged()) != 0 || h.logged["document_rejected"] != 1 {
-		t.Errorf("sent %d times, %d on their way, %v", h.publishCount["g1"]-before, len(g.inFlight.Unacknowledged()), h.logged)
+	if h.publishCount["g1"] == before || len(g.delivery.Unacknowledged()) != 0 || h.logged["document_rejected"] != 1 {
+		t.Errorf("sent %d times, %d on their way, %v", h.publishCount["g1"]-before, len(g.delivery.Unacknowledged()), h.logged)
 	}
 }
 
@@ -554,7 +554,7 @@
 	h.startFleet()
 	g := h.core.gateways.byName["g1"]
 	say := func(sum uint64) {
-		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
+		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.delivery.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
 	}
 	before := h.publishCount["g1"]
 	if say(routing.Checksum(h.published["g1"].Snapshot)); h.logged["checksum_mismatch"] != 0 {
@@ -582,12 +582,12 @@
 	g := h.core.gateways.byName["g1"]
 	before := h.publishCount["g1"]
 	say := func(held [documentCount]string) {
-		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: held})
+		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.delivery.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: held})
 	}
-	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["checksum_mismatch"] != 0 || h.publishCount["g1"] != before {
+	if say([documentCount]string{g.delivery.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["checksum_mismatch"] != 0 || h.publishCount["g1"] != before {
 		t.Errorf("overtaken: %v", h.logged)
 	}
-	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, g.inFlight.Confirmed(int(RoutesDocument)).Version}); h.logged["checksum_mismatch"] != 1 {
+	if say([documentCount]string{g.delivery.Confirmed(int(EndpointsDocument)).Version, g.delivery.Confirmed(int(RoutesDocument)).Version}); h.logged["checksum_mismatch"] != 1 {
 		t.Errorf("of what it holds now: %v", h.logged)
 	}
 }
--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -137,7 +137,7 @@
 			byLevel = map[int]int{}
 			status.Gateways[string(g.zone)] = byLevel
 		}
-		byLevel[g.inFlight.Level()]++
+		byLevel[g.delivery.Level()]++
 	}
 	return status
 }
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -20,8 +20,8 @@
 }
 
 func (s *endpointStore) zoneOf(endpoint policyapi.EndpointID) (policyapi.Zone, bool) {
-	entry, known := s.entries[endpoint]
-	return entry.Zone, known
+	entry, ok := s.entries[endpoint]
+	return entry.Zone, ok
 }
 
 // closed tells whether nothing new may go to an endpoint. With softRemoval, one that left the list without a drain is the
@@ -116,11 +116,11 @@
 // not name before, or that was removed: it has just started. What the first list names has run for long. A start ahead of
 // our clock is now: another machine's clock must not keep an endpoint warming up for ever.
 func (c *Core) withStartTime(entry policyapi.Endpoint, kind policyapi.UpdateKind) policyapi.Endpoint {
-	last, known := c.endpoints.entries[entry.ID]
+	last, ok := c.endpoints.entries[entry.ID]
 	switch {
 	case entry.StartedAt > c.now:
 		entry.StartedAt = c.now
-		if known && last.StartedAt > 0 && last.Status != policyapi.Removed {
+		if ok && last.StartedAt > 0 && last.Status != policyapi.Removed {
 			entry.StartedAt = last.StartedAt
 		}
 	case entry.StartedAt > 0:
@@ -129,10 +129,10 @@
 	case !c.endpoints.initialized:
 		// The first fresh list of a start: what was not listed before the restart has started since.
 		entry.StartedAt = last.StartedAt
-		if !known {
+		if !ok {
 			entry.StartedAt, _ = c.recovered.StartTime(entry.ID, c.now)
 		}
-	case !known || last.Status == policyapi.Removed:
+	case !ok || last.Status == policyapi.Removed:
 		entry.StartedAt = c.now
 	default:
 		entry.StartedAt = last.StartedAt
--- a/coordinator/gatewaychecks.go
+++ b/coordinator/gatewaychecks.go
@@ -70,10 +70,10 @@
 // republishDue tells whether a joined gateway is to be published to though no order concerns it: its documents are to be sent
 // again, the list has changed, or a message had to wait for its turn.
 func (c *Core) republishDue(g *gateway) bool {
-	if g.inFlight.StartRetry(c.now) || c.listCheckDue(g) {
+	if g.delivery.StartRetry(c.now) || c.listCheckDue(g) {
 		return true
 	}
-	dueAt, waiting := g.inFlight.DueAt()
+	dueAt, waiting := g.delivery.DueAt()
 	return waiting && c.now >= dueAt
 }
 
@@ -109,10 +109,10 @@
 	if !g.bound() {
 		return next
 	}
-	if dueAt, waiting := g.inFlight.DueAt(); waiting {
+	if dueAt, waiting := g.delivery.DueAt(); waiting {
 		next = min(next, dueAt)
 	}
-	if retryAt, waiting := g.inFlight.RetryAt(); waiting {
+	if retryAt, waiting := g.delivery.RetryAt(); waiting {
 		next = min(next, retryAt)
 	}
 	return next
@@ -123,7 +123,7 @@
 func (c *Core) updateGateway(g *gateway) {
 	c.updateLinesInFlight(g)
 	c.gateways.nextCheckAt = min(c.gateways.nextCheckAt, c.nextGatewayCheck(g))
-	if g.publishPending || g.listCheckAt > 0 || g.inFlight.Invalidated() {
+	if g.publishPending || g.listCheckAt > 0 || g.delivery.Invalidated() {
 		c.gateways.dirty[g.proxy] = true
 	} else {
 		delete(c.gateways.dirty, g.proxy)
@@ -133,7 +133,7 @@
 // updateLinesInFlight keeps the sums of lines in flight, each message with its overhead.
 func (c *Core) updateLinesInFlight(g *gateway) {
 	lines := 0.0
-	for _, m := range g.inFlight.Unacknowledged() {
+	for _, m := range g.delivery.Unacknowledged() {
 		lines += float64(m.Lines) + c.settings.Start.Channel.MessageOverhead
 	}
 	c.gateways.linesInFlight += lines - g.linesInFlight
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -25,7 +25,7 @@
 	joinAfter        microseconds // it does not join again before
 
 	tables   []policyapi.TableID // by request class; unboundTable: none yet
-	inFlight *routing.Delivery   // what it holds, and what it may be sent
+	delivery *routing.Delivery   // what it holds, and what it may be sent
 	// publishPending is set when its snapshot may have changed and has not gone out.
 	publishPending bool
 	linesInFlight  float64
@@ -48,7 +48,7 @@
 
 // oldestUnacknowledged is when the first of the messages in flight to it was sent, if there is any.
 func (g *gateway) oldestUnacknowledged() (routing.Message, bool) {
-	messages := g.inFlight.Unacknowledged()
+	messages := g.delivery.Unacknowledged()
 	if len(messages) == 0 {
 		return routing.Message{}, false
 	}
@@ -82,8 +82,8 @@
 	return gatewaySet{byName: map[Gateway]*gateway{}, dirty: map[policyapi.ProxyID]bool{}}
 }
 
-func (s *gatewaySet) add(name Gateway, inFlight *routing.Delivery) *gateway {
-	g := &gateway{name: name, proxy: policyapi.ProxyID(len(s.inOrder)), inFlight: inFlight}
+func (s *gatewaySet) add(name Gateway, delivery *routing.Delivery) *gateway {
+	g := &gateway{name: name, proxy: policyapi.ProxyID(len(s.inOrder)), delivery: delivery}
 	s.byName[name] = g
 	s.inOrder = append(s.inOrder, g)
 	return g
@@ -166,7 +166,7 @@
 	events = append(events, c.joinGateway(g)...)
 	if !g.joined && g.bound() {
 		// It has to wait before it joins, and its files may still offer what has drained since it disconnected.
-		g.inFlight.Invalidate()
+		g.delivery.Invalidate()
 		events = append(events, c.publish(g, routing.NoAckID)...)
 	}
 	return events
@@ -180,7 +180,7 @@
 	g.joined = true
 	g.joinedAt = c.now
 	g.tables = slices.Repeat([]policyapi.TableID{unboundTable}, len(c.settings.Start.Classes))
-	g.inFlight.Connect()
+	g.delivery.Connect()
 	c.restoreDemand(g)
 	g.listCheckAt = 0
 	c.updateGateway(g)
@@ -203,7 +203,7 @@
 	g.connected = false
 	g.joined = false
 	c.reports.sampler.GatewayDisconnected(string(g.name))
-	g.inFlight.Disconnect()
+	g.delivery.Disconnect()
 	c.updateLinesInFlight(g)
 	if !wasJoined {
 		return nil
--- a/coordinator/levelbounds.go
+++ b/coordinator/levelbounds.go
@@ -43,13 +43,13 @@
 // tableEndpoints is a table as package degradation bounds it, in the order of names.
 func (c *Core) tableEndpoints(zone policyapi.Zone, weights map[policyapi.EndpointID]float64) (endpoints []degradation.TableEndpoint) {
 	for _, id := range slices.Sorted(maps.Keys(weights)) {
-		entry, known := c.endpoints.entries[id]
+		entry, ok := c.endpoints.entries[id]
 		endpoints = append(endpoints, degradation.TableEndpoint{
 			Endpoint:  id,
 			Weight:    weights[id],
 			Local:     entry.Zone == zone,
-			Open:      known && entry.Status == policyapi.Ready && !c.tables.ejected[id],
-			WarmingUp: known && c.warmUpProgress(entry) < 1,
+			Open:      ok && entry.Status == policyapi.Ready && !c.tables.ejected[id],
+			WarmingUp: ok && c.warmUpProgress(entry) < 1,
 		})
 	}
 	return endpoints
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -68,7 +68,7 @@
 	scopes := append([]policyapi.Zone{degradation.FleetScope}, c.settings.Start.Zones...)
 	for _, scope := range scopes {
 		var s degradation.Signals
-		if load, known := c.offeredLoad(scope, allocations, capacity); known {
+		if load, ok := c.offeredLoad(scope, allocations, capacity); ok {
 			s.Set(degradation.TriggerLoad, load)
 		}
 		if c.endpoints.initialized {
@@ -106,7 +106,7 @@
 		if e.Status != policyapi.Ready || c.tables.ejected[e.ID] {
 			continue
 		}
-		if capacity, known := c.learnedCapacity(e.ID); known && capacity > 0 {
+		if capacity, ok := c.learnedCapacity(e.ID); ok && capacity > 0 {
 			capacities[e.ID] = capacity * c.warmUpProgress(e)
 		}
 	}
@@ -114,14 +114,14 @@
 }
 
 // learnedCapacity is an endpoint's capacity by the solver's estimate or else by its utilization.
-func (c *Core) learnedCapacity(endpoint policyapi.EndpointID) (capacity float64, known bool) {
+func (c *Core) learnedCapacity(endpoint policyapi.EndpointID) (capacity float64, ok bool) {
 	if c.solver != nil {
 		if capacity = c.solver.estimate.Capacity(endpoint); !math.IsNaN(capacity) {
 			return capacity, true
 		}
 	}
-	estimate, known := c.reports.sampler.Estimate(c.now, endpoint)
-	if !known || estimate.Utilization <= minLearningUtilization {
+	estimate, ok := c.reports.sampler.Estimate(c.now, endpoint)
+	if !ok || estimate.Utilization <= minLearningUtilization {
 		return 0, false
 	}
 	return (estimate.Attempts - estimate.Failures) / estimate.Utilization, true // what it does in a busy second
@@ -147,7 +147,7 @@
 }
 
 // offeredLoad is the work that is demanded over what the endpoints can do which serve a zone, or all for the fleet's scope.
-func (c *Core) offeredLoad(scope policyapi.Zone, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) (load float64, known bool) {
+func (c *Core) offeredLoad(scope policyapi.Zone, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) (load float64, ok bool) {
 	demand, admitted := 0.0, 0.0
 	for zone, byClass := range allocations {
 		if scope != degradation.FleetScope && zone != scope {
--- a/coordinator/orders.go
+++ b/coordinator/orders.go
@@ -174,7 +174,7 @@
 
 // publishDue tells whether a gateway's snapshot is to be compared with what it holds, after orders.
 func (c *Core) publishDue(g *gateway, effects *orderEffects) bool {
-	due := effects.reach(g) || g.publishPending && c.mayPublishUnordered(g) || c.listCheckDue(g) || g.inFlight.Invalidated()
+	due := effects.reach(g) || g.publishPending && c.mayPublishUnordered(g) || c.listCheckDue(g) || g.delivery.Invalidated()
 	// An expelled gateway may well read its documents: drains still go to it.
 	reachable := g.joined || g.connected && c.listCheckDue(g)
 	return due && reachable && g.bound()
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -88,7 +88,7 @@
 	reach := newReachability()
 	for _, g := range c.gateways.sorted() {
 		one := c.gatewayOverview(g, o.Levels.Levels)
-		one.OpenEndpoints = reach.add(g.zone, g.inFlight.Sent().Clusters)
+		one.OpenEndpoints = reach.add(g.zone, g.delivery.Sent().Clusters)
 		o.Gateways = append(o.Gateways, one)
 	}
 	allocations := c.zoneAllocations()
@@ -114,9 +114,9 @@
 		Zone:           g.zone,
 		Connected:      g.joined,
 		LastReport:     g.lastMessageAt,
-		Version:        g.inFlight.Confirmed(int(EndpointsDocument)).Version,
-		Unacknowledged: len(g.inFlight.Unacknowledged()),
-		Level:          levels[min(g.inFlight.Level(), len(levels)-1)],
+		Version:        g.delivery.Confirmed(int(EndpointsDocument)).Version,
+		Unacknowledged: len(g.delivery.Unacknowledged()),
+		Level:          levels[min(g.delivery.Level(), len(levels)-1)],
 	}
 	if oldest, waiting := g.oldestUnacknowledged(); waiting {
 		o.OldestUnacknowledged = c.now - oldest.SentAt
@@ -137,7 +137,7 @@
 		Since:    decision.Since,
 		Withheld: c.tables.ejected[id],
 	}
-	if entry, known := c.endpoints.entries[id]; known {
+	if entry, ok := c.endpoints.entries[id]; ok {
 		o.WarmUpProgress = c.warmUpProgress(entry)
 	}
 	if estimate, reported := c.reports.sampler.Estimate(c.now, id); reported {
--- a/coordinator/publish.go
+++ b/coordinator/publish.go
@@ -35,8 +35,8 @@
 	defer c.updateGateway(g)
 	snapshot := c.snapshot(g)
 	g.listCheckAt = 0
-	result, message := g.inFlight.Offer(c.now, snapshot, ackID, c.availableLines(), func() bool {
-		return routing.IsUrgentChange(g.inFlight.Sent(), snapshot, c.isClosed)
+	result, message := g.delivery.Offer(c.now, snapshot, ackID, c.availableLines(), func() bool {
+		return routing.IsUrgentChange(g.delivery.Sent(), snapshot, c.isClosed)
 	})
 	if result != routing.OfferDeferred {
 		g.publishPending = false
@@ -61,7 +61,7 @@
 // messages and three quarters of the queue are left to the module, which counts on them.
 func (c *Core) mayPublishUnordered(g *gateway) bool {
 	rules := c.settings.Start.Rules
-	if rules.MessageLimit > 0 && g.inFlight.UsedMessages(c.now) >= rules.MessageLimit/2 {
+	if rules.MessageLimit > 0 && g.delivery.UsedMessages(c.now) >= rules.MessageLimit/2 {
 		return false
 	}
 	return c.gateways.linesInFlight < rules.QueueLimit/4
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -36,7 +36,7 @@
 			LastReport: g.lastMessageAt,
 			Weight:     g.weight,
 			Demand:     slices.Clone(g.demand),
-			Version:    g.inFlight.Confirmed(int(EndpointsDocument)).Version,
+			Version:    g.delivery.Confirmed(int(EndpointsDocument)).Version,
 		})
 	}
 	if c.recovered == nil {
@@ -79,8 +79,8 @@
 	if c.recovered == nil {
 		return
 	}
-	last, known := c.recovered.Gateways[string(g.name)]
-	if known && len(g.demand) == 0 && len(last.Demand) == len(c.settings.Start.Classes) {
+	last, ok := c.recovered.Gateways[string(g.name)]
+	if ok && len(g.demand) == 0 && len(last.Demand) == len(c.settings.Start.Classes) {
 		g.demand = slices.Clone(last.Demand)
 	}
 }
--- a/coordinator/reportcheck.go
+++ b/coordinator/reportcheck.go
@@ -35,7 +35,7 @@
 	}
 	named := map[string]bool{}
 	for _, class := range r.Classes {
-		if _, known := c.classNamed(class.Class); !known || named[class.Class] {
+		if _, ok := c.classNamed(class.Class); !ok || named[class.Class] {
 			return fmt.Errorf("%w: cluster %q is no request class or is named twice", errReportInvalid, class.Class)
 		}
 		named[class.Class] = true
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -91,7 +91,7 @@
 	g.demand[class] += demandSmoothing * (float64(r.Arrivals)*float64(second)/float64(interval) - g.demand[class])
 	c.reports.aggregate.addRequests(g.proxy, class, r, interval)
 	for _, line := range r.Endpoints {
-		if _, known := c.endpoints.entries[line.Endpoint]; !known || line.Attempts == 0 {
+		if _, ok := c.endpoints.entries[line.Endpoint]; !ok || line.Attempts == 0 {
 			continue // a gateway's default table may name endpoints that no list has
 		}
 		weight, taken := c.reports.sampler.Sample(decision, loadreport.EndpointLine{Endpoint: line.Endpoint, Attempts: line.Attempts, Failures: line.Failures})
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -17,8 +17,8 @@
 const trialWeightFactor = 0.1
 
 // solverFleet is what the solver is asked about: the listed endpoints, and as consumers the tables that gateways are bound to,
-// with the demand that their gateways admit. hold tells it to stay active: an endpoint is on trial for a class or failing it.
-func (c *Core) solverFleet() (fleet solver.Fleet, hold bool) {
+// with the demand that their gateways admit. keepActive: an endpoint is on trial for a class or failing it.
+func (c *Core) solverFleet() (fleet solver.Fleet, keepActive bool) {
 	fleet.Classes = c.solverClasses()
 	listed := c.endpoints.listed()
 	if slices.ContainsFunc(listed, func(e policyapi.Endpoint) bool { return c.warmUpProgress(e) < 1 }) {
@@ -28,12 +28,12 @@
 	costs := c.solver.estimate.Costs()
 	for _, e := range listed {
 		endpoint, unhealthy := c.solverEndpoint(e, costs)
-		hold = hold || unhealthy
+		keepActive = keepActive || unhealthy
 		index[e.ID] = len(fleet.Endpoints)
 		fleet.Endpoints = append(fleet.Endpoints, endpoint)
 	}
 	c.addConsumers(&fleet, index)
-	return fleet, hold
+	return fleet, keepActive
 }
 
 func (c *Core) solverClasses() (classes []solver.Class) {
@@ -140,14 +140,14 @@
 		if !g.joined {
 			continue
 		}
-		for class, cluster := range g.inFlight.Sent().Clusters {
+		for class, cluster := range g.delivery.Sent().Clusters {
 			addPlanned(planned, cluster, g.admittedRate(class))
 		}
 	}
 	var outcomes []solver.EndpointOutcome
 	for _, id := range slices.Sorted(maps.Keys(planned)) {
-		estimate, known := c.reports.sampler.Estimate(c.now, id)
-		if known && c.now-estimate.At < 2*c.settings.Start.Reports.Period {
+		estimate, ok := c.reports.sampler.Estimate(c.now, id)
+		if ok && c.now-estimate.At < 2*c.settings.Start.Reports.Period {
 			outcomes = append(outcomes, solver.EndpointOutcome{Planned: planned[id], Actual: estimate.Attempts})
 		}
 	}
--- a/coordinator/solvertables.go
+++ b/coordinator/solvertables.go
@@ -12,12 +12,12 @@
 // solveTables asks the solver which tables it replaces, and returns those that this has changed.
 func (c *Core) solveTables() map[policyapi.TableID]bool {
 	s := c.solver
-	fleet, hold := c.solverFleet()
+	fleet, keepActive := c.solverFleet()
 	if len(fleet.Consumers) == 0 || len(fleet.Endpoints) == 0 || fleet.Check() != nil {
 		return nil
 	}
 	before := maps.Clone(s.tables)
-	s.round = s.activation.Step(fleet, hold)
+	s.round = s.activation.Step(fleet, keepActive)
 	for _, text := range s.round.Log {
 		c.outbox.emit(LogEntry{Level: LogInfo, Event: eventSolver, Text: text})
 	}
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -48,7 +48,7 @@
 func (c *Core) Estimates() (loadreport.Stats, []EndpointEstimate) {
 	var estimates []EndpointEstimate
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
-		if estimate, known := c.reports.sampler.Estimate(c.now, id); known {
+		if estimate, ok := c.reports.sampler.Estimate(c.now, id); ok {
 			estimates = append(estimates, EndpointEstimate{id, estimate})
 		}
 	}
@@ -79,22 +79,22 @@
 }
 
 func (c *Core) gatewayStatus(g *gateway) GatewayStatus {
-	messages := g.inFlight.Unacknowledged()
+	messages := g.delivery.Unacknowledged()
 	status := GatewayStatus{
 		Gateway:        g.name,
 		Zone:           g.zone,
 		Connected:      g.joined,
 		Since:          g.lastMessageAt,
 		Unacknowledged: len(messages),
-		Published:      g.inFlight.MessageCount(),
+		Published:      g.delivery.MessageCount(),
 		Tables:         slices.Clone(g.tables),
-		Snapshot:       g.inFlight.Sent(),
+		Snapshot:       g.delivery.Sent(),
 	}
 	if g.joined {
 		status.Since = g.joinedAt
 	}
 	for document := range documentCount {
-		confirmed := g.inFlight.Confirmed(int(document))
+		confirmed := g.delivery.Confirmed(int(document))
 		status.Confirmed[document] = confirmed.Version
 		status.ConfirmedAt[document] = int64(confirmed.SentAt)
 	}
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -70,11 +70,11 @@
 
 // eligibility is what the rules say of an endpoint now, whatever pinned weights say.
 func (c *Core) eligibility(endpoint policyapi.EndpointID, class int, weights map[policyapi.EndpointID]float64) routing.EndpointEligibility {
-	entry, known := c.endpoints.entries[endpoint]
-	closed := !known || entry.Status != policyapi.Ready || c.tables.ejected[endpoint] || !c.classHealthy(endpoint, class)
+	entry, ok := c.endpoints.entries[endpoint]
+	closed := !ok || entry.Status != policyapi.Ready || c.tables.ejected[endpoint] || !c.classHealthy(endpoint, class)
 	return routing.EndpointEligibility{
 		Closed:    closed,
 		Weight:    weights[endpoint],
-		WarmingUp: known && c.warmUpProgress(entry) < 1,
+		WarmingUp: ok && c.warmUpProgress(entry) < 1,
 	}
 }
