--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -105,7 +105,7 @@
 	if len(set.Start.Reports.MetricNames) > 1 {
 		c.queued = set.Start.Reports.MetricNames[1]
 	}
-	c.intake = loadreport.New(loadreport.Settings{MaxLines: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
+	c.intake = loadreport.New(loadreport.Settings{MaxLinesPerSecond: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
 	c.members = membership.New(membership.Settings{Zones: set.Start.Zones, Authoritative: map[string]bool{FileSource: true},
 		Sources: append([]string{FileSource}, set.Sources...)})
 	c.leveling = newLeveling(set.Degradation)
--- /dev/null
+++ b/loadreport/sampler.go
@@ -0,0 +1,199 @@
+package loadreport
+
+import "porthub/policyapi"
+
+// microsecondsPerSecond converts times to seconds.
+const microsecondsPerSecond = 1e6
+
+// A line signals a failing endpoint if all of its attempts fail, or signalFailures and signalFraction of them do.
+const (
+	signalFailures = 2
+	signalFraction = 0.2
+)
+
+// Settings are the settings of a Sampler.
+type Settings struct {
+	MaxLinesPerSecond float64                // that may be taken; 0: no limit
+	Period            policyapi.Microseconds // of reports
+	Seed              uint64                 // of the rotation
+}
+
+// EndpointLine is what a gateway met at an endpoint for one request class.
+type EndpointLine struct {
+	Endpoint policyapi.EndpointID
+	Attempts int
+	Failures int
+}
+
+// SamplingDecision is what becomes of the lines of one report.
+type SamplingDecision struct {
+	// IncludeRoutine says that routine lines are taken; each counts for Weight of them.
+	IncludeRoutine bool
+	Weight         float64
+	// TrustedFraction is the part of the report's counts that is trusted: below 1 for a gateway that suddenly reports
+	// many times its usual demand.
+	TrustedFraction float64
+
+	seconds float64 // that the report covers
+}
+
+// Stats are counters since the start, and figures of the last round.
+type Stats struct {
+	Reports           int64   `json:"reports"`
+	Lines             int64   `json:"lines"`   // offered
+	Taken             int64   `json:"taken"`   // of them
+	HealthSignals     int64   `json:"news"`    // taken as health signals
+	Capped            int64   `json:"capped"`  // reports that were not fully trusted
+	SampledFraction   float64 `json:"part"`    // of routine lines that is taken now
+	Rounds            int64   `json:"rounds"`  // ended
+	Sampled           int64   `json:"sampled"` // rounds in which not all lines were taken
+	Reporting         int     `json:"live"`    // connected gateways that report
+	Silent            int     `json:"stopped"` // connected gateways that have not reported for silentPeriods
+	ReportsPerGateway float64 `json:"heard"`   // reports of the last round by connected gateway
+}
+
+// Sampler samples the lines of reports and estimates the load of endpoints from them, round by round. Its memory is
+// bounded by the gateways and endpoints that it has seen. It is not safe for concurrent use.
+type Sampler struct {
+	settings       Settings
+	fraction       float64 // of routine lines that is taken
+	intervalFactor int
+	meanDemand     float64 // requests per second of a gateway, the mean of the last round
+	gateways       map[string]*gateway
+	endpoints      map[policyapi.EndpointID]*endpointRound
+	roundNumber    uint64
+	round          roundTotals
+	stats          Stats
+}
+
+// roundTotals sums the reports of one round.
+type roundTotals struct {
+	startedAt      policyapi.Microseconds // 0: no report has ever come
+	offeredLines   float64
+	healthSignals  float64 // lines
+	reports        int
+	squaredReports float64 // sum over the gateways of their number of reports, squared
+	coveredSeconds float64 // sum over the reports
+	trustedReports int
+	trustedDemand  float64 // sum over the trusted reports, requests per second
+}
+
+// New returns a Sampler that takes all lines until more come than its settings allow.
+func New(settings Settings) *Sampler {
+	return &Sampler{
+		settings:       settings,
+		fraction:       1,
+		intervalFactor: 1,
+		gateways:       map[string]*gateway{},
+		endpoints:      map[policyapi.EndpointID]*endpointRound{},
+		roundNumber:    1,
+		stats:          Stats{SampledFraction: 1},
+	}
+}
+
+func (s *Sampler) gateway(name string) *gateway {
+	g := s.gateways[name]
+	if g == nil {
+		g = newGateway(name, s.settings.Seed)
+		s.gateways[name] = g
+	}
+	return g
+}
+
+// Decide decides on a report of a gateway with so many lines and so many requests that arrived in the interval.
+func (s *Sampler) Decide(now policyapi.Microseconds, name string, lines, arrived int, interval policyapi.Microseconds) SamplingDecision {
+	seconds := float64(max(1, interval)) / microsecondsPerSecond
+	g := s.gateway(name)
+	s.countReport(now, g, lines, seconds)
+
+	rate := float64(arrived) / seconds
+	trusted := g.trust(rate, surgeFactor*max(g.demand, s.meanDemand))
+	if trusted < 1 {
+		s.stats.Capped++
+	}
+	g.record(now, rate, trusted == 1)
+	if trusted == 1 {
+		s.round.trustedReports++
+		s.round.trustedDemand += rate
+	}
+	return SamplingDecision{
+		IncludeRoutine:  g.sampled(s.fraction),
+		Weight:          1 / s.fraction,
+		TrustedFraction: trusted,
+		seconds:         seconds,
+	}
+}
+
+func (s *Sampler) countReport(now policyapi.Microseconds, g *gateway, lines int, seconds float64) {
+	if s.round.startedAt == 0 {
+		s.round.startedAt = now
+	}
+	g.connected = true
+	g.silent = false
+	if g.round != s.roundNumber {
+		g.round = s.roundNumber
+		g.roundReports = 0
+	}
+	g.roundReports++
+	s.round.squaredReports += 2*g.roundReports - 1
+	s.round.coveredSeconds += seconds
+	s.round.reports++
+	s.round.offeredLines += float64(lines)
+	s.stats.Reports++
+	s.stats.Lines += int64(lines)
+}
+
+// IsHealthSignal reports whether a line signals a failing endpoint and is always taken.
+func IsHealthSignal(line EndpointLine) bool {
+	if line.Failures >= signalFailures && float64(line.Failures) >= signalFraction*float64(line.Attempts) {
+		return true
+	}
+	return line.Failures > 0 && line.Failures == line.Attempts
+}
+
+// Sample reports whether a line of a report is taken and for how many lines it counts.
+func (s *Sampler) Sample(decision SamplingDecision, line EndpointLine) (weight float64, taken bool) {
+	signal := IsHealthSignal(line)
+	if !signal && !decision.IncludeRoutine {
+		return 0, false
+	}
+	s.stats.Taken++
+	if signal {
+		weight = 1
+		s.round.healthSignals++
+		s.stats.HealthSignals++
+	} else {
+		weight = decision.Weight
+	}
+	e := s.endpoints[line.Endpoint]
+	if e == nil {
+		e = &endpointRound{}
+		s.endpoints[line.Endpoint] = e
+	}
+	e.add(line, weight, decision)
+	return weight, true
+}
+
+// AddMetrics adds an endpoint's own utilization and queue length as a line that was taken carries them.
+func (s *Sampler) AddMetrics(id policyapi.EndpointID, utilization, queue float64) {
+	if e := s.endpoints[id]; e != nil {
+		e.utilization.add(utilization)
+		e.queue.add(queue)
+	}
+}
+
+// GatewayDisconnected records that a gateway has disconnected: it counts again once it reports again.
+func (s *Sampler) GatewayDisconnected(name string) {
+	if g := s.gateways[name]; g != nil {
+		g.connected = false
+	}
+}
+
+// ForgetEndpoint drops the estimate of an endpoint.
+func (s *Sampler) ForgetEndpoint(id policyapi.EndpointID) { delete(s.endpoints, id) }
+
+// IntervalFactor returns how many periods gateways should wait between reports, so that what they send can be taken.
+func (s *Sampler) IntervalFactor() int { return s.intervalFactor }
+
+// Stats returns the counters.
+func (s *Sampler) Stats() Stats { return s.stats }
