--- /dev/null
+++ b/proxyproto/session.go
@@ -0,0 +1,231 @@
+package proxyproto
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"slices"
+
+	"porthub/policyapi"
+	"porthub/resp"
+)
+
+// The protocol's bounds on messages.
+const (
+	MaxMessageBytes = 1 << 20
+	// MaxOrderParts is how many parts one message to a proxy may have.
+	MaxOrderParts = 64
+	// MaxMessageWords bounds the words of an incoming message: none has over twenty, a few more may come from a later version
+	// and are passed over.
+	MaxMessageWords = 64
+)
+
+// IncomingLimits bound incoming messages.
+var IncomingLimits = resp.Limits{Bytes: MaxMessageBytes, Words: MaxMessageWords}
+
+var (
+	// PongReply answers PING.
+	PongReply = resp.Append(nil, "PONG")
+	// NackReply tells a peer that its connection is rejected.
+	NackReply = resp.Append(nil, "NACK")
+)
+
+// ErrMalformed is a message that can't be used and is passed over; its connection stays.
+var ErrMalformed = errors.New("malformed message")
+
+// ErrRejected is a peer whose connection is rejected: it is sent NackReply and its connection is closed.
+var ErrRejected = errors.New("connection rejected")
+
+// ProtocolError says what is wrong with a message. It comes wrapped together with ErrMalformed or ErrRejected.
+type ProtocolError struct {
+	Message string // the message's name, shortened
+	Field   string // empty: the message as a whole
+	Reason  string
+}
+
+func (e *ProtocolError) Error() string {
+	if e.Field == "" {
+		return fmt.Sprintf("%q: %s", e.Message, e.Reason)
+	}
+	return fmt.Sprintf("%s: %s: %s", e.Message, e.Field, e.Reason)
+}
+
+// Role is what a connection has identified itself as.
+type Role int
+
+const (
+	// Unidentified is a connection before its first message.
+	Unidentified Role = iota
+	// Collector is a connection that passes load reports on.
+	Collector
+	// Stream is a proxy's connection.
+	Stream
+)
+
+func (r Role) String() string {
+	switch r {
+	case Unidentified:
+		return "unidentified"
+	case Collector:
+		return "collector"
+	case Stream:
+		return "stream"
+	default:
+		return fmt.Sprintf("Role(%d)", int(r))
+	}
+}
+
+// maxPendingAcks bounds the ack ids of a stream without an answer: a proxy that answers is a few behind, one that has fallen silent
+// may owe any number. The decision module itself keeps fewer.
+const maxPendingAcks = 256
+
+// Session is the protocol state of one connection. It is not safe for concurrent use.
+type Session struct {
+	Role        Role
+	Zone        policyapi.Zone    // of a collector or stream
+	Proxy       policyapi.ProxyID // of a stream
+	pendingAcks []policyapi.AckID // on the wire, oldest first
+}
+
+// AckRequested records that an ack id, as on the wire, was sent on this stream: the proxy may acknowledge only those.
+func (s *Session) AckRequested(id policyapi.AckID) {
+	if len(s.pendingAcks) >= maxPendingAcks {
+		s.pendingAcks = slices.Delete(s.pendingAcks, 0, 1)
+	}
+	s.pendingAcks = append(s.pendingAcks, id)
+}
+
+// PendingAcks returns how many ack ids are not acknowledged yet.
+func (s *Session) PendingAcks() int { return len(s.pendingAcks) }
+
+// Receive takes one message of at least one word. It returns the event that the message stands for, nil if there is none, and the
+// reply to be written, nil if there is none. An error wraps ErrMalformed or ErrRejected and a *ProtocolError, and leaves the session
+// as it was.
+func (s *Session) Receive(words [][]byte, v *Validator) (event policyapi.Event, reply []byte, err error) {
+	m := messageReader{name: string(words[0]), words: words[1:]}
+	if m.name == "PING" {
+		return nil, PongReply, nil
+	}
+	if s.Role == Unidentified {
+		event, err = s.identify(&m, v)
+	} else {
+		event, err = s.receiveIdentified(&m, v)
+	}
+	return event, nil, err
+}
+
+// identify takes the first message of a connection, by which the peer says what it is.
+func (s *Session) identify(m *messageReader, v *Validator) (policyapi.Event, error) {
+	switch m.name {
+	case "SOURCE":
+		zone := m.zone(v)
+		if m.err != nil {
+			return nil, m.wrap(ErrRejected)
+		}
+		s.Role = Collector
+		s.Zone = zone
+		return nil, nil
+	case "SUBSCRIBE":
+		connected := m.subscription(v)
+		if m.err != nil {
+			return nil, m.wrap(ErrRejected)
+		}
+		s.Role = Stream
+		s.Zone = connected.Zone
+		s.Proxy = connected.Proxy
+		return connected, nil
+	default:
+		m.failMessage("SOURCE or SUBSCRIBE must come first")
+		return nil, m.wrap(ErrRejected)
+	}
+}
+
+// receiveIdentified takes a message of a collector or a proxy.
+func (s *Session) receiveIdentified(m *messageReader, v *Validator) (event policyapi.Event, err error) {
+	switch {
+	case m.name == "LOAD" && s.Role == Collector:
+		event = m.endpointLoad(v)
+	case m.name == "RATE":
+		load := m.proxyLoad(v)
+		if s.Role == Stream && load.Proxy != s.Proxy {
+			m.fail("sidecar", "is another proxy's")
+		}
+		event = load
+	case m.name == "ACK" && s.Role == Stream:
+		event = s.acknowledge(m, v)
+	default:
+		m.failMessage(fmt.Sprintf("is not expected from a %s", s.Role))
+	}
+	if m.err != nil {
+		return nil, m.wrap(ErrMalformed)
+	}
+	return event, nil
+}
+
+// acknowledge takes an acknowledgement, which covers all ack ids up to its own.
+func (s *Session) acknowledge(m *messageReader, v *Validator) policyapi.Acknowledged {
+	ack := policyapi.Acknowledged{
+		Proxy: m.proxy(v),
+		AckID: policyapi.AckID(m.integer("version", maxAckID)),
+		Delay: m.duration("lag_ms", maxMeasuredMilliseconds),
+	}
+	if ack.Proxy != s.Proxy {
+		m.fail("sidecar", "is another proxy's")
+	}
+	i := slices.Index(s.pendingAcks, ack.AckID)
+	if i < 0 {
+		m.fail("version", "was not sent on this stream, or has been acknowledged")
+	}
+	if m.err == nil {
+		s.pendingAcks = slices.Delete(s.pendingAcks, 0, i+1)
+	}
+	return ack
+}
+
+func (m *messageReader) subscription(v *Validator) policyapi.ProxyConnected {
+	return policyapi.ProxyConnected{
+		Proxy:               m.proxy(v),
+		Zone:                m.zone(v),
+		Weight:              m.number("share", 0, math.MaxInt32),
+		HasDefaultTableOnly: m.flag("standing"),
+	}
+}
+
+func (m *messageReader) proxyLoad(v *Validator) policyapi.ProxyLoad {
+	load := policyapi.ProxyLoad{
+		Proxy:    m.proxy(v),
+		Class:    m.class(v),
+		Requests: m.integer("n", math.MaxInt32),
+		Period:   m.duration("window", maxMeasuredMilliseconds),
+	}
+	// Requests that came before the window may fail within it: there may be more failures than requests.
+	load.Failures = m.integer("bad", math.MaxInt32)
+	if load.Period <= 0 {
+		m.fail("window", "is 0")
+	}
+	return load
+}
+
+func (m *messageReader) endpointLoad(v *Validator) policyapi.EndpointLoad {
+	load := policyapi.EndpointLoad{
+		Zone:     m.zone(v),
+		Endpoint: policyapi.EndpointID(m.text("host")),
+		Attempts: m.integer("n", math.MaxInt32),
+		Period:   m.duration("window", maxMeasuredMilliseconds),
+	}
+	load.Failures = m.integer("bad", load.Attempts)
+	if load.Period <= 0 {
+		m.fail("window", "is 0")
+	}
+	if !v.IsKnown(load.Endpoint) {
+		m.fail("host", fmt.Sprintf("%q is in no endpoint list", shorten(string(load.Endpoint))))
+	}
+	// Where all attempts failed there is no latency to average.
+	if load.Failures < load.Attempts || m.has("avg") {
+		load.MeanLatency = m.duration("avg", v.maxLatency)
+	}
+	if m.has("report") {
+		load.Metrics = m.metrics("report")
+	}
+	return load
+}
