--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -194,7 +194,7 @@
 }
 
 func simulate(out io.Writer, set degradation.Settings, name string, in io.Reader) error {
-	m := degradation.New(set)
+	m := degradation.NewController(set)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "AT\tSCOPE\tFROM\tTO\tWHY")
 	lines := bufio.NewScanner(in)
@@ -203,7 +203,7 @@
 	step := func() {
 		for _, c := range m.Step(policyapi.Microseconds(last*1e6), figures) {
 			changes++
-			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == degradation.FleetScope], set.Name(c.From), set.Name(c.To), c.Reason)
+			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == degradation.FleetScope], set.LevelName(c.From), set.LevelName(c.To), c.Reason)
 		}
 		clear(figures)
 	}
--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -36,7 +36,7 @@
 	if len(set.Levels) == 0 {
 		return nil
 	}
-	return &degradationState{controller: degradation.New(set), peakCapacity: map[policyapi.Zone]float64{}, allocations: map[policyapi.Zone][]allocation{}, fallbackShares: map[policyapi.Zone][]float64{}}
+	return &degradationState{controller: degradation.NewController(set), peakCapacity: map[policyapi.Zone]float64{}, allocations: map[policyapi.Zone][]allocation{}, fallbackShares: map[policyapi.Zone][]float64{}}
 }
 
 // degradationRound gathers the figures once a period, before the round's sums go to the module, and takes the levels that come of them.
@@ -148,8 +148,8 @@
 		if ch.Zone == degradation.FleetScope {
 			zone = "the fleet"
 		}
-		c.emit(LogEntry{Level: LogWarn, Event: "service_level", Text: fmt.Sprintf("%s: %s to %s: %s", zone, set.Name(ch.From), set.Name(ch.To), ch.Reason),
-			Fields: []LogField{{"zone", string(ch.Zone)}, {"from", set.Name(ch.From)}, {"to", set.Name(ch.To)}}})
+		c.emit(LogEntry{Level: LogWarn, Event: "service_level", Text: fmt.Sprintf("%s: %s to %s: %s", zone, set.LevelName(ch.From), set.LevelName(ch.To), ch.Reason),
+			Fields: []LogField{{"zone", string(ch.Zone)}, {"from", set.LevelName(ch.From)}, {"to", set.LevelName(ch.To)}}})
 	}
 	clear(c.clusterCache)
 	for _, g := range c.gateways {
@@ -427,12 +427,12 @@
 // SetLevelOverride takes an operator's word about levels in; it is in force from the next step on.
 func (c *Core) SetLevelOverride(w degradation.Override) (degradation.Override, error) {
 	if c.degradation == nil {
-		return w, fmt.Errorf("%w: service.levels is empty", degradation.ErrNoLevel)
+		return w, fmt.Errorf("%w: service.levels is empty", degradation.ErrUnknownLevel)
 	}
 	said, err := c.degradation.controller.SetOverride(c.now, w)
 	if err == nil {
 		c.deferred = append(c.deferred, LogEntry{Level: LogWarn, Event: "level_word", Text: fmt.Sprintf("word %d: %s %s in %q for %d s: %s", said.ID, said.Action,
-			c.degradation.controller.Settings().Name(said.Level), said.Zone, (said.Until-c.now)/second, said.Reason)})
+			c.degradation.controller.Settings().LevelName(said.Level), said.Zone, (said.Until-c.now)/second, said.Reason)})
 		c.applyOverrides()
 	}
 	return said, err
@@ -441,7 +441,7 @@
 // ClearLevelOverride takes an operator's word back.
 func (c *Core) ClearLevelOverride(id int, reason string) (degradation.Override, error) {
 	if c.degradation == nil {
-		return degradation.Override{}, fmt.Errorf("%w: service.levels is empty", degradation.ErrNoLevel)
+		return degradation.Override{}, fmt.Errorf("%w: service.levels is empty", degradation.ErrUnknownLevel)
 	}
 	w, err := c.degradation.controller.ClearOverride(id)
 	if err == nil {
@@ -477,7 +477,7 @@
 	}
 	m := c.degradation.controller
 	for i := range m.Settings().Levels {
-		out.Levels = append(out.Levels, m.Settings().Name(i+1))
+		out.Levels = append(out.Levels, m.Settings().LevelName(i+1))
 	}
 	out.Scopes, out.Overrides = m.Scopes(c.now), m.Overrides()
 	for _, g := range c.gateways {
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -60,7 +60,7 @@
 	}
 	level, known := d.set.Degradation.LevelNamed(r.Level)
 	if !known && r.Do != degradation.HoldLevel {
-		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", degradation.ErrNoLevel, r.Level)
+		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", degradation.ErrUnknownLevel, r.Level)
 	}
 	return func(c *coordinator.Core) []byte {
 		w := degradation.Override{Action: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
--- a/degradation/machine.go
+++ b/degradation/machine.go
@@ -39,8 +39,8 @@
 
 const never = policyapi.Microseconds(-1 << 62)
 
-// New starts a machine at the usual service. The settings must pass Check.
-func New(set Settings) *Controller {
+// NewController starts a machine at the usual service. The settings must pass Check.
+func NewController(set Settings) *Controller {
 	m := &Controller{set: set, scopes: append([]policyapi.Zone{FleetScope}, set.Zones...), states: map[policyapi.Zone]*state{}}
 	for _, z := range m.scopes {
 		s := &state{since: never, shownAt: never}
@@ -128,7 +128,7 @@
 		return
 	}
 	// One step at a time: two reports of what the lower one lets in are to be seen first.
-	s.why = fmt.Sprintf("the reasons for %s have passed", m.set.Name(s.level))
+	s.why = fmt.Sprintf("the reasons for %s have passed", m.set.LevelName(s.level))
 	s.left[s.level-1] = now
 	s.level, s.since = s.level-1, now
 }
@@ -165,7 +165,7 @@
 	return true
 }
 
-// Level is the level of a zone's gateways: the severer of the zone's and the fleet's.
+// LevelName is the level of a zone's gateways: the severer of the zone's and the fleet's.
 func (m *Controller) Level(zone policyapi.Zone) int {
 	at := m.states[FleetScope].shown
 	if s := m.states[zone]; s != nil {
@@ -195,11 +195,11 @@
 
 // What goes wrong with words.
 var (
-	ErrNoReason   = errors.New("a word about levels needs a reason")
-	ErrNoEnd      = errors.New("a word about levels needs an end, a day away at most")
-	ErrNoZone     = errors.New("no such zone")
-	ErrNoLevel    = errors.New("no such level")
-	ErrNoOverride = errors.New("no such word")
+	ErrReasonRequired  = errors.New("a word about levels needs a reason")
+	ErrInvalidEnd      = errors.New("a word about levels needs an end, a day away at most")
+	ErrUnknownZone     = errors.New("no such zone")
+	ErrUnknownLevel    = errors.New("no such level")
+	ErrUnknownOverride = errors.New("no such word")
 )
 
 // longest is how long a word may hold: one that was forgotten must end by itself.
@@ -210,15 +210,15 @@
 	s := m.states[w.Zone]
 	switch {
 	case w.Reason == "":
-		return w, ErrNoReason
+		return w, ErrReasonRequired
 	case w.Until <= now || w.Until > now+longest:
-		return w, ErrNoEnd
+		return w, ErrInvalidEnd
 	case s == nil:
-		return w, fmt.Errorf("%w: %q", ErrNoZone, w.Zone)
+		return w, fmt.Errorf("%w: %q", ErrUnknownZone, w.Zone)
 	case w.Action == HoldLevel:
 		w.Level = s.shown
 	case w.Action != ForceLevel && w.Action != ForbidLevel || w.Level < 0 || w.Level > len(m.set.Levels) || w.Action == ForbidLevel && w.Level == 0:
-		return w, fmt.Errorf("%w: %s %d", ErrNoLevel, w.Action, w.Level)
+		return w, fmt.Errorf("%w: %s %d", ErrUnknownLevel, w.Action, w.Level)
 	}
 	m.words = slices.DeleteFunc(m.words, func(o Override) bool { return o.Action == w.Action && o.Zone == w.Zone })
 	m.number++
@@ -231,7 +231,7 @@
 func (m *Controller) ClearOverride(id int) (Override, error) {
 	i := slices.IndexFunc(m.words, func(w Override) bool { return w.ID == id })
 	if i < 0 {
-		return Override{}, fmt.Errorf("%w: %d", ErrNoOverride, id)
+		return Override{}, fmt.Errorf("%w: %d", ErrUnknownOverride, id)
 	}
 	w := m.words[i]
 	m.words = slices.Delete(m.words, i, i+1)
@@ -253,7 +253,7 @@
 			if do != ForbidLevel {
 				level, why = w.Level, fmt.Sprintf("an operator: %s (word %d)", w.Reason, w.ID)
 			} else if level >= w.Level {
-				level, why = w.Level-1, fmt.Sprintf("an operator forbids %s: %s (word %d)", m.set.Name(w.Level), w.Reason, w.ID)
+				level, why = w.Level-1, fmt.Sprintf("an operator forbids %s: %s (word %d)", m.set.LevelName(w.Level), w.Reason, w.ID)
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 	for _, z := range m.scopes {
 		s := m.states[z]
 		_, why := m.apply(z, s)
-		st := ScopeStatus{Zone: z, Level: s.shown, Name: m.set.Name(s.shown), Since: s.shownAt, Reason: why, AutomaticLevel: s.level}
+		st := ScopeStatus{Zone: z, Level: s.shown, Name: m.set.LevelName(s.shown), Since: s.shownAt, Reason: why, AutomaticLevel: s.level}
 		for r := range TriggerCount {
 			f := Signal{Trigger: r.String(), Value: s.figures.Values[r], Known: s.figures.Known[r]}
 			if s.level < len(m.set.Levels) {
@@ -328,8 +328,8 @@
 
 // SavedOverride is a word with its level's name.
 type SavedOverride struct {
-	Override Override `cbor:"word" json:"Word"`
-	Level    string   `cbor:"level" json:"Level"`
+	Override  Override `cbor:"word" json:"Word"`
+	LevelName string   `cbor:"level" json:"Level"`
 }
 
 // Snapshot tells it.
@@ -337,11 +337,11 @@
 	k := Snapshot{Levels: map[policyapi.Zone]string{}}
 	for z, s := range m.states {
 		if s.level > 0 {
-			k.Levels[z] = m.set.Name(s.level)
+			k.Levels[z] = m.set.LevelName(s.level)
 		}
 	}
 	for _, w := range m.words {
-		k.Overrides = append(k.Overrides, SavedOverride{w, m.set.Name(w.Level)})
+		k.Overrides = append(k.Overrides, SavedOverride{w, m.set.LevelName(w.Level)})
 	}
 	return k
 }
@@ -371,9 +371,9 @@
 	}
 	for _, kept := range k.Overrides {
 		w := kept.Override
-		level, known := m.set.LevelNamed(kept.Level)
+		level, known := m.set.LevelNamed(kept.LevelName)
 		if w.Until <= now || m.states[w.Zone] == nil || !known {
-			notes = append(notes, fmt.Sprintf("word %d (%s %s) is not taken over", w.ID, w.Action, kept.Level))
+			notes = append(notes, fmt.Sprintf("word %d (%s %s) is not taken over", w.ID, w.Action, kept.LevelName))
 			continue
 		}
 		w.Level, m.number = level, max(m.number, w.ID)
--- a/degradation/service.go
+++ b/degradation/service.go
@@ -211,8 +211,8 @@
 // NormalLevel names level 0.
 const NormalLevel = "usual"
 
-// Name is a level's name.
-func (s Settings) Name(level int) string {
+// LevelName is a level's name.
+func (s Settings) LevelName(level int) string {
 	if level <= 0 || level > len(s.Levels) {
 		return NormalLevel
 	}
--- a/degradation/service_test.go
+++ b/degradation/service_test.go
@@ -62,7 +62,7 @@
 
 // Up at once over a level between, down one at a time.
 func TestUpAndDown(t *testing.T) {
-	levels, _ := course(New(two()), 60, func(s int) float64 {
+	levels, _ := course(NewController(two()), 60, func(s int) float64 {
 		if s >= 5 && s < 15 {
 			return 2
 		}
@@ -81,7 +81,7 @@
 	most, worst := one.MaxChanges(600*second), 0
 	for low := 1; low < 90; low++ {
 		for high := 1; high < 6; high++ {
-			_, n := course(New(one), 600, func(s int) float64 {
+			_, n := course(NewController(one), 600, func(s int) float64 {
 				if s%(low+high) < high {
 					return 1
 				}
@@ -91,7 +91,7 @@
 		}
 	}
 	// The worst there is: it waits out each holding time to the second.
-	m, n, high := New(one), 0, true
+	m, n, high := NewController(one), 0, true
 	for s := range 601 {
 		load := 0.8
 		if high {
@@ -106,7 +106,7 @@
 		t.Error("the bound is broken, or not tight")
 	}
 	for _, hover := range []float64{0.8, 1, 1.1, 1.4} { // of two levels, a load that jitters about each threshold
-		m := New(two())
+		m := NewController(two())
 		_, n := course(m, 600, func(s int) float64 { return hover + 0.02*float64(s%3-1) })
 		if n > m.Settings().MaxChanges(600*second) || n > 4 {
 			t.Errorf("about %.1f: %d changes", hover, n)
@@ -116,7 +116,7 @@
 
 // Two reasons that take turns keep the level as one would; one of which nothing is known keeps it for a minute.
 func TestReasons(t *testing.T) {
-	m, changes := New(two()), 0
+	m, changes := NewController(two()), 0
 	for s := range 300 {
 		f := loaded(1.2)
 		if s%6 >= 3 {
@@ -143,7 +143,7 @@
 
 // Zones have levels of their own, and their gateways are at the severer of theirs and the fleet's.
 func TestScopes(t *testing.T) {
-	m := New(two())
+	m := NewController(two())
 	for s := range 5 {
 		m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{FleetScope: loaded(1.1), "a": loaded(1.5), "b": loaded(0.5)})
 	}
@@ -173,7 +173,7 @@
 			return
 		}
 		taken++
-		m, now, changes := New(set), policyapi.Microseconds(0), 0
+		m, now, changes := NewController(set), policyapi.Microseconds(0), 0
 		step := func(f Signals) int {
 			now += second
 			n := len(m.Step(now, map[policyapi.Zone]Signals{FleetScope: f}))
@@ -231,7 +231,7 @@
 
 // Operators' words: force goes before hold, forbid over both, each ends by itself, and beneath them the figures' own level goes on.
 func TestWords(t *testing.T) {
-	m, now := New(two()), policyapi.Microseconds(0)
+	m, now := NewController(two()), policyapi.Microseconds(0)
 	step := func(load float64) {
 		now += second
 		m.Step(now, map[policyapi.Zone]Signals{FleetScope: loaded(load)})
@@ -245,10 +245,10 @@
 		return said
 	}
 	for want, w := range map[error]Override{
-		ErrNoReason: {Action: ForceLevel, Level: 1, Until: now + second},
-		ErrNoEnd:    {Action: ForceLevel, Level: 1, Reason: "r"},
-		ErrNoZone:   {Action: ForceLevel, Zone: "x", Level: 1, Until: now + second, Reason: "r"},
-		ErrNoLevel:  {Action: ForbidLevel, Level: 3, Until: now + second, Reason: "r"},
+		ErrReasonRequired: {Action: ForceLevel, Level: 1, Until: now + second},
+		ErrInvalidEnd:     {Action: ForceLevel, Level: 1, Reason: "r"},
+		ErrUnknownZone:    {Action: ForceLevel, Zone: "x", Level: 1, Until: now + second, Reason: "r"},
+		ErrUnknownLevel:   {Action: ForbidLevel, Level: 3, Until: now + second, Reason: "r"},
 	} {
 		if _, err := m.SetOverride(now, w); !errors.Is(err, want) {
 			t.Errorf("%+v: %v", w, err)
@@ -285,7 +285,7 @@
 
 // A restart at a level: it stays until fresh evidence has held for its time, and words go on, by the names of levels.
 func TestRecall(t *testing.T) {
-	m := New(two())
+	m := NewController(two())
 	for s := range 5 {
 		m.Step(policyapi.Microseconds(s)*second, map[policyapi.Zone]Signals{"a": loaded(2)})
 	}
@@ -294,7 +294,7 @@
 	}
 	set := two()
 	set.Levels = append([]Level{level("mild", 0.9, 0.7, second, 5*second)}, set.Levels...) // another one stands before them now
-	next := New(set)
+	next := NewController(set)
 	if notes := next.Restore(10*second, m.Snapshot()); len(notes) != 0 || next.Level("a") != 3 {
 		t.Errorf("%v, a %d", notes, next.Level("a"))
 	}
@@ -308,7 +308,7 @@
 	if left != 20 || next.Level("a") != 0 || next.Level("b") != 2 {
 		t.Errorf("left at %d s, a %d, b %d", left, next.Level("a"), next.Level("b"))
 	}
-	if notes := New(Settings{Zones: set.Zones}).Restore(0, m.Snapshot()); len(notes) != 2 {
+	if notes := NewController(Settings{Zones: set.Zones}).Restore(0, m.Snapshot()); len(notes) != 2 {
 		t.Errorf("levels that are gone: %v", notes)
 	}
 }
