--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -42,7 +42,7 @@
 		return nil
 	}
 	return &degradationState{
-		controller:     degradation.New(settings),
+		controller:     degradation.NewController(settings),
 		peakCapacity:   map[policyapi.Zone]float64{},
 		allocations:    map[policyapi.Zone][]allocation{},
 		fallbackShares: map[policyapi.Zone][]float64{},
@@ -93,7 +93,7 @@
 		if change.Zone == degradation.FleetScope {
 			scope = "the fleet"
 		}
-		from, to := settings.Name(change.From), settings.Name(change.To)
+		from, to := settings.LevelName(change.From), settings.LevelName(change.To)
 		entries = append(entries, LogEntry{
 			Level:  LogWarn,
 			Event:  eventServiceLevel,
@@ -124,7 +124,7 @@
 	}
 	controller := c.degradation.controller
 	for i := range controller.Settings().Levels {
-		status.Levels = append(status.Levels, controller.Settings().Name(i+1))
+		status.Levels = append(status.Levels, controller.Settings().LevelName(i+1))
 	}
 	status.Scopes = controller.Scopes(c.now)
 	status.Overrides = controller.Overrides()
--- a/coordinator/overrides.go
+++ b/coordinator/overrides.go
@@ -7,7 +7,7 @@
 )
 
 // SetLevelOverride applies an operator's override of the levels of service; it takes effect with the next step. Without levels
-// the error is degradation.ErrNoLevel.
+// the error is degradation.ErrUnknownLevel.
 func (c *Core) SetLevelOverride(override degradation.Override) (degradation.Override, error) {
 	if c.degradation == nil {
 		return override, errNoLevels()
@@ -17,12 +17,12 @@
 	if err != nil {
 		return set, err
 	}
-	c.overridesChanged("override %d: %s %s in %q for %d s: %s", set.ID, set.Action, controller.Settings().Name(set.Level), set.Zone,
+	c.overridesChanged("override %d: %s %s in %q for %d s: %s", set.ID, set.Action, controller.Settings().LevelName(set.Level), set.Zone,
 		(set.Until-c.now)/second, set.Reason)
 	return set, nil
 }
 
-// ClearLevelOverride ends an operator's override. Without levels the error is degradation.ErrNoLevel.
+// ClearLevelOverride ends an operator's override. Without levels the error is degradation.ErrUnknownLevel.
 func (c *Core) ClearLevelOverride(id int, reason string) (degradation.Override, error) {
 	if c.degradation == nil {
 		return degradation.Override{}, errNoLevels()
@@ -36,7 +36,7 @@
 }
 
 func errNoLevels() error {
-	return fmt.Errorf("%w: service.levels is empty", degradation.ErrNoLevel)
+	return fmt.Errorf("%w: service.levels is empty", degradation.ErrUnknownLevel)
 }
 
 // overridesChanged logs a change of the overrides and applies them without waiting for the next round; the log entries come with
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -21,7 +21,7 @@
 	return reportState{
 		aggregate: newLoadAggregate(),
 		sampler: loadreport.New(loadreport.Settings{
-			MaxLines: settings.MaxReportLines,
+			MaxLinesPerSecond: settings.MaxReportLines,
 			Period:   settings.Start.Reports.Period,
 			Seed:     settings.Start.Seed,
 		}),
