--- a/proxyproto/endpointlist.go
+++ b/proxyproto/endpointlist.go
@@ -33,9 +33,9 @@
 
 // Keys of an endpoint list in JSON.
 type endpointListJSON struct {
-	Seq   *int64            `json:"seq"`
-	Whole *bool             `json:"whole"`
-	Hosts []json.RawMessage `json:"hosts"`
+	Seq      *int64            `json:"seq"`
+	Complete *bool             `json:"whole"`
+	Hosts    []json.RawMessage `json:"hosts"`
 }
 
 // Keys of an entry.
@@ -72,14 +72,14 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return EndpointList{}, fmt.Errorf("%w: %w", ErrNotAList, err)
 	}
-	if in.Seq == nil || in.Whole == nil || *in.Seq < 0 {
+	if in.Seq == nil || in.Complete == nil || *in.Seq < 0 {
 		return EndpointList{}, fmt.Errorf("%w: seq or whole is missing, or seq is below 0", ErrNotAList)
 	}
 	list := EndpointList{
 		Update:               policyapi.EndpointUpdate{Version: policyapi.ListVersion(*in.Seq), Kind: policyapi.Delta},
 		HealthCheckAddresses: map[policyapi.EndpointID]string{},
 	}
-	if *in.Whole {
+	if *in.Complete {
 		list.Update.Kind = policyapi.Snapshot
 	}
 	for _, raw := range in.Hosts {
--- a/proxyproto/fleetmodel_test.go
+++ b/proxyproto/fleetmodel_test.go
@@ -14,14 +14,14 @@
 	"porthub/proxyproto"
 )
 
-// fleetModel runs one coordinator, the decision module and the board that turns its orders into messages, under a virtual clock:
-// with a channel that drains at a stated pace or slower, proxies as the protocol describes them, and the oracle beside it.
+// fleetModel runs one coordinator, its decision module and its publisher, under a virtual clock: with a channel that drains at the stated
+// rate or slower, proxies as the protocol describes them, and the oracle that checks the rules.
 type fleetModel struct {
 	t        testing.TB
 	random   *rand.Rand
 	settings policyapi.Start
 	slowdown float64 // the channel runs so many times slower than stated
-	ackLoss  float64 // part of the acknowledgements that never come
+	ackLoss  float64 // the fraction of acknowledgements that are lost
 
 	now         policyapi.Microseconds
 	module      *policy.Instance
@@ -32,12 +32,12 @@
 	batch       []policyapi.Event
 	oracle      *oracle
 	proxies     map[policyapi.ProxyID]*connectedProxy
-	everSeen    map[policyapi.ProxyID]*modelProxy // all that ever came, with what they hold
+	everSeen    map[policyapi.ProxyID]*modelProxy // all that ever connected, with their state
 	list        map[policyapi.EndpointID]policyapi.Endpoint
 	version     policyapi.ListVersion
-	failing     map[policyapi.EndpointID]bool // it answers nothing
+	failing     map[policyapi.EndpointID]bool // all attempts fail
 
-	queueEmptyAt policyapi.Microseconds // when the last message in the channel leaves it
+	queueEmptyAt policyapi.Microseconds // when the last message leaves the channel
 	inQueue      []queued
 	tables       map[policyapi.TableID]map[policyapi.EndpointID]float64
 	bound        map[policyapi.ProxyID][]policyapi.TableID // by class
@@ -49,14 +49,15 @@
 	*modelProxy
 	since        policyapi.Microseconds
 	sent         []policyapi.Microseconds // of messages on this stream
-	applied      policyapi.Microseconds   // when the last of them has been applied
+	applied      policyapi.Microseconds   // when the last of them is applied
 	load         float64                  // requests a second
 	disconnected bool
 }
 
+// queued is a message in the channel.
 type queued struct {
-	leaves policyapi.Microseconds
-	lines  float64
+	leavesAt policyapi.Microseconds
+	lines    float64
 }
 
 // scheduledAction is something that happens at a time.
@@ -66,25 +67,28 @@
 	run   func()
 }
 
+// schedule is a heap of actions, by time and then in the order in which they were scheduled.
 type schedule []scheduledAction
 
-func (a schedule) Len() int { return len(a) }
-func (a schedule) Less(i, j int) bool {
-	return a[i].at < a[j].at || a[i].at == a[j].at && a[i].order < a[j].order
+// Len is part of heap.Interface, as are the methods below.
+func (s *schedule) Len() int { return len(*s) }
+func (s *schedule) Less(i, j int) bool {
+	a, b := (*s)[i], (*s)[j]
+	return a.at < b.at || a.at == b.at && a.order < b.order
 }
-func (a schedule) Swap(i, j int) { a[i], a[j] = a[j], a[i] }
-func (a *schedule) Push(x any)   { *a = append(*a, x.(scheduledAction)) }
-func (a *schedule) Pop() any {
-	last := (*a)[len(*a)-1]
-	*a = (*a)[:len(*a)-1]
+func (s *schedule) Swap(i, j int) { (*s)[i], (*s)[j] = (*s)[j], (*s)[i] }
+func (s *schedule) Push(x any)    { *s = append(*s, x.(scheduledAction)) }
+func (s *schedule) Pop() any {
+	last := (*s)[len(*s)-1]
+	*s = (*s)[:len(*s)-1]
 	return last
 }
 
 // tick is how often the coordinator takes a batch, at most.
 const tick = second / 20
 
-func newFleetModel(t testing.TB, up policyapi.Start, seed uint64) *fleetModel {
-	m := &fleetModel{t: t, random: rand.New(rand.NewPCG(seed, 29)), settings: up, slowdown: 1, now: 1000 * second, oracle: newOracle(up.Rules, up.Classes),
+func newFleetModel(t testing.TB, settings policyapi.Start, seed uint64) *fleetModel {
+	m := &fleetModel{t: t, random: rand.New(rand.NewPCG(seed, 29)), settings: settings, slowdown: 1, now: 1000 * second, oracle: newOracle(settings.Rules, settings.Classes),
 		proxies: map[policyapi.ProxyID]*connectedProxy{}, everSeen: map[policyapi.ProxyID]*modelProxy{}, list: map[policyapi.EndpointID]policyapi.Endpoint{},
 		failing: map[policyapi.EndpointID]bool{}}
 	m.oracle.expected = m.describeOrders
@@ -92,7 +96,7 @@
 	return m
 }
 
-// restartCoordinator starts the coordinator from nothing: what was in its channel and its timers are lost.
+// restartCoordinator starts the coordinator without state: the messages in its channel and its timers are lost.
 func (m *fleetModel) restartCoordinator() {
 	m.settings.Seed = m.random.Uint64()
 	m.module, m.publisher = policy.New(m.settings), proxyproto.NewPublisher(m.settings.Classes)
@@ -106,7 +110,7 @@
 	m.oracle.restart(m.now)
 }
 
-// failModule puts a fresh module in the place of one that has failed, as the live coordinator does.
+// failModule replaces the decision module by a new one after a failure, as the live coordinator does.
 func (m *fleetModel) failModule() {
 	failed := m.module
 	m.module, m.publisher = policy.New(m.settings), m.publisher.Restart()
@@ -115,20 +119,20 @@
 	m.tables, m.bound = map[policyapi.TableID]map[policyapi.EndpointID]float64{}, map[policyapi.ProxyID][]policyapi.TableID{}
 	m.enqueue(m.endpointUpdate(policyapi.Cached))
 	for _, id := range slices.Sorted(maps.Keys(m.proxies)) {
-		j := policyapi.ProxyConnected{Proxy: id, Zone: m.proxies[id].zone, Weight: m.proxies[id].load}
-		m.publisher.Connect(j)
-		m.enqueue(j)
+		connected := policyapi.ProxyConnected{Proxy: id, Zone: m.proxies[id].zone, Weight: m.proxies[id].load}
+		m.publisher.Connect(connected)
+		m.enqueue(connected)
 	}
 }
 
 func (m *fleetModel) classes() (names []string) {
-	for _, k := range m.settings.Classes {
-		names = append(names, k.Name)
+	for _, class := range m.settings.Classes {
+		names = append(names, class.Name)
 	}
 	return names
 }
 
-// after has something done later.
+// after schedules an action.
 func (m *fleetModel) after(wait policyapi.Microseconds, do func()) {
 	m.actionCount++
 	heap.Push(&m.agenda, scheduledAction{m.now + wait, m.actionCount, do})
@@ -136,20 +140,20 @@
 
 func (m *fleetModel) enqueue(e policyapi.Event) { m.batch = append(m.batch, e) }
 
-// applyDelta gives the coordinator entries that have changed, now.
-func (m *fleetModel) applyDelta(entries ...policyapi.Endpoint) {
-	for _, e := range entries {
+// applyDelta changes endpoints and delivers the change to the coordinator.
+func (m *fleetModel) applyDelta(endpoints ...policyapi.Endpoint) {
+	for _, e := range endpoints {
 		if m.list[e.ID] = e; e.Status == policyapi.Removed {
 			delete(m.list, e.ID)
 		}
 	}
 	m.version++
-	m.deliverList(policyapi.EndpointUpdate{Version: m.version, Kind: policyapi.Delta, Endpoints: entries})
+	m.deliverList(policyapi.EndpointUpdate{Version: m.version, Kind: policyapi.Delta, Endpoints: endpoints})
 }
 
-// endpointUpdate is the list as it is.
-func (m *fleetModel) endpointUpdate(how policyapi.UpdateKind) policyapi.EndpointUpdate {
-	list := policyapi.EndpointUpdate{Version: m.version, Kind: how}
+// endpointUpdate returns the current list.
+func (m *fleetModel) endpointUpdate(kind policyapi.UpdateKind) policyapi.EndpointUpdate {
+	list := policyapi.EndpointUpdate{Version: m.version, Kind: kind}
 	for _, id := range slices.Sorted(maps.Keys(m.list)) {
 		list.Endpoints = append(list.Endpoints, m.list[id])
 	}
@@ -161,31 +165,32 @@
 	m.enqueue(list)
 }
 
-// connect lets a proxy's stream stand. One that has been here holds what it held; fresh ones hold a standing table.
-func (m *fleetModel) connect(id policyapi.ProxyID, zone policyapi.Zone, load float64, brings ...policyapi.EndpointID) {
+// connect connects a proxy's stream. One that has been connected before keeps its tables; a new one has its default table, or what it
+// brings along.
+func (m *fleetModel) connect(id policyapi.ProxyID, zone policyapi.Zone, load float64, broughtAlong ...policyapi.EndpointID) {
 	p := m.everSeen[id]
-	fresh := p == nil && len(brings) == 0
+	isNew := p == nil && len(broughtAlong) == 0
 	if p == nil {
 		p = newModelProxy(id, zone, m.classes())
 		m.everSeen[id] = p
 	}
-	if fresh {
+	if isNew {
 		p.setTables(m.defaultTable(zone)...)
 	}
-	if len(brings) > 0 {
-		p.setTables(brings...)
+	if len(broughtAlong) > 0 {
+		p.setTables(broughtAlong...)
 	}
 	if old := m.proxies[id]; old != nil {
 		old.disconnected = true
 	}
 	m.proxies[id] = &connectedProxy{modelProxy: p, since: m.now, load: load}
 	delete(m.bound, id)
-	j := policyapi.ProxyConnected{Proxy: id, Zone: zone, HasDefaultTableOnly: fresh, Weight: load}
-	m.publisher.Connect(j)
-	m.enqueue(j)
+	connected := policyapi.ProxyConnected{Proxy: id, Zone: zone, HasDefaultTableOnly: isNew, Weight: load}
+	m.publisher.Connect(connected)
+	m.enqueue(connected)
 }
 
-// defaultTable is what a proxy's own table has: a few endpoints that the list calls ready when it starts.
+// defaultTable returns the endpoints of a proxy's own table: a few that are ready when it starts.
 func (m *fleetModel) defaultTable(zone policyapi.Zone) (ids []policyapi.EndpointID) {
 	for _, id := range slices.Sorted(maps.Keys(m.list)) {
 		if e := m.list[id]; e.Zone == zone && e.Status == policyapi.Ready && len(ids) < 6 {
@@ -195,7 +200,7 @@
 	return ids
 }
 
-// disconnect ends a proxy's stream: what is on its way to it is lost.
+// disconnect ends a proxy's stream: messages on their way to it are lost.
 func (m *fleetModel) disconnect(id policyapi.ProxyID) {
 	if p := m.proxies[id]; p != nil {
 		p.disconnected = true
@@ -206,7 +211,7 @@
 	}
 }
 
-// run lets time go by.
+// run advances the clock.
 func (m *fleetModel) run(d policyapi.Microseconds) {
 	for end := m.now + d; m.now < end; {
 		m.now += tick
@@ -230,14 +235,14 @@
 	}
 }
 
-// check asks the oracle about all that are joined.
+// checkRules checks all connected proxies.
 func (m *fleetModel) checkRules() {
 	for _, id := range slices.Sorted(maps.Keys(m.proxies)) {
 		m.oracle.check(m.now, m.proxies[id].since, m.proxies[id].modelProxy)
 	}
 }
 
-// step lets the module decide on what has come in and carries out its orders.
+// step gives the module its events and carries out its orders.
 func (m *fleetModel) step() {
 	batch := m.batch
 	m.batch = nil
@@ -245,12 +250,12 @@
 	for _, order := range orders {
 		m.trackOrder(order)
 	}
-	for _, post := range m.publisher.Apply(orders) {
-		m.send(post)
+	for _, message := range m.publisher.Apply(orders) {
+		m.send(message)
 	}
 }
 
-// trackOrder follows orders for the report and sets timers.
+// trackOrder sets timers and follows tables and binds for describeOrders.
 func (m *fleetModel) trackOrder(order policyapi.Order) {
 	switch o := order.(type) {
 	case policyapi.SetTimer:
@@ -277,7 +282,7 @@
 	}
 }
 
-// describeOrders tells which table a proxy was bound to, and what that is to hold.
+// describeOrders says which table a proxy is bound to, and what that was ordered to have.
 func (m *fleetModel) describeOrders(id policyapi.ProxyID, class int) string {
 	tables := m.bound[id]
 	if tables == nil {
@@ -286,91 +291,91 @@
 	return fmt.Sprintf("bound to table %d, ordered to hold %v", tables[class], slices.Sorted(maps.Keys(m.tables[tables[class]])))
 }
 
-// send puts a message into the channel: it leaves once all before it have, travels, is applied and acknowledged.
-func (m *fleetModel) send(post proxyproto.OutboundMessage) {
-	p := m.proxies[post.Proxy]
+// send puts a message into the channel: it leaves once all before it have, and is then delivered, applied and acknowledged.
+func (m *fleetModel) send(message proxyproto.OutboundMessage) {
+	p := m.proxies[message.Proxy]
 	if p == nil {
-		m.t.Fatalf("%v: a message for proxy %d, which is not joined", m.now, post.Proxy)
+		m.t.Fatalf("%v: a message for proxy %d, which is not connected", m.now, message.Proxy)
 	}
 	m.messages++
-	lines := float64(post.Lines) + m.settings.Channel.MessageOverhead
+	lines := float64(message.Lines) + m.settings.Channel.MessageOverhead
 	m.queueEmptyAt = max(m.queueEmptyAt, m.now) + policyapi.Microseconds(lines*m.slowdown/m.settings.Channel.LinesPerSecond*float64(second))
-	m.inQueue = slices.DeleteFunc(m.inQueue, func(q queued) bool { return q.leaves <= m.now })
+	m.inQueue = slices.DeleteFunc(m.inQueue, func(q queued) bool { return q.leavesAt <= m.now })
 	m.inQueue = append(m.inQueue, queued{m.queueEmptyAt, lines})
 	m.checkQueue(p)
 	travel := m.settings.Channel.Latency/2 + policyapi.Microseconds(m.random.Int64N(int64(m.settings.Channel.MaxLatency-m.settings.Channel.Latency/2)))
 	p.applied = max(p.applied, m.queueEmptyAt+travel)
-	m.after(p.applied-m.now, func() { m.deliver(p, post) })
+	m.after(p.applied-m.now, func() { m.deliver(p, message) })
 }
 
-func (m *fleetModel) deliver(p *connectedProxy, post proxyproto.OutboundMessage) {
+func (m *fleetModel) deliver(p *connectedProxy, message proxyproto.OutboundMessage) {
 	if p.disconnected {
 		return
 	}
-	p.apply(m.t, post.Bytes)
-	if !post.RequestsAck || m.random.Float64() < m.ackLoss {
+	p.apply(m.t, message.Bytes)
+	if !message.RequestsAck || m.random.Float64() < m.ackLoss {
 		return
 	}
-	mark, ours := m.publisher.Acknowledge(post.AckID)
-	if !ours {
+	ackID, isCurrent := m.publisher.Acknowledge(message.AckID)
+	if !isCurrent {
 		return
 	}
 	m.after(policyapi.Microseconds(m.random.Int64N(int64(second/5))), func() {
 		if !p.disconnected {
-			m.enqueue(policyapi.Acknowledged{Proxy: p.id, AckID: mark})
+			m.enqueue(policyapi.Acknowledged{Proxy: p.id, AckID: ackID})
 		}
 	})
 }
 
-// checkQueue judges rule 5: the lines that wait, and the messages to one proxy since it has joined.
+// checkQueue checks rule 5: the lines in the queue, and the messages to one proxy since it has connected.
 func (m *fleetModel) checkQueue(p *connectedProxy) {
 	waiting := 0.0
-	for _, q := range m.inQueue {
-		waiting += q.lines
+	for _, message := range m.inQueue {
+		waiting += message.lines
 	}
 	if rules := m.settings.Rules; waiting > rules.QueueLimit {
-		m.oracle.findings = append(m.oracle.findings, finding{"queue", m.now, p.id, "", fmt.Sprintf("%.0f lines wait, %.0f may", waiting, rules.QueueLimit)})
+		m.oracle.findings = append(m.oracle.findings, finding{"queue", m.now, p.id, "", fmt.Sprintf("%.0f lines are queued, limit %.0f", waiting, rules.QueueLimit)})
 	}
-	span, most := m.settings.Rules.MessageWindow, m.settings.Rules.MessageLimit
-	p.sent = append(slices.DeleteFunc(p.sent, func(at policyapi.Microseconds) bool { return m.now-at >= span }), m.now)
-	if most > 0 && len(p.sent) > most {
-		m.oracle.findings = append(m.oracle.findings, finding{"queue", m.now, p.id, "", fmt.Sprintf("%d messages in the span, %d may", len(p.sent), most)})
+	window, maxMessages := m.settings.Rules.MessageWindow, m.settings.Rules.MessageLimit
+	p.sent = append(slices.DeleteFunc(p.sent, func(at policyapi.Microseconds) bool { return m.now-at >= window }), m.now)
+	if maxMessages > 0 && len(p.sent) > maxMessages {
+		m.oracle.findings = append(m.oracle.findings, finding{"queue", m.now, p.id, "", fmt.Sprintf("%d messages in the window, limit %d", len(p.sent), maxMessages)})
 	}
 }
 
-// reportLoad is a round of reports: what proxies asked for, and how endpoints did by what proxies hold. It goes on for ever.
+// reportLoad reports the proxies' demand and the endpoints' load that follows from the tables, and schedules the next round.
 func (m *fleetModel) reportLoad() {
 	m.after(m.settings.Reports.Period, m.reportLoad)
 	type pair struct {
 		zone policyapi.Zone
 		id   policyapi.EndpointID
 	}
-	tries := map[pair]float64{}
+	attempts := map[pair]float64{}
 	seconds := float64(m.settings.Reports.Period) / float64(second)
 	for _, id := range slices.Sorted(maps.Keys(m.proxies)) {
 		p := m.proxies[id]
 		for class := range m.settings.Classes {
 			requests := p.load * seconds / float64(len(m.settings.Classes))
 			m.enqueue(policyapi.ProxyLoad{Proxy: id, Class: policyapi.RequestClass(class), Requests: int(requests + m.random.Float64()), Period: m.settings.Reports.Period})
-			held, sum := p.endpoints(class), 0.0
-			for _, b := range held {
+			endpoints, sum := p.endpoints(class), 0.0
+			for _, b := range endpoints {
 				sum += p.tables[class][b]
 			}
-			for _, b := range held {
-				tries[pair{p.zone, b}] += requests * p.tables[class][b] / sum
+			for _, b := range endpoints {
+				attempts[pair{p.zone, b}] += requests * p.tables[class][b] / sum
 			}
 		}
 	}
-	for _, at := range slices.SortedFunc(maps.Keys(tries), func(a, b pair) int {
+	for _, key := range slices.SortedFunc(maps.Keys(attempts), func(a, b pair) int {
 		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.id, b.id))
 	}) {
-		heard := policyapi.EndpointLoad{Zone: at.zone, Endpoint: at.id, Attempts: int(tries[at] + m.random.Float64()), MeanLatency: 200_000, Period: m.settings.Reports.Period,
+		load := policyapi.EndpointLoad{Zone: key.zone, Endpoint: key.id, Attempts: int(attempts[key] + m.random.Float64()), MeanLatency: 200_000, Period: m.settings.Reports.Period,
 			Metrics: policyapi.LoadMetrics{"busy": 0.5}}
-		if m.failing[at.id] {
-			heard.Failures, heard.MeanLatency, heard.Metrics = heard.Attempts, 0, nil
+		if m.failing[key.id] {
+			load.Failures, load.MeanLatency, load.Metrics = load.Attempts, 0, nil
 		}
-		if heard.Attempts > 0 {
-			m.enqueue(heard)
+		if load.Attempts > 0 {
+			m.enqueue(load)
 		}
 	}
 }
--- a/proxyproto/messagereader.go
+++ b/proxyproto/messagereader.go
@@ -72,33 +72,33 @@
 	return false
 }
 
-// number returns a decimal number from least to most.
-func (m *messageReader) number(field string, least, most float64) float64 {
+// number returns a decimal number from minimum to maximum.
+func (m *messageReader) number(field string, minimum, maximum float64) float64 {
 	text := m.text(field)
 	v, ok := parseDecimal(text)
 	if !ok {
 		m.fail(field, fmt.Sprintf("%q is not a number", shorten(text)))
-	} else if v < least || v > most {
-		m.fail(field, fmt.Sprintf("%g is not within %g to %g", v, least, most))
+	} else if v < minimum || v > maximum {
+		m.fail(field, fmt.Sprintf("%g is not within %g to %g", v, minimum, maximum))
 	}
 	return v
 }
 
-// integer returns a whole number from 0 to most.
-func (m *messageReader) integer(field string, most int) int {
+// integer returns a whole number from 0 to maximum.
+func (m *messageReader) integer(field string, maximum int) int {
 	text := m.text(field)
 	v, err := strconv.ParseUint(text, 10, 31)
 	if err != nil {
 		m.fail(field, fmt.Sprintf("%q is not a whole number from 0 on", shorten(text)))
-	} else if int(v) > most {
-		m.fail(field, fmt.Sprintf("%d is over %d", v, most))
+	} else if int(v) > maximum {
+		m.fail(field, fmt.Sprintf("%d is over %d", v, maximum))
 	}
 	return int(v)
 }
 
 // duration returns a time of at most so many milliseconds.
-func (m *messageReader) duration(field string, mostMilliseconds float64) policyapi.Microseconds {
-	return millisecondsToMicroseconds(m.number(field, 0, mostMilliseconds))
+func (m *messageReader) duration(field string, maxMilliseconds float64) policyapi.Microseconds {
+	return millisecondsToMicroseconds(m.number(field, 0, maxMilliseconds))
 }
 
 func (m *messageReader) flag(field string) bool {
--- a/proxyproto/modelproxy_test.go
+++ b/proxyproto/modelproxy_test.go
@@ -12,8 +12,8 @@
 	"porthub/resp"
 )
 
-// modelProxy is a proxy as the protocol page describes one: it keeps a table for each request class and the set of endpoints
-// that it shuts out, both over a change of streams, and applies CONFIG messages to them.
+// modelProxy is a proxy as the protocol page describes one: it has a table for each request class and a set of ejected
+// endpoints, keeps both when its stream is replaced, and applies CONFIG messages to them.
 type modelProxy struct {
 	id          policyapi.ProxyID
 	zone        policyapi.Zone
@@ -31,7 +31,7 @@
 	return p
 }
 
-// setTables replaces all tables, as a proxy's standing table does, or what it brings along from another coordinator.
+// setTables replaces all tables, by a proxy's default table or by what it brings along from another coordinator.
 func (p *modelProxy) setTables(endpoints ...policyapi.EndpointID) {
 	for class := range p.tables {
 		p.tables[class] = map[policyapi.EndpointID]float64{}
@@ -41,12 +41,12 @@
 	}
 }
 
-// offers tells whether a request of a class could go to an endpoint.
+// offers reports whether a request of a class could go to an endpoint.
 func (p *modelProxy) offers(class int, id policyapi.EndpointID) bool {
 	return p.tables[class][id] > 0 && !p.ejected[id]
 }
 
-// offersAny tells whether a request of a class could go anywhere.
+// offersAny reports whether a request of a class could go anywhere.
 func (p *modelProxy) offersAny(class int) bool {
 	for id := range p.tables[class] {
 		if p.offers(class, id) {
@@ -62,7 +62,7 @@
 	for len(message) > 0 {
 		words, size, err := resp.Take(message, proxyproto.IncomingLimits)
 		if err != nil || size == 0 {
-			t.Fatalf("proxy %d: not whole messages: %v", p.id, err)
+			t.Fatalf("proxy %d: not complete messages: %v", p.id, err)
 		}
 		p.applyPart(t, words)
 		p.lastMessage += resp.Text(words, 1<<12) + " "
@@ -114,7 +114,7 @@
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
 }
 
-// endpoints are the endpoints of a class's table, sorted.
+// endpoints returns the endpoints of a class's table, sorted.
 func (p *modelProxy) endpoints(class int) []policyapi.EndpointID {
 	return slices.Sorted(maps.Keys(p.tables[class]))
 }
@@ -132,10 +132,10 @@
 		t.Errorf("save: %v", got)
 	}
 	if p.offers(1, "s-1") || !p.offers(1, "s-3") {
-		t.Error("what is shut out is offered, or what is not is not")
+		t.Error("an ejected endpoint is offered, or another is not")
 	}
 	p.apply(t, message("CONFIG", "undrop", "s-1"))
 	if !p.offers(1, "s-1") {
-		t.Error("what was let back is not offered")
+		t.Error("a restored endpoint is not offered")
 	}
 }
--- a/proxyproto/sequences_test.go
+++ b/proxyproto/sequences_test.go
@@ -15,68 +15,68 @@
 )
 
 var (
-	sequences     = flag.Int("sequences", 120, "how many random sequences of a fleet's life are played")
-	reported      = flag.Int("reported", 2, "how many broken sequences are told in full, by rule")
+	sequences     = flag.Int("sequences", 120, "how many random sequences of fleet events are run")
+	reported      = flag.Int("reported", 2, "how many failed sequences of each rule are reported in full")
 	firstSequence = flag.Uint64("first-sequence", 1, "the seed of the first of them")
 )
 
-// sequence is a random life of a fleet before one coordinator: settings, then what happens, all drawn from a seed.
+// sequence is a random sequence of fleet events at one coordinator: settings and events are drawn from a seed.
 type sequence struct {
 	*fleetModel
 	random        *rand.Rand
 	perZone       int
-	maxProxies    int // as many proxies come at most
+	maxProxies    int // as many proxies connect at most
 	endpointCount int
 	actions       []string
 	changes       []policyapi.Microseconds // when the list changed
-	tight         bool                     // what all proxies hold does not pass the channel within half of the grace
+	tight         bool                     // the tables of all proxies do not pass the channel within half of the grace period
 }
 
-// drawSettings draws what a deployment may look like. Limits are such that a coordinator can keep the rules: a line to each proxy
-// takes a small part of the grace, and so do the tables of those that come together.
-func drawSettings(r *rand.Rand) (up policyapi.Start, perZone, joined int, tight bool) {
+// drawSettings draws the settings of a deployment. Limits are such that a coordinator can keep the rules: a line to each proxy takes a
+// small part of the grace period, and so do the tables of proxies that connect together.
+func drawSettings(r *rand.Rand) (settings policyapi.Start, perZone, maxProxies int, tight bool) {
 	pick := func(values ...int) int { return values[r.IntN(len(values))] }
-	up = policyapi.Start{InstanceCount: pick(1, 1, 5, 5, 40, 300), PollsList: r.IntN(2) == 0, Admission: policyapi.AdmissionMode(r.IntN(3))}
-	joined = pick(1, 2, 4, 8, 8, 12, 30, 100)
+	settings = policyapi.Start{InstanceCount: pick(1, 1, 5, 5, 40, 300), PollsList: r.IntN(2) == 0, Admission: policyapi.AdmissionMode(r.IntN(3))}
+	maxProxies = pick(1, 2, 4, 8, 8, 12, 30, 100)
 	if r.IntN(25) == 0 {
-		joined = pick(300, 1000)
+		maxProxies = pick(300, 1000)
 	}
-	up.ProxyCount = joined * up.InstanceCount
-	up.Zones = []policyapi.Zone{"a", "b", "c", "d"}[:1+r.IntN(4)]
-	up.Zone = up.Zones[0]
+	settings.ProxyCount = maxProxies * settings.InstanceCount
+	settings.Zones = []policyapi.Zone{"a", "b", "c", "d"}[:1+r.IntN(4)]
+	settings.Zone = settings.Zones[0]
 	perZone = pick(0, 1, 2, 3, 6, 12, 30)
-	sets := map[string]bool{}
+	routingPolicies := map[string]bool{}
 	for k := range 1 + r.IntN(3) {
-		kind := policyapi.ClassSettings{Name: fmt.Sprintf("kind%d", k), LatencyObjective: 800_000, ClientTimeout: 2 * second, PriorityWeight: float64(1 + r.IntN(3)),
+		class := policyapi.ClassSettings{Name: fmt.Sprintf("kind%d", k), LatencyObjective: 800_000, ClientTimeout: 2 * second, PriorityWeight: float64(1 + r.IntN(3)),
 			Idempotency: policyapi.Idempotency(r.IntN(3)), LocalZoneOnly: r.IntN(4) == 0}
 		if r.IntN(5) == 0 {
-			kind.AllowedZones = up.Zones[:1+r.IntN(len(up.Zones))]
+			class.AllowedZones = settings.Zones[:1+r.IntN(len(settings.Zones))]
 		}
-		sets[fmt.Sprint(kind.LocalZoneOnly, kind.AllowedZones)] = true
-		up.Classes = append(up.Classes, kind)
+		routingPolicies[fmt.Sprint(class.LocalZoneOnly, class.AllowedZones)] = true
+		settings.Classes = append(settings.Classes, class)
 	}
-	most := len(sets) * 2 * max(1, perZone) * len(up.Zones) // lines of all tables of a proxy, also after the list has doubled
+	maxLines := len(routingPolicies) * 2 * max(1, perZone) * len(settings.Zones) // lines of all tables of a proxy, also after the list has doubled
 	envelope := 3 + r.IntN(4)
-	whole := float64(most + envelope + 3*len(up.Classes) + 3)
-	limit := whole * float64(3+r.IntN(20))
-	limit = max(limit, float64(joined)*whole/2, float64(2*joined*(envelope+8)))
-	up.Channel = policyapi.ChannelSettings{MessageOverhead: float64(envelope), Latency: 200_000, MaxLatency: 600_000, EndpointConnections: pick(20, 100, 300, 3000)}
-	drains := 0.5 + 8*r.Float64() // seconds that a full queue takes
-	up.Channel.LinesPerSecond = limit / drains
-	grace := policyapi.Microseconds((drains + 2.5) * float64(second))
-	up.Reports = policyapi.ReportSettings{Period: policyapi.Microseconds(pick(500, 1000, 1000, 2000, 5000)) * 1000, MaxLinesPerSecond: float64(pick(50, 200, 1000)),
+	allTablesLines := float64(maxLines + envelope + 3*len(settings.Classes) + 3)
+	limit := allTablesLines * float64(3+r.IntN(20))
+	limit = max(limit, float64(maxProxies)*allTablesLines/2, float64(2*maxProxies*(envelope+8)))
+	settings.Channel = policyapi.ChannelSettings{MessageOverhead: float64(envelope), Latency: 200_000, MaxLatency: 600_000, EndpointConnections: pick(20, 100, 300, 3000)}
+	drainSeconds := 0.5 + 8*r.Float64() // seconds that a full queue takes
+	settings.Channel.LinesPerSecond = limit / drainSeconds
+	grace := policyapi.Microseconds((drainSeconds + 2.5) * float64(second))
+	settings.Reports = policyapi.ReportSettings{Period: policyapi.Microseconds(pick(500, 1000, 1000, 2000, 5000)) * 1000, MaxLinesPerSecond: float64(pick(50, 200, 1000)),
 		MetricsInReports: true, MetricNames: []string{"busy"}}
-	up.Rules = policyapi.RuleSettings{EmptyTableLimit: grace + 3*second, DrainGracePeriod: grace, WarmUp: policyapi.Microseconds(2+r.IntN(15)) * second, InitialCapacity: 0.2, OverloadFactor: 2.5,
+	settings.Rules = policyapi.RuleSettings{EmptyTableLimit: grace + 3*second, DrainGracePeriod: grace, WarmUp: policyapi.Microseconds(2+r.IntN(15)) * second, InitialCapacity: 0.2, OverloadFactor: 2.5,
 		OverloadWindow: 2 * second, SoftRemoval: r.IntN(5) == 0, PollInterval: 10 * second, QueueLimit: limit, MessageLimit: pick(0, 2, 3, 4, 6, 10, 20, 20), MessageWindow: 10 * second,
 		HealthChecksAllowed: r.IntN(2) == 0}
-	tight = 2*float64(joined)*whole/up.Channel.LinesPerSecond > drains+2.5
-	return up, perZone, joined, tight
+	tight = 2*float64(maxProxies)*allTablesLines/settings.Channel.LinesPerSecond > drainSeconds+2.5
+	return settings, perZone, maxProxies, tight
 }
 
 func newSequence(t testing.TB, seed uint64) *sequence {
 	r := rand.New(rand.NewPCG(seed, 1))
-	up, perZone, joined, tight := drawSettings(r)
-	s := &sequence{fleetModel: newFleetModel(t, up, seed), random: r, perZone: perZone, maxProxies: joined, tight: tight}
+	settings, perZone, maxProxies, tight := drawSettings(r)
+	s := &sequence{fleetModel: newFleetModel(t, settings, seed), random: r, perZone: perZone, maxProxies: maxProxies, tight: tight}
 	if r.IntN(4) == 0 {
 		s.slowdown = 1 + 2*r.Float64()
 		s.oracle.factor = policyapi.Microseconds(s.slowdown + 1)
@@ -89,31 +89,31 @@
 	s.actions = append(s.actions, fmt.Sprintf("%8.2f s: ", float64(s.now)/float64(second))+fmt.Sprintf(format, args...))
 }
 
-// newEndpoint is a new endpoint.
-func (s *sequence) newEndpoint(zone policyapi.Zone, launched policyapi.Microseconds) policyapi.Endpoint {
+// newEndpoint returns a new endpoint.
+func (s *sequence) newEndpoint(zone policyapi.Zone, startedAt policyapi.Microseconds) policyapi.Endpoint {
 	s.endpointCount++
 	return policyapi.Endpoint{ID: policyapi.EndpointID(fmt.Sprintf("s-%03d", s.endpointCount)), Zone: zone, Weight: 0.5 + s.random.Float64(), Pod: policyapi.PodID(s.random.IntN(4)),
-		MachineType: "std", StartedAt: launched}
+		MachineType: "std", StartedAt: startedAt}
 }
 
-// start gives a list, perhaps one that is old or short, and lets proxies come.
+// start delivers a list, perhaps an incomplete one, and connects proxies.
 func (s *sequence) start() {
-	short := s.random.IntN(4) == 0
+	incomplete := s.random.IntN(4) == 0
 	for _, zone := range s.settings.Zones {
 		for range s.perZone {
 			e := s.newEndpoint(zone, 0)
 			s.list[e.ID] = e
 		}
 	}
-	whole := s.endpointUpdate(policyapi.Cached)
-	if short {
-		whole.Endpoints = whole.Endpoints[:len(whole.Endpoints)/4]
+	cached := s.endpointUpdate(policyapi.Cached)
+	if incomplete {
+		cached.Endpoints = cached.Endpoints[:len(cached.Endpoints)/4]
 	}
 	if s.random.IntN(3) > 0 {
-		s.deliverList(whole)
+		s.deliverList(cached)
 	}
 	s.after(policyapi.Microseconds(s.random.Int64N(int64(2*second))), func() { s.deliverList(s.endpointUpdate(policyapi.Snapshot)) })
-	s.logAction("start, %d endpoints, short list %t", len(s.list), short)
+	s.logAction("start, %d endpoints, incomplete list %t", len(s.list), incomplete)
 	s.run(second / 2)
 	s.reportLoad()
 	for range 1 + s.random.IntN(s.maxProxies) {
@@ -121,7 +121,7 @@
 	}
 }
 
-// connectRandomProxy lets a proxy join: a new one, one that was here, or one from another coordinator with that one's tables.
+// connectRandomProxy connects a proxy: a new one, one that was connected before, or one from another coordinator with its tables.
 func (s *sequence) connectRandomProxy() {
 	id := policyapi.ProxyID(s.random.IntN(s.maxProxies))
 	if s.proxies[id] != nil && s.random.IntN(10) > 0 {
@@ -135,53 +135,53 @@
 	if s.random.IntN(8) == 0 {
 		load *= 20
 	}
-	var brings []policyapi.EndpointID
+	var broughtAlong []policyapi.EndpointID
 	if s.random.IntN(3) == 0 {
 		for range 1 + s.random.IntN(4) {
 			if s.endpointCount == 0 || s.random.IntN(4) == 0 {
-				brings = append(brings, policyapi.EndpointID(fmt.Sprintf("x-%d", s.random.IntN(4)))) // not in any list of this coordinator
+				broughtAlong = append(broughtAlong, policyapi.EndpointID(fmt.Sprintf("x-%d", s.random.IntN(4)))) // not in any list of this coordinator
 			} else {
-				brings = append(brings, policyapi.EndpointID(fmt.Sprintf("s-%03d", 1+s.random.IntN(s.endpointCount))))
+				broughtAlong = append(broughtAlong, policyapi.EndpointID(fmt.Sprintf("s-%03d", 1+s.random.IntN(s.endpointCount))))
 			}
 		}
 	}
-	s.connect(id, zone, load, brings...)
+	s.connect(id, zone, load, broughtAlong...)
 }
 
 // randomEndpoints draws endpoints of the list, of one zone or of all, with a status.
-func (s *sequence) randomEndpoints(most int, status policyapi.EndpointStatus) (entries []policyapi.Endpoint) {
+func (s *sequence) randomEndpoints(limit int, status policyapi.EndpointStatus) (endpoints []policyapi.Endpoint) {
 	zone := s.settings.Zones[s.random.IntN(len(s.settings.Zones))]
 	everywhere := s.random.IntN(2) == 0
 	for _, id := range slices.Sorted(maps.Keys(s.list)) {
 		if e := s.list[id]; e.Status == status && (everywhere || e.Zone == zone) {
-			entries = append(entries, e)
+			endpoints = append(endpoints, e)
 		}
 	}
-	s.random.Shuffle(len(entries), func(i, j int) { entries[i], entries[j] = entries[j], entries[i] })
-	return entries[:min(len(entries), most)]
+	s.random.Shuffle(len(endpoints), func(i, j int) { endpoints[i], endpoints[j] = endpoints[j], endpoints[i] })
+	return endpoints[:min(len(endpoints), limit)]
 }
 
-// randomAction draws what happens next.
+// randomAction draws and performs the next event.
 func (s *sequence) randomAction() {
-	many := 1 + s.random.IntN(3)
+	count := 1 + s.random.IntN(3)
 	if s.random.IntN(6) == 0 {
-		many = 100 // all of a zone
+		count = 100 // all of a zone
 	}
-	what := s.random.IntN(16)
-	if (what <= 8 || what == 15) && !s.mayChange() {
+	action := s.random.IntN(16)
+	if (action <= 8 || action == 15) && !s.mayChange() {
 		return
 	}
-	switch what {
+	switch action {
 	case 0, 1, 2, 3:
-		s.drain(s.randomEndpoints(many, policyapi.Ready))
+		s.drain(s.randomEndpoints(count, policyapi.Ready))
 	case 4, 5:
-		s.remove(s.randomEndpoints(many, policyapi.Draining))
+		s.remove(s.randomEndpoints(count, policyapi.Draining))
 	case 6:
-		s.remove(s.randomEndpoints(many, policyapi.Ready))
+		s.remove(s.randomEndpoints(count, policyapi.Ready))
 	case 7, 8:
-		s.launch(many)
+		s.launch(count)
 	case 9:
-		s.logAction("a whole list")
+		s.logAction("a snapshot")
 		s.deliverList(s.endpointUpdate(policyapi.Snapshot))
 	case 10:
 		s.deliverList(policyapi.EndpointUpdate{Kind: policyapi.Failed})
@@ -192,7 +192,7 @@
 	case 12:
 		for _, id := range slices.Sorted(maps.Keys(s.proxies)) {
 			if s.random.IntN(4) == 0 {
-				s.logAction("proxy %d leaves", id)
+				s.logAction("proxy %d disconnects", id)
 				s.disconnect(id)
 			}
 		}
@@ -209,64 +209,64 @@
 	}
 }
 
-// mayChange tells whether the list may change now, or the module fail. A proxy that may get few messages can't be told of more
-// changes than that, whoever tells it: one message binds it, one is left over.
+// mayChange reports whether the list may change now, or the module fail. Under a low message limit no coordinator could publish more
+// changes to a proxy: one message binds it, one is left over.
 func (s *sequence) mayChange() bool {
-	most := s.settings.Rules.MessageLimit
-	if most == 0 {
+	messageLimit := s.settings.Rules.MessageLimit
+	if messageLimit == 0 {
 		return true
 	}
 	s.changes = slices.DeleteFunc(s.changes, func(at policyapi.Microseconds) bool { return s.now-at > s.settings.Rules.MessageWindow+second })
-	if len(s.changes) >= max(1, most-2) {
+	if len(s.changes) >= max(1, messageLimit-2) {
 		return false
 	}
 	s.changes = append(s.changes, s.now)
 	return true
 }
 
-func endpointIDs(entries []policyapi.Endpoint) (ids []policyapi.EndpointID) {
-	for _, e := range entries {
+func endpointIDs(endpoints []policyapi.Endpoint) (ids []policyapi.EndpointID) {
+	for _, e := range endpoints {
 		ids = append(ids, e.ID)
 	}
 	return ids
 }
 
-func (s *sequence) drain(entries []policyapi.Endpoint) {
-	for i := range entries {
-		entries[i].Status = policyapi.Draining
+func (s *sequence) drain(endpoints []policyapi.Endpoint) {
+	for i := range endpoints {
+		endpoints[i].Status = policyapi.Draining
 	}
-	s.logAction("draining: %v", endpointIDs(entries))
-	s.applyDelta(entries...)
+	s.logAction("draining: %v", endpointIDs(endpoints))
+	s.applyDelta(endpoints...)
 }
 
-func (s *sequence) remove(entries []policyapi.Endpoint) {
-	for i := range entries {
-		entries[i].Status = policyapi.Removed
+func (s *sequence) remove(endpoints []policyapi.Endpoint) {
+	for i := range endpoints {
+		endpoints[i].Status = policyapi.Removed
 	}
-	s.logAction("gone: %v", endpointIDs(entries))
-	s.applyDelta(entries...)
+	s.logAction("removed: %v", endpointIDs(endpoints))
+	s.applyDelta(endpoints...)
 }
 
-// launch lists new endpoints, or brings drained ones back under their names as new processes.
-func (s *sequence) launch(many int) {
-	var entries []policyapi.Endpoint
+// launch lists new endpoints, or drained ones again as new processes under the same names.
+func (s *sequence) launch(count int) {
+	var endpoints []policyapi.Endpoint
 	if s.random.IntN(2) == 0 {
-		for _, e := range s.randomEndpoints(many, policyapi.Draining) {
+		for _, e := range s.randomEndpoints(count, policyapi.Draining) {
 			e.Status, e.StartedAt = policyapi.Ready, s.now
-			entries = append(entries, e)
+			endpoints = append(endpoints, e)
 		}
 	}
-	for range min(many, 2*max(1, s.perZone)*len(s.settings.Zones)-len(s.list)-len(entries)) {
-		entries = append(entries, s.newEndpoint(s.settings.Zones[s.random.IntN(len(s.settings.Zones))], s.now))
+	for range min(count, 2*max(1, s.perZone)*len(s.settings.Zones)-len(s.list)-len(endpoints)) {
+		endpoints = append(endpoints, s.newEndpoint(s.settings.Zones[s.random.IntN(len(s.settings.Zones))], s.now))
 	}
-	s.logAction("ready: %v", endpointIDs(entries))
-	s.applyDelta(entries...)
+	s.logAction("ready: %v", endpointIDs(endpoints))
+	s.applyDelta(endpoints...)
 }
 
-// restart kills the coordinator, or its module alone; proxies come again within a second.
+// restart restarts the coordinator, or its module alone; proxies reconnect within a second.
 func (s *sequence) restart() {
 	if s.tight {
-		return // nobody could lay all tables anew in time
+		return // all tables could not be sent again in time
 	}
 	if s.random.IntN(2) == 0 {
 		s.logAction("the module fails")
@@ -291,7 +291,7 @@
 	}
 }
 
-// runScenario plays the whole sequence.
+// runScenario runs the whole sequence, until a rule is broken.
 func (s *sequence) runScenario() {
 	s.start()
 	for range 10 + s.random.IntN(20) {
@@ -304,8 +304,8 @@
 	s.run(s.settings.Rules.DrainGracePeriod*s.oracle.factor + second)
 }
 
-// In random lives of fleets no proxy offers an endpoint that was told as draining or gone once the grace is over (rule 3), none
-// lacks one while a warm ready one is listed (rule 1), and lines and messages stay within their limits (rule 5).
+// In random sequences of fleet events no proxy offers an endpoint that was listed as draining or removed once the grace period is over
+// (rule 3), none lacks one while a warmed-up ready one is listed (rule 1), and lines and messages stay within their limits (rule 5).
 func TestRandomSequencesKeepTheRules(t *testing.T) {
 	type outcome struct {
 		seed uint64
--- a/proxyproto/surge_test.go
+++ b/proxyproto/surge_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// fullSize are the settings of a deployment of 200 endpoints and 2,400 proxies under five coordinators.
+// fullSize returns the settings of a deployment of 200 endpoints and 2,400 proxies under five coordinators.
 func fullSize() policyapi.Start {
 	return policyapi.Start{InstanceCount: 5, ProxyCount: 2400, PollsList: true, Admission: policyapi.AdmissionByRate, Zone: "a", Zones: []policyapi.Zone{"a", "b", "c"},
 		Classes: []policyapi.ClassSettings{
@@ -21,12 +21,12 @@
 		Reports: policyapi.ReportSettings{Period: second, MaxLinesPerSecond: 200, MetricsInReports: true, MetricNames: []string{"busy", "q"}}}
 }
 
-// Most coordinators are killed while a release replaces half of the endpoints: all proxies come to the one that is left, with the
-// tables of the others, while endpoints drain every half second. What they hold is replaced within the grace.
+// Most coordinators are killed while a release replaces half of the endpoints: all proxies connect to the one that is left, with the
+// tables of the others, while endpoints drain every half second. Their tables are replaced within the grace period.
 func TestSurgeOfProxiesDuringARelease(t *testing.T) { runSurge(t, 1000) }
 
 // The same with as many proxies as five coordinators of the standing test's days have: all their tables do not pass the channel within
-// the grace.
+// the grace period.
 func TestLargeSurgeOfProxiesDuringARelease(t *testing.T) { runSurge(t, 1800) }
 
 func runSurge(t *testing.T, proxies int) {
@@ -36,16 +36,16 @@
 			m := newFleetModel(t, fullSize(), seed)
 			var ids []policyapi.EndpointID
 			for i := range 200 {
-				e := policyapi.Endpoint{ID: policyapi.EndpointID(fmt.Sprintf("s-%03d", i)), Zone: m.settings.Zones[i%3], Weight: 0.8 + 0.4*random.Float64(),
+				endpoint := policyapi.Endpoint{ID: policyapi.EndpointID(fmt.Sprintf("s-%03d", i)), Zone: m.settings.Zones[i%3], Weight: 0.8 + 0.4*random.Float64(),
 					Pod: policyapi.PodID(i % 40), MachineType: "std"}
-				m.list[e.ID] = e
-				ids = append(ids, e.ID)
+				m.list[endpoint.ID] = endpoint
+				ids = append(ids, endpoint.ID)
 			}
 			m.deliverList(m.endpointUpdate(policyapi.Snapshot))
 			load := func() float64 { return 0.3 + 0.6*random.ExpFloat64() }
-			zone := func(p int) policyapi.Zone { return m.settings.Zones[p%3] }
-			for p := range 400 {
-				m.connect(policyapi.ProxyID(p), zone(p), load())
+			zone := func(proxy int) policyapi.Zone { return m.settings.Zones[proxy%3] }
+			for proxy := range 400 {
+				m.connect(policyapi.ProxyID(proxy), zone(proxy), load())
 			}
 			m.reportLoad()
 			m.run(8 * second)
@@ -53,10 +53,10 @@
 			for wave := range 4 {
 				m.after(policyapi.Microseconds(wave)*second/2, func() { m.release(wave, ids[wave*25:(wave+1)*25]) })
 			}
-			for p := 400; p < 400+proxies; p++ {
+			for proxy := 400; proxy < 400+proxies; proxy++ {
 				brings := []policyapi.EndpointID{ids[random.IntN(200)], ids[random.IntN(200)], ids[random.IntN(200)]}
-				m.after(policyapi.Microseconds(300_000+random.Int64N(2_000_000)), func() { m.connect(policyapi.ProxyID(p), zone(p), load(), brings...) })
-				m.after(policyapi.Microseconds(5_000_000+random.Int64N(9_000_000)), func() { m.disconnect(policyapi.ProxyID(p)) })
+				m.after(policyapi.Microseconds(300_000+random.Int64N(2_000_000)), func() { m.connect(policyapi.ProxyID(proxy), zone(proxy), load(), brings...) })
+				m.after(policyapi.Microseconds(5_000_000+random.Int64N(9_000_000)), func() { m.disconnect(policyapi.ProxyID(proxy)) })
 			}
 			m.run(20 * second)
 			if n := len(m.oracle.findings); n > 0 {
@@ -68,13 +68,13 @@
 
 // release drains endpoints and lists as many new ones.
 func (m *fleetModel) release(wave int, ids []policyapi.EndpointID) {
-	var entries []policyapi.Endpoint
+	var endpoints []policyapi.Endpoint
 	for i, id := range ids {
 		e := m.list[id]
 		e.Status = policyapi.Draining
-		fresh := e
-		fresh.ID, fresh.Status, fresh.StartedAt = policyapi.EndpointID(fmt.Sprintf("n-%d-%02d", wave, i)), policyapi.Ready, m.now
-		entries = append(entries, e, fresh)
+		replacement := e
+		replacement.ID, replacement.Status, replacement.StartedAt = policyapi.EndpointID(fmt.Sprintf("n-%d-%02d", wave, i)), policyapi.Ready, m.now
+		endpoints = append(endpoints, e, replacement)
 	}
-	m.applyDelta(entries...)
+	m.applyDelta(endpoints...)
 }
