--- a/proxyserver/discovery.go
+++ b/proxyserver/discovery.go
@@ -18,24 +18,24 @@
 // Bounds on discovery's answers. The times are the protocol's: a line comes each 2 s, an answer sooner or a refusal, and what has
 // to be told counts as told after 6 s, heard or not.
 const (
-	// listMost is a whole list's or a line's bytes: ten thousand backends take half of it.
-	listMost = 4 << 20
-	// lineLate is when a line, or an answer, is missed: another call is then worth its cost.
-	lineLate = 2500 * time.Millisecond
-	// quietMost is how long a watch may bring nothing until it is given up.
-	quietMost = 4500 * time.Millisecond
-	// backoffLeast and backoffMost bound the pause after a call that failed, before its spread: the longest, and the time that a
+	// maxListBytes is a whole list's or a line's bytes: ten thousand backends take half of it.
+	maxListBytes = 4 << 20
+	// lineTimeout is when a line, or an answer, is missed: another call is then worth its cost.
+	lineTimeout = 2500 * time.Millisecond
+	// watchTimeout is how long a watch may bring nothing until it is given up.
+	watchTimeout = 4500 * time.Millisecond
+	// minBackoff and backoffMost bound the pause after a call that failed, before its spread: the longest, and the time that a
 	// call may take, leave room within the 6 s for another.
-	backoffLeast = time.Second
-	backoffMost  = 1500 * time.Millisecond
-	// lateSpread is how far the calls of many coordinators are spread that all miss a line of the same discovery at once.
-	lateSpread = 750 * time.Millisecond
-	// callsAtOnce bounds the descriptors: a watch that stands, the one that is to follow it, a whole list.
-	callsAtOnce = 3
+	minBackoff = time.Second
+	maxBackoff = 1500 * time.Millisecond
+	// overdueJitter is how far the calls of many coordinators are spread that all miss a line of the same discovery at once.
+	overdueJitter = 750 * time.Millisecond
+	// maxConcurrentCalls bounds the descriptors: a watch that stands, the one that is to follow it, a whole list.
+	maxConcurrentCalls = 3
 )
 
-// errCalledOff ends a call whose answer nobody wants any more.
-var errCalledOff = errors.New("called off")
+// errCanceled ends a call whose answer nobody wants any more.
+var errCanceled = errors.New("called off")
 
 // discoveryEvent is what a call of discovery's came to.
 type discoveryEvent struct {
@@ -46,20 +46,20 @@
 	failed  error
 }
 
-// discovery makes calls. Each has a goroutine; what they bring goes to the owner.
-type discovery struct {
-	http  *http.Client
-	zones []policyapi.Zone
-	slots chan struct{}
-	tell  func(discoveryEvent)
+// discoveryClient makes calls. Each has a goroutine; what they bring goes to the owner.
+type discoveryClient struct {
+	http    *http.Client
+	zones   []policyapi.Zone
+	slots   chan struct{}
+	deliver func(discoveryEvent)
 }
 
-func newDiscovery(zones []policyapi.Zone, tell func(discoveryEvent)) *discovery {
-	return &discovery{zones: zones, tell: tell, slots: make(chan struct{}, callsAtOnce), http: &http.Client{Transport: httpclient.Transport()}}
+func newDiscoveryClient(zones []policyapi.Zone, tell func(discoveryEvent)) *discoveryClient {
+	return &discoveryClient{zones: zones, deliver: tell, slots: make(chan struct{}, maxConcurrentCalls), http: &http.Client{Transport: httpclient.Transport()}}
 }
 
 // call makes one, after a pause, once it has a slot.
-func (d *discovery) call(ctx context.Context, pause time.Duration, of func(context.Context) error, number int) {
+func (d *discoveryClient) call(ctx context.Context, pause time.Duration, of func(context.Context) error, number int) {
 	err := func() error {
 		if pause > 0 {
 			timer := time.NewTimer(pause)
@@ -67,32 +67,32 @@
 			select {
 			case <-timer.C:
 			case <-ctx.Done():
-				return errCalledOff
+				return errCanceled
 			}
 		}
 		select {
 		case d.slots <- struct{}{}:
 		case <-ctx.Done():
-			return errCalledOff
+			return errCanceled
 		}
 		defer func() { <-d.slots }()
 		return of(ctx)
 	}()
 	if err != nil && ctx.Err() == nil { // else it has been answered, or the owner has called it off and asks no more
-		d.tell(discoveryEvent{call: number, failed: err})
+		d.deliver(discoveryEvent{call: number, failed: err})
 	}
 }
 
-// whole asks for the whole list once.
-func (d *discovery) whole(ctx context.Context, address string, number int) error {
-	ctx, cancel := context.WithTimeout(ctx, quietMost)
+// fetchSnapshot asks for the whole list once.
+func (d *discoveryClient) fetchSnapshot(ctx context.Context, address string, number int) error {
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	res, err := d.get(ctx, address, "/discovery/hosts")
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, listMost))
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxListBytes))
 	if err != nil {
 		return err
 	}
@@ -103,11 +103,11 @@
 	if listing.Update.Kind != policyapi.Snapshot {
 		return errors.New("asked for the whole list, got changes")
 	}
-	d.tell(discoveryEvent{call: number, listing: listing})
+	d.deliver(discoveryEvent{call: number, listing: listing})
 	return nil
 }
 
-func (d *discovery) get(ctx context.Context, address, path string) (*http.Response, error) {
+func (d *discoveryClient) get(ctx context.Context, address, path string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
 		return nil, err
@@ -123,12 +123,12 @@
 	return res, nil
 }
 
-// follow watches changes from a version on until it fails or is called off. A watch that can't be read in one line is at an
+// watchChanges watches changes from a version on until it fails or is called off. A watch that can't be read in one line is at an
 // end: what it would have said is not known.
-func (d *discovery) follow(ctx context.Context, address string, from policyapi.ListVersion, number int) error {
+func (d *discoveryClient) watchChanges(ctx context.Context, address string, from policyapi.ListVersion, number int) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	none := time.AfterFunc(lineLate, func() { cancel(fmt.Errorf("no answer for %s", lineLate)) })
+	none := time.AfterFunc(lineTimeout, func() { cancel(fmt.Errorf("no answer for %s", lineTimeout)) })
 	defer none.Stop()
 	res, err := d.get(ctx, address, fmt.Sprintf("/discovery/hosts?watch=1&from=%d", from))
 	if err != nil {
@@ -136,22 +136,22 @@
 	}
 	defer res.Body.Close()
 	if !none.Stop() {
-		return cause(ctx, errCalledOff)
+		return cause(ctx, errCanceled)
 	}
-	d.tell(discoveryEvent{call: number, open: true})
-	late := time.AfterFunc(lineLate, func() {
+	d.deliver(discoveryEvent{call: number, open: true})
+	late := time.AfterFunc(lineTimeout, func() {
 		if ctx.Err() == nil {
-			d.tell(discoveryEvent{call: number, late: true})
+			d.deliver(discoveryEvent{call: number, late: true})
 		}
 	})
 	defer late.Stop()
-	quiet := time.AfterFunc(quietMost, func() { cancel(fmt.Errorf("no line for %s", quietMost)) })
+	quiet := time.AfterFunc(watchTimeout, func() { cancel(fmt.Errorf("no line for %s", watchTimeout)) })
 	defer quiet.Stop()
 	lines := bufio.NewScanner(res.Body)
-	lines.Buffer(make([]byte, 0, 16<<10), listMost)
+	lines.Buffer(make([]byte, 0, 16<<10), maxListBytes)
 	for lines.Scan() {
-		late.Reset(lineLate)
-		quiet.Reset(quietMost)
+		late.Reset(lineTimeout)
+		quiet.Reset(watchTimeout)
 		line := bytes.TrimSpace(lines.Bytes())
 		if len(line) == 0 {
 			continue
@@ -160,7 +160,7 @@
 		if err != nil {
 			return err
 		}
-		d.tell(discoveryEvent{call: number, listing: listing})
+		d.deliver(discoveryEvent{call: number, listing: listing})
 	}
 	if err = lines.Err(); err == nil {
 		err = io.ErrUnexpectedEOF
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -22,50 +22,50 @@
 // Bounds on what one connection may cost. The first two are the protocol's: who has not joined after a second may be closed,
 // and a bad client is owed an end within three.
 const (
-	joinWithin   = time.Second
-	tick         = 100 * time.Millisecond
-	strangerMost = 4 << 10                        // bytes of a message before the joining: one has a hundred
-	unsentMost   = 2 * proxyproto.MaxMessageBytes // what a peer has not taken: no order is larger than half of that
+	identificationTimeout = time.Second
+	tickInterval          = 100 * time.Millisecond
+	maxUnidentifiedBytes  = 4 << 10                        // bytes of a message before the joining: one has a hundred
+	maxUnsentBytes        = 2 * proxyproto.MaxMessageBytes // what a peer has not taken: no order is larger than half of that
 )
 
-// reserved are the descriptors that connections may not take: standard streams, listener, pollers, a watch and the one that
+// reservedDescriptors are the descriptors that connections may not take: standard streams, listener, pollers, a watch and the one that
 // follows it, a whole list, probes and their name look-ups, the log.
-const reserved = 16 + probesAtOnce
+const reservedDescriptors = 16 + maxConcurrentHealthChecks
 
 // server is the coordinator's address. Its state belongs to the event loop, but for the counters.
 type server struct {
 	gnet.BuiltinEventEngine
-	n         *Coordinator
-	most      int // connections
-	engine    gnet.Engine
-	booted    chan struct{}
-	ended     chan error
-	loop      atomic.Pointer[gnet.EventLoop]
-	naming    sync.Mutex // of known: the owner follows the list
-	known     *proxyproto.Validator
-	open      int
-	backlog   []event // to the owner, while its lane is full
-	strangers []*link // by age; those that have joined or ended are passed over
-	streams   map[*link]bool
-	saidAt    time.Time // when a spoilt message was logged last: all are counted
-	counts    counts
+	n                 *Coordinator
+	maxConnections    int // connections
+	engine            gnet.Engine
+	booted            chan struct{}
+	ended             chan error
+	loop              atomic.Pointer[gnet.EventLoop]
+	validatorMu       sync.Mutex // of known: the owner follows the list
+	validator         *proxyproto.Validator
+	connections       int
+	backlog           []input       // to the owner, while its lane is full
+	unidentified      []*connection // by age; those that have joined or ended are passed over
+	streams           map[*connection]bool
+	malformedLoggedAt time.Time // when a spoilt message was logged last: all are counted
+	counters          counters
 }
 
-// counts are read by the owner for its log.
-type counts struct {
-	open, refused, spoilt, lost, evicted, stuck atomic.Int64
-	marks, unsent                               atomic.Int64 // without an answer; bytes that the sockets have not taken
+// counters are read by the owner for its log.
+type counters struct {
+	open, rejected, malformed, lostReports, evicted, stalled atomic.Int64
+	pendingAcks, unsentBytes                                 atomic.Int64 // without an answer; bytes that the sockets have not taken
 }
 
-// link is one connection. Its peer belongs to the event loop, what the module holds of it to the owner.
-type link struct {
-	conn   gnet.Conn
-	peer   proxyproto.Session
-	since  time.Time
-	heard  time.Time // when it last said something
-	asked  time.Time // since when the oldest mark without an answer is, or was, the oldest
-	ended  bool
-	joined policyapi.ProxyConnected // the owner's; Fresh until a table was laid
+// connection is one connection. Its peer belongs to the event loop, what the module holds of it to the owner.
+type connection struct {
+	conn            gnet.Conn
+	session         proxyproto.Session
+	acceptedAt      time.Time
+	receivedAt      time.Time // when it last said something
+	ackPendingSince time.Time // since when the oldest mark without an answer is, or was, the oldest
+	closed          bool
+	connected       policyapi.ProxyConnected // the owner's; Fresh until a table was laid
 }
 
 func listen(n *Coordinator, addr string, most int, known *proxyproto.Validator) (*server, error) {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: listen on %w", ErrEnvironment, err)
 	}
-	s := &server{n: n, most: most, booted: make(chan struct{}), ended: make(chan error, 1), known: known, streams: map[*link]bool{}}
+	s := &server{n: n, maxConnections: most, booted: make(chan struct{}), ended: make(chan error, 1), validator: known, streams: map[*connection]bool{}}
 	go func() {
 		// One at a time off the backlog, so that the bound on connections holds at each: with an acceptor of its own gnet
 		// takes in all that wait before any handler is asked, and stops for good once descriptors run out.
@@ -141,71 +141,71 @@
 func (s *server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	loop := c.EventLoop()
 	s.loop.CompareAndSwap(nil, &loop)
-	l := &link{conn: c, since: time.Now()}
+	l := &connection{conn: c, acceptedAt: time.Now()}
 	c.SetContext(l)
-	s.open++
-	s.counts.open.Store(int64(s.open))
-	s.strangers = append(s.strangers, l)
-	for s.open > s.most {
-		s.counts.evicted.Add(1)
-		if oldest := s.stranger(); oldest != l {
-			s.refuse(oldest)
+	s.connections++
+	s.counters.open.Store(int64(s.connections))
+	s.unidentified = append(s.unidentified, l)
+	for s.connections > s.maxConnections {
+		s.counters.evicted.Add(1)
+		if oldest := s.oldestUnidentified(); oldest != l {
+			s.reject(oldest)
 			continue
 		}
-		silent := s.longestSilent(l.since)
+		silent := s.longestSilent(l.acceptedAt)
 		if silent == nil {
 			return proxyproto.NackReply, gnet.Close
 		}
-		s.strangers = append(s.strangers, l)
+		s.unidentified = append(s.unidentified, l)
 		_ = loop.Close(silent.conn)
 	}
 	return nil, gnet.None
 }
 
-// stranger takes the oldest that has not joined off the list; there is one, it has just come.
-func (s *server) stranger() *link {
+// oldestUnidentified takes the oldest that has not joined off the list; there is one, it has just come.
+func (s *server) oldestUnidentified() *connection {
 	for {
-		l := s.strangers[0]
-		s.strangers[0], s.strangers = nil, s.strangers[1:]
-		if !l.ended && l.peer.Role == proxyproto.Unidentified {
+		l := s.unidentified[0]
+		s.unidentified[0], s.unidentified = nil, s.unidentified[1:]
+		if !l.closed && l.session.Role == proxyproto.Unidentified {
 			return l
 		}
 	}
 }
 
-// silentAfter is when a stream that owes an answer has fallen silent for certain. Answers were seen to take eleven seconds where
+// silenceTimeout is when a stream that owes an answer has fallen silent for certain. Answers were seen to take eleven seconds where
 // the channel is full, and a quiet proxy has no usage to tell meanwhile; the module too gives up what is a minute old.
-const silentAfter = time.Minute
+const silenceTimeout = time.Minute
 
 // longestSilent is the stream that has been silent for longest while it owes an answer: its proxy has left without a word, and it must
 // not hold the place of one that comes. Nil if there is none.
-func (s *server) longestSilent(now time.Time) (longest *link) {
+func (s *server) longestSilent(now time.Time) (longest *connection) {
 	for l := range s.streams {
-		silent := l.peer.PendingAcks() > 0 && now.Sub(l.heard) > silentAfter && now.Sub(l.asked) > silentAfter
-		if silent && (longest == nil || l.heard.Before(longest.heard)) {
+		silent := l.session.PendingAcks() > 0 && now.Sub(l.receivedAt) > silenceTimeout && now.Sub(l.ackPendingSince) > silenceTimeout
+		if silent && (longest == nil || l.receivedAt.Before(longest.receivedAt)) {
 			longest = l
 		}
 	}
 	return longest
 }
 
-// refuse ends a connection from within the loop, but not from its own callbacks: those return gnet.Close.
-func (s *server) refuse(l *link) {
+// reject ends a connection from within the loop, but not from its own callbacks: those return gnet.Close.
+func (s *server) reject(l *connection) {
 	_, _ = l.conn.Write(proxyproto.NackReply)
 	_ = l.conn.EventLoop().Close(l.conn)
 }
 
 func (s *server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	l, is := c.Context().(*link)
+	l, is := c.Context().(*connection)
 	if !is {
 		return gnet.None
 	}
-	l.ended = true
-	s.open--
-	s.counts.open.Store(int64(s.open))
-	if l.peer.Role == proxyproto.Stream {
+	l.closed = true
+	s.connections--
+	s.counters.open.Store(int64(s.connections))
+	if l.session.Role == proxyproto.Stream {
 		delete(s.streams, l)
-		s.enqueue(event{link: l, in: policyapi.ProxyDisconnected{Proxy: l.peer.Proxy}})
+		s.enqueue(input{connection: l, event: policyapi.ProxyDisconnected{Proxy: l.session.Proxy}})
 	}
 	return gnet.None
 }
@@ -215,43 +215,43 @@
 	if loop := s.loop.Load(); loop != nil {
 		_ = (*loop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 			s.flushBacklog()
-			s.closeLateStrangers(time.Now())
-			s.count()
+			s.closeLateUnidentified(time.Now())
+			s.updateCounters()
 			return nil
 		}))
 	}
-	return tick, gnet.None
+	return tickInterval, gnet.None
 }
 
-// count tells the owner what really waits on the sockets.
-func (s *server) count() {
+// updateCounters tells the owner what really waits on the sockets.
+func (s *server) updateCounters() {
 	marks, unsent := 0, 0
 	for l := range s.streams {
-		marks, unsent = marks+l.peer.PendingAcks(), unsent+l.conn.OutboundBuffered()
+		marks, unsent = marks+l.session.PendingAcks(), unsent+l.conn.OutboundBuffered()
 	}
-	s.counts.marks.Store(int64(marks))
-	s.counts.unsent.Store(int64(unsent))
+	s.counters.pendingAcks.Store(int64(marks))
+	s.counters.unsentBytes.Store(int64(unsent))
 }
 
-func (s *server) closeLateStrangers(now time.Time) {
-	for len(s.strangers) > 0 {
-		l := s.strangers[0]
-		if !l.ended && l.peer.Role == proxyproto.Unidentified {
-			if now.Sub(l.since) < joinWithin {
+func (s *server) closeLateUnidentified(now time.Time) {
+	for len(s.unidentified) > 0 {
+		l := s.unidentified[0]
+		if !l.closed && l.session.Role == proxyproto.Unidentified {
+			if now.Sub(l.acceptedAt) < identificationTimeout {
 				return
 			}
-			s.counts.refused.Add(1)
-			s.refuse(l)
+			s.counters.rejected.Add(1)
+			s.reject(l)
 		}
-		s.strangers[0] = nil
-		s.strangers = s.strangers[1:]
+		s.unidentified[0] = nil
+		s.unidentified = s.unidentified[1:]
 	}
-	s.strangers = nil // the room that hundreds took
+	s.unidentified = nil // the room that hundreds took
 }
 
 // OnTraffic takes all whole messages off a connection.
 func (s *server) OnTraffic(c gnet.Conn) gnet.Action {
-	l, is := c.Context().(*link)
+	l, is := c.Context().(*connection)
 	if !is {
 		return gnet.Close
 	}
@@ -259,7 +259,7 @@
 	if err != nil {
 		return gnet.Close
 	}
-	l.heard = time.Now()
+	l.receivedAt = time.Now()
 	taken := 0
 	defer func() {
 		if taken > 0 { // to discard nothing is to discard all, for gnet: a message that comes in pieces would be lost
@@ -268,31 +268,31 @@
 	}()
 	for taken < len(buf) {
 		limits := proxyproto.IncomingLimits
-		if l.peer.Role == proxyproto.Unidentified {
-			limits.Bytes = strangerMost
+		if l.session.Role == proxyproto.Unidentified {
+			limits.Bytes = maxUnidentifiedBytes
 		}
 		words, size, err := resp.Take(buf[taken:], limits)
 		if err != nil {
-			return s.unreadable(l, err)
+			return s.closeRejected(l, err)
 		}
 		if size == 0 {
 			return gnet.None
 		}
 		taken += size
-		s.naming.Lock()
-		in, answer, err := l.peer.Receive(words, s.known)
-		s.naming.Unlock()
+		s.validatorMu.Lock()
+		in, answer, err := l.session.Receive(words, s.validator)
+		s.validatorMu.Unlock()
 		switch {
 		case errors.Is(err, proxyproto.ErrRejected):
-			return s.unreadable(l, err)
+			return s.closeRejected(l, err)
 		case err != nil:
-			s.counts.spoilt.Add(1)
-			if now := time.Now(); now.Sub(s.saidAt) > logEvery {
-				s.saidAt = now
+			s.counters.malformed.Add(1)
+			if now := time.Now(); now.Sub(s.malformedLoggedAt) > minLogInterval {
+				s.malformedLoggedAt = now
 				s.n.log.Info("a message is passed over", zap.Error(err), zap.String("message", resp.Text(words, 200)))
 			}
 		case len(answer) > 0:
-			if _, err := c.Write(answer); err != nil || c.OutboundBuffered() > unsentMost {
+			if _, err := c.Write(answer); err != nil || c.OutboundBuffered() > maxUnsentBytes {
 				return gnet.Close
 			}
 		case in != nil:
@@ -302,54 +302,54 @@
 	return gnet.None
 }
 
-// unreadable ends a connection that can't be understood, or is not taken. What a stream has said can't be told apart any
+// closeRejected ends a connection that can't be understood, or is not taken. What a stream has said can't be told apart any
 // more, so it counts as left; a NACK would be no order.
-func (s *server) unreadable(l *link, err error) gnet.Action {
-	s.counts.refused.Add(1)
-	s.n.log.Debug("a connection is ended", zap.Error(err), zap.Int("proxy", int(l.peer.Proxy)))
-	if l.peer.Role == proxyproto.Unidentified {
+func (s *server) closeRejected(l *connection, err error) gnet.Action {
+	s.counters.rejected.Add(1)
+	s.n.log.Debug("a connection is ended", zap.Error(err), zap.Int("proxy", int(l.session.Proxy)))
+	if l.session.Role == proxyproto.Unidentified {
 		_, _ = l.conn.Write(proxyproto.NackReply)
 	}
 	return gnet.Close
 }
 
 // deliver gives the owner what a peer said. Reports may be lost where it is far behind, never joinings, leaves and answers.
-func (s *server) deliver(l *link, in policyapi.Event) {
+func (s *server) deliver(l *connection, in policyapi.Event) {
 	switch in.(type) {
 	case policyapi.EndpointLoad, policyapi.ProxyLoad:
-		if !s.n.box.TryPut(event{link: l, in: in}) {
-			s.counts.lost.Add(1)
+		if !s.n.mailbox.TryPut(input{connection: l, event: in}) {
+			s.counters.lostReports.Add(1)
 		}
 	case policyapi.ProxyConnected:
 		s.streams[l] = true
-		s.enqueue(event{link: l, in: in})
+		s.enqueue(input{connection: l, event: in})
 	default:
-		s.enqueue(event{link: l, in: in})
+		s.enqueue(input{connection: l, event: in})
 	}
 }
 
-// backlogMost bounds what the loop keeps for the owner beside its lane. All that goes there was said by connections, each a
+// maxBacklog bounds what the loop keeps for the owner beside its lane. All that goes there was said by connections, each a
 // joining, a leave or an answer to a mark; beyond the bound the loop waits, and nobody can say more.
-const backlogMost = lane
+const maxBacklog = laneCapacity
 
 // enqueue hands the owner what must not be lost. Where its lane is full the loop goes on, with signs of life, closes and
 // time-outs, and hands the rest over later, in order.
-func (s *server) enqueue(e event) {
-	if len(s.backlog) == 0 && s.n.box.TryPutUrgent(e) {
+func (s *server) enqueue(e input) {
+	if len(s.backlog) == 0 && s.n.mailbox.TryPutUrgent(e) {
 		return
 	}
 	s.backlog = append(s.backlog, e)
 	s.flushBacklog()
-	if len(s.backlog) > backlogMost {
-		s.n.box.PutUrgent(s.backlog[0])
+	if len(s.backlog) > maxBacklog {
+		s.n.mailbox.PutUrgent(s.backlog[0])
 		s.backlog = s.backlog[1:]
 	}
 }
 
 // flushBacklog hands the backlog over, as far as there is room.
 func (s *server) flushBacklog() {
-	for len(s.backlog) > 0 && s.n.box.TryPutUrgent(s.backlog[0]) {
-		s.backlog[0] = event{}
+	for len(s.backlog) > 0 && s.n.mailbox.TryPutUrgent(s.backlog[0]) {
+		s.backlog[0] = input{}
 		s.backlog = s.backlog[1:]
 	}
 	if len(s.backlog) == 0 {
@@ -357,34 +357,34 @@
 	}
 }
 
-// post writes a message to a stream; from any goroutine.
-func (s *server) post(l *link, p proxyproto.OutboundMessage) {
+// send writes a message to a stream; from any goroutine.
+func (s *server) send(l *connection, p proxyproto.OutboundMessage) {
 	_ = l.conn.AsyncWrite(p.Bytes, func(c gnet.Conn, err error) error {
-		if err != nil || l.ended {
+		if err != nil || l.closed {
 			return nil
 		}
 		if p.RequestsAck {
-			if l.peer.PendingAcks() == 0 {
-				l.asked = time.Now()
+			if l.session.PendingAcks() == 0 {
+				l.ackPendingSince = time.Now()
 			}
-			l.peer.AckRequested(p.AckID)
+			l.session.AckRequested(p.AckID)
 		}
-		if waits := c.OutboundBuffered(); waits > unsentMost {
-			s.counts.stuck.Add(1)
+		if waits := c.OutboundBuffered(); waits > maxUnsentBytes {
+			s.counters.stalled.Add(1)
 			_ = l.conn.EventLoop().Close(l.conn) // it takes nothing: it has fallen silent
 		}
 		return nil
 	})
 }
 
-// end closes a connection; from any goroutine.
-func (s *server) end(l *link) { _ = l.conn.Close() }
+// closeConnection closes a connection; from any goroutine.
+func (s *server) closeConnection(l *connection) { _ = l.conn.Close() }
 
-// follow takes in what may be named from now on, and returns what can't be any more.
-func (s *server) follow(list policyapi.EndpointUpdate) []policyapi.EndpointID {
-	s.naming.Lock()
-	defer s.naming.Unlock()
-	return s.known.Apply(list)
+// applyList takes in what may be named from now on, and returns what can't be any more.
+func (s *server) applyList(list policyapi.EndpointUpdate) []policyapi.EndpointID {
+	s.validatorMu.Lock()
+	defer s.validatorMu.Unlock()
+	return s.validator.Apply(list)
 }
 
 // close ends all connections, with what their sockets still take, and waits until that is done: half a second at most, as
