--- a/proxyserver/coordinator_test.go
+++ b/proxyserver/coordinator_test.go
@@ -1,14 +1,13 @@
 package proxyserver
 
 import (
-	"bytes"
 	"context"
 	"errors"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -16,7 +15,6 @@
 
 	"github.com/panjf2000/gnet/v2"
 	"go.uber.org/zap"
-	"go.uber.org/zap/zaptest/observer"
 
 	"porthub/healthcheck"
 	"porthub/policyapi"
@@ -24,219 +22,6 @@
 	"porthub/resp"
 )
 
-const testTimeout = 10 * time.Second // for what has to come; nothing waits for it in vain
-
-// discovery is a stand-in of discovery: each watch gets the lines that are put in.
-type fakeDiscovery struct {
-	*httptest.Server
-	mu         sync.Mutex
-	watches    map[chan string]bool
-	rejectNext int // so many calls fail
-	calls      chan string
-}
-
-func newFakeDiscovery(t *testing.T) *fakeDiscovery {
-	d := &fakeDiscovery{watches: map[chan string]bool{}, calls: make(chan string, 64)}
-	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
-	t.Cleanup(d.stop)
-	return d
-}
-
-func (d *fakeDiscovery) stop() {
-	d.CloseClientConnections()
-	d.Close()
-}
-
-func (d *fakeDiscovery) serve(w http.ResponseWriter, req *http.Request) {
-	d.mu.Lock()
-	if d.rejectNext > 0 {
-		d.rejectNext--
-		d.mu.Unlock()
-		d.calls <- "refused"
-		http.Error(w, "busy", http.StatusServiceUnavailable)
-		return
-	}
-	lines := make(chan string, 16)
-	d.watches[lines] = true
-	d.mu.Unlock()
-	w.(http.Flusher).Flush()
-	d.calls <- req.URL.Query().Get("from")
-	defer func() {
-		d.mu.Lock()
-		delete(d.watches, lines)
-		d.mu.Unlock()
-	}()
-	for {
-		select {
-		case <-req.Context().Done():
-			return
-		case line, open := <-lines:
-			if !open {
-				return
-			}
-			_, _ = io.WriteString(w, line+"\n")
-			w.(http.Flusher).Flush()
-		}
-	}
-}
-
-func (d *fakeDiscovery) send(line string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for lines := range d.watches {
-		if line == "" {
-			close(lines)
-			delete(d.watches, lines)
-		} else {
-			lines <- line
-		}
-	}
-}
-
-func (d *fakeDiscovery) address() string { return strings.TrimPrefix(d.URL, "http://") }
-
-func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
-	t.Helper()
-	select {
-	case v = <-from:
-	case <-time.After(testTimeout):
-		t.Fatal("no " + what)
-	}
-	return v
-}
-
-func hostEntry(id, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":0}`, id, health)
-}
-
-func listMessage(seq int, whole bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
-}
-
-// testServer is a running coordinator with a stand-in of discovery.
-type testServer struct {
-	t           *testing.T
-	coordinator *Coordinator
-	cfg         proxyproto.Config
-	discovery   *fakeDiscovery
-	logs        *observer.ObservedLogs
-	ended       chan error
-	stop        context.CancelFunc
-}
-
-func testConfig(t *testing.T, discovery string, sockets int) proxyproto.Config {
-	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,
-		"settings":{"localities":["a","b"],"resolution":1000,"discovery":"ask","caps":{"connectTimeout":250000,"probes":true},
-		"domain":{"dataPlaneSize":500,"period":200000,"levelKind":"rate","queueCap":5000,"envelope":6,"updateCap":100,"reloadSpan":1000000,"ingestRate":200},
-		"guarantees":{"cold":1000000,"coldFrom":0.3,"drainGrace":3000000,"tipMultiple":2.5},"loadInfo":{"fields":["busy","q"],"source":"inline"},
-		"profiles":[{"name":"view","effect":"repeatable","slo":750000,"hardLimit":2500000,"points":1}]}}`,
-		discovery, sockets, listMessage(41, true, hostEntry("s-1", "Ready"), hostEntry("s-2", "Ready")))
-	cfg, err := proxyproto.ReadConfig([]byte(text), func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	return cfg
-}
-
-func startServer(t *testing.T, sockets int, change ...func(*Coordinator)) *testServer {
-	lists := newFakeDiscovery(t)
-	r := startServerAt(t, lists.address(), sockets, change...)
-	r.discovery = lists
-	return r
-}
-
-func startServerAt(t *testing.T, discovery string, sockets int, change ...func(*Coordinator)) *testServer {
-	r := &testServer{t: t, cfg: testConfig(t, discovery, sockets), ended: make(chan error, 1)}
-	core, logs := observer.New(zap.InfoLevel)
-	r.logs = logs
-	var err error
-	if r.coordinator, err = New(r.cfg, zap.New(core)); err != nil {
-		t.Fatal(err)
-	}
-	for _, c := range change {
-		c(r.coordinator)
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.ended <- r.coordinator.Run(ctx) }()
-	t.Cleanup(func() {
-		stop()
-		<-r.ended
-	})
-	return r
-}
-
-// client is a connection to the coordinator.
-type client struct {
-	net.Conn
-	t   *testing.T
-	buf []byte
-}
-
-func (r *testServer) dial() *client {
-	c, err := net.Dial("tcp", r.coordinator.Addr())
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	r.t.Cleanup(func() { _ = c.Close() })
-	return &client{Conn: c, t: r.t}
-}
-
-func (c *client) send(text string) {
-	_, _ = c.Write(resp.Append(nil, strings.Split(text, " ")...)) // an end shows when it is read
-}
-
-// receive is the next message; io.EOF also for a reset.
-func (c *client) receive() (string, error) {
-	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
-	for {
-		words, n, err := resp.Take(c.buf, proxyproto.IncomingLimits)
-		if err != nil {
-			c.t.Fatalf("%v: %q", err, c.buf)
-		}
-		if n > 0 {
-			text := resp.Text(words, 1<<20)
-			c.buf = c.buf[n:]
-			return text, nil
-		}
-		more := make([]byte, 4096)
-		n, err = c.Read(more)
-		c.buf = append(c.buf, more[:n]...)
-		var timeout net.Error
-		if errors.As(err, &timeout) && timeout.Timeout() {
-			c.t.Fatal("nothing comes")
-		}
-		if n == 0 && err != nil {
-			return "", io.EOF
-		}
-	}
-}
-
-// receiveUntil reads orders, answering each mark, until one has the text.
-func (c *client) receiveUntil(proxy int, text string) string {
-	c.t.Helper()
-	for {
-		m, err := c.receive()
-		if err != nil {
-			c.t.Fatalf("the stream has ended before %q", text)
-		}
-		if _, mark, has := strings.Cut(m, " stamp "); has {
-			c.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", proxy, mark))
-		}
-		if strings.Contains(m, text) {
-			return m
-		}
-	}
-}
-
-func (r *testServer) subscribe(proxy int) *client {
-	c := r.dial()
-	c.send(fmt.Sprintf("SUBSCRIBE sidecar %d az a share 20 standing 1", proxy))
-	return c
-}
-
-func (r *testServer) logged(text string) bool { return r.logs.FilterMessageSnippet(text).Len() > 0 }
-
 // A proxy joins, gets its table, and a drain; a change of streams before the old one is seen to end is no leave.
 func TestStreamReceivesTableAndDrain(t *testing.T) {
 	r := startServer(t, 256)
@@ -273,183 +58,47 @@
 	}
 }
 
-// Each bad client gets a NACK or an end in time; a stream that can't be read on ends without one.
-func TestInvalidClientsAreClosed(t *testing.T) {
-	r := startServer(t, 256)
-	began := time.Now()
-	clients := map[string]*client{}
-	for name, text := range map[string]string{
-		"HTTP": "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "noise": "\x00\xff\x13\x37", "silence": "", "half a message": "*3\r\n$9\r\nSUBSC",
-		"an impossible length": "*2\r\n$99999999999\r\n", "too long a message": "*2\r\n$1000000\r\n" + strings.Repeat("x", 8000),
-		"orders": string(resp.Append(nil, "CONFIG", "drop", "s-1")), "a report": string(resp.Append(nil, "RATE", "sidecar", "1")),
-		"no such proxy":     string(resp.Append(nil, "SUBSCRIBE", "sidecar", "500", "az", "a", "share", "1", "standing", "1")),
-		"no such zone":      string(resp.Append(nil, "SOURCE", "az", "z")),
-		"endless lines":     strings.Repeat("*1\r\n", 100),
-		"a ping, then none": string(resp.Append(nil, "PING")),
-	} {
-		clients[name] = r.dial()
-		_, _ = clients[name].Write([]byte(text))
-	}
-	for name, c := range clients {
-		m, err := c.receive()
-		if name == "a ping, then none" {
-			if m != "PONG" {
-				t.Errorf("%s: %q", name, m)
-			}
-			m, err = c.receive()
-		}
-		if err == nil && m != "NACK" {
-			t.Errorf("%s: %q, %v", name, m, err)
-		}
-		if err == nil {
-			if _, err = c.receive(); err != io.EOF {
-				t.Errorf("%s: goes on", name)
-			}
-		}
-	}
-	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("took %s", took)
-	}
-	stream := r.subscribe(3)
-	stream.receiveUntil(3, "replace 1")
-	_, _ = stream.Write([]byte("*1\r\n$x"))
-	for {
-		m, err := stream.receive()
-		if err == io.EOF {
-			break
-		}
-		if m == "NACK" {
-			t.Error("a stream gets what it could not use")
-		}
-	}
-}
-
-// With hundreds that open a connection and say nothing a proxy still joins, and the bound on descriptors holds.
-func TestConnectionLimitLetsProxiesIn(t *testing.T) {
-	const most = 8
-	r := startServer(t, reservedDescriptors+most)
-	var silent []*client
-	for range 20 * most {
-		c, err := net.Dial("tcp", r.coordinator.Addr())
-		if err != nil {
-			continue // refused: that is an end too
-		}
-		silent = append(silent, &client{Conn: c, t: t})
-	}
-	c := r.subscribe(1)
-	c.receiveUntil(1, "replace 1")
-	if open := r.coordinator.server.counters.open.Load(); open > most {
-		t.Errorf("%d connections, %d may be", open, most)
-	}
-	if r.coordinator.server.counters.evicted.Load() == 0 {
-		t.Error("none had to go")
-	}
-	for _, c := range silent {
-		_ = c.Close()
-	}
-}
-
-// Discovery refuses, ends its watch and brings what can't be read: each time the module hears of it once and asks again, from
-// the version at hand.
-func TestWatchIsRetriedAfterFailures(t *testing.T) {
-	r := startServer(t, 256)
-	if from := receive(t, "watch", r.discovery.calls); from != "41" {
-		t.Fatal(from)
-	}
-	c := r.subscribe(1)
-	r.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
-	c.receiveUntil(1, "s-3")
-	r.discovery.mu.Lock()
-	r.discovery.rejectNext = 1
-	r.discovery.mu.Unlock()
-	r.discovery.send("") // ends
-	if got := receive(t, "call", r.discovery.calls); got != "refused" {
-		t.Fatal(got)
-	}
-	if from := receive(t, "watch", r.discovery.calls); from != "50" {
-		t.Errorf("asked again from %q", from)
-	}
-	r.discovery.send("{what")
-	if from := receive(t, "watch", r.discovery.calls); from != "50" {
-		t.Errorf("asked again from %q", from)
+// A proxy comes anew before its old stream is seen to end: what the old one still says of marks is not taken, and its end is no
+// leave. What it says of usage counts: that was so on either stream.
+func TestReplacedStreamIsNotADisconnect(t *testing.T) {
+	n, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
+	r := &testServer{t: t, coordinator: n}
+	old := r.subscribe(7)
+	acceptUntil(ctx, t, n, "joining", func(b []policyapi.Event) bool { return len(b) == 1 })
+	n.publisher.Apply([]policyapi.Order{policyapi.RequestAck{AckID: 5}})
+	n.server.send(n.streams[7], proxyproto.OutboundMessage{Proxy: 7, Bytes: proxyproto.PongReply, AckID: 5, RequestsAck: true})
+	if m, err := old.receive(); m != "PONG" || err != nil {
+		t.Fatal(m, err)
 	}
-	r.discovery.send(listMessage(51, false, hostEntry("s-3", "Gone")))
-	c.receiveUntil(1, "s-3:0")
-}
-
-// A new address of discovery's: its watch takes over from the version at hand, and the module hears of no failure.
-func TestDiscoveryAddressChanges(t *testing.T) {
-	r := startServer(t, 256)
-	receive(t, "watch", r.discovery.calls)
-	c := r.subscribe(1)
-	r.discovery.send(listMessage(60, false, hostEntry("s-3", "Ready")))
-	c.receiveUntil(1, "s-3")
-	second := newFakeDiscovery(t)
-	cfg := r.cfg
-	cfg.Discovery = second.address()
-	r.coordinator.Reload(cfg)
-	if from := receive(t, "watch", second.calls); from != "60" {
-		t.Errorf("from %q", from)
+	anew := r.subscribe(7)
+	for n.mailbox.Len() == 0 { // the new joining waits for the owner, and the old stream goes on
+		old.send("RATE sidecar 7 kind view n 3 bad 0 window 200")
+		time.Sleep(time.Millisecond)
 	}
-	second.send(listMessage(61, false, hostEntry("s-3", "Terminating")))
-	c.receiveUntil(1, "s-3:0")
-	r.discovery.stop()
-	second.send(listMessage(62, false, hostEntry("s-4", "Ready")))
-	c.receiveUntil(1, "s-4")
-	if r.logged("discovery watch ended") {
-		t.Error("a failure is told though there was none")
+	anew.send("PING")
+	if m, err := anew.receive(); m != "PONG" || err != nil {
+		t.Fatal(m, err)
 	}
-}
-
-// Where the module need not ask, the host watches by itself, again after a pause when that fails, and through a failure of
-// the module.
-func TestWatchWithoutPolling(t *testing.T) {
-	r := startServer(t, 256, func(n *Coordinator) { n.cfg.Start.PollsList, n.module.instance = false, nil })
-	receive(t, "watch", r.discovery.calls)
-	c := r.subscribe(1)
-	c.receiveUntil(1, "replace 1")
-	r.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
-	c.receiveUntil(1, "s-3")
-	began := time.Now()
-	r.discovery.send("")
-	if from := receive(t, "watch", r.discovery.calls); from != "50" || time.Since(began) < minBackoff/2 {
-		t.Errorf("from %q after %s", from, time.Since(began))
+	old.send("ACK sidecar 7 version 5 lag_ms 3")
+	old.send("PING")
+	if m, err := old.receive(); m != "PONG" || err != nil {
+		t.Fatal(m, err)
 	}
-}
-
-// The module's failure costs no stream: a fresh one takes over and lays the tables anew. A second one at once ends the program.
-func TestModuleFailureKeepsStreams(t *testing.T) {
-	r := startServer(t, 256, func(n *Coordinator) { n.module.instance = nil })
-	c := r.subscribe(1)
-	c.receiveUntil(1, "replace 1")
-	if !r.logged("decision module panicked") {
-		t.Error("nothing is logged")
+	usage := func(b []policyapi.Event) bool {
+		return slices.ContainsFunc(b, func(ev policyapi.Event) bool { _, is := ev.(policyapi.ProxyLoad); return is })
 	}
-	n := &policyModule{settings: &r.cfg.Start, log: zap.NewNop(), hasFailed: true, failedAt: 5}
-	if _, err := n.step(6, []policyapi.Event{policyapi.TimerFired{}}); err == nil {
-		t.Error("it goes on for ever")
+	got := acceptUntil(ctx, t, n, "usage", usage)
+	if _, err := old.receive(); err == nil {
+		t.Error("the old stream goes on")
 	}
-}
-
-// An address that is taken is a failure of the machine.
-func TestListenAddressInUse(t *testing.T) {
-	r := startServer(t, 256)
-	cfg := r.cfg
-	cfg.Listen = r.coordinator.Addr()
-	if _, err := New(cfg, zap.NewNop()); !errors.Is(err, ErrEnvironment) {
-		t.Errorf("%v", err)
+	// Its end has been handed over before it could be seen.
+	for _, e := range n.mailbox.Next(ctx, nil, func() <-chan time.Time { return time.After(time.Millisecond) }) {
+		got = n.accept(ctx, got, e)
 	}
-}
-
-// However the bytes come, they are the same messages.
-func TestMessageInPieces(t *testing.T) {
-	r := startServer(t, 256)
-	c := r.dial()
-	for _, b := range bytes.SplitAfter(resp.Append(nil, "SUBSCRIBE", "sidecar", "9", "az", "b", "share", "3", "standing", "0"), []byte("\r")) {
-		_, _ = c.Write(b)
-		time.Sleep(time.Millisecond)
+	got = slices.DeleteFunc(got, func(ev policyapi.Event) bool { _, is := ev.(policyapi.ProxyLoad); return is })
+	if len(got) != 2 || got[0] != (policyapi.ProxyDisconnected{Proxy: 7}) || got[1].(policyapi.ProxyConnected).Proxy != 7 || n.streams[7] == nil {
+		t.Errorf("told %+v", got)
 	}
-	c.receiveUntil(9, "replace 1")
 }
 
 // Probes go to where discovery says a backend answers, its figures come by the module's names, and each outcome has its code.
@@ -495,32 +144,111 @@
 	}
 }
 
-// A peer that takes nothing is closed once more waits for it than may, and the others' orders go on meanwhile.
-func TestStalledPeerIsClosed(t *testing.T) {
+// An address that is taken is a failure of the machine.
+func TestListenAddressInUse(t *testing.T) {
+	r := startServer(t, 256)
+	cfg := r.cfg
+	cfg.Listen = r.coordinator.Addr()
+	if _, err := New(cfg, zap.NewNop()); !errors.Is(err, ErrEnvironment) {
+		t.Errorf("%v", err)
+	}
+}
+
+// Proxies dial while the coordinator starts, again and again: who gets through is answered, none is taken and then reset.
+func TestDialDuringStartIsNotReset(t *testing.T) {
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	cfg := testConfig(t, "127.0.0.1:1", 256)
+	cfg.Listen = free.Addr().String()
+	_ = free.Close()
+	for start := range 500 {
+		began, told := make(chan struct{}, 4), make(chan error, 4)
+		for range cap(told) {
+			go func() {
+				for tries := 0; ; tries++ {
+					c, err := net.Dial("tcp", cfg.Listen)
+					if err != nil {
+						if tries == 0 {
+							began <- struct{}{}
+						}
+						continue // nobody listens yet
+					}
+					_ = c.SetDeadline(time.Now().Add(testTimeout))
+					_, _ = c.Write(resp.Append(nil, "PING"))
+					_, err = io.ReadFull(c, make([]byte, len(proxyproto.PongReply)))
+					_ = c.Close()
+					told <- err
+					return
+				}
+			}()
+		}
+		for range cap(began) {
+			receive(t, "dial", began)
+		}
+		n, err := New(cfg, zap.NewNop())
+		if err != nil {
+			t.Fatal(err)
+		}
+		for range cap(told) {
+			if err := receive(t, "answer", told); err != nil {
+				t.Errorf("start %d: %v", start, err)
+			}
+		}
+		n.server.close()
+		n.checker.Close()
+		n.mailbox.Close()
+		if t.Failed() {
+			return
+		}
+	}
+}
+
+// SIGTERM's path: a peer that takes nothing holds it up by no more than half a second, and the others get whole messages.
+func TestShutdownWithUnsentBytes(t *testing.T) {
 	r := startServer(t, 256)
 	receive(t, "watch", r.discovery.calls)
-	stuck := r.subscribe(1)
+	stuck, reads := r.subscribe(1), r.subscribe(2)
 	stuck.receiveUntil(1, "replace 1")
-	other := r.subscribe(2)
-	other.receiveUntil(2, "replace 1")
-	links := make(chan *connection, 1)
+	reads.receiveUntil(2, "replace 1")
 	loop := *r.coordinator.server.loop.Load()
-	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+	links, unsent := make(chan map[policyapi.ProxyID]*connection, 1), make(chan int, 1)
+	in := func(do func()) {
+		_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error { do(); return nil }))
+	}
+	in(func() {
+		all := map[policyapi.ProxyID]*connection{}
 		for l := range r.coordinator.server.streams {
-			if l.session.Proxy == 1 {
-				links <- l
-			}
+			all[l.session.Proxy] = l
 		}
-		return nil
-	}))
-	l := receive(t, "link", links)
-	big := proxyproto.OutboundMessage{Proxy: 1, Bytes: bytes.Repeat([]byte("x"), 1<<20)}
-	for end := time.Now().Add(testTimeout); r.coordinator.server.counters.stalled.Load() == 0; {
-		if r.coordinator.server.send(l, big); time.Now().After(end) {
-			t.Fatal("what waits for it grows and grows")
+		links <- all
+	})
+	all := receive(t, "links", links)
+	part := []byte(strings.Repeat("x", maxUnsentBytes/8))
+	for waits, end := 0, time.Now().Add(testTimeout); waits == 0; waits = receive(t, "loop", unsent) {
+		r.coordinator.server.send(all[1], proxyproto.OutboundMessage{Proxy: 1, Bytes: part})
+		in(func() { unsent <- all[1].conn.OutboundBuffered() })
+		if time.Now().After(end) {
+			t.Fatal("it takes everything")
 		}
-		time.Sleep(time.Millisecond)
 	}
-	r.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
-	other.receiveUntil(2, "s-3")
+	const messages = 100
+	for range messages {
+		r.coordinator.server.send(all[2], proxyproto.OutboundMessage{Proxy: 2, Bytes: proxyproto.PongReply})
+	}
+	began := time.Now()
+	r.stop()
+	for i := range messages {
+		if m, err := reads.receive(); m != "PONG" || err != nil {
+			if strings.HasPrefix(m, "CONFIG") {
+				continue
+			}
+			t.Fatalf("message %d: %q, %v", i, m, err)
+		}
+	}
+	if err := receive(t, "end", r.ended); err != nil || time.Since(began) > 400*time.Millisecond { // SIGKILL comes after 0.7 s
+		t.Errorf("%v after %s", err, time.Since(began))
+	}
+	r.ended <- nil
 }
--- /dev/null
+++ b/proxyserver/fakediscovery_test.go
@@ -0,0 +1,169 @@
+package proxyserver
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// discovery is a stand-in of discovery: each watch gets the lines that are put in.
+type fakeDiscovery struct {
+	*httptest.Server
+	mu         sync.Mutex
+	watches    map[chan string]bool
+	rejectNext int // so many calls fail
+	calls      chan string
+}
+
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
+	d := &fakeDiscovery{watches: map[chan string]bool{}, calls: make(chan string, 64)}
+	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
+	t.Cleanup(d.stop)
+	return d
+}
+
+func (d *fakeDiscovery) stop() {
+	d.CloseClientConnections()
+	d.Close()
+}
+
+func (d *fakeDiscovery) serve(w http.ResponseWriter, req *http.Request) {
+	d.mu.Lock()
+	if d.rejectNext > 0 {
+		d.rejectNext--
+		d.mu.Unlock()
+		d.calls <- "refused"
+		http.Error(w, "busy", http.StatusServiceUnavailable)
+		return
+	}
+	lines := make(chan string, 16)
+	d.watches[lines] = true
+	d.mu.Unlock()
+	w.(http.Flusher).Flush()
+	d.calls <- req.URL.Query().Get("from")
+	defer func() {
+		d.mu.Lock()
+		delete(d.watches, lines)
+		d.mu.Unlock()
+	}()
+	for {
+		select {
+		case <-req.Context().Done():
+			return
+		case line, open := <-lines:
+			if !open {
+				return
+			}
+			_, _ = io.WriteString(w, line+"\n")
+			w.(http.Flusher).Flush()
+		}
+	}
+}
+
+func (d *fakeDiscovery) send(line string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for lines := range d.watches {
+		if line == "" {
+			close(lines)
+			delete(d.watches, lines)
+		} else {
+			lines <- line
+		}
+	}
+}
+
+func (d *fakeDiscovery) address() string { return strings.TrimPrefix(d.URL, "http://") }
+
+func hostEntry(id, health string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":0}`, id, health)
+}
+
+func listMessage(seq int, whole bool, hosts ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
+}
+
+// ackPendingSince is a call that has come to a stand-in of discovery's: it is answered when the test says so, or never.
+type discoveryCall struct {
+	uri     string
+	respond chan int    // the status
+	lines   chan string // closed: the answer ends
+	done    <-chan struct{}
+}
+
+func (a *discoveryCall) accept(lines ...string) {
+	a.respond <- http.StatusOK
+	for _, l := range lines {
+		a.lines <- l
+	}
+}
+
+// sendHeartbeats sends the empty lines of a watch that stands, more often than the protocol has them, until the test ends.
+func (a *discoveryCall) sendHeartbeats(t *testing.T) {
+	ended := make(chan struct{})
+	t.Cleanup(func() { close(ended) })
+	go func() {
+		for {
+			select {
+			case <-a.done:
+				return
+			case <-ended:
+				return
+			case <-time.After(lineTimeout / 10):
+				select {
+				case a.lines <- "":
+				default:
+				}
+			}
+		}
+	}()
+}
+
+// manualDiscovery is a stand-in of discovery's that hands each call to the test.
+type manualDiscovery struct {
+	*httptest.Server
+	calls chan *discoveryCall
+}
+
+func newManualDiscovery(t *testing.T) *manualDiscovery {
+	h := &manualDiscovery{calls: make(chan *discoveryCall, 256)}
+	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		a := &discoveryCall{uri: req.URL.RequestURI(), respond: make(chan int, 1), lines: make(chan string, 16), done: req.Context().Done()}
+		h.calls <- a
+		for {
+			select {
+			case <-a.done:
+				return
+			case status := <-a.respond:
+				w.WriteHeader(status)
+			case line, more := <-a.lines:
+				if !more {
+					return
+				}
+				_, _ = fmt.Fprintln(w, line)
+			}
+			w.(http.Flusher).Flush()
+		}
+	}))
+	t.Cleanup(func() {
+		h.CloseClientConnections()
+		h.Close()
+	})
+	return h
+}
+
+func (h *manualDiscovery) address() string { return strings.TrimPrefix(h.URL, "http://") }
+
+func (h *manualDiscovery) nextCall(t *testing.T, uri string) *discoveryCall {
+	t.Helper()
+	a := receive(t, "call for "+uri, h.calls)
+	if a.uri != uri {
+		t.Fatalf("asked for %s, not for %s", a.uri, uri)
+	}
+	return a
+}
--- a/proxyserver/fleet_test.go
+++ b/proxyserver/fleet_test.go
@@ -151,3 +151,23 @@
 	watch.lines <- listMessage(43, false, hostEntry("s-1", "Terminating"), hostEntry("s-2", "Terminating"), hostEntry("s-3", "Gone"))
 	proxy.waitForTable("the drain", func(held map[string]bool) bool { return !hasEndpoint(held) })
 }
+
+// An entry tells of a drain and has other fields that can't be used: the endpoint is out of the tables all the same.
+func TestDrainWithUnusableFields(t *testing.T) {
+	for name, entry := range map[string]string{
+		"site": `{"host":"s-1","dial":"h:1","site":"nowhere","health":"Terminating","share":1,"born_ms":0}`,
+		"born": `{"host":"s-1","dial":"h:1","site":"a","health":"Gone","share":1,"born_ms":-7}`,
+		"type": `{"host":"s-1","dial":7,"site":["a"],"health":"Terminating","share":"much"}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			h := newManualDiscovery(t)
+			r := startServerAt(t, h.address(), 256)
+			watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+			watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
+			c := r.subscribe(1)
+			c.receiveUntil(1, "s-3")
+			watch.lines <- listMessage(43, false, entry)
+			c.receiveUntil(1, "s-1:0")
+		})
+	}
+}
--- /dev/null
+++ b/proxyserver/harness_test.go
@@ -0,0 +1,195 @@
+package proxyserver
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+	"go.uber.org/zap/zaptest/observer"
+
+	"porthub/policyapi"
+	"porthub/proxyproto"
+	"porthub/resp"
+)
+
+const testTimeout = 10 * time.Second // for what has to come; nothing waits for it in vain
+
+func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
+	t.Helper()
+	select {
+	case v = <-from:
+	case <-time.After(testTimeout):
+		t.Fatal("no " + what)
+	}
+	return v
+}
+
+// testServer is a running coordinator with a stand-in of discovery.
+type testServer struct {
+	t           *testing.T
+	coordinator *Coordinator
+	cfg         proxyproto.Config
+	discovery   *fakeDiscovery
+	logs        *observer.ObservedLogs
+	ended       chan error
+	stop        context.CancelFunc
+}
+
+func testConfig(t *testing.T, discovery string, sockets int) proxyproto.Config {
+	text := fmt.Sprintf(`{"listen":"127.0.0.1:0","discovery":%q,"limits":{"cores":1,"memory_mb":64,"sockets":%d},"known":%s,
+		"settings":{"localities":["a","b"],"resolution":1000,"discovery":"ask","caps":{"connectTimeout":250000,"probes":true},
+		"domain":{"dataPlaneSize":500,"period":200000,"levelKind":"rate","queueCap":5000,"envelope":6,"updateCap":100,"reloadSpan":1000000,"ingestRate":200},
+		"guarantees":{"cold":1000000,"coldFrom":0.3,"drainGrace":3000000,"tipMultiple":2.5},"loadInfo":{"fields":["busy","q"],"source":"inline"},
+		"profiles":[{"name":"view","effect":"repeatable","slo":750000,"hardLimit":2500000,"points":1}]}}`,
+		discovery, sockets, listMessage(41, true, hostEntry("s-1", "Ready"), hostEntry("s-2", "Ready")))
+	cfg, err := proxyproto.ReadConfig([]byte(text), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+func startServer(t *testing.T, sockets int, change ...func(*Coordinator)) *testServer {
+	lists := newFakeDiscovery(t)
+	r := startServerAt(t, lists.address(), sockets, change...)
+	r.discovery = lists
+	return r
+}
+
+func startServerAt(t *testing.T, discovery string, sockets int, change ...func(*Coordinator)) *testServer {
+	r := &testServer{t: t, cfg: testConfig(t, discovery, sockets), ended: make(chan error, 1)}
+	core, logs := observer.New(zap.InfoLevel)
+	r.logs = logs
+	var err error
+	if r.coordinator, err = New(r.cfg, zap.New(core)); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range change {
+		c(r.coordinator)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	r.stop = stop
+	go func() { r.ended <- r.coordinator.Run(ctx) }()
+	t.Cleanup(func() {
+		stop()
+		<-r.ended
+	})
+	return r
+}
+
+func (r *testServer) dial() *client {
+	c, err := net.Dial("tcp", r.coordinator.Addr())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { _ = c.Close() })
+	return &client{Conn: c, t: r.t}
+}
+
+func (r *testServer) subscribe(proxy int) *client {
+	c := r.dial()
+	c.send(fmt.Sprintf("SUBSCRIBE sidecar %d az a share 20 standing 1", proxy))
+	return c
+}
+
+func (r *testServer) logged(text string) bool { return r.logs.FilterMessageSnippet(text).Len() > 0 }
+
+// client is a connection to the coordinator.
+type client struct {
+	net.Conn
+	t   *testing.T
+	buf []byte
+}
+
+func (c *client) send(text string) {
+	_, _ = c.Write(resp.Append(nil, strings.Split(text, " ")...)) // an end shows when it is read
+}
+
+// receive is the next message; io.EOF also for a reset.
+func (c *client) receive() (string, error) {
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
+	for {
+		words, n, err := resp.Take(c.buf, proxyproto.IncomingLimits)
+		if err != nil {
+			c.t.Fatalf("%v: %q", err, c.buf)
+		}
+		if n > 0 {
+			text := resp.Text(words, 1<<20)
+			c.buf = c.buf[n:]
+			return text, nil
+		}
+		more := make([]byte, 4096)
+		n, err = c.Read(more)
+		c.buf = append(c.buf, more[:n]...)
+		var timeout net.Error
+		if errors.As(err, &timeout) && timeout.Timeout() {
+			c.t.Fatal("nothing comes")
+		}
+		if n == 0 && err != nil {
+			return "", io.EOF
+		}
+	}
+}
+
+// receiveUntil reads orders, answering each mark, until one has the text.
+func (c *client) receiveUntil(proxy int, text string) string {
+	c.t.Helper()
+	for {
+		m, err := c.receive()
+		if err != nil {
+			c.t.Fatalf("the stream has ended before %q", text)
+		}
+		if _, mark, has := strings.Cut(m, " stamp "); has {
+			c.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", proxy, mark))
+		}
+		if strings.Contains(m, text) {
+			return m
+		}
+	}
+}
+
+// newSteppedCoordinator is a coordinator whose owner is the test: what comes in waits until the test takes it.
+func newSteppedCoordinator(t *testing.T, discovery string, sockets int) (*Coordinator, context.Context) {
+	ctx, stop := context.WithCancel(context.Background())
+	n, err := New(testConfig(t, discovery, sockets), zap.NewNop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		stop()
+		n.server.close()
+		n.checker.Close()
+		n.mailbox.Close()
+	})
+	return n, ctx
+}
+
+// acceptUntil takes what comes in until the module was told what is looked for, and returns all that it was told.
+func acceptUntil(ctx context.Context, t *testing.T, n *Coordinator, what string, found func([]policyapi.Event) bool) []policyapi.Event {
+	t.Helper()
+	var batch []policyapi.Event
+	for end := time.Now().Add(testTimeout); !found(batch); {
+		if time.Now().After(end) {
+			t.Fatalf("no %s: %+v", what, batch)
+		}
+		for _, e := range n.mailbox.Next(ctx, nil, func() <-chan time.Time { return time.After(10 * time.Millisecond) }) {
+			batch = n.accept(ctx, batch, e)
+		}
+	}
+	return batch
+}
+
+func versions(batch []policyapi.Event) (versions []policyapi.ListVersion) {
+	for _, ev := range batch {
+		if l, is := ev.(policyapi.EndpointUpdate); is {
+			versions = append(versions, l.Version)
+		}
+	}
+	return versions
+}
--- a/proxyserver/drain_test.go
+++ b/proxyserver/snapshot_test.go
@@ -4,29 +4,57 @@
 	"net/http"
 	"slices"
 	"testing"
-	"time"
 
 	"porthub/policyapi"
-	"porthub/proxyproto"
 )
 
-// An entry tells of a drain and has other fields that can't be used: the endpoint is out of the tables all the same.
-func TestDrainWithUnusableFields(t *testing.T) {
-	for name, entry := range map[string]string{
-		"site": `{"host":"s-1","dial":"h:1","site":"nowhere","health":"Terminating","share":1,"born_ms":0}`,
-		"born": `{"host":"s-1","dial":"h:1","site":"a","health":"Gone","share":1,"born_ms":-7}`,
-		"type": `{"host":"s-1","dial":7,"site":["a"],"health":"Terminating","share":"much"}`,
-	} {
-		t.Run(name, func(t *testing.T) {
-			h := newManualDiscovery(t)
-			r := startServerAt(t, h.address(), 256)
-			watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
-			watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
-			c := r.subscribe(1)
-			c.receiveUntil(1, "s-3")
-			watch.lines <- listMessage(43, false, entry)
-			c.receiveUntil(1, "s-1:0")
-		})
+// A whole list that was asked for before the watch brought a drain, and comes after it, sets nothing back.
+func TestSnapshotOlderThanWatchIsIgnored(t *testing.T) {
+	h := newManualDiscovery(t)
+	n, ctx := newSteppedCoordinator(t, h.address(), 256)
+	n.watcher.startWatch(ctx, 0)
+	watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	n.watcher.requestSnapshot(ctx, 0)
+	whole := h.nextCall(t, "/discovery/hosts")
+	watch.accept(listMessage(50, false, hostEntry("s-2", "Terminating"), hostEntry("s-3", "Ready")))
+	acceptUntil(ctx, t, n, "change", func(b []policyapi.Event) bool { return len(versions(b)) == 1 })
+	whole.accept(listMessage(41, true, hostEntry("s-1", "Ready"), hostEntry("s-2", "Ready")))
+	close(whole.lines)
+	watch.lines <- listMessage(51, false)
+	got := acceptUntil(ctx, t, n, "change after it", func(b []policyapi.Event) bool {
+		return slices.Contains(versions(b), 51) && !n.watcher.snapshotCall.isPending()
+	})
+	if v := versions(got); len(v) != 1 || n.endpoints.version != 51 {
+		t.Errorf("told %v, at version %d", v, n.endpoints.version)
+	}
+	if n.endpoints.endpoints["s-2"].Status != policyapi.Draining || n.endpoints.endpoints["s-3"].ID == "" || !n.server.validator.IsKnown("s-3") {
+		t.Errorf("a backend that drains is back, or a new one is forgotten: %+v", n.endpoints.endpoints)
+	}
+	n.watcher.requestSnapshot(ctx, 0) // one that is newer is taken
+	whole = h.nextCall(t, "/discovery/hosts")
+	whole.accept(listMessage(52, true, hostEntry("s-1", "Ready")))
+	close(whole.lines)
+	acceptUntil(ctx, t, n, "whole list", func(b []policyapi.Event) bool { return slices.Equal(versions(b), []policyapi.ListVersion{52}) })
+}
+
+// Discovery moves while a whole list is asked for at the old address: what that still says is not taken, the new one is asked.
+func TestSnapshotOfOldAddressIsIgnored(t *testing.T) {
+	h, second := newManualDiscovery(t), newManualDiscovery(t)
+	n, ctx := newSteppedCoordinator(t, h.address(), 256)
+	n.watcher.requestSnapshot(ctx, 0)
+	old := h.nextCall(t, "/discovery/hosts")
+	cfg := n.cfg
+	cfg.Discovery = second.address()
+	n.reload(ctx, cfg)
+	anew := second.nextCall(t, "/discovery/hosts")
+	old.accept(listMessage(60, true, hostEntry("s-9", "Ready")))
+	close(old.lines)
+	receive(t, "end of the old call", old.done)
+	anew.accept(listMessage(55, true, hostEntry("s-1", "Ready"), hostEntry("s-4", "Ready")))
+	close(anew.lines)
+	got := acceptUntil(ctx, t, n, "list", func(b []policyapi.Event) bool { return len(b) > 0 })
+	if v := versions(got); !slices.Equal(v, []policyapi.ListVersion{55}) || n.endpoints.endpoints["s-9"].ID != "" {
+		t.Errorf("told %v, holds %v", v, n.endpoints.endpoints)
 	}
 }
 
@@ -112,102 +140,3 @@
 		t.Error("a newer list does not bring it back")
 	}
 }
-
-// Many coordinators whose calls are refused at once do not ask again in step, wait longer each time, and never for so long that a
-// change can't come within the time after which it counts as told.
-func TestBackoffIsJitteredAndBounded(t *testing.T) {
-	const coordinators, tries, counts = 300, 8, 6 * time.Second
-	first := map[time.Duration]int{} // by tenths of a second
-	for seed := range uint64(coordinators) {
-		cfg := testConfig(t, "127.0.0.1:1", 256)
-		cfg.Start.Seed = seed
-		n := &discoveryWatcher{random: newRandom(seed)}
-		for try := range tries {
-			pause := n.backoff()
-			if try == 0 {
-				first[pause/(100*time.Millisecond)]++
-			}
-			if pause < minBackoff/2 || lineTimeout+pause >= counts {
-				t.Fatalf("a pause of %s", pause)
-			}
-		}
-	}
-	for tenth, n := range first {
-		if n > coordinators/5 {
-			t.Errorf("%d of %d ask again %d tenths of a second after a refusal", n, coordinators, tenth)
-		}
-	}
-}
-
-// The module fails over the very batch that brings a drain: the one that takes over lays tables without the endpoint.
-func TestDrainSurvivesModuleFailure(t *testing.T) {
-	h := newManualDiscovery(t)
-	n, ctx := newSteppedCoordinator(t, h.address(), 256)
-	n.watcher.enabled = true
-	saved := n.cfg.CachedList.Update
-	saved.Kind = policyapi.Cached
-	if err := n.process(ctx, []policyapi.Event{saved}); err != nil {
-		t.Fatal(err)
-	}
-	proxy := &tableClient{client: (&testServer{t: t, coordinator: n}).subscribe(7), proxy: 7, table: map[string]bool{}}
-	n.watcher.startWatch(ctx, 0)
-	watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
-	watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
-	steps := func(what string, right func(held map[string]bool) bool) {
-		t.Helper()
-		for end := time.Now().Add(testTimeout); !right(proxy.table); {
-			for n.stats.messages = 0; n.stats.messages == 0; {
-				if err := n.step(ctx); err != nil {
-					t.Fatal(err)
-				}
-				if time.Now().After(end) {
-					t.Fatalf("%s does not come, it holds %v", what, proxy.table)
-				}
-			}
-			message, err := proxy.receive()
-			if err != nil {
-				t.Fatal(err)
-			}
-			proxy.apply(message)
-		}
-	}
-	steps("its first table", func(held map[string]bool) bool { return held["s-1"] })
-	watch.lines <- listMessage(43, false, hostEntry("s-1", "Terminating"))
-	for n.endpoints.version < 43 { // taken in, and not decided on
-		n.inputs = n.mailbox.Next(ctx, n.inputs[:0], n.wait)
-		var batch []policyapi.Event
-		for _, e := range n.inputs {
-			batch = n.accept(ctx, batch, e)
-		}
-		if n.endpoints.version == 43 {
-			n.module.instance = nil // fails over this batch
-		}
-		if err := n.process(ctx, batch); err != nil {
-			t.Fatal(err)
-		}
-	}
-	steps("the drain", func(held map[string]bool) bool { return hasEndpoint(held) && !held["s-1"] })
-}
-
-// A watch has followed another while a line of that one still waits for the owner: the line is not taken, what it said comes with the
-// new watch, which was asked from the version before it.
-func TestLineOfReplacedWatchIsIgnored(t *testing.T) {
-	h := newManualDiscovery(t)
-	n, ctx := newSteppedCoordinator(t, h.address(), 256)
-	n.watcher.startWatch(ctx, 0)
-	old := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
-	old.accept()
-	acceptUntil(ctx, t, n, "answer", func([]policyapi.Event) bool { return n.watcher.watches[1].open })
-	n.watcher.startWatch(ctx, 0)
-	next := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
-	late := discoveryEvent{call: 1, kind: listReceived, list: proxyproto.EndpointList{Update: policyapi.EndpointUpdate{Version: 42, Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: policyapi.Draining}}}}}
-	n.watcher.handle(ctx, nil, discoveryEvent{call: 2, kind: watchOpened})
-	if batch := n.watcher.handle(ctx, nil, late); len(batch) > 0 || n.endpoints.version != 41 {
-		t.Fatalf("a watch that was called off told %+v", batch)
-	}
-	next.accept(listMessage(42, false, hostEntry("s-1", "Terminating")))
-	acceptUntil(ctx, t, n, "change", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 42) })
-	if n.endpoints.endpoints["s-1"].Status != policyapi.Draining {
-		t.Errorf("the drain is lost: %+v", n.endpoints.endpoints)
-	}
-}
