--- a/proxyserver/endpoints.go
+++ b/proxyserver/endpoints.go
@@ -15,23 +15,23 @@
 	endpoints map[policyapi.EndpointID]policyapi.Endpoint
 	// withdrawn are the endpoints that were listed as draining or removed, by when they had been started.
 	withdrawn map[policyapi.EndpointID]policyapi.Microseconds
-	addresses addressBook
+	addresses addressTable
 }
 
-// addressBook has the addresses at which endpoints are checked. The owner sets them, health checks look them up.
-type addressBook struct {
+// addressTable has the addresses at which endpoints are checked. The owner sets them, health checks look them up.
+type addressTable struct {
 	mu         sync.Mutex // guards byEndpoint; a map that was set is not changed any more
 	byEndpoint map[policyapi.EndpointID]string
 }
 
-func (b *addressBook) lookup(id policyapi.EndpointID) (address string, has bool) {
+func (b *addressTable) lookup(id policyapi.EndpointID) (address string, has bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	address, has = b.byEndpoint[id]
 	return address, has
 }
 
-func (b *addressBook) set(byEndpoint map[policyapi.EndpointID]string) {
+func (b *addressTable) set(byEndpoint map[policyapi.EndpointID]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.byEndpoint = byEndpoint
--- a/proxyserver/fakediscovery_test.go
+++ b/proxyserver/fakediscovery_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// discovery is a stand-in of discovery: each watch gets the lines that are put in.
+// fakeDiscovery responds to each watch with the lines that the test sends.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu         sync.Mutex
 	watches    map[chan string]bool
-	rejectNext int // so many calls fail
+	rejectNext int // how many of the next calls fail
 	calls      chan string
 }
 
@@ -80,19 +80,19 @@
 
 func (d *fakeDiscovery) address() string { return strings.TrimPrefix(d.URL, "http://") }
 
-func hostEntry(id, health string) string {
-	return fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":0}`, id, health)
+func hostEntry(name, health string) string {
+	return fmt.Sprintf(`{"host":%q,"dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":%q,"share":1,"born_ms":0}`, name, health)
 }
 
-func listMessage(seq int, whole bool, hosts ...string) string {
-	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
+func listMessage(seq int, complete bool, hosts ...string) string {
+	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, complete, strings.Join(hosts, ","))
 }
 
-// ackPendingSince is a call that has come to a stand-in of discovery's: it is answered when the test says so, or never.
+// discoveryCall is a call to manualDiscovery, which responds when the test says so, or never.
 type discoveryCall struct {
 	uri     string
 	respond chan int    // the status
-	lines   chan string // closed: the answer ends
+	lines   chan string // closed: the response ends
 	done    <-chan struct{}
 }
 
@@ -103,7 +103,7 @@
 	}
 }
 
-// sendHeartbeats sends the empty lines of a watch that stands, more often than the protocol has them, until the test ends.
+// sendHeartbeats sends the empty lines of an open watch, more often than the protocol does, until the test ends.
 func (a *discoveryCall) sendHeartbeats(t *testing.T) {
 	ended := make(chan struct{})
 	t.Cleanup(func() { close(ended) })
@@ -124,24 +124,24 @@
 	}()
 }
 
-// manualDiscovery is a stand-in of discovery's that hands each call to the test.
+// manualDiscovery is a discovery that hands each call to the test.
 type manualDiscovery struct {
 	*httptest.Server
 	calls chan *discoveryCall
 }
 
 func newManualDiscovery(t *testing.T) *manualDiscovery {
-	h := &manualDiscovery{calls: make(chan *discoveryCall, 256)}
-	h.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		a := &discoveryCall{uri: req.URL.RequestURI(), respond: make(chan int, 1), lines: make(chan string, 16), done: req.Context().Done()}
-		h.calls <- a
+	discovery := &manualDiscovery{calls: make(chan *discoveryCall, 256)}
+	discovery.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		call := &discoveryCall{uri: req.URL.RequestURI(), respond: make(chan int, 1), lines: make(chan string, 16), done: req.Context().Done()}
+		discovery.calls <- call
 		for {
 			select {
-			case <-a.done:
+			case <-call.done:
 				return
-			case status := <-a.respond:
+			case status := <-call.respond:
 				w.WriteHeader(status)
-			case line, more := <-a.lines:
+			case line, more := <-call.lines:
 				if !more {
 					return
 				}
@@ -151,19 +151,19 @@
 		}
 	}))
 	t.Cleanup(func() {
-		h.CloseClientConnections()
-		h.Close()
+		discovery.CloseClientConnections()
+		discovery.Close()
 	})
-	return h
+	return discovery
 }
 
 func (h *manualDiscovery) address() string { return strings.TrimPrefix(h.URL, "http://") }
 
 func (h *manualDiscovery) nextCall(t *testing.T, uri string) *discoveryCall {
 	t.Helper()
-	a := receive(t, "call for "+uri, h.calls)
-	if a.uri != uri {
-		t.Fatalf("asked for %s, not for %s", a.uri, uri)
+	call := receive(t, "call for "+uri, h.calls)
+	if call.uri != uri {
+		t.Fatalf("call for %s, want %s", call.uri, uri)
 	}
-	return a
+	return call
 }
--- a/proxyserver/fleet_test.go
+++ b/proxyserver/fleet_test.go
@@ -15,17 +15,17 @@
 const (
 	coordinatorCount      = 40
 	proxiesPerCoordinator = 3
-	testGracePeriod       = 3 * time.Second // as rigConfig has it
+	testGracePeriod       = 3 * time.Second // as in testConfig
 )
 
-// tableClient is a proxy's stream with what its table holds.
+// tableClient is a proxy's stream with its table.
 type tableClient struct {
 	*client
 	proxy int
 	table map[string]bool
 }
 
-// apply applies an order and acknowledges its mark.
+// apply applies a message and acknowledges its ack id.
 func (h *tableClient) apply(message string) {
 	words := strings.Split(message, " ")
 	fields := map[string]string{}
@@ -44,21 +44,21 @@
 	}
 }
 
-// waitForTable reads orders until the table is as wanted.
-func (h *tableClient) waitForTable(what string, right func(held map[string]bool) bool) {
+// waitForTable applies messages until the table is as wanted.
+func (h *tableClient) waitForTable(what string, isComplete func(table map[string]bool) bool) {
 	h.t.Helper()
-	for !right(h.table) {
+	for !isComplete(h.table) {
 		message, err := h.receive()
 		if err != nil {
-			h.t.Fatalf("proxy %d: the stream has ended before %s", h.proxy, what)
+			h.t.Fatalf("proxy %d: the stream ended before %s", h.proxy, what)
 		}
 		h.apply(message)
 	}
 }
 
-// hasEndpoint tells whether a table has an endpoint.
-func hasEndpoint(held map[string]bool) bool {
-	for _, has := range held {
+// hasEndpoint reports whether a table has any endpoint.
+func hasEndpoint(table map[string]bool) bool {
+	for _, has := range table {
 		if has {
 			return true
 		}
@@ -66,93 +66,93 @@
 	return false
 }
 
-// startFleet starts many coordinators before one discovery, each with a few proxies that bring an old table along.
-func startFleet(t *testing.T, lists *fakeDiscovery) (holders []*tableClient) {
+// startFleet starts many coordinators that follow one discovery, each with a few proxies that bring an old table along.
+func startFleet(t *testing.T, discovery *fakeDiscovery) (proxies []*tableClient) {
 	for i := range coordinatorCount {
-		cfg := testConfig(t, lists.address(), 64)
+		cfg := testConfig(t, discovery.address(), 64)
 		cfg.Start.Seed, cfg.Start.InstanceCount = uint64(i), coordinatorCount
-		n, err := New(cfg, zap.NewNop())
+		coordinator, err := New(cfg, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- n.Run(ctx) }()
+		go func() { ended <- coordinator.Run(ctx) }()
 		t.Cleanup(func() {
 			stop()
 			<-ended
 		})
 		for p := range proxiesPerCoordinator {
-			r := &testServer{t: t, coordinator: n}
-			h := &tableClient{client: r.dial(), proxy: i*proxiesPerCoordinator + p, table: map[string]bool{"old": true}}
-			h.send(fmt.Sprintf("SUBSCRIBE sidecar %d az %s share 20 standing 0", h.proxy, []string{"a", "b"}[p%2]))
-			holders = append(holders, h)
+			srv := &testServer{t: t, coordinator: coordinator}
+			proxy := &tableClient{client: srv.dial(), proxy: i*proxiesPerCoordinator + p, table: map[string]bool{"old": true}}
+			proxy.send(fmt.Sprintf("SUBSCRIBE sidecar %d az %s share 20 standing 0", proxy.proxy, []string{"a", "b"}[p%2]))
+			proxies = append(proxies, proxy)
 		}
 	}
-	return holders
+	return proxies
 }
 
-// Forty coordinators with three proxies each follow one discovery: what they brought along is replaced, a drain reaches every proxy
-// within the grace; then all watches end at once, the calls that follow are refused, and endpoints drain and go meanwhile.
+// Forty coordinators with three proxies each follow one discovery: the tables brought along are replaced, a drain reaches every proxy
+// within the grace period; then all watches end at once, the next calls are refused, and endpoints drain and are removed meanwhile.
 func TestDrainReachesAllProxiesOfManyCoordinators(t *testing.T) {
-	lists := newFakeDiscovery(t)
-	lists.calls = make(chan string, 100*coordinatorCount)
-	holders := startFleet(t, lists)
+	discovery := newFakeDiscovery(t)
+	discovery.calls = make(chan string, 100*coordinatorCount)
+	proxies := startFleet(t, discovery)
 	for range coordinatorCount {
-		receive(t, "watch", lists.calls)
+		receive(t, "watch", discovery.calls)
 	}
-	lists.send(listMessage(42, false, hostEntry("s-3", "Ready"), hostEntry("s-4", "Ready")))
-	for _, h := range holders {
-		h.waitForTable("its first table", func(held map[string]bool) bool { return hasEndpoint(held) && !held["old"] })
+	discovery.send(listMessage(42, false, hostEntry("s-3", "Ready"), hostEntry("s-4", "Ready")))
+	for _, h := range proxies {
+		h.waitForTable("its first table", func(table map[string]bool) bool { return hasEndpoint(table) && !table["old"] })
 	}
-	told := time.Now()
-	lists.send(listMessage(43, false, hostEntry("s-1", "Terminating")))
-	for _, h := range holders {
-		h.waitForTable("the drain", func(held map[string]bool) bool { return hasEndpoint(held) && !held["s-1"] })
+	listedAt := time.Now()
+	discovery.send(listMessage(43, false, hostEntry("s-1", "Terminating")))
+	for _, h := range proxies {
+		h.waitForTable("the drain", func(table map[string]bool) bool { return hasEndpoint(table) && !table["s-1"] })
 	}
-	if took := time.Since(told); took > testGracePeriod {
+	if took := time.Since(listedAt); took > testGracePeriod {
 		t.Errorf("the drain reached the last proxy after %s", took)
 	}
-	lists.mu.Lock()
-	lists.rejectNext = 2 * coordinatorCount
-	lists.mu.Unlock()
-	lists.send("")
+	discovery.mu.Lock()
+	discovery.rejectNext = 2 * coordinatorCount
+	discovery.mu.Unlock()
+	discovery.send("")
 	for refused := 0; refused < 2*coordinatorCount; {
-		if receive(t, "call", lists.calls) == "refused" {
+		if receive(t, "call", discovery.calls) == "refused" {
 			refused++
 		}
 	}
 	for range coordinatorCount {
-		if from := receive(t, "watch", lists.calls); from != "43" {
-			t.Fatalf("changes are asked for from %q", from)
+		if from := receive(t, "watch", discovery.calls); from != "43" {
+			t.Fatalf("watched from %q", from)
 		}
 	}
-	told = time.Now()
-	lists.send(listMessage(45, false, hostEntry("s-2", "Terminating"), hostEntry("s-3", "Gone")))
-	for _, h := range holders {
-		h.waitForTable("drain and removal", func(held map[string]bool) bool { return !held["s-2"] && !held["s-3"] && held["s-4"] })
+	listedAt = time.Now()
+	discovery.send(listMessage(45, false, hostEntry("s-2", "Terminating"), hostEntry("s-3", "Gone")))
+	for _, h := range proxies {
+		h.waitForTable("drain and removal", func(table map[string]bool) bool { return !table["s-2"] && !table["s-3"] && table["s-4"] })
 	}
-	if took := time.Since(told); took > testGracePeriod {
-		t.Errorf("they reached the last proxy after %s", took)
+	if took := time.Since(listedAt); took > testGracePeriod {
+		t.Errorf("drain and removal reached the last proxy after %s", took)
 	}
 }
 
-// The last endpoints of a zone drain, and the class keeps to the zone: its table is emptied, on the socket too.
+// The last endpoints of a zone drain, and the class is local to the zone: its table is emptied, on the socket too.
 func TestLastEndpointsOfAZoneDrain(t *testing.T) {
-	h := newManualDiscovery(t)
-	r := startServerAt(t, h.address(), 256, func(n *Coordinator) {
+	discovery := newManualDiscovery(t)
+	srv := startServerAt(t, discovery.address(), 256, func(n *Coordinator) {
 		n.cfg.Start.Classes[0].LocalZoneOnly = true
 		n.module.instance = policy.New(n.cfg.Start)
 	})
-	watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	watch := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
-	proxy := &tableClient{client: r.subscribe(1), proxy: 1, table: map[string]bool{}}
-	proxy.waitForTable("its first table", func(held map[string]bool) bool { return held["s-1"] && held["s-3"] })
+	proxy := &tableClient{client: srv.subscribe(1), proxy: 1, table: map[string]bool{}}
+	proxy.waitForTable("its first table", func(table map[string]bool) bool { return table["s-1"] && table["s-3"] })
 	watch.lines <- listMessage(43, false, hostEntry("s-1", "Terminating"), hostEntry("s-2", "Terminating"), hostEntry("s-3", "Gone"))
-	proxy.waitForTable("the drain", func(held map[string]bool) bool { return !hasEndpoint(held) })
+	proxy.waitForTable("the drain", func(table map[string]bool) bool { return !hasEndpoint(table) })
 }
 
-// An entry tells of a drain and has other fields that can't be used: the endpoint is out of the tables all the same.
+// A drain in an entry with unusable fields: the endpoint is withdrawn from the tables all the same.
 func TestDrainWithUnusableFields(t *testing.T) {
 	for name, entry := range map[string]string{
 		"site": `{"host":"s-1","dial":"h:1","site":"nowhere","health":"Terminating","share":1,"born_ms":0}`,
@@ -160,14 +160,14 @@
 		"type": `{"host":"s-1","dial":7,"site":["a"],"health":"Terminating","share":"much"}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newManualDiscovery(t)
-			r := startServerAt(t, h.address(), 256)
-			watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+			discovery := newManualDiscovery(t)
+			srv := startServerAt(t, discovery.address(), 256)
+			watch := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 			watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
-			c := r.subscribe(1)
-			c.receiveUntil(1, "s-3")
+			proxy := srv.subscribe(1)
+			proxy.receiveUntil(1, "s-3")
 			watch.lines <- listMessage(43, false, entry)
-			c.receiveUntil(1, "s-1:0")
+			proxy.receiveUntil(1, "s-1:0")
 		})
 	}
 }
--- a/proxyserver/harness_test.go
+++ b/proxyserver/harness_test.go
@@ -18,7 +18,8 @@
 	"porthub/resp"
 )
 
-const testTimeout = 10 * time.Second // for what has to come; nothing waits for it in vain
+// testTimeout bounds the wait for what must come; no test waits for it to pass.
+const testTimeout = 10 * time.Second
 
 func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
 	t.Helper()
@@ -30,7 +31,7 @@
 	return v
 }
 
-// testServer is a running coordinator with a stand-in of discovery.
+// testServer is a running coordinator with its discovery.
 type testServer struct {
 	t           *testing.T
 	coordinator *Coordinator
@@ -55,32 +56,32 @@
 	return cfg
 }
 
-func startServer(t *testing.T, sockets int, change ...func(*Coordinator)) *testServer {
-	lists := newFakeDiscovery(t)
-	r := startServerAt(t, lists.address(), sockets, change...)
-	r.discovery = lists
-	return r
+func startServer(t *testing.T, sockets int, customize ...func(*Coordinator)) *testServer {
+	discovery := newFakeDiscovery(t)
+	srv := startServerAt(t, discovery.address(), sockets, customize...)
+	srv.discovery = discovery
+	return srv
 }
 
-func startServerAt(t *testing.T, discovery string, sockets int, change ...func(*Coordinator)) *testServer {
-	r := &testServer{t: t, cfg: testConfig(t, discovery, sockets), ended: make(chan error, 1)}
+func startServerAt(t *testing.T, discovery string, sockets int, customize ...func(*Coordinator)) *testServer {
+	srv := &testServer{t: t, cfg: testConfig(t, discovery, sockets), ended: make(chan error, 1)}
 	core, logs := observer.New(zap.InfoLevel)
-	r.logs = logs
+	srv.logs = logs
 	var err error
-	if r.coordinator, err = New(r.cfg, zap.New(core)); err != nil {
+	if srv.coordinator, err = New(srv.cfg, zap.New(core)); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range change {
-		c(r.coordinator)
+	for _, c := range customize {
+		c(srv.coordinator)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r.stop = stop
-	go func() { r.ended <- r.coordinator.Run(ctx) }()
+	srv.stop = stop
+	go func() { srv.ended <- srv.coordinator.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		<-r.ended
+		<-srv.ended
 	})
-	return r
+	return srv
 }
 
 func (r *testServer) dial() *client {
@@ -108,10 +109,10 @@
 }
 
 func (c *client) send(text string) {
-	_, _ = c.Write(resp.Append(nil, strings.Split(text, " ")...)) // an end shows when it is read
+	_, _ = c.Write(resp.Append(nil, strings.Split(text, " ")...)) // a closed connection shows in receive
 }
 
-// receive is the next message; io.EOF also for a reset.
+// receive returns the next message; io.EOF at the connection's end, also by a reset.
 func (c *client) receive() (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
@@ -129,7 +130,7 @@
 		c.buf = append(c.buf, more[:n]...)
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			c.t.Fatal("nothing comes")
+			c.t.Fatal("no message")
 		}
 		if n == 0 && err != nil {
 			return "", io.EOF
@@ -137,13 +138,13 @@
 	}
 }
 
-// receiveUntil reads orders, answering each mark, until one has the text.
+// receiveUntil receives messages, acknowledging each ack id, until one contains the text.
 func (c *client) receiveUntil(proxy int, text string) string {
 	c.t.Helper()
 	for {
 		m, err := c.receive()
 		if err != nil {
-			c.t.Fatalf("the stream has ended before %q", text)
+			c.t.Fatalf("the stream ended before %q", text)
 		}
 		if _, mark, has := strings.Cut(m, " stamp "); has {
 			c.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", proxy, mark))
@@ -154,32 +155,32 @@
 	}
 }
 
-// newSteppedCoordinator is a coordinator whose owner is the test: what comes in waits until the test takes it.
+// newSteppedCoordinator returns a coordinator whose owner is the test: inputs wait until the test accepts them.
 func newSteppedCoordinator(t *testing.T, discovery string, sockets int) (*Coordinator, context.Context) {
 	ctx, stop := context.WithCancel(context.Background())
-	n, err := New(testConfig(t, discovery, sockets), zap.NewNop())
+	coordinator, err := New(testConfig(t, discovery, sockets), zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		stop()
-		n.server.close()
-		n.checker.Close()
-		n.mailbox.Close()
+		coordinator.server.close()
+		coordinator.checker.Close()
+		coordinator.mailbox.Close()
 	})
-	return n, ctx
+	return coordinator, ctx
 }
 
-// acceptUntil takes what comes in until the module was told what is looked for, and returns all that it was told.
-func acceptUntil(ctx context.Context, t *testing.T, n *Coordinator, what string, found func([]policyapi.Event) bool) []policyapi.Event {
+// acceptUntil accepts inputs until the resulting events are as wanted, and returns them.
+func acceptUntil(ctx context.Context, t *testing.T, coordinator *Coordinator, what string, found func([]policyapi.Event) bool) []policyapi.Event {
 	t.Helper()
 	var batch []policyapi.Event
 	for end := time.Now().Add(testTimeout); !found(batch); {
 		if time.Now().After(end) {
 			t.Fatalf("no %s: %+v", what, batch)
 		}
-		for _, e := range n.mailbox.Next(ctx, nil, func() <-chan time.Time { return time.After(10 * time.Millisecond) }) {
-			batch = n.accept(ctx, batch, e)
+		for _, e := range coordinator.mailbox.Next(ctx, nil, func() <-chan time.Time { return time.After(10 * time.Millisecond) }) {
+			batch = coordinator.accept(ctx, batch, e)
 		}
 	}
 	return batch
--- a/proxyserver/module_test.go
+++ b/proxyserver/module_test.go
@@ -11,89 +11,91 @@
 	"porthub/policyapi"
 )
 
-// The module's failure costs no stream: a fresh one takes over and lays the tables anew. A second one at once ends the program.
+// A panic of the decision module costs no stream: a new instance takes over and sends the tables again. A second panic at once ends the
+// program.
 func TestModuleFailureKeepsStreams(t *testing.T) {
-	r := startServer(t, 256, func(n *Coordinator) { n.module.instance = nil })
-	c := r.subscribe(1)
-	c.receiveUntil(1, "replace 1")
-	if !r.logged("decision module panicked") {
-		t.Error("nothing is logged")
+	srv := startServer(t, 256, func(n *Coordinator) { n.module.instance = nil })
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "replace 1")
+	if !srv.logged("decision module panicked") {
+		t.Error("the panic is not logged")
 	}
-	n := &policyModule{settings: &r.cfg.Start, log: zap.NewNop(), hasFailed: true, failedAt: 5}
+	n := &policyModule{settings: &srv.cfg.Start, log: zap.NewNop(), hasFailed: true, failedAt: 5}
 	if _, err := n.step(6, []policyapi.Event{policyapi.TimerFired{}}); err == nil {
-		t.Error("it goes on for ever")
+		t.Error("a second panic is no error")
 	}
 }
 
-// A module takes over from one that has failed: it is told of joinings as they were, what was asked of discovery for the other
-// is called off, and the answer to a mark of the other's is none to one of its own.
+// A decision module takes over from one that has failed: it receives the connected proxies, the calls to discovery made for its
+// predecessor are canceled, and acknowledgements to its predecessor's ack ids are ignored.
 func TestModuleRestart(t *testing.T) {
-	h := newManualDiscovery(t)
-	n, ctx := newSteppedCoordinator(t, h.address(), 256)
-	r := &testServer{t: t, coordinator: n}
-	c := r.subscribe(7)
-	n.watcher.requestSnapshot(ctx, 0)
-	whole := h.nextCall(t, "/discovery/hosts")
-	saved := n.cfg.CachedList.Update
-	saved.Kind = policyapi.Cached
-	if err := n.process(ctx, []policyapi.Event{saved}); err != nil {
+	discovery := newManualDiscovery(t)
+	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
+	srv := &testServer{t: t, coordinator: coordinator}
+	proxy := srv.subscribe(7)
+	coordinator.watcher.requestSnapshot(ctx, 0)
+	snapshot := discovery.nextCall(t, "/discovery/hosts")
+	cached := coordinator.cfg.CachedList.Update
+	cached.Kind = policyapi.Cached
+	if err := coordinator.process(ctx, []policyapi.Event{cached}); err != nil {
 		t.Fatal(err)
 	}
-	stamped := func() (mark string) { // of the next table
+	nextAckID := func() (id string) { // of the next table message
 		t.Helper()
-		for n.stats.messages = 0; n.stats.messages == 0; {
-			if err := n.step(ctx); err != nil {
+		for coordinator.stats.messages = 0; coordinator.stats.messages == 0; {
+			if err := coordinator.step(ctx); err != nil {
 				t.Fatal(err)
 			}
 		}
-		m, err := c.receive()
-		if err != nil || !strings.Contains(m, "replace 1") || !strings.Contains(m, " stamp ") {
-			t.Fatalf("%q, %v", m, err)
+		message, err := proxy.receive()
+		_, stamp, has := strings.Cut(message, " stamp ")
+		if err != nil || !has || !strings.Contains(message, "replace 1") {
+			t.Fatalf("%q, %v", message, err)
 		}
-		return strings.Fields(m[strings.Index(m, " stamp "):])[1]
+		return strings.Fields(stamp)[0]
 	}
-	first := stamped()
-	n.module.instance = nil // fails with the next batch
-	second := stamped()
+	first := nextAckID()
+	coordinator.module.instance = nil // panics with the next batch
+	second := nextAckID()
 	if second == first {
-		t.Fatalf("two marks are %s", first)
+		t.Fatalf("two ack ids are %s", first)
 	}
-	receive(t, "end of the call", whole.done)
-	c.send(fmt.Sprintf("ACK sidecar 7 version %s lag_ms 1", first))
-	c.send(fmt.Sprintf("ACK sidecar 7 version %s lag_ms 2", second))
-	got := acceptUntil(ctx, t, n, "answer", func(b []policyapi.Event) bool { return len(b) > 0 })
+	receive(t, "end of the call", snapshot.done)
+	proxy.send(fmt.Sprintf("ACK sidecar 7 version %s lag_ms 1", first))
+	proxy.send(fmt.Sprintf("ACK sidecar 7 version %s lag_ms 2", second))
+	got := acceptUntil(ctx, t, coordinator, "acknowledgement", func(b []policyapi.Event) bool { return len(b) > 0 })
 	if a, is := got[0].(policyapi.Acknowledged); !is || len(got) != 1 || a.AckID != 1 || a.Delay != 2000 {
-		t.Errorf("told %+v", got)
+		t.Errorf("events %+v", got)
 	}
-	again := n.module.restart()
-	if j, is := again[1].(policyapi.ProxyConnected); !is || j != (policyapi.ProxyConnected{Proxy: 7, Zone: "a", Weight: 20}) {
-		t.Errorf("told of %+v", again[1:])
+	restarted := coordinator.module.restart()
+	if j, is := restarted[1].(policyapi.ProxyConnected); !is || j != (policyapi.ProxyConnected{Proxy: 7, Zone: "a", Weight: 20}) {
+		t.Errorf("first batch %+v", restarted[1:])
 	}
 }
 
-// The module fails over the very batch that brings a drain: the one that takes over lays tables without the endpoint.
+// The decision module panics with the very batch that brings a drain: its successor sends tables without the endpoint.
 func TestDrainSurvivesModuleFailure(t *testing.T) {
-	h := newManualDiscovery(t)
-	n, ctx := newSteppedCoordinator(t, h.address(), 256)
-	n.watcher.enabled = true
-	saved := n.cfg.CachedList.Update
-	saved.Kind = policyapi.Cached
-	if err := n.process(ctx, []policyapi.Event{saved}); err != nil {
+	discovery := newManualDiscovery(t)
+	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
+	coordinator.watcher.enabled = true
+	cached := coordinator.cfg.CachedList.Update
+	cached.Kind = policyapi.Cached
+	if err := coordinator.process(ctx, []policyapi.Event{cached}); err != nil {
 		t.Fatal(err)
 	}
-	proxy := &tableClient{client: (&testServer{t: t, coordinator: n}).subscribe(7), proxy: 7, table: map[string]bool{}}
-	n.watcher.startWatch(ctx, 0)
-	watch := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	proxy := &tableClient{client: (&testServer{t: t, coordinator: coordinator}).subscribe(7), proxy: 7, table: map[string]bool{}}
+	coordinator.watcher.startWatch(ctx, 0)
+	watch := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
-	steps := func(what string, right func(held map[string]bool) bool) {
+	stepUntil := func(what string, isComplete func(table map[string]bool) bool) {
 		t.Helper()
-		for end := time.Now().Add(testTimeout); !right(proxy.table); {
-			for n.stats.messages = 0; n.stats.messages == 0; {
-				if err := n.step(ctx); err != nil {
+		for end := time.Now().Add(testTimeout); !isComplete(proxy.table); {
+			for coordinator.stats.messages = 0; coordinator.stats.messages == 0; {
+				if err := coordinator.step(ctx); err != nil {
 					t.Fatal(err)
 				}
 				if time.Now().After(end) {
-					t.Fatalf("%s does not come, it holds %v", what, proxy.table)
+					t.Fatalf("no %s, the table is %v", what, proxy.table)
 				}
 			}
 			message, err := proxy.receive()
@@ -103,20 +105,20 @@
 			proxy.apply(message)
 		}
 	}
-	steps("its first table", func(held map[string]bool) bool { return held["s-1"] })
+	stepUntil("its first table", func(table map[string]bool) bool { return table["s-1"] })
 	watch.lines <- listMessage(43, false, hostEntry("s-1", "Terminating"))
-	for n.endpoints.version < 43 { // taken in, and not decided on
-		n.inputs = n.mailbox.Next(ctx, n.inputs[:0], n.wait)
+	for coordinator.endpoints.version < 43 { // until the list is accepted, before it is processed
+		coordinator.inputs = coordinator.mailbox.Next(ctx, coordinator.inputs[:0], coordinator.wait)
 		var batch []policyapi.Event
-		for _, e := range n.inputs {
-			batch = n.accept(ctx, batch, e)
+		for _, e := range coordinator.inputs {
+			batch = coordinator.accept(ctx, batch, e)
 		}
-		if n.endpoints.version == 43 {
-			n.module.instance = nil // fails over this batch
+		if coordinator.endpoints.version == 43 {
+			coordinator.module.instance = nil // panics with this batch
 		}
-		if err := n.process(ctx, batch); err != nil {
+		if err := coordinator.process(ctx, batch); err != nil {
 			t.Fatal(err)
 		}
 	}
-	steps("the drain", func(held map[string]bool) bool { return hasEndpoint(held) && !held["s-1"] })
+	stepUntil("the drain", func(table map[string]bool) bool { return hasEndpoint(table) && !table["s-1"] })
 }
--- a/proxyserver/server_test.go
+++ b/proxyserver/server_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"strings"
@@ -16,9 +17,9 @@
 	"porthub/resp"
 )
 
-// Each bad client gets a NACK or an end in time; a stream that can't be read on ends without one.
+// Each invalid client is sent NACK or closed in time; a stream that can't be parsed is closed without NACK.
 func TestInvalidClientsAreClosed(t *testing.T) {
-	r := startServer(t, 256)
+	srv := startServer(t, 256)
 	began := time.Now()
 	clients := map[string]*client{}
 	for name, text := range map[string]string{
@@ -30,7 +31,7 @@
 		"endless lines":     strings.Repeat("*1\r\n", 100),
 		"a ping, then none": string(resp.Append(nil, "PING")),
 	} {
-		clients[name] = r.dial()
+		clients[name] = srv.dial()
 		_, _ = clients[name].Write([]byte(text))
 	}
 	for name, c := range clients {
@@ -45,167 +46,167 @@
 			t.Errorf("%s: %q, %v", name, m, err)
 		}
 		if err == nil {
-			if _, err = c.receive(); err != io.EOF {
-				t.Errorf("%s: goes on", name)
+			if _, err = c.receive(); !errors.Is(err, io.EOF) {
+				t.Errorf("%s: not closed", name)
 			}
 		}
 	}
 	if took := time.Since(began); took > 3*time.Second {
 		t.Errorf("took %s", took)
 	}
-	stream := r.subscribe(3)
+	stream := srv.subscribe(3)
 	stream.receiveUntil(3, "replace 1")
 	_, _ = stream.Write([]byte("*1\r\n$x"))
 	for {
 		m, err := stream.receive()
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			break
 		}
 		if m == "NACK" {
-			t.Error("a stream gets what it could not use")
+			t.Error("a stream is sent NACK")
 		}
 	}
 }
 
-// With hundreds that open a connection and say nothing a proxy still joins, and the bound on descriptors holds.
+// A proxy can connect while hundreds open connections and send nothing, and the limit on connections holds.
 func TestConnectionLimitLetsProxiesIn(t *testing.T) {
-	const most = 8
-	r := startServer(t, reservedDescriptors+most)
+	const maxConnections = 8
+	srv := startServer(t, reservedDescriptors+maxConnections)
 	var silent []*client
-	for range 20 * most {
-		c, err := net.Dial("tcp", r.coordinator.Addr())
+	for range 20 * maxConnections {
+		proxy, err := net.Dial("tcp", srv.coordinator.Addr())
 		if err != nil {
-			continue // refused: that is an end too
+			continue // refused, which is an end too
 		}
-		silent = append(silent, &client{Conn: c, t: t})
+		silent = append(silent, &client{Conn: proxy, t: t})
 	}
-	c := r.subscribe(1)
-	c.receiveUntil(1, "replace 1")
-	if open := r.coordinator.server.counters.open.Load(); open > most {
-		t.Errorf("%d connections, %d may be", open, most)
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "replace 1")
+	if open := srv.coordinator.server.counters.open.Load(); open > maxConnections {
+		t.Errorf("%d connections, limit %d", open, maxConnections)
 	}
-	if r.coordinator.server.counters.evicted.Load() == 0 {
-		t.Error("none had to go")
+	if srv.coordinator.server.counters.evicted.Load() == 0 {
+		t.Error("no connection was evicted")
 	}
-	for _, c := range silent {
-		_ = c.Close()
+	for _, proxy := range silent {
+		_ = proxy.Close()
 	}
 }
 
-// However the bytes come, they are the same messages.
+// A message is the same however its bytes are split.
 func TestMessageInPieces(t *testing.T) {
-	r := startServer(t, 256)
-	c := r.dial()
+	srv := startServer(t, 256)
+	proxy := srv.dial()
 	for _, b := range bytes.SplitAfter(resp.Append(nil, "SUBSCRIBE", "sidecar", "9", "az", "b", "share", "3", "standing", "0"), []byte("\r")) {
-		_, _ = c.Write(b)
+		_, _ = proxy.Write(b)
 		time.Sleep(time.Millisecond)
 	}
-	c.receiveUntil(9, "replace 1")
+	proxy.receiveUntil(9, "replace 1")
 }
 
-// A peer that takes nothing is closed once more waits for it than may, and the others' orders go on meanwhile.
+// A peer that takes nothing is closed once maxUnsentBytes wait for it, and others receive their messages meanwhile.
 func TestStalledPeerIsClosed(t *testing.T) {
-	r := startServer(t, 256)
-	receive(t, "watch", r.discovery.calls)
-	stuck := r.subscribe(1)
+	srv := startServer(t, 256)
+	receive(t, "watch", srv.discovery.calls)
+	stuck := srv.subscribe(1)
 	stuck.receiveUntil(1, "replace 1")
-	other := r.subscribe(2)
+	other := srv.subscribe(2)
 	other.receiveUntil(2, "replace 1")
-	links := make(chan *connection, 1)
-	loop := *r.coordinator.server.loop.Load()
+	connections := make(chan *connection, 1)
+	loop := *srv.coordinator.server.loop.Load()
 	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		for l := range r.coordinator.server.streams {
-			if l.session.Proxy == 1 {
-				links <- l
+		for stalledConnection := range srv.coordinator.server.streams {
+			if stalledConnection.session.Proxy == 1 {
+				connections <- stalledConnection
 			}
 		}
 		return nil
 	}))
-	l := receive(t, "link", links)
-	big := proxyproto.OutboundMessage{Proxy: 1, Bytes: bytes.Repeat([]byte("x"), 1<<20)}
-	for end := time.Now().Add(testTimeout); r.coordinator.server.counters.stalled.Load() == 0; {
-		if r.coordinator.server.send(l, big); time.Now().After(end) {
-			t.Fatal("what waits for it grows and grows")
+	stalledConnection := receive(t, "link", connections)
+	largeMessage := proxyproto.OutboundMessage{Proxy: 1, Bytes: bytes.Repeat([]byte("x"), 1<<20)}
+	for end := time.Now().Add(testTimeout); srv.coordinator.server.counters.stalled.Load() == 0; {
+		if srv.coordinator.server.send(stalledConnection, largeMessage); time.Now().After(end) {
+			t.Fatal("it is not closed")
 		}
 		time.Sleep(time.Millisecond)
 	}
-	r.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
+	srv.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
 	other.receiveUntil(2, "s-3")
 }
 
-// While nobody takes what the event loop hands over, signs of life are still answered; nothing that must not be lost is lost.
+// While the owner accepts nothing, PING is still answered, and no connect or disconnect is lost.
 func TestEventLoopRunsWhileLaneIsFull(t *testing.T) {
-	n, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
+	coordinator, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
 	filled := 0
-	for n.mailbox.TryPutUrgent(input{event: policyapi.HealthCheckResult{}}) {
+	for coordinator.mailbox.TryPutUrgent(input{event: policyapi.HealthCheckResult{}}) {
 		filled++
 	}
-	r := &testServer{t: t, coordinator: n}
-	joins, pings := r.subscribe(7), r.dial()
-	joins.send("PING") // its answer says that the joining before it was taken off the socket
-	if m, err := joins.receive(); m != "PONG" || err != nil {
+	srv := &testServer{t: t, coordinator: coordinator}
+	connecting, pinging := srv.subscribe(7), srv.dial()
+	connecting.send("PING") // its reply shows that the message before it was taken off the socket
+	if m, err := connecting.receive(); m != "PONG" || err != nil {
 		t.Fatalf("%q, %v", m, err)
 	}
-	pings.send("PING")
-	if m, err := pings.receive(); m != "PONG" || err != nil {
+	pinging.send("PING")
+	if m, err := pinging.receive(); m != "PONG" || err != nil {
 		t.Fatalf("%q, %v", m, err)
 	}
-	_ = joins.Close()
-	got := acceptUntil(ctx, t, n, "leave", func(b []policyapi.Event) bool { return len(b) >= filled+2 })
-	if j, is := got[filled].(policyapi.ProxyConnected); !is || j.Proxy != 7 || got[filled+1] != (policyapi.ProxyDisconnected{Proxy: 7}) {
-		t.Errorf("after %d others %+v", filled, got[filled:])
+	_ = connecting.Close()
+	got := acceptUntil(ctx, t, coordinator, "ProxyDisconnected", func(b []policyapi.Event) bool { return len(b) >= filled+2 })
+	if connected, is := got[filled].(policyapi.ProxyConnected); !is || connected.Proxy != 7 || got[filled+1] != (policyapi.ProxyDisconnected{Proxy: 7}) {
+		t.Errorf("after %d events: %+v", filled, got[filled:])
 	}
 }
 
-// All places are joined: one that has fallen silent over a mark gives way to one that comes, one that answers does not.
+// With all connections identified, a stream that is silent while it owes an acknowledgement is closed for a new one; others are not.
 func TestSilentStreamIsEvicted(t *testing.T) {
-	const most = 2
-	r := startServer(t, reservedDescriptors+most)
-	receive(t, "watch", r.discovery.calls)
-	mute, well := r.subscribe(1), r.subscribe(2)
-	if m, err := mute.receive(); err != nil || !strings.Contains(m, "stamp") {
+	const maxConnections = 2
+	srv := startServer(t, reservedDescriptors+maxConnections)
+	receive(t, "watch", srv.discovery.calls)
+	silent, responsive := srv.subscribe(1), srv.subscribe(2)
+	if m, err := silent.receive(); err != nil || !strings.Contains(m, "stamp") {
 		t.Fatal(m, err)
 	}
-	well.receiveUntil(2, "replace 1")
-	refused := r.dial()
-	if m, err := refused.receive(); m != "NACK" || err != nil {
-		t.Fatalf("%q, %v: one too many is taken", m, err)
+	responsive.receiveUntil(2, "replace 1")
+	rejected := srv.dial()
+	if m, err := rejected.receive(); m != "NACK" || err != nil {
+		t.Fatalf("%q, %v: a connection over the limit is accepted", m, err)
 	}
-	mute.send("PING")
+	silent.send("PING")
 	for {
-		m, err := mute.receive()
+		m, err := silent.receive()
 		if err != nil {
-			t.Fatal("a stream had to go that may yet answer")
+			t.Fatal("a stream that may yet acknowledge was closed")
 		}
 		if m == "PONG" {
 			break
 		}
 	}
 	done := make(chan struct{})
-	loop := *r.coordinator.server.loop.Load()
+	loop := *srv.coordinator.server.loop.Load()
 	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		for l := range r.coordinator.server.streams { // as if all had been long ago
+		for l := range srv.coordinator.server.streams { // as if everything had been long ago
 			l.receivedAt, l.ackPendingSince = l.receivedAt.Add(-2*silenceTimeout), l.ackPendingSince.Add(-2*silenceTimeout)
 		}
 		close(done)
 		return nil
 	}))
 	receive(t, "loop", done)
-	well.send("PING")
-	if m, err := well.receive(); m != "PONG" || err != nil {
+	responsive.send("PING")
+	if m, err := responsive.receive(); m != "PONG" || err != nil {
 		t.Fatal(m, err)
 	}
-	r.subscribe(3).receiveUntil(3, "replace 1")
-	if _, err := mute.receive(); err == nil {
-		if _, err = mute.receive(); err == nil {
-			t.Error("the silent one goes on")
+	srv.subscribe(3).receiveUntil(3, "replace 1")
+	if _, err := silent.receive(); err == nil {
+		if _, err = silent.receive(); err == nil {
+			t.Error("the silent stream is not closed")
 		}
 	}
-	well.send("PING")
+	responsive.send("PING")
 	for {
-		m, err := well.receive()
+		m, err := responsive.receive()
 		if err != nil {
-			t.Fatal("one that answers had to go")
+			t.Fatal("a responsive stream was closed")
 		}
 		if m == "PONG" {
 			break
--- a/proxyserver/watcher_test.go
+++ b/proxyserver/watcher_test.go
@@ -10,58 +10,58 @@
 	"porthub/proxyproto"
 )
 
-// Discovery refuses, ends its watch and brings what can't be read: each time the module hears of it once and asks again, from
-// the version at hand.
+// Discovery ends a watch, refuses a call and sends a line that can't be read: each time the watch is started again from the version at
+// hand.
 func TestWatchIsRetriedAfterFailures(t *testing.T) {
-	r := startServer(t, 256)
-	if from := receive(t, "watch", r.discovery.calls); from != "41" {
+	srv := startServer(t, 256)
+	if from := receive(t, "watch", srv.discovery.calls); from != "41" {
 		t.Fatal(from)
 	}
-	c := r.subscribe(1)
-	r.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
-	c.receiveUntil(1, "s-3")
-	r.discovery.mu.Lock()
-	r.discovery.rejectNext = 1
-	r.discovery.mu.Unlock()
-	r.discovery.send("") // ends
-	if got := receive(t, "call", r.discovery.calls); got != "refused" {
+	proxy := srv.subscribe(1)
+	srv.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
+	proxy.receiveUntil(1, "s-3")
+	srv.discovery.mu.Lock()
+	srv.discovery.rejectNext = 1
+	srv.discovery.mu.Unlock()
+	srv.discovery.send("") // ends
+	if got := receive(t, "call", srv.discovery.calls); got != "refused" {
 		t.Fatal(got)
 	}
-	if from := receive(t, "watch", r.discovery.calls); from != "50" {
-		t.Errorf("asked again from %q", from)
+	if from := receive(t, "watch", srv.discovery.calls); from != "50" {
+		t.Errorf("watched again from %q", from)
 	}
-	r.discovery.send("{what")
-	if from := receive(t, "watch", r.discovery.calls); from != "50" {
-		t.Errorf("asked again from %q", from)
+	srv.discovery.send("{what")
+	if from := receive(t, "watch", srv.discovery.calls); from != "50" {
+		t.Errorf("watched again from %q", from)
 	}
-	r.discovery.send(listMessage(51, false, hostEntry("s-3", "Gone")))
-	c.receiveUntil(1, "s-3:0")
+	srv.discovery.send(listMessage(51, false, hostEntry("s-3", "Gone")))
+	proxy.receiveUntil(1, "s-3:0")
 }
 
-// Where the module need not ask, the host watches by itself, again after a pause when that fails, and through a failure of
+// Where the decision module does not poll, the watcher watches by itself: again after a delay when that fails, and through a panic of
 // the module.
 func TestWatchWithoutPolling(t *testing.T) {
-	r := startServer(t, 256, func(n *Coordinator) { n.cfg.Start.PollsList, n.module.instance = false, nil })
-	receive(t, "watch", r.discovery.calls)
-	c := r.subscribe(1)
-	c.receiveUntil(1, "replace 1")
-	r.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
-	c.receiveUntil(1, "s-3")
+	srv := startServer(t, 256, func(n *Coordinator) { n.cfg.Start.PollsList, n.module.instance = false, nil })
+	receive(t, "watch", srv.discovery.calls)
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "replace 1")
+	srv.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
+	proxy.receiveUntil(1, "s-3")
 	began := time.Now()
-	r.discovery.send("")
-	if from := receive(t, "watch", r.discovery.calls); from != "50" || time.Since(began) < minBackoff/2 {
+	srv.discovery.send("")
+	if from := receive(t, "watch", srv.discovery.calls); from != "50" || time.Since(began) < minBackoff/2 {
 		t.Errorf("from %q after %s", from, time.Since(began))
 	}
 }
 
-// A watch that is answered, says nothing and ends, again and again, is not asked for without a pause.
+// A watch that opens and ends without a line, again and again, is not started again without a delay.
 func TestWatchThatEndsAtOnceIsBackedOff(t *testing.T) {
-	h := newManualDiscovery(t)
-	startServerAt(t, h.address(), 256)
+	discovery := newManualDiscovery(t)
+	startServerAt(t, discovery.address(), 256)
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		a := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+		a := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 		a.accept()
 		close(a.lines)
 	}
@@ -70,172 +70,171 @@
 	}
 }
 
-// A call that is not answered at all is given up as soon as an answer is overdue.
+// A call without a response fails as soon as the response is overdue.
 func TestUnansweredCallTimesOut(t *testing.T) {
-	h := newManualDiscovery(t)
-	n, ctx := newSteppedCoordinator(t, h.address(), 256)
+	discovery := newManualDiscovery(t)
+	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
 	began := time.Now()
-	n.watcher.enabled = true
-	n.watcher.startWatch(ctx, 0)
-	hangs := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
-	got := acceptUntil(ctx, t, n, "failure", func(b []policyapi.Event) bool { return len(b) > 0 })
+	coordinator.watcher.enabled = true
+	coordinator.watcher.startWatch(ctx, 0)
+	call := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	got := acceptUntil(ctx, t, coordinator, "failure", func(b []policyapi.Event) bool { return len(b) > 0 })
 	if l, is := got[0].(policyapi.EndpointUpdate); !is || l.Kind != policyapi.Failed || time.Since(began) > watchTimeout {
 		t.Errorf("%+v after %s", got, time.Since(began))
 	}
-	receive(t, "end of the call", hangs.done)
+	receive(t, "end of the call", call.done)
 }
 
-// A watch that falls silent is followed by another while it still stands, long before it is given up.
+// A silent watch is replaced by another while it is still open, long before it is given up.
 func TestOverdueWatchIsReplaced(t *testing.T) {
-	h := newManualDiscovery(t)
-	r := startServerAt(t, h.address(), 256)
-	silent := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	discovery := newManualDiscovery(t)
+	srv := startServerAt(t, discovery.address(), 256)
+	silent := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	silent.accept(listMessage(45, false, hostEntry("s-3", "Ready")))
-	c := r.subscribe(1)
-	c.receiveUntil(1, "s-3")
-	next := h.nextCall(t, "/discovery/hosts?watch=1&from=45")
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "s-3")
+	next := discovery.nextCall(t, "/discovery/hosts?watch=1&from=45")
 	select {
 	case <-silent.done:
-		t.Error("it was given up first")
+		t.Error("it was given up before its replacement was started")
 	default:
 	}
-	next.respond <- http.StatusServiceUnavailable // and asked for again while the silent one is all there is
-	next = h.nextCall(t, "/discovery/hosts?watch=1&from=45")
+	next.respond <- http.StatusServiceUnavailable // and is retried while the silent one is the only one
+	next = discovery.nextCall(t, "/discovery/hosts?watch=1&from=45")
 	select {
 	case <-silent.done:
-		t.Error("it was given up before another stands")
+		t.Error("it was given up before its replacement was open")
 	default:
 	}
 	next.accept(listMessage(46, false, hostEntry("s-3", "Terminating")))
-	c.receiveUntil(1, "s-3:0")
+	proxy.receiveUntil(1, "s-3:0")
 	receive(t, "end of the silent watch", silent.done)
 }
 
-// A watch has followed another while a line of that one still waits for the owner: the line is not taken, what it said comes with the
-// new watch, which was asked from the version before it.
+// A watch has replaced another while a line of the old one still waits for the owner: the line is ignored, its change comes with the new
+// watch, which began at the version before it.
 func TestLineOfReplacedWatchIsIgnored(t *testing.T) {
-	h := newManualDiscovery(t)
-	n, ctx := newSteppedCoordinator(t, h.address(), 256)
-	n.watcher.startWatch(ctx, 0)
-	old := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	discovery := newManualDiscovery(t)
+	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
+	coordinator.watcher.startWatch(ctx, 0)
+	old := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	old.accept()
-	acceptUntil(ctx, t, n, "answer", func([]policyapi.Event) bool { return n.watcher.watches[1].open })
-	n.watcher.startWatch(ctx, 0)
-	next := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	acceptUntil(ctx, t, coordinator, "open watch", func([]policyapi.Event) bool { return coordinator.watcher.watches[1].open })
+	coordinator.watcher.startWatch(ctx, 0)
+	next := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	late := discoveryEvent{call: 1, kind: listReceived, list: proxyproto.EndpointList{Update: policyapi.EndpointUpdate{Version: 42, Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: policyapi.Draining}}}}}
-	n.watcher.handle(ctx, nil, discoveryEvent{call: 2, kind: watchOpened})
-	if batch := n.watcher.handle(ctx, nil, late); len(batch) > 0 || n.endpoints.version != 41 {
-		t.Fatalf("a watch that was called off told %+v", batch)
+	coordinator.watcher.handle(ctx, nil, discoveryEvent{call: 2, kind: watchOpened})
+	if batch := coordinator.watcher.handle(ctx, nil, late); len(batch) > 0 || coordinator.endpoints.version != 41 {
+		t.Fatalf("a canceled watch brought %+v", batch)
 	}
 	next.accept(listMessage(42, false, hostEntry("s-1", "Terminating")))
-	acceptUntil(ctx, t, n, "change", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 42) })
-	if n.endpoints.endpoints["s-1"].Status != policyapi.Draining {
-		t.Errorf("the drain is lost: %+v", n.endpoints.endpoints)
+	acceptUntil(ctx, t, coordinator, "change", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 42) })
+	if coordinator.endpoints.endpoints["s-1"].Status != policyapi.Draining {
+		t.Errorf("the drain is lost: %+v", coordinator.endpoints.endpoints)
 	}
 }
 
-// Many coordinators whose calls are refused at once do not ask again in step, wait longer each time, and never for so long that a
-// change can't come within the time after which it counts as told.
+// Many coordinators whose calls are refused at once do not retry at once; delays stay within the bound that lets a change come before it
+// counts as delivered.
 func TestBackoffIsJitteredAndBounded(t *testing.T) {
-	const coordinators, tries, counts = 300, 8, 6 * time.Second
-	first := map[time.Duration]int{} // by tenths of a second
+	const coordinators, attempts, deliveredAfter = 300, 8, 6 * time.Second
+	firstDelays := map[time.Duration]int{} // by tenths of a second
 	for seed := range uint64(coordinators) {
 		cfg := testConfig(t, "127.0.0.1:1", 256)
 		cfg.Start.Seed = seed
 		n := &discoveryWatcher{random: newRandom(seed)}
-		for try := range tries {
-			pause := n.backoff()
-			if try == 0 {
-				first[pause/(100*time.Millisecond)]++
+		for attempt := range attempts {
+			delay := n.backoff()
+			if attempt == 0 {
+				firstDelays[delay/(100*time.Millisecond)]++
 			}
-			if pause < minBackoff/2 || lineTimeout+pause >= counts {
-				t.Fatalf("a pause of %s", pause)
+			if delay < minBackoff/2 || lineTimeout+delay >= deliveredAfter {
+				t.Fatalf("a delay of %s", delay)
 			}
 		}
 	}
-	for tenth, n := range first {
+	for tenth, n := range firstDelays {
 		if n > coordinators/5 {
-			t.Errorf("%d of %d ask again %d tenths of a second after a refusal", n, coordinators, tenth)
+			t.Errorf("%d of %d retry %d tenths of a second after a refusal", n, coordinators, tenth)
 		}
 	}
 }
 
-// A new address of discovery's: its watch takes over from the version at hand, and the module hears of no failure.
+// Discovery's address changes: the watch there takes over from the version at hand, and no failure is reported.
 func TestDiscoveryAddressChanges(t *testing.T) {
-	r := startServer(t, 256)
-	receive(t, "watch", r.discovery.calls)
-	c := r.subscribe(1)
-	r.discovery.send(listMessage(60, false, hostEntry("s-3", "Ready")))
-	c.receiveUntil(1, "s-3")
+	srv := startServer(t, 256)
+	receive(t, "watch", srv.discovery.calls)
+	proxy := srv.subscribe(1)
+	srv.discovery.send(listMessage(60, false, hostEntry("s-3", "Ready")))
+	proxy.receiveUntil(1, "s-3")
 	second := newFakeDiscovery(t)
-	cfg := r.cfg
+	cfg := srv.cfg
 	cfg.Discovery = second.address()
-	r.coordinator.Reload(cfg)
+	srv.coordinator.Reload(cfg)
 	if from := receive(t, "watch", second.calls); from != "60" {
 		t.Errorf("from %q", from)
 	}
 	second.send(listMessage(61, false, hostEntry("s-3", "Terminating")))
-	c.receiveUntil(1, "s-3:0")
-	r.discovery.stop()
+	proxy.receiveUntil(1, "s-3:0")
+	srv.discovery.stop()
 	second.send(listMessage(62, false, hostEntry("s-4", "Ready")))
-	c.receiveUntil(1, "s-4")
-	if r.logged("discovery watch ended") {
-		t.Error("a failure is told though there was none")
+	proxy.receiveUntil(1, "s-4")
+	if srv.logged("discovery watch ended") {
+		t.Error("a failure is logged though there was none")
 	}
 }
 
-// The watch at a new address is refused while the old one stands and goes on: the new address is asked again.
+// The watch at a new address is refused while the old one is open: the new address is tried again.
 func TestOldWatchStaysWhileNewAddressFails(t *testing.T) {
-	h, second := newManualDiscovery(t), newManualDiscovery(t)
-	r := startServerAt(t, h.address(), 256)
-	old := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	discovery, second := newManualDiscovery(t), newManualDiscovery(t)
+	srv := startServerAt(t, discovery.address(), 256)
+	old := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	old.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
 	old.sendHeartbeats(t)
-	c := r.subscribe(1)
-	c.receiveUntil(1, "s-3")
-	cfg := r.cfg
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "s-3")
+	cfg := srv.cfg
 	cfg.Discovery = second.address()
-	r.coordinator.Reload(cfg)
+	srv.coordinator.Reload(cfg)
 	second.nextCall(t, "/discovery/hosts?watch=1&from=42").respond <- http.StatusServiceUnavailable
-	again := second.nextCall(t, "/discovery/hosts?watch=1&from=42")
+	retry := second.nextCall(t, "/discovery/hosts?watch=1&from=42")
 	select {
 	case <-old.done:
-		t.Fatal("the old watch has ended before the new one stands")
+		t.Fatal("the old watch ended before the new one is open")
 	default:
 	}
-	old.lines <- listMessage(43, false, hostEntry("s-4", "Ready")) // it counts until then
-	c.receiveUntil(1, "s-4")
-	again.accept(listMessage(44, false, hostEntry("s-3", "Terminating")))
-	c.receiveUntil(1, "s-3:0")
+	old.lines <- listMessage(43, false, hostEntry("s-4", "Ready")) // it counts until the new one is open
+	proxy.receiveUntil(1, "s-4")
+	retry.accept(listMessage(44, false, hostEntry("s-3", "Terminating")))
+	proxy.receiveUntil(1, "s-3:0")
 	receive(t, "end of the old watch", old.done)
 }
 
-// Discovery moves twice, and the first new address never answers: the call there ends before the second new one is answered,
-// and what it would have brought is not taken.
+// Discovery's address changes twice, and the first new address never responds: the call there is canceled before the second one responds.
 func TestAddressChangesDuringDial(t *testing.T) {
-	h, second, third := newManualDiscovery(t), newManualDiscovery(t), newManualDiscovery(t)
-	r := startServerAt(t, h.address(), 256)
-	old := h.nextCall(t, "/discovery/hosts?watch=1&from=41")
+	discovery, second, third := newManualDiscovery(t), newManualDiscovery(t), newManualDiscovery(t)
+	srv := startServerAt(t, discovery.address(), 256)
+	old := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	old.accept(listMessage(42, false, hostEntry("s-9", "Ready")))
-	c := r.subscribe(1)
-	c.receiveUntil(1, "s-9") // the old watch stands
-	cfg := r.cfg
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "s-9") // the old watch is open
+	cfg := srv.cfg
 	cfg.Discovery = second.address()
-	r.coordinator.Reload(cfg)
-	hangs, called := receive(t, "call of the second", second.calls), time.Now()
+	srv.coordinator.Reload(cfg)
+	hanging, called := receive(t, "call of the second", second.calls), time.Now()
 	cfg.Discovery = third.address()
-	r.coordinator.Reload(cfg)
+	srv.coordinator.Reload(cfg)
 	last := receive(t, "call of the third", third.calls)
-	receive(t, "end of the second's call", hangs.done)
+	receive(t, "end of the second's call", hanging.done)
 	if took := time.Since(called); took >= lineTimeout {
-		t.Errorf("it was waited for, %s", took)
+		t.Errorf("the call was canceled only after %s", took)
 	}
 	select {
 	case <-old.done:
-		t.Fatal("the old watch has ended before another stands")
+		t.Fatal("the old watch ended before another is open")
 	default:
 	}
 	last.accept(listMessage(43, false, hostEntry("s-3", "Ready")))
 	receive(t, "end of the old watch", old.done)
-	c.receiveUntil(1, "s-3")
+	proxy.receiveUntil(1, "s-3")
 }
