--- /dev/null
+++ b/proxyserver/server_test.go
@@ -0,0 +1,215 @@
+package proxyserver
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/panjf2000/gnet/v2"
+
+	"porthub/policyapi"
+	"porthub/proxyproto"
+	"porthub/resp"
+)
+
+// Each invalid client is sent NACK or closed in time; a stream that can't be parsed is closed without NACK.
+func TestInvalidClientsAreClosed(t *testing.T) {
+	srv := startServer(t, 256)
+	began := time.Now()
+	clients := map[string]*client{}
+	for name, text := range map[string]string{
+		"HTTP": "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "noise": "\x00\xff\x13\x37", "silence": "", "half a message": "*3\r\n$9\r\nSUBSC",
+		"an impossible length": "*2\r\n$99999999999\r\n", "too long a message": "*2\r\n$1000000\r\n" + strings.Repeat("x", 8000),
+		"orders": string(resp.Append(nil, "CONFIG", "drop", "s-1")), "a report": string(resp.Append(nil, "RATE", "sidecar", "1")),
+		"no such proxy":     string(resp.Append(nil, "SUBSCRIBE", "sidecar", "500", "az", "a", "share", "1", "standing", "1")),
+		"no such zone":      string(resp.Append(nil, "SOURCE", "az", "z")),
+		"endless lines":     strings.Repeat("*1\r\n", 100),
+		"a ping, then none": string(resp.Append(nil, "PING")),
+	} {
+		clients[name] = srv.dial()
+		_, _ = clients[name].Write([]byte(text))
+	}
+	for name, c := range clients {
+		m, err := c.receive()
+		if name == "a ping, then none" {
+			if m != "PONG" {
+				t.Errorf("%s: %q", name, m)
+			}
+			m, err = c.receive()
+		}
+		if err == nil && m != "NACK" {
+			t.Errorf("%s: %q, %v", name, m, err)
+		}
+		if err == nil {
+			if _, err = c.receive(); !errors.Is(err, io.EOF) {
+				t.Errorf("%s: not closed", name)
+			}
+		}
+	}
+	if took := time.Since(began); took > 3*time.Second {
+		t.Errorf("took %s", took)
+	}
+	stream := srv.subscribe(3)
+	stream.receiveUntil(3, "replace 1")
+	_, _ = stream.Write([]byte("*1\r\n$x"))
+	for {
+		m, err := stream.receive()
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if m == "NACK" {
+			t.Error("a stream is sent NACK")
+		}
+	}
+}
+
+// A proxy can connect while hundreds open connections and send nothing, and the limit on connections holds.
+func TestConnectionLimitLetsProxiesIn(t *testing.T) {
+	const maxConnections = 8
+	srv := startServer(t, reservedDescriptors+maxConnections)
+	var silent []*client
+	for range 20 * maxConnections {
+		proxy, err := net.Dial("tcp", srv.coordinator.Addr())
+		if err != nil {
+			continue // refused, which is an end too
+		}
+		silent = append(silent, &client{Conn: proxy, t: t})
+	}
+	proxy := srv.subscribe(1)
+	proxy.receiveUntil(1, "replace 1")
+	if open := srv.coordinator.server.counters.open.Load(); open > maxConnections {
+		t.Errorf("%d connections, limit %d", open, maxConnections)
+	}
+	if srv.coordinator.server.counters.evicted.Load() == 0 {
+		t.Error("no connection was evicted")
+	}
+	for _, proxy := range silent {
+		_ = proxy.Close()
+	}
+}
+
+// A message is the same however its bytes are split.
+func TestMessageInPieces(t *testing.T) {
+	srv := startServer(t, 256)
+	proxy := srv.dial()
+	for _, b := range bytes.SplitAfter(resp.Append(nil, "SUBSCRIBE", "sidecar", "9", "az", "b", "share", "3", "standing", "0"), []byte("\r")) {
+		_, _ = proxy.Write(b)
+		time.Sleep(time.Millisecond)
+	}
+	proxy.receiveUntil(9, "replace 1")
+}
+
+// A peer that takes nothing is closed once maxUnsentBytes wait for it, and others receive their messages meanwhile.
+func TestStalledPeerIsClosed(t *testing.T) {
+	srv := startServer(t, 256)
+	receive(t, "watch", srv.discovery.calls)
+	stuck := srv.subscribe(1)
+	stuck.receiveUntil(1, "replace 1")
+	other := srv.subscribe(2)
+	other.receiveUntil(2, "replace 1")
+	connections := make(chan *connection, 1)
+	loop := *srv.coordinator.server.loop.Load()
+	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		for stalledConnection := range srv.coordinator.server.streams {
+			if stalledConnection.session.Proxy == 1 {
+				connections <- stalledConnection
+			}
+		}
+		return nil
+	}))
+	stalledConnection := receive(t, "link", connections)
+	largeMessage := proxyproto.OutboundMessage{Proxy: 1, Bytes: bytes.Repeat([]byte("x"), 1<<20)}
+	for end := time.Now().Add(testTimeout); srv.coordinator.server.counters.stalled.Load() == 0; {
+		if srv.coordinator.server.send(stalledConnection, largeMessage); time.Now().After(end) {
+			t.Fatal("it is not closed")
+		}
+		time.Sleep(time.Millisecond)
+	}
+	srv.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
+	other.receiveUntil(2, "s-3")
+}
+
+// While the owner accepts nothing, PING is still answered, and no connect or disconnect is lost.
+func TestEventLoopRunsWhileLaneIsFull(t *testing.T) {
+	coordinator, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
+	filled := 0
+	for coordinator.mailbox.TryPutUrgent(input{event: policyapi.HealthCheckResult{}}) {
+		filled++
+	}
+	srv := &testServer{t: t, coordinator: coordinator}
+	connecting, pinging := srv.subscribe(7), srv.dial()
+	connecting.send("PING") // its reply shows that the message before it was taken off the socket
+	if m, err := connecting.receive(); m != "PONG" || err != nil {
+		t.Fatalf("%q, %v", m, err)
+	}
+	pinging.send("PING")
+	if m, err := pinging.receive(); m != "PONG" || err != nil {
+		t.Fatalf("%q, %v", m, err)
+	}
+	_ = connecting.Close()
+	got := acceptUntil(ctx, t, coordinator, "ProxyDisconnected", func(b []policyapi.Event) bool { return len(b) >= filled+2 })
+	if connected, is := got[filled].(policyapi.ProxyConnected); !is || connected.Proxy != 7 || got[filled+1] != (policyapi.ProxyDisconnected{Proxy: 7}) {
+		t.Errorf("after %d events: %+v", filled, got[filled:])
+	}
+}
+
+// With all connections identified, a stream that is silent while it owes an acknowledgement is closed for a new one; others are not.
+func TestSilentStreamIsEvicted(t *testing.T) {
+	const maxConnections = 2
+	srv := startServer(t, reservedDescriptors+maxConnections)
+	receive(t, "watch", srv.discovery.calls)
+	silent, responsive := srv.subscribe(1), srv.subscribe(2)
+	if m, err := silent.receive(); err != nil || !strings.Contains(m, "stamp") {
+		t.Fatal(m, err)
+	}
+	responsive.receiveUntil(2, "replace 1")
+	rejected := srv.dial()
+	if m, err := rejected.receive(); m != "NACK" || err != nil {
+		t.Fatalf("%q, %v: a connection over the limit is accepted", m, err)
+	}
+	silent.send("PING")
+	for {
+		m, err := silent.receive()
+		if err != nil {
+			t.Fatal("a stream that may yet acknowledge was closed")
+		}
+		if m == "PONG" {
+			break
+		}
+	}
+	done := make(chan struct{})
+	loop := *srv.coordinator.server.loop.Load()
+	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+		for l := range srv.coordinator.server.streams { // as if everything had been long ago
+			l.receivedAt, l.ackPendingSince = l.receivedAt.Add(-2*silenceTimeout), l.ackPendingSince.Add(-2*silenceTimeout)
+		}
+		close(done)
+		return nil
+	}))
+	receive(t, "loop", done)
+	responsive.send("PING")
+	if m, err := responsive.receive(); m != "PONG" || err != nil {
+		t.Fatal(m, err)
+	}
+	srv.subscribe(3).receiveUntil(3, "replace 1")
+	if _, err := silent.receive(); err == nil {
+		if _, err = silent.receive(); err == nil {
+			t.Error("the silent stream is not closed")
+		}
+	}
+	responsive.send("PING")
+	for {
+		m, err := responsive.receive()
+		if err != nil {
+			t.Fatal("a responsive stream was closed")
+		}
+		if m == "PONG" {
+			break
+		}
+	}
+}
