--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"strconv"
@@ -18,101 +17,130 @@
 )
 
 func captureCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "capture", Short: "What a coordinator was told and ordered, as it is kept on disk"}
+	cmd := &cobra.Command{Use: "capture", Short: "The inputs and orders of a coordinator, as recorded on disk"}
+	cmd.AddCommand(captureStatusCommand(), captureExportCommand(), captureVerifyCommand())
+	return cmd
+}
+
+// captureStatus is what `capture status --output json` prints, in the order of its keys.
+type captureStatus struct {
+	Bytes    int64                  `json:"bytes"`
+	Damages  []capture.Damage       `json:"damages"`
+	First    policyapi.Microseconds `json:"first_us"`
+	Last     policyapi.Microseconds `json:"last_us"`
+	Records  int64                  `json:"records"`
+	Segments int                    `json:"segments"`
+}
+
+func captureStatusCommand() *cobra.Command {
 	var asJSON bool
-	status := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "status DIR",
 		Short: "Segments, their sizes and the time they cover",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			segments, err := capture.Segments(args[0])
-			if err != nil {
-				return err
-			}
-			total := int64(0)
-			for _, s := range segments {
-				total += s.Bytes
-			}
-			r, err := capture.Open(args[0])
-			if err != nil {
-				return err
-			}
-			defer r.Close()
-			first, last, err := capture.TimeRange(r)
+			status, err := readCaptureStatus(args[0])
 			if err != nil {
 				return err
 			}
+			out := cmd.OutOrStdout()
 			if asJSON {
-				return printAny(cmd.OutOrStdout(), map[string]any{"segments": len(segments), "bytes": total, "records": r.Records, "first_us": first,
-					"last_us": last, "damages": r.Damages})
+				return printAny(out, status)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d segments, %d bytes, %d records from %s to %s\n", len(segments), total, r.Records, clock(first), clock(last))
-			return damages(cmd.OutOrStdout(), r.Damages)
+			fmt.Fprintf(out, "%d segments, %d bytes, %d records from %s to %s\n", status.Segments, status.Bytes, status.Records,
+				formatTime(status.First), formatTime(status.Last))
+			return printDamages(out, status.Damages)
 		},
 	}
-	outputFlag(status, &asJSON)
-	export := &cobra.Command{
+	outputFlag(cmd, &asJSON)
+	return cmd
+}
+
+func readCaptureStatus(dir string) (captureStatus, error) {
+	segments, err := capture.Segments(dir)
+	if err != nil {
+		return captureStatus{}, err
+	}
+	r, err := capture.Open(dir)
+	if err != nil {
+		return captureStatus{}, err
+	}
+	defer r.Close()
+	status := captureStatus{Segments: len(segments)}
+	for _, segment := range segments {
+		status.Bytes += segment.Bytes
+	}
+	status.First, status.Last, err = capture.TimeRange(r)
+	status.Records = r.Records
+	status.Damages = r.Damages
+	return status, err
+}
+
+func captureExportCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "export DIR",
 		Short: "Every record as a line of JSON",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r, err := capture.Open(args[0])
-			if err != nil {
-				return err
-			}
-			defer r.Close()
-			enc := json.NewEncoder(cmd.OutOrStdout())
-			for {
-				rec, err := r.Next()
-				if errors.Is(err, io.EOF) {
-					return nil
-				}
-				if err != nil {
-					return err
-				}
-				if err := enc.Encode(rec.Export()); err != nil {
-					return err
-				}
-			}
+			encoder := json.NewEncoder(cmd.OutOrStdout())
+			_, err := forEachRecord(args[0], func(record *capture.Record) error { return encoder.Encode(record.Export()) })
+			return err
 		},
 	}
-	verify := &cobra.Command{
+}
+
+func captureVerifyCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Check every checksum; exit 1 if anything that was taken is lost",
+		Short: "Check every checksum; exit 1 if anything that was written completely is lost",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r, err := capture.Open(args[0])
-			if err != nil {
-				return err
-			}
-			defer r.Close()
+			out := cmd.OutOrStdout()
 			gaps := 0
-			for {
-				rec, err := r.Next()
-				if errors.Is(err, io.EOF) {
-					break
-				}
-				if err != nil {
-					return err
-				}
-				if rec.Gap != nil {
+			r, err := forEachRecord(args[0], func(record *capture.Record) error {
+				if record.Gap != nil {
 					gaps++
-					fmt.Fprintf(cmd.OutOrStdout(), "records %d to %d are missing: %s\n", rec.Gap.From, rec.Gap.To, rec.Gap.Reason)
+					printGap(out, *record.Gap)
 				}
+				return nil
+			})
+			if err != nil {
+				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d records, %d bytes, %d gaps\n", r.Records, r.Bytes, gaps)
-			return damages(cmd.OutOrStdout(), r.Damages)
+			fmt.Fprintf(out, "%d records, %d bytes, %d gaps\n", r.Records, r.Bytes, gaps)
+			return printDamages(out, r.Damages)
 		},
 	}
-	cmd.AddCommand(status, export, verify)
-	return cmd
 }
 
-// damages lists them; anything but a torn end is an error.
-func damages(w io.Writer, all []capture.Damage) error {
+// forEachRecord calls visit for each record of a capture until that fails. The reader it returns is closed; its counts
+// and damages are those of the whole capture.
+func forEachRecord(path string, visit func(*capture.Record) error) (*capture.Reader, error) {
+	r, err := capture.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer r.Close()
+	for record, err := range r.All() {
+		if err != nil {
+			return r, err
+		}
+		if err := visit(record); err != nil {
+			return r, err
+		}
+	}
+	return r, nil
+}
+
+func printGap(out io.Writer, gap capture.Gap) {
+	fmt.Fprintf(out, "records %d to %d are missing: %s\n", gap.From, gap.To, gap.Reason)
+}
+
+// printDamages lists damages; anything but the truncated end of a killed process is an error.
+func printDamages(out io.Writer, damages []capture.Damage) error {
 	lost := false
-	for _, d := range all {
-		fmt.Fprintf(w, "%s, offset %d, %d bytes: %s\n", d.Segment, d.Offset, d.Bytes, d.Problem)
+	for _, d := range damages {
+		fmt.Fprintf(out, "%s, offset %d, %d bytes: %s\n", d.Segment, d.Offset, d.Bytes, d.Problem)
 		lost = lost || !d.Torn
 	}
 	if lost {
@@ -126,9 +154,9 @@
 	cmd := &cobra.Command{
 		Use:   "replay FILE",
 		Short: "Run a capture through this build and compare the orders one by one",
-		Long: `replay hands the core what it was told, in order and at the recorded times, and compares the module's orders and what
-was published with the record. Exit 1: they differ though the same build wrote it, or records that were taken are damaged. Another build
-may decide otherwise: then the first difference and how many steps differ are told, and the exit code is 0.`,
+		Long: `replay hands the core the recorded inputs, in order and at the recorded times, and compares the module's orders and what
+was published with the record. Exit 1: they differ though the same build wrote it, or records that were written are damaged. Another build
+may decide differently: then the first difference and the number of steps that differ are printed, and the exit code is 0.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := capture.Open(args[0])
@@ -136,36 +164,19 @@
 				return err
 			}
 			defer r.Close()
-			v, err := capture.Replay(r, daemon.Build(), nil)
+			result, err := capture.Replay(r, daemon.Build(), nil)
 			if err != nil {
 				return err
 			}
-			w := cmd.OutOrStdout()
 			if asJSON {
-				if err := printAny(w, v); err != nil {
-					return err
-				}
+				err = printAny(cmd.OutOrStdout(), result)
 			} else {
-				fmt.Fprintf(w, "%d starts, %d steps, %d orders, %d steps that published: %d steps differ\n", v.Starts, v.Steps, v.Orders, v.PublishingSteps, v.Mismatches)
-				for _, g := range v.Gaps {
-					fmt.Fprintf(w, "records %d to %d are missing: %s\n", g.From, g.To, g.Reason)
-				}
-				if v.Skipped > 0 {
-					fmt.Fprintf(w, "%d steps after gaps were not compared: what the core knew then is not known\n", v.Skipped)
-				}
-				if f := v.FirstMismatch; f != nil {
-					fmt.Fprintf(w, "first difference: start %s, record %d, at %s, order %d\n  recorded: %s\n  replayed: %s\n", f.Start, f.Seq, clock(f.Now), f.Order,
-						f.Recorded, f.Replayed)
-					for _, in := range f.Inputs {
-						fmt.Fprintf(w, "  told: %s\n", in)
-					}
-				}
-				if !v.SameBuild() {
-					fmt.Fprintf(w, "written by %s, replayed by %s: decisions may have changed\n", strings.Join(v.Builds, ", "), v.Build)
-				}
-				_ = damages(w, v.Damages)
+				printReplay(cmd.OutOrStdout(), result)
 			}
-			if v.Mismatches > 0 && v.SameBuild() || v.Incomplete() {
+			if err != nil {
+				return err
+			}
+			if result.Mismatches > 0 && result.SameBuild() || result.Incomplete() {
 				return errNotHeld
 			}
 			return nil
@@ -175,89 +186,112 @@
 	return cmd
 }
 
+func printReplay(out io.Writer, result capture.ReplayResult) {
+	fmt.Fprintf(out, "%d starts, %d steps, %d orders, %d steps that published: %d steps differ\n", result.Starts, result.Steps, result.Orders,
+		result.PublishingSteps, result.Mismatches)
+	for _, gap := range result.Gaps {
+		printGap(out, gap)
+	}
+	if result.Skipped > 0 {
+		fmt.Fprintf(out, "%d steps after gaps were not compared: the state of the core is unknown there\n", result.Skipped)
+	}
+	if first := result.FirstMismatch; first != nil {
+		fmt.Fprintf(out, "first difference: start %s, record %d, at %s, order %d\n  recorded: %s\n  replayed: %s\n", first.Start, first.Seq,
+			formatTime(first.Now), first.Order, first.Recorded, first.Replayed)
+		for _, input := range first.Inputs {
+			fmt.Fprintf(out, "  input: %s\n", input)
+		}
+	}
+	if !result.SameBuild() {
+		fmt.Fprintf(out, "written by %s, replayed by %s: decisions may have changed\n", strings.Join(result.Builds, ", "), result.Build)
+	}
+	_ = printDamages(out, result.Damages) // the caller judges them by Incomplete
+}
+
 func explainCommand() *cobra.Command {
-	var node, at string
+	var endpoint, at string
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "explain FILE --node ADDRESS --at TIME",
-		Short: "Why a node got traffic at a time: the chain from what was told to the gateways' lines",
+		Short: "Why an endpoint received traffic at a time: the chain from the inputs to the gateways' tables",
 		Example: `  porthub explain var/state/capture --node 127.0.0.1:9001 --at 2026-12-01T21:14:05Z
   porthub explain var/state/capture --node 127.0.0.1:9001 --at +62.5s    # after the first record
   porthub explain var/state/capture --node 127.0.0.1:9001 --at -10s      # before the last`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			open := func() (*capture.Reader, error) { return capture.Open(args[0]) }
-			when, err := moment(open, at)
+			when, err := parseCaptureTime(args[0], at)
 			if err != nil {
 				return err
 			}
-			r, err := open()
+			r, err := capture.Open(args[0])
 			if err != nil {
 				return err
 			}
 			defer r.Close()
-			x, err := capture.Explain(r, policyapi.EndpointID(node), when)
+			explanation, err := capture.Explain(r, policyapi.EndpointID(endpoint), when)
 			if err != nil {
 				return err
 			}
 			if asJSON {
-				return printAny(cmd.OutOrStdout(), x)
-			}
-			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%s at %s: %s\n\n", x.Endpoint, clock(x.At), x.Answer)
-			t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-			for _, e := range x.Events {
-				fmt.Fprintf(t, "%s\t%s\t%s\n", clock(e.At), e.Kind, e.Text)
+				return printAny(cmd.OutOrStdout(), explanation)
 			}
-			if len(x.Gateways) > 0 {
-				fmt.Fprintf(t, "\ngateway\tversion\tconfirmed\tsince\ttries reported\tlink\trequest kinds\n")
-				for _, h := range x.Gateways {
-					var kinds []string
-					for i, k := range h.Classes {
-						kinds = append(kinds, fmt.Sprintf("%s %.1f%%", k, 100*h.Weights[i]))
-					}
-					link := "stands"
-					if h.Disconnected {
-						link = "ended"
-					}
-					fmt.Fprintf(t, "%s\t%s\t%t\t%s\t%d\t%s\t%s\n", h.Gateway, h.Version, h.Confirmed, clock(h.Since), h.Attempts, link, strings.Join(kinds, ", "))
-				}
-			}
-			return t.Flush()
+			return printExplanation(cmd.OutOrStdout(), explanation)
 		},
 	}
-	cmd.Flags().StringVar(&node, "node", "", "address of the node, as the list has it")
+	cmd.Flags().StringVar(&endpoint, "node", "", "address of the endpoint, as the list has it")
 	cmd.Flags().StringVar(&at, "at", "-0s", "RFC 3339, microseconds since 1970, +SECONDS after the first record or -SECONDS before the last")
 	outputFlag(cmd, &asJSON)
 	_ = cmd.MarkFlagRequired("node")
 	return cmd
 }
 
-// moment reads a time as explain takes it.
-func moment(open func() (*capture.Reader, error), at string) (policyapi.Microseconds, error) {
-	if t, err := time.Parse(time.RFC3339Nano, at); err == nil {
+func printExplanation(out io.Writer, explanation capture.Explanation) error {
+	fmt.Fprintf(out, "%s at %s: %s\n\n", explanation.Endpoint, formatTime(explanation.At), explanation.Answer)
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	for _, event := range explanation.Events {
+		fmt.Fprintf(table, "%s\t%s\t%s\n", formatTime(event.At), event.Kind, event.Text)
+	}
+	if len(explanation.Gateways) > 0 {
+		fmt.Fprintf(table, "\ngateway\tversion\tconfirmed\tsince\tattempts reported\tconnected\trequest classes\n")
+	}
+	for _, g := range explanation.Gateways {
+		var classes []string
+		for i, class := range g.Classes {
+			classes = append(classes, fmt.Sprintf("%s %.1f%%", class, 100*g.Weights[i]))
+		}
+		fmt.Fprintf(table, "%s\t%s\t%t\t%s\t%d\t%t\t%s\n", g.Gateway, g.Version, g.Confirmed, formatTime(g.Since), g.Attempts, !g.Disconnected,
+			strings.Join(classes, ", "))
+	}
+	return table.Flush()
+}
+
+// parseCaptureTime reads a time as explain takes it; one with a sign is relative to the first or last step of the
+// capture.
+func parseCaptureTime(path, text string) (policyapi.Microseconds, error) {
+	if t, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return policyapi.Microseconds(t.UnixMicro()), nil
 	}
-	if n, err := strconv.ParseInt(at, 10, 64); err == nil && n > 0 {
+	if n, err := strconv.ParseInt(text, 10, 64); err == nil && n > 0 {
 		return policyapi.Microseconds(n), nil
 	}
-	if d, err := time.ParseDuration(at); err == nil {
-		r, err := open()
-		if err != nil {
-			return 0, err
-		}
-		defer r.Close()
-		first, last, err := capture.TimeRange(r)
-		if strings.HasPrefix(at, "-") {
-			first = last
-		}
-		return first + policyapi.Microseconds(d.Microseconds()), err
+	offset, err := time.ParseDuration(text)
+	if err != nil {
+		return 0, fmt.Errorf("--at %q: it must be a time such as 2026-12-01T21:14:05Z, microseconds, +62.5s or -10s", text)
+	}
+	r, err := capture.Open(path)
+	if err != nil {
+		return 0, err
+	}
+	defer r.Close()
+	base, last, err := capture.TimeRange(r)
+	if strings.HasPrefix(text, "-") {
+		base = last
 	}
-	return 0, fmt.Errorf("--at %q: it must be a time such as 2026-12-01T21:14:05Z, microseconds, +62.5s or -10s", at)
+	return base + policyapi.Microseconds(offset.Microseconds()), err
 }
 
-// clock shows a time of the core.
-func clock(at policyapi.Microseconds) string {
+// formatTime shows a time of the core; 0 is no time.
+func formatTime(at policyapi.Microseconds) string {
 	if at == 0 {
 		return "-"
 	}
