--- a/audit/audit.go
+++ b/audit/audit.go
@@ -19,25 +19,25 @@
 
 // Limits are the figures of the rules and of the request kinds.
 type Limits struct {
-	EmptyFor, DrainGrace time.Duration
-	Cold                 time.Duration
-	ColdFrom             float64
-	ColdMultiple         float64
-	ColdWindow           time.Duration
-	GoneBinds            bool
-	WaitingLines         float64
-	Envelope             float64
-	Messages             int
-	MessagesIn           time.Duration
-	Kinds                []Kind
-	Baseline             bool // tables come without a coordinator: what a gateway holds it knows
-}
-
-// Kind is one request kind. A non-replayable one must not take effect twice by repeats of one client try.
-type Kind struct {
-	Name      string
-	Repeats   bool // may run anywhere again
-	OnlyZones []string
+	EmptyTableLimit, DrainGracePeriod time.Duration
+	WarmUp                            time.Duration
+	InitialCapacity                   float64
+	OverloadFactor                    float64
+	OverloadWindow                    time.Duration
+	DrainAppliesToRemoved             bool
+	QueueLimit                        float64
+	MessageOverhead                   float64
+	MessageLimit                      int
+	MessageWindow                     time.Duration
+	Classes                           []Class
+	WithoutCoordinator                bool // tables come without a coordinator: what a gateway holds it knows
+}
+
+// Class is one request kind. A non-replayable one must not take effect twice by repeats of one client try.
+type Class struct {
+	Name       string
+	Idempotent bool // may run anywhere again
+	Zones      []string
 }
 
 // Rule names, as scripts have them.
@@ -54,16 +54,16 @@
 
 // Verdict is how one rule was kept. Nearest is the part of its limit that was used at the worst moment.
 type Verdict struct {
-	Kept    bool    `json:"kept"`
-	Nearest float64 `json:"nearest"`
-	Where   string  `json:"where,omitempty"`
+	Satisfied bool    `json:"kept"`
+	PeakUsage float64 `json:"nearest"`
+	Detail    string  `json:"where,omitempty"`
 }
 
-// ListState is what the node list says of a node.
-type ListState int
+// EndpointState is what the node list says of a node.
+type EndpointState int
 
 const (
-	Absent ListState = iota
+	Absent EndpointState = iota
 	Ready
 	Draining
 )
@@ -133,7 +133,7 @@
 
 type listed struct {
 	at     time.Duration
-	states map[string]ListState
+	states map[string]EndpointState
 	warm   map[string]time.Duration // launched, by the list; below 0: long ago
 	zones  map[string]string
 }
@@ -162,8 +162,8 @@
 	return g
 }
 
-// Started says that a node's process began; cold tells whether it has to warm up.
-func (l *Log) Started(at time.Duration, node, zone string, cores int, cold bool) {
+// EndpointStarted says that a node's process began; cold tells whether it has to warm up.
+func (l *Log) EndpointStarted(at time.Duration, node, zone string, cores int, cold bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.node(node)
@@ -173,16 +173,16 @@
 	}
 }
 
-// Arrived says that work came to a node from a gateway, in core seconds.
-func (l *Log) Arrived(at time.Duration, node, gw string, work float64) {
+// WorkArrived says that work came to a node from a gateway, in core seconds.
+func (l *Log) WorkArrived(at time.Duration, node, gw string, work float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := l.node(node)
 	n.arrived = append(n.arrived, arrival{at, work, gw})
 }
 
-// Effect says that a req has run at a node: the client's try number tells the client's repeats from the gateway's.
-func (l *Log) Effect(kind string, req uint64, clientTry int) {
+// RequestExecuted says that a req has run at a node: the client's try number tells the client's repeats from the gateway's.
+func (l *Log) RequestExecuted(kind string, req uint64, clientTry int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	k := effectKey{req, clientTry, kind}
@@ -191,23 +191,23 @@
 	}
 }
 
-// Sent says that a gateway sent something to a node.
-func (l *Log) Sent(at time.Duration, gw, node string) {
+// RequestSent says that a gateway sent something to a node.
+func (l *Log) RequestSent(at time.Duration, gw, node string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent = append(l.sent, send{at, gw, node})
 }
 
-// Joined says that a gateway's link to the coordinator stands or broke.
-func (l *Log) Joined(at time.Duration, gw string, on bool) {
+// GatewayConnected says that a gateway's link to the coordinator stands or broke.
+func (l *Log) GatewayConnected(at time.Duration, gw string, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g := l.gateway(gw)
 	g.joined = toggle(g.joined, at, on)
 }
 
-// Coordinator says that its process came up or died.
-func (l *Log) Coordinator(at time.Duration, on bool) {
+// CoordinatorRunning says that its process came up or died.
+func (l *Log) CoordinatorRunning(at time.Duration, on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ups = toggle(l.ups, at, on)
@@ -224,8 +224,8 @@
 	return spans
 }
 
-// Held says what a gateway has from now on; version and written are the file's, number the message's place.
-func (l *Log) Held(at, written time.Duration, gw, version string, s routing.Snapshot) {
+// TableApplied says what a gateway has from now on; version and written are the file's, number the message's place.
+func (l *Log) TableApplied(at, written time.Duration, gw, version string, s routing.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g := l.gateway(gw)
@@ -236,7 +236,7 @@
 		before = routing.Snapshot{} // a start's first message tells all lines, and none that go
 	}
 	r.lines = routing.ChangeCost(before, s)
-	for _, k := range l.limits.Kinds {
+	for _, k := range l.limits.Classes {
 		r.open[k.Name] = s.OpenEndpoints(k.Name)
 	}
 	l.reads++
@@ -250,8 +250,8 @@
 // Restart is one start of the coordinator after its first.
 type Restart struct {
 	Down, Up time.Duration
-	// First and All are when the first and the last gateway held a table of this start; 0: none, or not all before its end.
-	First, All time.Duration
+	// FirstTable and All are when the first and the last gateway held a table of this start; 0: none, or not all before its end.
+	FirstTable, AllTables time.Duration
 }
 
 // Restarts lists them.
@@ -276,28 +276,28 @@
 				all = false
 				continue
 			}
-			if r.First == 0 || first < r.First {
-				r.First = first
+			if r.FirstTable == 0 || first < r.FirstTable {
+				r.FirstTable = first
 			}
-			r.All = max(r.All, first)
+			r.AllTables = max(r.AllTables, first)
 		}
 		if !all {
-			r.All = 0
+			r.AllTables = 0
 		}
 		out = append(out, r)
 	}
 	return out
 }
 
-// Partial says that a gateway read a text that was no whole document.
-func (l *Log) Partial() {
+// IncompleteDocument says that a gateway read a text that was no whole document.
+func (l *Log) IncompleteDocument() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.partial++
 }
 
-// Acked says that a gateway has acknowledged a version.
-func (l *Log) Acked(at time.Duration, gw, version string) {
+// VersionAcknowledged says that a gateway has acknowledged a version.
+func (l *Log) VersionAcknowledged(at time.Duration, gw, version string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	epoch, n := parse(version)
@@ -310,30 +310,30 @@
 	return epoch, number
 }
 
-// List says what the node list held from now on. A launched time below 0 is long ago.
-func (l *Log) List(at time.Duration, states map[string]ListState, launched map[string]time.Duration, zones map[string]string) {
+// EndpointList says what the node list held from now on. A launched time below 0 is long ago.
+func (l *Log) EndpointList(at time.Duration, states map[string]EndpointState, launched map[string]time.Duration, zones map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lists = append(l.lists, listed{at, states, launched, zones})
 }
 
-// Orders are the times from a file's writing to its taking effect at the gateway, in microseconds.
-func (l *Log) Orders() *hdrhistogram.Histogram {
+// DeliveryLatency are the times from a file's writing to its taking effect at the gateway, in microseconds.
+func (l *Log) DeliveryLatency() *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return hdrhistogram.Import(l.orders.Export())
 }
 
-// Reads tells how many documents were read whole and how many were not.
-func (l *Log) Reads() (whole, partial int) {
+// DocumentCounts tells how many documents were read whole and how many were not.
+func (l *Log) DocumentCounts() (whole, partial int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reads, l.partial
 }
 
-// Busiest is the work that came to the busiest node in its busiest second, over the mean of all nodes that run and all
+// PeakLoadRatio is the work that came to the busiest node in its busiest second, over the mean of all nodes that run and all
 // seconds.
-func (l *Log) Busiest() float64 {
+func (l *Log) PeakLoadRatio() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	most, all, seconds := 0.0, 0.0, 0.0
@@ -349,15 +349,15 @@
 	return most / max(all/max(seconds, 1), 1e-9)
 }
 
-// Judge tells how the rules were kept up to the given time.
-func (l *Log) Judge(end time.Duration) map[string]Verdict {
+// Evaluate tells how the rules were kept up to the given time.
+func (l *Log) Evaluate(end time.Duration) map[string]Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return map[string]Verdict{EmptyTable: l.bare(end), DuplicateEffect: l.repeat(), Drain: l.drain(end), WarmUp: l.cold(end), Queue: l.queue(end)}
 }
 
 func verdict(nearest float64, where string) Verdict {
-	return Verdict{Kept: nearest <= 1, Nearest: nearest, Where: where}
+	return Verdict{Satisfied: nearest <= 1, PeakUsage: nearest, Detail: where}
 }
 
 // during intersects two sets of spans.
@@ -386,7 +386,7 @@
 	for _, name := range slices.Sorted(maps.Keys(l.gws)) {
 		g := l.gws[name]
 		for _, up := range during(g.joined, l.ups, end) {
-			for _, k := range l.limits.Kinds {
+			for _, k := range l.limits.Classes {
 				var since time.Duration = -1
 				// The state changes where a file is read or the list changes.
 				check := func(at time.Duration) {
@@ -395,7 +395,7 @@
 						since = at
 					}
 					if since >= 0 {
-						if used := float64(at-since) / float64(l.limits.EmptyFor); used > worst {
+						if used := float64(at-since) / float64(l.limits.EmptyTableLimit); used > worst {
 							worst, where = used, name+" had no line for "+k.Name+" from "+since.Round(time.Millisecond).String()
 						}
 					}
@@ -437,14 +437,14 @@
 }
 
 // served tells whether the list shows a warm ready node that is open to a kind.
-func (l *Log) served(k Kind, at time.Duration) bool {
+func (l *Log) served(k Class, at time.Duration) bool {
 	li := l.list(at)
 	if li == nil {
 		return false
 	}
 	for node, state := range li.states {
-		if state == Ready && at-li.warm[node] >= l.limits.Cold &&
-			(len(k.OnlyZones) == 0 || slices.Contains(k.OnlyZones, li.zones[node])) {
+		if state == Ready && at-li.warm[node] >= l.limits.WarmUp &&
+			(len(k.Zones) == 0 || slices.Contains(k.Zones, li.zones[node])) {
 			return true
 		}
 	}
@@ -464,14 +464,14 @@
 // repeat: what gateways repeat by themselves must not take effect twice.
 func (l *Log) repeat() Verdict {
 	for _, e := range l.twice {
-		for _, k := range l.limits.Kinds {
-			if k.Name == e.kind && !k.Repeats {
-				return Verdict{Kept: false, Nearest: float64(l.effects[e]), Where: "a " + e.kind + " ran " +
+		for _, k := range l.limits.Classes {
+			if k.Name == e.kind && !k.Idempotent {
+				return Verdict{Satisfied: false, PeakUsage: float64(l.effects[e]), Detail: "a " + e.kind + " ran " +
 					strconv.Itoa(l.effects[e]) + " times on one client try"}
 			}
 		}
 	}
-	return Verdict{Kept: true}
+	return Verdict{Satisfied: true}
 }
 
 // drain: nothing is sent to a draining or gone node past the grace. It runs from the list's word, the coordinator's
@@ -485,11 +485,11 @@
 		closed bool
 	}
 	var changes []change
-	known := map[string]ListState{}
+	known := map[string]EndpointState{}
 	for _, li := range l.lists {
 		for node := range union(known, li.states) {
 			was, is := known[node], li.states[node]
-			closed := func(s ListState) bool { return s == Draining || s == Absent && l.limits.GoneBinds }
+			closed := func(s EndpointState) bool { return s == Draining || s == Absent && l.limits.DrainAppliesToRemoved }
 			if _, ever := known[node]; (ever || is != Absent) && (closed(is) != closed(was) || !ever && closed(is)) {
 				changes = append(changes, change{li.at, node, closed(is)})
 			}
@@ -520,7 +520,7 @@
 				continue
 			}
 			late := s.at - max(told, up.from)
-			if used := float64(late) / float64(l.limits.DrainGrace); used > worst {
+			if used := float64(late) / float64(l.limits.DrainGracePeriod); used > worst {
 				worst, where = used, s.gw+" sent to "+s.node+" "+late.Round(time.Millisecond).String()+" after it was told, at "+s.at.Round(time.Millisecond).String()+", joined at "+up.from.Round(time.Millisecond).String()
 			}
 		}
@@ -528,7 +528,7 @@
 	return verdict(worst, where)
 }
 
-func union(a, b map[string]ListState) map[string]bool {
+func union(a, b map[string]EndpointState) map[string]bool {
 	all := map[string]bool{}
 	for k := range a {
 		all[k] = true
@@ -557,21 +557,21 @@
 			var knew []bool
 			sum, knowing := 0.0, 0.0
 			for _, a := range n.arrived {
-				if a.at < start || a.at-start >= l.limits.Cold {
+				if a.at < start || a.at-start >= l.limits.WarmUp {
 					continue
 				}
 				k := told >= 0 && l.knows(l.gws[a.gw], told, a.at, end)
 				if window, knew, sum = append(window, a), append(knew, k), sum+a.work; k {
 					knowing += a.work
 				}
-				for a.at-window[0].at > l.limits.ColdWindow {
+				for a.at-window[0].at > l.limits.OverloadWindow {
 					if sum -= window[0].work; knew[0] {
 						knowing -= window[0].work
 					}
 					window, knew = window[1:], knew[1:]
 				}
-				warmth := l.limits.ColdFrom + (1-l.limits.ColdFrom)*float64(a.at-start)/float64(l.limits.Cold)
-				can := l.limits.ColdMultiple * warmth * n.cores * l.limits.ColdWindow.Seconds()
+				warmth := l.limits.InitialCapacity + (1-l.limits.InitialCapacity)*float64(a.at-start)/float64(l.limits.WarmUp)
+				can := l.limits.OverloadFactor * warmth * n.cores * l.limits.OverloadWindow.Seconds()
 				counted := knowing
 				if knowing >= 2*sum/3 {
 					counted = sum
@@ -604,7 +604,7 @@
 		return false
 	}
 	for _, up := range during(g.joined, l.ups, end) {
-		if at >= up.from && at < up.to && at-max(told, up.from) > l.limits.DrainGrace {
+		if at >= up.from && at < up.to && at-max(told, up.from) > l.limits.DrainGracePeriod {
 			return true
 		}
 	}
@@ -613,7 +613,7 @@
 		if r.at > at {
 			break
 		}
-		if r.epoch != "" || l.limits.Baseline {
+		if r.epoch != "" || l.limits.WithoutCoordinator {
 			last = r.written
 		}
 	}
@@ -639,19 +639,19 @@
 				continue
 			}
 			key := r.epoch + "." + strconv.Itoa(r.number)
-			if head := l.limits.Envelope; !seen[key] {
+			if head := l.limits.MessageOverhead; !seen[key] {
 				steps = append(steps, step{r.written, name, float64(r.lines) + head, r.number, r.epoch})
 				seen[key] = true
 			} else {
 				steps = append(steps, step{r.written, name, float64(r.lines), r.number, r.epoch})
 			}
-			if l.limits.Messages == 0 {
+			if l.limits.MessageLimit == 0 {
 				continue
 			}
 			// Numbers count a gateway's messages, so that those are counted too that were overtaken before it read them.
 			first, before := r.number, false
 			for j := i; j >= 0 && g.reads[j].epoch == r.epoch; j-- {
-				if first = min(first, g.reads[j].number); r.written-g.reads[j].written > l.limits.MessagesIn {
+				if first = min(first, g.reads[j].number); r.written-g.reads[j].written > l.limits.MessageWindow {
 					first, before = max(first, g.reads[j].number), true
 					break
 				}
@@ -660,7 +660,7 @@
 			if !before {
 				count++
 			}
-			if used := float64(count) / float64(l.limits.Messages); used > worst {
+			if used := float64(count) / float64(l.limits.MessageLimit); used > worst {
 				worst, where = used, name+" was sent "+strconv.Itoa(count)+" messages by "+r.written.Round(time.Millisecond).String()
 			}
 		}
@@ -684,7 +684,7 @@
 		switch {
 		case s.lines >= 0:
 			waiting[s.gw], sum = append(waiting[s.gw], posted{s.n, s.epoch, s.lines}), sum+s.lines
-			if used := sum / l.limits.WaitingLines; used > worst {
+			if used := sum / l.limits.QueueLimit; used > worst {
 				worst, where = used, strconv.FormatFloat(sum, 'f', 0, 64)+" lines on their way at "+s.at.Round(time.Millisecond).String()
 			}
 		default:
--- a/chaos/drill_test.go
+++ b/chaos/drill_test.go
@@ -79,8 +79,8 @@
 	t.Parallel()
 	r := run(t, short(), Options{Seed: 5})
 	for rule, v := range r.Rules {
-		if !v.Kept {
-			t.Errorf("%s broken: %.2f of the limit, %s", rule, v.Nearest, v.Where)
+		if !v.Satisfied {
+			t.Errorf("%s broken: %.2f of the limit, %s", rule, v.PeakUsage, v.Detail)
 		}
 	}
 	if r.Partial != 0 || r.Reads < 30 || r.Requests < 500 || r.Service < 0.3 || r.StopMs > 10_000 {
@@ -110,7 +110,7 @@
 				t.Error(err)
 				return
 			}
-			if r.Rules[rule].Kept || r.Held() {
+			if r.Rules[rule].Satisfied || r.Held() {
 				t.Errorf("%s was spoilt and passes: %+v", rule, r.Rules)
 			}
 		}()
@@ -167,11 +167,11 @@
 				return
 			}
 			for name, v := range r.Rules {
-				if rule == "" && !v.Kept {
-					t.Errorf("%s broken: %.2f of the limit, %s", name, v.Nearest, v.Where)
+				if rule == "" && !v.Satisfied {
+					t.Errorf("%s broken: %.2f of the limit, %s", name, v.PeakUsage, v.Detail)
 				}
 			}
-			if rule != "" && r.Rules[rule].Kept {
+			if rule != "" && r.Rules[rule].Satisfied {
 				t.Errorf("%s was spoilt and passes: %+v", rule, r.Rules)
 			}
 			if r.Requests < 10000 || len(r.AgainS) != 1 || r.Taken > 600 || r.Longer == 0 || r.Always.Cases < 100 {
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -54,24 +54,24 @@
 // entry is what the list says of a node.
 type entry struct {
 	node     *emulator.Node
-	state    audit.ListState
+	state    audit.EndpointState
 	launched time.Duration
 }
 
 func limits(s Scenario) audit.Limits {
 	r := s.Rules
-	l := audit.Limits{EmptyFor: duration(r.EmptyFor), DrainGrace: duration(r.DrainGrace), Cold: duration(r.Cold), ColdFrom: r.ColdFrom,
-		ColdMultiple: r.ColdMultiple, ColdWindow: duration(r.ColdWindow), GoneBinds: r.GoneBinds, WaitingLines: r.WaitingLines,
-		Envelope: 6, Messages: r.Messages, MessagesIn: duration(r.MessagesIn)}
+	l := audit.Limits{EmptyTableLimit: duration(r.EmptyFor), DrainGracePeriod: duration(r.DrainGrace), WarmUp: duration(r.Cold), InitialCapacity: r.ColdFrom,
+		OverloadFactor: r.ColdMultiple, OverloadWindow: duration(r.ColdWindow), DrainAppliesToRemoved: r.GoneBinds, QueueLimit: r.WaitingLines,
+		MessageOverhead: 6, MessageLimit: r.Messages, MessageWindow: duration(r.MessagesIn)}
 	for _, k := range s.Kinds {
-		l.Kinds = append(l.Kinds, audit.Kind{Name: k.Name, Repeats: k.Repeat == "replayable"})
+		l.Classes = append(l.Classes, audit.Class{Name: k.Name, Idempotent: k.Repeat == "replayable"})
 	}
 	return l
 }
 
 func newFleet(s Scenario, m mode, dir string, seed uint64) (*fleet, error) {
 	l := limits(s)
-	l.Baseline = m != byCoordinator
+	l.WithoutCoordinator = m != byCoordinator
 	log := audit.NewLog(l)
 	f := &fleet{s: s, mode: m, dir: dir, log: log, tally: emulator.NewTally(), listed: map[string]*entry{}, ended: make(chan struct{})}
 	f.world = emulator.NewWorld(log, emulator.Rules{Cold: duration(s.Rules.Cold), ColdFrom: s.Rules.ColdFrom,
@@ -217,7 +217,7 @@
 }
 
 // tellList changes what the list says of a node, late as lists are.
-func (f *fleet) tellList(n *emulator.Node, state audit.ListState, after time.Duration) {
+func (f *fleet) tellList(n *emulator.Node, state audit.EndpointState, after time.Duration) {
 	_, launched := n.Up()
 	f.pauses.Add(1)
 	time.AfterFunc(after, func() {
@@ -247,7 +247,7 @@
 		return nil
 	}
 	var groups []group
-	states, launched, zones := map[string]audit.ListState{}, map[string]time.Duration{}, map[string]string{}
+	states, launched, zones := map[string]audit.EndpointState{}, map[string]time.Duration{}, map[string]string{}
 	for _, n := range f.nodes {
 		e := f.listed[n.Addr]
 		if states[n.Addr], launched[n.Addr], zones[n.Addr] = e.state, e.launched, n.Zone; e.state == audit.Absent {
@@ -264,7 +264,7 @@
 		groups = append(groups, group{[]string{n.Addr}, labels})
 	}
 	if f.reg != nil {
-		f.reg.list(f.world.Start, f.nodes, f.listed, func() { f.log.List(f.world.Now(), states, launched, zones) })
+		f.reg.list(f.world.Start, f.nodes, f.listed, func() { f.log.EndpointList(f.world.Now(), states, launched, zones) })
 		return nil
 	}
 	text, err := json.Marshal(groups)
@@ -281,6 +281,6 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	f.log.List(f.world.Now(), states, launched, zones)
+	f.log.EndpointList(f.world.Now(), states, launched, zones)
 	return nil
 }
--- a/chaos/intake.go
+++ b/chaos/intake.go
@@ -124,7 +124,7 @@
 	nodes    []*emulator.LightNode
 	gateways []*emulator.LightGateway
 	tally    *emulator.LightTally
-	states   map[string]audit.ListState
+	states   map[string]audit.EndpointState
 	launched map[string]time.Duration
 	changed  []time.Duration // when something befell the fleet
 	drained  string          // a node
@@ -137,7 +137,7 @@
 // drains, a mass restart, the coordinator's own restart, gateways that stop reporting, peers that send garbage or a byte a second.
 func MeasureIntake(o IntakeOptions) (res IntakeResult, err error) {
 	res = IntakeResult{Scenario: "intake", Seed: o.Seed, Gateways: o.Gateways, Nodes: o.Nodes, Bound: o.Bound, Procs: o.Procs}
-	t := &storm{o: o, s: usual(), told: emulator.NewTally(), holds: make([]bool, o.Gateways), tally: emulator.NewLightTally(), states: map[string]audit.ListState{}, launched: map[string]time.Duration{}}
+	t := &storm{o: o, s: usual(), told: emulator.NewTally(), holds: make([]bool, o.Gateways), tally: emulator.NewLightTally(), states: map[string]audit.EndpointState{}, launched: map[string]time.Duration{}}
 	dir := o.Dir
 	if dir == "" {
 		if dir, err = os.MkdirTemp(scratch(), "porthub-intake-"); err != nil {
@@ -154,7 +154,7 @@
 	t.s.Rules = cfg.Rules
 	l := limits(t.s)
 	t.f = &fleet{s: t.s, dir: dir, log: audit.NewLog(l)}
-	t.f.world = emulator.NewWorld(t.f.log, emulator.Rules{Cold: l.Cold, ColdFrom: l.ColdFrom, ColdMultiple: l.ColdMultiple, ColdWindow: l.ColdWindow}, o.Seed)
+	t.f.world = emulator.NewWorld(t.f.log, emulator.Rules{Cold: l.WarmUp, ColdFrom: l.InitialCapacity, ColdMultiple: l.OverloadFactor, ColdWindow: l.OverloadWindow}, o.Seed)
 	logs, err := os.Create(filepath.Join(dir, "coordinator.log"))
 	if err != nil {
 		return res, err
@@ -286,7 +286,7 @@
 		Labels  map[string]string `json:"labels"`
 	}
 	var groups []group
-	states, launched, zones := map[string]audit.ListState{}, map[string]time.Duration{}, map[string]string{}
+	states, launched, zones := map[string]audit.EndpointState{}, map[string]time.Duration{}, map[string]string{}
 	for _, n := range t.nodes {
 		states[n.Name], launched[n.Name], zones[n.Name] = t.states[n.Name], t.launched[n.Name], n.Zone
 		labels := map[string]string{"zone": n.Zone, "machine": "std", "weight": "4", "launched": "0"}
@@ -312,7 +312,7 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	t.f.log.List(t.f.world.Now(), states, launched, zones)
+	t.f.log.EndpointList(t.f.world.Now(), states, launched, zones)
 	for _, n := range t.nodes {
 		n.Listed(states[n.Name])
 	}
@@ -392,7 +392,7 @@
 	res.Service = 1 - float64(t.tally.Failed.Load()+t.tally.Denied.Load())/float64(max(1, res.Requests))
 	res.Steady.close()
 	res.Always.close()
-	res.Rules = t.f.log.Judge(stop)
+	res.Rules = t.f.log.Evaluate(stop)
 	res.Checks = []Outcome{{"tries_within", res.Steady.Tries.Within >= 0.9, res.Steady.Tries.Within}, {"util_within", res.Steady.Util.Within >= 0.9, res.Steady.Util.Within},
 		{"queue_within", res.Steady.Queue.Within >= 0.9, res.Steady.Queue.Within}, {"joined_s", res.JoinedS <= 30, res.JoinedS}}
 	for i, s := range res.AgainS {
@@ -587,13 +587,13 @@
 	}
 }
 
-func (t *storm) set(n *emulator.LightNode, s audit.ListState) {
+func (t *storm) set(n *emulator.LightNode, s audit.EndpointState) {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	t.states[n.Name] = s
 }
 
-func (t *storm) state(n *emulator.LightNode) audit.ListState {
+func (t *storm) state(n *emulator.LightNode) audit.EndpointState {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	return t.states[n.Name]
--- a/chaos/process.go
+++ b/chaos/process.go
@@ -74,7 +74,7 @@
 	go func() { _ = cmd.Wait(); close(ended) }()
 	for end := time.Now().Add(15 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		if addr, err := os.ReadFile(addrFile); err == nil && strings.Contains(string(addr), ":") {
-			p.f.log.Coordinator(began, true)
+			p.f.log.CoordinatorRunning(began, true)
 			p.f.mu.Lock()
 			p.addr, p.cfg.Listen = string(addr), string(addr)
 			p.f.mu.Unlock()
@@ -109,10 +109,10 @@
 	p.peak = max(p.peak, peakOf(p.cmd.Process.Pid))
 	_ = p.cmd.Process.Signal(s)
 	if s == syscall.SIGKILL {
-		p.f.log.Coordinator(p.f.world.Now(), false)
+		p.f.log.CoordinatorRunning(p.f.world.Now(), false)
 	}
 	<-p.ended
-	p.f.log.Coordinator(p.f.world.Now(), false)
+	p.f.log.CoordinatorRunning(p.f.world.Now(), false)
 	if state := p.cmd.ProcessState; state != nil {
 		p.cpu += state.UserTime() + state.SystemTime()
 	}
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -110,7 +110,7 @@
 // Held tells whether all rules were kept and all checks are ok.
 func (r Result) Held() bool {
 	for _, v := range r.Rules {
-		if !v.Kept {
+		if !v.Satisfied {
 			return false
 		}
 	}
@@ -204,13 +204,13 @@
 		}
 	}
 	res.Written = written(main)
-	res.Rules = main.log.Judge(end)
+	res.Rules = main.log.Evaluate(end)
 	res.StopMs = float64(coord.end(syscall.SIGTERM).Microseconds()) / 1000
 	res.CPU, res.PeakKiB = coord.cpu.Seconds(), coord.peak
 	res.LevelChanges = levelChanges(logs.Name())
 	cells, sum := main.tally.Sums()
 	res.Requests, res.Service, res.Worst10s = sum.Reqs, sum.Service(), main.tally.Worst(10)
-	res.Busiest = main.log.Busiest()
+	res.Busiest = main.log.PeakLoadRatio()
 	res.By5s = main.tally.Windows(5)
 	if main.reg != nil {
 		asked := main.reg.asked()
@@ -218,11 +218,11 @@
 	}
 	for _, r := range main.log.Restarts() {
 		one := Restarted{At: r.Down.Seconds(), Down: (r.Up - r.Down).Seconds(), Service: main.tally.Between(r.Down, r.Down+10*time.Second)}
-		if r.First > 0 {
-			one.First = (r.First - r.Up).Seconds()
+		if r.FirstTable > 0 {
+			one.First = (r.FirstTable - r.Up).Seconds()
 		}
-		if r.All > 0 {
-			one.All = (r.All - r.Up).Seconds()
+		if r.AllTables > 0 {
+			one.All = (r.AllTables - r.Up).Seconds()
 		}
 		res.Restarts = append(res.Restarts, one)
 	}
@@ -234,13 +234,13 @@
 	for k, s := range kinds {
 		res.Kinds[k] = s.Service()
 	}
-	orders, answers := main.log.Orders(), main.tally.Answers()
+	orders, answers := main.log.DeliveryLatency(), main.tally.Answers()
 	res.Latency = Latency{float64(orders.ValueAtQuantile(50)) / 1000, float64(orders.ValueAtQuantile(99)) / 1000}
 	res.Answers = Latency{float64(answers.ValueAtQuantile(50)) / 1000, float64(answers.ValueAtQuantile(99)) / 1000}
-	res.Reads, res.Partial = main.log.Reads()
+	res.Reads, res.Partial = main.log.DocumentCounts()
 	for _, f := range fleets[1:] {
 		_, sum := f.tally.Sums()
-		res.Baselines[string(f.mode)] = Baseline{sum.Service(), f.tally.Worst(10), f.log.Judge(f.world.Now()), f.tally.Windows(5)}
+		res.Baselines[string(f.mode)] = Baseline{sum.Service(), f.tally.Worst(10), f.log.Evaluate(f.world.Now()), f.tally.Windows(5)}
 	}
 	res.Checks = checks(s, res, cells)
 	return res, nil
--- a/cmd/porthub/drill.go
+++ b/cmd/porthub/drill.go
@@ -184,7 +184,7 @@
 	fmt.Fprintln(w, "\nrule\tkept\tnearest\twhere")
 	for _, rule := range audit.Rules {
 		v := r.Rules[rule]
-		fmt.Fprintf(w, "%s\t%v\t%.0f%%\t%s\n", rule, v.Kept, 100*v.Nearest, v.Where)
+		fmt.Fprintf(w, "%s\t%v\t%.0f%%\t%s\n", rule, v.Satisfied, 100*v.PeakUsage, v.Detail)
 	}
 	if len(r.Baselines) > 0 {
 		fmt.Fprintln(w, "\nbaseline\tservice\tworst 10 s\tbroke")
@@ -192,7 +192,7 @@
 			b := r.Baselines[name]
 			var broke []string
 			for _, rule := range audit.Rules {
-				if !b.Rules[rule].Kept {
+				if !b.Rules[rule].Satisfied {
 					broke = append(broke, rule)
 				}
 			}
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -127,7 +127,7 @@
 	g.server = &http.Server{Handler: mux}
 	go func(s *http.Server) { _ = s.Serve(l) }(g.server)
 	now := g.world.Now()
-	g.world.Log.Held(now, now, g.Name, "", g.held.Snapshot)
+	g.world.Log.TableApplied(now, now, g.Name, "", g.held.Snapshot)
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	if g.Coordinator != nil {
@@ -153,7 +153,7 @@
 	g.mu.Unlock()
 	g.ended.Wait()
 	now := g.world.Now()
-	g.world.Log.Joined(now, g.Name, false)
+	g.world.Log.GatewayConnected(now, g.Name, false)
 }
 
 // AfterSilence takes the way to the coordinator from the gateway, or gives it back.
@@ -224,7 +224,7 @@
 		}
 		g.held.Snapshot = snapshot(g.Kinds, open)
 		now := g.world.Now()
-		g.world.Log.Held(now, now, g.Name, "", g.held.Snapshot)
+		g.world.Log.TableApplied(now, now, g.Name, "", g.held.Snapshot)
 	}
 }
 
@@ -266,7 +266,7 @@
 	broke := func() {
 		if joined {
 			joined = false
-			g.world.Log.Joined(g.world.Now(), g.Name, false)
+			g.world.Log.GatewayConnected(g.world.Now(), g.Name, false)
 		}
 		stopPolls()
 		if link != nil {
@@ -299,7 +299,7 @@
 					broke()
 				} else {
 					joined, pause = true, 0
-					g.world.Log.Joined(at, g.Name, true)
+					g.world.Log.GatewayConnected(at, g.Name, true)
 					if g.Polls {
 						stopPolls = g.poll(ctx, addr, dial, &owed)
 					}
@@ -330,7 +330,7 @@
 			if err := link.Answer(ctx, u, held); err != nil && !errors.Is(err, client.ErrRefused) {
 				broke()
 			} else if u.Err == nil {
-				g.world.Log.Acked(g.world.Now(), g.Name, u.Doc.Version)
+				g.world.Log.VersionAcknowledged(g.world.Now(), g.Name, u.Doc.Version)
 			}
 		}
 		if link != nil && time.Now().After(nextReport) {
@@ -435,7 +435,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if u.Err != nil {
-		g.world.Log.Partial()
+		g.world.Log.IncompleteDocument()
 	}
 	if g.held.Apply(u); u.Err != nil {
 		return
@@ -444,7 +444,7 @@
 		g.Spoil(&g.held.Snapshot)
 	}
 	at, written := g.world.Now(), u.Written.Sub(g.world.Start)
-	g.world.Log.Held(at, written, g.Name, u.Doc.Version, g.held.Snapshot)
+	g.world.Log.TableApplied(at, written, g.Name, u.Doc.Version, g.held.Snapshot)
 }
 
 // collect closes the report's interval.
@@ -637,7 +637,7 @@
 func (g *Gateway) send(ctx context.Context, kind string, l routing.ClusterEndpoint, r *http.Request) error {
 	addr := string(l.Endpoint)
 	start := time.Now()
-	g.world.Log.Sent(g.world.Now(), g.Name, addr)
+	g.world.Log.RequestSent(g.world.Now(), g.Name, addr)
 	g.mu.Lock()
 	n := g.kind(kind).nodes[addr]
 	if n == nil {
--- a/emulator/light.go
+++ b/emulator/light.go
@@ -59,12 +59,12 @@
 func NewLightNode(w *World, name, zone string, cores, work float64) *LightNode {
 	n := &LightNode{Name: name, Zone: zone, Cores: cores, world: w, mean: work, started: -time.Hour}
 	n.listed.Store(int32(audit.Ready))
-	w.Log.Started(w.Now(), name, zone, int(cores), false)
+	w.Log.EndpointStarted(w.Now(), name, zone, int(cores), false)
 	return n
 }
 
 // Listed says what the node list has of it.
-func (n *LightNode) Listed(s audit.ListState) { n.listed.Store(int32(s)) }
+func (n *LightNode) Listed(s audit.EndpointState) { n.listed.Store(int32(s)) }
 
 // Fail makes it fail whatever it is sent, or serve again.
 func (n *LightNode) Fail(on bool) { n.failing.Store(on) }
@@ -74,7 +74,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cold, n.started, n.behind = true, n.world.Now(), 0
-	n.world.Log.Started(n.started, n.Name, n.Zone, int(n.Cores), true)
+	n.world.Log.EndpointStarted(n.started, n.Name, n.Zone, int(n.Cores), true)
 	return n.started
 }
 
@@ -144,15 +144,15 @@
 	n.tries.Add(int64(tries))
 	n.work.Add(int64(float64(tries) * n.mean * 1e6))
 	now := n.world.Now()
-	if audit.ListState(n.listed.Load()) != audit.Ready {
-		n.world.Log.Sent(now, gw, n.Name)
+	if audit.EndpointState(n.listed.Load()) != audit.Ready {
+		n.world.Log.RequestSent(now, gw, n.Name)
 	}
 	n.mu.Lock()
 	cold := n.cold && now-n.started < n.world.Rules.Cold
 	n.mu.Unlock()
 	if cold {
 		for range tries {
-			n.world.Log.Arrived(now, n.Name, gw, n.mean)
+			n.world.Log.WorkArrived(now, n.Name, gw, n.mean)
 		}
 	}
 	if n.failing.Load() {
@@ -181,7 +181,7 @@
 	Binary      bool
 	// Spoil changes what was read before it is held; for the audit's own test.
 	Spoil func(*routing.Snapshot)
-	// Held is told what it holds from now on.
+	// TableApplied is told what it holds from now on.
 	Held  func(routing.Snapshot)
 	Tally *LightTally
 }
@@ -239,7 +239,7 @@
 	}
 	g.held = snapshot(kinds, standing)
 	now := w.Now()
-	w.Log.Held(now, now, o.Name, "", g.held)
+	w.Log.TableApplied(now, now, o.Name, "", g.held)
 	g.sentAt, g.since = now, now
 	return g
 }
@@ -247,7 +247,7 @@
 // StopReporting makes it report nothing any more, while its link stands.
 func (g *LightGateway) StopReporting() { g.mute.Store(true) }
 
-// Joined tells whether its link stands.
+// GatewayConnected tells whether its link stands.
 func (g *LightGateway) Joined() bool { return g.joined.Load() }
 
 // Reported tells whether a report of it has been taken.
@@ -351,7 +351,7 @@
 			}
 		}
 		if g.joined.CompareAndSwap(true, false) {
-			g.world.Log.Joined(g.world.Now(), g.Name, false)
+			g.world.Log.GatewayConnected(g.world.Now(), g.Name, false)
 		}
 		if time.Since(began) > 2*time.Second {
 			pause = 100 * time.Millisecond
@@ -443,10 +443,10 @@
 			return nil // busy: with the next period
 		}
 		if g.joined.CompareAndSwap(false, true) {
-			g.world.Log.Joined(at, g.Name, true)
+			g.world.Log.GatewayConnected(at, g.Name, true)
 		}
 		if g.versions[doc] != "" {
-			g.world.Log.Acked(g.world.Now(), g.Name, g.versions[doc])
+			g.world.Log.VersionAcknowledged(g.world.Now(), g.Name, g.versions[doc])
 		}
 		if code == http.StatusNotModified {
 			return nil
@@ -476,7 +476,7 @@
 		}
 		g.versions[doc] = m.VersionInfo
 		now := g.world.Now()
-		g.world.Log.Held(now, now, g.Name, m.VersionInfo, g.held)
+		g.world.Log.TableApplied(now, now, g.Name, m.VersionInfo, g.held)
 		g.Held(g.held)
 	}
 	return nil
@@ -487,8 +487,8 @@
 	for k, r := range routes {
 		if r.RetryPolicy > 1 && !g.Kinds[k].Repeats {
 			id := g.rng.Uint64()
-			g.world.Log.Effect(r.Class, id, 0)
-			g.world.Log.Effect(r.Class, id, 0)
+			g.world.Log.RequestExecuted(r.Class, id, 0)
+			g.world.Log.RequestExecuted(r.Class, id, 0)
 		}
 	}
 }
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -89,7 +89,7 @@
 	}
 	n.Addr = l.Addr().String()
 	n.serve(l)
-	w.Log.Started(w.Now(), n.Addr, o.Zone, o.Cores, false)
+	w.Log.EndpointStarted(w.Now(), n.Addr, o.Zone, o.Cores, false)
 	return n, nil
 }
 
@@ -180,7 +180,7 @@
 		return fmt.Errorf("node %s: %w", n.Addr, err)
 	}
 	n.launched, n.cold, n.fallen, n.fault = n.world.Now(), true, false, Fault{}
-	n.world.Log.Started(n.launched, n.Addr, n.Zone, n.Cores, true)
+	n.world.Log.EndpointStarted(n.launched, n.Addr, n.Zone, n.Cores, true)
 	n.serve(l)
 	return nil
 }
@@ -250,7 +250,7 @@
 	us, _ := strconv.ParseInt(r.Header.Get(headerWork), 10, 64)
 	work := time.Duration(us) * time.Microsecond
 	now := n.world.Now()
-	n.world.Log.Arrived(now, n.Addr, r.Header.Get(headerGateway), work.Seconds())
+	n.world.Log.WorkArrived(now, n.Addr, r.Header.Get(headerGateway), work.Seconds())
 	n.mu.Lock()
 	n.account(now)
 	n.strain(now, work.Seconds())
@@ -306,7 +306,7 @@
 		died = true
 	}
 	if !died {
-		n.world.Log.Effect(kind, req, try)
+		n.world.Log.RequestExecuted(kind, req, try)
 	}
 	<-cores
 	n.mu.Lock()
