--- /dev/null
+++ b/audit/queue.go
@@ -0,0 +1,140 @@
+package audit
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+)
+
+// evaluateQueue: the messages to one gateway in a window, and the lines on their way to all, stay within their limits.
+func (l *Log) evaluateQueue() Verdict {
+	worst := &peak{}
+	var events []queueEvent
+	for _, name := range slices.Sorted(maps.Keys(l.gateways)) {
+		g := l.gateways[name]
+		l.checkMessageRate(worst, name, g)
+		events = append(events, l.queueEvents(name, g)...)
+	}
+	slices.SortStableFunc(events, func(a, b queueEvent) int { return cmp.Compare(a.at, b.at) })
+	queue := lineQueue{byGateway: map[string][]queuedMessage{}}
+	for _, event := range events {
+		queue.apply(event)
+		if event.kind != messageWritten {
+			continue
+		}
+		worst.raise(queue.lines/l.limits.QueueLimit, func() string {
+			return strconv.FormatFloat(queue.lines, 'f', 0, 64) + " lines on their way at " + milliseconds(event.at)
+		})
+	}
+	return worst.verdict()
+}
+
+// checkMessageRate counts the messages to a gateway in the window before each.
+func (l *Log) checkMessageRate(worst *peak, name string, g *gatewayLog) {
+	if l.limits.MessageLimit == 0 {
+		return
+	}
+	for i, table := range g.tables {
+		if table.version.epoch == "" {
+			continue
+		}
+		count := messagesBefore(g.tables[:i+1], l.limits.MessageWindow)
+		worst.raise(float64(count)/float64(l.limits.MessageLimit), func() string {
+			return name + " was sent " + strconv.Itoa(count) + " messages by " + milliseconds(table.written)
+		})
+	}
+}
+
+// messagesBefore counts the messages in the window that ends with the last table. It does so by their numbers, which
+// count a gateway's messages, so that those are counted too that were overtaken before the gateway read them.
+func messagesBefore(tables []appliedTable, window time.Duration) int {
+	last := tables[len(tables)-1]
+	first := last.version.number
+	for _, table := range slices.Backward(tables) {
+		if table.version.epoch != last.version.epoch {
+			break
+		}
+		first = min(first, table.version.number)
+		if last.written-table.written > window {
+			return last.version.number - max(first, table.version.number)
+		}
+	}
+	return last.version.number - first + 1 // the first is in the window itself
+}
+
+type queueEventKind int
+
+const (
+	messageWritten queueEventKind = iota
+	messageAcknowledged
+	gatewayDisconnected
+)
+
+// queueEvent is what changes the lines on their way to a gateway.
+type queueEvent struct {
+	at      time.Duration
+	kind    queueEventKind
+	gateway string
+	version version
+	lines   float64 // of a message
+}
+
+// queueEvents returns the events of a gateway: its messages, acknowledgements and disconnections.
+func (l *Log) queueEvents(name string, g *gatewayLog) []queueEvent {
+	var events []queueEvent
+	seen := map[version]bool{}
+	for _, table := range g.tables {
+		if table.version.epoch == "" {
+			continue
+		}
+		lines := float64(table.lines)
+		if !seen[table.version] { // the overhead is of the message, however often it is read
+			seen[table.version] = true
+			lines += l.limits.MessageOverhead
+		}
+		events = append(events, queueEvent{at: table.written, kind: messageWritten, gateway: name, version: table.version, lines: lines})
+	}
+	for _, ack := range g.acks {
+		events = append(events, queueEvent{at: ack.at, kind: messageAcknowledged, gateway: name, version: ack.version})
+	}
+	for _, connection := range g.connected {
+		if !connection.open {
+			events = append(events, queueEvent{at: connection.to, kind: gatewayDisconnected, gateway: name})
+		}
+	}
+	return events
+}
+
+// lineQueue holds the messages that have not been acknowledged.
+type lineQueue struct {
+	byGateway map[string][]queuedMessage
+	lines     float64 // of all
+}
+
+type queuedMessage struct {
+	version version
+	lines   float64
+}
+
+func (q *lineQueue) apply(event queueEvent) {
+	if event.kind == messageWritten {
+		q.byGateway[event.gateway] = append(q.byGateway[event.gateway], queuedMessage{version: event.version, lines: event.lines})
+		q.lines += event.lines
+		return
+	}
+	q.byGateway[event.gateway] = slices.DeleteFunc(q.byGateway[event.gateway], func(m queuedMessage) bool {
+		if !event.removes(m) {
+			return false
+		}
+		q.lines -= m.lines
+		return true
+	})
+}
+
+// removes reports whether a message is no longer on its way after the event. An acknowledgement covers the messages
+// before it too, and those of earlier starts.
+func (e queueEvent) removes(m queuedMessage) bool {
+	return e.kind == gatewayDisconnected || m.version.epoch != e.version.epoch || m.version.number <= e.version.number
+}
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -247,10 +247,11 @@
 		return nil
 	}
 	var groups []group
-	states, launched, zones := map[string]audit.EndpointState{}, map[string]time.Duration{}, map[string]string{}
+	listed := map[string]audit.ListedEndpoint{}
 	for _, n := range f.nodes {
 		e := f.listed[n.Addr]
-		if states[n.Addr], launched[n.Addr], zones[n.Addr] = e.state, e.launched, n.Zone; e.state == audit.Absent {
+		listed[n.Addr] = audit.ListedEndpoint{State: e.state, StartedAt: e.launched, Zone: n.Zone}
+		if e.state == audit.Absent {
 			continue
 		}
 		labels := map[string]string{"zone": n.Zone, "machine": n.Machine, "pod": strconv.Itoa(n.Pod),
@@ -264,7 +265,7 @@
 		groups = append(groups, group{[]string{n.Addr}, labels})
 	}
 	if f.reg != nil {
-		f.reg.list(f.world.Start, f.nodes, f.listed, func() { f.log.EndpointList(f.world.Now(), states, launched, zones) })
+		f.reg.list(f.world.Start, f.nodes, f.listed, func() { f.log.EndpointList(f.world.Now(), listed) })
 		return nil
 	}
 	text, err := json.Marshal(groups)
@@ -281,6 +282,6 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	f.log.EndpointList(f.world.Now(), states, launched, zones)
+	f.log.EndpointList(f.world.Now(), listed)
 	return nil
 }
--- a/chaos/intake.go
+++ b/chaos/intake.go
@@ -286,9 +286,9 @@
 		Labels  map[string]string `json:"labels"`
 	}
 	var groups []group
-	states, launched, zones := map[string]audit.EndpointState{}, map[string]time.Duration{}, map[string]string{}
+	listed := map[string]audit.ListedEndpoint{}
 	for _, n := range t.nodes {
-		states[n.Name], launched[n.Name], zones[n.Name] = t.states[n.Name], t.launched[n.Name], n.Zone
+		listed[n.Name] = audit.ListedEndpoint{State: t.states[n.Name], StartedAt: t.launched[n.Name], Zone: n.Zone}
 		labels := map[string]string{"zone": n.Zone, "machine": "std", "weight": "4", "launched": "0"}
 		switch t.states[n.Name] {
 		case audit.Absent:
@@ -312,9 +312,9 @@
 	if err := os.Rename(path+".new", path); err != nil {
 		return err
 	}
-	t.f.log.EndpointList(t.f.world.Now(), states, launched, zones)
+	t.f.log.EndpointList(t.f.world.Now(), listed)
 	for _, n := range t.nodes {
-		n.Listed(states[n.Name])
+		n.Listed(listed[n.Name].State)
 	}
 	return nil
 }
--- a/emulator/light.go
+++ b/emulator/light.go
@@ -59,7 +59,7 @@
 func NewLightNode(w *World, name, zone string, cores, work float64) *LightNode {
 	n := &LightNode{Name: name, Zone: zone, Cores: cores, world: w, mean: work, started: -time.Hour}
 	n.listed.Store(int32(audit.Ready))
-	w.Log.EndpointStarted(w.Now(), name, zone, int(cores), false)
+	w.Log.EndpointStarted(w.Now(), name, int(cores), false)
 	return n
 }
 
@@ -74,7 +74,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cold, n.started, n.behind = true, n.world.Now(), 0
-	n.world.Log.EndpointStarted(n.started, n.Name, n.Zone, int(n.Cores), true)
+	n.world.Log.EndpointStarted(n.started, n.Name, int(n.Cores), true)
 	return n.started
 }
 
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -89,7 +89,7 @@
 	}
 	n.Addr = l.Addr().String()
 	n.serve(l)
-	w.Log.EndpointStarted(w.Now(), n.Addr, o.Zone, o.Cores, false)
+	w.Log.EndpointStarted(w.Now(), n.Addr, o.Cores, false)
 	return n, nil
 }
 
@@ -180,7 +180,7 @@
 		return fmt.Errorf("node %s: %w", n.Addr, err)
 	}
 	n.launched, n.cold, n.fallen, n.fault = n.world.Now(), true, false, Fault{}
-	n.world.Log.EndpointStarted(n.launched, n.Addr, n.Zone, n.Cores, true)
+	n.world.Log.EndpointStarted(n.launched, n.Addr, n.Cores, true)
 	n.serve(l)
 	return nil
 }
