--- /dev/null
+++ b/chaos/pinned_test.go
@@ -0,0 +1,26 @@
+package chaos
+
+import (
+	"encoding/json"
+	"testing"
+
+	"porthub/testutil"
+)
+
+// What the command prints as JSON, and what scenario files are read from, has the keys of the build before the renames.
+func TestPrintedKeysArePinned(t *testing.T) {
+	for name, value := range map[string]any{
+		"result":   testutil.Filled[Result](t),
+		"intake":   testutil.Filled[IntakeResult](t),
+		"polls":    testutil.Filled[HeldPolls](t),
+		"scenario": testutil.Filled[Scenario](t),
+	} {
+		t.Run(name, func(t *testing.T) {
+			text, err := json.MarshalIndent(value, "", "  ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			testutil.Golden(t, name+".json", append(text, '\n'))
+		})
+	}
+}
