--- a/chaos/drill_test.go
+++ b/chaos/drill_test.go
@@ -46,7 +46,7 @@
 
 func run(t *testing.T, s Scenario, o Options) Result {
 	t.Helper()
-	o.Exe = []string{os.Args[0]}
+	o.Command = []string{os.Args[0]}
 	r, err := Run(s, o)
 	if err != nil {
 		t.Fatal(err)
@@ -56,20 +56,20 @@
 
 // short is a small fleet's short day with several overlapping troubles, the coordinator killed once.
 func short() Scenario {
-	s := usual()
-	s.Name, s.Seconds, s.Nodes, s.Gateways, s.Reqs = "short", 18, 9, 6, 50
+	s := defaultScenario()
+	s.Name, s.Seconds, s.EndpointCount, s.GatewayCount, s.RequestRate = "short", 18, 9, 6, 50
 	s.Rules.Cold = 6_000_000
 	// On a machine that is busy with other things a real-time test must not judge tightly: a drain usually takes under a
 	// second.
 	s.Rules.DrainGrace, s.Rules.EmptyFor = 10_000_000, 10_000_000
-	s.Troubles = []Trouble{
-		{What: "crash", At: 2e6, For: 3e6, Part: 0.2},
-		{What: "balancer_crash", At: 6e6, For: 15e5, Size: 1},
-		{What: "answer_lost", At: 7e6, For: 9e6, Part: 1, Size: 0.25},
-		{What: "broken_list", At: 9e6, For: 15e5},
-		{What: "lost_folder", At: 10e6, Part: 0.4},
-		{What: "shrink", At: 11e6, For: 1e6, Size: 1.3, Extra: 1},
-		{What: "counter_down", At: 12e6, For: 3e6, Part: 0.3},
+	s.Faults = []Fault{
+		{Name: "crash", At: 2e6, Duration: 3e6, Share: 0.2},
+		{Name: "balancer_crash", At: 6e6, Duration: 15e5, Size: 1},
+		{Name: "answer_lost", At: 7e6, Duration: 9e6, Share: 1, Size: 0.25},
+		{Name: "broken_list", At: 9e6, Duration: 15e5},
+		{Name: "lost_folder", At: 10e6, Share: 0.4},
+		{Name: "shrink", At: 11e6, Duration: 1e6, Size: 1.3, Extra: 1},
+		{Name: "counter_down", At: 12e6, Duration: 3e6, Share: 0.3},
 	}
 	return s
 }
@@ -83,12 +83,12 @@
 			t.Errorf("%s broken: %.2f of the limit, %s", rule, v.PeakUsage, v.Detail)
 		}
 	}
-	if r.Partial != 0 || r.Reads < 30 || r.Requests < 500 || r.Service < 0.3 || r.StopMs > 10_000 {
+	if r.IncompleteReads != 0 || r.DocumentsRead < 30 || r.Requests < 500 || r.Service < 0.3 || r.StopMilliseconds > 10_000 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// What is spoilt on the way is found, rule by rule: an audit that can't be failed would show nothing.
+// Name is spoilt on the way is found, rule by rule: an audit that can't be failed would show nothing.
 func TestEachBrokenRuleIsFound(t *testing.T) {
 	t.Parallel()
 	var all sync.WaitGroup
@@ -99,18 +99,18 @@
 			defer all.Done()
 			s := short()
 			s.Rules.DrainGrace, s.Rules.EmptyFor = 3_000_000, 5_000_000
-			s.Troubles = slices.DeleteFunc(s.Troubles, func(t Trouble) bool {
-				return t.What != "crash" && t.What != "answer_lost" && t.What != "shrink"
+			s.Faults = slices.DeleteFunc(s.Faults, func(t Fault) bool {
+				return t.Name != "crash" && t.Name != "answer_lost" && t.Name != "shrink"
 			})
 			if rule == audit.WarmUp {
-				s.Reqs = 90 // at 50 what comes to a cold node is so near its limit that a busy machine keeps it
+				s.RequestRate = 90 // at 50 what comes to a cold node is so near its limit that a busy machine keeps it
 			}
-			r, err := Run(s, Options{Seed: 5, BreakRule: rule, Exe: []string{os.Args[0]}})
+			r, err := Run(s, Options{Seed: 5, BreakRule: rule, Command: []string{os.Args[0]}})
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			if r.Rules[rule].Satisfied || r.Held() {
+			if r.Rules[rule].Satisfied || r.Passed() {
 				t.Errorf("%s was spoilt and passes: %+v", rule, r.Rules)
 			}
 		}()
@@ -156,12 +156,12 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			o := IntakeOptions{Exe: []string{os.Args[0]}, Seed: 3, Gateways: 150, Nodes: 18, Bound: 300, Seconds: 17, BreakRule: rule}
+			o := LoadReportOptions{Command: []string{os.Args[0]}, Seed: 3, Gateways: 150, Endpoints: 18, MaxLinesPerSecond: 300, Seconds: 17, BreakRule: rule}
 			if rule == "" {
 				// On a machine that is busy with other things a real-time test must not judge tightly.
-				o.Grace = 10_000_000
+				o.GracePeriod = 10_000_000
 			}
-			r, err := MeasureIntake(o)
+			r, err := RunLoadReports(o)
 			if err != nil {
 				t.Error(err)
 				return
@@ -174,7 +174,7 @@
 			if rule != "" && r.Rules[rule].Satisfied {
 				t.Errorf("%s was spoilt and passes: %+v", rule, r.Rules)
 			}
-			if r.Requests < 10000 || len(r.AgainS) != 1 || r.Taken > 600 || r.Longer == 0 || r.Always.Cases < 100 {
+			if r.Requests < 10000 || len(r.ReconnectSeconds) != 1 || r.LinesAccepted > 600 || r.Throttled == 0 || r.Overall.Cases < 100 {
 				t.Errorf("%q: %+v", rule, r)
 			}
 		}()
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -35,7 +35,7 @@
 	tally *emulator.Tally
 	reqs  atomic.Uint64
 
-	nodes    []*emulator.Node
+	nodes    []*emulator.Endpoint
 	gateways []*emulator.Gateway
 	weights  []float64 // of the gateways, mean 1
 	clients  []*emulator.Client
@@ -53,7 +53,7 @@
 
 // entry is what the list says of a node.
 type entry struct {
-	node     *emulator.Node
+	node     *emulator.Endpoint
 	state    audit.EndpointState
 	launched time.Duration
 }
@@ -63,7 +63,7 @@
 	l := audit.Limits{EmptyTableLimit: duration(r.EmptyFor), DrainGracePeriod: duration(r.DrainGrace), WarmUp: duration(r.Cold), InitialCapacity: r.ColdFrom,
 		OverloadFactor: r.ColdMultiple, OverloadWindow: duration(r.ColdWindow), DrainAppliesToRemoved: r.GoneBinds, QueueLimit: r.WaitingLines,
 		MessageOverhead: 6, MessageLimit: r.Messages, MessageWindow: duration(r.MessagesIn)}
-	for _, k := range s.Kinds {
+	for _, k := range s.Classes {
 		l.Classes = append(l.Classes, audit.Class{Name: k.Name, Idempotent: k.Repeat == "replayable"})
 	}
 	return l
@@ -74,8 +74,8 @@
 	l.WithoutCoordinator = m != byCoordinator
 	log := audit.NewLog(l)
 	f := &fleet{s: s, mode: m, dir: dir, log: log, tally: emulator.NewTally(), listed: map[string]*entry{}, ended: make(chan struct{})}
-	f.world = emulator.NewWorld(log, emulator.Rules{Cold: duration(s.Rules.Cold), ColdFrom: s.Rules.ColdFrom,
-		ColdMultiple: s.Rules.ColdMultiple, ColdWindow: duration(s.Rules.ColdWindow)}, seed)
+	f.world = emulator.NewWorld(log, emulator.WarmUpRules{WarmUp: duration(s.Rules.Cold), InitialCapacity: s.Rules.ColdFrom,
+		OverloadFactor: s.Rules.ColdMultiple, OverloadWindow: duration(s.Rules.ColdWindow)}, seed)
 	f.rng = f.world.Rand("fleet")
 	if s.Registry == "eureka" && m == byCoordinator {
 		var err error
@@ -83,9 +83,9 @@
 			return nil, err
 		}
 	}
-	for i := range s.Nodes {
-		n, err := emulator.NewNode(f.world, emulator.NodeOptions{Name: fmt.Sprintf("node-%d", i), Zone: s.Zones[i%len(s.Zones)], Machine: "std",
-			Pod: i / 3, Weight: float64(s.Cores), Cores: s.Cores, Queue: s.Queue, Conns: s.Conns})
+	for i := range s.EndpointCount {
+		n, err := emulator.NewEndpoint(f.world, emulator.EndpointOptions{Name: fmt.Sprintf("node-%d", i), Zone: s.Zones[i%len(s.Zones)], Machine: "std",
+			Pod: i / 3, Weight: float64(s.EndpointCores), Cores: s.EndpointCores, QueueLength: s.QueueLength, MaxConnections: s.MaxConnections})
 		if err != nil {
 			return nil, err
 		}
@@ -93,33 +93,35 @@
 		f.listed[n.Addr] = &entry{node: n, state: audit.Ready, launched: -time.Hour}
 	}
 	total := 0.0
-	for range s.Gateways {
-		w := math.Exp(s.Spread*f.rng.NormFloat64() - s.Spread*s.Spread/2)
+	for range s.GatewayCount {
+		w := math.Exp(s.GatewaySpread*f.rng.NormFloat64() - s.GatewaySpread*s.GatewaySpread/2)
 		f.weights = append(f.weights, w)
 		total += w
 	}
 	var kinds []string
-	for _, k := range s.Kinds {
+	for _, k := range s.Classes {
 		kinds = append(kinds, k.Name)
 	}
-	for i := range s.Gateways {
-		f.weights[i] *= float64(s.Gateways) / total
-		o := emulator.GatewayOptions{Name: fmt.Sprintf("gw-%d", i), Zone: s.Zones[i%len(s.Zones)], Kinds: kinds, FrontDir: filepath.Join(dir, "tables"),
-			List: f.entries, Standing: 6, ShunAfter: 5, ShunFor: 5 * time.Second, Period: duration(s.Period), Weight: f.rate(i),
-			Everyone: m == oneTable, ReadChunk: s.Chunk, ReadPause: time.Millisecond}
+	for i := range s.GatewayCount {
+		f.weights[i] *= float64(s.GatewayCount) / total
+		o := emulator.GatewayOptions{Name: fmt.Sprintf("gw-%d", i), Zone: s.Zones[i%len(s.Zones)], Classes: kinds, TableDir: filepath.Join(dir, "tables"),
+			List: f.entries, InitialTableSize: 6, EjectAfter: 5, EjectionTime: 5 * time.Second, ReportPeriod: duration(s.ReportPeriod), Weight: f.rate(i),
+			UseAllEndpoints: m == oneTable, ReadChunk: s.ReadChunk, ReadPause: time.Millisecond}
 		if m == byCoordinator {
 			o.Coordinator = f.address
 		}
 		f.gateways = append(f.gateways, emulator.NewGateway(f.world, o))
 	}
-	for i := range s.Troubles {
-		f.struck = append(f.struck, f.chooseGateways(s.Troubles[i], f.world.Rand(fmt.Sprint("struck ", i))))
+	for i := range s.Faults {
+		f.struck = append(f.struck, f.chooseGateways(s.Faults[i], f.world.Rand(fmt.Sprint("struck ", i))))
 	}
 	return f, nil
 }
 
 // rate is a gateway's usual reqs a second.
-func (f *fleet) rate(i int) float64 { return f.weights[i] * f.s.Reqs / float64(f.s.Gateways) }
+func (f *fleet) rate(i int) float64 {
+	return f.weights[i] * f.s.RequestRate / float64(f.s.GatewayCount)
+}
 
 // start opens the gateways; clients begin with run.
 func (f *fleet) start() error {
@@ -132,14 +134,14 @@
 		}
 	}
 	for i, g := range f.gateways {
-		c := emulator.ClientOptions{Name: g.Name, Gateway: g, Rate: f.rate(i), Retries: f.s.Retries, TryShare: 0.7, Backoff: 50 * time.Millisecond,
-			Factor: func(at time.Duration) float64 { return f.factor(i, at) }, Dear: f.dear}
+		c := emulator.ClientOptions{Name: g.Name, Gateway: g, RequestRate: f.rate(i), Retries: f.s.Retries, AttemptTimeoutShare: 0.7, Backoff: 50 * time.Millisecond,
+			TrafficFactor: func(at time.Duration) float64 { return f.factor(i, at) }, WorkFactor: f.dear}
 		for at := time.Duration(0); at < f.length(); at += 100 * time.Millisecond {
-			c.Most = max(c.Most, f.factor(i, at))
+			c.MaxTrafficFactor = max(c.MaxTrafficFactor, f.factor(i, at))
 		}
-		for _, k := range f.s.Kinds {
-			c.Kinds = append(c.Kinds, emulator.Kind{Name: k.Name, Share: k.Share, Work: duration(k.Work), ResponseTarget: duration(k.ResponseTarget),
-				ClientTimeout: duration(k.ClientTimeout), Payoff: k.Payoff, LatePayoff: 0.15, Replayable: k.Repeat == "replayable"})
+		for _, k := range f.s.Classes {
+			c.Classes = append(c.Classes, emulator.Class{Name: k.Name, Share: k.Share, Work: duration(k.Work), LatencyObjective: duration(k.LatencyObjective),
+				ClientTimeout: duration(k.ClientTimeout), PriorityWeight: k.PriorityWeight, LateShare: 0.15, Idempotent: k.Repeat == "replayable"})
 		}
 		f.clients = append(f.clients, emulator.NewClient(f.world, c, f.tally, &f.reqs))
 	}
@@ -151,12 +153,12 @@
 // run lets clients ask and troubles strike until the end.
 func (f *fleet) run() {
 	var all sync.WaitGroup
-	for i, t := range f.s.Troubles {
+	for i, t := range f.s.Faults {
 		all.Add(1)
 		go func() {
 			defer all.Done()
 			f.sleepUntil(duration(t.At))
-			troubles[t.What].strike(f, t, f.world.Rand(fmt.Sprint("trouble ", i)), f.struck[i])
+			faultTypes[t.Name].strike(f, t, f.world.Rand(fmt.Sprint("trouble ", i)), f.struck[i])
 		}()
 	}
 	var asking sync.WaitGroup
@@ -217,8 +219,8 @@
 }
 
 // tellList changes what the list says of a node, late as lists are.
-func (f *fleet) tellList(n *emulator.Node, state audit.EndpointState, after time.Duration) {
-	_, launched := n.Up()
+func (f *fleet) tellList(n *emulator.Endpoint, state audit.EndpointState, after time.Duration) {
+	_, launched := n.Running()
 	f.pauses.Add(1)
 	time.AfterFunc(after, func() {
 		defer f.pauses.Done()
@@ -229,7 +231,7 @@
 		_ = f.writeList()
 		if f.mode == oneTable {
 			for _, g := range f.gateways {
-				g.Relist()
+				g.RefreshEndpoints()
 			}
 		}
 	})
--- a/chaos/intake.go
+++ b/chaos/intake.go
@@ -23,105 +23,105 @@
 	"porthub/routing"
 )
 
-// IntakeOptions say what a storm of reports is staged with.
-type IntakeOptions struct {
-	Exe       []string // as in Options
-	Seed      uint64
-	Gateways  int
-	Nodes     int
-	Bound     int // lines of reports that are taken in a second; 0: all
-	Seconds   int
-	Procs     int             // cores of the coordinator; 0: all
-	Calm      bool            // nothing befalls the fleet
-	BreakRule string          // bare, drain, repeat or cold: what gateways read is spoilt
-	Profile   string          // file for the coordinator's CPU profile; empty: none
-	Dir       string          // kept if given
-	Grace     config.Duration // for drains; 0: as in other drills
+// LoadReportOptions say what a storm of reports is staged with.
+type LoadReportOptions struct {
+	Command           []string // as in Options
+	Seed              uint64
+	Gateways          int
+	Endpoints         int
+	MaxLinesPerSecond int // lines of reports that are taken in a second; 0: all
+	Seconds           int
+	CoordinatorCores  int             // cores of the coordinator; 0: all
+	NoFaults          bool            // nothing befalls the fleet
+	BreakRule         string          // bare, drain, repeat or cold: what gateways read is spoilt
+	Profile           string          // file for the coordinator's CPU profile; empty: none
+	Dir               string          // kept if given
+	GracePeriod       config.Duration // for drains; 0: as in other drills
 }
 
-// IntakeResult is what came of it.
-type IntakeResult struct {
-	Scenario string                   `json:"scenario"`
-	Seed     uint64                   `json:"seed"`
-	Gateways int                      `json:"gateways"`
-	Nodes    int                      `json:"nodes"`
-	Bound    int                      `json:"bound_lines_per_s"` // 0: none
-	Procs    int                      `json:"coordinator_procs"` // 0: all cores
-	Requests int64                    `json:"requests"`          // counted at light nodes, none of them sent
-	Service  float64                  `json:"service"`           // done of all that came
-	Rules    map[string]audit.Verdict `json:"rules"`
-	Checks   []Outcome                `json:"checks"`
+// LoadReportResult is what came of it.
+type LoadReportResult struct {
+	Scenario          string                   `json:"scenario"`
+	Seed              uint64                   `json:"seed"`
+	Gateways          int                      `json:"gateways"`
+	Endpoints         int                      `json:"nodes"`
+	MaxLinesPerSecond int                      `json:"bound_lines_per_s"` // 0: none
+	CoordinatorCores  int                      `json:"coordinator_procs"` // 0: all cores
+	Requests          int64                    `json:"requests"`          // counted at light nodes, none of them sent
+	Service           float64                  `json:"service"`           // done of all that came
+	Rules             map[string]audit.Verdict `json:"rules"`
+	Checks            []CheckResult            `json:"checks"`
 
-	JoinedS  float64   `json:"joined_s"` // until every gateway's first report was taken
-	AgainS   []float64 `json:"again_s"`  // the same with the link, after each start of the coordinator
-	Reports  float64   `json:"reports_per_s"`
-	Lines    float64   `json:"lines_per_s"`
-	Taken    float64   `json:"lines_taken_per_s"`
-	Lag      Latency   `json:"answer_ms"` // from a report's sending to its answer
-	Orders   Latency   `json:"drain_ms"`  // from a drain's standing in the list to a gateway's holding the table without it
-	Late     int64     `json:"late"`      // answers that took longer than a period
-	Deferred int64     `json:"deferred"`  // 429 and 503
-	Longer   int64     `json:"longer"`    // reports after a longer interval that was asked for
-	Broke    int64     `json:"broke"`     // links
+	ConnectSeconds   float64   `json:"joined_s"` // until every gateway's first report was taken
+	ReconnectSeconds []float64 `json:"again_s"`  // the same with the link, after each start of the coordinator
+	Reports          float64   `json:"reports_per_s"`
+	Lines            float64   `json:"lines_per_s"`
+	LinesAccepted    float64   `json:"lines_taken_per_s"`
+	AnswerTime       Latency   `json:"answer_ms"` // from a report's sending to its answer
+	DrainTime        Latency   `json:"drain_ms"`  // from a drain's standing in the list to a gateway's holding the table without it
+	LateAnswers      int64     `json:"late"`      // answers that took longer than a period
+	Deferred         int64     `json:"deferred"`  // 429 and 503
+	Throttled        int64     `json:"longer"`    // reports after a longer interval that was asked for
+	Disconnects      int64     `json:"broke"`     // links
 	// View compares what the coordinator says of nodes with what they had, while nothing had changed for some seconds, and at all times.
-	Steady View `json:"view_steady"`
-	Always View `json:"view_always"`
+	Steady  View `json:"view_steady"`
+	Overall View `json:"view_always"`
 
-	Inbox   int          `json:"inbox_most"`
-	Steps   daemon.Times `json:"step_us"`
-	CPU     float64      `json:"cpu_s"`
-	PeakKiB int64        `json:"peak_kib"`
+	MaxMailbox int          `json:"inbox_most"`
+	Steps      daemon.Times `json:"step_us"`
+	CPU        float64      `json:"cpu_s"`
+	PeakKiB    int64        `json:"peak_kib"`
 }
 
 // View is how well the coordinator's view of nodes agrees with what they had: tries a second, and their own util and queue.
 type View struct {
-	Cases  int     `json:"cases"`
-	Tries  Agreed  `json:"tries"`
-	Util   Agreed  `json:"util"`
-	Queue  Agreed  `json:"queue"`
-	Unseen float64 `json:"unseen"` // share of nodes that nothing was known of
+	Cases       int       `json:"cases"`
+	Attempts    Agreement `json:"tries"`
+	Utilization Agreement `json:"util"`
+	Queue       Agreement `json:"queue"`
+	Unseen      float64   `json:"unseen"` // share of nodes that nothing was known of
 }
 
-// Agreed is the share of cases within the stated error and a twentieth, the mean error, and the mean of what was stated; of
+// Agreement is the share of cases within the stated error and a twentieth, the mean error, and the mean of what was stated; of
 // util and queue absolute, of tries relative.
-type Agreed struct {
-	Within float64 `json:"within"`
-	Error  float64 `json:"mean_error"`
-	Stated float64 `json:"stated"`
+type Agreement struct {
+	Within      float64 `json:"within"`
+	MeanError   float64 `json:"mean_error"`
+	StatedError float64 `json:"stated"`
 }
 
-func (a *Agreed) add(got, want, stated, scale float64) {
+func (a *Agreement) add(got, want, stated, scale float64) {
 	off := math.Abs(got - want)
 	if off <= stated+0.05*max(math.Abs(want), scale) {
 		a.Within++
 	}
-	a.Error += off / scale
-	a.Stated += stated / scale
+	a.MeanError += off / scale
+	a.StatedError += stated / scale
 }
 
-func (a *Agreed) over(cases float64) {
+func (a *Agreement) finish(cases float64) {
 	if cases > 0 {
-		a.Within, a.Error, a.Stated = a.Within/cases, a.Error/cases, a.Stated/cases
+		a.Within, a.MeanError, a.StatedError = a.Within/cases, a.MeanError/cases, a.StatedError/cases
 	}
 }
 
-func (v *View) close() {
-	v.Tries.over(float64(v.Cases))
-	v.Util.over(float64(v.Cases))
-	v.Queue.over(float64(v.Cases))
+func (v *View) finish() {
+	v.Attempts.finish(float64(v.Cases))
+	v.Utilization.finish(float64(v.Cases))
+	v.Queue.finish(float64(v.Cases))
 	v.Unseen /= float64(max(1, v.Cases))
 }
 
-// Held tells whether all rules were kept and all checks are ok.
-func (r IntakeResult) Held() bool { return Result{Rules: r.Rules, Checks: r.Checks}.Held() }
+// OnTable tells whether all rules were kept and all checks are ok.
+func (r LoadReportResult) Passed() bool { return Result{Rules: r.Rules, Checks: r.Checks}.Passed() }
 
 // storm is one run of light stand-ins.
 type storm struct {
-	o        IntakeOptions
+	o        LoadReportOptions
 	s        Scenario
 	f        *fleet // what a coordinator's process needs of one
 	coord    *coordinatorProcess
-	nodes    []*emulator.LightNode
+	nodes    []*emulator.LightEndpoint
 	gateways []*emulator.LightGateway
 	tally    *emulator.LightTally
 	states   map[string]audit.EndpointState
@@ -133,11 +133,11 @@
 	told     *emulator.Tally
 }
 
-// MeasureIntake starts a coordinator and has light gateways report to it while a storm passes: nodes that fail everywhere at once,
+// RunLoadReports starts a coordinator and has light gateways report to it while a storm passes: nodes that fail everywhere at once,
 // drains, a mass restart, the coordinator's own restart, gateways that stop reporting, peers that send garbage or a byte a second.
-func MeasureIntake(o IntakeOptions) (res IntakeResult, err error) {
-	res = IntakeResult{Scenario: "intake", Seed: o.Seed, Gateways: o.Gateways, Nodes: o.Nodes, Bound: o.Bound, Procs: o.Procs}
-	t := &storm{o: o, s: usual(), told: emulator.NewTally(), holds: make([]bool, o.Gateways), tally: emulator.NewLightTally(), states: map[string]audit.EndpointState{}, launched: map[string]time.Duration{}}
+func RunLoadReports(o LoadReportOptions) (res LoadReportResult, err error) {
+	res = LoadReportResult{Scenario: "intake", Seed: o.Seed, Gateways: o.Gateways, Endpoints: o.Endpoints, MaxLinesPerSecond: o.MaxLinesPerSecond, CoordinatorCores: o.CoordinatorCores}
+	t := &storm{o: o, s: defaultScenario(), told: emulator.NewTally(), holds: make([]bool, o.Gateways), tally: emulator.NewLightTally(), states: map[string]audit.EndpointState{}, launched: map[string]time.Duration{}}
 	dir := o.Dir
 	if dir == "" {
 		if dir, err = os.MkdirTemp(scratch(), "porthub-intake-"); err != nil {
@@ -145,16 +145,16 @@
 		}
 		defer os.RemoveAll(dir)
 	}
-	t.s.Gateways, t.s.Nodes = o.Gateways, o.Nodes
+	t.s.GatewayCount, t.s.EndpointCount = o.Gateways, o.Endpoints
 	cfg := t.s.Config(dir, "127.0.0.1:0", 1)
 	cfg.Rules.WaitingLines = float64(40 * o.Gateways)
-	if o.Grace > 0 {
-		cfg.Rules.DrainGrace, cfg.Rules.EmptyFor = o.Grace, o.Grace
+	if o.GracePeriod > 0 {
+		cfg.Rules.DrainGrace, cfg.Rules.EmptyFor = o.GracePeriod, o.GracePeriod
 	}
 	t.s.Rules = cfg.Rules
 	l := limits(t.s)
 	t.f = &fleet{s: t.s, dir: dir, log: audit.NewLog(l)}
-	t.f.world = emulator.NewWorld(t.f.log, emulator.Rules{Cold: l.WarmUp, ColdFrom: l.InitialCapacity, ColdMultiple: l.OverloadFactor, ColdWindow: l.OverloadWindow}, o.Seed)
+	t.f.world = emulator.NewWorld(t.f.log, emulator.WarmUpRules{WarmUp: l.WarmUp, InitialCapacity: l.InitialCapacity, OverloadFactor: l.OverloadFactor, OverloadWindow: l.OverloadWindow}, o.Seed)
 	logs, err := os.Create(filepath.Join(dir, "coordinator.log"))
 	if err != nil {
 		return res, err
@@ -162,16 +162,16 @@
 	defer logs.Close()
 	cfg.Limits = config.Limits{Connections: 2*o.Gateways + 200, PerAddress: 2*o.Gateways + 200}
 	cfg.Gateways.SilentAfter = 10_000_000
-	cfg.Reports.Intake, cfg.Probes.Allowed, cfg.Capture.Enabled = o.Bound, false, false
-	if o.Procs > 0 {
-		_ = os.Setenv("GOMAXPROCS", fmt.Sprint(o.Procs)) // of the coordinator, which inherits it
+	cfg.Reports.Intake, cfg.Probes.Allowed, cfg.Capture.Enabled = o.MaxLinesPerSecond, false, false
+	if o.CoordinatorCores > 0 {
+		_ = os.Setenv("GOMAXPROCS", fmt.Sprint(o.CoordinatorCores)) // of the coordinator, which inherits it
 		defer os.Unsetenv("GOMAXPROCS")
 	}
 	t.build()
 	if err := t.list(); err != nil {
 		return res, err
 	}
-	t.coord = &coordinatorProcess{f: t.f, cfg: cfg, exe: o.Exe, logs: logs, profile: o.Profile}
+	t.coord = &coordinatorProcess{f: t.f, cfg: cfg, exe: o.Command, logs: logs, profile: o.Profile}
 	if err := t.coord.start(); err != nil {
 		return res, err
 	}
@@ -182,16 +182,16 @@
 // build makes nodes at half of what they can do, and gateways of sizes that differ.
 func (t *storm) build() {
 	const each, cores = 8.0, 4.0 // reqs a second that come to a gateway; a node's cores
-	work := 0.5 * cores * float64(t.o.Nodes) / (each * float64(t.o.Gateways))
-	byName := map[string]*emulator.LightNode{}
+	work := 0.5 * cores * float64(t.o.Endpoints) / (each * float64(t.o.Gateways))
+	byName := map[string]*emulator.LightEndpoint{}
 	var entries []emulator.ListEntry
-	for i := range t.o.Nodes {
-		n := emulator.NewLightNode(t.f.world, fmt.Sprintf("127.0.0.1:%d", 1+i), t.s.Zones[i%len(t.s.Zones)], cores, work)
+	for i := range t.o.Endpoints {
+		n := emulator.NewLightEndpoint(t.f.world, fmt.Sprintf("127.0.0.1:%d", 1+i), t.s.Zones[i%len(t.s.Zones)], cores, work)
 		t.nodes, byName[n.Name] = append(t.nodes, n), n
 		t.states[n.Name], t.launched[n.Name] = audit.Ready, -time.Hour
 		entries = append(entries, emulator.ListEntry{Addr: n.Name, Zone: n.Zone, Weight: cores})
 	}
-	t.drained = t.nodes[t.o.Nodes/4].Name
+	t.drained = t.nodes[t.o.Endpoints/4].Name
 	rng := t.f.world.Rand("storm")
 	for i := range t.o.Gateways {
 		size := each * math.Exp(0.7*rng.NormFloat64()-0.245)
@@ -206,10 +206,10 @@
 				}
 			}
 		}
-		opts := emulator.LightOptions{Name: fmt.Sprintf("gw-%d", i), Zone: zone, Nodes: byName, Coordinator: t.address, Period: duration(t.s.Period),
-			Tally: t.tally, Spoil: t.spoil(i), Held: func(s routing.Snapshot) { t.holding(i, s) }}
-		for _, k := range t.s.Kinds {
-			opts.Kinds = append(opts.Kinds, emulator.LightKind{Name: k.Name, Rate: size * k.Share, Repeats: k.Repeat == "replayable"})
+		opts := emulator.LightGatewayOptions{Name: fmt.Sprintf("gw-%d", i), Zone: zone, Endpoints: byName, Coordinator: t.address, ReportPeriod: duration(t.s.ReportPeriod),
+			Tally: t.tally, Corrupt: t.spoil(i), OnTable: func(s routing.Snapshot) { t.holding(i, s) }}
+		for _, k := range t.s.Classes {
+			opts.Classes = append(opts.Classes, emulator.LightClass{Name: k.Name, Rate: size * k.Share, Idempotent: k.Repeat == "replayable"})
 		}
 		t.gateways = append(t.gateways, emulator.NewLightGateway(t.f.world, opts, standing))
 	}
@@ -226,7 +226,7 @@
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	if t.holds[i] && !open && t.drainAt > 0 {
-		t.told.Took(t.f.world.Now() - t.drainAt)
+		t.told.RecordLatency(t.f.world.Now() - t.drainAt)
 	}
 	t.holds[i] = open
 }
@@ -314,12 +314,12 @@
 	}
 	t.f.log.EndpointList(t.f.world.Now(), listed)
 	for _, n := range t.nodes {
-		n.Listed(listed[n.Name].State)
+		n.SetListed(listed[n.Name].State)
 	}
 	return nil
 }
 
-func (t *storm) run(res *IntakeResult) error {
+func (t *storm) run(res *LoadReportResult) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var all sync.WaitGroup
@@ -333,7 +333,7 @@
 			passed := time.Since(last)
 			last = time.Now()
 			for _, n := range t.nodes {
-				n.Look(passed)
+				n.Update(passed)
 			}
 		}
 	})
@@ -344,14 +344,14 @@
 	for ; t.count((*emulator.LightGateway).Reported) < len(t.gateways); time.Sleep(20 * time.Millisecond) {
 		if t.f.world.Now()-began > time.Minute {
 			return fmt.Errorf("after a minute %d of %d gateways have reported, links broke %d times", t.count((*emulator.LightGateway).Reported),
-				len(t.gateways), t.tally.Broke.Load())
+				len(t.gateways), t.tally.Disconnects.Load())
 		}
 	}
-	res.JoinedS = (t.f.world.Now() - began).Seconds()
+	res.ConnectSeconds = (t.f.world.Now() - began).Seconds()
 	time.Sleep(5 * time.Second) // the module has its rounds, the part is found
 	start := t.f.world.Now()
 	end := start + time.Duration(t.o.Seconds)*time.Second
-	if !t.o.Calm {
+	if !t.o.NoFaults {
 		t.peers(ctx, run)
 		run(func() { t.troubles(ctx, start, res) })
 	}
@@ -369,17 +369,17 @@
 		if last.Intake.Reports >= before.Intake.Reports {
 			offered, taken = offered+last.Intake.Lines-before.Intake.Lines, taken+last.Intake.Taken-before.Intake.Taken
 		}
-		res.Inbox = max(res.Inbox, last.Inbox)
+		res.MaxMailbox = max(res.MaxMailbox, last.Inbox)
 		t.compare(last, res)
 	}
 	span := (t.f.world.Now() - start).Seconds()
-	res.Reports, res.Lines, res.Taken = float64(t.tally.Reports.Load()-sentFrom)/span, float64(offered)/span, float64(taken)/span
-	times := t.tally.Took().Answers()
-	res.Lag = Latency{float64(times.ValueAtQuantile(50)) / 1000, float64(times.ValueAtQuantile(99)) / 1000}
-	res.Late, res.Deferred, res.Broke, res.Longer = t.tally.Late.Load(), t.tally.Deferred.Load(), t.tally.Broke.Load(), t.tally.Longer.Load()
+	res.Reports, res.Lines, res.LinesAccepted = float64(t.tally.Reports.Load()-sentFrom)/span, float64(offered)/span, float64(taken)/span
+	times := t.tally.AnswerTimes().Latencies()
+	res.AnswerTime = Latency{float64(times.ValueAtQuantile(50)) / 1000, float64(times.ValueAtQuantile(99)) / 1000}
+	res.LateAnswers, res.Deferred, res.Disconnects, res.Throttled = t.tally.LateAnswers.Load(), t.tally.Deferred.Load(), t.tally.Disconnects.Load(), t.tally.Throttled.Load()
 	res.Steps = last.Steps
-	told := t.told.Answers()
-	res.Orders = Latency{float64(told.ValueAtQuantile(50)) / 1000, float64(told.ValueAtQuantile(99)) / 1000}
+	told := t.told.Latencies()
+	res.DrainTime = Latency{float64(told.ValueAtQuantile(50)) / 1000, float64(told.ValueAtQuantile(99)) / 1000}
 	stop := t.f.world.Now()
 	cancel()
 	t.coord.end(syscall.SIGTERM)
@@ -388,15 +388,15 @@
 		return t.coord.err
 	}
 	all.Wait()
-	res.Requests = t.tally.Tries.Load() + t.tally.Denied.Load()
-	res.Service = 1 - float64(t.tally.Failed.Load()+t.tally.Denied.Load())/float64(max(1, res.Requests))
-	res.Steady.close()
-	res.Always.close()
+	res.Requests = t.tally.Attempts.Load() + t.tally.Rejected.Load()
+	res.Service = 1 - float64(t.tally.Failures.Load()+t.tally.Rejected.Load())/float64(max(1, res.Requests))
+	res.Steady.finish()
+	res.Overall.finish()
 	res.Rules = t.f.log.Evaluate(stop)
-	res.Checks = []Outcome{{"tries_within", res.Steady.Tries.Within >= 0.9, res.Steady.Tries.Within}, {"util_within", res.Steady.Util.Within >= 0.9, res.Steady.Util.Within},
-		{"queue_within", res.Steady.Queue.Within >= 0.9, res.Steady.Queue.Within}, {"joined_s", res.JoinedS <= 30, res.JoinedS}}
-	for i, s := range res.AgainS {
-		res.Checks = append(res.Checks, Outcome{fmt.Sprintf("again_%d_s", i+1), s >= 0 && s <= 30, s})
+	res.Checks = []CheckResult{{"tries_within", res.Steady.Attempts.Within >= 0.9, res.Steady.Attempts.Within}, {"util_within", res.Steady.Utilization.Within >= 0.9, res.Steady.Utilization.Within},
+		{"queue_within", res.Steady.Queue.Within >= 0.9, res.Steady.Queue.Within}, {"joined_s", res.ConnectSeconds <= 30, res.ConnectSeconds}}
+	for i, s := range res.ReconnectSeconds {
+		res.Checks = append(res.Checks, CheckResult{fmt.Sprintf("again_%d_s", i+1), s >= 0 && s <= 30, s})
 	}
 	return nil
 }
@@ -411,7 +411,7 @@
 }
 
 // troubles strikes one after the other; the times are parts of the run.
-func (t *storm) troubles(ctx context.Context, start time.Duration, res *IntakeResult) {
+func (t *storm) troubles(ctx context.Context, start time.Duration, res *LoadReportResult) {
 	length := time.Duration(t.o.Seconds) * time.Second
 	at := func(part float64) bool {
 		select {
@@ -421,7 +421,7 @@
 		t.note()
 		return ctx.Err() == nil
 	}
-	ready := func(from, n int) (some []*emulator.LightNode) { // spread over the zones
+	ready := func(from, n int) (some []*emulator.LightEndpoint) { // spread over the zones
 		for i := from; len(some) < n && i < len(t.nodes); i++ {
 			if t.states[t.nodes[i].Name] == audit.Ready {
 				some = append(some, t.nodes[i])
@@ -429,23 +429,23 @@
 		}
 		return some
 	}
-	failing := ready(0, max(1, t.o.Nodes/33))
+	failing := ready(0, max(1, t.o.Endpoints/33))
 	if !at(0.12) {
 		return
 	}
 	for _, n := range failing { // every gateway that sends there reports it at once
-		n.Fail(true)
+		n.SetFailing(true)
 	}
 	if !at(0.24) {
 		return
 	}
 	for _, n := range failing {
-		n.Fail(false)
+		n.SetFailing(false)
 	}
 	if !at(0.36) {
 		return
 	}
-	drained := ready(t.o.Nodes/4, 2)
+	drained := ready(t.o.Endpoints/4, 2)
 	for _, n := range drained {
 		t.set(n, audit.Draining)
 	}
@@ -456,9 +456,9 @@
 	if !at(0.46) {
 		return
 	}
-	restarted := ready(t.o.Nodes/2, max(1, t.o.Nodes/10))
+	restarted := ready(t.o.Endpoints/2, max(1, t.o.Endpoints/10))
 	for _, n := range restarted {
-		n.Fail(true)
+		n.SetFailing(true)
 	}
 	time.Sleep(700 * time.Millisecond)
 	for _, n := range restarted {
@@ -466,7 +466,7 @@
 		t.f.mu.Lock()
 		t.launched[n.Name] = at
 		t.f.mu.Unlock()
-		n.Fail(false)
+		n.SetFailing(false)
 	}
 	time.Sleep(time.Second) // the list is late
 	_ = t.list()
@@ -480,13 +480,13 @@
 	}
 	back := t.f.world.Now()
 	time.Sleep(500 * time.Millisecond)
-	for ctx.Err() == nil && t.count((*emulator.LightGateway).Joined) < len(t.gateways) {
+	for ctx.Err() == nil && t.count((*emulator.LightGateway).Connected) < len(t.gateways) {
 		time.Sleep(20 * time.Millisecond)
 	}
 	if again := (t.f.world.Now() - back).Seconds(); ctx.Err() == nil {
-		res.AgainS = append(res.AgainS, again)
+		res.ReconnectSeconds = append(res.ReconnectSeconds, again)
 	} else {
-		res.AgainS = append(res.AgainS, -1)
+		res.ReconnectSeconds = append(res.ReconnectSeconds, -1)
 	}
 	t.note()
 	if !at(0.8) {
@@ -548,7 +548,7 @@
 }
 
 // compare holds what the coordinator says of the nodes against what they had.
-func (t *storm) compare(h daemon.Heard, res *IntakeResult) {
+func (t *storm) compare(h daemon.Heard, res *LoadReportResult) {
 	now := t.f.world.Now()
 	t.f.mu.Lock()
 	steady := true
@@ -560,11 +560,11 @@
 	for i, n := range h.Nodes {
 		known[string(n.Endpoint)] = i
 	}
-	views := []*View{&res.Always}
+	views := []*View{&res.Overall}
 	if steady {
 		views = append(views, &res.Steady)
 	}
-	period := duration(t.s.Period)
+	period := duration(t.s.ReportPeriod)
 	for _, n := range t.nodes {
 		if t.state(n) == audit.Draining {
 			continue
@@ -578,22 +578,22 @@
 			}
 			got := h.Nodes[i]
 			heardAt := now - time.Duration(h.Now-got.At)*time.Microsecond // a report is of the period before it
-			want := n.Had(heardAt-3*period/2, heardAt-period/2)
-			util, queue := n.Own(heardAt-period, heardAt)
-			v.Tries.add(got.Attempts, want, got.AttemptsError, max(want, 1))
-			v.Util.add(got.Utilization, util, got.UtilizationError, 1)
+			want := n.AttemptRate(heardAt-3*period/2, heardAt-period/2)
+			util, queue := n.MeanLoad(heardAt-period, heardAt)
+			v.Attempts.add(got.Attempts, want, got.AttemptsError, max(want, 1))
+			v.Utilization.add(got.Utilization, util, got.UtilizationError, 1)
 			v.Queue.add(got.Queue, queue, got.QueueError, 10)
 		}
 	}
 }
 
-func (t *storm) set(n *emulator.LightNode, s audit.EndpointState) {
+func (t *storm) set(n *emulator.LightEndpoint, s audit.EndpointState) {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	t.states[n.Name] = s
 }
 
-func (t *storm) state(n *emulator.LightNode) audit.EndpointState {
+func (t *storm) state(n *emulator.LightEndpoint) audit.EndpointState {
 	t.f.mu.Lock()
 	defer t.f.mu.Unlock()
 	return t.states[n.Name]
--- a/chaos/pinned_test.go
+++ b/chaos/pinned_test.go
@@ -11,8 +11,8 @@
 func TestPrintedKeysArePinned(t *testing.T) {
 	for name, value := range map[string]any{
 		"result":   testutil.Filled[Result](t),
-		"intake":   testutil.Filled[IntakeResult](t),
-		"polls":    testutil.Filled[HeldPolls](t),
+		"intake":   testutil.Filled[LoadReportResult](t),
+		"polls":    testutil.Filled[PollResult](t),
 		"scenario": testutil.Filled[Scenario](t),
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -28,35 +28,35 @@
 	"porthub/xds"
 )
 
-// HeldPolls is what came of waking many held polls at once.
-type HeldPolls struct {
-	Gateways int `json:"gateways"`
-	Nodes    int `json:"nodes"`
-	Polls    int `json:"polls"` // two for each gateway, a connection each
-	// JoinedS is how long it took until every gateway held its tables, seconds.
-	JoinedS float64 `json:"joined_s"`
-	// KiB of the coordinator for each held poll, from before the first to when all are held.
-	KiB float64 `json:"kib_per_poll"`
+// PollResult is what came of waking many held polls at once.
+type PollResult struct {
+	Gateways  int `json:"gateways"`
+	Endpoints int `json:"nodes"`
+	Polls     int `json:"polls"` // two for each gateway, a connection each
+	// ConnectSeconds is how long it took until every gateway held its tables, seconds.
+	ConnectSeconds float64 `json:"joined_s"`
+	// KiBPerPoll of the coordinator for each held poll, from before the first to when all are held.
+	KiBPerPoll float64 `json:"kib_per_poll"`
 	// Wake is from a drain's standing in the node list to each gateway's having been told, of those that held the node.
-	Holders int     `json:"holders"`
-	Wake    Latency `json:"wake_ms"`
-	Most    float64 `json:"wake_most_ms"`
-	Woken   int     `json:"woken"`
-	Broke   int     `json:"broke"` // connections that broke meanwhile and were dialled again
+	Holders     int     `json:"holders"`
+	Wake        Latency `json:"wake_ms"`
+	MaxWake     float64 `json:"wake_most_ms"`
+	Woken       int     `json:"woken"`
+	Disconnects int     `json:"broke"` // connections that broke meanwhile and were dialled again
 }
 
-// MeasurePolls starts a coordinator, has gateways poll for endpoints and routes, and drains a node once all are held.
-func MeasurePolls(exe []string, gateways, nodes int) (res HeldPolls, err error) {
-	res.Gateways, res.Polls, res.Nodes = gateways, 2*gateways, nodes
+// RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains a node once all are held.
+func RunPolls(exe []string, gateways, nodes int) (res PollResult, err error) {
+	res.Gateways, res.Polls, res.Endpoints = gateways, 2*gateways, nodes
 	dir, err := os.MkdirTemp(scratch(), "porthub-polls-")
 	if err != nil {
 		return res, err
 	}
 	defer os.RemoveAll(dir)
-	s := usual()
-	s.Gateways = gateways
+	s := defaultScenario()
+	s.GatewayCount = gateways
 	f := &fleet{s: s, dir: dir, log: audit.NewLog(limits(s))}
-	f.world = emulator.NewWorld(f.log, emulator.Rules{}, 1)
+	f.world = emulator.NewWorld(f.log, emulator.WarmUpRules{}, 1)
 	logs, err := os.Create(filepath.Join(dir, "coordinator.log"))
 	if err != nil {
 		return res, err
@@ -119,9 +119,9 @@
 			return res, fmt.Errorf("after two minutes %d of %d gateways hold their tables: %w", w.count(), gateways, w.failed())
 		}
 	}
-	res.JoinedS = time.Since(began).Seconds()
+	res.ConnectSeconds = time.Since(began).Seconds()
 	time.Sleep(3 * time.Second) // what follows the joins has come
-	res.KiB = float64(residentOf(coord.cmd.Process.Pid)-before) / float64(2*gateways)
+	res.KiBPerPoll = float64(residentOf(coord.cmd.Process.Pid)-before) / float64(2*gateways)
 	res.Holders = w.drainedAt(time.Now())
 	if err := list("draining"); err != nil {
 		return res, err
@@ -135,8 +135,8 @@
 	}
 	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 	res.Wake = Latency{ms(took[len(took)/2]), ms(took[len(took)*99/100])}
-	res.Most = ms(took[len(took)-1])
-	res.Broke = w.broken()
+	res.MaxWake = ms(took[len(took)-1])
+	res.Disconnects = w.broken()
 	cancel()
 	coord.end(syscall.SIGTERM)
 	all.Wait()
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -26,57 +26,57 @@
 
 // Options are how a drill is run.
 type Options struct {
-	Seed      uint64
-	Exe       []string // the command that serves, usually porthub itself
-	Front     string   // files, poll or both: then gateways take turns
-	BreakRule string
-	Baselines bool
-	NoSolver  bool      // tables pass as the module wants them
-	Forgets   bool      // a start believes nothing of the time before but the list
-	Levels    string    // named: as the scenario has them; plain: the module's admission alone; off: nothing is turned away
-	Progress  io.Writer // a line a second; nil: none
-	Dir       string    // kept if given; else a folder of its own, removed at the end
+	Seed       uint64
+	Command    []string // the command that serves, usually porthub itself
+	Front      string   // files, poll or both: then gateways take turns
+	BreakRule  string
+	Baselines  bool
+	NoSolver   bool      // tables pass as the module wants them
+	NoRecovery bool      // a start believes nothing of the time before but the list
+	Levels     string    // named: as the scenario has them; plain: the module's admission alone; off: nothing is turned away
+	Progress   io.Writer // a line a second; nil: none
+	Dir        string    // kept if given; else a folder of its own, removed at the end
 }
 
 // Result is what came of a drill.
 type Result struct {
-	Scenario  string                   `json:"scenario"`
-	Seed      uint64                   `json:"seed"`
-	Requests  int                      `json:"requests"`
-	Service   float64                  `json:"service"`
-	Worst10s  float64                  `json:"worst_10s"`
-	Rules     map[string]audit.Verdict `json:"rules"`
-	Latency   Latency                  `json:"latency_ms"` // from a file's writing to its taking effect
-	Answers   Latency                  `json:"answers_ms"` // of what was answered, retries included
-	Reads     int                      `json:"reads"`
-	Partial   int                      `json:"partial_reads"`
-	Written   Written                  `json:"written"`
-	CPU       float64                  `json:"cpu_s"` // of the coordinator's processes
-	PeakKiB   int64                    `json:"peak_kib"`
-	StopMs    float64                  `json:"stop_ms"` // from SIGTERM to the end
-	Converged float64                  `json:"converged_s,omitempty"`
-	Restarts  []Restarted              `json:"restarts,omitempty"`
-	Registry  *Asked                   `json:"registry,omitempty"`
-	Baselines map[string]Baseline      `json:"baselines"`
-	Checks    []Outcome                `json:"checks"`
-	Cells     map[string]float64       `json:"cells"`   // service by kind@zone
-	Kinds     map[string]float64       `json:"kinds"`   // service by kind
-	By5s      []float64                `json:"by_5s"`   // service of each 5 s
-	Busiest   float64                  `json:"busiest"` // node over the mean, by work that came
+	Scenario         string                   `json:"scenario"`
+	Seed             uint64                   `json:"seed"`
+	Requests         int                      `json:"requests"`
+	Service          float64                  `json:"service"`
+	Worst10s         float64                  `json:"worst_10s"`
+	Rules            map[string]audit.Verdict `json:"rules"`
+	DeliveryTime     Latency                  `json:"latency_ms"` // from a file's writing to its taking effect
+	ResponseTime     Latency                  `json:"answers_ms"` // of what was answered, retries included
+	DocumentsRead    int                      `json:"reads"`
+	IncompleteReads  int                      `json:"partial_reads"`
+	Written          Written                  `json:"written"`
+	CPU              float64                  `json:"cpu_s"` // of the coordinator's processes
+	PeakKiB          int64                    `json:"peak_kib"`
+	StopMilliseconds float64                  `json:"stop_ms"` // from SIGTERM to the end
+	ConvergedSeconds float64                  `json:"converged_s,omitempty"`
+	Restarts         []Restart                `json:"restarts,omitempty"`
+	Registry         *RegistryTraffic         `json:"registry,omitempty"`
+	Baselines        map[string]Baseline      `json:"baselines"`
+	Checks           []CheckResult            `json:"checks"`
+	Cells            map[string]float64       `json:"cells"`   // service by kind@zone
+	Classes          map[string]float64       `json:"kinds"`   // service by kind
+	By5s             []float64                `json:"by_5s"`   // service of each 5 s
+	PeakLoadRatio    float64                  `json:"busiest"` // node over the mean, by work that came
 	// LevelChanges counts how often the level of service changed in the scope in which it did most.
 	LevelChanges int `json:"level_changes"`
 }
 
-// Restarted is one restart of the coordinator. Times are in seconds.
-type Restarted struct {
-	At      float64 `json:"at_s"` // of the kill
-	Down    float64 `json:"down_s"`
-	First   float64 `json:"first_table_s"` // from its start until a gateway holds a table of it
-	All     float64 `json:"all_tables_s"`  // until all do; 0: never
-	Service float64 `json:"service_10s"`   // of the reqs of the 10 s after the kill
+// Restart is one restart of the coordinator. Times are in seconds.
+type Restart struct {
+	At         float64 `json:"at_s"` // of the kill
+	Down       float64 `json:"down_s"`
+	FirstTable float64 `json:"first_table_s"` // from its start until a gateway holds a table of it
+	AllTables  float64 `json:"all_tables_s"`  // until all do; 0: never
+	Service    float64 `json:"service_10s"`   // of the reqs of the 10 s after the kill
 }
 
-// Latency is in milliseconds.
+// DeliveryTime is in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
@@ -100,15 +100,15 @@
 	By5s     []float64                `json:"by_5s"`
 }
 
-// Outcome is how a check came out.
-type Outcome struct {
+// CheckResult is how a check came out.
+type CheckResult struct {
 	Name   string  `json:"name"`
 	OK     bool    `json:"ok"`
 	Figure float64 `json:"figure"`
 }
 
-// Held tells whether all rules were kept and all checks are ok.
-func (r Result) Held() bool {
+// Passed tells whether all rules were kept and all checks are ok.
+func (r Result) Passed() bool {
 	for _, v := range r.Rules {
 		if !v.Satisfied {
 			return false
@@ -124,7 +124,7 @@
 
 // Run stages a scenario. An error is the machine's; what broke stands in the result.
 func Run(s Scenario, o Options) (Result, error) {
-	res := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, Cells: map[string]float64{}, Kinds: map[string]float64{}}
+	res := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, Cells: map[string]float64{}, Classes: map[string]float64{}}
 	dir := o.Dir
 	if dir == "" {
 		made, err := os.MkdirTemp(scratch(), "porthub-drill-")
@@ -160,14 +160,14 @@
 		return res, err
 	}
 	defer logs.Close()
-	coord := &coordinatorProcess{f: main, cfg: s.Config(main.dir, "127.0.0.1:0", o.Seed), exe: o.Exe, logs: logs}
+	coord := &coordinatorProcess{f: main, cfg: s.Config(main.dir, "127.0.0.1:0", o.Seed), exe: o.Command, logs: logs}
 	switch o.Levels {
 	case "plain":
 		coord.cfg.Service = config.Service{}
 	case "off":
 		coord.cfg.Service, coord.cfg.Levels = config.Service{}, "off"
 	}
-	coord.cfg.Solver.Enabled, coord.cfg.Recovery.Enabled = !o.NoSolver, !o.Forgets
+	coord.cfg.Solver.Enabled, coord.cfg.Recovery.Enabled = !o.NoSolver, !o.NoRecovery
 	if main.reg != nil {
 		main.reg.source(&coord.cfg)
 	}
@@ -200,47 +200,47 @@
 	}
 	for _, c := range s.Checks {
 		if c.Name == "converged_s" {
-			res.Converged = converged(main)
+			res.ConvergedSeconds = converged(main)
 		}
 	}
 	res.Written = written(main)
 	res.Rules = main.log.Evaluate(end)
-	res.StopMs = float64(coord.end(syscall.SIGTERM).Microseconds()) / 1000
+	res.StopMilliseconds = float64(coord.end(syscall.SIGTERM).Microseconds()) / 1000
 	res.CPU, res.PeakKiB = coord.cpu.Seconds(), coord.peak
 	res.LevelChanges = levelChanges(logs.Name())
 	cells, sum := main.tally.Sums()
-	res.Requests, res.Service, res.Worst10s = sum.Reqs, sum.Service(), main.tally.Worst(10)
-	res.Busiest = main.log.PeakLoadRatio()
-	res.By5s = main.tally.Windows(5)
+	res.Requests, res.Service, res.Worst10s = sum.Requests, sum.Service(), main.tally.WorstService(10)
+	res.PeakLoadRatio = main.log.PeakLoadRatio()
+	res.By5s = main.tally.ServiceByWindow(5)
 	if main.reg != nil {
 		asked := main.reg.asked()
 		res.Registry = &asked
 	}
 	for _, r := range main.log.Restarts() {
-		one := Restarted{At: r.Down.Seconds(), Down: (r.Up - r.Down).Seconds(), Service: main.tally.Between(r.Down, r.Down+10*time.Second)}
+		one := Restart{At: r.Down.Seconds(), Down: (r.Up - r.Down).Seconds(), Service: main.tally.ServiceBetween(r.Down, r.Down+10*time.Second)}
 		if r.FirstTable > 0 {
-			one.First = (r.FirstTable - r.Up).Seconds()
+			one.FirstTable = (r.FirstTable - r.Up).Seconds()
 		}
 		if r.AllTables > 0 {
-			one.All = (r.AllTables - r.Up).Seconds()
+			one.AllTables = (r.AllTables - r.Up).Seconds()
 		}
 		res.Restarts = append(res.Restarts, one)
 	}
 	kinds := map[string]emulator.Sum{}
 	for c, s := range cells {
-		res.Cells[c.Kind+"@"+c.Zone] = s.Service()
-		kinds[c.Kind] = kinds[c.Kind].Plus(s)
+		res.Cells[c.Class+"@"+c.Zone] = s.Service()
+		kinds[c.Class] = kinds[c.Class].Add(s)
 	}
 	for k, s := range kinds {
-		res.Kinds[k] = s.Service()
+		res.Classes[k] = s.Service()
 	}
-	orders, answers := main.log.DeliveryLatency(), main.tally.Answers()
-	res.Latency = Latency{float64(orders.ValueAtQuantile(50)) / 1000, float64(orders.ValueAtQuantile(99)) / 1000}
-	res.Answers = Latency{float64(answers.ValueAtQuantile(50)) / 1000, float64(answers.ValueAtQuantile(99)) / 1000}
-	res.Reads, res.Partial = main.log.DocumentCounts()
+	orders, answers := main.log.DeliveryLatency(), main.tally.Latencies()
+	res.DeliveryTime = Latency{float64(orders.ValueAtQuantile(50)) / 1000, float64(orders.ValueAtQuantile(99)) / 1000}
+	res.ResponseTime = Latency{float64(answers.ValueAtQuantile(50)) / 1000, float64(answers.ValueAtQuantile(99)) / 1000}
+	res.DocumentsRead, res.IncompleteReads = main.log.DocumentCounts()
 	for _, f := range fleets[1:] {
 		_, sum := f.tally.Sums()
-		res.Baselines[string(f.mode)] = Baseline{sum.Service(), f.tally.Worst(10), f.log.Evaluate(f.world.Now()), f.tally.Windows(5)}
+		res.Baselines[string(f.mode)] = Baseline{sum.Service(), f.tally.WorstService(10), f.log.Evaluate(f.world.Now()), f.tally.ServiceByWindow(5)}
 	}
 	res.Checks = checks(s, res, cells)
 	return res, nil
@@ -318,16 +318,16 @@
 	return w
 }
 
-func checks(s Scenario, r Result, cells map[emulator.Cell]emulator.Sum) (out []Outcome) {
+func checks(s Scenario, r Result, cells map[emulator.Cell]emulator.Sum) (out []CheckResult) {
 	all := append([]Check{{Name: "partial_reads"}}, s.Checks...)
 	for _, c := range all {
-		o := Outcome{Name: c.Name}
+		o := CheckResult{Name: c.Name}
 		switch kind, byKind := strings.CutPrefix(c.Name, "kind:"); {
 		case byKind:
 			var asked, got float64
 			for cell, sum := range cells {
-				if cell.Kind == kind {
-					asked, got = asked+sum.Asked, got+sum.Got
+				if cell.Class == kind {
+					asked, got = asked+sum.Demanded, got+sum.Earned
 				}
 			}
 			o.Figure = got / max(asked, 1e-9)
@@ -336,13 +336,13 @@
 		case c.Name == "worst_10s":
 			o.Figure = r.Worst10s
 		case c.Name == "partial_reads":
-			o.Figure = float64(r.Partial)
+			o.Figure = float64(r.IncompleteReads)
 		case c.Name == "orders_p99_ms":
-			o.Figure = r.Latency.P99
+			o.Figure = r.DeliveryTime.P99
 		case c.Name == "converged_s":
-			o.Figure = r.Converged
+			o.Figure = r.ConvergedSeconds
 		case c.Name == "stop_ms":
-			o.Figure = r.StopMs
+			o.Figure = r.StopMilliseconds
 		case c.Name == "level_changes": // of the scope that changed most; no more than the settings allow
 			o.Figure = float64(r.LevelChanges)
 			set, _ := s.Config("", "127.0.0.1:0", 1).ServiceLevels()
@@ -373,18 +373,18 @@
 		}
 		now, up := f.world.Now(), 0
 		for _, n := range f.nodes {
-			if on, _ := n.Up(); on {
+			if on, _ := n.Running(); on {
 				up++
 			}
 		}
 		var going []string
-		for _, t := range f.s.Troubles {
-			if now >= duration(t.At) && now < duration(t.At+t.For) {
-				going = append(going, t.What)
+		for _, t := range f.s.Faults {
+			if now >= duration(t.At) && now < duration(t.At+t.Duration) {
+				going = append(going, t.Name)
 			}
 		}
 		_, sum := f.tally.Sums()
-		fmt.Fprintf(w, "\r%3.0f of %d s  %6d reqs  service %.3f  nodes up %d of %d  %-50s", now.Seconds(), f.s.Seconds, sum.Reqs, sum.Service(),
+		fmt.Fprintf(w, "\r%3.0f of %d s  %6d reqs  service %.3f  nodes up %d of %d  %-50s", now.Seconds(), f.s.Seconds, sum.Requests, sum.Service(),
 			up, len(f.nodes), strings.Join(going, " "))
 	}
 }
@@ -394,7 +394,7 @@
 	half := f.length() / 3
 	switch rule {
 	case audit.EmptyTable: // one gateway loses all lines of a kind on the way
-		f.gateways[0].Spoil = func(s *routing.Snapshot) {
+		f.gateways[0].Corrupt = func(s *routing.Snapshot) {
 			if f.world.Now() > half/2 {
 				s.Clusters = append([]routing.Cluster(nil), s.Clusters...)
 				s.Clusters[0].Endpoints = nil
@@ -402,11 +402,11 @@
 		}
 	case audit.DuplicateEffect: // all gateways repeat whatever has failed
 		for _, g := range f.gateways {
-			g.SpoilRetry = true
+			g.AlwaysRetry = true
 		}
 	case audit.Drain: // one gateway keeps every line that it ever had
 		had := map[string]map[string]routing.ClusterEndpoint{}
-		f.gateways[0].Spoil = func(s *routing.Snapshot) {
+		f.gateways[0].Corrupt = func(s *routing.Snapshot) {
 			s.Clusters = append([]routing.Cluster(nil), s.Clusters...)
 			for i, c := range s.Clusters {
 				if had[c.Class] == nil {
@@ -426,13 +426,13 @@
 		}
 	case audit.WarmUp: // all gateways send nearly everything to what has just come back
 		for _, g := range f.gateways {
-			g.Spoil = func(s *routing.Snapshot) {
+			g.Corrupt = func(s *routing.Snapshot) {
 				s.Clusters = append([]routing.Cluster(nil), s.Clusters...)
 				for i, c := range s.Clusters {
 					c.Endpoints = append([]routing.ClusterEndpoint(nil), c.Endpoints...)
 					for j, l := range c.Endpoints {
 						for _, n := range f.nodes {
-							if up, launched := n.Up(); n.Addr == string(l.Endpoint) && up && launched >= 0 {
+							if up, launched := n.Running(); n.Addr == string(l.Endpoint) && up && launched >= 0 {
 								c.Endpoints[j].Weight = 1000
 							}
 						}
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -15,50 +15,50 @@
 
 // Scenario is a fleet and what befalls it.
 type Scenario struct {
-	Name     string          `json:"name"`
-	About    string          `json:"about"`
-	Seconds  int             `json:"seconds"`
-	Zones    []string        `json:"zones"`
-	Nodes    int             `json:"nodes"`
-	Cores    int             `json:"cores"` // of a node
-	Gateways int             `json:"gateways"`
-	Reqs     float64         `json:"reqs_per_s"`
-	Spread   float64         `json:"gateway_spread"` // of the gateways' sizes: 0 all alike
-	Kinds    []Kind          `json:"request_kinds"`
-	Rules    config.Rules    `json:"rules"`
-	Period   config.Duration `json:"report_period"`
-	ListLate config.Duration `json:"list_late"` // the node list tells so long after the truth
-	Retries  int             `json:"client_retries"`
-	Queue    int             `json:"node_queue"`
-	Conns    int             `json:"node_connections"`
-	Chunk    int             `json:"read_chunk"` // gateways read files by so many bytes; 0: at once
-	Registry string          `json:"registry"`   // file or eureka
-	Troubles []Trouble       `json:"troubles"`
-	Checks   []Check         `json:"checks"`
-	Service  config.Service  `json:"service"` // the coordinator's levels of reduced service
+	Name           string          `json:"name"`
+	About          string          `json:"about"`
+	Seconds        int             `json:"seconds"`
+	Zones          []string        `json:"zones"`
+	EndpointCount  int             `json:"nodes"`
+	EndpointCores  int             `json:"cores"` // of a node
+	GatewayCount   int             `json:"gateways"`
+	RequestRate    float64         `json:"reqs_per_s"`
+	GatewaySpread  float64         `json:"gateway_spread"` // of the gateways' sizes: 0 all alike
+	Classes        []Class         `json:"request_kinds"`
+	Rules          config.Rules    `json:"rules"`
+	ReportPeriod   config.Duration `json:"report_period"`
+	ListDelay      config.Duration `json:"list_late"` // the node list tells so long after the truth
+	Retries        int             `json:"client_retries"`
+	QueueLength    int             `json:"node_queue"`
+	MaxConnections int             `json:"node_connections"`
+	ReadChunk      int             `json:"read_chunk"` // gateways read files by so many bytes; 0: at once
+	Registry       string          `json:"registry"`   // file or eureka
+	Faults         []Fault         `json:"troubles"`
+	Checks         []Check         `json:"checks"`
+	Service        config.Service  `json:"service"` // the coordinator's levels of reduced service
 }
 
-// Kind is a request kind of a scenario.
-type Kind struct {
-	Name           string          `json:"name"`
-	Share          float64         `json:"share"`
-	Work           config.Duration `json:"work"` // mean core time
-	Repeat         string          `json:"repeat"`
-	ResponseTarget config.Duration `json:"response_target"`
-	ClientTimeout  config.Duration `json:"client_timeout"`
-	Payoff         float64         `json:"payoff"`
+// Class is a request kind of a scenario.
+type Class struct {
+	Name             string          `json:"name"`
+	Share            float64         `json:"share"`
+	Work             config.Duration `json:"work"` // mean core time
+	Repeat           string          `json:"repeat"`
+	LatencyObjective config.Duration `json:"response_target"`
+	ClientTimeout    config.Duration `json:"client_timeout"`
+	PriorityWeight   float64         `json:"payoff"`
 }
 
-// Trouble is one thing that goes wrong. What Part, Size and Extra mean is said in the table of troubles.
-type Trouble struct {
-	What  string          `json:"what"`
-	At    config.Duration `json:"at"`
-	For   config.Duration `json:"for"`
-	Part  float64         `json:"part"`
-	Size  float64         `json:"size"`
-	Extra float64         `json:"extra"`
-	Zone  string          `json:"zone"`
-	Kind  string          `json:"kind"`
+// Fault is one thing that goes wrong. What Part, Size and Extra mean is said in the table of troubles.
+type Fault struct {
+	Name     string          `json:"what"`
+	At       config.Duration `json:"at"`
+	Duration config.Duration `json:"for"`
+	Share    float64         `json:"part"`
+	Size     float64         `json:"size"`
+	Extra    float64         `json:"extra"`
+	Zone     string          `json:"zone"`
+	Class    string          `json:"kind"`
 }
 
 // Check is a figure that a scenario has to reach.
@@ -88,28 +88,28 @@
 	return names, about
 }
 
-func usual() Scenario {
-	return Scenario{Seconds: 60, Zones: []string{"hala-a", "hala-b", "hala-c"}, Nodes: 18, Cores: 2, Gateways: 15, Reqs: 140, Spread: 0.7,
-		Kinds: []Kind{
+func defaultScenario() Scenario {
+	return Scenario{Seconds: 60, Zones: []string{"hala-a", "hala-b", "hala-c"}, EndpointCount: 18, EndpointCores: 2, GatewayCount: 15, RequestRate: 140, GatewaySpread: 0.7,
+		Classes: []Class{
 			{"schedule", 0.39, 160_000, "replayable", 750_000, 2_500_000, 1},
 			{"capacity", 0.32, 160_000, "replayable", 800_000, 2_500_000, 1},
 			{"save-sim", 0.29, 160_000, "non-replayable", 750_000, 2_000_000, 2}},
-		Rules: config.Default().Rules, Period: 1_000_000, ListLate: 1_500_000, Retries: 1, Queue: 30, Conns: 200}
+		Rules: config.Default().Rules, ReportPeriod: 1_000_000, ListDelay: 1_500_000, Retries: 1, QueueLength: 30, MaxConnections: 200}
 }
 
 // Load reads a scenario: a built-in one by its name, only:TROUBLE for that trouble alone in the middle of a short run,
 // or a file.
 func Load(name string) (Scenario, error) {
-	s := usual()
+	s := defaultScenario()
 	if what, alone := strings.CutPrefix(name, "only:"); alone {
-		t, known := troubles[what]
+		t, known := faultTypes[what]
 		if !known {
-			return s, fmt.Errorf("%w: there is no trouble %q, but %s", ErrScenario, what, strings.Join(Troubles(), ", "))
+			return s, fmt.Errorf("%w: there is no trouble %q, but %s", ErrScenario, what, strings.Join(FaultNames(), ", "))
 		}
 		s.Name, s.Seconds, s.About = name, 24, "that trouble alone"
 		one := t.usual
-		one.What, one.At = what, 4_000_000
-		s.Troubles = []Trouble{one}
+		one.Name, one.At = what, 4_000_000
+		s.Faults = []Fault{one}
 		if _, is := registryFaults[what]; is {
 			registryAlone(&s, what)
 		}
@@ -129,31 +129,31 @@
 	if s.Name == "" {
 		s.Name = name
 	}
-	return s, s.sound()
+	return s, s.validate()
 }
 
-func (s Scenario) sound() error {
+func (s Scenario) validate() error {
 	bad := func(format string, args ...any) error {
 		return fmt.Errorf("%w: %s: %s", ErrScenario, s.Name, fmt.Sprintf(format, args...))
 	}
-	if s.Seconds < 3 || s.Seconds > 3600 || s.Nodes < 1 || s.Nodes > 2000 || s.Gateways < 1 || s.Gateways > 2000 || s.Cores < 1 ||
-		s.Reqs <= 0 || len(s.Zones) == 0 || len(s.Kinds) == 0 {
+	if s.Seconds < 3 || s.Seconds > 3600 || s.EndpointCount < 1 || s.EndpointCount > 2000 || s.GatewayCount < 1 || s.GatewayCount > 2000 || s.EndpointCores < 1 ||
+		s.RequestRate <= 0 || len(s.Zones) == 0 || len(s.Classes) == 0 {
 		return bad("it needs 3 to 3600 seconds, 1 to 2000 nodes and gateways, cores, reqs, zones and kinds")
 	}
 	if s.Registry != "" && s.Registry != "file" && s.Registry != "eureka" {
 		return bad("registry is %q: it must be file or eureka", s.Registry)
 	}
-	for i, t := range s.Troubles {
-		if _, known := troubles[t.What]; !known {
-			return bad("troubles[%d]: there is no %q, but %s", i, t.What, strings.Join(Troubles(), ", "))
+	for i, t := range s.Faults {
+		if _, known := faultTypes[t.Name]; !known {
+			return bad("troubles[%d]: there is no %q, but %s", i, t.Name, strings.Join(FaultNames(), ", "))
 		}
 		if t.Zone != "" && !slices.Contains(s.Zones, t.Zone) {
 			return bad("troubles[%d]: %q is not one of %v", i, t.Zone, s.Zones)
 		}
-		if t.Kind != "" && !slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == t.Kind }) {
-			return bad("troubles[%d]: there is no request kind %q", i, t.Kind)
+		if t.Class != "" && !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == t.Class }) {
+			return bad("troubles[%d]: there is no request kind %q", i, t.Class)
 		}
-		if t.Part < 0 || t.Part > 1 || t.Size < 0 {
+		if t.Share < 0 || t.Share > 1 || t.Size < 0 {
 			return bad("troubles[%d]: part must be 0 to 1 and size 0 or more", i)
 		}
 	}
@@ -170,12 +170,12 @@
 	c.Front.Files.Dir, c.Registry.File.Path = path.Join(dir, "tables"), path.Join(dir, "nodes.json")
 	c.Registry.File.Poll = 100_000
 	c.Zones, c.Rules, c.Service = s.Zones, s.Rules, s.Service
-	c.Reports.Period = s.Period
-	c.Gateways.Expected, c.Gateways.SilentAfter = s.Gateways, max(3_000_000, 3*s.Period)
-	c.Channel.Connections = s.Conns
-	for _, k := range s.Kinds {
-		c.Kinds = append(c.Kinds, config.Kind{Name: k.Name, Repeat: k.Repeat, ResponseTarget: k.ResponseTarget, ClientTimeout: k.ClientTimeout,
-			Payoff: k.Payoff, OnlyZones: []string{}})
+	c.Reports.Period = s.ReportPeriod
+	c.Gateways.Expected, c.Gateways.SilentAfter = s.GatewayCount, max(3_000_000, 3*s.ReportPeriod)
+	c.Channel.Connections = s.MaxConnections
+	for _, k := range s.Classes {
+		c.Kinds = append(c.Kinds, config.Kind{Name: k.Name, Repeat: k.Repeat, ResponseTarget: k.LatencyObjective, ClientTimeout: k.ClientTimeout,
+			Payoff: k.PriorityWeight, OnlyZones: []string{}})
 	}
 	return c
 }
--- a/cmd/porthub/drill.go
+++ b/cmd/porthub/drill.go
@@ -27,7 +27,7 @@
 		noSolver     bool
 		forgets      bool
 		source       string
-		storm        chaos.IntakeOptions
+		storm        chaos.LoadReportOptions
 		held, nodes  int
 		keep, levels string
 	)
@@ -49,7 +49,7 @@
 				for i, n := range names {
 					fmt.Fprintf(w, "%s\t%s\n", n, about[i])
 				}
-				for _, t := range chaos.Troubles() {
+				for _, t := range chaos.FaultNames() {
 					fmt.Fprintf(w, "only:%s\t%s\n", t, chaos.About(t))
 				}
 				fmt.Fprintln(w, "intake\tlight gateways by the thousand report while a storm passes: --gateways, --bound, --procs, --calm")
@@ -60,7 +60,7 @@
 				if err != nil {
 					return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 				}
-				m, err := chaos.MeasurePolls([]string{exe}, held, nodes)
+				m, err := chaos.RunPolls([]string{exe}, held, nodes)
 				if err != nil {
 					return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 				}
@@ -75,24 +75,24 @@
 				if err != nil {
 					return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 				}
-				if storm.Gateways < 9 || storm.Gateways > 15000 || storm.Bound < 0 || storm.Procs < 0 || nodes < 9 || nodes > 2000 {
+				if storm.Gateways < 9 || storm.Gateways > 15000 || storm.MaxLinesPerSecond < 0 || storm.CoordinatorCores < 0 || nodes < 9 || nodes > 2000 {
 					return errors.New("intake takes 9 to 15000 --gateways, 9 to 2000 --nodes, and --bound and --procs of 0 or more")
 				}
 				if rule == audit.Queue || rule != "" && !slices.Contains(audit.Rules, rule) {
 					return fmt.Errorf("--break-rule %q: with intake it must be one of bare, repeat, drain, cold", rule)
 				}
-				storm.Exe, storm.Seed, storm.Nodes, storm.BreakRule, storm.Dir = []string{exe}, seed, nodes, rule, keep
+				storm.Command, storm.Seed, storm.Endpoints, storm.BreakRule, storm.Dir = []string{exe}, seed, nodes, rule, keep
 				if storm.Seconds = seconds; seconds == 0 {
 					storm.Seconds = 60
 				}
-				m, err := chaos.MeasureIntake(storm)
+				m, err := chaos.RunLoadReports(storm)
 				if err != nil {
 					return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 				}
 				if err := printAny(cmd.OutOrStdout(), m); err != nil {
 					return err
 				}
-				if !m.Held() {
+				if !m.Passed() {
 					return errNotHeld
 				}
 				return nil
@@ -120,7 +120,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 			}
-			o := chaos.Options{Seed: seed, Exe: []string{exe}, Front: front, BreakRule: rule, Baselines: baselines, NoSolver: noSolver, Forgets: forgets, Dir: keep, Levels: levels}
+			o := chaos.Options{Seed: seed, Command: []string{exe}, Front: front, BreakRule: rule, Baselines: baselines, NoSolver: noSolver, NoRecovery: forgets, Dir: keep, Levels: levels}
 			if levels != "named" && levels != "plain" && levels != "off" {
 				return fmt.Errorf("--levels %q: it must be named, plain or off", levels)
 			}
@@ -138,7 +138,7 @@
 			} else {
 				err = printDrill(cmd.OutOrStdout(), s, r)
 			}
-			if err == nil && !r.Held() {
+			if err == nil && !r.Passed() {
 				return errNotHeld
 			}
 			return err
@@ -155,9 +155,9 @@
 	cmd.Flags().BoolVar(&forgets, "no-recovery", false, "a restarted coordinator believes nothing of the time before but the list")
 	cmd.Flags().BoolVar(&noSolver, "no-solver", false, "let the module's tables pass as they are")
 	cmd.Flags().IntVar(&storm.Gateways, "gateways", 1000, "with intake: light gateways")
-	cmd.Flags().IntVar(&storm.Bound, "bound", 300000, "with intake: lines of reports that are taken in a second; 0: all")
-	cmd.Flags().IntVar(&storm.Procs, "procs", 0, "with intake: cores that the coordinator may use; 0: all")
-	cmd.Flags().BoolVar(&storm.Calm, "calm", false, "with intake: nothing befalls the fleet")
+	cmd.Flags().IntVar(&storm.MaxLinesPerSecond, "bound", 300000, "with intake: lines of reports that are taken in a second; 0: all")
+	cmd.Flags().IntVar(&storm.CoordinatorCores, "procs", 0, "with intake: cores that the coordinator may use; 0: all")
+	cmd.Flags().BoolVar(&storm.NoFaults, "calm", false, "with intake: nothing befalls the fleet")
 	cmd.Flags().StringVar(&storm.Profile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
 	cmd.Flags().IntVar(&nodes, "nodes", 100, "with intake and --held-polls: calc nodes")
 	cmd.Flags().IntVar(&held, "held-polls", 0, "measure instead: so many gateways with two held polls each are woken at once")
@@ -174,7 +174,7 @@
 		fmt.Fprintf(w, "\t%s", z)
 	}
 	fmt.Fprintln(w)
-	for _, k := range s.Kinds {
+	for _, k := range s.Classes {
 		fmt.Fprint(w, k.Name)
 		for _, z := range s.Zones {
 			fmt.Fprintf(w, "\t%.3f", r.Cells[k.Name+"@"+z])
@@ -207,7 +207,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "\nfile to effect p50 %.1f ms, p99 %.1f ms; answers p50 %.0f ms, p99 %.0f ms; %d files read whole, %d not; coordinator CPU %.2f s, peak %d MiB, stopped in %.0f ms; since its last start %d messages, %d files, %d bytes, step p50 %d us, p99 %d us, most %d us\n",
-		r.Latency.P50, r.Latency.P99, r.Answers.P50, r.Answers.P99, r.Reads, r.Partial, r.CPU, r.PeakKiB/1024, r.StopMs,
+		r.DeliveryTime.P50, r.DeliveryTime.P99, r.ResponseTime.P50, r.ResponseTime.P99, r.DocumentsRead, r.IncompleteReads, r.CPU, r.PeakKiB/1024, r.StopMilliseconds,
 		r.Written.Messages, r.Written.Files, r.Written.Bytes, r.Written.Steps.P50, r.Written.Steps.P99, r.Written.Steps.Most)
 	return nil
 }
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -118,7 +118,7 @@
 	}
 	defer peer.Close()
 	put := func(id string, port int, status string) {
-		reg.Put(standin.Inst{App: "CALC", ID: id, IP: "127.0.0.1", Port: port, Status: status, Metadata: map[string]string{"zone": "a"}})
+		reg.Put(standin.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: port, Status: status, Metadata: map[string]string{"zone": "a"}})
 	}
 	put("c-1", 9001, "UP")
 	put("c-2", 9002, "UP")
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -17,32 +17,32 @@
 	"porthub/xds"
 )
 
-// Kind is a request kind as clients know it.
-type Kind struct {
-	Name           string
-	Share          float64 // of all reqs
-	Work           time.Duration
-	ResponseTarget time.Duration
-	ClientTimeout  time.Duration
-	Payoff         float64
-	LatePayoff     float64 // part of it for an answer after the target
-	Replayable     bool
+// Class is a request kind as clients know it.
+type Class struct {
+	Name             string
+	Share            float64 // of all reqs
+	Work             time.Duration
+	LatencyObjective time.Duration
+	ClientTimeout    time.Duration
+	PriorityWeight   float64
+	LateShare        float64 // part of it for an answer after the target
+	Idempotent       bool
 }
 
 // ClientOptions are a client process's: it has a gateway of its own.
 type ClientOptions struct {
-	Name     string
-	Kinds    []Kind
-	Gateway  *Gateway
-	Rate     float64 // usual reqs a second
-	Retries  int
-	TryShare float64 // a try is given up after this part of the client timeout
-	Backoff  time.Duration
-	// Factor is how many times the usual traffic comes at a time, and Most the most it ever is.
-	Factor func(at time.Duration) float64
-	Most   float64
-	// Dear is how many times the usual work a req of a kind costs.
-	Dear func(at time.Duration, kind string, lot float64) float64
+	Name                string
+	Classes             []Class
+	Gateway             *Gateway
+	RequestRate         float64 // usual reqs a second
+	Retries             int
+	AttemptTimeoutShare float64 // a try is given up after this part of the client timeout
+	Backoff             time.Duration
+	// TrafficFactor is how many times the usual traffic comes at a time, and Most the most it ever is.
+	TrafficFactor    func(at time.Duration) float64
+	MaxTrafficFactor float64
+	// WorkFactor is how many times the usual work a req of a kind costs.
+	WorkFactor func(at time.Duration, kind string, lot float64) float64
 }
 
 // Tally sums how the reqs of a run fared. It is safe for many goroutines.
@@ -54,12 +54,12 @@
 }
 
 // Cell is a request kind in a zone.
-type Cell struct{ Kind, Zone string }
+type Cell struct{ Class, Zone string }
 
 // Sum is what was asked and got.
 type Sum struct {
-	Reqs, Done, Late int
-	Asked, Got       float64 // payoff
+	Requests, OnTime, Late int
+	Demanded, Earned       float64 // payoff
 }
 
 // NewTally starts a tally.
@@ -67,7 +67,7 @@
 	return &Tally{cells: map[Cell]*Sum{}, answers: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-func (t *Tally) add(c Cell, at time.Duration, k Kind, done bool, took time.Duration) {
+func (t *Tally) add(c Cell, at time.Duration, k Class, done bool, took time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.cells[c]
@@ -79,12 +79,12 @@
 		t.windows = append(t.windows, Sum{})
 	}
 	for _, s := range []*Sum{s, &t.windows[int(at/time.Second)]} {
-		s.Reqs, s.Asked = s.Reqs+1, s.Asked+k.Payoff
+		s.Requests, s.Demanded = s.Requests+1, s.Demanded+k.PriorityWeight
 		switch {
-		case done && took <= k.ResponseTarget:
-			s.Done, s.Got = s.Done+1, s.Got+k.Payoff
+		case done && took <= k.LatencyObjective:
+			s.OnTime, s.Earned = s.OnTime+1, s.Earned+k.PriorityWeight
 		case done:
-			s.Late, s.Got = s.Late+1, s.Got+k.Payoff*k.LatePayoff
+			s.Late, s.Earned = s.Late+1, s.Earned+k.PriorityWeight*k.LateShare
 		}
 	}
 	if done {
@@ -99,75 +99,75 @@
 	out, all := map[Cell]Sum{}, Sum{}
 	for c, s := range t.cells {
 		out[c] = *s
-		all = all.Plus(*s)
+		all = all.Add(*s)
 	}
 	return out, all
 }
 
-// Worst is the worst stretch of so many seconds.
-func (t *Tally) Worst(seconds int) float64 {
+// WorstService is the worst stretch of so many seconds.
+func (t *Tally) WorstService(seconds int) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	worst := 1.0
 	for i := 0; i+seconds <= len(t.windows); i++ {
 		var s Sum
 		for _, w := range t.windows[i : i+seconds] {
-			s = s.Plus(w)
+			s = s.Add(w)
 		}
 		worst = min(worst, s.Service())
 	}
 	return worst
 }
 
-// Between is the service of the reqs that came in whole seconds between two times.
-func (t *Tally) Between(from, to time.Duration) float64 {
+// ServiceBetween is the service of the reqs that came in whole seconds between two times.
+func (t *Tally) ServiceBetween(from, to time.Duration) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var s Sum
 	for i := int(from / time.Second); i < min(len(t.windows), int(to/time.Second)); i++ {
-		s = s.Plus(t.windows[i])
+		s = s.Add(t.windows[i])
 	}
 	return s.Service()
 }
 
-// Windows is the service of each stretch of so many seconds.
-func (t *Tally) Windows(seconds int) (out []float64) {
+// ServiceByWindow is the service of each stretch of so many seconds.
+func (t *Tally) ServiceByWindow(seconds int) (out []float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := 0; i < len(t.windows); i += seconds {
 		var s Sum
 		for _, w := range t.windows[i:min(len(t.windows), i+seconds)] {
-			s = s.Plus(w)
+			s = s.Add(w)
 		}
 		out = append(out, s.Service())
 	}
 	return out
 }
 
-// Took adds an answer's time alone.
-func (t *Tally) Took(d time.Duration) {
+// RecordLatency adds an answer's time alone.
+func (t *Tally) RecordLatency(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_ = t.answers.RecordValue(max(1, d.Microseconds()))
 }
 
-// Answers are the times of what was answered, in microseconds, retries included.
-func (t *Tally) Answers() *hdrhistogram.Histogram {
+// Latencies are the times of what was answered, in microseconds, retries included.
+func (t *Tally) Latencies() *hdrhistogram.Histogram {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return hdrhistogram.Import(t.answers.Export())
 }
 
-func (s Sum) Plus(o Sum) Sum {
-	return Sum{s.Reqs + o.Reqs, s.Done + o.Done, s.Late + o.Late, s.Asked + o.Asked, s.Got + o.Got}
+func (s Sum) Add(o Sum) Sum {
+	return Sum{s.Requests + o.Requests, s.OnTime + o.OnTime, s.Late + o.Late, s.Demanded + o.Demanded, s.Earned + o.Earned}
 }
 
 // Service is the payoff got over the payoff asked for.
 func (s Sum) Service() float64 {
-	if s.Asked == 0 {
+	if s.Demanded == 0 {
 		return 1
 	}
-	return s.Got / s.Asked
+	return s.Earned / s.Demanded
 }
 
 // Client makes reqs at random times, whether or not earlier ones are answered.
@@ -191,29 +191,29 @@
 func (c *Client) Run(until time.Duration) {
 	var flying sync.WaitGroup
 	at := c.world.Now()
-	most := max(1, c.Most)
+	most := max(1, c.MaxTrafficFactor)
 	for {
 		// Arrivals at the highest rate, of which the part is kept that the present rate is: the same draws in each run.
-		at += time.Duration(c.rng.ExpFloat64() / (c.Rate * most) * float64(time.Second))
+		at += time.Duration(c.rng.ExpFloat64() / (c.RequestRate * most) * float64(time.Second))
 		keep, kindLot, workLot, dearLot := c.rng.Float64(), c.rng.Float64(), c.rng.NormFloat64(), c.rng.Float64()
 		if at >= until {
 			break
 		}
-		if keep*most >= c.Factor(at) {
+		if keep*most >= c.TrafficFactor(at) {
 			continue
 		}
 		if wait := at - c.world.Now(); wait > 0 {
 			time.Sleep(wait)
 		}
-		kind := c.Kinds[len(c.Kinds)-1]
-		for _, k := range c.Kinds {
+		kind := c.Classes[len(c.Classes)-1]
+		for _, k := range c.Classes {
 			if kindLot -= k.Share; kindLot < 0 {
 				kind = k
 				break
 			}
 		}
 		const spread = 0.4
-		work := time.Duration(float64(kind.Work) * math.Exp(spread*workLot-spread*spread/2) * c.Dear(at, kind.Name, dearLot))
+		work := time.Duration(float64(kind.Work) * math.Exp(spread*workLot-spread*spread/2) * c.WorkFactor(at, kind.Name, dearLot))
 		flying.Add(1)
 		go func(at time.Duration) {
 			defer flying.Done()
@@ -225,7 +225,7 @@
 }
 
 // ask takes one req through its tries.
-func (c *Client) ask(at time.Duration, k Kind, req uint64, work time.Duration) {
+func (c *Client) ask(at time.Duration, k Class, req uint64, work time.Duration) {
 	deadline := at + k.ClientTimeout
 	cell := Cell{k.Name, c.Gateway.Zone}
 	for try := range c.Retries + 1 {
@@ -233,12 +233,12 @@
 		if left <= 0 {
 			break
 		}
-		done, denied := c.try(k, req, try, work, min(left, time.Duration(c.TryShare*float64(k.ClientTimeout))))
+		done, denied := c.try(k, req, try, work, min(left, time.Duration(c.AttemptTimeoutShare*float64(k.ClientTimeout))))
 		if done {
 			c.tally.add(cell, at, k, true, c.world.Now()-at)
 			return
 		}
-		if !denied && !k.Replayable {
+		if !denied && !k.Idempotent {
 			break
 		}
 		time.Sleep(c.Backoff)
@@ -246,7 +246,7 @@
 	c.tally.add(cell, at, k, false, 0)
 }
 
-func (c *Client) try(k Kind, req uint64, try int, work, within time.Duration) (done, denied bool) {
+func (c *Client) try(k Class, req uint64, try int, work, within time.Duration) (done, denied bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Gateway.Addr+"/", nil)
--- a/emulator/eureka/eureka.go
+++ b/emulator/eureka/eureka.go
@@ -16,56 +16,56 @@
 
 // Faults are what a registry does wrong. The zero value does nothing wrong.
 type Faults struct {
-	Slow       time.Duration // before each answer
-	StaleDelta bool          // deltas stay as they were when it began
-	WrongHash  bool
-	Missing    float64       // this part of the instances is left out of whole answers and deltas
-	Refuse     int           // status code instead of an answer
-	Truncated  bool          // bodies end in the middle
-	Huge       int64         // bytes of filling in whole answers
-	Skew       time.Duration // of its clock
-	Lag        time.Duration // answers are as old as that
-	Restarted  bool          // all instances were registered anew, just now
+	Delay        time.Duration // before each answer
+	StaleDelta   bool          // deltas stay as they were when it began
+	WrongHash    bool
+	MissingShare float64       // this part of the instances is left out of whole answers and deltas
+	ErrorStatus  int           // status code instead of an answer
+	Truncated    bool          // bodies end in the middle
+	PaddingBytes int64         // bytes of filling in whole answers
+	ClockSkew    time.Duration // of its clock
+	Lag          time.Duration // answers are as old as that
+	Reregistered bool          // all instances were registered anew, just now
 }
 
 // Registry holds instances. Peers share one with different faults.
 type Registry struct {
 	mu     sync.Mutex
-	insts  map[string]*Inst
+	insts  map[string]*Instance
 	recent []change
 	past   []snapshot
 	rev    int // counts changes
 	now    func() time.Time
 }
 
-// Inst is one instance as it is registered.
-type Inst struct {
-	App, ID, IP     string
-	Port            int
-	Status          string
-	Metadata        map[string]string
-	Dirty, Up, Seen time.Time
+// Instance is one instance as it is registered.
+type Instance struct {
+	App, ID, IP                      string
+	Port                             int
+	Status                           string
+	Metadata                         map[string]string
+	LastChange, UpSince, LastRenewal time.Time
 }
 
 type change struct {
 	at     time.Time
 	action string
-	inst   Inst
+	inst   Instance
 }
 
 type snapshot struct {
 	at    time.Time
 	rev   int
-	insts []Inst
+	insts []Instance
 }
 
 // deltaFor is how long a change stays in deltas.
 const deltaFor = 180 * time.Second
 
 // New makes an empty registry.
-func New() *Registry { return &Registry{insts: map[string]*Inst{}, now: time.Now} }
+func New() *Registry { return &Registry{insts: map[string]*Instance{}, now: time.Now} }
 
-func (r *Registry) changed(action string, i Inst) {
+func (r *Registry) changed(action string, i Instance) {
 	r.recent = append(r.recent, change{r.now(), action, i})
 	r.rev++
 	s := snapshot{at: r.now(), rev: r.rev}
@@ -78,7 +78,7 @@
 }
 
 // Put registers an instance or changes its status.
-func (r *Registry) Put(i Inst) {
+func (r *Registry) Put(i Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -86,14 +86,14 @@
 	action := "ADDED"
 	if old != nil {
 		action = "MODIFIED"
-		if i.Up.IsZero() {
-			i.Up = old.Up
+		if i.UpSince.IsZero() {
+			i.UpSince = old.UpSince
 		}
 	}
-	if i.Status == "UP" && i.Up.IsZero() {
-		i.Up = now
+	if i.Status == "UP" && i.UpSince.IsZero() {
+		i.UpSince = now
 	}
-	i.Dirty, i.Seen = now, now
+	i.LastChange, i.LastRenewal = now, now
 	r.insts[i.App+"/"+i.ID] = &i
 	r.changed(action, i)
 }
@@ -126,8 +126,8 @@
 	since  time.Time
 	Calls  int
 	Bytes  int64
-	// Good is called after each answer that tells the instances as they were at a revision, without a fault that hides one.
-	Good func(revision int)
+	// OnRevision is called after each answer that tells the instances as they were at a revision, without a fault that hides one.
+	OnRevision func(revision int)
 }
 
 // Listen opens a peer of the registry on loopback.
@@ -145,15 +145,15 @@
 // Close ends it.
 func (p *Peer) Close() { _ = p.server.Close() }
 
-// Fault sets what it does wrong from now on.
-func (p *Peer) Fault(f Faults) {
+// SetFaults sets what it does wrong from now on.
+func (p *Peer) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults, p.since = f, time.Now()
 }
 
-// Load tells what it was asked.
-func (p *Peer) Load() (calls int, bytes int64) {
+// Traffic tells what it was asked.
+func (p *Peer) Traffic() (calls int, bytes int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.Calls, p.Bytes
@@ -164,15 +164,15 @@
 	f, since := p.faults, p.since
 	p.Calls++
 	p.mu.Unlock()
-	if f.Slow > 0 {
+	if f.Delay > 0 {
 		select {
-		case <-time.After(f.Slow):
+		case <-time.After(f.Delay):
 		case <-req.Context().Done():
 			return
 		}
 	}
-	if f.Refuse > 0 {
-		http.Error(w, "refused", f.Refuse)
+	if f.ErrorStatus > 0 {
+		http.Error(w, "refused", f.ErrorStatus)
 		return
 	}
 	path := strings.Trim(strings.TrimPrefix(req.URL.Path, "/eureka"), "/")
@@ -189,7 +189,7 @@
 		}
 		p.answer(w, req, f, insts, p.deltas(f, since), true)
 	case req.Method == http.MethodGet && len(parts) == 2 && (parts[0] == "apps" || parts[0] == "vips"):
-		var of []Inst
+		var of []Instance
 		insts, _ := p.view(f)
 		for _, i := range insts {
 			if i.App == strings.ToUpper(parts[1]) || parts[0] == "vips" && i.Metadata["vip"] == parts[1] {
@@ -215,7 +215,7 @@
 			http.Error(w, "bad instance", http.StatusBadRequest)
 			return
 		}
-		p.reg.Put(Inst{App: parts[1], ID: body.Instance.ID, IP: body.Instance.IP, Port: body.Instance.Port.N, Status: "UP"})
+		p.reg.Put(Instance{App: parts[1], ID: body.Instance.ID, IP: body.Instance.IP, Port: body.Instance.Port.N, Status: "UP"})
 		w.WriteHeader(http.StatusNoContent)
 	case req.Method == http.MethodPut && len(parts) == 3 && parts[0] == "apps":
 		if !p.reg.renew(parts[1], parts[2]) {
@@ -233,15 +233,15 @@
 	defer r.mu.Unlock()
 	i := r.insts[app+"/"+id]
 	if i != nil {
-		i.Seen = r.now()
+		i.LastRenewal = r.now()
 	}
 	return i != nil
 }
 
 // good tells that a revision has been told whole.
 func (p *Peer) good(f Faults, rev int) {
-	if p.Good != nil && !f.WrongHash && f.Missing == 0 && !f.Truncated && f.Huge == 0 {
-		p.Good(rev)
+	if p.OnRevision != nil && !f.WrongHash && f.MissingShare == 0 && !f.Truncated && f.PaddingBytes == 0 {
+		p.OnRevision(rev)
 	}
 }
 
@@ -253,7 +253,7 @@
 }
 
 // view is what a peer has of the instances, with its faults.
-func (p *Peer) view(f Faults) (out []Inst, rev int) {
+func (p *Peer) view(f Faults) (out []Instance, rev int) {
 	p.reg.mu.Lock()
 	defer p.reg.mu.Unlock()
 	rev = p.reg.rev
@@ -264,15 +264,15 @@
 		out, rev = nil, 0
 		for _, s := range p.reg.past {
 			if p.reg.now().Sub(s.at) >= f.Lag {
-				out, rev = append([]Inst(nil), s.insts...), s.rev
+				out, rev = append([]Instance(nil), s.insts...), s.rev
 			}
 		}
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].ID < out[b].ID })
-	if f.Missing > 0 {
+	if f.MissingShare > 0 {
 		left := out[:0]
 		for n, i := range out {
-			if float64(n%10) >= 10*f.Missing { // spread over all
+			if float64(n%10) >= 10*f.MissingShare { // spread over all
 				left = append(left, i)
 			}
 		}
@@ -295,21 +295,21 @@
 	return "[" + strings.Join(parts, ",") + "]"
 }
 
-func (p *Peer) member(f Faults, i Inst, action string) string {
+func (p *Peer) member(f Faults, i Instance, action string) string {
 	ms := func(t time.Time) int64 {
 		if t.IsZero() {
 			return 0
 		}
-		return t.Add(f.Skew).UnixMilli()
+		return t.Add(f.ClockSkew).UnixMilli()
 	}
-	up := i.Up
-	if f.Restarted {
+	up := i.UpSince
+	if f.Reregistered {
 		up = p.since
 	}
 	m := map[string]any{"instanceId": i.ID, "hostName": i.IP, "app": i.App, "ipAddr": i.IP, "status": i.Status, "overriddenStatus": "UNKNOWN",
-		"port": map[string]any{"$": i.Port, "@enabled": "true"}, "metadata": i.Metadata, "lastDirtyTimestamp": fmt.Sprint(ms(i.Dirty)),
-		"lastUpdatedTimestamp": fmt.Sprint(ms(i.Dirty)), "leaseInfo": map[string]any{"renewalIntervalInSecs": 30, "durationInSecs": 90,
-			"registrationTimestamp": ms(up), "lastRenewalTimestamp": ms(i.Seen), "evictionTimestamp": 0, "serviceUpTimestamp": ms(up)}}
+		"port": map[string]any{"$": i.Port, "@enabled": "true"}, "metadata": i.Metadata, "lastDirtyTimestamp": fmt.Sprint(ms(i.LastChange)),
+		"lastUpdatedTimestamp": fmt.Sprint(ms(i.LastChange)), "leaseInfo": map[string]any{"renewalIntervalInSecs": 30, "durationInSecs": 90,
+			"registrationTimestamp": ms(up), "lastRenewalTimestamp": ms(i.LastRenewal), "evictionTimestamp": 0, "serviceUpTimestamp": ms(up)}}
 	if action != "" {
 		m["actionType"] = action
 	}
@@ -317,7 +317,7 @@
 	return string(text)
 }
 
-func (p *Peer) answer(w http.ResponseWriter, req *http.Request, f Faults, insts []Inst, delta string, all bool) {
+func (p *Peer) answer(w http.ResponseWriter, req *http.Request, f Faults, insts []Instance, delta string, all bool) {
 	counts := map[string]int{}
 	for _, i := range insts {
 		counts[i.Status]++
@@ -359,22 +359,22 @@
 	if !all && len(parts) == 1 {
 		text = fmt.Sprintf(`{"application": %s}`, parts[0])
 	}
-	if f.Huge > 0 {
-		text = text[:len(text)-1] + `, "filling": "` + strings.Repeat("x", int(f.Huge)) + `"}`
+	if f.PaddingBytes > 0 {
+		text = text[:len(text)-1] + `, "filling": "` + strings.Repeat("x", int(f.PaddingBytes)) + `"}`
 	}
 	p.write(w, f, "application/json", text)
 }
 
-func (p *Peer) xml(w http.ResponseWriter, f Faults, insts []Inst, hash string) {
+func (p *Peer) xml(w http.ResponseWriter, f Faults, insts []Instance, hash string) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "<applications><versions__delta>1</versions__delta><apps__hashcode>%s</apps__hashcode>", hash)
 	for _, i := range insts {
 		fmt.Fprintf(&b, `<application><name>%s</name><instance><instanceId>%s</instanceId><hostName>%s</hostName><app>%s</app><ipAddr>%s</ipAddr><status>%s</status><port enabled="true">%d</port><leaseInfo><durationInSecs>90</durationInSecs><lastRenewalTimestamp>%d</lastRenewalTimestamp><serviceUpTimestamp>%d</serviceUpTimestamp></leaseInfo><metadata>`,
-			i.App, i.ID, i.IP, i.App, i.IP, i.Status, i.Port, i.Seen.UnixMilli(), i.Up.UnixMilli())
+			i.App, i.ID, i.IP, i.App, i.IP, i.Status, i.Port, i.LastRenewal.UnixMilli(), i.UpSince.UnixMilli())
 		for k, v := range i.Metadata {
 			fmt.Fprintf(&b, "<%s>%s</%s>", k, v, k)
 		}
-		fmt.Fprintf(&b, "</metadata><lastDirtyTimestamp>%d</lastDirtyTimestamp></instance></application>", i.Dirty.UnixMilli())
+		fmt.Fprintf(&b, "</metadata><lastDirtyTimestamp>%d</lastDirtyTimestamp></instance></application>", i.LastChange.UnixMilli())
 	}
 	b.WriteString("</applications>")
 	p.write(w, f, "application/xml", b.String())
@@ -395,8 +395,8 @@
 	}
 }
 
-// Forget drops all changes from deltas, as if they were long ago.
-func (r *Registry) Forget() {
+// DropDeltas drops all changes from deltas, as if they were long ago.
+func (r *Registry) DropDeltas() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recent = nil
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -25,21 +25,21 @@
 // GatewayOptions are how a gateway is set up.
 type GatewayOptions struct {
 	Name, Zone string
-	Kinds      []string
-	FrontDir   string
+	Classes    []string
+	TableDir   string
 	// Coordinator tells the address to dial, empty while there is none. Nil: the gateway has no coordinator at all.
 	Coordinator func() string
 	// List tells what the node list holds; it is read at the start only, for the standing table.
-	List      func() []ListEntry
-	Standing  int // lines of the standing table at most
-	ShunAfter int
-	ShunFor   time.Duration
-	Period    time.Duration // of reports
-	Weight    float64
-	Everyone  bool // baseline: one table of all listed nodes, at once and for ever
-	Polls     bool // it polls for its tables, by deltas; else it reads files
-	ReadChunk int  // a slow reader reads so many bytes at a time
-	ReadPause time.Duration
+	List             func() []ListEntry
+	InitialTableSize int // lines of the standing table at most
+	EjectAfter       int
+	EjectionTime     time.Duration
+	ReportPeriod     time.Duration // of reports
+	Weight           float64
+	UseAllEndpoints  bool // baseline: one table of all listed nodes, at once and for ever
+	Polls            bool // it polls for its tables, by deltas; else it reads files
+	ReadChunk        int  // a slow reader reads so many bytes at a time
+	ReadPause        time.Duration
 }
 
 // ListEntry is a node in the list.
@@ -74,9 +74,9 @@
 	stop   context.CancelFunc
 	ended  sync.WaitGroup
 
-	// Spoil changes what was read before it is held; SpoilRetry makes it repeat what it must not. For --break-rule.
-	Spoil      func(*routing.Snapshot)
-	SpoilRetry bool
+	// Corrupt changes what was read before it is held; SpoilRetry makes it repeat what it must not. For --break-rule.
+	Corrupt     func(*routing.Snapshot)
+	AlwaysRetry bool
 }
 
 type shun struct {
@@ -157,7 +157,7 @@
 }
 
 // WithoutCoordinator takes the way to the coordinator from the gateway, or gives it back.
-func (g *Gateway) Away(on bool) {
+func (g *Gateway) SetIsolated(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.away = on
@@ -168,8 +168,8 @@
 	}
 }
 
-// Mute makes the gateway acknowledge nothing, or late.
-func (g *Gateway) Mute(on bool, late time.Duration) {
+// SetAckFault makes the gateway acknowledge nothing, or late.
+func (g *Gateway) SetAckFault(on bool, late time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.mute, g.late = on, late
@@ -189,13 +189,13 @@
 	if len(own) < 3 {
 		own = all
 	}
-	if g.Everyone {
+	if g.UseAllEndpoints {
 		own = all
 	} else {
 		g.rng.Shuffle(len(own), func(i, j int) { own[i], own[j] = own[j], own[i] })
-		own = own[:min(len(own), g.Standing)]
+		own = own[:min(len(own), g.InitialTableSize)]
 	}
-	return snapshot(g.Kinds, own)
+	return snapshot(g.Classes, own)
 }
 
 func snapshot(kinds []string, list []ListEntry) (s routing.Snapshot) {
@@ -211,18 +211,18 @@
 	return s
 }
 
-// Relist gives an Everyone gateway the list anew.
-func (g *Gateway) Relist() {
+// RefreshEndpoints gives an Everyone gateway the list anew.
+func (g *Gateway) RefreshEndpoints() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.Everyone && g.up {
+	if g.UseAllEndpoints && g.up {
 		var open []ListEntry
 		for _, e := range g.List() {
 			if !e.Draining {
 				open = append(open, e)
 			}
 		}
-		g.held.Snapshot = snapshot(g.Kinds, open)
+		g.held.Snapshot = snapshot(g.Classes, open)
 		now := g.world.Now()
 		g.world.Log.TableApplied(now, now, g.Name, "", g.held.Snapshot)
 	}
@@ -277,7 +277,7 @@
 	defer broke()
 	pause := time.Duration(0)
 	nextDial := time.Now()
-	nextReport := time.Now().Add(g.Period)
+	nextReport := time.Now().Add(g.ReportPeriod)
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -334,9 +334,9 @@
 			}
 		}
 		if link != nil && time.Now().After(nextReport) {
-			nextReport = nextReport.Add(g.Period)
+			nextReport = nextReport.Add(g.ReportPeriod)
 			if time.Now().After(nextReport) {
-				nextReport = time.Now().Add(g.Period)
+				nextReport = time.Now().Add(g.ReportPeriod)
 			}
 			interval, kinds := g.collect()
 			if _, err := link.Report(ctx, interval, kinds); err != nil && !errors.Is(err, client.ErrRefused) {
@@ -348,7 +348,7 @@
 
 // read keeps to the files, whatever the link does: a coordinator that hangs must not keep a gateway from its tables.
 func (g *Gateway) read(ctx context.Context, owed *queue) {
-	reader := client.NewReader(g.FrontDir, g.Name)
+	reader := client.NewReader(g.TableDir, g.Name)
 	reader.Chunk, reader.Pause = g.ReadChunk, g.ReadPause
 	reader.Look() // an earlier process's files are not this one's tables before the coordinator has written anew
 	for ctx.Err() == nil {
@@ -364,7 +364,7 @@
 func (g *Gateway) poll(ctx context.Context, addr string, dial func(context.Context, string, string) (net.Conn, error), owed *queue) func() {
 	ctx, stop := context.WithCancel(ctx)
 	p := client.NewPoller(client.Options{Node: xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.Weight}, Coordinator: addr, Dial: dial},
-		g.Kinds, 5*time.Second)
+		g.Classes, 5*time.Second)
 	held := func() client.Held { g.mu.Lock(); defer g.mu.Unlock(); return g.held }
 	var polls sync.WaitGroup
 	for _, routes := range []bool{false, true} {
@@ -440,8 +440,8 @@
 	if g.held.Apply(u); u.Err != nil {
 		return
 	}
-	if g.Spoil != nil {
-		g.Spoil(&g.held.Snapshot)
+	if g.Corrupt != nil {
+		g.Corrupt(&g.held.Snapshot)
 	}
 	at, written := g.world.Now(), u.Written.Sub(g.world.Start)
 	g.world.Log.TableApplied(at, written, g.Name, u.Doc.Version, g.held.Snapshot)
@@ -454,7 +454,7 @@
 	interval := time.Since(g.since)
 	g.since = time.Now()
 	var kinds []xds.Kind
-	for _, k := range g.Kinds {
+	for _, k := range g.Classes {
 		s := g.sums[k]
 		if s == nil {
 			kinds = append(kinds, xds.Kind{Name: k})
@@ -578,7 +578,7 @@
 	}
 	tries := 1
 	switch second := route.RetryPolicy; {
-	case g.SpoilRetry:
+	case g.AlwaysRetry:
 		tries = 3
 	case second == 3:
 		tries = 3
@@ -605,7 +605,7 @@
 		not = string(line.Endpoint)
 		ctx := r.Context()
 		cancel := context.CancelFunc(func() {})
-		if try < tries-1 && (route.RetryPolicy >= 2 || g.SpoilRetry) {
+		if try < tries-1 && (route.RetryPolicy >= 2 || g.AlwaysRetry) {
 			ctx, cancel = context.WithTimeout(ctx, 600*time.Millisecond)
 		}
 		err = g.send(ctx, kind, line, r)
@@ -614,7 +614,7 @@
 			_, _ = io.WriteString(w, "done\n")
 			return
 		}
-		if r.Context().Err() != nil || route.RetryPolicy == 1 && !errors.Is(err, errDenied) && !g.SpoilRetry {
+		if r.Context().Err() != nil || route.RetryPolicy == 1 && !errors.Is(err, errDenied) && !g.AlwaysRetry {
 			break
 		}
 	}
@@ -658,8 +658,8 @@
 	}
 	if err != nil {
 		n.errored++
-		if sh.failures++; g.ShunAfter > 0 && sh.failures >= g.ShunAfter {
-			sh.failures, sh.until = 0, g.world.Now()+g.ShunFor
+		if sh.failures++; g.EjectAfter > 0 && sh.failures >= g.EjectAfter {
+			sh.failures, sh.until = 0, g.world.Now()+g.EjectionTime
 		}
 		return err
 	}
--- a/emulator/light.go
+++ b/emulator/light.go
@@ -28,8 +28,8 @@
 // send by the tables that it holds is counted at the nodes without a request each. Tables, acknowledgements and
 // reports pass over sockets as for any gateway.
 
-// LightNode counts what is sent to it. Its queue is what came beyond its cores' time.
-type LightNode struct {
+// LightEndpoint counts what is sent to it. Its queue is what came beyond its cores' time.
+type LightEndpoint struct {
 	Name, Zone string
 	Cores      float64
 
@@ -55,22 +55,22 @@
 	util, queue float64
 }
 
-// NewLightNode makes a warm node.
-func NewLightNode(w *World, name, zone string, cores, work float64) *LightNode {
-	n := &LightNode{Name: name, Zone: zone, Cores: cores, world: w, mean: work, started: -time.Hour}
+// NewLightEndpoint makes a warm node.
+func NewLightEndpoint(w *World, name, zone string, cores, work float64) *LightEndpoint {
+	n := &LightEndpoint{Name: name, Zone: zone, Cores: cores, world: w, mean: work, started: -time.Hour}
 	n.listed.Store(int32(audit.Ready))
 	w.Log.EndpointStarted(w.Now(), name, int(cores), false)
 	return n
 }
 
-// Listed says what the node list has of it.
-func (n *LightNode) Listed(s audit.EndpointState) { n.listed.Store(int32(s)) }
+// SetListed says what the node list has of it.
+func (n *LightEndpoint) SetListed(s audit.EndpointState) { n.listed.Store(int32(s)) }
 
-// Fail makes it fail whatever it is sent, or serve again.
-func (n *LightNode) Fail(on bool) { n.failing.Store(on) }
+// SetFailing makes it fail whatever it is sent, or serve again.
+func (n *LightEndpoint) SetFailing(on bool) { n.failing.Store(on) }
 
 // Restart begins its process anew: it is cold. It returns when that was.
-func (n *LightNode) Restart() time.Duration {
+func (n *LightEndpoint) Restart() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cold, n.started, n.behind = true, n.world.Now(), 0
@@ -79,16 +79,16 @@
 }
 
 // warmth is the part of its capacity that it has.
-func (n *LightNode) warmth(now time.Duration) float64 {
+func (n *LightEndpoint) warmth(now time.Duration) float64 {
 	r := n.world.Rules
-	if since := now - n.started; n.cold && since < r.Cold {
-		return r.ColdFrom + (1-r.ColdFrom)*float64(since)/float64(r.Cold)
+	if since := now - n.started; n.cold && since < r.WarmUp {
+		return r.InitialCapacity + (1-r.InitialCapacity)*float64(since)/float64(r.WarmUp)
 	}
 	return 1
 }
 
-// Look brings its figures up to date; the time since the last look is given.
-func (n *LightNode) Look(passed time.Duration) {
+// Update brings its figures up to date; the time since the last look is given.
+func (n *LightEndpoint) Update(passed time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.world.Now()
@@ -99,12 +99,12 @@
 	n.util.Store(int64(1e6 * (0.5*busy + 0.5*float64(n.util.Load())/1e6)))
 	n.queue.Store(int64(1000 * n.behind / n.mean))
 	n.behind = min(n.behind, n.Cores) // what waits for longer is refused
-	util, queue := n.Now()
+	util, queue := n.Load()
 	n.seen = append(n.seen, sample{now, float64(n.tries.Load()), util, queue})
 }
 
-// Had is how many tries a second came to it between two moments.
-func (n *LightNode) Had(from, to time.Duration) float64 {
+// AttemptRate is how many tries a second came to it between two moments.
+func (n *LightEndpoint) AttemptRate(from, to time.Duration) float64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := func(t time.Duration) float64 {
@@ -118,8 +118,8 @@
 	return (at(to) - at(from)) / (to - from).Seconds()
 }
 
-// Own is the mean of its own figures between two moments.
-func (n *LightNode) Own(from, to time.Duration) (util, queue float64) {
+// MeanLoad is the mean of its own figures between two moments.
+func (n *LightEndpoint) MeanLoad(from, to time.Duration) (util, queue float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	count := 0.0
@@ -134,13 +134,13 @@
 	return util / max(1, count), queue / max(1, count)
 }
 
-// Now tells its own figures.
-func (n *LightNode) Now() (util, queue float64) {
+// Load tells its own figures.
+func (n *LightEndpoint) Load() (util, queue float64) {
 	return float64(n.util.Load()) / 1e6, float64(n.queue.Load()) / 1000
 }
 
 // take counts tries from a gateway and tells how many of them failed.
-func (n *LightNode) take(gw string, tries int) (failed int) {
+func (n *LightEndpoint) take(gw string, tries int) (failed int) {
 	n.tries.Add(int64(tries))
 	n.work.Add(int64(float64(tries) * n.mean * 1e6))
 	now := n.world.Now()
@@ -148,7 +148,7 @@
 		n.world.Log.RequestSent(now, gw, n.Name)
 	}
 	n.mu.Lock()
-	cold := n.cold && now-n.started < n.world.Rules.Cold
+	cold := n.cold && now-n.started < n.world.Rules.WarmUp
 	n.mu.Unlock()
 	if cold {
 		for range tries {
@@ -164,33 +164,33 @@
 	return 0
 }
 
-// LightKind is a request kind of a light gateway.
-type LightKind struct {
-	Name    string
-	Rate    float64 // reqs a second that come to it
-	Repeats bool    // may run anywhere again
+// LightClass is a request kind of a light gateway.
+type LightClass struct {
+	Name       string
+	Rate       float64 // reqs a second that come to it
+	Idempotent bool    // may run anywhere again
 }
 
-// LightOptions are what a light gateway is made of.
-type LightOptions struct {
-	Name, Zone  string
-	Kinds       []LightKind
-	Nodes       map[string]*LightNode
-	Coordinator func() string // address; empty: none
-	Period      time.Duration
-	Binary      bool
-	// Spoil changes what was read before it is held; for the audit's own test.
-	Spoil func(*routing.Snapshot)
+// LightGatewayOptions are what a light gateway is made of.
+type LightGatewayOptions struct {
+	Name, Zone   string
+	Classes      []LightClass
+	Endpoints    map[string]*LightEndpoint
+	Coordinator  func() string // address; empty: none
+	ReportPeriod time.Duration
+	Binary       bool
+	// Corrupt changes what was read before it is held; for the audit's own test.
+	Corrupt func(*routing.Snapshot)
 	// TableApplied is told what it holds from now on.
-	Held  func(routing.Snapshot)
-	Tally *LightTally
+	OnTable func(routing.Snapshot)
+	Tally   *LightTally
 }
 
 // LightTally sums what all light gateways of a run met.
 type LightTally struct {
-	Tries, Failed, Denied          atomic.Int64
-	Reports, Deferred, Late, Broke atomic.Int64
-	Longer                         atomic.Int64 // reports after a longer interval that was asked for
+	Attempts, Failures, Rejected                atomic.Int64
+	Reports, Deferred, LateAnswers, Disconnects atomic.Int64
+	Throttled                                   atomic.Int64 // reports after a longer interval that was asked for
 
 	took *Tally
 }
@@ -198,12 +198,12 @@
 // NewLightTally starts one.
 func NewLightTally() *LightTally { return &LightTally{took: NewTally()} }
 
-// Took are the times from a report's sending to its answer.
-func (t *LightTally) Took() *Tally { return t.took }
+// RecordLatency are the times from a report's sending to its answer.
+func (t *LightTally) AnswerTimes() *Tally { return t.took }
 
 // LightGateway polls for its tables each period, acknowledges, sends and reports.
 type LightGateway struct {
-	LightOptions
+	LightGatewayOptions
 	world  *World
 	rng    *rand.Rand
 	client *bufio.Reader
@@ -226,14 +226,14 @@
 }
 
 // NewLightGateway prepares one with a standing table.
-func NewLightGateway(w *World, o LightOptions, standing []ListEntry) *LightGateway {
-	g := &LightGateway{LightOptions: o, world: w, rng: w.Rand("light " + o.Name), arrived: make([]int, len(o.Kinds)), denied: make([]int, len(o.Kinds)),
-		errored: make([]int, len(o.Kinds))}
+func NewLightGateway(w *World, o LightGatewayOptions, standing []ListEntry) *LightGateway {
+	g := &LightGateway{LightGatewayOptions: o, world: w, rng: w.Rand("light " + o.Name), arrived: make([]int, len(o.Classes)), denied: make([]int, len(o.Classes)),
+		errored: make([]int, len(o.Classes))}
 	var kinds []string
-	for range o.Kinds {
+	for range o.Classes {
 		g.sums = append(g.sums, map[string]*xds.Endpoint{})
 	}
-	for _, k := range o.Kinds {
+	for _, k := range o.Classes {
 		kinds = append(kinds, k.Name)
 		g.carry = append(g.carry, g.rng.Float64())
 	}
@@ -248,7 +248,7 @@
 func (g *LightGateway) StopReporting() { g.mute.Store(true) }
 
 // GatewayConnected tells whether its link stands.
-func (g *LightGateway) Joined() bool { return g.joined.Load() }
+func (g *LightGateway) Connected() bool { return g.joined.Load() }
 
 // Reported tells whether a report of it has been taken.
 func (g *LightGateway) Reported() bool { return g.reported.Load() }
@@ -258,7 +258,7 @@
 	now := g.world.Now()
 	passed := (now - g.sentAt).Seconds()
 	g.sentAt = now
-	for k, kind := range g.Kinds {
+	for k, kind := range g.Classes {
 		came := kind.Rate*passed + g.carry[k]
 		reqs := int(came)
 		g.carry[k] = came - float64(reqs)
@@ -273,7 +273,7 @@
 		}
 		let = min(let, reqs)
 		g.denied[k] += reqs - let
-		g.Tally.Denied.Add(int64(reqs - let))
+		g.Tally.Rejected.Add(int64(reqs - let))
 		total := 0.0
 		for _, l := range g.held.Clusters[k].Endpoints {
 			if !l.Withheld {
@@ -300,7 +300,7 @@
 }
 
 func (g *LightGateway) sendTo(k int, name, zone string, tries int) {
-	node := g.Nodes[name]
+	node := g.Endpoints[name]
 	failed := tries
 	e := g.sums[k][name]
 	if e == nil {
@@ -309,21 +309,21 @@
 	}
 	if node != nil {
 		failed = node.take(g.Name, tries)
-		util, queue := node.Now()
+		util, queue := node.Load()
 		e.Loads, e.Loaded = map[string]float64{"util": util, "queue": queue}, e.Loaded+tries-failed
 	}
 	e.Tries, e.Errored = e.Tries+tries, e.Errored+failed
 	g.errored[k] += failed
-	g.Tally.Tries.Add(int64(tries))
-	g.Tally.Failed.Add(int64(failed))
+	g.Tally.Attempts.Add(int64(tries))
+	g.Tally.Failures.Add(int64(failed))
 }
 
 // report makes the report on what was sent since the last one.
 func (g *LightGateway) report() (*loadv3.LoadStatsRequest, func()) {
 	g.send()
 	interval := g.sentAt - g.since
-	kinds := make([]xds.Kind, len(g.Kinds))
-	for k, kind := range g.Kinds {
+	kinds := make([]xds.Kind, len(g.Classes))
+	for k, kind := range g.Classes {
 		kinds[k] = xds.Kind{Name: kind.Name, Arrived: g.arrived[k], Denied: g.denied[k], Errored: g.errored[k]}
 		for _, e := range g.sums[k] {
 			kinds[k].Endpoints = append(kinds[k].Endpoints, *e)
@@ -333,7 +333,7 @@
 	m := xds.Load(xds.Node{Name: g.Name, Zone: g.Zone, Report: g.number, Polls: true}, interval, kinds)
 	return m, func() { // taken: the next one begins where this one ended
 		g.since = g.sentAt
-		for k := range g.Kinds {
+		for k := range g.Classes {
 			g.arrived[k], g.denied[k], g.errored[k] = 0, 0, 0
 			clear(g.sums[k])
 		}
@@ -347,7 +347,7 @@
 		began := time.Now()
 		if addr := g.Coordinator(); addr != "" {
 			if err := g.link(ctx, addr); err != nil && ctx.Err() == nil {
-				g.Tally.Broke.Add(1)
+				g.Tally.Disconnects.Add(1)
 			}
 		}
 		if g.joined.CompareAndSwap(true, false) {
@@ -372,10 +372,10 @@
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
 	g.conn, g.client = conn, bufio.NewReaderSize(conn, 4096)
-	nextReport := time.Now().Add(time.Duration(g.rng.Float64() * float64(g.Period)))
-	interval, asked := g.Period, g.Period
+	nextReport := time.Now().Add(time.Duration(g.rng.Float64() * float64(g.ReportPeriod)))
+	interval, asked := g.ReportPeriod, g.ReportPeriod
 	for ctx.Err() == nil {
-		next := time.Now().Add(g.Period)
+		next := time.Now().Add(g.ReportPeriod)
 		if len(g.versions[0]) == 0 {
 			next = nextReport // the reports of gateways that joined at once are spread from the first one on
 		}
@@ -384,7 +384,7 @@
 				return err
 			}
 		}
-		if time.Until(nextReport) < g.Period/8 && !g.mute.Load() {
+		if time.Until(nextReport) < g.ReportPeriod/8 && !g.mute.Load() {
 			m, taken := g.report()
 			began := time.Now()
 			body, code, err := g.post(xds.LoadPath, m)
@@ -397,16 +397,16 @@
 				taken()
 				g.reported.Store(true)
 				g.Tally.Reports.Add(1)
-				if g.Tally.took.Took(time.Since(began)); time.Since(began) > g.Period {
-					g.Tally.Late.Add(1)
+				if g.Tally.took.RecordLatency(time.Since(began)); time.Since(began) > g.ReportPeriod {
+					g.Tally.LateAnswers.Add(1)
 				}
-				if asked > g.Period {
-					g.Tally.Longer.Add(1)
+				if asked > g.ReportPeriod {
+					g.Tally.Throttled.Add(1)
 				}
 				answer := &loadv3.LoadStatsResponse{}
 				if err := xds.Decode(body, answer); err == nil {
-					if interval = answer.GetLoadReportingInterval().AsDuration(); interval < g.Period {
-						interval = g.Period
+					if interval = answer.GetLoadReportingInterval().AsDuration(); interval < g.ReportPeriod {
+						interval = g.ReportPeriod
 					}
 					asked = interval
 				}
@@ -415,7 +415,7 @@
 		}
 		// It sends all the time: counted in one go, a second's reqs would come to a node at one moment.
 		for until := min(time.Until(next), max(time.Until(nextReport), 10*time.Millisecond)); until > 0 && ctx.Err() == nil; {
-			step := min(until, g.Period/4)
+			step := min(until, g.ReportPeriod/4)
 			until -= step
 			select {
 			case <-ctx.Done():
@@ -468,8 +468,8 @@
 		} else {
 			g.held.Routes = d.Routes
 		}
-		if g.Spoil != nil {
-			g.Spoil(&g.held)
+		if g.Corrupt != nil {
+			g.Corrupt(&g.held)
 		}
 		if doc == 1 {
 			g.judge(g.held.Routes)
@@ -477,7 +477,7 @@
 		g.versions[doc] = m.VersionInfo
 		now := g.world.Now()
 		g.world.Log.TableApplied(now, now, g.Name, m.VersionInfo, g.held)
-		g.Held(g.held)
+		g.OnTable(g.held)
 	}
 	return nil
 }
@@ -485,7 +485,7 @@
 // judge counts an order to repeat what must not run twice as a repeat that did.
 func (g *LightGateway) judge(routes []routing.Route) {
 	for k, r := range routes {
-		if r.RetryPolicy > 1 && !g.Kinds[k].Repeats {
+		if r.RetryPolicy > 1 && !g.Classes[k].Idempotent {
 			id := g.rng.Uint64()
 			g.world.Log.RequestExecuted(r.Class, id, 0)
 			g.world.Log.RequestExecuted(r.Class, id, 0)
@@ -494,7 +494,7 @@
 }
 
 func (g *LightGateway) rate() (sum float64) {
-	for _, k := range g.Kinds {
+	for _, k := range g.Classes {
 		sum += k.Rate
 	}
 	return sum
--- a/emulator/node.go
+++ b/emulator/node.go
@@ -23,22 +23,22 @@
 	headerDenied  = "x-denied" // set on an answer: turned away unseen, so it never ran
 )
 
-// NodeOptions are how large a calc node is.
-type NodeOptions struct {
-	Name    string // for logs; its id is its address
-	Zone    string
-	Machine string
-	Pod     int
-	Weight  float64
-	Cores   int
-	Queue   int // reqs that may wait
-	Conns   int // connections accepted
+// EndpointOptions are how large a calc node is.
+type EndpointOptions struct {
+	Name           string // for logs; its id is its address
+	Zone           string
+	Machine        string
+	Pod            int
+	Weight         float64
+	Cores          int
+	QueueLength    int // reqs that may wait
+	MaxConnections int // connections accepted
 }
 
-// Node is a calc node: an HTTP server with cores, a waiting room and a limit on connections. Its process can die and
+// Endpoint is a calc node: an HTTP server with cores, a waiting room and a limit on connections. Its process can die and
 // come back cold at the same address.
-type Node struct {
-	NodeOptions
+type Endpoint struct {
+	EndpointOptions
 	Addr  string
 	world *World
 
@@ -70,18 +70,18 @@
 
 // Fault is what ails a node now. The zero value ails nothing.
 type Fault struct {
-	Hang      bool    // takes reqs and answers none
-	Lost      float64 // part of the answers that never come back
-	FailKind  string  // this kind fails ...
-	FailPart  float64 // ... by this part, and the others don't
-	FailError bool    // by an error; else by silence
-	Slow      float64 // works so many times slower; 0: as usual
-	Conns     float64 // part of its connections that it accepts; 0: all
+	Hang            bool    // takes reqs and answers none
+	ResponseLoss    float64 // part of the answers that never come back
+	FailClass       string  // this kind fails ...
+	FailureRate     float64 // ... by this part, and the others don't
+	FailWithError   bool    // by an error; else by silence
+	Slowdown        float64 // works so many times slower; 0: as usual
+	ConnectionShare float64 // part of its connections that it accepts; 0: all
 }
 
-// NewNode starts a node that has been warm for long.
-func NewNode(w *World, o NodeOptions) (*Node, error) {
-	n := &Node{NodeOptions: o, world: w, rng: w.Rand("node " + o.Name), launched: -time.Hour, gate: make(chan struct{})}
+// NewEndpoint starts a node that has been warm for long.
+func NewEndpoint(w *World, o EndpointOptions) (*Endpoint, error) {
+	n := &Endpoint{EndpointOptions: o, world: w, rng: w.Rand("node " + o.Name), launched: -time.Hour, gate: make(chan struct{})}
 	close(n.gate)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,7 +93,7 @@
 	return n, nil
 }
 
-func (n *Node) serve(l net.Listener) {
+func (n *Endpoint) serve(l net.Listener) {
 	n.life, n.kill = context.WithCancel(context.Background())
 	n.cores = make(chan struct{}, n.Cores)
 	n.waiting, n.running, n.conns, n.window, n.windowed, n.busy = 0, 0, 0, nil, 0, 0
@@ -108,9 +108,9 @@
 		switch s {
 		case http.StateNew:
 			n.conns++
-			most := n.Conns
-			if n.fault.Conns > 0 {
-				most = int(float64(most) * n.fault.Conns)
+			most := n.MaxConnections
+			if n.fault.ConnectionShare > 0 {
+				most = int(float64(most) * n.fault.ConnectionShare)
 			}
 			if n.conns > most {
 				_ = c.Close()
@@ -122,15 +122,15 @@
 	go func(s *http.Server) { _ = s.Serve(l) }(n.server)
 }
 
-// Set changes what ails the node.
-func (n *Node) Set(change func(*Fault)) {
+// SetFault changes what ails the node.
+func (n *Endpoint) SetFault(change func(*Fault)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(&n.fault)
 }
 
 // Pause makes the node stand still for a while.
-func (n *Node) Pause(d time.Duration) {
+func (n *Endpoint) Pause(d time.Duration) {
 	n.mu.Lock()
 	gate := make(chan struct{})
 	n.gate = gate
@@ -141,7 +141,7 @@
 // Kill ends the process at once: connections break, work is lost.
 //
 // The server is closed without the lock: Close waits for a connection that is just being taken in, and that wants the lock.
-func (n *Node) Kill() {
+func (n *Endpoint) Kill() {
 	n.mu.Lock()
 	up, server := n.up, n.server
 	if up {
@@ -154,15 +154,15 @@
 	}
 }
 
-// Up tells whether the process runs, and when it was launched.
-func (n *Node) Up() (bool, time.Duration) {
+// Running tells whether the process runs, and when it was launched.
+func (n *Endpoint) Running() (bool, time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.up, n.launched
 }
 
-// Revive starts the process again, cold, at the same address.
-func (n *Node) Revive() error {
+// Restart starts the process again, cold, at the same address.
+func (n *Endpoint) Restart() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.up {
@@ -186,38 +186,38 @@
 }
 
 // warmth is the part of its capacity that the node has.
-func (n *Node) warmth(at time.Duration) float64 {
-	if !n.cold || at-n.launched >= n.world.Rules.Cold {
+func (n *Endpoint) warmth(at time.Duration) float64 {
+	if !n.cold || at-n.launched >= n.world.Rules.WarmUp {
 		return 1
 	}
-	from := n.world.Rules.ColdFrom
-	return from + (1-from)*float64(at-n.launched)/float64(n.world.Rules.Cold)
+	from := n.world.Rules.InitialCapacity
+	return from + (1-from)*float64(at-n.launched)/float64(n.world.Rules.WarmUp)
 }
 
 // strain counts work that comes to a cold node; too much in a window and it falls over and stays down.
-func (n *Node) strain(at time.Duration, work float64) {
-	if !n.cold || at-n.launched >= n.world.Rules.Cold {
+func (n *Endpoint) strain(at time.Duration, work float64) {
+	if !n.cold || at-n.launched >= n.world.Rules.WarmUp {
 		n.window, n.windowed = nil, 0
 		return
 	}
 	n.window, n.windowed = append(n.window, piece{at, work}), n.windowed+work
-	for at-n.window[0].at > n.world.Rules.ColdWindow {
+	for at-n.window[0].at > n.world.Rules.OverloadWindow {
 		n.windowed, n.window = n.windowed-n.window[0].work, n.window[1:]
 	}
-	can := n.warmth(at) * float64(n.Cores) * n.world.Rules.ColdWindow.Seconds()
-	if n.windowed > n.world.Rules.ColdMultiple*can+4*work {
+	can := n.warmth(at) * float64(n.Cores) * n.world.Rules.OverloadWindow.Seconds()
+	if n.windowed > n.world.Rules.OverloadFactor*can+4*work {
 		n.fallen = true
 	}
 }
 
-func (n *Node) silence(life context.Context, r *http.Request) {
+func (n *Endpoint) silence(life context.Context, r *http.Request) {
 	select {
 	case <-life.Done():
 	case <-r.Context().Done():
 	}
 }
 
-func (n *Node) standStill(life context.Context, r *http.Request) bool {
+func (n *Endpoint) standStill(life context.Context, r *http.Request) bool {
 	n.mu.Lock()
 	gate := n.gate
 	n.mu.Unlock()
@@ -231,10 +231,10 @@
 }
 
 // load figures as the node sees them.
-func (n *Node) orca() string { return xds.Orca(min(1.2, n.busy), float64(n.waiting)) }
+func (n *Endpoint) orca() string { return xds.Orca(min(1.2, n.busy), float64(n.waiting)) }
 
 // account keeps the busy share, smoothed over half a second.
-func (n *Node) account(at time.Duration) {
+func (n *Endpoint) account(at time.Duration) {
 	const over = 500 * time.Millisecond
 	if gone := at - n.busyAt; gone > 0 {
 		w := min(1, float64(gone)/float64(over))
@@ -243,7 +243,7 @@
 	}
 }
 
-func (n *Node) work(life context.Context, w http.ResponseWriter, r *http.Request) {
+func (n *Endpoint) work(life context.Context, w http.ResponseWriter, r *http.Request) {
 	kind := r.Header.Get(xds.KindHeader)
 	req, _ := strconv.ParseUint(r.Header.Get(headerReq), 10, 64)
 	try, _ := strconv.Atoi(r.Header.Get(headerTry))
@@ -255,7 +255,7 @@
 	n.account(now)
 	n.strain(now, work.Seconds())
 	fault, lot := n.fault, n.rng.Float64()
-	if n.fallen || n.waiting >= n.Queue {
+	if n.fallen || n.waiting >= n.QueueLength {
 		n.mu.Unlock()
 		w.Header().Set(headerDenied, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -266,9 +266,9 @@
 		n.silence(life, r)
 		return
 	}
-	if fault.FailKind == kind && kind != "" && lot < fault.FailPart {
+	if fault.FailClass == kind && kind != "" && lot < fault.FailureRate {
 		n.mu.Unlock()
-		if !fault.FailError {
+		if !fault.FailWithError {
 			n.silence(life, r)
 			return
 		}
@@ -295,7 +295,7 @@
 	n.account(n.world.Now())
 	n.waiting--
 	n.running++
-	took := time.Duration(float64(work) / n.warmth(n.world.Now()) * max(1, n.fault.Slow))
+	took := time.Duration(float64(work) / n.warmth(n.world.Now()) * max(1, n.fault.Slowdown))
 	n.mu.Unlock()
 	timer := time.NewTimer(took)
 	defer timer.Stop()
@@ -313,7 +313,7 @@
 	n.account(n.world.Now())
 	n.running--
 	orca := n.orca()
-	lost := lot < n.fault.Lost
+	lost := lot < n.fault.ResponseLoss
 	n.mu.Unlock()
 	if died {
 		return
@@ -329,13 +329,13 @@
 	_, _ = w.Write([]byte("done\n"))
 }
 
-func (n *Node) leave() {
+func (n *Endpoint) leave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.waiting--
 }
 
-func (n *Node) health(life context.Context, w http.ResponseWriter, r *http.Request) {
+func (n *Endpoint) health(life context.Context, w http.ResponseWriter, r *http.Request) {
 	n.mu.Lock()
 	fallen, hang := n.fallen, n.fault.Hang
 	n.account(n.world.Now())
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -13,23 +13,23 @@
 type World struct {
 	Start time.Time
 	Log   *audit.Log
-	Rules Rules
+	Rules WarmUpRules
 	Seed  uint64
 
 	mu   sync.Mutex
 	cuts map[string]bool // zones cut off from the others
 }
 
-// Rules are how stand-in nodes warm up and fall over.
-type Rules struct {
-	Cold         time.Duration
-	ColdFrom     float64
-	ColdMultiple float64
-	ColdWindow   time.Duration
+// WarmUpRules are how stand-in nodes warm up and fall over.
+type WarmUpRules struct {
+	WarmUp          time.Duration
+	InitialCapacity float64
+	OverloadFactor  float64
+	OverloadWindow  time.Duration
 }
 
 // NewWorld starts a run's clock.
-func NewWorld(log *audit.Log, rules Rules, seed uint64) *World {
+func NewWorld(log *audit.Log, rules WarmUpRules, seed uint64) *World {
 	return &World{Start: time.Now(), Log: log, Rules: rules, Seed: seed, cuts: map[string]bool{}}
 }
 
@@ -43,8 +43,8 @@
 	return rand.New(rand.NewPCG(w.Seed, h.Sum64()))
 }
 
-// Cut takes a zone off the others, or back.
-func (w *World) Cut(zone string, on bool) {
+// SetPartitioned takes a zone off the others, or back.
+func (w *World) SetPartitioned(zone string, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cuts[zone] = on
--- a/registry/eureka/bench_test.go
+++ b/registry/eureka/bench_test.go
@@ -24,13 +24,13 @@
 				}
 				defer p.Close()
 				put := func(n int, status string) {
-					reg.Put(standin.Inst{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status,
+					reg.Put(standin.Instance{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status,
 						Metadata: map[string]string{"zone": "a", "weight": "2", "pod": "1", "machine": "std"}})
 				}
 				for n := range nodes {
 					put(n, "UP")
 				}
-				reg.Forget() // what was registered long ago is in no delta
+				reg.DropDeltas() // what was registered long ago is in no delta
 				answers := make(chan membership.SourceUpdate)
 				c := eureka.New(eureka.Options{Name: "eureka", Addresses: []string{p.Addr}, Deltas: deltas, Poll: time.Microsecond, Timeout: 5 * time.Second,
 					Fields: map[string]string{"zone": "zone"}}, func(a membership.SourceUpdate) { answers <- a })
@@ -43,7 +43,7 @@
 				for b.Loop() {
 					put(n%nodes, []string{"OUT_OF_SERVICE", "UP"}[n/nodes%2])
 					if n++; n%30 == 0 {
-						reg.Forget() // a minute and a half at a poll each three seconds
+						reg.DropDeltas() // a minute and a half at a poll each three seconds
 					}
 					if a := <-answers; a.Error != "" {
 						b.Fatal(a.Error)
--- a/registry/eureka/eureka_test.go
+++ b/registry/eureka/eureka_test.go
@@ -144,7 +144,7 @@
 }
 
 func (s *site) put(n int, status string) {
-	s.reg.Put(standin.Inst{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status, Metadata: map[string]string{"zone": "a", "vip": "calc"}})
+	s.reg.Put(standin.Instance{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status, Metadata: map[string]string{"zone": "a", "vip": "calc"}})
 }
 
 func (s *site) has(want string) bool {
@@ -183,7 +183,7 @@
 	if st := s.c.Stats(); st.Whole != whole || st.Deltas == 0 || st.Mismatch != 0 {
 		t.Errorf("deltas suffice: %+v", st)
 	}
-	s.peers[0].Fault(standin.Faults{StaleDelta: true})
+	s.peers[0].SetFaults(standin.Faults{StaleDelta: true})
 	s.put(3, "OUT_OF_SERVICE")
 	s.until("a change that the deltas lack", func() bool { return s.has("c-2 up, c-3 out of service") })
 	if st := s.c.Stats(); st.Mismatch == 0 {
@@ -193,19 +193,19 @@
 
 // Each fault: what was known stays, the failure is told, and the next right answer is taken.
 func TestFaults(t *testing.T) {
-	for name, f := range map[string]standin.Faults{"refuses": {Refuse: 503}, "truncated": {Truncated: true}, "huge": {Huge: 2 << 20}, "slow": {Slow: 5 * time.Second},
+	for name, f := range map[string]standin.Faults{"refuses": {ErrorStatus: 503}, "truncated": {Truncated: true}, "huge": {PaddingBytes: 2 << 20}, "slow": {Delay: 5 * time.Second},
 		"wrong hash": {WrongHash: true}} {
 		s := newSite(t, 1, nil)
 		s.put(1, "UP")
 		s.run()
 		s.until("the first", func() bool { return s.has("c-1 up") })
-		s.peers[0].Fault(f)
+		s.peers[0].SetFaults(f)
 		s.until(name+": told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.failed) > 0 })
 		s.put(2, "UP")
 		if !s.has("c-1 up") {
 			t.Errorf("%s: what was known is lost", name)
 		}
-		s.peers[0].Fault(standin.Faults{})
+		s.peers[0].SetFaults(standin.Faults{})
 		s.until(name+": over", func() bool { return s.has("c-1 up, c-2 up") })
 	}
 }
@@ -215,10 +215,10 @@
 func TestFailover(t *testing.T) {
 	s := newSite(t, 2, nil)
 	s.put(1, "UP")
-	s.peers[0].Fault(standin.Faults{Refuse: 500})
+	s.peers[0].SetFaults(standin.Faults{ErrorStatus: 500})
 	s.run()
 	s.until("by the second peer", func() bool { return s.has("c-1 up") })
-	s.peers[0].Fault(standin.Faults{})
+	s.peers[0].SetFaults(standin.Faults{})
 	s.peers[1].Close()
 	s.put(2, "UP")
 	s.until("by the first again", func() bool { return s.has("c-1 up, c-2 up") })
@@ -226,14 +226,14 @@
 		t.Errorf("a failure is told though a peer answers: %v", s.failed)
 	}
 	down := newSite(t, 1, func(o *eureka.Options) { o.Poll = 40 * time.Millisecond })
-	down.peers[0].Fault(standin.Faults{Refuse: 503})
+	down.peers[0].SetFaults(standin.Faults{ErrorStatus: 503})
 	down.run()
 	time.Sleep(1200 * time.Millisecond)
 	if n := down.c.Stats().Calls; n < 3 || n > 15 {
 		t.Errorf("asked %d times in 1.2 s with a poll of 40 ms", n)
 	}
 	down.put(1, "UP")
-	down.peers[0].Fault(standin.Faults{})
+	down.peers[0].SetFaults(standin.Faults{})
 	down.until("up at last", func() bool { return down.has("c-1 up") })
 }
 
@@ -244,7 +244,7 @@
 		s := newSite(t, 1, change)
 		s.put(1, "UP")
 		if name != "xml" {
-			s.reg.Put(standin.Inst{App: "OTHER", ID: "o-1", IP: "127.0.0.1", Port: 8000, Status: "UP"})
+			s.reg.Put(standin.Instance{App: "OTHER", ID: "o-1", IP: "127.0.0.1", Port: 8000, Status: "UP"})
 		}
 		s.run()
 		s.until(name, func() bool { return s.has("c-1 up") })
