--- /dev/null
+++ b/emulator/endpoint.go
@@ -0,0 +1,242 @@
+package emulator
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"sync"
+	"time"
+
+	"porthub/xds"
+)
+
+// EndpointOptions are the size and place of an endpoint.
+type EndpointOptions struct {
+	Name           string // for logs; its id is its address
+	Zone           string
+	Machine        string
+	Pod            int
+	Weight         float64
+	Cores          int
+	QueueLength    int // requests that may wait for a core
+	MaxConnections int
+}
+
+// Endpoint is an HTTP server with cores, a queue and a limit on connections. Its process can be killed and restarted at
+// the same address; it warms up then. It is safe for concurrent use.
+type Endpoint struct {
+	EndpointOptions
+	Addr  string
+	world *World
+
+	mu      sync.Mutex // guards all below
+	rng     *rand.Rand
+	fault   Fault
+	resumed chan struct{} // closed unless the endpoint is paused
+
+	// The process.
+	server    *http.Server
+	kill      context.CancelFunc // ends the process's handlers
+	running   bool
+	startedAt time.Duration // since the world's start; below 0: long ago
+	warmsUp   bool
+	collapsed bool // by overload while it warmed up: it rejects everything until it is restarted
+
+	// Its load.
+	cores       chan struct{} // holds a token for each busy core
+	queued      int
+	executing   int
+	connections int
+	recent      recentWork
+	utilization smoothedUtilization
+}
+
+// recentWork is the work that arrived within the overload window.
+type recentWork struct {
+	arrivals []workArrival
+	total    float64 // core seconds
+}
+
+type workArrival struct {
+	at   time.Duration
+	work float64 // core seconds
+}
+
+// add takes work in and drops what is older than the window.
+func (r *recentWork) add(at time.Duration, work float64, window time.Duration) {
+	r.arrivals = append(r.arrivals, workArrival{at: at, work: work})
+	r.total += work
+	for at-r.arrivals[0].at > window {
+		r.total -= r.arrivals[0].work
+		r.arrivals = r.arrivals[1:]
+	}
+}
+
+// smoothedUtilization is the busy part of the cores, smoothed over half a second.
+type smoothedUtilization struct {
+	value   float64
+	updated time.Duration
+}
+
+func (u *smoothedUtilization) update(at time.Duration, busy float64) {
+	const smoothing = 500 * time.Millisecond
+	elapsed := at - u.updated
+	if elapsed <= 0 {
+		return
+	}
+	weight := min(1, float64(elapsed)/float64(smoothing))
+	u.value += weight * (busy - u.value)
+	u.updated = at
+}
+
+// NewEndpoint starts an endpoint that is warm.
+func NewEndpoint(w *World, o EndpointOptions) (*Endpoint, error) {
+	e := &Endpoint{EndpointOptions: o, world: w, rng: w.Rand("node " + o.Name), startedAt: -time.Hour, resumed: make(chan struct{})}
+	close(e.resumed)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	e.Addr = listener.Addr().String()
+	e.serve(listener)
+	w.Log.EndpointStarted(w.Now(), e.Addr, o.Cores, false)
+	return e, nil
+}
+
+// serve starts a process on a listener. Its goroutine ends when Kill closes the server.
+func (e *Endpoint) serve(listener net.Listener) {
+	process, kill := context.WithCancel(context.Background())
+	e.kill = kill
+	e.cores = make(chan struct{}, e.Cores)
+	e.queued = 0
+	e.executing = 0
+	e.connections = 0
+	e.recent = recentWork{}
+	e.utilization.value = 0
+	e.running = true
+	mux := http.NewServeMux()
+	mux.HandleFunc("/work", func(w http.ResponseWriter, r *http.Request) { e.handleWork(process, w, r) })
+	mux.HandleFunc("/healthz", func(w http.ResponseWriter, r *http.Request) { e.handleHealthCheck(process, w, r) })
+	server := &http.Server{Handler: mux, ConnState: e.trackConnection}
+	e.server = server
+	go func() { _ = server.Serve(listener) }()
+}
+
+// trackConnection counts connections and closes those beyond the limit.
+func (e *Endpoint) trackConnection(c net.Conn, state http.ConnState) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	switch state {
+	case http.StateNew:
+		e.connections++
+		limit := e.MaxConnections
+		if e.fault.ConnectionShare > 0 {
+			limit = int(float64(limit) * e.fault.ConnectionShare)
+		}
+		if e.connections > limit {
+			_ = c.Close()
+		}
+	case http.StateClosed, http.StateHijacked:
+		e.connections--
+	}
+}
+
+// Kill ends the process at once: connections break, work is lost.
+func (e *Endpoint) Kill() {
+	e.mu.Lock()
+	running := e.running
+	server := e.server
+	if running {
+		e.running = false
+		e.kill()
+	}
+	e.mu.Unlock()
+	if running {
+		// Without the lock: Close waits for a connection that is being accepted, and trackConnection wants the lock.
+		_ = server.Close()
+	}
+}
+
+// Running reports whether the process runs, and when it was started; below 0: long ago.
+func (e *Endpoint) Running() (running bool, startedAt time.Duration) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.running, e.startedAt
+}
+
+// Restart starts the process again at the same address, without faults; it has to warm up. A running process stays.
+func (e *Endpoint) Restart() error {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.running {
+		return nil
+	}
+	listener, err := listenAgain(e.Addr)
+	if err != nil {
+		return fmt.Errorf("endpoint %s: %w", e.Addr, err)
+	}
+	e.startedAt = e.world.Now()
+	e.warmsUp = true
+	e.collapsed = false
+	e.fault = Fault{}
+	e.world.Log.EndpointStarted(e.startedAt, e.Addr, e.Cores, true)
+	e.serve(listener)
+	return nil
+}
+
+// listenAgain listens at an address that a killed process may still be releasing.
+func listenAgain(addr string) (net.Listener, error) {
+	const (
+		attempts = 50
+		delay    = 10 * time.Millisecond
+	)
+	var failure error
+	for range attempts {
+		listener, err := net.Listen("tcp", addr)
+		if err == nil {
+			return listener, nil
+		}
+		failure = err
+		time.Sleep(delay)
+	}
+	return nil, failure
+}
+
+// warmingUp reports whether the endpoint is not at its full capacity yet.
+func (e *Endpoint) warmingUp(at time.Duration) bool {
+	return e.warmsUp && at-e.startedAt < e.world.Rules.WarmUp
+}
+
+// capacity is the part of its full capacity that the endpoint has.
+func (e *Endpoint) capacity(at time.Duration) float64 {
+	if !e.warmingUp(at) {
+		return 1
+	}
+	return e.world.Rules.capacity(at - e.startedAt)
+}
+
+// addWork counts work that arrives while the endpoint warms up: too much of it in a window and it collapses.
+func (e *Endpoint) addWork(at time.Duration, work float64) {
+	if !e.warmingUp(at) {
+		e.recent = recentWork{}
+		return
+	}
+	rules := e.world.Rules
+	e.recent.add(at, work, rules.OverloadWindow)
+	canDo := e.capacity(at) * float64(e.Cores) * rules.OverloadWindow.Seconds()
+	if e.recent.total > rules.OverloadFactor*canDo+4*work { // four requests are left to chance
+		e.collapsed = true
+	}
+}
+
+// updateUtilization takes the time since the last change of executing in. It must be called before each change.
+func (e *Endpoint) updateUtilization(at time.Duration) {
+	e.utilization.update(at, float64(e.executing)/float64(e.Cores))
+}
+
+// loadHeader is the load that the endpoint reports of itself.
+func (e *Endpoint) loadHeader() string {
+	return xds.Orca(min(1.2, e.utilization.value), float64(e.queued))
+}
--- /dev/null
+++ b/emulator/gateway_link.go
@@ -0,0 +1,264 @@
+package emulator
+
+import (
+	"context"
+	"errors"
+	"net"
+	"sync"
+	"time"
+
+	"porthub/client"
+	"porthub/xds"
+)
+
+// The times of a gateway's link to the coordinator.
+const (
+	linkTick          = 10 * time.Millisecond
+	linkTimeout       = 2 * time.Second
+	coordinatorDial   = time.Second
+	minLinkBackoff    = 200 * time.Millisecond
+	maxLinkBackoff    = 2 * time.Second
+	filePollInterval  = 10 * time.Millisecond
+	longPollHoldLimit = 5 * time.Second
+)
+
+var errIsolated = errors.New("no way to the coordinator")
+
+// follow keeps the link to the coordinator, and reads files if the gateway does not poll. It ends with the process.
+func (g *Gateway) follow(ctx context.Context) {
+	acks := &ackQueue{}
+	if !g.Polls {
+		g.goroutines.Go(func() { g.readFiles(ctx, acks) })
+	}
+	link := &gatewayLink{gateway: g, acks: acks, stopPolls: func() {}, nextDial: time.Now(), nextReport: time.Now().Add(g.ReportPeriod)}
+	defer link.disconnect()
+	ticker := time.NewTicker(linkTick)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			link.tick(ctx)
+		}
+	}
+}
+
+// gatewayLink is a gateway's link to the coordinator. It belongs to the goroutine of follow.
+type gatewayLink struct {
+	gateway    *Gateway
+	acks       *ackQueue
+	link       *client.Link // nil while there is none
+	connected  bool         // the audit knows that it is connected
+	stopPolls  func()
+	backoff    time.Duration
+	nextDial   time.Time
+	nextReport time.Time
+}
+
+// tick does what is due: it dials, acknowledges or reports.
+func (l *gatewayLink) tick(ctx context.Context) {
+	if l.link == nil && time.Now().After(l.nextDial) {
+		l.connect(ctx)
+	}
+	if l.link == nil {
+		l.acks.clear()
+		return
+	}
+	g := l.gateway
+	g.mu.Lock()
+	g.lastHeard = l.link.Heard()
+	fault := g.ackFault
+	g.mu.Unlock()
+	l.acknowledge(ctx, fault)
+	if l.link != nil && time.Now().After(l.nextReport) {
+		l.report(ctx)
+	}
+}
+
+// connect dials once. A failure delays the next attempt, longer each time.
+func (l *gatewayLink) connect(ctx context.Context) {
+	g := l.gateway
+	if addr := g.Coordinator(); addr != "" {
+		node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.Weight, Polls: g.Polls}
+		l.link = client.NewLink(client.Options{Node: node, Coordinator: addr, Timeout: linkTimeout, Dial: g.dialCoordinator})
+		l.join(ctx, addr)
+	}
+	if l.link == nil {
+		l.backoff = min(maxLinkBackoff, max(minLinkBackoff, 2*l.backoff))
+		l.nextDial = time.Now().Add(time.Duration(float64(l.backoff) * (0.5 + g.randomFloat())))
+	}
+}
+
+func (l *gatewayLink) join(ctx context.Context, addr string) {
+	g := l.gateway
+	// Grace periods begin with the connection. The time before it makes the audit stricter, not looser.
+	at := g.world.Now()
+	if err := l.link.Join(ctx, g.heldTables()); err != nil {
+		l.disconnect()
+		return
+	}
+	l.connected = true
+	l.backoff = 0
+	g.world.Log.GatewayConnected(at, g.Name, true)
+	if g.Polls {
+		l.stopPolls = g.startPolls(ctx, addr, l.acks)
+	}
+}
+
+// disconnect closes the link and ends its polls.
+func (l *gatewayLink) disconnect() {
+	if l.connected {
+		l.connected = false
+		l.gateway.world.Log.GatewayConnected(l.gateway.world.Now(), l.gateway.Name, false)
+	}
+	l.stopPolls()
+	if l.link != nil {
+		l.link.Close()
+		l.link = nil
+	}
+}
+
+// acknowledge sends what is to be acknowledged, unless a fault keeps it back.
+func (l *gatewayLink) acknowledge(ctx context.Context, fault ackFault) {
+	g := l.gateway
+	for l.link != nil {
+		update, ok := l.acks.first()
+		if !ok || fault.withhold || time.Since(update.Written) < fault.delay {
+			return
+		}
+		l.acks.removeFirst()
+		err := l.link.Answer(ctx, update, g.heldTables())
+		if err != nil && !errors.Is(err, client.ErrRefused) {
+			l.disconnect()
+		} else if update.Err == nil {
+			g.world.Log.VersionAcknowledged(g.world.Now(), g.Name, update.Doc.Version)
+		}
+	}
+}
+
+func (l *gatewayLink) report(ctx context.Context) {
+	g := l.gateway
+	l.nextReport = l.nextReport.Add(g.ReportPeriod)
+	if time.Now().After(l.nextReport) {
+		l.nextReport = time.Now().Add(g.ReportPeriod)
+	}
+	interval, classes := g.collectReport()
+	if _, err := l.link.Report(ctx, interval, classes); err != nil && !errors.Is(err, client.ErrRefused) {
+		l.disconnect()
+	}
+}
+
+// dialCoordinator dials unless the gateway is isolated. The connection is closed when it becomes so.
+func (g *Gateway) dialCoordinator(ctx context.Context, network, addr string) (net.Conn, error) {
+	g.mu.Lock()
+	isolated := g.isolated
+	g.mu.Unlock()
+	if isolated {
+		return nil, errIsolated
+	}
+	conn, err := (&net.Dialer{Timeout: coordinatorDial}).DialContext(ctx, network, addr)
+	if err != nil {
+		return nil, err
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.isolated || !g.running {
+		_ = conn.Close()
+		return nil, errIsolated
+	}
+	tracked := &trackedConn{Conn: conn, onClose: g.forgetConnection}
+	g.conns[tracked] = true
+	return tracked, nil
+}
+
+func (g *Gateway) forgetConnection(c net.Conn) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	delete(g.conns, c)
+}
+
+// trackedConn calls onClose once it is closed, on a goroutine of its own: Close may be called with the gateway locked.
+type trackedConn struct {
+	net.Conn
+	once    sync.Once
+	onClose func(net.Conn)
+}
+
+func (t *trackedConn) Close() error {
+	err := t.Conn.Close()
+	t.once.Do(func() { go t.onClose(t) })
+	return err
+}
+
+// readFiles reads the gateway's files whatever its link does: a coordinator that hangs must not keep a gateway from its
+// tables. It ends with the process.
+func (g *Gateway) readFiles(ctx context.Context, acks *ackQueue) {
+	reader := client.NewReader(g.TableDir, g.Name)
+	reader.Chunk = g.ReadChunk
+	reader.Pause = g.ReadPause
+	reader.Look() // the files of an earlier process are not used: the coordinator writes new ones
+	for ctx.Err() == nil {
+		for _, update := range reader.Look() {
+			g.applyUpdate(update)
+			acks.add(update)
+		}
+		time.Sleep(filePollInterval)
+	}
+}
+
+// startPolls keeps a poll for endpoints and one for routes open until stop is called, which waits for them. What arrives
+// is used at once, as with files.
+func (g *Gateway) startPolls(ctx context.Context, addr string, acks *ackQueue) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.Weight}
+	poller := client.NewPoller(client.Options{Node: node, Coordinator: addr, Dial: g.dialCoordinator}, g.Classes, longPollHoldLimit)
+	receive := func(update client.Update) {
+		g.applyUpdate(update)
+		acks.add(update)
+	}
+	var polls sync.WaitGroup
+	for _, routes := range []bool{false, true} {
+		polls.Go(func() { poller.Follow(ctx, routes, g.heldTables, receive) })
+	}
+	return func() {
+		cancel()
+		polls.Wait()
+		poller.Close()
+	}
+}
+
+// ackQueue holds the updates that are still to be acknowledged. It is safe for concurrent use.
+type ackQueue struct {
+	mu      sync.Mutex // guards updates
+	updates []client.Update
+}
+
+func (q *ackQueue) add(u client.Update) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.updates = append(q.updates, u)
+}
+
+func (q *ackQueue) first() (update client.Update, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.updates) == 0 {
+		return client.Update{}, false
+	}
+	return q.updates[0], true
+}
+
+func (q *ackQueue) removeFirst() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.updates) > 0 {
+		q.updates = q.updates[1:]
+	}
+}
+
+func (q *ackQueue) clear() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.updates = nil
+}
--- /dev/null
+++ b/emulator/gateway_stats.go
@@ -0,0 +1,89 @@
+package emulator
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"porthub/xds"
+)
+
+// reportStats is what a gateway counts for its next load report.
+type reportStats struct {
+	since   time.Time
+	classes map[string]*classStats
+}
+
+type classStats struct {
+	arrived, rejected, failed int
+	endpoints                 map[string]*endpointStats
+}
+
+type endpointStats struct {
+	zone                       string
+	attempts, failed, inFlight int
+	latency                    time.Duration // of all that succeeded
+	load                       map[string]float64
+	loadReports                int
+}
+
+func newReportStats() reportStats {
+	return reportStats{since: time.Now(), classes: map[string]*classStats{}}
+}
+
+func (s *reportStats) class(name string) *classStats {
+	class := s.classes[name]
+	if class == nil {
+		class = &classStats{endpoints: map[string]*endpointStats{}}
+		s.classes[name] = class
+	}
+	return class
+}
+
+func (s *classStats) endpoint(addr, zone string) *endpointStats {
+	endpoint := s.endpoints[addr]
+	if endpoint == nil {
+		endpoint = &endpointStats{zone: zone}
+		s.endpoints[addr] = endpoint
+	}
+	return endpoint
+}
+
+// collectReport returns the counts since the last report and begins a new interval.
+func (g *Gateway) collectReport() (interval time.Duration, classes []xds.Kind) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	interval = time.Since(g.stats.since)
+	g.stats.since = time.Now()
+	for _, name := range g.Classes {
+		stats := g.stats.classes[name]
+		if stats == nil {
+			classes = append(classes, xds.Kind{Name: name})
+			continue
+		}
+		classes = append(classes, stats.collect(name))
+	}
+	return interval, classes
+}
+
+// collect returns the counts and resets them; requests in flight stay.
+func (s *classStats) collect(name string) xds.Kind {
+	report := xds.Kind{Name: name, Arrived: s.arrived, Denied: s.rejected, Errored: s.failed}
+	for _, addr := range slices.Sorted(maps.Keys(s.endpoints)) {
+		endpoint := s.endpoints[addr]
+		report.Endpoints = append(report.Endpoints, endpoint.report(addr))
+		*endpoint = endpointStats{zone: endpoint.zone, inFlight: endpoint.inFlight}
+	}
+	s.arrived = 0
+	s.rejected = 0
+	s.failed = 0
+	return report
+}
+
+func (s *endpointStats) report(addr string) xds.Endpoint {
+	report := xds.Endpoint{Backend: addr, Zone: s.zone, Tries: s.attempts, Errored: s.failed, Active: s.inFlight, Loads: s.load, Loaded: s.loadReports}
+	if succeeded := s.attempts - s.failed; succeeded > 0 {
+		report.Answer = s.latency / time.Duration(succeeded)
+	}
+	return report
+}
