--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -16,7 +16,7 @@
 type harness struct {
 	t             *testing.T
 	core          *Core
-	now           micros
+	now           microseconds
 	unresponsive  map[Gateway]bool
 	conns         map[Gateway]ConnID
 	published     map[Gateway]Publish
@@ -75,7 +75,7 @@
 }
 
 // advance lets time go by; each second the gateways named report a calm second.
-func (h *harness) advance(d micros, gateways ...Gateway) {
+func (h *harness) advance(d microseconds, gateways ...Gateway) {
 	for end := h.now + d; h.now < end; {
 		h.now = min(end, max(h.now+1, h.core.NextDeadline()))
 		var inputs []Input
@@ -172,9 +172,9 @@
 	h.startFleet()
 	e := append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)
 	e[0].Status = policyapi.Draining
-	g := h.core.gateways["g2"]
+	g := h.core.gateways.byName["g2"]
 	stale := policyapi.TableID(4000) // as if the module had moved on and the bind were still on its way
-	h.core.weights[stale] = map[policyapi.EndpointID]float64{"a1:1": 1, "b1:1": 1}
+	h.core.tables.weights[stale] = map[policyapi.EndpointID]float64{"a1:1": 1, "b1:1": 1}
 	g.tables = slices.Repeat([]policyapi.TableID{stale}, 2)
 	h.setEndpoints(e...)
 	h.advance(second, "g1", "g2")
@@ -209,10 +209,10 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.unresponsive["g2"] = true
-	h.core.gateways["g2"].inFlight.Invalidate()
+	h.core.gateways.byName["g2"].delivery.Invalidate()
 	h.setEndpoints(readyEndpoints("a", "a1:1", "a2:1")...)
 	h.advance(5*second, "g1", "g2")
-	if g := h.core.gateways["g2"]; g.joined || !g.connected || h.logged["no_acknowledgement"] != 1 {
+	if g := h.core.gateways.byName["g2"]; g.joined || !g.connected || h.logged["ack_timeout"] != 1 {
 		t.Fatalf("joined %t, linked %t, notes %v", g.joined, g.connected, h.logged)
 	}
 	before := h.publishCount["g1"]
@@ -231,7 +231,7 @@
 	}
 	h.unresponsive["g2"] = false
 	h.advance(60*second, "g1", "g2")
-	if !h.core.gateways["g2"].joined || slices.Contains(h.openEndpoints("g2", "view"), "b2:1") {
+	if !h.core.gateways.byName["g2"].joined || slices.Contains(h.openEndpoints("g2", "view"), "b2:1") {
 		t.Errorf("it acknowledges again and has %v", h.openEndpoints("g2", "view"))
 	}
 }
@@ -241,12 +241,12 @@
 	h.startFleet()
 	h.unresponsive["g1"] = true
 	h.setEndpoints(readyEndpoints("a", "a1:1")...)
-	g := h.core.gateways["g1"]
-	waiting := len(g.inFlight.Unacknowledged())
+	g := h.core.gateways.byName["g1"]
+	waiting := len(g.delivery.Unacknowledged())
 	if waiting == 0 {
 		t.Fatal("nothing is on its way")
 	}
-	m := g.inFlight.Unacknowledged()[0]
+	m := g.delivery.Unacknowledged()[0]
 	for name, ack := range map[string]DocumentAck{
 		"never sent":         {Version: "e.999", Nonce: "e.999"},
 		"another start's":    {Version: "x.1", Nonce: "x.1"},
@@ -259,8 +259,8 @@
 		if ack.Conn == 0 {
 			ack.Conn = h.conns["g1"]
 		}
-		if h.step(ack); len(g.inFlight.Unacknowledged()) != waiting {
-			t.Errorf("%s: %d on their way, %d before", name, len(g.inFlight.Unacknowledged()), waiting)
+		if h.step(ack); len(g.delivery.Unacknowledged()) != waiting {
+			t.Errorf("%s: %d on their way, %d before", name, len(g.delivery.Unacknowledged()), waiting)
 		}
 	}
 	if h.logged["unknown_version"] == 0 {
@@ -274,8 +274,8 @@
 	}
 	h.unresponsive["g1"] = false
 	h.advance(3*second, "g1", "g2")
-	if h.publishCount["g1"] == before || len(g.inFlight.Unacknowledged()) != 0 || h.logged["refused"] != 1 {
-		t.Errorf("sent %d times, %d on their way, %v", h.publishCount["g1"]-before, len(g.inFlight.Unacknowledged()), h.logged)
+	if h.publishCount["g1"] == before || len(g.delivery.Unacknowledged()) != 0 || h.logged["document_rejected"] != 1 {
+		t.Errorf("sent %d times, %d on their way, %v", h.publishCount["g1"]-before, len(g.delivery.Unacknowledged()), h.logged)
 	}
 }
 
@@ -289,11 +289,11 @@
 		t.Error("the first connection stays open")
 	}
 	h.step(GatewayDisconnected{Gateway: "g1", Conn: old})
-	if g := h.core.gateways["g1"]; !g.joined || g.conn != h.conns["g1"] {
+	if g := h.core.gateways.byName["g1"]; !g.joined || g.conn != h.conns["g1"] {
 		t.Errorf("joined %t on %d", g.joined, g.conn)
 	}
 	h.step(GatewayDisconnected{Gateway: "g1", Conn: h.conns["g1"]})
-	if h.core.gateways["g1"].joined {
+	if h.core.gateways.byName["g1"].joined {
 		t.Error("its own end is no leave")
 	}
 }
@@ -302,7 +302,7 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.advance(5*second, "g1")
-	if h.core.gateways["g2"].joined || !h.core.gateways["g1"].joined || h.logged["silent"] != 1 {
+	if h.core.gateways.byName["g2"].joined || !h.core.gateways.byName["g1"].joined || h.logged["gateway_silent"] != 1 {
 		t.Errorf("notes %v", h.logged)
 	}
 }
@@ -327,10 +327,10 @@
 		r := good(h)
 		spoil(&r)
 		h.step(r)
-		if len(h.core.aggregate.proxies) != 0 || h.logged["report_bad"]+h.logged["report_repeated"] != 1 {
+		if len(h.core.reports.aggregate.proxies) != 0 || h.logged["report_invalid"]+h.logged["report_duplicate"] != 1 {
 			t.Errorf("%s: taken in, %v", name, h.logged)
 		}
-		if h.step(good(h)); len(h.core.aggregate.proxies) == 0 {
+		if h.step(good(h)); len(h.core.reports.aggregate.proxies) == 0 {
 			t.Errorf("%s: the next good one is not taken", name)
 		}
 	}
@@ -341,7 +341,7 @@
 	h.startFleet()
 	watches := h.watchRequests
 	h.setEndpoints()
-	if h.core.endpoints.readyCount() != 4 || h.logged["list_empty"] != 1 {
+	if h.core.endpoints.readyCount() != 4 || h.logged["endpoint_list_empty"] != 1 {
 		t.Errorf("an empty list: %d ready, %v", h.core.endpoints.readyCount(), h.logged)
 	}
 	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Kind: policyapi.Failed}, Error: "half written"})
@@ -352,12 +352,12 @@
 	e := append(readyEndpoints("a", "a1:1", "a2:1", "a3:1", "a1:1"), readyEndpoints("x", "x1:1")...)
 	e[1].StartedAt = h.now + 3600*second
 	h.setEndpoints(e...)
-	for node, launched := range map[policyapi.EndpointID]micros{"a1:1": 0, "a2:1": h.now, "a3:1": h.now} {
+	for node, launched := range map[policyapi.EndpointID]microseconds{"a1:1": 0, "a2:1": h.now, "a3:1": h.now} {
 		if got := h.core.endpoints.entries[node]; got.Status != policyapi.Ready || got.StartedAt != launched {
 			t.Errorf("%s: status %d, launched %d, want %d", node, got.Status, got.StartedAt, launched)
 		}
 	}
-	if h.logged["list_twice"] != 1 || h.logged["list_zone"] != 1 || h.core.endpoints.readyCount() != 3 {
+	if h.logged["endpoint_duplicate"] != 1 || h.logged["endpoint_unknown_zone"] != 1 || h.core.endpoints.readyCount() != 3 {
 		t.Errorf("%d ready, %v", h.core.endpoints.readyCount(), h.logged)
 	}
 	h.now += second
@@ -379,7 +379,7 @@
 	}
 	h.now = at
 	h.advance(3*second, "g1", "g2")
-	if !h.core.gateways["g1"].joined || !h.core.gateways["g2"].joined {
+	if !h.core.gateways.byName["g1"].joined || !h.core.gateways.byName["g2"].joined {
 		t.Error("gateways lost by a step of the clock")
 	}
 }
@@ -412,7 +412,7 @@
 func TestMessagesStayUnderTheLimit(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
-	var at []micros
+	var at []microseconds
 	before := h.publishCount["g1"]
 	for i := range 300 {
 		e := append(readyEndpoints("a", "a1:1", "a2:1", "a3:1"), readyEndpoints("b", "b1:1", "b2:1")...)
@@ -427,7 +427,7 @@
 		}
 	}
 	for i := range at {
-		if n := i + 1 - slices.IndexFunc(at, func(x micros) bool { return at[i]-x <= 10*second }); n > 20 {
+		if n := i + 1 - slices.IndexFunc(at, func(x microseconds) bool { return at[i]-x <= 10*second }); n > 20 {
 			t.Fatalf("%d messages within 10 s", n)
 		}
 	}
@@ -479,12 +479,13 @@
 // Each form of the module's lines becomes a record with its figures.
 func TestPolicyLogLines(t *testing.T) {
 	for text, want := range map[string]LogEntry{
-		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "levels", Fields: []LogField{{"on", true}, {"asked", 479.2}, {"can", 428.3}}},
-		"1.2.3.4:5 sick from a: of about 13 tries in a row none was done": {Event: "sick",
-			Fields: []LogField{{"node", "1.2.3.4:5"}, {"zone", "a"}, {"tries", 13.0}}},
-		"sick marks of b passed over: false, 3 of 9 reqs a second well": {Event: "passed_over",
-			Fields: []LogField{{"zone", "b"}, {"on", false}, {"well", 3.0}, {"of", 9.0}}},
-		"something new": {Event: "mode"},
+		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "admission",
+			Fields: []LogField{{"limited", true}, {"demand", 479.2}, {"capacity", 428.3}}},
+		"1.2.3.4:5 sick from a: of about 13 tries in a row none was done": {Event: "endpoint_ejected",
+			Fields: []LogField{{"endpoint", "1.2.3.4:5"}, {"zone", "a"}, {"attempts", 13.0}}},
+		"sick marks of b passed over: false, 3 of 9 reqs a second well": {Event: "panic_threshold",
+			Fields: []LogField{{"zone", "b"}, {"active", false}, {"healthy", 3.0}, {"total", 9.0}}},
+		"something new": {Event: "policy"},
 	} {
 		if got := parsePolicyLog(text); got.Event != want.Event || !reflect.DeepEqual(got.Fields, want.Fields) || got.Text != text {
 			t.Errorf("%+v", got)
@@ -551,17 +552,17 @@
 func TestWrongChecksum(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
-	g := h.core.gateways["g1"]
+	g := h.core.gateways.byName["g1"]
 	say := func(sum uint64) {
-		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
+		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.delivery.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
 	}
 	before := h.publishCount["g1"]
-	if say(routing.Checksum(h.published["g1"].Snapshot)); h.logged["wrong_checksum"] != 0 {
+	if say(routing.Checksum(h.published["g1"].Snapshot)); h.logged["checksum_mismatch"] != 0 {
 		t.Error("the right checksum voids belief")
 	}
 	say(12345)
 	h.advance(3*second, "g1", "g2")
-	if h.publishCount["g1"] != before+1 || h.logged["wrong_checksum"] != 1 {
+	if h.publishCount["g1"] != before+1 || h.logged["checksum_mismatch"] != 1 {
 		t.Errorf("sent %d times, %v", h.publishCount["g1"]-before, h.logged)
 	}
 	for range 200 {
@@ -578,15 +579,15 @@
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
-	g := h.core.gateways["g1"]
+	g := h.core.gateways.byName["g1"]
 	before := h.publishCount["g1"]
 	say := func(held [documentCount]string) {
-		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.inFlight.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: held})
+		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.delivery.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: held})
 	}
-	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["wrong_checksum"] != 0 || h.publishCount["g1"] != before {
+	if say([documentCount]string{g.delivery.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["checksum_mismatch"] != 0 || h.publishCount["g1"] != before {
 		t.Errorf("overtaken: %v", h.logged)
 	}
-	if say([documentCount]string{g.inFlight.Confirmed(int(EndpointsDocument)).Version, g.inFlight.Confirmed(int(RoutesDocument)).Version}); h.logged["wrong_checksum"] != 1 {
+	if say([documentCount]string{g.delivery.Confirmed(int(EndpointsDocument)).Version, g.delivery.Confirmed(int(RoutesDocument)).Version}); h.logged["checksum_mismatch"] != 1 {
 		t.Errorf("of what it holds now: %v", h.logged)
 	}
 }
@@ -619,7 +620,7 @@
 	if slices.Contains(h.openEndpoints("g1", "save"), "a1:1") || !slices.Contains(h.openEndpoints("g1", "view"), "a1:1") {
 		t.Fatalf("the solver does not act: save by %v", h.openEndpoints("g1", "save"))
 	}
-	table := h.core.gateways["g1"].tables[1]
+	table := h.core.gateways.byName["g1"].tables[1]
 	versions := h.core.Versions().Versions(table)
 	last := versions[len(versions)-1]
 	if _, has := last.ForClass(1).Weights()["a1:1"]; has || last.ForClass(0).Weights()["a1:1"] == 0 {
