--- a/policy/groups.go
+++ b/policy/groups.go
@@ -20,7 +20,8 @@
 	// short list.
 	divisionGrowth = 2
 	// largeProxyDemand and largeProxyShare are the multiple of the mean demand and the fraction of a group's capacity
-	// above which a proxy gets the whole zone; it keeps it down to half of either.
+	// above which a proxy uses the whole zone; keepZoneDemand and keepZoneShare are those below which it gets a group
+	// again, lower so that it does not alternate.
 	largeProxyDemand, largeProxyShare = 4, 0.5
 	keepZoneDemand, keepZoneShare     = 2, 0.25
 	// borrowThreshold is the fraction of its due capacity below which a group borrows from its zone.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// closeRound tells the endpoints that a round of reports is over, with what they cannot know alone.
+// closeRound ends a round of reports for the endpoints, with what they cannot know alone.
 func (p *planner) closeRound(round reportRound) {
 	p.round.clock += round.seconds
 	failureRate := p.round.failures / max(sum(p.round.attempts), 1)
@@ -193,7 +193,7 @@
 	confirmed   bool   // a list newer than the cached one has arrived
 }
 
-// startList starts the hold of a cached list with the first message. Where it ends sooner than the report period, a
+// startList starts the delay of a cached list with the first message. Where it ends sooner than the report period, a
 // timer ends it.
 func (p *planner) startList(now micros) {
 	if p.list.started {
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// rebalanceProxies moves proxies from a zone's fullest group to its emptiest, seldom: only where they differ by much,
+// rebalanceProxies moves proxies from a zone's fullest group to its emptiest, rarely: only where they differ by much,
 // the fullest is well utilized, and the proxy has not been moved for a while.
 func (p *planner) rebalanceProxies(zone int) {
 	for range 1 + len(p.proxies)/proxiesPerMove {
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -37,8 +37,8 @@
 	if f.message == "CRASH_NOW" {
 		return Addressed{To: to, Crash: true}, f.close()
 	}
-	parse, known := parsers[f.message]
-	if !known {
+	parse, found := parsers[f.message]
+	if !found {
 		return Addressed{}, r.syntaxError(f.message, "message", "not known")
 	}
 	event, err := parse(r, to, f)
@@ -67,7 +67,7 @@
 
 // class reads a request class by its name; policyapi.UnknownClass where the instance or the name is not known.
 func (r *Reader) class(to policyapi.InstanceID, f *fields) policyapi.RequestClass {
-	if class, known := r.classes[to][f.text("class")]; known {
+	if class, found := r.classes[to][f.text("class")]; found {
 		return class
 	}
 	return policyapi.UnknownClass
@@ -164,8 +164,8 @@
 func (r *Reader) list(_ policyapi.InstanceID, f *fields) (policyapi.Event, error) {
 	update := policyapi.EndpointUpdate{Version: policyapi.ListVersion(f.integer("epoch"))}
 	name := f.text("how")
-	kind, known := updateKinds[name]
-	if !known {
+	kind, found := updateKinds[name]
+	if !found {
 		f.fail("how", fmt.Sprintf("%q is not known", name))
 	}
 	update.Kind = kind
@@ -213,8 +213,8 @@
 		MachineType: policyapi.MachineType(f.text("flavor")),
 	}
 	name := f.text("health")
-	status, known := endpointStatuses[name]
-	if !known {
+	status, found := endpointStatuses[name]
+	if !found {
 		f.fail("health", fmt.Sprintf("%q is not known", name))
 	}
 	entry.Status = status
