--- /dev/null
+++ b/coordinator/acks_test.go
@@ -0,0 +1,168 @@
+package coordinator
+
+import (
+	"slices"
+	"testing"
+
+	"porthub/policyapi"
+	"porthub/routing"
+)
+
+// Only an acknowledgement of a version in flight, on the gateway's connection, counts.
+func TestAcknowledgements(t *testing.T) {
+	h := newHarness(t, nil)
+	h.startFleet()
+	h.unresponsive["g1"] = true
+	h.setEndpoints(readyEndpoints("a", "a1:1")...)
+	g := h.core.gateways.byName["g1"]
+	waiting := len(g.delivery.Unacknowledged())
+	if waiting == 0 {
+		t.Fatal("nothing is in flight")
+	}
+	m := g.delivery.Unacknowledged()[0]
+	for name, ack := range map[string]DocumentAck{
+		"never sent":                  {Version: "e.999", Nonce: "e.999"},
+		"of another start":            {Version: "x.1", Nonce: "x.1"},
+		"of an earlier message":       {Version: "e.1", Nonce: "e.1"},
+		"on another connection":       {Version: m.Version, Nonce: m.Version, Conn: 99},
+		"no such document":            {Version: m.Version, Nonce: m.Version, Document: 7},
+		"rejection of an earlier one": {Version: "e.1", Nonce: "e.1", Error: "no"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			ack.Gateway = "g1"
+			if ack.Conn == 0 {
+				ack.Conn = h.conns["g1"]
+			}
+			h.step(ack)
+			if n := len(g.delivery.Unacknowledged()); n != waiting {
+				t.Errorf("%d in flight, %d before", n, waiting)
+			}
+		})
+	}
+	if h.logged["unknown_version"] == 0 {
+		t.Error("a version that was never sent is not logged")
+	}
+	// A rejected document is sent again, once, after a backoff.
+	before := h.publishCount["g1"]
+	h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: "e.1", Nonce: m.Version, Error: "unexpected end"})
+	if h.publishCount["g1"] != before {
+		t.Error("sent again at once")
+	}
+	h.unresponsive["g1"] = false
+	h.advance(3*second, "g1", "g2")
+	if h.publishCount["g1"] == before || len(g.delivery.Unacknowledged()) != 0 || h.logged["document_rejected"] != 1 {
+		t.Errorf("sent %d times, %d in flight, %v", h.publishCount["g1"]-before, len(g.delivery.Unacknowledged()), h.logged)
+	}
+}
+
+// A gateway that holds something else than it should, by its own checksum, is sent all documents again, later each time.
+func TestWrongChecksum(t *testing.T) {
+	h := newHarness(t, nil)
+	h.startFleet()
+	g := h.core.gateways.byName["g1"]
+	ack := func(sum uint64) {
+		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.delivery.Confirmed(int(EndpointsDocument)).Version, Checksum: sum})
+	}
+	before := h.publishCount["g1"]
+	if ack(routing.Checksum(h.published["g1"].Snapshot)); h.logged["checksum_mismatch"] != 0 {
+		t.Error("the right checksum counts as a mismatch")
+	}
+	ack(12345)
+	h.advance(3*second, "g1", "g2")
+	if h.publishCount["g1"] != before+1 || h.logged["checksum_mismatch"] != 1 {
+		t.Errorf("sent %d times, %v", h.publishCount["g1"]-before, h.logged)
+	}
+	for range 200 {
+		ack(12345)
+		h.advance(100_000, "g1", "g2")
+	}
+	if n := h.publishCount["g1"] - before; n > 6 {
+		t.Errorf("sent %d times in 20 s to one that never holds it", n)
+	}
+}
+
+// A checksum of versions that have been replaced meanwhile says nothing about what the gateway holds now.
+func TestChecksumOfEarlierVersionsIsIgnored(t *testing.T) {
+	h := newHarness(t, nil)
+	h.startFleet()
+	h.advance(5*second, "g1", "g2")
+	g := h.core.gateways.byName["g1"]
+	before := h.publishCount["g1"]
+	ack := func(versions [documentCount]string) {
+		h.step(DocumentAck{Gateway: "g1", Conn: h.conns["g1"], Version: g.delivery.Confirmed(int(EndpointsDocument)).Version, Checksum: 12345, ChecksumVersions: versions})
+	}
+	if ack([documentCount]string{g.delivery.Confirmed(int(EndpointsDocument)).Version, "e.0"}); h.logged["checksum_mismatch"] != 0 || h.publishCount["g1"] != before {
+		t.Errorf("of replaced versions: %v", h.logged)
+	}
+	if ack([documentCount]string{g.delivery.Confirmed(int(EndpointsDocument)).Version, g.delivery.Confirmed(int(RoutesDocument)).Version}); h.logged["checksum_mismatch"] != 1 {
+		t.Errorf("of what it holds now: %v", h.logged)
+	}
+}
+
+// However fast the list changes, no gateway gets more messages than the limit, and in the end it holds what it should.
+func TestMessagesStayUnderTheLimit(t *testing.T) {
+	h := newHarness(t, nil)
+	h.startFleet()
+	var at []microseconds
+	before := h.publishCount["g1"]
+	for i := range 300 {
+		e := append(readyEndpoints("a", "a1:1", "a2:1", "a3:1"), readyEndpoints("b", "b1:1", "b2:1")...)
+		e[i%4].Status = policyapi.Draining
+		h.setEndpoints(e...)
+		for ; before < h.publishCount["g1"]; before++ {
+			at = append(at, h.now)
+		}
+		h.advance(100_000, "g1", "g2")
+		for ; before < h.publishCount["g1"]; before++ {
+			at = append(at, h.now)
+		}
+	}
+	for i := range at {
+		if n := i + 1 - slices.IndexFunc(at, func(x microseconds) bool { return at[i]-x <= 10*second }); n > 20 {
+			t.Fatalf("%d messages within 10 s", n)
+		}
+	}
+	if len(at) < 20 {
+		t.Errorf("only %d messages in 30 s: the limit was not reached", len(at))
+	}
+	h.setEndpoints(append(readyEndpoints("a", "a1:1"), readyEndpoints("b", "b1:1", "b2:1")...)...)
+	h.advance(12*second, "g1", "g2")
+	if open := h.openEndpoints("g1", "view"); slices.Contains(open, "a2:1") || slices.Contains(open, "a3:1") || len(open) == 0 {
+		t.Errorf("it holds %v in the end", open)
+	}
+}
+
+// Documents go out unsynced. Where the settings ask for a sync it is suspended while acknowledgements are late, as on a busy
+// disk, and resumes after.
+func TestSyncIsSuspendedWhileAcksAreLate(t *testing.T) {
+	h := newHarness(t, nil)
+	if h.startFleet(); h.published["g1"].Sync {
+		t.Error("synced, against the settings")
+	}
+	h = newHarness(t, func(s *Settings) { s.SyncDocuments = true })
+	h.startFleet()
+	if !h.published["g1"].Sync {
+		t.Error("acknowledged at once, and not synced")
+	}
+	h.unresponsive["g1"], h.unresponsive["g2"] = true, true
+	drained := func(i int) []policyapi.Endpoint {
+		e := fourEndpoints()
+		e[i%4].Status = policyapi.Draining
+		return e
+	}
+	for i := range 2 {
+		h.setEndpoints(drained(i)...)
+		h.advance(second, "g1", "g2")
+	}
+	if h.published["g1"].Sync || h.logged["slow_disk"] != 1 {
+		t.Errorf("late, and synced; logged %v", h.logged)
+	}
+	h.unresponsive["g1"], h.unresponsive["g2"] = false, false
+	for i := range 30 {
+		h.setEndpoints(drained(i)...)
+		h.advance(2*second, "g1", "g2")
+	}
+	if !h.published["g1"].Sync {
+		t.Error("fast again, and still not synced")
+	}
+}
--- a/coordinator/degradation_test.go
+++ b/coordinator/degradation_test.go
@@ -8,43 +8,15 @@
 	"porthub/routing"
 )
 
-// withLevels gives the host two levels: view may use three tenths, and in the severer one no second tries and no crossing.
-func withLevels(s *Settings) {
-	s.Start.ProxyCount = 2
-	s.Degradation = degradation.Settings{Zones: s.Start.Zones, Classes: []string{"view", "save"}, Period: second}
-	for i, name := range []string{"tight", "hard"} {
-		l := degradation.Level{Name: name, EnterDelay: 2 * second, LeaveDelay: 5 * second, Bounds: degradation.Unbounded(2)}
-		l.Enter[degradation.TriggerLoad], l.Leave[degradation.TriggerLoad] = 1+0.5*float64(i), 0.8+0.4*float64(i)
-		l.Enter[degradation.TriggerLostCapacity], l.Leave[degradation.TriggerLostCapacity] = 0.4+0.3*float64(i), 0.1+0.3*float64(i)
-		l.Bounds.Share[0] = 0.3
-		if i > 0 {
-			l.Bounds.RetryPolicy, l.Bounds.CrossZoneFactor, l.Bounds.ReportIntervalFactor, l.Bounds.MaxHealthChecks = []int{0, 0}, 0, 2, 1
-		}
-		s.Degradation.Levels = append(s.Degradation.Levels, l)
-	}
-	s.Fallback = degradation.Fallback{Level: 1, After: 10 * second, Duration: 60 * second}
-}
-
-func (h *harness) route(g Gateway, k int) routing.Route { return h.published[g].Snapshot.Routes[k] }
-
-func (h *harness) forceLevel(level int, zone policyapi.Zone) degradation.Override {
-	h.t.Helper()
-	w, err := h.core.SetLevelOverride(degradation.Override{Action: degradation.ForceLevel, Zone: zone, Level: level, Until: h.now + 600*second, Reason: "a test"})
-	if err != nil {
-		h.t.Fatal(err)
-	}
-	return w
-}
-
-// At a level its kind gets its share of what is let in, the other is not touched, and gateways are known to hold it; without
-// the level all is as before.
+// At a level its class gets its share of what is admitted, the other class is not touched, and gateways are known to hold the
+// level; without it all is as before.
 func TestLevelDividesAdmission(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
-	word := h.forceLevel(1, degradation.FleetScope)
+	override := h.forceLevel(1, degradation.FleetScope)
 	h.advance(5*second, "g1", "g2")
-	// Of 20 reqs a second at a gateway, both kinds alike, view may use 6 of its 10.
+	// Of 20 requests per second at a gateway, half of each class, view may use 6 of its 10.
 	if view, save := h.route("g1", 0), h.route("g1", 1); view.Rate < 4.5 || view.Rate > 7.5 || save.Rate != routing.UnlimitedRate {
 		t.Errorf("view %v, save %v", view.Rate, save.Rate)
 	}
@@ -56,7 +28,7 @@
 	if n := h.publishCount["g1"] - before; n > 3 {
 		t.Errorf("%d messages in half a minute of the same traffic", n)
 	}
-	if _, err := h.core.ClearLevelOverride(word.ID, "over"); err != nil {
+	if _, err := h.core.ClearLevelOverride(override.ID, "over"); err != nil {
 		t.Fatal(err)
 	}
 	h.advance(3*second, "g1", "g2")
@@ -65,33 +37,33 @@
 	}
 }
 
-// Half the capacity goes at once: the level is entered after its time, says why, and is left one step at a time when it is back;
-// whatever a level cuts, no closed node gets a line and no cold one more than before.
+// When capacity is lost, the level is entered after its delay and is left one step at a time when the capacity is back; whatever
+// a level limits, no closed endpoint is offered and none that warms up gets more than before.
 func TestLevelByLostCapacity(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
 	h.advance(12*second, "g1", "g2")
-	e := append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)
+	e := fourEndpoints()
 	h.setEndpoints(e[:1]...) // three of four
 	h.advance(3*second, "g1", "g2")
 	if l := h.core.Degradation(); l.Scopes[0].Level != 2 || h.logged["service_level"] == 0 {
-		t.Errorf("three of four nodes are gone: %+v", l.Scopes[0])
+		t.Errorf("three of four endpoints are gone: %+v", l.Scopes[0])
 	}
 	if r := h.route("g1", 1); r.RetryPolicy != 0 || h.core.ReportIntervalFactor() != 2 {
-		t.Errorf("second try %d, stretch %d", r.RetryPolicy, h.core.ReportIntervalFactor())
+		t.Errorf("retry policy %d, interval factor %d", r.RetryPolicy, h.core.ReportIntervalFactor())
 	}
 	for _, g := range []Gateway{"g1", "g2"} {
 		if open := h.openEndpoints(g, "view"); len(open) != 1 || open[0] != "a1:1" {
 			t.Errorf("%s may send to %v", g, open)
 		}
 	}
-	h.setEndpoints(e...) // they are back, and cold
-	cold := 0.0
+	h.setEndpoints(e...) // they are back, and warm up
+	largest := 0.0
 	for range 40 {
 		h.advance(second, "g1", "g2")
-		cold = max(cold, h.endpointShare("g1", "view", "a2:1"))
-		if h.core.warmUpProgress(h.core.endpoints.entries["a2:1"]) < 0.5 && cold > 0.5 {
-			t.Fatalf("a cold node gets %.2f of g1's", cold)
+		largest = max(largest, h.endpointShare("g1", "view", "a2:1"))
+		if h.core.warmUpProgress(h.core.endpoints.entries["a2:1"]) < 0.5 && largest > 0.5 {
+			t.Fatalf("an endpoint that warms up gets %.2f of g1's", largest)
 		}
 	}
 	if l := h.core.Degradation(); l.Scopes[0].Level != 0 {
@@ -99,7 +71,8 @@
 	}
 }
 
-// Crossing is cut only where the own zone has most of the warm weight; a gateway whose zone is lost keeps its lines.
+// Traffic between zones is limited only where the own zone has most of the warm weight; a gateway whose zone is lost keeps its
+// endpoints.
 func TestLevelLimitsCrossZoneTraffic(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
@@ -108,11 +81,11 @@
 	h.setEndpoints(readyEndpoints("b", "b1:1", "b2:1")...)
 	h.advance(5*second, "g1", "g2")
 	if len(h.openEndpoints("g1", "save")) == 0 {
-		t.Error("the gateway of the lost zone has no line")
+		t.Error("the gateway of the lost zone has no endpoint")
 	}
 }
 
-// Fewer lines: each gateway a few others, and what drains goes all the same.
+// With fewer endpoints each gateway has others, and what drains is withheld all the same.
 func TestLevelLimitsEndpoints(t *testing.T) {
 	h := newHarness(t, func(s *Settings) {
 		withLevels(s)
@@ -139,17 +112,17 @@
 	if len(all) < 5 {
 		t.Errorf("three gateways share %v", all)
 	}
-	gone := h.openEndpoints("g1", "view")[0]
+	drained := h.openEndpoints("g1", "view")[0]
 	for i := range e {
-		if e[i].ID == gone {
+		if e[i].ID == drained {
 			e[i].Status = policyapi.Draining
 		}
 	}
 	h.setEndpoints(e...)
 	h.advance(2*second, "g1", "g2", "g3")
 	for _, b := range h.openEndpoints("g1", "view") {
-		if b == gone {
-			t.Error("a drained node has a line")
+		if b == drained {
+			t.Error("a drained endpoint is offered")
 		}
 	}
 	if len(h.openEndpoints("g1", "view")) != 3 {
@@ -157,19 +130,19 @@
 	}
 }
 
-// A gateway that can't be reached falls back by what its routes carry, for as long as they say; a restart stays at the level;
-// a gateway that comes back with an old one is given the one of now.
+// A gateway that reaches no coordinator falls back as its routes say; a restart stays at the level; a gateway that connects
+// again with an old level is given the present one.
 func TestLevelFallbackAndRestart(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
 	r := h.route("g1", 0)
 	if r.Fallback.After != 10*second || r.Fallback.Duration != 60*second || r.Fallback.Share < 0.5 || r.Fallback.Share > 0.65 {
-		t.Fatalf("it carries %+v", r.Fallback)
+		t.Fatalf("its route has %+v", r.Fallback)
 	}
 	for silent, want := range map[policyapi.Microseconds]float64{0: 1, 9 * second: 1, 10 * second: r.Fallback.Share, 69 * second: r.Fallback.Share, 70 * second: 1} {
 		if got := r.WithoutCoordinator(silent).Share; got != want {
-			t.Errorf("after %d s it lets in %v", silent/second, got)
+			t.Errorf("after %d s it admits %v", silent/second, got)
 		}
 	}
 	h.forceLevel(2, "a")
@@ -187,11 +160,11 @@
 	h.connect("g1", "a")
 	h.advance(3*second, "g1", "g2")
 	if l := h.core.Degradation(); l.Scopes[1].Level != 0 || l.Gateways["a"][0] != 1 || h.route("g1", 0).Rate != routing.UnlimitedRate {
-		t.Errorf("back with an old level: %+v, %+v", l.Scopes[1], h.route("g1", 0))
+		t.Errorf("connected again with an old level: %+v, %+v", l.Scopes[1], h.route("g1", 0))
 	}
 }
 
-// A table's own rate guards its cold nodes: a level that gives a kind all that it asks for does not lift it.
+// A table's own rate protects its endpoints that warm up: a level that gives a class all of its demand does not lift it.
 func TestLevelKeepsTheWarmUpRate(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
@@ -201,6 +174,6 @@
 	h.core.tables.admissions[g.tables[1]] = map[policyapi.RequestClass]policyapi.SetAdmission{1: {Table: g.tables[1], Level: 4, RetryPolicy: 1}}
 	h.advance(4*second, "g1", "g2")
 	if r := h.core.snapshot(g).Routes[1]; r.Rate != 4 {
-		t.Errorf("the guard of 4 reqs a second has become %v", r.Rate)
+		t.Errorf("the warm-up rate of 4 requests per second has become %v", r.Rate)
 	}
 }
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -115,7 +115,7 @@
 // withStartTime gives an entry its start time. A source that states none still tells it by naming an endpoint that it did
 // not name before, or that was removed: it has just started. What the first list names has run for long. A start ahead of
 // our clock is now: another machine's clock must not keep an endpoint warming up for ever.
-func (c *Core) withStartTime(entry policyapi.Endpoint, kind policyapi.UpdateKind) policyapi.Endpoint {
+func (c *Core) withStartTime(entry policyapi.Endpoint, class policyapi.UpdateKind) policyapi.Endpoint {
 	last, ok := c.endpoints.entries[entry.ID]
 	switch {
 	case entry.StartedAt > c.now:
@@ -124,7 +124,7 @@
 			entry.StartedAt = last.StartedAt
 		}
 	case entry.StartedAt > 0:
-	case kind == policyapi.Cached:
+	case class == policyapi.Cached:
 		entry.StartedAt = last.StartedAt
 	case !c.endpoints.initialized:
 		// The first fresh list of a start: what was not listed before the restart has started since.
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -10,47 +10,12 @@
 	"porthub/solver"
 )
 
-// restart ends a core after so long and starts another one from what the first remembers; the gateways dial again.
-func (h *harness) restart(down microseconds, gateways ...Gateway) {
-	h.t.Helper()
-	s := h.core.Snapshot()
-	set := h.core.settings
-	set.Epoch += "x"
-	h.now += down
-	h.published = map[Gateway]Publish{} // what is looked at after is the new one's
-	h.core = New(set)
-	var kinds []string
-	for _, k := range set.Start.Classes {
-		kinds = append(kinds, k.Name)
-	}
-	b := recovery.Restore(s, h.now, kinds, set.Start.Zones)
-	h.core.Restore(h.now, b)
-	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: b.Version, Kind: policyapi.Cached, Endpoints: b.Endpoints}})
-	for _, g := range gateways {
-		h.connect(g, policyapi.Zone([]string{"a", "b"}[(g[1]-'1')%2]))
-	}
-}
-
-func (h *harness) endpointShare(g Gateway, kind string, b policyapi.EndpointID) float64 {
-	sum, own := 0.0, 0.0
-	for _, c := range h.published[g].Snapshot.Clusters {
-		for _, l := range c.Endpoints {
-			if c.Class == kind && !l.Withheld {
-				if sum += l.Weight; l.Endpoint == b {
-					own = l.Weight
-				}
-			}
-		}
-	}
-	return own / max(sum, 1e-9)
-}
-
-// What drained before the crash stays drained until a fresh list says otherwise; what started while nobody looked is cold.
+// What drained before a restart stays drained until a fresh list says otherwise; what has started meanwhile warms up.
 func TestRestartKeepsDrainsAndWarmUp(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
 	h.advance(30*second, "g1", "g2")
-	e := append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)
+	e := fourEndpoints()
 	e[0].Status = policyapi.Draining
 	h.setEndpoints(e...)
 	h.restart(2*second, "g1", "g2")
@@ -63,19 +28,19 @@
 	h.setEndpoints(append(e, readyEndpoints("a", "a3:1")...)...)
 	h.advance(second, "g1", "g2")
 	if w := h.core.warmUpProgress(h.core.endpoints.entries["a3:1"]); w > 0.3 {
-		t.Errorf("what has started since is warm: %.2f", w)
+		t.Errorf("what has started since does not warm up: %.2f", w)
 	}
 	if w := h.core.warmUpProgress(h.core.endpoints.entries["a2:1"]); w < 1 {
-		t.Errorf("what ran all the time is cold: %.2f", w)
+		t.Errorf("what ran all the time warms up: %.2f", w)
 	}
 	for _, g := range []Gateway{"g1", "g2"} {
 		if w := h.endpointShare(g, "view", "a3:1"); w > 0.25 {
-			t.Errorf("%s sends the cold one %.2f", g, w)
+			t.Errorf("%s sends the one that warms up %.2f", g, w)
 		}
 	}
 }
 
-// Three crashes in a row, the later ones before a gateway has come back: it is still known, and the pin holds.
+// Three restarts in a row, the later ones before a gateway has connected again: it is still known, and the pin holds.
 func TestThreeRestartsInARow(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Start.ProxyCount = 2 })
 	h.startFleet()
@@ -89,13 +54,13 @@
 	if w := h.endpointShare("g1", "view", "a1:1"); w != 0.75 {
 		t.Fatalf("pinned at 0.75, %.2f", w)
 	}
-	usage := h.core.gateways.byName["g1"].demand
+	demand := h.core.gateways.byName["g1"].demand
 	h.restart(second)
 	h.restart(second, "g2")
 	h.restart(second)
 	h.restart(second, "g1", "g2")
-	if got := h.core.gateways.byName["g1"].demand; len(got) != len(usage) || got[0] != usage[0] {
-		t.Errorf("usage %v, was %v", got, usage)
+	if got := h.core.gateways.byName["g1"].demand; len(got) != len(demand) || got[0] != demand[0] {
+		t.Errorf("demand %v, was %v", got, demand)
 	}
 	h.advance(20*second, "g1", "g2")
 	if w := h.endpointShare("g1", "view", "a1:1"); w != 0.75 || len(h.core.Versions().Pins()) != 1 {
@@ -110,27 +75,27 @@
 	}
 }
 
-// A node that failed a kind before is still kept from it, and is tried again soon.
+// An endpoint that failed a class before a restart is still kept from it, and is on trial soon.
 func TestRestartKeepsEjections(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Start.ProxyCount = 2 })
 	h.startFleet()
-	b := recovery.Restore(h.core.Snapshot(), h.now, h.core.classNames(), h.core.settings.Start.Zones)
-	b.Ejections = append(b.Ejections, solver.Ejection{Endpoint: "a1:1", Class: 1, Backoff: 8 * second})
-	set := h.core.settings
-	set.Epoch = "y"
-	h.core = New(set)
-	h.core.Restore(h.now, b)
-	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: b.Endpoints}})
+	state := recovery.Restore(h.core.Snapshot(), h.now, h.core.classNames(), h.core.settings.Start.Zones)
+	state.Ejections = append(state.Ejections, solver.Ejection{Endpoint: "a1:1", Class: 1, Backoff: 8 * second})
+	settings := h.core.settings
+	settings.Epoch = "y"
+	h.core = New(settings)
+	h.core.Restore(h.now, state)
+	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: state.Endpoints}})
 	h.published = map[Gateway]Publish{}
 	h.connect("g1", "a")
 	h.connect("g2", "b")
-	h.setEndpoints(append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)...)
+	h.setEndpoints(fourEndpoints()...)
 	h.advance(second / 2)
 	if v := h.core.solver.health.Status("a1:1", 1); v != solver.ClassOnTrial {
-		t.Errorf("it stands at %v with the kind that it failed", v)
+		t.Errorf("its health for the class that it failed is %v", v)
 	}
 	h.advance(20*second, "g1", "g2")
 	if !slices.Contains(h.openEndpoints("g1", "save"), "a1:1") {
-		t.Errorf("it serves, and is kept out for ever: %v", h.openEndpoints("g1", "save"))
+		t.Errorf("it serves, and is never readmitted: %v", h.openEndpoints("g1", "save"))
 	}
 }
