--- a/coordinator/bench_test.go
+++ b/coordinator/bench_test.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// BenchmarkRound is one round of reports: every gateway reports, the module decides, the solver is asked, documents
+// BenchmarkRound is one round of reports: every gateway reports, the module decides, the solver runs, documents
 // go out and are acknowledged.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range [][2]int{{18, 15}, {100, 300}, {400, 3000}} {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkDrain is the step in which all gateways are told that a node drains: ten thousand of them, a hundred nodes.
+// BenchmarkDrain is the step in which all gateways learn that an endpoint drains: ten thousand of them, a hundred endpoints.
 func BenchmarkDrain(b *testing.B) {
 	h := newHarness(&testing.T{}, func(s *Settings) { s.Start.ProxyCount, s.Start.Rules.QueueLimit = 10000, 4e6 })
 	zones := []policyapi.Zone{"a", "b"}
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkOverview is what one look of the operators' screen costs.
+// BenchmarkOverview is what one poll of the terminal view costs.
 func BenchmarkOverview(b *testing.B) {
 	for _, size := range [][2]int{{100, 300}, {1000, 3000}} {
 		b.Run(fmt.Sprintf("%d_nodes_%d_gateways", size[0], size[1]), func(b *testing.B) {
--- /dev/null
+++ b/testutil/filled.go
@@ -0,0 +1,130 @@
+package testutil
+
+import (
+	"reflect"
+	"strconv"
+	"testing"
+)
+
+// Filled returns a T in which every exported field, at any depth, has a value of its own that is not zero. Slices and maps have
+// one element. It fails the test on a type that it can't fill, and where a field is still zero.
+func Filled[T any](t *testing.T) T {
+	t.Helper()
+	var value T
+	f := &filler{t: t}
+	f.fill(reflect.ValueOf(&value).Elem(), reflect.TypeFor[T]().String())
+	RequireSet(t, value)
+	return value
+}
+
+// filler sets fields; next numbers them, so that each has a value of its own.
+type filler struct {
+	t    *testing.T
+	next int64
+}
+
+func (f *filler) fill(v reflect.Value, path string) {
+	f.t.Helper()
+	f.next++
+	if f.fillNumber(v) {
+		return
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		v.SetString(f.text())
+	case reflect.Interface:
+		if v.NumMethod() > 0 {
+			f.t.Fatalf("%s: no value for a %s", path, v.Type())
+		}
+		v.Set(reflect.ValueOf(f.text()))
+	default:
+		f.fillElements(v, path)
+	}
+}
+
+func (f *filler) text() string { return "text " + strconv.FormatInt(f.next, 10) }
+
+// fillNumber sets a number and returns false for any other value.
+func (f *filler) fillNumber(v reflect.Value) bool {
+	switch v.Kind() {
+	case reflect.Int, reflect.Int64, reflect.Int32, reflect.Int16:
+		v.SetInt(f.next)
+	case reflect.Int8:
+		v.SetInt(1 + f.next%100)
+	case reflect.Uint, reflect.Uint64, reflect.Uint32, reflect.Uint16:
+		v.SetUint(uint64(f.next))
+	case reflect.Uint8:
+		v.SetUint(uint64(1 + f.next%200))
+	case reflect.Float64, reflect.Float32:
+		v.SetFloat(float64(f.next) + 0.5)
+	default:
+		return false
+	}
+	return true
+}
+
+// fillElements fills what a pointer, slice, array, map or struct holds.
+func (f *filler) fillElements(v reflect.Value, path string) {
+	f.t.Helper()
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem(), path)
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		f.fill(v.Index(0), path+"[0]")
+	case reflect.Array:
+		for i := range v.Len() {
+			f.fill(v.Index(i), path+"["+strconv.Itoa(i)+"]")
+		}
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		key, element := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		f.fill(key, path+" key")
+		f.fill(element, path+" element")
+		v.SetMapIndex(key, element)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				f.fill(v.Field(i), path+"."+field.Name)
+			}
+		}
+	default:
+		f.t.Fatalf("%s: no value for a %s", path, v.Type())
+	}
+}
+
+// RequireSet fails the test where an exported field, at any depth, is zero: a field that was added and that a golden file
+// does not show yet.
+func RequireSet(t *testing.T, value any) {
+	t.Helper()
+	requireSet(t, reflect.ValueOf(value), reflect.TypeOf(value).String())
+}
+
+func requireSet(t *testing.T, v reflect.Value, path string) {
+	t.Helper()
+	if v.IsZero() {
+		t.Errorf("%s is zero", path)
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		requireSet(t, v.Elem(), path)
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			requireSet(t, v.Index(i), path+"["+strconv.Itoa(i)+"]")
+		}
+	case reflect.Map:
+		for _, key := range v.MapKeys() {
+			requireSet(t, v.MapIndex(key), path+"["+key.String()+"]")
+		}
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				requireSet(t, v.Field(i), path+"."+field.Name)
+			}
+		}
+	}
+}
