--- a/chaos/intake.go
+++ b/chaos/intake.go
@@ -67,10 +67,10 @@
 	Steady  View `json:"view_steady"`
 	Overall View `json:"view_always"`
 
-	MaxMailbox int          `json:"inbox_most"`
-	Steps      daemon.Times `json:"step_us"`
-	CPU        float64      `json:"cpu_s"`
-	PeakKiB    int64        `json:"peak_kib"`
+	MaxMailbox int              `json:"inbox_most"`
+	Steps      daemon.Latencies `json:"step_us"`
+	CPU        float64          `json:"cpu_s"`
+	PeakKiB    int64            `json:"peak_kib"`
 }
 
 // View is how well the coordinator's view of nodes agrees with what they had: tries a second, and their own util and queue.
@@ -355,7 +355,7 @@
 		t.peers(ctx, run)
 		run(func() { t.troubles(ctx, start, res) })
 	}
-	var first, last daemon.Heard
+	var first, last daemon.SamplingStatus
 	_ = heard(t.address(), &first)
 	sentFrom := t.tally.Reports.Load()
 	offered, taken := int64(0), int64(0)
@@ -366,8 +366,8 @@
 		if err := heard(t.address(), &last); err != nil {
 			continue // it is down, or behind
 		}
-		if last.Intake.Reports >= before.Intake.Reports {
-			offered, taken = offered+last.Intake.Lines-before.Intake.Lines, taken+last.Intake.Taken-before.Intake.Taken
+		if last.Sampling.Reports >= before.Sampling.Reports {
+			offered, taken = offered+last.Sampling.Lines-before.Sampling.Lines, taken+last.Sampling.Taken-before.Sampling.Taken
 		}
 		res.MaxMailbox = max(res.MaxMailbox, last.Inbox)
 		t.compare(last, res)
@@ -377,7 +377,7 @@
 	times := t.tally.AnswerTimes().Latencies()
 	res.AnswerTime = Latency{float64(times.ValueAtQuantile(50)) / 1000, float64(times.ValueAtQuantile(99)) / 1000}
 	res.LateAnswers, res.Deferred, res.Disconnects, res.Throttled = t.tally.LateAnswers.Load(), t.tally.Deferred.Load(), t.tally.Disconnects.Load(), t.tally.Throttled.Load()
-	res.Steps = last.Steps
+	res.Steps = last.StepTimes
 	told := t.told.Latencies()
 	res.DrainTime = Latency{float64(told.ValueAtQuantile(50)) / 1000, float64(told.ValueAtQuantile(99)) / 1000}
 	stop := t.f.world.Now()
@@ -548,7 +548,7 @@
 }
 
 // compare holds what the coordinator says of the nodes against what they had.
-func (t *storm) compare(h daemon.Heard, res *LoadReportResult) {
+func (t *storm) compare(h daemon.SamplingStatus, res *LoadReportResult) {
 	now := t.f.world.Now()
 	t.f.mu.Lock()
 	steady := true
@@ -557,7 +557,7 @@
 	}
 	t.f.mu.Unlock()
 	known := map[string]int{}
-	for i, n := range h.Nodes {
+	for i, n := range h.Endpoints {
 		known[string(n.Endpoint)] = i
 	}
 	views := []*View{&res.Overall}
@@ -576,7 +576,7 @@
 				v.Unseen++
 				continue
 			}
-			got := h.Nodes[i]
+			got := h.Endpoints[i]
 			heardAt := now - time.Duration(h.Now-got.At)*time.Microsecond // a report is of the period before it
 			want := n.AttemptRate(heardAt-3*period/2, heardAt-period/2)
 			util, queue := n.MeanLoad(heardAt-period, heardAt)
@@ -600,7 +600,7 @@
 }
 
 // heard asks a coordinator what it has heard. While it is behind, what was known stands.
-func heard(addr string, into *daemon.Heard) error {
+func heard(addr string, into *daemon.SamplingStatus) error {
 	res, err := (&http.Client{Timeout: 5 * time.Second}).Get("http://" + addr + "/intake")
 	if err != nil {
 		return err
@@ -610,7 +610,7 @@
 		_, _ = io.Copy(io.Discard, res.Body)
 		return fmt.Errorf("%s", res.Status)
 	}
-	var fresh daemon.Heard
+	var fresh daemon.SamplingStatus
 	if err := json.NewDecoder(res.Body).Decode(&fresh); err != nil {
 		return err
 	}
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -84,12 +84,12 @@
 
 // Written is what the coordinator did since its last start, by its own count; nothing is judged by it.
 type Written struct {
-	Messages int           `json:"messages"`
-	Files    int           `json:"files"`
-	Bytes    int64         `json:"bytes"`
-	Polls    xdspoll.Stats `json:"polls"`
-	Steps    daemon.Times  `json:"step_us"`
-	Capture  capture.Stats `json:"capture"`
+	Messages int              `json:"messages"`
+	Files    int              `json:"files"`
+	Bytes    int64            `json:"bytes"`
+	Polls    xdspoll.Stats    `json:"polls"`
+	Steps    daemon.Latencies `json:"step_us"`
+	Capture  capture.Stats    `json:"capture"`
 }
 
 // Baseline is how another way of filling tables fared on the same seed.
@@ -304,14 +304,14 @@
 		return w
 	}
 	defer res.Body.Close()
-	var s daemon.Standing
+	var s daemon.Status
 	if json.NewDecoder(res.Body).Decode(&s) != nil {
 		return w
 	}
 	for _, g := range s.Gateways {
 		w.Messages += g.Published
 	}
-	w.Files, w.Bytes, w.Polls, w.Steps = s.Front.Files, s.Front.Bytes, s.Poll, s.Steps
+	w.Files, w.Bytes, w.Polls, w.Steps = s.FileDelivery.Files, s.FileDelivery.Bytes, s.PollDelivery, s.StepTimes
 	if s.Capture != nil {
 		w.Capture = *s.Capture
 	}
--- a/chaos/troubles.go
+++ b/chaos/troubles.go
@@ -208,7 +208,7 @@
 			if f.mode != byCoordinator {
 				return
 			}
-			var o daemon.Operated
+			var o daemon.PinAnswer
 			r := daemon.PinRequest{Fleet: true, Ago: policyapi.Microseconds(t.Size * 1e6), Reason: "drill"}
 			if f.operate("/tables/pin", r, &o) != nil || o.Error != "" {
 				return // no coordinator, or nothing so old: then there is nothing to roll back
--- a/cmd/porthub/drill.go
+++ b/cmd/porthub/drill.go
@@ -208,6 +208,6 @@
 	}
 	fmt.Fprintf(out, "\nfile to effect p50 %.1f ms, p99 %.1f ms; answers p50 %.0f ms, p99 %.0f ms; %d files read whole, %d not; coordinator CPU %.2f s, peak %d MiB, stopped in %.0f ms; since its last start %d messages, %d files, %d bytes, step p50 %d us, p99 %d us, most %d us\n",
 		r.DeliveryTime.P50, r.DeliveryTime.P99, r.ResponseTime.P50, r.ResponseTime.P99, r.DocumentsRead, r.IncompleteReads, r.CPU, r.PeakKiB/1024, r.StopMilliseconds,
-		r.Written.Messages, r.Written.Files, r.Written.Bytes, r.Written.Steps.P50, r.Written.Steps.P99, r.Written.Steps.Most)
+		r.Written.Messages, r.Written.Files, r.Written.Bytes, r.Written.Steps.P50, r.Written.Steps.P99, r.Written.Steps.Max)
 	return nil
 }
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -102,14 +102,14 @@
   porthub levels set hard --forbid --for 2h --reason "it has cost too much"
   porthub levels set --hold --zone hala-a --for 10m --reason "being looked at"`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r.Do, r.Zone, r.For = degradation.ForceLevel, policyapi.Zone(zone), policyapi.Microseconds(length.Microseconds())
+			r.Action, r.Zone, r.Duration = degradation.ForceLevel, policyapi.Zone(zone), policyapi.Microseconds(length.Microseconds())
 			switch {
 			case forbid && hold:
 				return errors.New("--forbid or --hold, not both")
 			case forbid:
-				r.Do = degradation.ForbidLevel
+				r.Action = degradation.ForbidLevel
 			case hold:
-				r.Do = degradation.HoldLevel
+				r.Action = degradation.HoldLevel
 			}
 			if hold != (len(args) == 0) {
 				return errors.New("name a level to force or forbid it; --hold takes none")
@@ -130,7 +130,7 @@
 }
 
 func levelClearCommand(addr *string) *cobra.Command {
-	var r daemon.UnsayRequest
+	var r daemon.ClearLevelRequest
 	cmd := &cobra.Command{Use: "clear WORD", Short: "Take a word back", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := fmt.Sscan(args[0], &r.ID); err != nil {
@@ -151,7 +151,7 @@
 	if a.Error != "" {
 		return errors.New(a.Error)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", a.Word.ID, a.Word.Action, a.Word.Zone, a.Word.Reason)
+	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", a.Override.ID, a.Override.Action, a.Override.Zone, a.Override.Reason)
 	return nil
 }
 
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -20,7 +20,7 @@
 		Short: "Each node: what every source says, what was decided and why, since when",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var n daemon.Nodes
+			var n daemon.Endpoints
 			if err := ask(cmd, addr, "/nodes", nil, &n); err != nil {
 				return err
 			}
@@ -29,7 +29,7 @@
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "NODE\tZONE\tSTATE\tSINCE\tSOURCES\tWHY")
-			for _, v := range n.Nodes {
+			for _, v := range n.Decisions {
 				if node != "" && string(v.Endpoint) != node {
 					continue
 				}
@@ -56,8 +56,8 @@
 		{"undrain", "Let a node in again", "let in again, as far as the sources have it"}} {
 		var addr, reason string
 		cmd := &cobra.Command{Use: c[0] + " NODE", Short: c[1], Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			var a daemon.NodeAnswer
-			if err := ask(cmd, addr, "/nodes/"+c[0], daemon.NodeRequest{Node: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
+			var a daemon.EndpointAnswer
+			if err := ask(cmd, addr, "/nodes/"+c[0], daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
 				return err
 			}
 			if a.Error != "" {
--- a/cmd/porthub/versions.go
+++ b/cmd/porthub/versions.go
@@ -74,7 +74,7 @@
 		}
 		return v, daemon.TableVersions{}, fmt.Errorf("there is no table %d: porthub tables list names those that are in use", t)
 	}
-	get := func(t daemon.TableVersions, n uint64) (daemon.VersionOf, error) {
+	get := func(t daemon.TableVersions, n uint64) (daemon.TableVersion, error) {
 		if n == 0 && len(t.Versions) > 0 {
 			return t.Versions[len(t.Versions)-1], nil
 		}
@@ -83,7 +83,7 @@
 				return v, nil
 			}
 		}
-		return daemon.VersionOf{}, fmt.Errorf("table %d keeps no version %d", t.Table, n)
+		return daemon.TableVersion{}, fmt.Errorf("table %d keeps no version %d", t.Table, n)
 	}
 	list := &cobra.Command{Use: "list", Short: "List tables with their versions, and pins", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -96,7 +96,7 @@
 			for _, t := range v.Tables {
 				last := t.Versions[len(t.Versions)-1]
 				fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%d\t%s\t%d\n", t.Table, dash(string(t.Zone)), t.Gateways, len(t.Versions), last.Version,
-					age(v.Now, last.At), len(last.Lines))
+					age(v.Now, last.At), len(last.Endpoints))
 			}
 			fmt.Fprintln(w, "\nPIN\tOF\tHOLDS\tSINCE\tREASON")
 			for _, p := range v.Pins {
@@ -121,12 +121,12 @@
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintf(w, "table %d, version %d, from %s ago\n", t.Table, of.Version, age(v.Now, of.At))
-			for _, l := range of.Lines {
+			for _, l := range of.Endpoints {
 				fmt.Fprintf(w, "%s\t%.4g\n", l.Endpoint, l.Weight)
 			}
-			for _, kind := range slices.Sorted(maps.Keys(of.Acting)) {
+			for _, kind := range slices.Sorted(maps.Keys(of.Overrides)) {
 				fmt.Fprintf(w, "for %s the weight solver had in its place\n", kind)
-				for _, l := range of.Acting[kind] {
+				for _, l := range of.Overrides[kind] {
 					fmt.Fprintf(w, "%s\t%.4g\n", l.Endpoint, l.Weight)
 				}
 			}
@@ -148,12 +148,12 @@
 				return err
 			}
 			out := cmd.OutOrStdout()
-			printDiff(out, a.Lines, b.Lines)
-			kinds := maps.Clone(a.Acting)
+			printDiff(out, a.Endpoints, b.Endpoints)
+			kinds := maps.Clone(a.Overrides)
 			if kinds == nil {
 				kinds = map[string][]routing.EndpointWeight{}
 			}
-			maps.Copy(kinds, b.Acting)
+			maps.Copy(kinds, b.Overrides)
 			for _, kind := range slices.Sorted(maps.Keys(kinds)) {
 				fmt.Fprintf(out, "for %s, what gateways were to hold by the weight solver\n", kind)
 				printDiff(out, of(a, kind), of(b, kind))
@@ -178,7 +178,7 @@
 		return r, nil
 	}
 	send := func(cmd *cobra.Command, path string, body any) error {
-		var o daemon.Operated
+		var o daemon.PinAnswer
 		if err := ask(cmd, *addr, path, body, &o); err != nil {
 			return err
 		}
@@ -240,11 +240,11 @@
 }
 
 // of is what a version had for a kind.
-func of(v daemon.VersionOf, kind string) []routing.EndpointWeight {
-	if lines, acts := v.Acting[kind]; acts {
+func of(v daemon.TableVersion, kind string) []routing.EndpointWeight {
+	if lines, acts := v.Overrides[kind]; acts {
 		return lines
 	}
-	return v.Lines
+	return v.Endpoints
 }
 
 func printDiff(out io.Writer, from, to []routing.EndpointWeight) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -42,58 +42,58 @@
 
 // Daemon is a running coordinator.
 type Daemon struct {
-	cfg   config.Config
-	log   *zap.Logger
-	clock clock.Clock
-	tap   func(policyapi.Microseconds, []coordinator.Input, *coordinator.Core)
+	config config.Config
+	log    *zap.Logger
+	clock  clock.Clock
+	onStep func(policyapi.Microseconds, []coordinator.Input, *coordinator.Core)
 
-	core   *coordinator.Core
-	inbox  *mailbox.Mailbox[event]
-	front  *xdsfile.Front
-	hub    *xdspoll.Hub
-	source *file.Source // nil: there is no file
-	eureka []*eureka.Client
-	probes *healthcheck.Checker
-	server *server
-	saves  chan any // lists
-	snaps  chan any // snapshots
-	set    coordinator.Settings
-	writer *capture.Writer         // nil: no capture
-	took   *hdrhistogram.Histogram // steps of the core, microseconds; of the loop's goroutine
+	core           *coordinator.Core
+	inbox          *mailbox.Mailbox[mailboxItem]
+	files          *xdsfile.Front
+	polls          *xdspoll.Hub
+	fileSource     *file.Source // nil: there is no file
+	registries     []*eureka.Client
+	healthChecks   *healthcheck.Checker
+	server         *server
+	savedLists     chan any // lists
+	savedSnapshots chan any // snapshots
+	coreSettings   coordinator.Settings
+	writer         *capture.Writer         // nil: no capture
+	stepTimes      *hdrhistogram.Histogram // steps of the core, microseconds; of the loop's goroutine
 
-	stretch      atomic.Int64            // how much longer than a period reports may wait
-	tracer       *tracer                 // nil: off
-	tail         []coordinator.LogRecord // of the log; of the loop's goroutine
-	overview     []byte                  // the last one that was made, and when the next may be
-	overviewAt   time.Time
-	came         time.Time // when the first input of this step came; zero: not known
-	rememberedAt policyapi.Microseconds
-	cantSave     bool // of the goroutine that saves
-	cantCapture  bool
-	gaps         int64
+	reportIntervalFactor atomic.Int64            // how much longer than a period reports may wait
+	tracer               *tracer                 // nil: off
+	logTail              []coordinator.LogRecord // of the log; of the loop's goroutine
+	overview             []byte                  // the last one that was made, and when the next may be
+	overviewAt           time.Time
+	arrivedAt            time.Time // when the first input of this step came; zero: not known
+	rememberedAt         policyapi.Microseconds
+	saveFailing          bool // of the goroutine that saves
+	captureFailing       bool
+	gaps                 int64
 }
 
-// Standing is how a running coordinator stands, as GET /tables answers.
-type Standing struct {
+// Status is how a running coordinator stands, as GET /tables answers.
+type Status struct {
 	coordinator.Status
-	Front xdsfile.Stats `json:"front"`
-	Poll  xdspoll.Stats `json:"poll"`
-	Steps Times         `json:"step_us"` // of the core
+	FileDelivery xdsfile.Stats `json:"front"`
+	PollDelivery xdspoll.Stats `json:"poll"`
+	StepTimes    Latencies     `json:"step_us"` // of the core
 	// Capture counts what was recorded; nil: it is off.
 	Capture *capture.Stats `json:"capture,omitempty"`
 }
 
-// Times are of a histogram, in microseconds.
-type Times struct {
+// Latencies are of a histogram, in microseconds.
+type Latencies struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
 	P99   int64 `json:"p99"`
-	Most  int64 `json:"most"`
+	Max   int64 `json:"most"`
 }
 
-func (d *Daemon) standing(c *coordinator.Core) []byte {
-	s := Standing{c.Status(), d.front.Stats(), d.hub.Stats(), Times{d.took.TotalCount(), d.took.ValueAtQuantile(50), d.took.ValueAtQuantile(99),
-		d.took.Max()}, nil}
+func (d *Daemon) statusAnswer(c *coordinator.Core) []byte {
+	s := Status{c.Status(), d.files.Stats(), d.polls.Stats(), Latencies{d.stepTimes.TotalCount(), d.stepTimes.ValueAtQuantile(50), d.stepTimes.ValueAtQuantile(99),
+		d.stepTimes.Max()}, nil}
 	if d.writer != nil {
 		stats := d.writer.Stats()
 		s.Capture = &stats
@@ -105,47 +105,47 @@
 	return text
 }
 
-// event is what the loop takes in at a time.
-type event struct {
-	at     time.Time // when it was put in; zero where tracing is off
-	inputs []coordinator.Input
-	query  func(*coordinator.Core) []byte // instead of inputs: answered from the core's state
-	reply  func([]byte)                   // called after the step; what query returned, or nil
+// mailboxItem is what the loop takes in at a time.
+type mailboxItem struct {
+	arrivedAt time.Time // when it was put in; zero where tracing is off
+	inputs    []coordinator.Input
+	query     func(*coordinator.Core) []byte // instead of inputs: answered from the core's state
+	reply     func([]byte)                   // called after the step; what query returned, or nil
 }
 
-// urgentLength bounds the inbox's urgent lane, plainLength is the least bound of the plain one.
+// urgentCapacity bounds the inbox's urgent lane, plainLength is the least bound of the plain one.
 const (
-	urgentLength = 8192
-	plainLength  = 8192
+	urgentCapacity = 8192
+	normalCapacity = 8192
 )
 
-// give hands the core inputs that must not be lost.
-func (d *Daemon) give(inputs ...coordinator.Input) { d.inbox.PutUrgent(event{inputs: inputs}) }
+// submit hands the core inputs that must not be lost.
+func (d *Daemon) submit(inputs ...coordinator.Input) { d.inbox.PutUrgent(mailboxItem{inputs: inputs}) }
 
 // ErrEnvironment is a failure of the machine around the daemon: a port that is taken, a folder that can't be made.
 var ErrEnvironment = errors.New("environment")
 
 // New opens the daemon's folders and its listener. Addr tells where it listens.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{cfg: o.Config, log: o.Log, clock: o.Clock, tap: o.Tap,
-		saves: make(chan any, 1), snaps: make(chan any, 1), took: hdrhistogram.New(1, 60_000_000, 2)}
-	var stamp func(event) event
+	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.Tap,
+		savedLists: make(chan any, 1), savedSnapshots: make(chan any, 1), stepTimes: hdrhistogram.New(1, 60_000_000, 2)}
+	var stamp func(mailboxItem) mailboxItem
 	if (o.Config.Trace != config.Trace{Part: o.Config.Trace.Part}) {
-		stamp = func(e event) event { e.at = time.Now(); return e }
+		stamp = func(e mailboxItem) mailboxItem { e.arrivedAt = time.Now(); return e }
 	}
 	// Room in the plain lane for a request of each connection: none has two on its way, so that none that polls or
 	// acknowledges is turned away for what others have sent. (At ten thousand gateways a step of half a second filled 8,192
 	// places, and those that found none came a second later: drains were at 171% of the grace.) Reports are put off long
 	// before, by package intake.
-	d.inbox = mailbox.New(urgentLength, max(plainLength, o.Config.Limits.Connections), stamp)
+	d.inbox = mailbox.New(urgentCapacity, max(normalCapacity, o.Config.Limits.Connections), stamp)
 	if d.clock == nil {
 		d.clock = clock.New()
 	}
 	if d.log == nil {
 		d.log = zap.NewNop()
 	}
-	if d.cfg.StateDir != "" {
-		if err := os.MkdirAll(d.cfg.StateDir, 0o755); err != nil {
+	if d.config.StateDir != "" {
+		if err := os.MkdirAll(d.config.StateDir, 0o755); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
@@ -154,46 +154,46 @@
 	for _, e := range o.Config.Registry.Eureka {
 		names = append(names, e.Name)
 	}
-	d.set = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.Intake), Sources: names, Start: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
+	d.coreSettings = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.Intake), Sources: names, Start: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
 		SilenceTimeout: policyapi.Microseconds(o.Config.Gateways.SilentAfter), SolverEnabled: o.Config.Solver.Enabled,
 		SyncDocuments: o.Config.Front.Files.Sync}
-	d.set.Degradation, d.set.Fallback = o.Config.ServiceLevels()
-	d.core = coordinator.New(d.set)
-	if dir := o.Config.Capture.Dir; o.Config.Capture.Enabled && (dir != "" || d.cfg.StateDir != "") {
+	d.coreSettings.Degradation, d.coreSettings.Fallback = o.Config.ServiceLevels()
+	d.core = coordinator.New(d.coreSettings)
+	if dir := o.Config.Capture.Dir; o.Config.Capture.Enabled && (dir != "" || d.config.StateDir != "") {
 		if dir == "" {
-			dir = filepath.Join(d.cfg.StateDir, captureName)
+			dir = filepath.Join(d.config.StateDir, captureName)
 		}
 		d.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(o.Config.Capture.Budget), SegmentBytes: int64(o.Config.Capture.Segment),
 			SegmentAge: time.Duration(o.Config.Capture.Age) * time.Microsecond})
 	}
 	front, err := xdsfile.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
-		d.give(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
+		d.submit(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	d.front = front
-	d.hub = xdspoll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
+	d.files = front
+	d.polls = xdspoll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
 	if d.tracer, err = newTracer(o.Config.Trace); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
 	version := policyapi.ListVersion(0)
 	if o.Config.Registry.File.Path != "" {
-		d.source = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
+		d.fileSource = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
 			func(entries []policyapi.Endpoint, err error) {
 				version++
 				list := coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: entries}}
 				if err != nil {
 					list.Kind, list.Error = policyapi.Failed, err.Error()
 				}
-				d.give(list)
+				d.submit(list)
 			})
 	}
 	for _, e := range o.Config.Registry.Eureka {
-		d.eureka = append(d.eureka, eureka.New(eurekaOptions(e), func(a membership.SourceUpdate) { d.give(coordinator.RegistryUpdate{SourceUpdate: a}) }))
+		d.registries = append(d.registries, eureka.New(eurekaOptions(e), func(a membership.SourceUpdate) { d.submit(coordinator.RegistryUpdate{SourceUpdate: a}) }))
 	}
-	d.probes = healthcheck.New(probeOptions(o.Config.Probes), func(p policyapi.HealthCheckResult) { d.give(coordinator.HealthCheckResult{HealthCheckResult: p}) })
+	d.healthChecks = healthcheck.New(healthCheckOptions(o.Config.Probes), func(p policyapi.HealthCheckResult) { d.submit(coordinator.HealthCheckResult{HealthCheckResult: p}) })
 	if d.server, err = listen(d, o.Config.Listen); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -204,8 +204,8 @@
 // Addr is the address that gateways and tools connect to.
 func (d *Daemon) Addr() string { return d.server.addr }
 
-// Front tells what the file front has written.
-func (d *Daemon) Front() xdsfile.Stats { return d.front.Stats() }
+// FileDelivery tells what the file front has written.
+func (d *Daemon) Front() xdsfile.Stats { return d.files.Stats() }
 
 // Run steps the core until the context ends. A panic of the core ends it with an error that says where the input
 // stood; gateways go on by their files.
@@ -215,14 +215,14 @@
 	var sources sync.WaitGroup
 	defer sources.Wait() // a registry's entry is taken out at the end
 	defer cancel()
-	if d.source != nil {
-		go d.source.Run(ctx)
+	if d.fileSource != nil {
+		go d.fileSource.Run(ctx)
 	}
-	for _, e := range d.eureka {
+	for _, e := range d.registries {
 		sources.Add(1)
 		go func() { defer sources.Done(); e.Run(ctx) }()
 	}
-	go d.keep(ctx)
+	go d.saveState(ctx)
 	defer d.close()
 	var inputs []coordinator.Input
 	defer func() {
@@ -236,10 +236,10 @@
 			err = fmt.Errorf("the core failed at step %d: %v", d.core.Steps(), p)
 		}
 	}()
-	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.cfg.Front.Files.Dir))
-	inputs = d.recall(d.clock.Now(), d.set)
+	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.config.Front.Files.Dir))
+	inputs = d.restore(d.clock.Now(), d.coreSettings)
 	d.step(inputs)
-	var events []event
+	var events []mailboxItem
 	for ctx.Err() == nil {
 		events = d.inbox.Next(ctx, events[:0], func() <-chan time.Time {
 			if wait := d.core.NextDeadline() - d.clock.Now(); wait > 0 {
@@ -255,10 +255,10 @@
 			inputs = append(inputs, e.inputs...)
 		}
 		began := time.Now()
-		d.came = time.Time{}
+		d.arrivedAt = time.Time{}
 		for _, e := range events {
-			if !e.at.IsZero() && (d.came.IsZero() || e.at.Before(d.came)) {
-				d.came = e.at
+			if !e.arrivedAt.IsZero() && (d.arrivedAt.IsZero() || e.arrivedAt.Before(d.arrivedAt)) {
+				d.arrivedAt = e.arrivedAt
 			}
 		}
 		d.step(inputs)
@@ -282,53 +282,53 @@
 func (d *Daemon) step(inputs []coordinator.Input) {
 	now, began := d.clock.Now(), time.Now()
 	outputs := d.core.Step(now, inputs)
-	_ = d.took.RecordValue(max(1, time.Since(began).Microseconds()))
+	_ = d.stepTimes.RecordValue(max(1, time.Since(began).Microseconds()))
 	d.captureStep(now, inputs, outputs)
 	if d.tracer != nil {
-		d.tracer.step(d.came, began, d.core, inputs, outputs)
+		d.tracer.step(d.arrivedAt, began, d.core, inputs, outputs)
 	}
 	urgent := false
 	for _, out := range outputs {
 		switch o := out.(type) {
 		case coordinator.Publish:
 			if d.server.polls(o.Gateway) {
-				d.hub.Publish(o)
+				d.polls.Publish(o)
 			} else {
-				d.front.Publish(o)
+				d.files.Publish(o)
 			}
 		case coordinator.CheckHealth:
-			d.probes.Check(o.Endpoint)
+			d.healthChecks.Check(o.Endpoint)
 		case coordinator.WatchEndpoints:
-			if d.source != nil {
-				d.source.Watch(o.Enabled)
+			if d.fileSource != nil {
+				d.fileSource.Watch(o.Enabled)
 			}
 		case coordinator.Resync:
-			if d.source != nil {
-				d.source.Fetch()
+			if d.fileSource != nil {
+				d.fileSource.Fetch()
 			}
-			for _, e := range d.eureka {
+			for _, e := range d.registries {
 				e.Fetch()
 			}
 		case coordinator.SaveList:
 			d.save(o.List)
 			urgent = true
 		case coordinator.CloseConnection:
-			d.server.drop(o.Conn)
+			d.server.closeConnection(o.Conn)
 		case coordinator.LogEntry:
-			d.record(o)
+			d.logEntry(o)
 		}
 	}
-	d.remember(now, urgent)
-	d.stretch.Store(int64(d.core.ReportIntervalFactor()))
-	if d.tap != nil {
-		d.tap(now, inputs, d.core)
+	d.saveSnapshot(now, urgent)
+	d.reportIntervalFactor.Store(int64(d.core.ReportIntervalFactor()))
+	if d.onStep != nil {
+		d.onStep(now, inputs, d.core)
 	}
 }
 
-// record writes a note as one log record with its fields.
-func (d *Daemon) record(n coordinator.LogEntry) {
+// logEntry writes a note as one log record with its fields.
+func (d *Daemon) logEntry(n coordinator.LogEntry) {
 	if n.Level > coordinator.LogDebug {
-		d.tail = coordinator.AppendLog(d.tail, d.core.Now(), n)
+		d.logTail = coordinator.AppendLog(d.logTail, d.core.Now(), n)
 	}
 	fields := []zap.Field{zap.String("text", n.Text)}
 	if n.Gateway != "" {
@@ -355,7 +355,7 @@
 
 func (d *Daemon) close() {
 	d.server.close()
-	d.probes.Close()
+	d.healthChecks.Close()
 	d.inbox.Close()
 	closed := make(chan struct{})
 	go func() {
@@ -364,20 +364,20 @@
 			d.writer.Close()
 		}
 		if d.tracer != nil {
-			d.tracer.close(endWithin / 2)
+			d.tracer.close(shutdownTimeout / 2)
 		}
-		if d.cfg.StateDir != "" {
-			_ = writeSnapshot(d.cfg.StateDir, d.core.Snapshot())
+		if d.config.StateDir != "" {
+			_ = writeSnapshot(d.config.StateDir, d.core.Snapshot())
 		}
-		d.front.Close()
+		d.files.Close()
 		close(closed)
 	}()
 	select { // a slow disk must not hold up the end: an unfinished file is swept at the next start
 	case <-closed:
-	case <-time.After(endWithin):
+	case <-time.After(shutdownTimeout):
 	}
 	d.log.Info("stopped", zap.Uint64("steps", d.core.Steps()))
 }
 
-// endWithin is how long the end waits for files that are being written; a second is all there is for an end.
-const endWithin = 300 * time.Millisecond
+// shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
+const shutdownTimeout = 300 * time.Millisecond
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -12,40 +12,40 @@
 
 // LevelRequest is the body of POST /levels/say.
 type LevelRequest struct {
-	Do     degradation.Action     `json:"do"`    // force, forbid or hold
-	Zone   policyapi.Zone         `json:"zone"`  // empty: the fleet
-	Level  string                 `json:"level"` // of force and forbid: its name
-	For    policyapi.Microseconds `json:"for_us"`
-	Reason string                 `json:"reason"`
+	Action   degradation.Action     `json:"do"`    // force, forbid or hold
+	Zone     policyapi.Zone         `json:"zone"`  // empty: the fleet
+	Level    string                 `json:"level"` // of force and forbid: its name
+	Duration policyapi.Microseconds `json:"for_us"`
+	Reason   string                 `json:"reason"`
 }
 
-// UnsayRequest is the body of POST /levels/unsay.
-type UnsayRequest struct {
+// ClearLevelRequest is the body of POST /levels/unsay.
+type ClearLevelRequest struct {
 	ID     int    `json:"id"`
 	Reason string `json:"reason"`
 }
 
 // LevelAnswer answers both.
 type LevelAnswer struct {
-	Word  degradation.Override `json:"word"`
-	Error string               `json:"error,omitempty"`
+	Override degradation.Override `json:"word"`
+	Error    string               `json:"error,omitempty"`
 }
 
 // levelOperation reads an operator's request about levels; what it returns runs in the loop that owns the core.
 func (d *Daemon) levelOperation(req *http.Request, read func(any) error) (func(*coordinator.Core) []byte, int, error) {
 	answer := func(c *coordinator.Core, w degradation.Override, err error, record capture.Command) []byte {
 		if err != nil {
-			return text(LevelAnswer{w, err.Error()})
+			return encodeAnswer(LevelAnswer{w, err.Error()})
 		}
 		d.capture(&capture.Record{Command: &record})
-		d.remember(c.Now(), true) // it survives a crash from here on
-		return text(LevelAnswer{Word: w})
+		d.saveSnapshot(c.Now(), true) // it survives a crash from here on
+		return encodeAnswer(LevelAnswer{Override: w})
 	}
 	switch req.URL.Path {
 	case "/levels":
-		return func(c *coordinator.Core) []byte { return text(c.Degradation()) }, 0, nil
+		return func(c *coordinator.Core) []byte { return encodeAnswer(c.Degradation()) }, 0, nil
 	case "/levels/unsay":
-		var r UnsayRequest
+		var r ClearLevelRequest
 		if err := read(&r); err != nil {
 			return nil, http.StatusBadRequest, err
 		}
@@ -58,12 +58,12 @@
 	if err := read(&r); err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	level, known := d.set.Degradation.LevelNamed(r.Level)
-	if !known && r.Do != degradation.HoldLevel {
+	level, known := d.coreSettings.Degradation.LevelNamed(r.Level)
+	if !known && r.Action != degradation.HoldLevel {
 		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", degradation.ErrUnknownLevel, r.Level)
 	}
 	return func(c *coordinator.Core) []byte {
-		w := degradation.Override{Action: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
+		w := degradation.Override{Action: r.Action, Zone: r.Zone, Level: level, Until: c.Now() + r.Duration, Reason: r.Reason}
 		said, err := c.SetLevelOverride(w)
 		return answer(c, said, err, capture.Command{SetOverride: &w})
 	}, 0, nil
--- a/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -13,21 +13,21 @@
 	"porthub/registry/eureka"
 )
 
-// Nodes is what GET /nodes answers.
-type Nodes struct {
+// Endpoints is what GET /nodes answers.
+type Endpoints struct {
 	Now        policyapi.Microseconds  `json:"now_us"`
-	Nodes      []membership.Decision   `json:"nodes"`
+	Decisions  []membership.Decision   `json:"nodes"`
 	Registries map[string]eureka.Stats `json:"registries,omitempty"`
 }
 
-// NodeRequest is the body of POST /nodes/drain and /nodes/undrain.
-type NodeRequest struct {
-	Node   policyapi.EndpointID `json:"node"`
-	Reason string               `json:"reason"`
+// EndpointRequest is the body of POST /nodes/drain and /nodes/undrain.
+type EndpointRequest struct {
+	Endpoint policyapi.EndpointID `json:"node"`
+	Reason   string               `json:"reason"`
 }
 
-// NodeAnswer answers it.
-type NodeAnswer struct {
+// EndpointAnswer answers it.
+type EndpointAnswer struct {
 	Error string `json:"error,omitempty"`
 }
 
@@ -35,17 +35,17 @@
 func (d *Daemon) nodeOperation(req *http.Request, read func(any) error) (func(*coordinator.Core) []byte, int, error) {
 	if req.Method+" "+req.URL.Path == "GET /nodes" {
 		return func(c *coordinator.Core) []byte {
-			n := Nodes{Now: c.Status().Now, Nodes: c.Members()}
-			for i, e := range d.eureka {
+			n := Endpoints{Now: c.Status().Now, Decisions: c.Members()}
+			for i, e := range d.registries {
 				if n.Registries == nil {
 					n.Registries = map[string]eureka.Stats{}
 				}
-				n.Registries[d.cfg.Registry.Eureka[i].Name] = e.Stats()
+				n.Registries[d.config.Registry.Eureka[i].Name] = e.Stats()
 			}
-			return text(n)
+			return encodeAnswer(n)
 		}, 0, nil
 	}
-	var r NodeRequest
+	var r EndpointRequest
 	if err := read(&r); err != nil {
 		return nil, http.StatusBadRequest, err
 	}
@@ -53,16 +53,16 @@
 		var err error
 		var record capture.Command
 		if req.URL.Path == "/nodes/drain" {
-			err, record = c.DrainNode(r.Node, r.Reason), capture.Command{Drain: r.Node, Reason: r.Reason}
+			err, record = c.DrainNode(r.Endpoint, r.Reason), capture.Command{Drain: r.Endpoint, Reason: r.Reason}
 		} else {
-			err, record = c.UndrainNode(r.Node, r.Reason), capture.Command{Undrain: r.Node, Reason: r.Reason}
+			err, record = c.UndrainNode(r.Endpoint, r.Reason), capture.Command{Undrain: r.Endpoint, Reason: r.Reason}
 		}
 		if err != nil {
-			return text(NodeAnswer{err.Error()})
+			return encodeAnswer(EndpointAnswer{err.Error()})
 		}
 		d.capture(&capture.Record{Command: &record})
-		d.remember(c.Status().Now, true) // it survives a crash from here on
-		return text(NodeAnswer{})
+		d.saveSnapshot(c.Status().Now, true) // it survives a crash from here on
+		return encodeAnswer(EndpointAnswer{})
 	}, 0, nil
 }
 
@@ -84,28 +84,28 @@
 }
 
 // Estimates is what GET /intake answers.
-type Heard struct {
-	Now      policyapi.Microseconds         `json:"now_us"`
-	Intake   loadreport.Stats               `json:"intake"`
-	Deferred int64                          `json:"deferred"` // reports that were answered 429
-	Inbox    int                            `json:"inbox"`    // waiting for the core
-	Steps    Times                          `json:"step_us"`
-	Nodes    []coordinator.EndpointEstimate `json:"nodes"`
+type SamplingStatus struct {
+	Now       policyapi.Microseconds         `json:"now_us"`
+	Sampling  loadreport.Stats               `json:"intake"`
+	Deferred  int64                          `json:"deferred"` // reports that were answered 429
+	Inbox     int                            `json:"inbox"`    // waiting for the core
+	StepTimes Latencies                      `json:"step_us"`
+	Endpoints []coordinator.EndpointEstimate `json:"nodes"`
 }
 
-func (d *Daemon) heard(c *coordinator.Core) []byte {
+func (d *Daemon) samplingAnswer(c *coordinator.Core) []byte {
 	stats, nodes := c.Estimates()
-	return text(Heard{c.Now(), stats, d.server.deferred.Load(), d.inbox.Len(), Times{d.took.TotalCount(), d.took.ValueAtQuantile(50), d.took.ValueAtQuantile(99),
-		d.took.Max()}, nodes})
+	return encodeAnswer(SamplingStatus{c.Now(), stats, d.server.deferredReports.Load(), d.inbox.Len(), Latencies{d.stepTimes.TotalCount(), d.stepTimes.ValueAtQuantile(50), d.stepTimes.ValueAtQuantile(99),
+		d.stepTimes.Max()}, nodes})
 }
 
-// look answers with an overview: a new one if one may be made, else the last.
-func (d *Daemon) look(c *coordinator.Core) []byte {
+// overviewAnswer answers with an overview: a new one if one may be made, else the last.
+func (d *Daemon) overviewAnswer(c *coordinator.Core) []byte {
 	began := time.Now()
 	if began.Before(d.overviewAt) {
 		return d.overview
 	}
-	d.overview = text(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.tail})
+	d.overview = encodeAnswer(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.logTail})
 	d.overviewAt = began.Add(time.Duration(loadreport.OverviewInterval(policyapi.Microseconds(time.Since(began).Microseconds()))) * time.Microsecond)
 	return d.overview
 }
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -18,7 +18,7 @@
 	"porthub/xds"
 )
 
-func (r *rig) post(path string, body any) (answer NodeAnswer) {
+func (r *rig) post(path string, body any) (answer EndpointAnswer) {
 	r.t.Helper()
 	text, _ := json.Marshal(body)
 	res, err := http.Post("http://"+r.d.Addr()+path, "application/json", bytes.NewReader(text))
@@ -32,7 +32,7 @@
 	return answer
 }
 
-func (r *rig) verdicts() (n Nodes) {
+func (r *rig) verdicts() (n Endpoints) {
 	r.t.Helper()
 	res, err := http.Get("http://" + r.d.Addr() + "/nodes")
 	if err != nil {
@@ -61,13 +61,13 @@
 		return false
 	}
 	r.until("lines", func() bool { return open("127.0.0.1:9001") })
-	if a := r.post("/nodes/drain", NodeRequest{Node: "127.0.0.1:9001"}); a.Error == "" {
+	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9001"}); a.Error == "" {
 		t.Error("a drain without a reason")
 	}
-	if a := r.post("/nodes/drain", NodeRequest{Node: "127.0.0.1:9999", Reason: "x"}); a.Error == "" {
+	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9999", Reason: "x"}); a.Error == "" {
 		t.Error("a node that nobody names")
 	}
-	if a := r.post("/nodes/drain", NodeRequest{Node: "127.0.0.1:9001", Reason: "disk"}); a.Error != "" {
+	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9001", Reason: "disk"}); a.Error != "" {
 		t.Fatal(a.Error)
 	}
 	r.until("the node out", func() bool { return !open("127.0.0.1:9001") && open("127.0.0.1:9002") })
@@ -80,10 +80,10 @@
 	r.start(nil)
 	g = r.gateway("gw-1", "a")
 	r.until("tables without it", func() bool { return !open("127.0.0.1:9001") && open("127.0.0.1:9002") })
-	if i := slices.IndexFunc(r.verdicts().Nodes, func(v membership.Decision) bool { return v.Endpoint == "127.0.0.1:9001" && v.StateName == "draining" }); i < 0 {
+	if i := slices.IndexFunc(r.verdicts().Decisions, func(v membership.Decision) bool { return v.Endpoint == "127.0.0.1:9001" && v.StateName == "draining" }); i < 0 {
 		t.Errorf("%+v", r.verdicts())
 	}
-	if a := r.post("/nodes/undrain", NodeRequest{Node: "127.0.0.1:9001", Reason: "mended"}); a.Error != "" {
+	if a := r.post("/nodes/undrain", EndpointRequest{Endpoint: "127.0.0.1:9001", Reason: "mended"}); a.Error != "" {
 		t.Fatal(a.Error)
 	}
 	r.until("the node back", func() bool { return open("127.0.0.1:9001") })
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -24,16 +24,16 @@
 	Table    policyapi.TableID `json:"table"`
 	Zone     policyapi.Zone    `json:"zone,omitempty"` // of the gateways bound to it
 	Gateways int               `json:"gateways"`
-	Versions []VersionOf       `json:"versions"`
+	Versions []TableVersion    `json:"versions"`
 }
 
-// VersionOf is one version of a table.
-type VersionOf struct {
-	Version routing.Version          `json:"version"`
-	At      policyapi.Microseconds   `json:"at_us"`
-	Lines   []routing.EndpointWeight `json:"lines"`
+// TableVersion is one version of a table.
+type TableVersion struct {
+	Version   routing.Version          `json:"version"`
+	At        policyapi.Microseconds   `json:"at_us"`
+	Endpoints []routing.EndpointWeight `json:"lines"`
 	// Overrides is what the weight solver had in their place, by request kind.
-	Acting map[string][]routing.EndpointWeight `json:"acting,omitempty"`
+	Overrides map[string][]routing.EndpointWeight `json:"acting,omitempty"`
 }
 
 // PinRequest is the body of POST /tables/pin. Of version and ago_us at most one is set; neither holds what is in force.
@@ -52,8 +52,8 @@
 	Reason string `json:"reason"`
 }
 
-// Operated answers a pin or unpin.
-type Operated struct {
+// PinAnswer answers a pin or unpin.
+type PinAnswer struct {
 	Pin   routing.Pin `json:"pin"`
 	Error string      `json:"error,omitempty"`
 }
@@ -71,7 +71,7 @@
 	case "GET /nodes", "POST /nodes/drain", "POST /nodes/undrain":
 		return d.nodeOperation(req, read)
 	case "GET /tables/versions":
-		return func(c *coordinator.Core) []byte { return text(versions(c)) }, 0, nil
+		return func(c *coordinator.Core) []byte { return encodeAnswer(tableVersions(c)) }, 0, nil
 	case "POST /tables/pin":
 		var r PinRequest
 		if err := read(&r); err != nil {
@@ -100,7 +100,7 @@
 			if err == nil {
 				d.capture(&capture.Record{Command: &capture.Command{Pin: &p}})
 			}
-			return operated(held, err)
+			return pinAnswer(held, err)
 		}, 0, nil
 	case "POST /tables/unpin":
 		var r UnpinRequest
@@ -112,21 +112,21 @@
 			if err == nil {
 				d.capture(&capture.Record{Command: &capture.Command{Unpin: r.ID, Reason: r.Reason}})
 			}
-			return operated(p, err)
+			return pinAnswer(p, err)
 		}, 0, nil
 	}
 	return nil, http.StatusNotFound, fmt.Errorf("nothing answers %s %s", req.Method, req.URL.Path)
 }
 
-func operated(p routing.Pin, err error) []byte {
-	o := Operated{Pin: p}
+func pinAnswer(p routing.Pin, err error) []byte {
+	o := PinAnswer{Pin: p}
 	if err != nil {
 		o.Error = err.Error()
 	}
-	return text(o)
+	return encodeAnswer(o)
 }
 
-func text(v any) []byte {
+func encodeAnswer(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return fmt.Appendf(nil, `{"error": %q}`, err)
@@ -134,7 +134,7 @@
 	return b
 }
 
-func versions(c *coordinator.Core) Versions {
+func tableVersions(c *coordinator.Core) Versions {
 	s := c.Status()
 	v := Versions{Now: s.Now, Pins: c.Versions().Pins()}
 	zones, users := map[policyapi.TableID]policyapi.Zone{}, map[policyapi.TableID]int{}
@@ -150,12 +150,12 @@
 	for _, t := range c.Versions().Tables() {
 		one := TableVersions{Table: t, Zone: zones[t], Gateways: users[t]}
 		for _, e := range c.Versions().Versions(t) {
-			of := VersionOf{Version: e.Version, At: e.CreatedAt, Lines: e.State.Entries()}
+			of := TableVersion{Version: e.Version, At: e.CreatedAt, Endpoints: e.State.Entries()}
 			for kind, s := range e.Overrides {
-				if of.Acting == nil {
-					of.Acting = map[string][]routing.EndpointWeight{}
+				if of.Overrides == nil {
+					of.Overrides = map[string][]routing.EndpointWeight{}
 				}
-				of.Acting[c.ClassName(kind)] = s.Entries()
+				of.Overrides[c.ClassName(kind)] = s.Entries()
 			}
 			one.Versions = append(one.Versions, of)
 		}
--- a/daemon/pinned_test.go
+++ b/daemon/pinned_test.go
@@ -17,10 +17,10 @@
 func documents(t *testing.T) map[string]any {
 	t.Helper()
 	return map[string]any{
-		"tables": testutil.Filled[Standing](t), "versions": testutil.Filled[Versions](t), "pin-request": testutil.Filled[PinRequest](t),
-		"unpin-request": testutil.Filled[UnpinRequest](t), "pin-answer": testutil.Filled[Operated](t), "nodes": testutil.Filled[Nodes](t),
-		"node-request": testutil.Filled[NodeRequest](t), "node-answer": testutil.Filled[NodeAnswer](t), "intake": testutil.Filled[Heard](t),
-		"level-request": testutil.Filled[LevelRequest](t), "unsay-request": testutil.Filled[UnsayRequest](t),
+		"tables": testutil.Filled[Status](t), "versions": testutil.Filled[Versions](t), "pin-request": testutil.Filled[PinRequest](t),
+		"unpin-request": testutil.Filled[UnpinRequest](t), "pin-answer": testutil.Filled[PinAnswer](t), "nodes": testutil.Filled[Endpoints](t),
+		"node-request": testutil.Filled[EndpointRequest](t), "node-answer": testutil.Filled[EndpointAnswer](t), "intake": testutil.Filled[SamplingStatus](t),
+		"level-request": testutil.Filled[LevelRequest](t), "unsay-request": testutil.Filled[ClearLevelRequest](t),
 		"level-answer": testutil.Filled[LevelAnswer](t), "levels": testutil.Filled[coordinator.DegradationStatus](t),
 		"overview": testutil.Filled[coordinator.LoggedOverview](t),
 	}
@@ -63,7 +63,7 @@
 // A list that the build before the renames saved is read to the same value.
 func TestPinnedListReads(t *testing.T) {
 	testutil.RequireKeys(t, "json", reflect.TypeFor[savedList]())
-	want := savedList{Version: 7, Entries: []policyapi.Endpoint{testutil.Filled[policyapi.Endpoint](t)}}
+	want := savedList{Version: 7, Endpoints: []policyapi.Endpoint{testutil.Filled[policyapi.Endpoint](t)}}
 	text, err := json.Marshal(want)
 	if err != nil {
 		t.Fatal(err)
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -10,17 +10,17 @@
 	"porthub/xds"
 )
 
-// probeOptions are those of our own nodes: their names are where they answer, their figures ride on a header.
-func probeOptions(cfg config.Probes) healthcheck.Options {
+// healthCheckOptions are those of our own nodes: their names are where they answer, their figures ride on a header.
+func healthCheckOptions(cfg config.Probes) healthcheck.Options {
 	return healthcheck.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.AtOnce,
 		URL: func(b policyapi.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
 		Metrics: func(res *http.Response) policyapi.LoadMetrics {
-			return loads(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
+			return loadMetrics(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
 		}}
 }
 
-// loads turns figures by their ORCA names into the module's.
-func loads(by map[string]float64) policyapi.LoadMetrics {
+// loadMetrics turns figures by their ORCA names into the module's.
+func loadMetrics(by map[string]float64) policyapi.LoadMetrics {
 	var out policyapi.LoadMetrics
 	for name, v := range by {
 		if known, has := config.LoadNames[name]; has {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -28,69 +28,69 @@
 
 // Bounds on what one peer may cost.
 const (
-	headMost   = 16 << 10        // bytes of a request's head
-	bodyMost   = 4 << 20         // bytes of its body: a report on a thousand nodes takes a tenth
-	unsentMost = 1 << 20         // answers that a peer has not taken
-	partWithin = 5 * time.Second // a request that has begun is whole within this
+	maxHeadBytes   = 16 << 10        // bytes of a request's head
+	maxBodyBytes   = 4 << 20         // bytes of its body: a report on a thousand nodes takes a tenth
+	maxUnsentBytes = 1 << 20         // answers that a peer has not taken
+	requestTimeout = 5 * time.Second // a request that has begun is whole within this
 )
 
 // server speaks HTTP/1.1 on gnet's event loops.
 type server struct {
 	gnet.BuiltinEventEngine
-	d      *Daemon
-	addr   string
-	engine gnet.Engine
-	booted chan struct{}
-	next   atomic.Uint64
-	peers  *xsync.Map[coordinator.ConnID, *peer]
-	// main has each gateway's connection that counts as its link. One that polls may have more: they carry polls alone.
-	main     *xsync.Map[coordinator.Gateway, *peer]
-	ended    chan error
-	from     *xsync.Map[string, *atomic.Int64] // connections by address
-	deferred atomic.Int64                      // reports that were told to come later
-	refused  atomic.Int64                      // since the core was told
-	toldAt   atomic.Int64                      // when, nanoseconds
+	daemon      *Daemon
+	addr        string
+	engine      gnet.Engine
+	booted      chan struct{}
+	lastID      atomic.Uint64
+	connections *xsync.Map[coordinator.ConnID, *connection]
+	// links has each gateway's connection that counts as its link. One that polls may have more: they carry polls alone.
+	links                *xsync.Map[coordinator.Gateway, *connection]
+	stopped              chan error
+	byAddress            *xsync.Map[string, *atomic.Int64] // connections by address
+	deferredReports      atomic.Int64                      // reports that were told to come later
+	rejected             atomic.Int64                      // since the core was told
+	rejectionsReportedAt atomic.Int64                      // when, nanoseconds
 }
 
-// refuse counts an error that a peer was answered with, and tells the core once a second at most: one that sends garbage
+// countRejection counts an error that a peer was answered with, and tells the core once a second at most: one that sends garbage
 // at full speed must not fill the inbox.
-func (s *server) refuse(from, why string) {
-	s.refused.Add(1)
-	now, last := time.Now().UnixNano(), s.toldAt.Load()
-	if now-last < int64(time.Second) || !s.toldAt.CompareAndSwap(last, now) {
+func (s *server) countRejection(from, why string) {
+	s.rejected.Add(1)
+	now, last := time.Now().UnixNano(), s.rejectionsReportedAt.Load()
+	if now-last < int64(time.Second) || !s.rejectionsReportedAt.CompareAndSwap(last, now) {
 		return
 	}
-	n := int(s.refused.Swap(0))
-	s.d.inbox.TryPut(event{inputs: []coordinator.Input{coordinator.PeerRejected{From: from, Reason: why, Count: n}}})
+	n := int(s.rejected.Swap(0))
+	s.daemon.inbox.TryPut(mailboxItem{inputs: []coordinator.Input{coordinator.PeerRejected{From: from, Reason: why, Count: n}}})
 }
 
-// peer is one connection. Only its event loop touches it, but for out.
-type peer struct {
-	id      coordinator.ConnID
-	out     gnet.Conn
-	gateway coordinator.Gateway // empty until it has named itself
-	partAt  time.Time           // when the request that is not whole yet began
-	waiting atomic.Bool         // a request is with the core, or a poll is held
-	from    *atomic.Int64       // connections of its address
-	polls   bool
-	joined  bool // the core has been told that it is its gateway's link
+// connection is one connection. Only its event loop touches it, but for out.
+type connection struct {
+	id             coordinator.ConnID
+	conn           gnet.Conn
+	gateway        coordinator.Gateway // empty until it has named itself
+	requestBeganAt time.Time           // when the request that is not whole yet began
+	busy           atomic.Bool         // a request is with the core, or a poll is held
+	addressCount   *atomic.Int64       // connections of its address
+	polls          bool
+	announced      bool // the core has been told that it is its gateway's link
 	// requests that came on it
-	requests int
-	reported time.Time          // when its last report was taken
-	link     coordinator.ConnID // the gateway's main connection; its own if it is that
-	cancel   atomic.Pointer[func()]
+	requests   int
+	reportedAt time.Time          // when its last report was taken
+	linkID     coordinator.ConnID // the gateway's main connection; its own if it is that
+	cancelPoll atomic.Pointer[func()]
 }
 
 func listen(d *Daemon, addr string) (*server, error) {
-	s := &server{d: d, booted: make(chan struct{}), peers: xsync.NewMap[coordinator.ConnID, *peer](), from: xsync.NewMap[string, *atomic.Int64](),
-		main: xsync.NewMap[coordinator.Gateway, *peer](), ended: make(chan error, 1)}
+	s := &server{daemon: d, booted: make(chan struct{}), connections: xsync.NewMap[coordinator.ConnID, *connection](), byAddress: xsync.NewMap[string, *atomic.Int64](),
+		links: xsync.NewMap[coordinator.Gateway, *connection](), stopped: make(chan error, 1)}
 	go func() {
-		s.ended <- gnet.Run(s, "tcp://"+addr, gnet.WithMulticore(true), gnet.WithTicker(true), gnet.WithReuseAddr(true), gnet.WithReadBufferCap(64<<10),
+		s.stopped <- gnet.Run(s, "tcp://"+addr, gnet.WithMulticore(true), gnet.WithTicker(true), gnet.WithReuseAddr(true), gnet.WithReadBufferCap(64<<10),
 			gnet.WithLogger(zap.NewNop().Sugar()))
 	}()
 	select {
 	case <-s.booted:
-	case err := <-s.ended:
+	case err := <-s.stopped:
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	case <-time.After(10 * time.Second):
 		return nil, fmt.Errorf("listen on %s: not up after 10 s", addr)
@@ -122,108 +122,108 @@
 	if err != nil {
 		return nil, gnet.Close
 	}
-	from, _ := s.from.LoadOrCompute(host, func() (*atomic.Int64, bool) { return &atomic.Int64{}, false })
-	if s.peers.Size() >= s.d.cfg.Limits.Connections || from.Load() >= int64(s.d.cfg.Limits.PerAddress) {
-		s.refuse(host, "as many connections stand as may")
+	from, _ := s.byAddress.LoadOrCompute(host, func() (*atomic.Int64, bool) { return &atomic.Int64{}, false })
+	if s.connections.Size() >= s.daemon.config.Limits.Connections || from.Load() >= int64(s.daemon.config.Limits.PerAddress) {
+		s.countRejection(host, "as many connections stand as may")
 		return http1.Answer(http.StatusServiceUnavailable, "text/plain", []byte("as many connections stand as may\n"), true), gnet.Close
 	}
 	from.Add(1)
-	p := &peer{id: coordinator.ConnID(s.next.Add(1)), out: c, from: from}
+	p := &connection{id: coordinator.ConnID(s.lastID.Add(1)), conn: c, addressCount: from}
 	c.SetContext(p)
-	s.peers.Store(p.id, p)
+	s.connections.Store(p.id, p)
 	return nil, gnet.None
 }
 
 // OnClose is a leave if the connection had a name. If the inbox is full the core finds the silence by itself.
 func (s *server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	p, is := c.Context().(*peer)
+	p, is := c.Context().(*connection)
 	if !is {
 		return gnet.None
 	}
-	s.peers.Delete(p.id)
-	p.from.Add(-1)
-	if cancel := p.cancel.Load(); cancel != nil {
+	s.connections.Delete(p.id)
+	p.addressCount.Add(-1)
+	if cancel := p.cancelPoll.Load(); cancel != nil {
 		(*cancel)()
 	}
-	if p.joined {
-		s.forget(p.gateway, p)
-		s.d.inbox.TryPut(event{inputs: []coordinator.Input{coordinator.GatewayDisconnected{Gateway: p.gateway, Conn: p.id}}})
+	if p.announced {
+		s.removeLink(p.gateway, p)
+		s.daemon.inbox.TryPut(mailboxItem{inputs: []coordinator.Input{coordinator.GatewayDisconnected{Gateway: p.gateway, Conn: p.id}}})
 	}
 	return gnet.None
 }
 
 // OnTick closes connections whose request has not become whole in time.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
-	s.peers.Range(func(_ coordinator.ConnID, p *peer) bool {
-		_ = p.out.Wake(nil) // its own loop looks at partAt
+	s.connections.Range(func(_ coordinator.ConnID, p *connection) bool {
+		_ = p.conn.Wake(nil) // its own loop looks at partAt
 		return true
 	})
-	return partWithin / 2, gnet.None
+	return requestTimeout / 2, gnet.None
 }
 
 // OnTraffic takes whole requests from a connection, one at a time: the next one is read once the last is answered.
 func (s *server) OnTraffic(c gnet.Conn) gnet.Action {
-	p, is := c.Context().(*peer)
+	p, is := c.Context().(*connection)
 	if !is {
 		return gnet.Close
 	}
-	if c.OutboundBuffered() > unsentMost {
+	if c.OutboundBuffered() > maxUnsentBytes {
 		return gnet.Close // it takes no answers
 	}
-	for !p.waiting.Load() {
+	for !p.busy.Load() {
 		buf, err := c.Peek(-1)
 		if err != nil || len(buf) == 0 {
-			p.partAt = time.Time{}
+			p.requestBeganAt = time.Time{}
 			return gnet.None
 		}
-		if p.partAt.IsZero() {
-			p.partAt = time.Now()
+		if p.requestBeganAt.IsZero() {
+			p.requestBeganAt = time.Now()
 		}
-		req, body, whole, err := http1.Take(buf, http1.Limits{Head: headMost, Body: bodyMost})
+		req, body, whole, err := http1.Take(buf, http1.Limits{Head: maxHeadBytes, Body: maxBodyBytes})
 		if err != nil {
 			code, why := http.StatusBadRequest, err.Error()
 			if e, is := err.(*http1.Error); is {
 				code, why = e.Code, e.Why
 			}
-			return s.end(c, code, why)
+			return s.rejectAndClose(c, code, why)
 		}
 		if whole == 0 {
-			return s.patience(p)
+			return s.checkRequestTimeout(p)
 		}
 		if _, err := c.Discard(whole); err != nil {
 			return gnet.Close
 		}
-		p.partAt = time.Time{}
-		if p.requests++; s.d.cfg.Limits.Requests > 0 && p.requests > s.d.cfg.Limits.Requests {
-			return s.end(c, http.StatusTooManyRequests, fmt.Sprintf("a connection has %d requests: open another", s.d.cfg.Limits.Requests))
+		p.requestBeganAt = time.Time{}
+		if p.requests++; s.daemon.config.Limits.Requests > 0 && p.requests > s.daemon.config.Limits.Requests {
+			return s.rejectAndClose(c, http.StatusTooManyRequests, fmt.Sprintf("a connection has %d requests: open another", s.daemon.config.Limits.Requests))
 		}
 		s.serve(p, req, body)
 	}
-	if c.InboundBuffered() > headMost+bodyMost {
+	if c.InboundBuffered() > maxHeadBytes+maxBodyBytes {
 		return gnet.Close // it sends on without waiting for answers
 	}
 	return gnet.None
 }
 
-func (s *server) patience(p *peer) gnet.Action {
-	if time.Since(p.partAt) > partWithin {
-		s.refuse("a request that does not end", p.out.RemoteAddr().String())
+func (s *server) checkRequestTimeout(p *connection) gnet.Action {
+	if time.Since(p.requestBeganAt) > requestTimeout {
+		s.countRejection("a request that does not end", p.conn.RemoteAddr().String())
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// end answers with an error and closes: what follows on the connection can't be told apart.
-func (s *server) end(c gnet.Conn, code int, why string) gnet.Action {
-	s.refuse(c.RemoteAddr().String(), why)
+// rejectAndClose answers with an error and closes: what follows on the connection can't be told apart.
+func (s *server) rejectAndClose(c gnet.Conn, code int, why string) gnet.Action {
+	s.countRejection(c.RemoteAddr().String(), why)
 	_, _ = c.Write(http1.Answer(code, "text/plain", []byte(why+"\n"), true))
 	return gnet.Close
 }
 
 // answer sends a response and lets the connection's next request be read.
-func (s *server) answer(p *peer, code int, kind string, body []byte) {
-	p.waiting.Store(false)
-	_ = p.out.AsyncWrite(http1.Answer(code, kind, body, false), func(c gnet.Conn, err error) error {
+func (s *server) answer(p *connection, code int, kind string, body []byte) {
+	p.busy.Store(false)
+	_ = p.conn.AsyncWrite(http1.Answer(code, kind, body, false), func(c gnet.Conn, err error) error {
 		if err == nil && c != nil && c.InboundBuffered() > 0 {
 			return c.Wake(nil)
 		}
@@ -237,10 +237,10 @@
 )
 
 // serve answers one request, at once or after the core has taken its input.
-func (s *server) serve(p *peer, req *http.Request, body []byte) {
-	p.waiting.Store(true)
+func (s *server) serve(p *connection, req *http.Request, body []byte) {
+	p.busy.Store(true)
 	fail := func(code int, why string) {
-		s.refuse(req.Method+" "+req.URL.Path, why)
+		s.countRejection(req.Method+" "+req.URL.Path, why)
 		s.answer(p, code, textType, []byte(why+"\n"))
 	}
 	read := func(m proto.Message) error {
@@ -270,65 +270,65 @@
 		}
 		ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.VersionInfo,
 			Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
-		s.hand(p, node, &ack, func([]byte) {
+		s.submit(p, node, &ack, func([]byte) {
 			if !node.Polls {
 				s.answer(p, http.StatusNotModified, "", nil)
 				return
 			}
-			s.hold(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.Hold})
+			s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.Hold})
 		}, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.DeltaPath:
-		s.delta(p, req, coordinator.EndpointsDocument, xds.LineType, read, fail)
+		s.serveDelta(p, req, coordinator.EndpointsDocument, xds.LineType, read, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.RouteDeltaPath:
-		s.delta(p, req, coordinator.RoutesDocument, xds.RouteType, read, fail)
+		s.serveDelta(p, req, coordinator.RoutesDocument, xds.RouteType, read, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.LoadPath:
 		m := &loadv3.LoadStatsRequest{}
 		err := read(m)
 		var report coordinator.LoadReport
 		var node xds.Node
 		if err == nil {
-			node, report, err = readReport(m)
+			node, report, err = convertReport(m)
 		}
 		if err != nil {
 			fail(http.StatusBadRequest, err.Error())
 			return
 		}
 		// A gateway whose last report is young waits while the core is behind: the others' come first.
-		if loadreport.ShouldDefer(s.d.inbox.Len(), plainLength, policyapi.Microseconds(time.Since(p.reported).Microseconds()), policyapi.Microseconds(s.d.cfg.Reports.Period)) {
-			s.deferred.Add(1)
+		if loadreport.ShouldDefer(s.daemon.inbox.Len(), normalCapacity, policyapi.Microseconds(time.Since(p.reportedAt).Microseconds()), policyapi.Microseconds(s.daemon.config.Reports.Period)) {
+			s.deferredReports.Add(1)
 			s.answer(p, http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
 			return
 		}
-		p.reported = time.Now()
-		text, err := xds.Encode(xds.Reporting(policyapi.Microseconds(s.d.cfg.Reports.Period) * policyapi.Microseconds(max(1, s.d.stretch.Load()))))
+		p.reportedAt = time.Now()
+		text, err := xds.Encode(xds.Reporting(policyapi.Microseconds(s.daemon.config.Reports.Period) * policyapi.Microseconds(max(1, s.daemon.reportIntervalFactor.Load()))))
 		if err != nil {
 			fail(http.StatusInternalServerError, err.Error())
 			return
 		}
-		s.hand(p, node, &report, func([]byte) { s.answer(p, http.StatusOK, jsonType, text) }, fail)
+		s.submit(p, node, &report, func([]byte) { s.answer(p, http.StatusOK, jsonType, text) }, fail)
 	case req.Method == http.MethodGet && req.URL.Path == "/tables":
-		if !s.d.inbox.TryPut(event{query: s.d.standing, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
+		if !s.daemon.inbox.TryPut(mailboxItem{query: s.daemon.statusAnswer, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
 			fail(http.StatusServiceUnavailable, "busy")
 		}
 	case req.Method == http.MethodGet && req.URL.Path == "/overview":
-		if !s.d.inbox.TryPutUrgent(event{query: s.d.look, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
+		if !s.daemon.inbox.TryPutUrgent(mailboxItem{query: s.daemon.overviewAnswer, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
 			fail(http.StatusServiceUnavailable, "busy")
 		}
 	case req.Method == http.MethodGet && req.URL.Path == "/intake":
-		if !s.d.inbox.TryPutUrgent(event{query: s.d.heard, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
+		if !s.daemon.inbox.TryPutUrgent(mailboxItem{query: s.daemon.samplingAnswer, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
 			fail(http.StatusServiceUnavailable, "busy")
 		}
 	case strings.HasPrefix(req.URL.Path, "/tables/"), req.URL.Path == "/nodes", req.URL.Path == "/levels", strings.HasPrefix(req.URL.Path, "/levels/"), strings.HasPrefix(req.URL.Path, "/nodes/"):
-		operate, code, err := s.d.operation(req, body)
+		operate, code, err := s.daemon.operation(req, body)
 		if err != nil {
 			fail(code, err.Error())
 			return
 		}
-		put := s.d.inbox.TryPut
+		put := s.daemon.inbox.TryPut
 		if req.Method == http.MethodPost { // an operator's word does not wait behind reports
-			put = s.d.inbox.TryPutUrgent
+			put = s.daemon.inbox.TryPutUrgent
 		}
-		if !put(event{query: operate, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
+		if !put(mailboxItem{query: operate, reply: func(text []byte) { s.answer(p, http.StatusOK, jsonType, text) }}) {
 			fail(http.StatusServiceUnavailable, "busy")
 		}
 	default:
@@ -336,15 +336,15 @@
 	}
 }
 
-// hand gives the core what a gateway said, after its join if these are its first words. A connection keeps the name it
+// submit gives the core what a gateway said, after its join if these are its first words. A connection keeps the name it
 // began with. One that polls may have several connections: the first that stands is its link.
-func (s *server) hand(p *peer, node xds.Node, in any, done func([]byte), fail func(int, string)) {
+func (s *server) submit(p *connection, node xds.Node, in any, done func([]byte), fail func(int, string)) {
 	name := coordinator.Gateway(node.Name)
 	if p.gateway != "" && p.gateway != name {
 		fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", p.gateway))
 		return
 	}
-	if node.Polls && !s.d.cfg.Front.Poll.Enabled {
+	if node.Polls && !s.daemon.config.Front.Poll.Enabled {
 		fail(http.StatusNotImplemented, "polling is off: front.poll.enabled")
 		return
 	}
@@ -354,7 +354,7 @@
 	// Which connection is the gateway's link is settled in one go: two polls of one gateway may come at once, on two
 	// loops, and must not each take the other's place.
 	conflict := false
-	main, _ := s.main.Compute(name, func(m *peer, stands bool) (*peer, xsync.ComputeOp) {
+	main, _ := s.links.Compute(name, func(m *connection, stands bool) (*connection, xsync.ComputeOp) {
 		switch {
 		case !stands || m == p:
 			return p, xsync.UpdateOp
@@ -372,7 +372,7 @@
 		return
 	}
 	var inputs []coordinator.Input
-	if main == p && !p.joined {
+	if main == p && !p.announced {
 		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: policyapi.Zone(node.Zone), HasDefaultTableOnly: node.Standing,
 			Weight: node.Weight})
 	}
@@ -385,20 +385,20 @@
 		in.Conn = link
 		inputs = append(inputs, *in)
 	}
-	if !s.d.inbox.TryPut(event{inputs: inputs, reply: done}) {
-		if main == p && !p.joined {
-			s.forget(name, p)
+	if !s.daemon.inbox.TryPut(mailboxItem{inputs: inputs, reply: done}) {
+		if main == p && !p.announced {
+			s.removeLink(name, p)
 		}
 		fail(http.StatusServiceUnavailable, "busy")
 		return
 	}
-	p.joined = p.joined || main == p
-	p.gateway, p.link = name, link
+	p.announced = p.announced || main == p
+	p.gateway, p.linkID = name, link
 }
 
-// forget takes a connection out of being its gateway's link, if it is that.
-func (s *server) forget(name coordinator.Gateway, p *peer) {
-	s.main.Compute(name, func(m *peer, has bool) (*peer, xsync.ComputeOp) {
+// removeLink takes a connection out of being its gateway's link, if it is that.
+func (s *server) removeLink(name coordinator.Gateway, p *connection) {
+	s.links.Compute(name, func(m *connection, has bool) (*connection, xsync.ComputeOp) {
 		if has && m == p {
 			return nil, xsync.DeleteOp
 		}
@@ -408,13 +408,13 @@
 
 // polls tells whether a gateway's link is one that polls.
 func (s *server) polls(g coordinator.Gateway) bool {
-	p, has := s.main.Load(g)
+	p, has := s.links.Load(g)
 	return has && p.polls
 }
 
-// hold leaves a poll with the hub until there is something to tell.
-func (s *server) hold(p *peer, req *http.Request, r xdspoll.Request) {
-	r.Hold = min(r.Hold, time.Duration(s.d.cfg.Front.Poll.Hold)*time.Microsecond)
+// holdPoll leaves a poll with the hub until there is something to tell.
+func (s *server) holdPoll(p *connection, req *http.Request, r xdspoll.Request) {
+	r.Hold = min(r.Hold, time.Duration(s.daemon.config.Front.Poll.Hold)*time.Microsecond)
 	binary := strings.HasPrefix(req.Header.Get("Content-Type"), "application/x-protobuf")
 	kind := jsonType
 	if binary {
@@ -437,19 +437,19 @@
 			s.answer(p, http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
 			return
 		}
-		s.d.hub.Sent(len(body))
+		s.daemon.polls.Sent(len(body))
 		s.answer(p, http.StatusOK, kind, body)
 	}
-	cancel, ok := s.d.hub.Poll(r)
+	cancel, ok := s.daemon.polls.Poll(r)
 	if !ok {
 		s.answer(p, http.StatusServiceUnavailable, textType, []byte("as many polls are held as may\n"))
 		return
 	}
-	p.cancel.Store(&cancel)
+	p.cancelPoll.Store(&cancel)
 }
 
-// delta takes a poll for endpoints line by line, or routes one by one.
-func (s *server) delta(p *peer, req *http.Request, doc coordinator.Document, kind string, read func(proto.Message) error, fail func(int, string)) {
+// serveDelta takes a poll for endpoints line by line, or routes one by one.
+func (s *server) serveDelta(p *connection, req *http.Request, doc coordinator.Document, kind string, read func(proto.Message) error, fail func(int, string)) {
 	m := &discoveryv3.DeltaDiscoveryRequest{}
 	err := read(m)
 	var node xds.Node
@@ -466,13 +466,13 @@
 	node.Polls = true
 	ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.ResponseNonce, Nonce: m.ResponseNonce,
 		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
-	s.hand(p, node, &ack, func([]byte) {
-		s.hold(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
+	s.submit(p, node, &ack, func([]byte) {
+		s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
 			Lines: m.InitialResourceVersions})
 	}, fail)
 }
 
-func readReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
+func convertReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
 	node, interval, kinds, err := xds.ReadLoad(m)
 	if err != nil {
 		return node, coordinator.LoadReport{}, err
@@ -482,17 +482,17 @@
 		kind := coordinator.ClassReport{Class: k.Name, Arrivals: k.Arrived, Rejected: k.Denied, Failures: k.Errored}
 		for _, e := range k.Endpoints {
 			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Endpoint: policyapi.EndpointID(e.Backend), Attempts: e.Tries,
-				Failures: e.Errored, InFlight: e.Active, MeanLatency: policyapi.Microseconds(e.Answer.Microseconds()), Metrics: loads(e.Loads)})
+				Failures: e.Errored, InFlight: e.Active, MeanLatency: policyapi.Microseconds(e.Answer.Microseconds()), Metrics: loadMetrics(e.Loads)})
 		}
 		r.Classes = append(r.Classes, kind)
 	}
 	return node, r, nil
 }
 
-// drop closes a connection.
-func (s *server) drop(id coordinator.ConnID) {
-	if p, has := s.peers.Load(id); has {
-		_ = p.out.Close()
+// closeConnection closes a connection.
+func (s *server) closeConnection(id coordinator.ConnID) {
+	if p, has := s.connections.Load(id); has {
+		_ = p.conn.Close()
 	}
 }
 
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -31,13 +31,13 @@
 	snapshotName = "snapshot.bin"
 	captureName  = "capture"
 
-	snapshotMagic = "PHSNAP1\n"
-	snapshotEvery = time.Second
+	snapshotMagic    = "PHSNAP1\n"
+	snapshotInterval = time.Second
 )
 
 type savedList struct {
-	Version policyapi.ListVersion `json:"version"`
-	Entries []policyapi.Endpoint  `json:"entries"`
+	Version   policyapi.ListVersion `json:"version"`
+	Endpoints []policyapi.Endpoint  `json:"entries"`
 }
 
 // Build names the running build.
@@ -96,23 +96,23 @@
 	return xdsfile.Replace(filepath.Join(dir, snapshotName), append(text, body...))
 }
 
-// recall reads what an earlier start has left and hands the core what is believed of it. It returns the first inputs.
-func (d *Daemon) recall(now policyapi.Microseconds, set coordinator.Settings) []coordinator.Input {
+// restore reads what an earlier start has left and hands the core what is believed of it. It returns the first inputs.
+func (d *Daemon) restore(now policyapi.Microseconds, set coordinator.Settings) []coordinator.Input {
 	start := &capture.Start{Format: capture.Format, Build: set.Build, WallTime: int64(now), Settings: set}
 	defer func() { d.capture(&capture.Record{Start: start}) }()
-	if d.cfg.StateDir == "" {
+	if d.config.StateDir == "" {
 		return nil
 	}
 	var inputs []coordinator.Input
-	if l, err := readList(d.cfg.StateDir); err != nil {
+	if l, err := readList(d.config.StateDir); err != nil {
 		d.log.Warn("saved_list", zap.String("text", "can't be read: started without it"), zap.Error(err))
 	} else if l != nil {
-		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: l.Version, Kind: policyapi.Cached, Endpoints: l.Entries}})
+		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: l.Version, Kind: policyapi.Cached, Endpoints: l.Endpoints}})
 	}
-	if !d.cfg.Recovery.Enabled {
+	if !d.config.Recovery.Enabled {
 		return inputs
 	}
-	s, err := ReadSnapshot(d.cfg.StateDir)
+	s, err := ReadSnapshot(d.config.StateDir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return inputs
 	}
@@ -152,8 +152,8 @@
 
 // save takes the place of what waits to be saved.
 func (d *Daemon) save(v any) {
-	for _, c := range []chan any{d.saves, d.snaps} {
-		if _, list := v.(policyapi.EndpointUpdate); list != (c == d.saves) {
+	for _, c := range []chan any{d.savedLists, d.savedSnapshots} {
+		if _, list := v.(policyapi.EndpointUpdate); list != (c == d.savedLists) {
 			continue
 		}
 		for {
@@ -170,40 +170,40 @@
 	}
 }
 
-// remember has a snapshot written if the last one is old enough, or if there is a reason.
-func (d *Daemon) remember(now policyapi.Microseconds, reason bool) {
-	if d.cfg.StateDir == "" || !reason && now-d.rememberedAt < policyapi.Microseconds(snapshotEvery.Microseconds()) {
+// saveSnapshot has a snapshot written if the last one is old enough, or if there is a reason.
+func (d *Daemon) saveSnapshot(now policyapi.Microseconds, reason bool) {
+	if d.config.StateDir == "" || !reason && now-d.rememberedAt < policyapi.Microseconds(snapshotInterval.Microseconds()) {
 		return
 	}
 	d.rememberedAt = now
 	d.save(d.core.Snapshot())
 }
 
-// keep writes what is to be saved until the context ends, and what waits then.
-func (d *Daemon) keep(ctx context.Context) {
+// saveState writes what is to be saved until the context ends, and what waits then.
+func (d *Daemon) saveState(ctx context.Context) {
 	for {
 		var v any
 		select {
-		case v = <-d.saves:
-		case v = <-d.snaps:
+		case v = <-d.savedLists:
+		case v = <-d.savedSnapshots:
 		case <-ctx.Done():
 			return
 		}
 		var err error
 		switch v := v.(type) {
 		case policyapi.EndpointUpdate:
-			if d.cfg.StateDir == "" {
+			if d.config.StateDir == "" {
 				continue
 			}
 			var text []byte
 			if text, err = json.Marshal(savedList{v.Version, v.Endpoints}); err == nil {
-				err = xdsfile.Replace(filepath.Join(d.cfg.StateDir, listName), text)
+				err = xdsfile.Replace(filepath.Join(d.config.StateDir, listName), text)
 			}
 		case recovery.Snapshot:
-			err = writeSnapshot(d.cfg.StateDir, v)
+			err = writeSnapshot(d.config.StateDir, v)
 		}
-		if failed := err != nil; failed != d.cantSave {
-			if d.cantSave = failed; failed {
+		if failed := err != nil; failed != d.saveFailing {
+			if d.saveFailing = failed; failed {
 				d.log.Warn("state", zap.String("text", "can't be kept: the next start goes without it"), zap.Error(err))
 			} else {
 				d.log.Info("state", zap.String("text", "is kept again"))
@@ -231,8 +231,8 @@
 		}
 	}
 	d.capture(&capture.Record{Step: step})
-	if s := d.writer.Stats(); s.Gaps != d.gaps || (s.LastError != "") != d.cantCapture {
-		d.gaps, d.cantCapture = s.Gaps, s.LastError != ""
+	if s := d.writer.Stats(); s.Gaps != d.gaps || (s.LastError != "") != d.captureFailing {
+		d.gaps, d.captureFailing = s.Gaps, s.LastError != ""
 		d.log.Warn("capture", zap.String("text", "records are missing, or are being lost"), zap.Int64("gaps", s.Gaps), zap.Int64("lost", s.Lost),
 			zap.String("why", s.LastError))
 	}
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -24,27 +24,27 @@
 type tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
-	open     map[coordinator.Gateway][]published
+	inFlight map[coordinator.Gateway][]publicationSpan
 	count    int
 	file     *os.File
 }
 
-// published is a publication on its way.
-type published struct {
-	version string
-	left    [2]bool // documents that are not acknowledged
-	span    trace.Span
+// publicationSpan is a publication on its way.
+type publicationSpan struct {
+	version        string
+	unacknowledged [2]bool // documents that are not acknowledged
+	span           trace.Span
 }
 
-// tracesMost bounds the publications that are followed at a time; more are not followed.
-const tracesMost = 20000
+// maxTracedPublications bounds the publications that are followed at a time; more are not followed.
+const maxTracedPublications = 20000
 
 // newTracer makes one as the settings say; nil: tracing is off.
 func newTracer(c config.Trace) (*tracer, error) {
 	if c.File == "" && c.Endpoint == "" {
 		return nil, nil
 	}
-	t := &tracer{open: map[coordinator.Gateway][]published{}}
+	t := &tracer{inFlight: map[coordinator.Gateway][]publicationSpan{}}
 	options := []sdktrace.TracerProviderOption{sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.Part))),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "porthub"), attribute.String("service.version", Build())))}
 	if c.File != "" {
@@ -77,9 +77,9 @@
 	for _, in := range inputs {
 		switch in := in.(type) {
 		case coordinator.DocumentAck:
-			t.acked(in)
+			t.acknowledge(in)
 		case coordinator.GatewayDisconnected:
-			t.drop(in.Gateway, "the link has ended")
+			t.abandon(in.Gateway, "the link has ended")
 		}
 	}
 	var publishes []coordinator.Publish
@@ -105,12 +105,12 @@
 	}
 	ctx, span := t.tracer.Start(context.Background(), "step", trace.WithTimestamp(came), trace.WithAttributes(attributes...))
 	for _, p := range publishes {
-		if t.count >= tracesMost {
+		if t.count >= maxTracedPublications {
 			break
 		}
 		_, one := t.tracer.Start(ctx, "publish", trace.WithAttributes(attribute.String("gateway", string(p.Gateway)), attribute.String("version", p.Version),
 			attribute.Bool("endpoints", p.Changed[coordinator.EndpointsDocument]), attribute.Bool("routes", p.Changed[coordinator.RoutesDocument])))
-		t.open[p.Gateway] = append(t.open[p.Gateway], published{p.Version, p.Changed, one})
+		t.inFlight[p.Gateway] = append(t.inFlight[p.Gateway], publicationSpan{p.Version, p.Changed, one})
 		t.count++
 	}
 	span.End()
@@ -142,49 +142,49 @@
 	return "Other"
 }
 
-// acked ends what an acknowledgement confirms: the version, and for its document all before it.
-func (t *tracer) acked(a coordinator.DocumentAck) {
-	all := t.open[a.Gateway]
-	at := slices.IndexFunc(all, func(p published) bool { return p.version == a.Version })
+// acknowledge ends what an acknowledgement confirms: the version, and for its document all before it.
+func (t *tracer) acknowledge(a coordinator.DocumentAck) {
+	all := t.inFlight[a.Gateway]
+	at := slices.IndexFunc(all, func(p publicationSpan) bool { return p.version == a.Version })
 	if a.Error != "" {
 		for _, p := range all {
 			p.span.AddEvent("refused", trace.WithAttributes(attribute.String("why", a.Error)))
 		}
 		return
 	}
-	if at < 0 || a.Document < 0 || int(a.Document) >= len(all[at].left) {
+	if at < 0 || a.Document < 0 || int(a.Document) >= len(all[at].unacknowledged) {
 		return
 	}
 	for i := range all[:at+1] {
-		if all[i].left[a.Document] {
-			all[i].left[a.Document] = false
+		if all[i].unacknowledged[a.Document] {
+			all[i].unacknowledged[a.Document] = false
 			all[i].span.AddEvent("acknowledged", trace.WithAttributes(attribute.String("document", a.Document.String())))
 		}
 	}
-	for len(all) > 0 && all[0].left == [2]bool{} {
+	for len(all) > 0 && all[0].unacknowledged == [2]bool{} {
 		all[0].span.End()
 		all = all[1:]
 		t.count--
 	}
-	if t.open[a.Gateway] = all; len(all) == 0 {
-		delete(t.open, a.Gateway)
+	if t.inFlight[a.Gateway] = all; len(all) == 0 {
+		delete(t.inFlight, a.Gateway)
 	}
 }
 
-// drop ends what a gateway will not acknowledge any more.
-func (t *tracer) drop(g coordinator.Gateway, why string) {
-	for _, p := range t.open[g] {
+// abandon ends what a gateway will not acknowledge any more.
+func (t *tracer) abandon(g coordinator.Gateway, why string) {
+	for _, p := range t.inFlight[g] {
 		p.span.SetStatus(codes.Error, why)
 		p.span.End()
 		t.count--
 	}
-	delete(t.open, g)
+	delete(t.inFlight, g)
 }
 
 // close writes out what is left, within the time given.
 func (t *tracer) close(within time.Duration) {
-	for g := range t.open {
-		t.drop(g, "the coordinator ends")
+	for g := range t.inFlight {
+		t.abandon(g, "the coordinator ends")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
