--- /dev/null
+++ b/degradation/check.go
@@ -0,0 +1,171 @@
+package degradation
+
+import (
+	"fmt"
+	"math"
+
+	"porthub/policyapi"
+)
+
+const (
+	// maxLevels is the largest number of levels.
+	maxLevels = 16
+	// minTableEndpoints is the least limit on a table's endpoints: with fewer a failing one takes too much traffic along.
+	minTableEndpoints = 3
+	// maxIntervalFactor is the largest factor on the report period.
+	maxIntervalFactor = 10
+	// minReportsToLeave is the number of reports that must have come at a level before it may be left.
+	minReportsToLeave = 2
+)
+
+// minLeave is the least threshold for leaving a level by each trigger: values that a calm fleet has.
+var minLeave = [TriggerCount]float64{
+	TriggerLoad:         0.1,
+	TriggerLostCapacity: 0.01,
+	TriggerUnreachable:  0.02,
+	TriggerShedReports:  0.01,
+	TriggerBehind:       0.02,
+}
+
+// allLevels is the Finding.Level of findings that concern the levels together.
+const allLevels = -1
+
+// Finding is a fault in settings.
+type Finding struct {
+	Level   int    // index of the level, from 0; -1 for all together
+	Key     string // of the level's configuration
+	Problem string
+	Remedy  string
+}
+
+// findings collects the findings of one check.
+type findings []Finding
+
+func (f *findings) add(level int, key, problem, remedy string) {
+	*f = append(*f, Finding{level, key, problem, remedy})
+}
+
+// Check returns the faults of the settings: levels that could never be left or entered, that would oscillate, or that would
+// leave admitted work unused.
+func (s Settings) Check() []Finding {
+	var found findings
+	if len(s.Levels) > maxLevels {
+		found.add(allLevels, "", fmt.Sprintf("has %d levels", len(s.Levels)), fmt.Sprintf("%d at most", maxLevels))
+	}
+	names := map[string]bool{"": true, NormalLevel: true}
+	for i, l := range s.Levels {
+		if names[l.Name] {
+			found.add(i, "name", fmt.Sprintf("%q is empty, %q or stands twice", l.Name, NormalLevel), "give each level a name of its own")
+		}
+		names[l.Name] = true
+		s.checkTriggers(i, &found)
+		s.checkDelays(i, &found)
+		s.checkBounds(i, &found)
+	}
+	return found
+}
+
+func (s Settings) checkTriggers(i int, found *findings) {
+	triggers := 0
+	for t := range TriggerCount {
+		enter, leave := s.Levels[i].Enter[t], s.Levels[i].Leave[t]
+		switch {
+		case !isThreshold(enter) || !isThreshold(leave):
+			found.add(i, "enter."+t.String(), fmt.Sprintf("is %v, left at %v", enter, leave), "both must be 0 or more")
+		case enter > 0:
+			triggers++
+			s.checkTrigger(i, t, found)
+		case leave > 0:
+			found.add(i, "leave."+t.String(), "stands without enter."+t.String(), "give both or none")
+		}
+	}
+	if triggers == 0 {
+		found.add(i, "enter", "has no trigger", "name one of load, lost, unreachable, shed, behind; a level that only operators use takes enter.load 1000")
+	}
+}
+
+func isThreshold(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
+
+// checkTrigger checks the thresholds of a trigger that a level goes by.
+func (s Settings) checkTrigger(i int, t Trigger, found *findings) {
+	enter, leave := s.Levels[i].Enter[t], s.Levels[i].Leave[t]
+	if leave >= enter {
+		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is not under enter, %v: the level would swing", leave, enter), "leave a gap")
+	}
+	if leave < minLeave[t] {
+		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is never reached in calm: the level can't be left", leave), fmt.Sprintf("%v or more", minLeave[t]))
+	}
+	if t != TriggerLoad && enter > 1 {
+		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is never reached", enter), "1 at most")
+	}
+	if i == 0 {
+		return
+	}
+	if milder := s.Levels[i-1]; milder.Enter[t] > enter {
+		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is under that of %q, %v, which is less severe", enter, milder.Name, milder.Enter[t]),
+			"severer levels are entered later")
+	}
+}
+
+func (s Settings) checkDelays(i int, found *findings) {
+	l := s.Levels[i]
+	if l.EnterDelay < 0 {
+		found.add(i, "enter_held", "is below 0", "0 or more")
+	}
+	if evidence := s.reportTime(i); l.LeaveDelay < evidence {
+		found.add(i, "leave_held", fmt.Sprintf("%v s is under two reports at this level", float64(l.LeaveDelay)/float64(second)),
+			fmt.Sprintf("%v s or more: it could be left without evidence", float64(evidence)/float64(second)))
+	}
+}
+
+// reportTime returns the time in which minReportsToLeave reports come at the level with an index.
+func (s Settings) reportTime(i int) policyapi.Microseconds {
+	return minReportsToLeave * s.Period * policyapi.Microseconds(max(1, s.Levels[i].Bounds.ReportIntervalFactor))
+}
+
+func (s Settings) checkBounds(i int, found *findings) {
+	b := s.Levels[i].Bounds
+	if len(b.Share) != len(s.Classes) || len(b.RetryPolicy) != len(s.Classes) {
+		found.add(i, "kinds", fmt.Sprintf("has bounds for %d of %d request kinds", len(b.Share), len(s.Classes)), "one for each")
+		return
+	}
+	s.checkClassBounds(i, found)
+	if !isPart(b.CrossZoneFactor) {
+		found.add(i, "cross", fmt.Sprintf("is %v", b.CrossZoneFactor), "0 to 1")
+	}
+	if b.MaxEndpoints != 0 && b.MaxEndpoints < minTableEndpoints {
+		found.add(i, "lines", fmt.Sprintf("is %d", b.MaxEndpoints), fmt.Sprintf("%d or more, or 0 for no bound", minTableEndpoints))
+	}
+	if b.MaxHealthChecks < 0 {
+		found.add(i, "probes_per_s", "is below 0", "0 for no bound")
+	}
+	if b.ReportIntervalFactor < 1 || b.ReportIntervalFactor > maxIntervalFactor {
+		found.add(i, "report_stretch", fmt.Sprintf("is %d", b.ReportIntervalFactor), fmt.Sprintf("1 to %d", maxIntervalFactor))
+	}
+	if i == 0 {
+		return
+	}
+	if milder := s.Levels[i-1]; b.ReportIntervalFactor < milder.Bounds.ReportIntervalFactor {
+		found.add(i, "report_stretch", fmt.Sprintf("%d is under that of %q", b.ReportIntervalFactor, milder.Name), "severer levels bound as much or more")
+	}
+}
+
+func (s Settings) checkClassBounds(i int, found *findings) {
+	b := s.Levels[i].Bounds
+	sum := 0.0
+	for class, share := range b.Share {
+		if !isPart(share) {
+			found.add(i, "kinds."+s.Classes[class]+".share", fmt.Sprintf("is %v", share), "0 to 1")
+		}
+		if b.RetryPolicy[class] < 0 || b.RetryPolicy[class] > maxRetryPolicy {
+			found.add(i, "kinds."+s.Classes[class]+".second_try", fmt.Sprintf("is %d", b.RetryPolicy[class]), fmt.Sprintf("0 to %d", maxRetryPolicy))
+		}
+		sum += share
+	}
+	if sum < 1 {
+		found.add(i, "kinds", fmt.Sprintf("shares add up to %.2f: part of what can be served would be turned away", sum), "1 or more")
+	}
+}
+
+// isPart reports whether v is a part of a whole; NaN is not.
+func isPart(v float64) bool { return v >= 0 && v <= 1 }
--- /dev/null
+++ b/degradation/check_test.go
@@ -0,0 +1,41 @@
+package degradation
+
+import (
+	"math"
+	"strings"
+	"testing"
+)
+
+func TestCheckFindings(t *testing.T) {
+	for text, spoil := range map[string]func(*Settings){
+		"would swing":      func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 1 },
+		"can't be left":    func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 0 },
+		"is never reached": func(s *Settings) { s.Levels[0].Enter[TriggerLostCapacity] = 1.2 },
+		"less severe":      func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = 1.5 },
+		"no trigger": func(s *Settings) {
+			s.Levels[0].Enter, s.Levels[0].Leave = [TriggerCount]float64{}, [TriggerCount]float64{}
+		},
+		"under two reports":     func(s *Settings) { s.Levels[1].Bounds.ReportIntervalFactor = 8 },
+		"turned away":           func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
+		"stands twice":          func(s *Settings) { s.Levels[1].Name = "tight" },
+		"stands without enter.": func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
+		"0 to 3":                func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []int{4, 0} },
+		"of 2 request kinds":    func(s *Settings) { s.Levels[0].Bounds.Share = nil },
+		"or 0 for no bound":     func(s *Settings) { s.Levels[0].Bounds.MaxEndpoints = 1 },
+		"bound as much":         func(s *Settings) { s.Levels[0].Bounds.ReportIntervalFactor = 2 },
+		"both must be":          func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = math.NaN() },
+	} {
+		s := twoLevels()
+		spoil(&s)
+		var problems []string
+		for _, f := range s.Check() {
+			problems = append(problems, f.Problem+": "+f.Remedy)
+		}
+		if !strings.Contains(strings.Join(problems, "\n"), text) {
+			t.Errorf("%q is not found: %v", text, problems)
+		}
+	}
+	if f := twoLevels().Check(); len(f) > 0 {
+		t.Errorf("valid settings: %v", f)
+	}
+}
--- a/degradation/doc.go
+++ b/degradation/doc.go
@@ -1,10 +1,11 @@
-// Package degradation decides the named levels of reduced service: which one a zone and the fleet are at, why, what would end
-// it, and how a level divides what the admission lets in among the request kinds. It is pure: time and figures are
-// handed in.
+// Package degradation decides at which named level of reduced service the fleet and each zone are, why, and what would end
+// it, and divides the admitted work among the request classes by the bounds of a level.
 //
-// Levels stand in the order of severity above the usual service, which is level 0. A Machine has one state for the fleet and
-// one for each zone; a gateway is at the severer of its zone's and the fleet's. A level is entered when one of its reasons has
-// been met for as long as it says, at once and over any levels between; it is left for the next lower one when all
-// its reasons have been under their lower thresholds for as long, which doubles each time that it is entered again soon.
-// Operators can force, forbid and hold levels until a time.
+// Levels are ordered by severity above normal service, which is level 0. A Controller has one scope for the fleet and one
+// for each zone; a gateway is at the severer level of its zone's and the fleet's. A level is entered when one of its
+// triggers has been above its threshold for the level's EnterDelay, at once and over any levels between. It is left for
+// the next lower one when all its triggers have been below their lower thresholds for LeaveDelay, which doubles each time
+// that the level is soon entered again. Operators can force, forbid and hold levels for a limited time by overrides.
+//
+// The package is pure: times and signals are passed in. docs/levels.md gives the reasons for the rules.
 package degradation
