--- /dev/null
+++ b/proxyserver/watcher.go
@@ -0,0 +1,186 @@
+package proxyserver
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"go.uber.org/zap"
+
+	"porthub/policyapi"
+	"porthub/proxyproto"
+)
+
+const (
+	// minBackoff and maxBackoff bound the delay of a call that follows a failed one, before its jitter. The longest one, and the time
+	// that a call may take, leave time for another within the 6 s after which a change counts as delivered.
+	minBackoff = time.Second
+	maxBackoff = 1500 * time.Millisecond
+	// maxBackoffDoublings keeps the shift of minBackoff small; maxBackoff is reached before.
+	maxBackoffDoublings = 4
+	// overdueJitter spreads the calls of many coordinators that all miss a line of the same discovery at once.
+	overdueJitter = 750 * time.Millisecond
+)
+
+// discoveryWatcher follows discovery: it keeps a watch open where changes are wanted, requests snapshots, and turns what its calls
+// bring into events for the decision module. It belongs to the owner.
+type discoveryWatcher struct {
+	log       *zap.Logger
+	client    *discoveryClient
+	endpoints *endpointStore
+	// settings say by PollsList whether the decision module asks for changes and hears of failures; else the watcher retries by itself.
+	settings *policyapi.Start
+	random   *rand.Rand // of the jitter, so that many coordinators do not call at once
+	// applyList applies a list and returns the update for the decision module.
+	applyList func(proxyproto.EndpointList) policyapi.EndpointUpdate
+
+	address             string // of discovery, host:port
+	enabled             bool   // changes are wanted, and the decision module has not heard of a failure since
+	lastCall            int    // number of the last call
+	consecutiveFailures int    // of calls
+	watches             map[int]*watch
+	snapshotCall        snapshotCall
+	snapshotDue         bool // the watcher itself wants a snapshot and requests it until it comes
+	versionReset        bool // discovery's versions went back: a snapshot is taken whatever its version
+}
+
+// watch is a call for changes, which may be waiting for its response.
+type watch struct {
+	cancel  context.CancelFunc
+	address string
+	from    policyapi.ListVersion // it was asked for the changes after this one
+	open    bool                  // it has its response
+	overdue bool                  // it has missed a line
+}
+
+// snapshotCall is the call for a snapshot.
+type snapshotCall struct {
+	cancel context.CancelFunc // nil: there is none
+	number int
+}
+
+func newDiscoveryWatcher(cfg *proxyproto.Config, log *zap.Logger, endpoints *endpointStore) *discoveryWatcher {
+	return &discoveryWatcher{
+		log:       log,
+		endpoints: endpoints,
+		settings:  &cfg.Start,
+		random:    newRandom(cfg.Start.Seed),
+		address:   cfg.Discovery,
+		watches:   map[int]*watch{},
+	}
+}
+
+// newRandom returns the source of the jitter.
+func newRandom(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 0)) }
+
+// enable starts a watch unless changes are wanted already.
+func (w *discoveryWatcher) enable(ctx context.Context) {
+	if !w.enabled {
+		w.follow(ctx)
+	}
+}
+
+// follow starts a watch; changes are wanted from now on.
+func (w *discoveryWatcher) follow(ctx context.Context) {
+	w.enabled = true
+	w.startWatch(ctx, 0)
+}
+
+// disable ends all watches.
+func (w *discoveryWatcher) disable() {
+	w.cancelWatches()
+	w.enabled = false
+}
+
+// reset drops what a decision module that has failed has asked for. Where the module need not ask, the open watch stays.
+func (w *discoveryWatcher) reset() {
+	if w.settings.PollsList {
+		w.disable()
+	}
+	w.cancelSnapshot()
+}
+
+// setAddress moves to another address of discovery: pending calls are made again there.
+func (w *discoveryWatcher) setAddress(ctx context.Context, address string) {
+	w.address = address
+	if w.enabled {
+		w.startWatch(ctx, 0)
+	}
+	if w.snapshotCall.isPending() {
+		w.requestSnapshot(ctx, 0)
+	}
+}
+
+// startWatch asks, after a delay, for changes from the version at hand on. An open watch goes on until this one is open; one without a
+// response is canceled, it asks at an older address or from an older version.
+func (w *discoveryWatcher) startWatch(ctx context.Context, delay time.Duration) {
+	for number, old := range w.watches {
+		if !old.open {
+			w.cancelWatch(number)
+		}
+	}
+	w.lastCall++
+	number := w.lastCall
+	address := w.address
+	from := w.endpoints.version
+	ctx, cancel := context.WithCancel(ctx)
+	w.watches[number] = &watch{cancel: cancel, address: address, from: from}
+	go w.client.call(ctx, number, delay, func(ctx context.Context) error {
+		return w.client.watchChanges(ctx, address, from, number)
+	})
+}
+
+// cancelWatch ends a watch: what it still brings is ignored.
+func (w *discoveryWatcher) cancelWatch(number int) {
+	w.watches[number].cancel()
+	delete(w.watches, number)
+}
+
+func (w *discoveryWatcher) cancelWatches() {
+	for number := range w.watches {
+		w.cancelWatch(number)
+	}
+}
+
+// newestWatch returns the watch that was started last; false if there is none.
+func (w *discoveryWatcher) newestWatch() (number int, has bool) {
+	for n := range w.watches {
+		number = max(number, n)
+	}
+	return number, number > 0 // calls are numbered from 1 on
+}
+
+// requestSnapshot requests a snapshot after a delay, in place of an earlier request that is pending.
+func (w *discoveryWatcher) requestSnapshot(ctx context.Context, delay time.Duration) {
+	w.cancelSnapshot()
+	w.lastCall++
+	number := w.lastCall
+	address := w.address
+	ctx, cancel := context.WithCancel(ctx)
+	w.snapshotCall = snapshotCall{cancel: cancel, number: number}
+	go w.client.call(ctx, number, delay, func(ctx context.Context) error {
+		return w.client.fetchSnapshot(ctx, address, number)
+	})
+}
+
+func (w *discoveryWatcher) cancelSnapshot() {
+	if w.snapshotCall.isPending() {
+		w.snapshotCall.cancel()
+		w.snapshotCall.cancel = nil
+	}
+}
+
+func (c *snapshotCall) isPending() bool { return c.cancel != nil }
+
+// backoff counts a failed call and returns the delay before the next one: longer each time, up to a bound within which a change still
+// comes before it counts as delivered, and with a jitter.
+func (w *discoveryWatcher) backoff() time.Duration {
+	w.consecutiveFailures++
+	delay := min(maxBackoff, minBackoff<<min(w.consecutiveFailures-1, maxBackoffDoublings))
+	return delay/2 + w.jitter(delay)
+}
+
+// jitter draws a delay below a bound.
+func (w *discoveryWatcher) jitter(bound time.Duration) time.Duration {
+	return time.Duration(w.random.Int64N(int64(bound)))
+}
