--- a/cmd/porthub/output_test.go
+++ b/cmd/porthub/output_test.go
@@ -21,8 +21,8 @@
 	failure := testutil.Filled[expectation.Failure](t)
 	return map[string]any{
 		"tables": []coordinator.GatewayStatus{testutil.Filled[coordinator.GatewayStatus](t)}, "levels": testutil.Filled[coordinator.DegradationStatus](t),
-		"nodes": testutil.Filled[daemon.Nodes](t), "solve": testutil.Filled[solver.Solution](t), "solve-random": testutil.Filled[fleets.Measured](t),
-		"solve-scale": []fleets.Size{testutil.Filled[fleets.Size](t)}, "drill": testutil.Filled[chaos.Result](t),
+		"nodes": testutil.Filled[daemon.Nodes](t), "solve": testutil.Filled[solver.Solution](t), "solve-random": testutil.Filled[fleets.Measurement](t),
+		"solve-scale": []fleets.ScaleMeasurement{testutil.Filled[fleets.ScaleMeasurement](t)}, "drill": testutil.Filled[chaos.Result](t),
 		"drill-polls": testutil.Filled[chaos.PollResult](t), "drill-intake": testutil.Filled[chaos.LoadReportResult](t),
 		"expect": []proven{{File: "file", Name: "name", Line: 1, Cases: 2, Took: 3, Failures: []expectation.Failure{failure}}},
 	}
--- a/cmd/porthub/solve.go
+++ b/cmd/porthub/solve.go
@@ -40,7 +40,7 @@
 			out := cmd.OutOrStdout()
 			switch {
 			case scale:
-				return printAny(out, fleets.Scale())
+				return printAny(out, fleets.MeasureScale())
 			case random > 0 && len(args) == 0:
 				m, err := fleets.Measure(random, seed, oracle, compare)
 				if err != nil {
@@ -110,7 +110,7 @@
 
 func printSolution(out io.Writer, f solver.Fleet, s solver.Solution, explain bool) error {
 	c := s.Certificate
-	fmt.Fprintf(out, "%s\npayoff %.4g a second, at most %.4g is possible; %d steps, prices left %.2f%% too much before F-NORM\n\n", c.Reason, c.PriorityWeight,
+	fmt.Fprintf(out, "%s\npayoff %.4g a second, at most %.4g is possible; %d steps, prices left %.2f%% too much before F-NORM\n\n", c.Reason, c.PlacedPriority,
 		c.Bound, c.Steps, 100*c.Residual)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tZONE\tLIMIT\tLOAD\tUSED\tPRICE\tNOTE")
@@ -122,7 +122,7 @@
 		case n.Limit > 0 && n.Limit < 1:
 			note = fmt.Sprintf("cold: %.2f of its capacity", n.Limit)
 		}
-		for _, g := range c.Guessed {
+		for _, g := range c.GuessedCapacities {
 			if g == j {
 				note = "its stated capacity makes no sense: taken as the median"
 			}
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -22,8 +22,8 @@
 		aggregate: newLoadAggregate(),
 		sampler: loadreport.New(loadreport.Settings{
 			MaxLinesPerSecond: settings.MaxReportLines,
-			Period:   settings.Start.Reports.Period,
-			Seed:     settings.Start.Seed,
+			Period:            settings.Start.Reports.Period,
+			Seed:              settings.Start.Seed,
 		}),
 		utilizationMetric: metricName(settings.Start, 0),
 		queueMetric:       metricName(settings.Start, 1),
--- a/coordinator/solver.go
+++ b/coordinator/solver.go
@@ -105,10 +105,10 @@
 		}
 		utilization, stated := s.utilization[e.ID]
 		if stated && !awaitingGateways && duration < maxLearningRound {
-			s.estimate.Round(e.ID, duration, utilization, c.warmUpProgress(e) == 1, byEndpoint[e.ID])
+			s.estimate.Observe(e.ID, duration, utilization, c.warmUpProgress(e) == 1, byEndpoint[e.ID])
 		}
 	}
-	for _, text := range s.health.Round(c.now, loads, ready) {
+	for _, text := range s.health.EndRound(c.now, loads, ready) {
 		c.outbox.emit(LogEntry{Level: LogInfo, Event: eventSolver, Text: text})
 	}
 	clear(s.utilization)
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -151,7 +151,7 @@
 			outcomes = append(outcomes, solver.EndpointOutcome{Planned: planned[id], Actual: estimate.Attempts})
 		}
 	}
-	c.solver.overshoot.Round(outcomes)
+	c.solver.overshoot.Observe(outcomes)
 }
 
 // addPlanned divides a rate among the open endpoints of a cluster by their weights.
--- a/coordinator/solvertables.go
+++ b/coordinator/solvertables.go
@@ -18,7 +18,7 @@
 	}
 	before := maps.Clone(s.tables)
 	s.round = s.activation.Step(fleet, keepActive)
-	for _, text := range s.round.Log {
+	for _, text := range s.round.Notes {
 		c.outbox.emit(LogEntry{Level: LogInfo, Event: eventSolver, Text: text})
 	}
 	s.tables = maps.Clone(s.round.Tables)
--- a/solver/estimate.go
+++ b/solver/estimate.go
@@ -33,9 +33,9 @@
 	return &CapacityEstimator{kinds: kinds, nodes: map[policyapi.EndpointID]*speed{}, costs: make([]bin, kinds)}
 }
 
-// Round takes in what all gateways met at a node in so many seconds: its own busy share if it told one (else below 0)
+// Observe takes in what all gateways met at a node in so many seconds: its own busy share if it told one (else below 0)
 // and what was met by kind. It is learned from warm nodes only: a cold one would pass for slow for long.
-func (e *CapacityEstimator) Round(node policyapi.EndpointID, seconds, busy float64, warm bool, heard []policyapi.EndpointClassLoad) {
+func (e *CapacityEstimator) Observe(node policyapi.EndpointID, seconds, busy float64, warm bool, heard []policyapi.EndpointClassLoad) {
 	if !(busy > idle) || !warm || seconds <= 0 {
 		return
 	}
--- a/solver/excess.go
+++ b/solver/excess.go
@@ -17,8 +17,8 @@
 // EndpointOutcome is what one node was to get and what came to it, tries a second in one round.
 type EndpointOutcome struct{ Planned, Actual float64 }
 
-// Round takes in what nodes that serve were to get and got.
-func (x *OvershootEstimator) Round(nodes []EndpointOutcome) {
+// Observe takes in what nodes that serve were to get and got.
+func (x *OvershootEstimator) Observe(nodes []EndpointOutcome) {
 	var ratios []float64
 	for _, n := range nodes {
 		if n.Planned >= excessFrom {
--- a/solver/fleets/baselines.go
+++ b/solver/fleets/baselines.go
@@ -6,19 +6,19 @@
 	"porthub/solver"
 )
 
-// Way is another way of filling tables.
-type Way string
+// Baseline is another way of filling tables.
+type Baseline string
 
 // The ways that Measure compares with.
 const (
-	Even       Way = "even weights"
-	ByCapacity Way = "weights by capacity"
-	AsWanted   Way = "the tables wanted alone"
+	EvenWeights     Baseline = "even weights"
+	CapacityWeights Baseline = "weights by capacity"
+	WantedWeights   Baseline = "the tables wanted alone"
 )
 
-// Served is the payoff a second that a way of filling tables comes to where nothing is turned away: a node that is
+// ServedPriority is the payoff a second that a way of filling tables comes to where nothing is turned away: a node that is
 // offered more than its limit serves its limit, of every kind alike, and one that may not be sent to serves nothing.
-func Served(f solver.Fleet, way Way) float64 {
+func ServedPriority(f solver.Fleet, way Baseline) float64 {
 	limit := solver.Limits(f)
 	type put struct {
 		u, k, j int
@@ -33,13 +33,13 @@
 			for _, j := range solver.OpenEndpoints(f, u, k) {
 				open[j] = true
 				switch way {
-				case Even:
+				case EvenWeights:
 					weights[j] = 1
-				case ByCapacity:
+				case CapacityWeights:
 					weights[j] = limit[j]
 				}
 			}
-			if way == AsWanted && k < len(f.Consumers[u].Wanted) {
+			if way == WantedWeights && k < len(f.Consumers[u].Wanted) {
 				for _, l := range f.Consumers[u].Wanted[k] {
 					if !f.Endpoints[l.Endpoint].Closed { // drains are kept by any tables
 						weights[l.Endpoint] += l.Weight
@@ -83,39 +83,39 @@
 	return f.Endpoints[j].Cost[k]
 }
 
-// Size is one measurement of Scale.
-type Size struct {
-	Nodes int     `json:"nodes"`
-	Users int     `json:"users"`
-	Kinds int     `json:"kinds"`
-	Use   float64 `json:"use"` // demand over what fits
+// ScaleMeasurement is one measurement of Scale.
+type ScaleMeasurement struct {
+	Endpoints   int     `json:"nodes"`
+	Consumers   int     `json:"users"`
+	Classes     int     `json:"kinds"`
+	Utilization float64 `json:"use"` // demand over what fits
 	// Cold start, a warm start after one node was lost, and how many weights of how many changed by over 0.15 then.
-	ColdMs    float64 `json:"cold_ms"`
-	ColdSteps int     `json:"cold_steps"`
-	WarmMs    float64 `json:"warm_ms"`
-	WarmSteps int     `json:"warm_steps"`
-	Changed   int     `json:"changed"`
-	Weights   int     `json:"weights"`
-	// Tables that changed, and those that had a line to the lost node.
-	Tables   int     `json:"tables"`
-	Touched  int     `json:"touched"`
-	Overload float64 `json:"overload"`
+	ColdMilliseconds float64 `json:"cold_ms"`
+	ColdSteps        int     `json:"cold_steps"`
+	WarmMilliseconds float64 `json:"warm_ms"`
+	WarmSteps        int     `json:"warm_steps"`
+	ChangedWeights   int     `json:"changed"`
+	Weights          int     `json:"weights"`
+	// ChangedTables that changed, and those that had a line to the lost node.
+	ChangedTables  int     `json:"tables"`
+	AffectedTables int     `json:"touched"`
+	Overload       float64 `json:"overload"`
 }
 
-// Scale measures time and steps on fleets from a hundred nodes and gateways to a thousand and three thousand, calm and
+// MeasureScale measures time and steps on fleets from a hundred nodes and gateways to a thousand and three thousand, calm and
 // overloaded, and what the loss of one node changes.
-func Scale() (sizes []Size) {
+func MeasureScale() (sizes []ScaleMeasurement) {
 	for _, s := range [][3]int{{100, 100, 3}, {100, 300, 3}, {300, 1000, 3}, {1000, 3000, 8}} {
 		for _, use := range []float64{0.8, 1.5} {
 			f := Large(s[0], s[1], s[2], use)
-			size := Size{Nodes: s[0], Users: s[1], Kinds: s[2], Use: use}
+			size := ScaleMeasurement{Endpoints: s[0], Consumers: s[1], Classes: s[2], Utilization: use}
 			began := time.Now()
 			first := solver.Solve(f, nil)
-			size.ColdMs, size.ColdSteps = ms(began), first.Certificate.Steps
+			size.ColdMilliseconds, size.ColdSteps = ms(began), first.Certificate.Steps
 			f.Endpoints[0].Closed = true
 			began = time.Now()
 			second := solver.Solve(f, first.Certificate.Prices)
-			size.WarmMs, size.WarmSteps = ms(began), second.Certificate.Steps
+			size.WarmMilliseconds, size.WarmSteps = ms(began), second.Certificate.Steps
 			size.Overload = Overload(f, second)
 			for u := range f.Consumers {
 				for k := range f.Classes {
@@ -124,7 +124,7 @@
 						before[l.Endpoint] = l.Weight
 					}
 					if before[0] > 0 {
-						size.Touched++
+						size.AffectedTables++
 					}
 					changed := 0
 					for _, l := range second.Weights[u][k] {
@@ -134,9 +134,9 @@
 						delete(before, l.Endpoint)
 					}
 					changed += len(before)
-					size.Changed, size.Weights = size.Changed+changed, size.Weights+len(second.Weights[u][k])
+					size.ChangedWeights, size.Weights = size.ChangedWeights+changed, size.Weights+len(second.Weights[u][k])
 					if changed > 0 {
-						size.Tables++
+						size.ChangedTables++
 					}
 				}
 			}
--- a/solver/fleets/measure.go
+++ b/solver/fleets/measure.go
@@ -8,29 +8,29 @@
 	"porthub/solver"
 )
 
-// Measured sums what Solve made of many random fleets; the fields are those that scripts rely on.
-type Measured struct {
+// Measurement sums what Solve made of many random fleets; the fields are those that scripts rely on.
+type Measurement struct {
 	Fleets   int `json:"fleets"`
 	Feasible int `json:"feasible"` // of them, by how they were drawn
 	// WorstOverload is the largest offered load over a node's limit.
 	WorstOverload float64 `json:"worst_overload"`
 	// Unplaced is the largest part of a feasible fleet's demand that was not placed.
-	Unplaced  float64  `json:"unplaced_when_feasible"`
-	Ratio     *Ratio   `json:"payoff_ratio,omitempty"` // to the exact optimum
-	Ms        Quantile `json:"ms"`
-	Steps     Quantile `json:"steps"`
-	Untouched int      `json:"untouched"`
-	WorstCase string   `json:"worst_case"`
-	Optima    int      `json:"optima,omitempty"` // fleets whose optimum was found
-	// Shed is the ratio over those fleets in which something had to be turned away.
-	Shed *Ratio `json:"payoff_ratio_when_shed,omitempty"`
-	// Ways are the ratios of other ways of filling tables on the same fleets.
-	Ways map[Way]*Ratio `json:"ways,omitempty"`
-	// LeastLetIn is the smallest part of its demand of a kind that any user with an open node was let have.
-	LeastLetIn float64 `json:"least_let_in"`
+	Unplaced      float64  `json:"unplaced_when_feasible"`
+	PriorityRatio *Ratio   `json:"payoff_ratio,omitempty"` // to the exact optimum
+	Milliseconds  Quantile `json:"ms"`
+	Steps         Quantile `json:"steps"`
+	Untouched     int      `json:"untouched"`
+	WorstCase     string   `json:"worst_case"`
+	Optima        int      `json:"optima,omitempty"` // fleets whose optimum was found
+	// PriorityRatioWhenShed is the ratio over those fleets in which something had to be turned away.
+	PriorityRatioWhenShed *Ratio `json:"payoff_ratio_when_shed,omitempty"`
+	// Baselines are the ratios of other ways of filling tables on the same fleets.
+	Baselines map[Baseline]*Ratio `json:"ways,omitempty"`
+	// MinAdmitted is the smallest part of its demand of a kind that any user with an open node was let have.
+	MinAdmitted float64 `json:"least_let_in"`
 }
 
-// Ratio is over all fleets whose optimum was found.
+// PriorityRatio is over all fleets whose optimum was found.
 type Ratio struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
@@ -44,10 +44,10 @@
 
 // Measure solves so many random fleets of a seed. Oracle finds the exact optimum of each as well; compare fills them in
 // other ways, held against the optimum, or against ours where none is asked for.
-func Measure(n int, seed uint64, oracle, compare bool) (Measured, error) {
-	m := Measured{Fleets: n, LeastLetIn: 1}
+func Measure(n int, seed uint64, oracle, compare bool) (Measurement, error) {
+	m := Measurement{Fleets: n, MinAdmitted: 1}
 	var took, steps, ratios, shed []float64
-	ways := map[Way][]float64{}
+	ways := map[Baseline][]float64{}
 	worst := 2.0
 	for i := range n {
 		d := Draw(seed, i)
@@ -69,18 +69,18 @@
 		for u := range d.Consumers {
 			for k, rate := range d.Consumers[u].Demand {
 				if rate > 0 && len(solver.OpenEndpoints(d.Fleet, u, k)) > 0 {
-					m.LeastLetIn = min(m.LeastLetIn, s.Admit[u][k])
+					m.MinAdmitted = min(m.MinAdmitted, s.Admit[u][k])
 				}
 			}
 		}
-		best := s.Certificate.PriorityWeight
+		best := s.Certificate.PlacedPriority
 		if oracle {
 			optimum, err := Optimum(d.Fleet)
 			if err != nil || optimum <= 0 {
 				continue
 			}
 			m.Optima++
-			r := s.Certificate.PriorityWeight / optimum
+			r := s.Certificate.PlacedPriority / optimum
 			if ratios = append(ratios, r); r < worst {
 				worst, m.WorstCase = r, d.Case
 			}
@@ -90,18 +90,18 @@
 			best = optimum
 		}
 		if compare && best > 0 {
-			for _, way := range []Way{Even, ByCapacity, AsWanted} {
-				ways[way] = append(ways[way], Served(d.Fleet, way)/best)
+			for _, way := range []Baseline{EvenWeights, CapacityWeights, WantedWeights} {
+				ways[way] = append(ways[way], ServedPriority(d.Fleet, way)/best)
 			}
 		}
 	}
-	m.Ms, m.Steps = quantile(took), quantile(steps)
-	m.Ratio, m.Shed = ratio(ratios), ratio(shed)
+	m.Milliseconds, m.Steps = quantile(took), quantile(steps)
+	m.PriorityRatio, m.PriorityRatioWhenShed = ratio(ratios), ratio(shed)
 	for way, r := range ways {
-		if m.Ways == nil {
-			m.Ways = map[Way]*Ratio{}
+		if m.Baselines == nil {
+			m.Baselines = map[Baseline]*Ratio{}
 		}
-		m.Ways[way] = ratio(r)
+		m.Baselines[way] = ratio(r)
 	}
 	return m, nil
 }
--- a/solver/judge.go
+++ b/solver/judge.go
@@ -71,9 +71,9 @@
 	return &ClassHealth{kinds: kinds, pairs: map[pair]*record{}, blind: make([]bool, kinds)}
 }
 
-// Round closes a round: heard is what was met since the last one, ready who is listed as ready. It returns a line for
+// EndRound closes a round: heard is what was met since the last one, ready who is listed as ready. It returns a line for
 // each change, with the figures that caused it.
-func (j *ClassHealth) Round(now policyapi.Microseconds, heard []policyapi.EndpointClassLoad, ready []policyapi.EndpointID) (lines []string) {
+func (j *ClassHealth) EndRound(now policyapi.Microseconds, heard []policyapi.EndpointClassLoad, ready []policyapi.EndpointID) (lines []string) {
 	for _, r := range j.pairs {
 		r.tries, r.errored = r.tries/2, r.errored/2
 	}
--- a/solver/keeper.go
+++ b/solver/keeper.go
@@ -40,7 +40,7 @@
 	WorstUtilization float64
 	WorstEndpoint    string
 	Certificate      *Certificate
-	Log              []string // changes of mode, with their figures
+	Notes            []string // changes of mode, with their figures
 }
 
 const (
@@ -83,12 +83,12 @@
 			why = fmt.Sprintf("%s would be offered %.2f of its limit", at, worst)
 		}
 		k.acting = true
-		r.Log = append(r.Log, "solver acts: "+why)
+		r.Notes = append(r.Notes, "solver acts: "+why)
 	case k.acting && k.fine >= leaveFor:
 		k.acting, k.over = false, 0
 		r.Moved = len(k.tables)
 		clear(k.tables)
-		r.Log = append(r.Log, fmt.Sprintf("solver rests: %s is offered the most, %.2f of its limit", at, worst))
+		r.Notes = append(r.Notes, fmt.Sprintf("solver rests: %s is offered the most, %.2f of its limit", at, worst))
 	}
 	if r.Active = k.acting; !k.acting {
 		return r
--- a/solver/place.go
+++ b/solver/place.go
@@ -198,7 +198,7 @@
 		if s.Admit[d.user][d.kind] = min(1, sum/d.rate); s.Admit[d.user][d.kind] > 1-1e-6 {
 			s.Admit[d.user][d.kind] = 1
 		}
-		c.PriorityWeight += sum * p.payoff[d.kind]
+		c.PlacedPriority += sum * p.payoff[d.kind]
 		c.Shed[d.kind] += max(0, d.rate-sum)
 		for _, l := range lots[i] {
 			if sum > 0 && l.x > 0 {
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -24,15 +24,15 @@
 	// Residual is the largest overload that the prices left before F-NORM, as a part of the limit.
 	Residual float64 `json:"residual"`
 	Steps    int     `json:"steps"`
-	// PriorityWeight a second that is placed, and a bound that no placement whatever exceeds: by weak duality,
+	// PlacedPriority a second that is placed, and a bound that no placement whatever exceeds: by weak duality,
 	// sum(limit·price) + sum(demand·max(0, payoff - cost·price)).
-	PriorityWeight float64 `json:"payoff"`
+	PlacedPriority float64 `json:"payoff"`
 	Bound          float64 `json:"bound"`
 	// Shed is the demand turned away, reqs a second by kind, and Why in words.
 	Shed   []float64 `json:"away"`
 	Reason string    `json:"why"`
-	// Guessed are nodes whose stated capacity made no sense and was taken as the median.
-	Guessed []int `json:"guessed,omitempty"`
+	// GuessedCapacities are nodes whose stated capacity made no sense and was taken as the median.
+	GuessedCapacities []int `json:"guessed,omitempty"`
 }
 
 // The method's constants.
@@ -102,7 +102,7 @@
 	p := newProblem(&f)
 	guessed := p.prepare()
 	if s, keeps := p.untouched(); keeps {
-		s.Certificate.Guessed = guessed
+		s.Certificate.GuessedCapacities = guessed
 		return s
 	}
 	started := len(warm) == len(f.Endpoints)
@@ -138,7 +138,7 @@
 	}
 	residual = p.evaluate(sharpness[len(sharpness)-1] / lowest)
 	s := p.place()
-	s.Certificate.Steps, s.Certificate.Residual, s.Certificate.Guessed = steps, residual, guessed
+	s.Certificate.Steps, s.Certificate.Residual, s.Certificate.GuessedCapacities = steps, residual, guessed
 	return s
 }
 
@@ -280,9 +280,9 @@
 			lines[i].Weight /= total
 		}
 		s.Weights[d.user][d.kind] = lines
-		s.Certificate.PriorityWeight += d.rate * p.payoff[d.kind]
+		s.Certificate.PlacedPriority += d.rate * p.payoff[d.kind]
 	}
-	s.Certificate.Bound = s.Certificate.PriorityWeight
+	s.Certificate.Bound = s.Certificate.PlacedPriority
 	return s, true
 }
 
--- a/solver/solver_test.go
+++ b/solver/solver_test.go
@@ -34,13 +34,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.WorstOverload > 1.05 || m.Unplaced > 1e-3 || m.Ratio.Median < 0.98 || m.Ratio.Worst < 0.90 || m.Optima < 300 || m.Feasible < 200 {
-			t.Errorf("seed %d: %+v, ratio %+v", seed, m, m.Ratio)
+		if m.WorstOverload > 1.05 || m.Unplaced > 1e-3 || m.PriorityRatio.Median < 0.98 || m.PriorityRatio.Worst < 0.90 || m.Optima < 300 || m.Feasible < 200 {
+			t.Errorf("seed %d: %+v, ratio %+v", seed, m, m.PriorityRatio)
 		}
-		if m.LeastLetIn <= 0 {
+		if m.MinAdmitted <= 0 {
 			t.Error("a gateway with open nodes is starved")
 		}
-		if w := m.Ways[fleets.AsWanted]; w.Median > m.Ratio.Median {
+		if w := m.Baselines[fleets.WantedWeights]; w.Median > m.PriorityRatio.Median {
 			t.Errorf("the tables wanted alone do better: %+v", w)
 		}
 	}
@@ -72,8 +72,8 @@
 			}
 		}
 		c := s.Certificate
-		if math.Abs(payoff-c.PriorityWeight) > 1e-6*(1+payoff) || c.PriorityWeight > c.Bound*1.03+1e-9 {
-			t.Fatalf("payoff %v, certificate %v, bound %v", payoff, c.PriorityWeight, c.Bound)
+		if math.Abs(payoff-c.PlacedPriority) > 1e-6*(1+payoff) || c.PlacedPriority > c.Bound*1.03+1e-9 {
+			t.Fatalf("payoff %v, certificate %v, bound %v", payoff, c.PlacedPriority, c.Bound)
 		}
 		for j, p := range c.Prices {
 			if p < 0 || math.IsNaN(p) || math.IsInf(p, 0) || c.Limit[j] != limit[j] {
@@ -259,7 +259,7 @@
 	} {
 		j := solver.NewClassHealth(3)
 		for s := range 10 {
-			j.Round(policyapi.Microseconds(s)*second, heard(nodes, 3, c.n, c.errs), nodes)
+			j.EndRound(policyapi.Microseconds(s)*second, heard(nodes, 3, c.n, c.errs), nodes)
 		}
 		for _, b := range nodes {
 			want := false
@@ -299,7 +299,7 @@
 			trials++
 		}
 		was = v
-		lines += len(j.Round(policyapi.Microseconds(s)*second, heard(nodes, 2, 5, func(b policyapi.EndpointID, k int) float64 {
+		lines += len(j.EndRound(policyapi.Microseconds(s)*second, heard(nodes, 2, 5, func(b policyapi.EndpointID, k int) float64 {
 			return part(b == "a" && k == 1 && bad, 1)
 		}), nodes))
 	}
@@ -308,7 +308,7 @@
 	}
 	j = solver.NewClassHealth(2)
 	for s := range 40 {
-		j.Round(policyapi.Microseconds(s)*second, heard(nodes, 2, 20, func(b policyapi.EndpointID, k int) float64 {
+		j.EndRound(policyapi.Microseconds(s)*second, heard(nodes, 2, 20, func(b policyapi.EndpointID, k int) float64 {
 			return part(k == 1 && int(b[0]-'a') <= s/8, 1)
 		}), nodes)
 		left := 0
@@ -333,7 +333,7 @@
 	calm := plain([]float64{10, 10, 10}, demands...)
 	over := plain([]float64{10, 10, 4}, demands...)
 	k := solver.NewActivation()
-	if r := k.Step(over, false); r.Active || len(r.Log) != 0 {
+	if r := k.Step(over, false); r.Active || len(r.Notes) != 0 {
 		t.Error("it acts on one round")
 	}
 	if r := k.Step(calm, false); r.Active {
@@ -341,8 +341,8 @@
 	}
 	k.Step(over, false)
 	r := k.Step(over, false)
-	if !r.Active || len(r.Log) != 1 || r.Moved == 0 || r.Moved > 10 {
-		t.Errorf("acting %t, %v, moved %d", r.Active, r.Log, r.Moved)
+	if !r.Active || len(r.Notes) != 1 || r.Moved == 0 || r.Moved > 10 {
+		t.Errorf("acting %t, %v, moved %d", r.Active, r.Notes, r.Moved)
 	}
 	for range 8 {
 		r = k.Step(over, false)
@@ -358,7 +358,7 @@
 	changes := 0
 	for i := range 600 {
 		f := plain([]float64{10, 10, 4 + 2.8*math.Abs(math.Sin(float64(i)/3))}, demands...)
-		changes += len(k.Step(f, false).Log)
+		changes += len(k.Step(f, false).Notes)
 	}
 	if changes > 2 {
 		t.Errorf("%d changes in 600 rounds of hovering load", changes)
@@ -387,7 +387,7 @@
 		t.Error("something is known of nobody")
 	}
 	round := func(busy, rate float64, warm bool) {
-		e.Round("a", 1, busy, warm, []policyapi.EndpointClassLoad{{Class: 0, Attempts: int(rate * busy), MeanLatency: 100_000}, {Class: 1, Attempts: int(rate * busy), MeanLatency: 300_000}})
+		e.Observe("a", 1, busy, warm, []policyapi.EndpointClassLoad{{Class: 0, Attempts: int(rate * busy), MeanLatency: 100_000}, {Class: 1, Attempts: int(rate * busy), MeanLatency: 300_000}})
 	}
 	for range 20 {
 		round(0.5, 40, true)
@@ -414,16 +414,16 @@
 	if x.Factor() != 1 {
 		t.Errorf("nothing known: %v", x.Factor())
 	}
-	x.Round([]solver.EndpointOutcome{{10, 10}, {10, 4}, {10, 20}, {10, 10}, {0.1, 5}})
+	x.Observe([]solver.EndpointOutcome{{10, 10}, {10, 4}, {10, 20}, {10, 10}, {0.1, 5}})
 	if got := x.Factor(); got < 1.4 || got > 2 {
 		t.Errorf("one gets twice, one little: %v", got)
 	}
-	x.Round([]solver.EndpointOutcome{{10, 90}})
+	x.Observe([]solver.EndpointOutcome{{10, 90}})
 	if x.Factor() != 3 {
 		t.Errorf("more than is believed: %v", x.Factor())
 	}
 	for range 12 {
-		x.Round([]solver.EndpointOutcome{{10, 10}})
+		x.Observe([]solver.EndpointOutcome{{10, 10}})
 	}
 	if x.Factor() > 1.01 {
 		t.Errorf("it does not fade: %v", x.Factor())
