--- a/cmd/porthub/node_test.go
+++ b/cmd/porthub/node_test.go
@@ -384,7 +384,7 @@
 			t.Fatalf("%v after %q: %s", err, got, out())
 		}
 	}
-	if words, n, err := resp.Take(got, proxyproto.IncomingLimits); err != nil || n == 0 || string(words[0]) != "PONG" {
+	if words, n, err := resp.Parse(got, proxyproto.IncomingLimits); err != nil || n == 0 || string(words[0]) != "PONG" {
 		t.Errorf("first comes %q", got)
 	}
 	if uri := <-watched; uri != "/discovery/hosts?watch=1&from=7" {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -125,7 +125,7 @@
 	from, _ := s.from.LoadOrCompute(host, func() (*atomic.Int64, bool) { return &atomic.Int64{}, false })
 	if s.peers.Size() >= s.d.cfg.Limits.Connections || from.Load() >= int64(s.d.cfg.Limits.PerAddress) {
 		s.refuse(host, "as many connections stand as may")
-		return http1.Answer(http.StatusServiceUnavailable, "text/plain", []byte("as many connections stand as may\n"), true), gnet.Close
+		return http1.EncodeResponse(http.StatusServiceUnavailable, "text/plain", []byte("as many connections stand as may\n"), true), gnet.Close
 	}
 	from.Add(1)
 	p := &peer{id: coordinator.ConnID(s.next.Add(1)), out: c, from: from}
@@ -179,11 +179,11 @@
 		if p.partAt.IsZero() {
 			p.partAt = time.Now()
 		}
-		req, body, whole, err := http1.Take(buf, http1.Limits{Head: headMost, Body: bodyMost})
+		req, body, whole, err := http1.ParseRequest(buf, http1.Limits{Head: headMost, Body: bodyMost})
 		if err != nil {
 			code, why := http.StatusBadRequest, err.Error()
 			if e, is := err.(*http1.Error); is {
-				code, why = e.Code, e.Why
+				code, why = e.Code, e.Reason
 			}
 			return s.end(c, code, why)
 		}
@@ -216,14 +216,14 @@
 // end answers with an error and closes: what follows on the connection can't be told apart.
 func (s *server) end(c gnet.Conn, code int, why string) gnet.Action {
 	s.refuse(c.RemoteAddr().String(), why)
-	_, _ = c.Write(http1.Answer(code, "text/plain", []byte(why+"\n"), true))
+	_, _ = c.Write(http1.EncodeResponse(code, "text/plain", []byte(why+"\n"), true))
 	return gnet.Close
 }
 
 // answer sends a response and lets the connection's next request be read.
 func (s *server) answer(p *peer, code int, kind string, body []byte) {
 	p.waiting.Store(false)
-	_ = p.out.AsyncWrite(http1.Answer(code, kind, body, false), func(c gnet.Conn, err error) error {
+	_ = p.out.AsyncWrite(http1.EncodeResponse(code, kind, body, false), func(c gnet.Conn, err error) error {
 		if err == nil && c != nil && c.InboundBuffered() > 0 {
 			return c.Wake(nil)
 		}
--- a/healthcheck/probe.go
+++ b/healthcheck/checker.go
@@ -28,33 +28,33 @@
 
 // Checker examines so many at once, with so many waiting.
 type Checker struct {
-	o     Options
-	told  func(policyapi.HealthCheckResult)
-	queue chan policyapi.EndpointID
-	http  *http.Client
-	end   context.CancelFunc
+	options Options
+	report  func(policyapi.HealthCheckResult)
+	queue   chan policyapi.EndpointID
+	http    *http.Client
+	cancel  context.CancelFunc
 }
 
 // New starts a prober; it tells of each probe once.
-func New(o Options, told func(policyapi.HealthCheckResult)) *Checker {
+func New(options Options, report func(policyapi.HealthCheckResult)) *Checker {
 	ctx, end := context.WithCancel(context.Background())
-	p := &Checker{o: o, told: told, queue: make(chan policyapi.EndpointID, 1024), end: end,
-		http: &http.Client{Timeout: o.Timeout, Transport: httpclient.Transport()}}
-	for range o.MaxConcurrent {
+	p := &Checker{options: options, report: report, queue: make(chan policyapi.EndpointID, 1024), cancel: end,
+		http: &http.Client{Timeout: options.Timeout, Transport: httpclient.Transport()}}
+	for range options.MaxConcurrent {
 		go p.work(ctx)
 	}
 	return p
 }
 
 // Close ends it; what waits is told no more.
-func (p *Checker) Close() { p.end() }
+func (p *Checker) Close() { p.cancel() }
 
 // Check asks for one.
 func (p *Checker) Check(b policyapi.EndpointID) {
 	select {
 	case p.queue <- b:
 	default:
-		go p.told(policyapi.HealthCheckResult{Endpoint: b, Code: "QueueFull"})
+		go p.report(policyapi.HealthCheckResult{Endpoint: b, Code: "QueueFull"})
 	}
 }
 
@@ -64,15 +64,15 @@
 		case <-ctx.Done():
 			return
 		case b := <-p.queue:
-			p.told(p.one(ctx, b))
+			p.report(p.check(ctx, b))
 		}
 	}
 }
 
-func (p *Checker) one(ctx context.Context, b policyapi.EndpointID) policyapi.HealthCheckResult {
+func (p *Checker) check(ctx context.Context, b policyapi.EndpointID) policyapi.HealthCheckResult {
 	start := time.Now()
 	found := policyapi.HealthCheckResult{Endpoint: b}
-	url, has := p.o.URL(b)
+	url, has := p.options.URL(b)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil || !has {
 		found.Code = "Failed"
@@ -81,7 +81,7 @@
 	res, err := p.http.Do(req)
 	found.Duration = policyapi.Microseconds(time.Since(start).Microseconds())
 	if err != nil {
-		found.Code = probeCode(err)
+		found.Code = errorCode(err)
 		return found
 	}
 	defer res.Body.Close()
@@ -89,7 +89,7 @@
 		io.Reader
 		io.Closer
 	}{io.LimitReader(res.Body, MaxBodyBytes), res.Body}
-	found.Metrics = p.o.Metrics(res)
+	found.Metrics = p.options.Metrics(res)
 	_, _ = io.Copy(io.Discard, res.Body)
 	switch {
 	case res.StatusCode < 300:
@@ -102,7 +102,7 @@
 	return found
 }
 
-func probeCode(err error) string {
+func errorCode(err error) string {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -17,17 +17,17 @@
 
 // Error is a request that can't be taken; what follows it on the connection can't be told apart any more.
 type Error struct {
-	Code int
-	Why  string
+	Code   int
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Code, e.Why) }
+func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Code, e.Reason) }
 
 var headEnd = []byte("\r\n\r\n")
 
-// Take takes the first request. It returns how many bytes it was; 0 without an error says that it is not whole yet. The
+// ParseRequest takes the first request. It returns how many bytes it was; 0 without an error says that it is not whole yet. The
 // body is a copy.
-func Take(buf []byte, limits Limits) (req *http.Request, body []byte, size int, err error) {
+func ParseRequest(buf []byte, limits Limits) (req *http.Request, body []byte, size int, err error) {
 	head := bytes.Index(buf[:min(len(buf), limits.Head+len(headEnd))], headEnd)
 	if head < 0 {
 		if len(buf) > limits.Head {
@@ -53,8 +53,8 @@
 	return req, bytes.Clone(buf[head:whole]), whole, nil
 }
 
-// Answer writes a response with its length; a 304 has no body. Last says that the connection ends with it.
-func Answer(code int, kind string, body []byte, last bool) []byte {
+// EncodeResponse writes a response with its length; a 304 has no body. Last says that the connection ends with it.
+func EncodeResponse(code int, kind string, body []byte, last bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
 	if code != http.StatusNotModified {
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -34,7 +34,7 @@
 		"a head too large":      {"GET /" + strings.Repeat("a", 600), 431, 0},
 		"a whole one too large": {"GET /" + strings.Repeat("a", 600) + " HTTP/1.1\r\n\r\n", 431, 0},
 	} {
-		_, body, size, err := Take([]byte(c.text), limits)
+		_, body, size, err := ParseRequest([]byte(c.text), limits)
 		var e *Error
 		if errors.As(err, &e); (e == nil) != (c.code == 0) || e != nil && e.Code != c.code || size != c.size {
 			t.Errorf("%s: %d bytes, %v", name, size, err)
@@ -48,9 +48,9 @@
 // Answers are such that a plain client reads them one after the other.
 func TestAnswers(t *testing.T) {
 	var all bytes.Buffer
-	all.Write(Answer(200, "text/plain", []byte("one"), false))
-	all.Write(Answer(304, "", nil, false))
-	all.Write(Answer(503, "text/plain", []byte("busy"), true))
+	all.Write(EncodeResponse(200, "text/plain", []byte("one"), false))
+	all.Write(EncodeResponse(304, "", nil, false))
+	all.Write(EncodeResponse(503, "text/plain", []byte("busy"), true))
 	r := bufio.NewReader(&all)
 	for i, want := range []string{"one", "", "busy"} {
 		res, err := http.ReadResponse(r, nil)
@@ -72,7 +72,7 @@
 	}
 	take := func(buf []byte) (out []string) {
 		for {
-			req, body, size, err := Take(buf, limits)
+			req, body, size, err := ParseRequest(buf, limits)
 			if err != nil {
 				return append(out, "error")
 			}
@@ -92,7 +92,7 @@
 			buf, rest = append(buf, rest[:n]...), rest[n:]
 			failed := false
 			for {
-				req, body, size, err := Take(buf, limits)
+				req, body, size, err := ParseRequest(buf, limits)
 				if err != nil {
 					split, failed = append(split, "error"), true
 					break
--- a/httpclient/outbound.go
+++ b/httpclient/transport.go
@@ -8,11 +8,11 @@
 )
 
 // Transport makes each call on a connection of its own and gives the connection up together with the call. The standard
-// transport lets a dial go on when the call that wanted it has ended, in the hope of a later one: towards a machine that
+// perCallTransport lets a dial go on when the call that wanted it has ended, in the hope of a later one: towards a machine that
 // has vanished each call would hold a descriptor for two minutes.
 func Transport() http.RoundTripper {
 	var dialer net.Dialer
-	return transport{&http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 16 << 10,
+	return perCallTransport{&http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 16 << 10,
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			if call, is := ctx.Value(callKey{}).(context.Context); is {
 				ctx = call
@@ -24,8 +24,8 @@
 // callKey is where a dial finds the context of the call that wants it: the standard transport hands on values only.
 type callKey struct{}
 
-type transport struct{ of *http.Transport }
+type perCallTransport struct{ base *http.Transport }
 
-func (t transport) RoundTrip(req *http.Request) (*http.Response, error) {
-	return t.of.RoundTrip(req.WithContext(context.WithValue(req.Context(), callKey{}, req.Context())))
+func (t perCallTransport) RoundTrip(req *http.Request) (*http.Response, error) {
+	return t.base.RoundTrip(req.WithContext(context.WithValue(req.Context(), callKey{}, req.Context())))
 }
--- a/httpclient/outbound_test.go
+++ b/httpclient/transport_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// hole is an address at which connections never come up: nobody accepts, and the few places that wait are taken.
-func hole(t *testing.T) string {
+// unreachableAddress is an address at which connections never come up: nobody accepts, and the few places that wait are taken.
+func unreachableAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -41,8 +41,8 @@
 	return ""
 }
 
-// dialling is how many connections to an address have not come up yet, by the system's own table.
-func dialling(t *testing.T, address string) (n int) {
+// pendingDials is how many connections to an address have not come up yet, by the system's own table.
+func pendingDials(t *testing.T, address string) (n int) {
 	text, err := os.ReadFile("/proc/self/net/tcp")
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +62,7 @@
 
 // A call that is given up before its connection has come up takes the dial with it.
 func TestDialEndsWithItsCall(t *testing.T) {
-	address := hole(t)
+	address := unreachableAddress(t)
 	client := http.Client{Transport: Transport()}
 	for range 3 {
 		ctx, stop := context.WithCancel(context.Background())
@@ -74,7 +74,7 @@
 			}
 			ended <- err
 		}()
-		for end := time.Now().Add(10 * time.Second); dialling(t, address) == 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(10 * time.Second); pendingDials(t, address) == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("nothing is dialled")
 			}
@@ -83,7 +83,7 @@
 		if err := <-ended; err == nil {
 			t.Error("an answer from nowhere")
 		}
-		for end := time.Now().Add(2 * time.Second); dialling(t, address) > 0; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(2 * time.Second); pendingDials(t, address) > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal("a dial goes on after its call has ended")
 			}
--- a/mailbox/inbox.go
+++ b/mailbox/mailbox.go
@@ -13,20 +13,20 @@
 // endpoint list, probes and operators, is emptied first: a drain must not wait behind thousands of reports, nor find the room
 // taken by them.
 type Mailbox[T any] struct {
-	urgent, plain *xsync.MPMCQueue[T]
-	waiting       atomic.Int64 // events in the plain queue
-	asleep        atomic.Bool  // the owner is about to wait, or waits, for the bell
-	bell          chan struct{}
-	closed        atomic.Bool
-	stamp         func(T) T // nil: events go in as they are
+	urgent, normal *xsync.MPMCQueue[T]
+	normalLen      atomic.Int64 // events in the plain queue
+	ownerWaits     atomic.Bool  // the owner is about to wait, or waits, for the bell
+	wakeUp         chan struct{}
+	closed         atomic.Bool
+	stamp          func(T) T // nil: events go in as they are
 }
 
 // MaxBatch is how many events the owner takes at a time.
 const MaxBatch = 4096
 
 // New makes an inbox whose queues have so many places. Each event is passed through stamp, unless that is nil, as it goes in.
-func New[T any](urgent, plain int, stamp func(T) T) *Mailbox[T] {
-	return &Mailbox[T]{stamp: stamp, urgent: xsync.NewMPMCQueue[T](urgent), plain: xsync.NewMPMCQueue[T](plain), bell: make(chan struct{}, 1)}
+func New[T any](urgent, normal int, stamp func(T) T) *Mailbox[T] {
+	return &Mailbox[T]{stamp: stamp, urgent: xsync.NewMPMCQueue[T](urgent), normal: xsync.NewMPMCQueue[T](normal), wakeUp: make(chan struct{}, 1)}
 }
 
 func (b *Mailbox[T]) stamped(e T) T {
@@ -38,10 +38,10 @@
 
 // TryPut puts an event into the plain queue and tells whether there was room.
 func (b *Mailbox[T]) TryPut(e T) bool {
-	if !b.plain.TryEnqueue(b.stamped(e)) {
+	if !b.normal.TryEnqueue(b.stamped(e)) {
 		return false
 	}
-	b.waiting.Add(1)
+	b.normalLen.Add(1)
 	b.wake()
 	return true
 }
@@ -66,21 +66,21 @@
 // wake rings for a loop that sleeps. It is asked after the T has been put in, and the loop looks once more after it
 // has said that it sleeps: one of the two sees the other.
 func (b *Mailbox[T]) wake() {
-	if b.asleep.CompareAndSwap(true, false) {
-		b.bell <- struct{}{}
+	if b.ownerWaits.CompareAndSwap(true, false) {
+		b.wakeUp <- struct{}{}
 	}
 }
 
 // Len returns how many events wait in the plain queue.
-func (b *Mailbox[T]) Len() int { return int(max(0, b.waiting.Load())) }
+func (b *Mailbox[T]) Len() int { return int(max(0, b.normalLen.Load())) }
 
-func (b *Mailbox[T]) take() (T, bool) {
+func (b *Mailbox[T]) dequeue() (T, bool) {
 	if e, has := b.urgent.TryDequeue(); has {
 		return e, true
 	}
-	e, has := b.plain.TryDequeue()
+	e, has := b.normal.TryDequeue()
 	if has {
-		b.waiting.Add(-1)
+		b.normalLen.Add(-1)
 	}
 	return e, has
 }
@@ -92,24 +92,24 @@
 	if len(events) > 0 || timer == nil {
 		return events
 	}
-	b.asleep.Store(true)
+	b.ownerWaits.Store(true)
 	if events = b.drain(events); len(events) == 0 {
 		select {
 		case <-ctx.Done():
 		case <-timer:
-		case <-b.bell:
+		case <-b.wakeUp:
 			return b.drain(events)
 		}
 	}
-	if !b.asleep.CompareAndSwap(true, false) {
-		<-b.bell // somebody rings, or has rung
+	if !b.ownerWaits.CompareAndSwap(true, false) {
+		<-b.wakeUp // somebody rings, or has rung
 	}
 	return b.drain(events)
 }
 
 func (b *Mailbox[T]) drain(events []T) []T {
 	for len(events) < MaxBatch {
-		e, has := b.take()
+		e, has := b.dequeue()
 		if !has {
 			break
 		}
--- a/mailbox/inbox_test.go
+++ b/mailbox/mailbox_test.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-const plainLength = 8192
+const normalCapacity = 8192
 
 // Eight producers, one of which presses: nothing is lost, each one's events come in its order, and the loop that sleeps is
 // woken for each, however they meet.
 func TestInboxLosesNothing(t *testing.T) {
 	const producers, each = 8, 20000
-	b := New[[2]int](plainLength, plainLength, nil)
+	b := New[[2]int](normalCapacity, normalCapacity, nil)
 	var all sync.WaitGroup
 	for p := range producers {
 		all.Add(1)
@@ -57,12 +57,12 @@
 
 // A full plain lane refuses, and what is urgent still gets in and is taken first; a closed inbox keeps nobody.
 func TestInboxLanes(t *testing.T) {
-	b := New[[2]int](plainLength, plainLength, nil)
+	b := New[[2]int](normalCapacity, normalCapacity, nil)
 	n := 0
 	for b.TryPut([2]int{0, n}) {
 		n++
 	}
-	if n != plainLength || b.Len() != n {
+	if n != normalCapacity || b.Len() != n {
 		t.Errorf("%d taken in, %d said", n, b.Len())
 	}
 	b.PutUrgent([2]int{1, 0})
@@ -78,7 +78,7 @@
 
 func BenchmarkInbox(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
-	box := New[[2]int](plainLength, plainLength, nil)
+	box := New[[2]int](normalCapacity, normalCapacity, nil)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -102,7 +102,7 @@
 // BenchmarkChannel is what the inbox was before.
 func BenchmarkChannel(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
-	box := make(chan [2]int, plainLength)
+	box := make(chan [2]int, normalCapacity)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/proxyproto/modelproxy_test.go
+++ b/proxyproto/modelproxy_test.go
@@ -60,7 +60,7 @@
 func (p *modelProxy) apply(t testing.TB, message []byte) {
 	p.lastMessage = ""
 	for len(message) > 0 {
-		words, size, err := resp.Take(message, proxyproto.IncomingLimits)
+		words, size, err := resp.Parse(message, proxyproto.IncomingLimits)
 		if err != nil || size == 0 {
 			t.Fatalf("proxy %d: not complete messages: %v", p.id, err)
 		}
--- a/proxyproto/publisher_test.go
+++ b/proxyproto/publisher_test.go
@@ -14,7 +14,7 @@
 // messageTexts returns the parts of a message, each as its words in one line.
 func messageTexts(t interface{ Fatal(...any) }, bytes []byte) (texts []string) {
 	for len(bytes) > 0 {
-		words, size, err := resp.Take(bytes, IncomingLimits)
+		words, size, err := resp.Parse(bytes, IncomingLimits)
 		if err != nil || size == 0 {
 			t.Fatal("not complete messages: ", err)
 		}
--- a/proxyserver/harness_test.go
+++ b/proxyserver/harness_test.go
@@ -116,7 +116,7 @@
 func (c *client) receive() (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
-		words, n, err := resp.Take(c.buf, proxyproto.IncomingLimits)
+		words, n, err := resp.Parse(c.buf, proxyproto.IncomingLimits)
 		if err != nil {
 			c.t.Fatalf("%v: %q", err, c.buf)
 		}
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -126,7 +126,7 @@
 		if c.session.Role == proxyproto.Unidentified {
 			limits.Bytes = maxUnidentifiedBytes
 		}
-		words, size, err := resp.Take(buf[taken:], limits)
+		words, size, err := resp.Parse(buf[taken:], limits)
 		if err != nil {
 			return taken, s.closeRejected(c, err)
 		}
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -16,18 +16,18 @@
 }
 
 // Error is a message that can't be taken; what follows it on the connection can't be told apart any more.
-type Error struct{ Why string }
+type Error struct{ Reason string }
 
-func (e *Error) Error() string { return e.Why }
+func (e *Error) Error() string { return e.Reason }
 
-// longestCount is the longest line that can announce a length within an int: a sign would be refused anyway.
-const longestCount = 18
+// maxLengthDigits is the longest line that can announce a length within an int: a sign would be refused anyway.
+const maxLengthDigits = 18
 
-// Take takes the first message. It returns how many bytes it was; 0 without an error says that it is not whole yet. The
+// Parse takes the first message. It returns how many bytes it was; 0 without an error says that it is not whole yet. The
 // words are parts of the buffer: they hold only as long as it does. All that is announced is checked before it has come,
 // so that a length that can't be kept is refused at once.
-func Take(buf []byte, limits Limits) (words [][]byte, size int, err error) {
-	n, at, err := count(buf, 0, '*', limits.Words)
+func Parse(buf []byte, limits Limits) (words [][]byte, size int, err error) {
+	n, at, err := parseLength(buf, 0, '*', limits.Words)
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
@@ -35,7 +35,7 @@
 		return nil, 0, &Error{"an array without words"}
 	}
 	for range n {
-		length, start, err := count(buf, at, '$', limits.Bytes-at)
+		length, start, err := parseLength(buf, at, '$', limits.Bytes-at)
 		if err != nil || start == 0 {
 			return nil, 0, err
 		}
@@ -54,16 +54,16 @@
 	return words, at, nil
 }
 
-// count reads a type, a whole number up to most and the line's end from the place given on, and returns the place behind
+// parseLength reads a type, a whole number up to most and the line's end from the place given on, and returns the place behind
 // it: 0 if it is not whole yet.
-func count(buf []byte, at int, kind byte, most int) (n, behind int, err error) {
+func parseLength(buf []byte, at int, kind byte, most int) (n, behind int, err error) {
 	rest := buf[min(at, len(buf)):]
 	if len(rest) > 0 && rest[0] != kind {
 		return 0, 0, &Error{fmt.Sprintf("%q stands where %q is due", rest[0], kind)}
 	}
 	for i, c := range rest[min(1, len(rest)):] {
 		switch {
-		case c >= '0' && c <= '9' && i < longestCount:
+		case c >= '0' && c <= '9' && i < maxLengthDigits:
 			if n = 10*n + int(c-'0'); n > most {
 				return 0, 0, &Error{fmt.Sprintf("a length over %d", max(0, most))}
 			}
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -39,7 +39,7 @@
 		"a line end too few":      {"*1\n$4\r\nPING\r\n", 0, true},
 		"an empty length":         {"*\r\n", 0, true},
 	} {
-		words, size, err := Take([]byte(c.text), limits)
+		words, size, err := Parse([]byte(c.text), limits)
 		var e *Error
 		if errors.As(err, &e) != c.bad || size != c.size || (size > 0) != (len(words) > 0) {
 			t.Errorf("%s: %q, %d bytes, %v", name, words, size, err)
@@ -57,7 +57,7 @@
 		for _, part := range all {
 			buf = append(buf, part...)
 			for {
-				words, size, err := Take(buf, limits)
+				words, size, err := Parse(buf, limits)
 				if err != nil {
 					return append(out, "error")
 				}
@@ -69,7 +69,7 @@
 					texts = append(texts, string(w))
 				}
 				again := Append(nil, texts...)
-				if got, n, err := Take(again, Limits{Bytes: len(again), Words: len(texts)}); err != nil || n != len(again) || len(got) != len(texts) {
+				if got, n, err := Parse(again, Limits{Bytes: len(again), Words: len(texts)}); err != nil || n != len(again) || len(got) != len(texts) {
 					f.Errorf("%q written as %q: %v", texts, again, err)
 				}
 				out, buf = append(out, strings.Join(texts, "\x00")), buf[size:]
