--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock is where running coordinators have their time from.
+// Package clock provides the time to running coordinators, and lets tests set it.
 package clock
 
 import (
@@ -7,18 +7,17 @@
 	"porthub/policyapi"
 )
 
-// Clock gives a host its time, in microseconds since 1970.
+// Clock tells a host the time, in microseconds since 1970.
 type Clock interface {
 	Now() policyapi.Microseconds
-	// After sends once the length has passed.
+	// After returns a channel on which the time is sent once the duration has passed.
 	After(d policyapi.Microseconds) <-chan time.Time
 }
 
-// wallClock starts at the wall's time and then follows the monotonic clock, so that a wall clock that is set anew
-// moves nothing.
+// wallClock starts at the wall clock's time and follows the monotonic clock from there: setting the wall clock has no effect.
 type wallClock struct{ start time.Time }
 
-// New is the machine's clock.
+// New returns the machine's clock.
 func New() Clock { return wallClock{time.Now()} }
 
 func (c wallClock) Now() policyapi.Microseconds {
--- a/healthcheck/checker.go
+++ b/healthcheck/checker.go
@@ -1,4 +1,4 @@
-// Package healthcheck examines backends by a GET.
+// Package healthcheck checks endpoints by an HTTP GET each.
 package healthcheck
 
 import (
@@ -14,19 +14,34 @@
 	"porthub/policyapi"
 )
 
-// Options say how. URL tells where a backend answers, or that it has no place; Loads reads the figures of an answer whose
-// body is cut after BodyMost bytes.
+const (
+	// MaxBodyBytes is how much of a response's body is read: load reports have a hundred bytes or so.
+	MaxBodyBytes = 1 << 16
+	// maxQueuedChecks bounds the checks that wait for a worker.
+	maxQueuedChecks = 1024
+)
+
+// Codes of results, as the decision module knows them.
+const (
+	codeOK           = "Ok"
+	codeFailed       = "Failed"
+	codeQueueFull    = "QueueFull"
+	codeTimedOut     = "TimedOut"
+	codeConnectError = "ConnectError"
+	codeReset        = "ResetByPeer"
+)
+
+// Options configure a Checker.
 type Options struct {
-	Timeout       time.Duration
-	MaxConcurrent int
-	URL           func(policyapi.EndpointID) (string, bool)
-	Metrics       func(*http.Response) policyapi.LoadMetrics
+	Timeout       time.Duration // of a check
+	MaxConcurrent int           // each check holds a descriptor
+	// URL returns where an endpoint is checked; false if it has no address.
+	URL func(policyapi.EndpointID) (string, bool)
+	// Metrics reads the load figures of a response, whose body ends after MaxBodyBytes.
+	Metrics func(*http.Response) policyapi.LoadMetrics
 }
 
-// MaxBodyBytes is what is read of an answer's body: load reports have a hundred bytes or so.
-const MaxBodyBytes = 1 << 16
-
-// Checker examines so many at once, with so many waiting.
+// Checker runs health checks, a bounded number at once with a bounded number waiting.
 type Checker struct {
 	options Options
 	report  func(policyapi.HealthCheckResult)
@@ -35,81 +50,99 @@
 	cancel  context.CancelFunc
 }
 
-// New starts a prober; it tells of each probe once.
+// New starts a Checker. It calls report once for each check, from several goroutines.
 func New(options Options, report func(policyapi.HealthCheckResult)) *Checker {
-	ctx, end := context.WithCancel(context.Background())
-	p := &Checker{options: options, report: report, queue: make(chan policyapi.EndpointID, 1024), cancel: end,
-		http: &http.Client{Timeout: options.Timeout, Transport: httpclient.Transport()}}
+	ctx, cancel := context.WithCancel(context.Background())
+	c := &Checker{
+		options: options,
+		report:  report,
+		queue:   make(chan policyapi.EndpointID, maxQueuedChecks),
+		http:    &http.Client{Timeout: options.Timeout, Transport: httpclient.Transport()},
+		cancel:  cancel,
+	}
 	for range options.MaxConcurrent {
-		go p.work(ctx)
+		go c.work(ctx) // ends with Close
 	}
-	return p
+	return c
 }
 
-// Close ends it; what waits is told no more.
-func (p *Checker) Close() { p.cancel() }
+// Close ends the Checker. Checks that wait are not reported any more.
+func (c *Checker) Close() { c.cancel() }
 
-// Check asks for one.
-func (p *Checker) Check(b policyapi.EndpointID) {
+// Check requests a check of an endpoint. It does not wait: if too many checks are queued, the result has the code QueueFull.
+func (c *Checker) Check(id policyapi.EndpointID) {
 	select {
-	case p.queue <- b:
+	case c.queue <- id:
 	default:
-		go p.report(policyapi.HealthCheckResult{Endpoint: b, Code: "QueueFull"})
+		go c.report(policyapi.HealthCheckResult{Endpoint: id, Code: codeQueueFull}) // report may wait for its receiver
 	}
 }
 
-func (p *Checker) work(ctx context.Context) {
+// work runs checks until the context ends.
+func (c *Checker) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case b := <-p.queue:
-			p.report(p.check(ctx, b))
+		case id := <-c.queue:
+			c.report(c.check(ctx, id))
 		}
 	}
 }
 
-func (p *Checker) check(ctx context.Context, b policyapi.EndpointID) policyapi.HealthCheckResult {
+func (c *Checker) check(ctx context.Context, id policyapi.EndpointID) policyapi.HealthCheckResult {
 	start := time.Now()
-	found := policyapi.HealthCheckResult{Endpoint: b}
-	url, has := p.options.URL(b)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
+	result := policyapi.HealthCheckResult{Endpoint: id}
+	url, has := c.options.URL(id)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil || !has {
-		found.Code = "Failed"
-		return found
+		result.Code = codeFailed
+		return result
 	}
-	res, err := p.http.Do(req)
-	found.Duration = policyapi.Microseconds(time.Since(start).Microseconds())
+	response, err := c.http.Do(request)
+	result.Duration = policyapi.Microseconds(time.Since(start).Microseconds())
 	if err != nil {
-		found.Code = errorCode(err)
-		return found
+		result.Code = errorCode(err)
+		return result
 	}
-	defer res.Body.Close()
-	res.Body = struct {
+	defer func() { _ = response.Body.Close() }()
+	response.Body = limitBody(response.Body)
+	result.Metrics = c.options.Metrics(response)
+	_, _ = io.Copy(io.Discard, response.Body)
+	result.Code = statusCode(response.StatusCode)
+	result.Healthy = result.Code == codeOK
+	return result
+}
+
+// limitBody ends a body after MaxBodyBytes.
+func limitBody(body io.ReadCloser) io.ReadCloser {
+	return struct {
 		io.Reader
 		io.Closer
-	}{io.LimitReader(res.Body, MaxBodyBytes), res.Body}
-	found.Metrics = p.options.Metrics(res)
-	_, _ = io.Copy(io.Discard, res.Body)
+	}{io.LimitReader(body, MaxBodyBytes), body}
+}
+
+// statusCode returns the code of a response.
+func statusCode(status int) string {
 	switch {
-	case res.StatusCode < 300:
-		found.Healthy, found.Code = true, "Ok"
-	case res.StatusCode == http.StatusServiceUnavailable:
-		found.Code = "QueueFull"
+	case status < http.StatusMultipleChoices:
+		return codeOK
+	case status == http.StatusServiceUnavailable:
+		return codeQueueFull
 	default:
-		found.Code = "Failed"
+		return codeFailed
 	}
-	return found
 }
 
+// errorCode returns the code of a check without a response.
 func errorCode(err error) string {
-	var timeout net.Error
+	var netErr net.Error
 	switch {
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return "TimedOut"
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return codeTimedOut
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return "ConnectError"
+		return codeConnectError
 	default:
-		return "ResetByPeer"
+		return codeReset
 	}
 }
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -1,5 +1,5 @@
-// Package http1 takes whole HTTP/1.1 requests off the front of a buffer, within limits. It holds no state: the same
-// bytes give the same requests however they were split on the way.
+// Package http1 parses HTTP/1.1 requests at the front of a buffer, within limits, and encodes responses. It keeps no state: the same bytes
+// give the same requests however they were split on the way.
 package http1
 
 import (
@@ -15,59 +15,65 @@
 	Body int
 }
 
-// Error is a request that can't be taken; what follows it on the connection can't be told apart any more.
+// Error is a request that can't be parsed, with the status to respond with. Requests after it on the connection can't be told apart any
+// more.
 type Error struct {
-	Code   int
-	Reason string
+	Code   int    // HTTP status
+	Reason string // for the response's body
+	Err    error  // of net/http; may be nil
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Code, e.Reason) }
 
+// Unwrap returns the error of net/http, if any.
+func (e *Error) Unwrap() error { return e.Err }
+
 var headEnd = []byte("\r\n\r\n")
 
-// ParseRequest takes the first request. It returns how many bytes it was; 0 without an error says that it is not whole yet. The
-// body is a copy.
-func ParseRequest(buf []byte, limits Limits) (req *http.Request, body []byte, size int, err error) {
-	head := bytes.Index(buf[:min(len(buf), limits.Head+len(headEnd))], headEnd)
-	if head < 0 {
+// ParseRequest parses the first request of a buffer. It returns the request's size in bytes; 0 without an error if the request is not
+// complete yet. The body is a copy. An error is an *Error.
+func ParseRequest(buf []byte, limits Limits) (request *http.Request, body []byte, size int, err error) {
+	i := bytes.Index(buf[:min(len(buf), limits.Head+len(headEnd))], headEnd)
+	if i < 0 {
 		if len(buf) > limits.Head {
-			return nil, nil, 0, &Error{http.StatusRequestHeaderFieldsTooLarge, fmt.Sprintf("a head has %d bytes at most", limits.Head)}
+			return nil, nil, 0, &Error{Code: http.StatusRequestHeaderFieldsTooLarge, Reason: fmt.Sprintf("a head has %d bytes at most", limits.Head)}
 		}
 		return nil, nil, 0, nil
 	}
-	head += len(headEnd)
-	req, perr := http.ReadRequest(bufio.NewReader(bytes.NewReader(buf[:head])))
-	if perr != nil {
-		return nil, nil, 0, &Error{http.StatusBadRequest, "no HTTP/1.1 request: " + perr.Error()}
+	headSize := i + len(headEnd)
+	request, parseErr := http.ReadRequest(bufio.NewReader(bytes.NewReader(buf[:headSize])))
+	if parseErr != nil {
+		return nil, nil, 0, &Error{Code: http.StatusBadRequest, Reason: "no HTTP/1.1 request: " + parseErr.Error(), Err: parseErr}
 	}
-	if len(req.TransferEncoding) > 0 || req.ContentLength < 0 {
-		return nil, nil, 0, &Error{http.StatusLengthRequired, "a body needs its Content-Length"}
+	if len(request.TransferEncoding) > 0 || request.ContentLength < 0 {
+		return nil, nil, 0, &Error{Code: http.StatusLengthRequired, Reason: "a body needs its Content-Length"}
 	}
-	if req.ContentLength > int64(limits.Body) {
-		return nil, nil, 0, &Error{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body has %d bytes at most", limits.Body)}
+	if request.ContentLength > int64(limits.Body) {
+		return nil, nil, 0, &Error{Code: http.StatusRequestEntityTooLarge, Reason: fmt.Sprintf("a body has %d bytes at most", limits.Body)}
 	}
-	whole := head + int(req.ContentLength)
-	if len(buf) < whole {
+	size = headSize + int(request.ContentLength)
+	if len(buf) < size {
 		return nil, nil, 0, nil
 	}
-	return req, bytes.Clone(buf[head:whole]), whole, nil
+	return request, bytes.Clone(buf[headSize:size]), size, nil
 }
 
-// EncodeResponse writes a response with its length; a 304 has no body. Last says that the connection ends with it.
-func EncodeResponse(code int, kind string, body []byte, last bool) []byte {
+// EncodeResponse encodes a response with its Content-Length; a 304 has no body. If isLast is set it announces the connection's end.
+func EncodeResponse(code int, contentType string, body []byte, isLast bool) []byte {
+	hasBody := code != http.StatusNotModified
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\n", code, http.StatusText(code))
-	if code != http.StatusNotModified {
-		fmt.Fprintf(&b, "Content-Type: %s\r\nContent-Length: %d\r\n", kind, len(body))
+	if hasBody {
+		fmt.Fprintf(&b, "Content-Type: %s\r\nContent-Length: %d\r\n", contentType, len(body))
 	}
 	if code == http.StatusServiceUnavailable || code == http.StatusTooManyRequests {
 		b.WriteString("Retry-After: 1\r\n")
 	}
-	if last {
+	if isLast {
 		b.WriteString("Connection: close\r\n")
 	}
 	b.WriteString("\r\n")
-	if code != http.StatusNotModified {
+	if hasBody {
 		b.Write(body)
 	}
 	return b.Bytes()
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -12,79 +12,86 @@
 
 var limits = Limits{Head: 512, Body: 1000}
 
-func TestTake(t *testing.T) {
+func TestParseRequest(t *testing.T) {
 	const one = "POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
 	for name, c := range map[string]struct {
 		text string
 		code int
 		size int
 	}{
-		"whole":                 {one, 0, len(one)},
-		"two":                   {one + one, 0, len(one)},
-		"no body":               {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, 27},
-		"half a head":           {one[:20], 0, 0},
-		"half a body":           {one[:len(one)-2], 0, 0},
-		"nothing":               {"", 0, 0},
-		"garbage":               {"garbage\r\n\r\n", 400, 0},
-		"no host":               {"GET / HTTP/1.1\r\n\r\n", 0, 18},
-		"chunked":               {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, 0},
-		"a negative length":     {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", 400, 0},
-		"two lengths":           {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", 400, 0},
-		"a body too large":      {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1001\r\n\r\n", 413, 0},
-		"a head too large":      {"GET /" + strings.Repeat("a", 600), 431, 0},
-		"a whole one too large": {"GET /" + strings.Repeat("a", 600) + " HTTP/1.1\r\n\r\n", 431, 0},
+		"complete":                  {one, 0, len(one)},
+		"two":                       {one + one, 0, len(one)},
+		"no body":                   {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, 27},
+		"half a head":               {one[:20], 0, 0},
+		"half a body":               {one[:len(one)-2], 0, 0},
+		"nothing":                   {"", 0, 0},
+		"garbage":                   {"garbage\r\n\r\n", 400, 0},
+		"no host":                   {"GET / HTTP/1.1\r\n\r\n", 0, 18},
+		"chunked":                   {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, 0},
+		"a negative length":         {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", 400, 0},
+		"two lengths":               {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", 400, 0},
+		"a body too large":          {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1001\r\n\r\n", 413, 0},
+		"a head too large":          {"GET /" + strings.Repeat("a", 600), 431, 0},
+		"a complete head too large": {"GET /" + strings.Repeat("a", 600) + " HTTP/1.1\r\n\r\n", 431, 0},
 	} {
-		_, body, size, err := ParseRequest([]byte(c.text), limits)
-		var e *Error
-		if errors.As(err, &e); (e == nil) != (c.code == 0) || e != nil && e.Code != c.code || size != c.size {
-			t.Errorf("%s: %d bytes, %v", name, size, err)
-		}
-		if strings.HasSuffix(c.text, "hello") && size > 0 && string(body) != "hello" {
-			t.Errorf("%s: body %q", name, body)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, body, size, err := ParseRequest([]byte(c.text), limits)
+			code := 0
+			if parseErr := (*Error)(nil); errors.As(err, &parseErr) {
+				code = parseErr.Code
+			} else if err != nil {
+				t.Errorf("%v is no *Error", err)
+			}
+			if code != c.code || size != c.size {
+				t.Errorf("%d bytes, %v", size, err)
+			}
+			if strings.HasSuffix(c.text, "hello") && size > 0 && string(body) != "hello" {
+				t.Errorf("body %q", body)
+			}
+		})
 	}
 }
 
-// Answers are such that a plain client reads them one after the other.
-func TestAnswers(t *testing.T) {
+// A standard client reads responses one after the other.
+func TestEncodeResponse(t *testing.T) {
 	var all bytes.Buffer
 	all.Write(EncodeResponse(200, "text/plain", []byte("one"), false))
 	all.Write(EncodeResponse(304, "", nil, false))
 	all.Write(EncodeResponse(503, "text/plain", []byte("busy"), true))
 	r := bufio.NewReader(&all)
 	for i, want := range []string{"one", "", "busy"} {
-		res, err := http.ReadResponse(r, nil)
+		response, err := http.ReadResponse(r, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		body, err := io.ReadAll(res.Body)
-		if err != nil || string(body) != want || res.Close != (i == 2) {
-			t.Errorf("answer %d: %q, close %t, %v", i, body, res.Close, err)
+		body, err := io.ReadAll(response.Body)
+		if err != nil || string(body) != want || response.Close != (i == 2) {
+			t.Errorf("response %d: %q, close %t, %v", i, body, response.Close, err)
 		}
 	}
 }
 
-// However a stream is split, the same requests come of it, none larger than the limits.
-func FuzzTake(f *testing.F) {
+// A stream gives the same requests however it is split, none larger than the limits.
+func FuzzParseRequest(f *testing.F) {
 	for _, seed := range []string{"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.1\r\nHost: y\r\n\r\n", "\r\n\r\n\r\n",
 		"GET / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"} {
 		f.Add([]byte(seed), uint8(3))
 	}
-	take := func(buf []byte) (out []string) {
+	parseAll := func(buf []byte) (out []string) {
 		for {
-			req, body, size, err := ParseRequest(buf, limits)
+			request, body, size, err := ParseRequest(buf, limits)
 			if err != nil {
 				return append(out, "error")
 			}
 			if size == 0 {
 				return out
 			}
-			out = append(out, req.Method+" "+req.URL.String()+" "+string(body))
+			out = append(out, request.Method+" "+request.URL.String()+" "+string(body))
 			buf = buf[size:]
 		}
 	}
 	f.Fuzz(func(t *testing.T, stream []byte, step uint8) {
-		whole := take(stream)
+		complete := parseAll(stream)
 		var split []string
 		var buf []byte
 		for rest := stream; ; {
@@ -92,7 +99,7 @@
 			buf, rest = append(buf, rest[:n]...), rest[n:]
 			failed := false
 			for {
-				req, body, size, err := ParseRequest(buf, limits)
+				request, body, size, err := ParseRequest(buf, limits)
 				if err != nil {
 					split, failed = append(split, "error"), true
 					break
@@ -103,15 +110,15 @@
 				if size == 0 {
 					break
 				}
-				split = append(split, req.Method+" "+req.URL.String()+" "+string(body))
+				split = append(split, request.Method+" "+request.URL.String()+" "+string(body))
 				buf = buf[size:]
 			}
 			if failed || len(rest) == 0 {
 				break
 			}
 		}
-		if strings.Join(whole, "|") != strings.Join(split, "|") {
-			t.Fatalf("whole %q, split %q", whole, split)
+		if strings.Join(complete, "|") != strings.Join(split, "|") {
+			t.Fatalf("complete %q, split %q", complete, split)
 		}
 	})
 }
--- a/httpclient/transport.go
+++ b/httpclient/transport.go
@@ -1,4 +1,4 @@
-// Package httpclient is how HTTP calls to others are made where descriptors are few.
+// Package httpclient provides the HTTP transport for outgoing calls where descriptors are scarce.
 package httpclient
 
 import (
@@ -7,25 +7,35 @@
 	"net/http"
 )
 
-// Transport makes each call on a connection of its own and gives the connection up together with the call. The standard
-// perCallTransport lets a dial go on when the call that wanted it has ended, in the hope of a later one: towards a machine that
+// readBufferBytes is a connection's read buffer: lines of endpoint lists are longer than the standard 4 KiB.
+const readBufferBytes = 16 << 10
+
+// Transport returns a RoundTripper that makes each call on a connection of its own and closes the connection, or ends its dial, together
+// with the call. The standard transport lets a dial go on when its call has ended, for the sake of a later one: towards a machine that
 // has vanished each call would hold a descriptor for two minutes.
 func Transport() http.RoundTripper {
 	var dialer net.Dialer
-	return perCallTransport{&http.Transport{DisableKeepAlives: true, DisableCompression: true, ReadBufferSize: 16 << 10,
-		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if call, is := ctx.Value(callKey{}).(context.Context); is {
-				ctx = call
-			}
-			return dialer.DialContext(ctx, network, address)
-		}}}
+	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
+		if callCtx, is := ctx.Value(callKey{}).(context.Context); is {
+			ctx = callCtx
+		}
+		return dialer.DialContext(ctx, network, address)
+	}
+	return perCallTransport{&http.Transport{
+		DisableKeepAlives:  true,
+		DisableCompression: true,
+		ReadBufferSize:     readBufferBytes,
+		DialContext:        dial,
+	}}
 }
 
-// callKey is where a dial finds the context of the call that wants it: the standard transport hands on values only.
+// callKey is the key under which a dial finds the context of its call: the standard transport hands a dial the context's values only.
 type callKey struct{}
 
 type perCallTransport struct{ base *http.Transport }
 
-func (t perCallTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	return t.base.RoundTrip(req.WithContext(context.WithValue(req.Context(), callKey{}, req.Context())))
+// RoundTrip makes a call.
+func (t perCallTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+	ctx := request.Context()
+	return t.base.RoundTrip(request.WithContext(context.WithValue(ctx, callKey{}, ctx)))
 }
--- a/httpclient/transport_test.go
+++ b/httpclient/transport_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// unreachableAddress is an address at which connections never come up: nobody accepts, and the few places that wait are taken.
+// unreachableAddress returns an address at which connections are never established: nobody accepts, and the backlog is full.
 func unreachableAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -25,11 +25,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	bound, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := fmt.Sprintf("127.0.0.1:%d", at.(*syscall.SockaddrInet4).Port)
+	address := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
 	for range 8 {
 		c, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
 		if err != nil {
@@ -37,11 +37,14 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the system lets connections come up that nobody accepts")
+	t.Fatal("the system establishes connections that nobody accepts")
 	return ""
 }
 
-// pendingDials is how many connections to an address have not come up yet, by the system's own table.
+// synSent is the state of a connection in the system's table that is not established yet.
+const synSent = "02"
+
+// pendingDials returns how many connections to an address are not established yet, by the system's own table.
 func pendingDials(t *testing.T, address string) (n int) {
 	text, err := os.ReadFile("/proc/self/net/tcp")
 	if err != nil {
@@ -52,40 +55,40 @@
 		t.Fatal(err)
 	}
 	for line := range strings.Lines(string(text)) {
-		f := strings.Fields(line)
-		if len(f) > 3 && f[2] == fmt.Sprintf("0100007F:%04X", port) && f[3] == "02" {
+		fields := strings.Fields(line)
+		if len(fields) > 3 && fields[2] == fmt.Sprintf("0100007F:%04X", port) && fields[3] == synSent {
 			n++
 		}
 	}
 	return n
 }
 
-// A call that is given up before its connection has come up takes the dial with it.
+// A call that is canceled before its connection is established ends the dial too.
 func TestDialEndsWithItsCall(t *testing.T) {
 	address := unreachableAddress(t)
 	client := http.Client{Transport: Transport()}
 	for range 3 {
-		ctx, stop := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() {
-			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
+			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
 			if err == nil {
-				_, err = client.Do(req)
+				_, err = client.Do(request)
 			}
 			ended <- err
 		}()
 		for end := time.Now().Add(10 * time.Second); pendingDials(t, address) == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("nothing is dialled")
+				t.Fatal("no dial is pending")
 			}
 		}
-		stop()
+		cancel()
 		if err := <-ended; err == nil {
-			t.Error("an answer from nowhere")
+			t.Error("a response from nowhere")
 		}
 		for end := time.Now().Add(2 * time.Second); pendingDials(t, address) > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("a dial goes on after its call has ended")
+				t.Fatal("a dial goes on after the end of its call")
 			}
 		}
 	}
--- a/mailbox/mailbox.go
+++ b/mailbox/mailbox.go
@@ -1,4 +1,5 @@
-// Package mailbox holds the events that wait for a goroutine that owns some state, in two bounded lock-free queues, one of them urgent.
+// Package mailbox provides the input queue of a goroutine that owns some state (an actor): two bounded lock-free lanes, one of them
+// urgent.
 package mailbox
 
 import (
@@ -9,107 +10,117 @@
 	"github.com/puzpuzpuz/xsync/v4"
 )
 
-// Mailbox has two bounded lock-free queues: many goroutines put events in, one owner takes them out. The urgent queue, for the
-// endpoint list, probes and operators, is emptied first: a drain must not wait behind thousands of reports, nor find the room
-// taken by them.
+// Mailbox has two bounded lock-free queues. Any goroutine may put events in; one goroutine, the owner, takes them out with Next. The
+// urgent lane, for the endpoint list, health checks and operators, is emptied first: a drain must not wait behind thousands of reports,
+// nor find the lane filled by them.
 type Mailbox[T any] struct {
 	urgent, normal *xsync.MPMCQueue[T]
-	normalLen      atomic.Int64 // events in the plain queue
-	ownerWaits     atomic.Bool  // the owner is about to wait, or waits, for the bell
-	wakeUp         chan struct{}
+	normalLen      atomic.Int64
+	ownerWaits     atomic.Bool   // the owner waits for wakeUp, or is about to
+	wakeUp         chan struct{} // has a place for one signal
 	closed         atomic.Bool
 	stamp          func(T) T // nil: events go in as they are
 }
 
-// MaxBatch is how many events the owner takes at a time.
-const MaxBatch = 4096
+const (
+	// MaxBatch is how many events Next returns at most.
+	MaxBatch = 4096
+	// retryInterval is how often PutUrgent tries again while its lane is full.
+	retryInterval = time.Millisecond
+)
 
-// New makes an inbox whose queues have so many places. Each event is passed through stamp, unless that is nil, as it goes in.
+// New returns a Mailbox whose lanes have the given capacities. Each event is passed through stamp, unless that is nil, as it goes in.
 func New[T any](urgent, normal int, stamp func(T) T) *Mailbox[T] {
-	return &Mailbox[T]{stamp: stamp, urgent: xsync.NewMPMCQueue[T](urgent), normal: xsync.NewMPMCQueue[T](normal), wakeUp: make(chan struct{}, 1)}
+	return &Mailbox[T]{
+		urgent: xsync.NewMPMCQueue[T](urgent),
+		normal: xsync.NewMPMCQueue[T](normal),
+		wakeUp: make(chan struct{}, 1),
+		stamp:  stamp,
+	}
 }
 
-func (b *Mailbox[T]) stamped(e T) T {
-	if b.stamp != nil {
-		return b.stamp(e)
+func (m *Mailbox[T]) stamped(e T) T {
+	if m.stamp != nil {
+		return m.stamp(e)
 	}
 	return e
 }
 
-// TryPut puts an event into the plain queue and tells whether there was room.
-func (b *Mailbox[T]) TryPut(e T) bool {
-	if !b.normal.TryEnqueue(b.stamped(e)) {
+// TryPut puts an event into the normal lane and reports whether there was room.
+func (m *Mailbox[T]) TryPut(e T) bool {
+	if !m.normal.TryEnqueue(m.stamped(e)) {
 		return false
 	}
-	b.normalLen.Add(1)
-	b.wake()
+	m.normalLen.Add(1)
+	m.wake()
 	return true
 }
 
-// TryPutUrgent puts an event into the urgent queue and tells whether there was room.
-func (b *Mailbox[T]) TryPutUrgent(e T) bool {
-	if !b.urgent.TryEnqueue(b.stamped(e)) {
+// TryPutUrgent puts an event into the urgent lane and reports whether there was room.
+func (m *Mailbox[T]) TryPutUrgent(e T) bool {
+	if !m.urgent.TryEnqueue(m.stamped(e)) {
 		return false
 	}
-	b.wake()
+	m.wake()
 	return true
 }
 
-// PutUrgent puts an event into the urgent queue and waits while that is full. Once the inbox is closed it returns at once, and the
-// event is lost.
-func (b *Mailbox[T]) PutUrgent(e T) {
-	for !b.TryPutUrgent(e) && !b.closed.Load() {
-		time.Sleep(time.Millisecond)
+// PutUrgent puts an event into the urgent lane and waits while that is full. If the mailbox is closed it returns at once, and the event
+// is lost.
+func (m *Mailbox[T]) PutUrgent(e T) {
+	for !m.TryPutUrgent(e) && !m.closed.Load() {
+		time.Sleep(retryInterval)
 	}
 }
 
-// wake rings for a loop that sleeps. It is asked after the T has been put in, and the loop looks once more after it
-// has said that it sleeps: one of the two sees the other.
-func (b *Mailbox[T]) wake() {
-	if b.ownerWaits.CompareAndSwap(true, false) {
-		b.wakeUp <- struct{}{}
+// wake wakes a waiting owner. It is called after an event was put in, and the owner looks for events once more after it has announced
+// that it waits: one of the two notices the other.
+func (m *Mailbox[T]) wake() {
+	if m.ownerWaits.CompareAndSwap(true, false) {
+		m.wakeUp <- struct{}{}
 	}
 }
 
-// Len returns how many events wait in the plain queue.
-func (b *Mailbox[T]) Len() int { return int(max(0, b.normalLen.Load())) }
+// Len returns how many events are in the normal lane. It may be called from any goroutine.
+func (m *Mailbox[T]) Len() int { return int(max(0, m.normalLen.Load())) }
 
-func (b *Mailbox[T]) dequeue() (T, bool) {
-	if e, has := b.urgent.TryDequeue(); has {
+func (m *Mailbox[T]) dequeue() (T, bool) {
+	if e, has := m.urgent.TryDequeue(); has {
 		return e, true
 	}
-	e, has := b.normal.TryDequeue()
+	e, has := m.normal.TryDequeue()
 	if has {
-		b.normalLen.Add(-1)
+		m.normalLen.Add(-1)
 	}
 	return e, has
 }
 
-// Next waits until there is an event, the time has come or the context ends, and takes what there is, up to a batch.
-func (b *Mailbox[T]) Next(ctx context.Context, events []T, wait func() <-chan time.Time) []T {
-	events = b.drain(events)
+// Next appends to events what is in the mailbox, up to MaxBatch events in all, and returns them. If there is nothing it waits for an
+// event, the channel that wait returns or the end of the context; with a nil channel it does not wait. Only the owner may call it.
+func (m *Mailbox[T]) Next(ctx context.Context, events []T, wait func() <-chan time.Time) []T {
+	events = m.drain(events)
 	timer := wait()
 	if len(events) > 0 || timer == nil {
 		return events
 	}
-	b.ownerWaits.Store(true)
-	if events = b.drain(events); len(events) == 0 {
+	m.ownerWaits.Store(true)
+	if events = m.drain(events); len(events) == 0 {
 		select {
 		case <-ctx.Done():
 		case <-timer:
-		case <-b.wakeUp:
-			return b.drain(events)
+		case <-m.wakeUp:
+			return m.drain(events)
 		}
 	}
-	if !b.ownerWaits.CompareAndSwap(true, false) {
-		<-b.wakeUp // somebody rings, or has rung
+	if !m.ownerWaits.CompareAndSwap(true, false) {
+		<-m.wakeUp // a producer has sent the signal, or is about to
 	}
-	return b.drain(events)
+	return m.drain(events)
 }
 
-func (b *Mailbox[T]) drain(events []T) []T {
+func (m *Mailbox[T]) drain(events []T) []T {
 	for len(events) < MaxBatch {
-		e, has := b.dequeue()
+		e, has := m.dequeue()
 		if !has {
 			break
 		}
@@ -118,5 +129,5 @@
 	return events
 }
 
-// Close ends the waiting of all that put events in.
-func (b *Mailbox[T]) Close() { b.closed.Store(true) }
+// Close releases the goroutines that wait in PutUrgent.
+func (m *Mailbox[T]) Close() { m.closed.Store(true) }
--- a/mailbox/mailbox_test.go
+++ b/mailbox/mailbox_test.go
@@ -10,26 +10,25 @@
 
 const normalCapacity = 8192
 
-// Eight producers, one of which presses: nothing is lost, each one's events come in its order, and the loop that sleeps is
-// woken for each, however they meet.
-func TestInboxLosesNothing(t *testing.T) {
-	const producers, each = 8, 20000
-	b := New[[2]int](normalCapacity, normalCapacity, nil)
-	var all sync.WaitGroup
-	for p := range producers {
-		all.Add(1)
+// Eight producers, one of them urgent: no event is lost, each producer's events come in order, and a waiting owner is woken for each.
+func TestMailboxLosesNothing(t *testing.T) {
+	const producers, eventsOfEach = 8, 20000
+	m := New[[2]int](normalCapacity, normalCapacity, nil)
+	var producersDone sync.WaitGroup
+	for producer := range producers {
+		producersDone.Add(1)
 		go func() {
-			defer all.Done()
-			put := b.TryPut
-			if p == 0 {
-				put = b.TryPutUrgent
+			defer producersDone.Done()
+			put := m.TryPut
+			if producer == 0 {
+				put = m.TryPutUrgent
 			}
-			for i := range each {
-				for !put([2]int{p, i}) {
-					runtime.Gosched() // full
+			for i := range eventsOfEach {
+				for !put([2]int{producer, i}) {
+					runtime.Gosched() // the lane is full
 				}
 				if i%64 == 0 {
-					time.Sleep(time.Microsecond) // the loop falls asleep now and then
+					time.Sleep(time.Microsecond) // the owner waits now and then
 				}
 			}
 		}()
@@ -38,59 +37,59 @@
 	defer cancel()
 	next, taken := [producers]int{}, 0
 	var events [][2]int
-	for taken < producers*each && ctx.Err() == nil {
-		events = b.Next(ctx, events[:0], func() <-chan time.Time { return time.After(time.Hour) })
+	for taken < producers*eventsOfEach && ctx.Err() == nil {
+		events = m.Next(ctx, events[:0], func() <-chan time.Time { return time.After(time.Hour) })
 		for _, e := range events {
-			in := e
-			if in[1] != next[in[0]] {
-				t.Fatalf("of %d came %d, not %d", in[0], in[1], next[in[0]])
+			producer, event := e[0], e[1]
+			if event != next[producer] {
+				t.Fatalf("producer %d: event %d, want %d", producer, event, next[producer])
 			}
-			next[in[0]]++
+			next[producer]++
 			taken++
 		}
 	}
-	all.Wait()
-	if taken != producers*each || b.Len() != 0 {
-		t.Errorf("%d taken, %d said to wait", taken, b.Len())
+	producersDone.Wait()
+	if taken != producers*eventsOfEach || m.Len() != 0 {
+		t.Errorf("%d events taken, length %d", taken, m.Len())
 	}
 }
 
-// A full plain lane refuses, and what is urgent still gets in and is taken first; a closed inbox keeps nobody.
-func TestInboxLanes(t *testing.T) {
-	b := New[[2]int](normalCapacity, normalCapacity, nil)
+// A full normal lane rejects events, while urgent ones still get in and come first; PutUrgent does not wait on a closed mailbox.
+func TestMailboxLanes(t *testing.T) {
+	m := New[[2]int](normalCapacity, normalCapacity, nil)
 	n := 0
-	for b.TryPut([2]int{0, n}) {
+	for m.TryPut([2]int{0, n}) {
 		n++
 	}
-	if n != normalCapacity || b.Len() != n {
-		t.Errorf("%d taken in, %d said", n, b.Len())
+	if n != normalCapacity || m.Len() != n {
+		t.Errorf("%d events put, length %d", n, m.Len())
 	}
-	b.PutUrgent([2]int{1, 0})
-	events := b.Next(context.Background(), nil, func() <-chan time.Time { return nil })
+	m.PutUrgent([2]int{1, 0})
+	events := m.Next(context.Background(), nil, func() <-chan time.Time { return nil })
 	if len(events) != MaxBatch || events[0] != [2]int{1, 0} || events[1] != [2]int{0, 0} {
 		t.Errorf("%d events, first %v, %v", len(events), events[0], events[1])
 	}
-	for b.TryPutUrgent([2]int{}) {
+	for m.TryPutUrgent([2]int{}) {
 	}
-	b.Close()
-	b.PutUrgent([2]int{}) // nobody takes it: it returns
+	m.Close()
+	m.PutUrgent([2]int{}) // returns though the lane is full
 }
 
-func BenchmarkInbox(b *testing.B) {
+func BenchmarkMailbox(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
-	box := New[[2]int](normalCapacity, normalCapacity, nil)
+	mailbox := New[[2]int](normalCapacity, normalCapacity, nil)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		var events [][2]int
 		for ctx.Err() == nil {
-			events = box.Next(ctx, events[:0], func() <-chan time.Time { return time.After(time.Second) })
+			events = mailbox.Next(ctx, events[:0], func() <-chan time.Time { return time.After(time.Second) })
 		}
 	}()
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			for !box.TryPut([2]int{}) {
+			for !mailbox.TryPut([2]int{}) {
 				runtime.Gosched()
 			}
 		}
@@ -99,10 +98,10 @@
 	<-ended
 }
 
-// BenchmarkChannel is what the inbox was before.
+// BenchmarkChannel is a plain channel, for comparison.
 func BenchmarkChannel(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
-	box := make(chan [2]int, normalCapacity)
+	mailbox := make(chan [2]int, normalCapacity)
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -111,13 +110,13 @@
 			select {
 			case <-ctx.Done():
 				return
-			case e := <-box:
+			case e := <-mailbox:
 				events = append(events[:0], e)
 			case <-time.After(time.Second):
 			}
 			for more := true; more && len(events) < MaxBatch; {
 				select {
-				case e := <-box:
+				case e := <-mailbox:
 					events = append(events, e)
 				default:
 					more = false
@@ -130,7 +129,7 @@
 		for pb.Next() {
 			for sent := false; !sent; {
 				select {
-				case box <- [2]int{}:
+				case mailbox <- [2]int{}:
 					sent = true
 				default:
 					runtime.Gosched()
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -1,6 +1,6 @@
-// Package resp takes whole RESP2 arrays of bulk strings off the front of a buffer, within limits, and writes them. It
-// holds no state: the same bytes give the same messages however they were split on the way. Nothing else of RESP2 is
-// spoken on the platform: no inline commands, no nested arrays, no other types.
+// Package resp parses and encodes RESP2 arrays of bulk strings, within limits. It keeps no state: the same bytes give the same messages
+// however they were split on the way. No other part of RESP2 is used on the platform: no inline commands, no nested arrays, no other
+// types.
 package resp
 
 import (
@@ -11,70 +11,73 @@
 
 // Limits bound one message.
 type Limits struct {
-	Bytes int // the whole of it
+	Bytes int // in all
 	Words int
 }
 
-// Error is a message that can't be taken; what follows it on the connection can't be told apart any more.
+// Error is a message that can't be parsed. Messages after it on the connection can't be told apart any more.
 type Error struct{ Reason string }
 
 func (e *Error) Error() string { return e.Reason }
 
-// maxLengthDigits is the longest line that can announce a length within an int: a sign would be refused anyway.
-const maxLengthDigits = 18
+const (
+	// maxLengthDigits is the longest number that always fits into an int.
+	maxLengthDigits = 18
 
-// Parse takes the first message. It returns how many bytes it was; 0 without an error says that it is not whole yet. The
-// words are parts of the buffer: they hold only as long as it does. All that is announced is checked before it has come,
-// so that a length that can't be kept is refused at once.
+	arrayPrefix      = '*'
+	bulkStringPrefix = '$'
+	lineEnd          = "\r\n"
+)
+
+// Parse parses the first message of a buffer. It returns the message's size in bytes; 0 without an error if the message is not complete
+// yet. The words are parts of the buffer and valid as long as that is. An error is an *Error; announced lengths are checked before their
+// bytes have come, so that one over the limits is an error at once.
 func Parse(buf []byte, limits Limits) (words [][]byte, size int, err error) {
-	n, at, err := parseLength(buf, 0, '*', limits.Words)
+	count, at, err := parseLength(buf, 0, arrayPrefix, limits.Words)
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
-	if n == 0 {
+	if count == 0 {
 		return nil, 0, &Error{"an array without words"}
 	}
-	for range n {
-		length, start, err := parseLength(buf, at, '$', limits.Bytes-at)
+	for range count {
+		length, start, err := parseLength(buf, at, bulkStringPrefix, limits.Bytes-at)
 		if err != nil || start == 0 {
 			return nil, 0, err
 		}
 		end := start + length
-		if end+2 > limits.Bytes {
-			return nil, 0, &Error{fmt.Sprintf("a message has %d bytes at most", limits.Bytes)}
+		next := end + len(lineEnd)
+		if next > limits.Bytes {
+			return nil, 0, &Error{fmt.Sprintf("a message of over %d bytes", limits.Bytes)}
 		}
 		if len(buf) > end && buf[end] != '\r' || len(buf) > end+1 && buf[end+1] != '\n' {
 			return nil, 0, &Error{"no line end after a string"}
 		}
-		if len(buf) < end+2 {
+		if len(buf) < next {
 			return nil, 0, nil
 		}
-		words, at = append(words, buf[start:end]), end+2
+		words = append(words, buf[start:end])
+		at = next
 	}
 	return words, at, nil
 }
 
-// parseLength reads a type, a whole number up to most and the line's end from the place given on, and returns the place behind
-// it: 0 if it is not whole yet.
-func parseLength(buf []byte, at int, kind byte, most int) (n, behind int, err error) {
+// parseLength parses, from an index on, a type's prefix, a whole number up to maximum and a line end. It returns the index after them; 0
+// if they are not complete yet.
+func parseLength(buf []byte, at int, prefix byte, maximum int) (n, next int, err error) {
 	rest := buf[min(at, len(buf)):]
-	if len(rest) > 0 && rest[0] != kind {
-		return 0, 0, &Error{fmt.Sprintf("%q stands where %q is due", rest[0], kind)}
+	if len(rest) > 0 && rest[0] != prefix {
+		return 0, 0, &Error{fmt.Sprintf("%q where %q is expected", rest[0], prefix)}
 	}
 	for i, c := range rest[min(1, len(rest)):] {
 		switch {
 		case c >= '0' && c <= '9' && i < maxLengthDigits:
-			if n = 10*n + int(c-'0'); n > most {
-				return 0, 0, &Error{fmt.Sprintf("a length over %d", max(0, most))}
+			n = 10*n + int(c-'0')
+			if n > maximum {
+				return 0, 0, &Error{fmt.Sprintf("a length over %d", max(0, maximum))}
 			}
 		case c == '\r' && i > 0:
-			if len(rest) > i+2 {
-				if rest[i+2] != '\n' {
-					return 0, 0, &Error{"no line end after a length"}
-				}
-				return n, at + i + 3, nil
-			}
-			return 0, 0, nil
+			return endLength(rest, at, i+2, n)
 		default:
 			return 0, 0, &Error{"a length that is no whole number"}
 		}
@@ -82,24 +85,35 @@
 	return 0, 0, nil
 }
 
-// Append writes a message behind what the buffer holds.
+// endLength checks the second byte of a length's line end, which is at an index of rest.
+func endLength(rest []byte, at, index, n int) (length, next int, err error) {
+	if len(rest) <= index {
+		return 0, 0, nil
+	}
+	if rest[index] != '\n' {
+		return 0, 0, &Error{"no line end after a length"}
+	}
+	return n, at + index + 1, nil
+}
+
+// Append appends a message to a buffer.
 func Append(buf []byte, words ...string) []byte {
-	buf = append(buf, '*')
+	buf = append(buf, arrayPrefix)
 	buf = strconv.AppendInt(buf, int64(len(words)), 10)
-	for _, w := range words {
+	for _, word := range words {
 		buf = append(buf, "\r\n$"...)
-		buf = strconv.AppendInt(buf, int64(len(w)), 10)
-		buf = append(buf, "\r\n"...)
-		buf = append(buf, w...)
+		buf = strconv.AppendInt(buf, int64(len(word)), 10)
+		buf = append(buf, lineEnd...)
+		buf = append(buf, word...)
 	}
-	return append(buf, "\r\n"...)
+	return append(buf, lineEnd...)
 }
 
-// Text is a message in one line, for logs: cut after so many bytes, what is not printable escaped.
-func Text(words [][]byte, most int) string {
+// Text returns a message in one line, for logs: cut after so many bytes, unprintable characters escaped.
+func Text(words [][]byte, maxBytes int) string {
 	text := bytes.Join(words, []byte(" "))
-	if len(text) > most {
-		text = text[:most]
+	if len(text) > maxBytes {
+		text = text[:maxBytes]
 	}
 	quoted := strconv.QuoteToASCII(string(text))
 	return quoted[1 : len(quoted)-1]
--- a/resp/resp_test.go
+++ b/resp/resp_test.go
@@ -9,14 +9,14 @@
 
 var limits = Limits{Bytes: 200, Words: 8}
 
-func TestTake(t *testing.T) {
+func TestParse(t *testing.T) {
 	const ping = "*1\r\n$4\r\nPING\r\n"
 	for name, c := range map[string]struct {
-		text string
-		size int
-		bad  bool
+		text    string
+		size    int
+		invalid bool
 	}{
-		"whole":                   {ping, len(ping), false},
+		"complete":                {ping, len(ping), false},
 		"two":                     {ping + ping, len(ping), false},
 		"an empty word":           {"*2\r\n$0\r\n\r\n$1\r\na\r\n", 17, false},
 		"nothing":                 {"", 0, false},
@@ -39,22 +39,24 @@
 		"a line end too few":      {"*1\n$4\r\nPING\r\n", 0, true},
 		"an empty length":         {"*\r\n", 0, true},
 	} {
-		words, size, err := Parse([]byte(c.text), limits)
-		var e *Error
-		if errors.As(err, &e) != c.bad || size != c.size || (size > 0) != (len(words) > 0) {
-			t.Errorf("%s: %q, %d bytes, %v", name, words, size, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			words, size, err := Parse([]byte(c.text), limits)
+			var parseErr *Error
+			if errors.As(err, &parseErr) != c.invalid || size != c.size || (size > 0) != (len(words) > 0) {
+				t.Errorf("%q, %d bytes, %v", words, size, err)
+			}
+		})
 	}
 }
 
-// However a stream is split, the same messages come of it; what is written is read again.
-func FuzzTake(f *testing.F) {
+// A stream gives the same messages however it is split, and a message that is encoded again is parsed as before.
+func FuzzParse(f *testing.F) {
 	f.Add([]byte("*1\r\n$4\r\nPING\r\n*3\r\n$4\r\nLOAD\r\n$0\r\n\r\n$1\r\na\r\n"), uint8(3))
 	f.Add([]byte("*1\r\n$4\r\nPINGxx*1"), uint8(0))
 	f.Add([]byte("*99999\r\n$-1\r\n"), uint8(1))
-	take := func(all [][]byte) (out []string) {
+	parseAll := func(parts [][]byte) (out []string) {
 		var buf []byte
-		for _, part := range all {
+		for _, part := range parts {
 			buf = append(buf, part...)
 			for {
 				words, size, err := Parse(buf, limits)
@@ -68,9 +70,9 @@
 				for _, w := range words {
 					texts = append(texts, string(w))
 				}
-				again := Append(nil, texts...)
-				if got, n, err := Parse(again, Limits{Bytes: len(again), Words: len(texts)}); err != nil || n != len(again) || len(got) != len(texts) {
-					f.Errorf("%q written as %q: %v", texts, again, err)
+				encoded := Append(nil, texts...)
+				if got, n, err := Parse(encoded, Limits{Bytes: len(encoded), Words: len(texts)}); err != nil || n != len(encoded) || len(got) != len(texts) {
+					f.Errorf("%q encoded as %q: %v", texts, encoded, err)
 				}
 				out, buf = append(out, strings.Join(texts, "\x00")), buf[size:]
 			}
@@ -83,8 +85,8 @@
 			n := min(len(rest), int(step)+1)
 			split, rest = append(split, rest[:n]), rest[n:]
 		}
-		if whole, parts := take([][]byte{stream}), take(split); strings.Join(whole, "|") != strings.Join(parts, "|") {
-			t.Fatalf("whole %q, split %q", whole, parts)
+		if complete, parts := parseAll([][]byte{stream}), parseAll(split); strings.Join(complete, "|") != strings.Join(parts, "|") {
+			t.Fatalf("complete %q, split %q", complete, parts)
 		}
 	})
 }
