--- a/cmd/porthub/deploy_test.go
+++ b/cmd/porthub/deploy_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The deploy file's own line builds a program that names a dynamic loader and the C library, and `run` becomes that one
-// process: the platform loads a library of its own into it.
+// The deploy file's build line builds a program that is linked dynamically, and its run line replaces the shell by that one process: the
+// platform loads a library of its own into it.
 func TestDeployFileBuildsDynamically(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -23,16 +23,17 @@
 		t.Fatal(err)
 	}
 	value := func(key string) string {
-		found := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
-		if found == nil {
+		t.Helper()
+		match := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
+		if match == nil {
 			t.Fatalf("no %s in the deploy file", key)
 		}
-		return string(found[1])
+		return string(match[1])
 	}
 	if run := value("run"); run != "exec bin/porthub node" {
-		t.Errorf("run is %q: one process has to take the shell's place", run)
+		t.Errorf("run is %q: it must replace the shell by one process", run)
 	}
-	// What lies in bin may be in use: the line puts its programs elsewhere here.
+	// Programs in bin may be in use: the test builds elsewhere.
 	dir := t.TempDir()
 	cmd := exec.Command("/bin/sh", "-c", strings.ReplaceAll(value("build"), "-o bin/", "-o "+dir+"/"))
 	cmd.Dir = root
@@ -43,9 +44,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer program.Close()
+	defer func() { _ = program.Close() }()
 	if !slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program names no dynamic loader")
+		t.Error("the program has no dynamic loader")
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
--- a/cmd/porthub/node.go
+++ b/cmd/porthub/node.go
@@ -28,78 +28,99 @@
 does not say of name and addresses is taken from NODE_NAME, NODE_LISTEN and NODE_DISCOVERY. SIGHUP reads the file again.`,
 		Example: "  NODE_CONFIG=/run/balancer/config.json porthub node",
 		Args:    cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			// Before anything else: a signal that finds no handler ends the process. A new configuration that is told of
-			// before the first one has been read is read once more when the node stands.
-			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-			defer stop()
-			again := make(chan os.Signal, 1)
-			signal.Notify(again, syscall.SIGHUP)
-			defer signal.Stop(again)
-			log, err := logger("info")
-			if err != nil {
-				return err
-			}
-			defer func() { _ = log.Sync() }()
-			cfg, err := readNodeConfig()
-			if err != nil {
-				return err
-			}
-			within(cfg.Limits)
-			n, err := proxyserver.New(cfg, log)
-			if err != nil {
-				return environment(err)
-			}
-			go follow(ctx, again, n, log)
-			log.Info("serving", zap.String("name", cfg.Name), zap.String("listen", n.Addr()), zap.Any("limits", cfg.Limits))
-			return environment(n.Run(ctx))
-		},
+		RunE:    func(*cobra.Command, []string) error { return runNode() },
 	}
 }
 
-// rereads are the pauses before a configuration that could not be read is tried again: one that is being replaced is whole
+func runNode() error {
+	// Signals are handled before anything else: one without a handler ends the process. A SIGHUP that comes before the configuration has
+	// been read waits, and the file is read once more when the coordinator serves.
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
+	log, err := logger("info")
+	if err != nil {
+		return err
+	}
+	defer func() { _ = log.Sync() }()
+	cfg, err := readNodeConfig()
+	if err != nil {
+		return err
+	}
+	applyLimits(cfg.Limits)
+	coordinator, err := proxyserver.New(cfg, log)
+	if err != nil {
+		return wrapEnvironment(err)
+	}
+	go reloadOnSignal(ctx, hangups, coordinator, log) // ends with ctx, which Run outlives
+	log.Info("serving", zap.String("name", cfg.Name), zap.String("listen", coordinator.Addr()), zap.Any("limits", cfg.Limits))
+	return wrapEnvironment(coordinator.Run(ctx))
+}
+
+// reloadDelays are the delays before a configuration that could not be read is read again: a file that is being replaced is complete
 // before long.
-var rereads = []time.Duration{50 * time.Millisecond, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond}
+var reloadDelays = []time.Duration{
+	50 * time.Millisecond,
+	100 * time.Millisecond,
+	200 * time.Millisecond,
+	400 * time.Millisecond,
+	800 * time.Millisecond,
+}
 
-// follow puts the configuration in force anew with each signal.
-func follow(ctx context.Context, again <-chan os.Signal, n *proxyserver.Coordinator, log *zap.Logger) {
+// reloadOnSignal puts the configuration in force again with each signal, until the context ends.
+func reloadOnSignal(ctx context.Context, hangups <-chan os.Signal, coordinator *proxyserver.Coordinator, log *zap.Logger) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-hangups:
+		}
+		cfg, err := readNodeConfigWithRetries(ctx)
+		if errors.Is(err, context.Canceled) {
+			return
 		}
-		for try := 0; ; try++ {
-			fresh, err := readNodeConfig()
-			if err == nil {
-				n.Reload(fresh)
-				break
-			}
-			if try == len(rereads) {
-				log.Warn("the configuration stays as it is", zap.Error(err))
-				break
-			}
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(rereads[try]):
-			}
+		if err != nil {
+			log.Warn("configuration not reloaded, the current one stays in force", zap.Error(err))
+			continue
 		}
+		coordinator.Reload(cfg)
 	}
 }
 
-// environment gives a failure of the machine the exit code that other commands have for it.
-func environment(err error) error {
+// readNodeConfigWithRetries reads the configuration, after a failure again with reloadDelays. It returns the last error, or the context's
+// if that ends first.
+func readNodeConfigWithRetries(ctx context.Context) (proxyproto.Config, error) {
+	for attempt := 0; ; attempt++ {
+		cfg, err := readNodeConfig()
+		if err == nil || attempt == len(reloadDelays) {
+			return cfg, err
+		}
+		select {
+		case <-ctx.Done():
+			return cfg, ctx.Err()
+		case <-time.After(reloadDelays[attempt]):
+		}
+	}
+}
+
+// wrapEnvironment gives a failure of the machine the error, and so the exit code, that other commands have for it.
+func wrapEnvironment(err error) error {
 	if errors.Is(err, proxyserver.ErrEnvironment) {
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 	}
 	return err
 }
 
+// errNoConfig is a start without NODE_CONFIG.
+var errNoConfig = errors.New("NODE_CONFIG is not set: it names the configuration")
+
+// readNodeConfig reads the file that NODE_CONFIG names.
 func readNodeConfig() (proxyproto.Config, error) {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
-		return proxyproto.Config{}, errors.New("NODE_CONFIG is not set: it names the configuration")
+		return proxyproto.Config{}, errNoConfig
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -112,13 +133,22 @@
 	return cfg, nil
 }
 
-// within keeps the process inside its limits. The event loop waits in the kernel for most of the time and would hold the only
-// core's place meanwhile: it has one of its own. Of the memory a third is for what the collector does not see.
-func within(l proxyproto.Limits) {
-	if l.Cores > 0 {
-		runtime.GOMAXPROCS(1 + int(math.Ceil(l.Cores)))
+const (
+	// extraProcessors are for the event loop, which waits in the kernel most of the time and would hold the only core's place meanwhile.
+	extraProcessors = 1
+	// heapNumerator and heapDenominator are the part of the memory limit for the heap: a third is for what the garbage collector does not
+	// see.
+	heapNumerator   = 2
+	heapDenominator = 3
+	bytesPerMB      = 1 << 20
+)
+
+// applyLimits keeps the process within its limits.
+func applyLimits(limits proxyproto.Limits) {
+	if limits.Cores > 0 {
+		runtime.GOMAXPROCS(extraProcessors + int(math.Ceil(limits.Cores)))
 	}
-	if l.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * 2 / 3))
+	if limits.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(limits.MemoryMB * bytesPerMB * heapNumerator / heapDenominator))
 	}
 }
--- a/cmd/porthub/node_test.go
+++ b/cmd/porthub/node_test.go
@@ -5,15 +5,10 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"os/exec"
-	"path/filepath"
-	"strconv"
 	"strings"
-	"sync"
 	"syscall"
 	"testing"
 	"time"
@@ -22,162 +17,29 @@
 	"porthub/resp"
 )
 
-// program is the built program, made once for all tests of it.
-var program = sync.OnceValues(func() (string, error) {
-	dir, err := os.MkdirTemp("", "porthub")
-	if err != nil {
-		return "", err
-	}
-	bin := filepath.Join(dir, "porthub")
-	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
-		return "", fmt.Errorf("%w: %s", err, out)
-	}
-	return bin, nil
-})
-
-func TestMain(m *testing.M) {
-	code := m.Run()
-	if bin, err := program(); err == nil {
-		_ = os.RemoveAll(filepath.Dir(bin))
-	}
-	os.Exit(code)
-}
-
-// process is one of the program's.
-type process struct {
-	*exec.Cmd
-	t             *testing.T
-	file, address string
-	log           *os.File
-}
-
-// free is an address that nobody has.
-func free(t *testing.T) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
-func hosts(n int) string {
-	var entries []string
-	for i := range n {
-		entries = append(entries, fmt.Sprintf(`{"host":"s-%d","dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1,"born_ms":0}`, i))
-	}
-	return strings.Join(entries, ",")
-}
-
-func configText(listen, discovery string, sockets, backends int) string {
-	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":0.25,"memory_mb":48,"sockets":%d},
-		"known":{"seq":7,"whole":true,"hosts":[%s]},"settings":{"localities":["a"],"resolution":4000,"discovery":"ask",
-		"domain":{"dataPlaneSize":400,"period":1000000,"queueCap":50000,"envelope":6},
-		"profiles":[{"name":"view","effect":"repeatable","slo":750000,"points":1}]}}`, listen, discovery, sockets, hosts(backends))
-}
-
-// launch starts the program with a configuration in a file, or with a file that the test fills itself.
-func launch(t *testing.T, address, text string) *process {
-	bin, err := program()
-	if err != nil {
-		t.Fatal(err)
-	}
-	c := &process{t: t, address: address, file: filepath.Join(t.TempDir(), "config.json")}
-	if text == "" {
-		err = syscall.Mkfifo(c.file, 0o600)
-	} else {
-		err = os.WriteFile(c.file, []byte(text), 0o600)
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	if c.log, err = os.CreateTemp(t.TempDir(), "log"); err != nil {
-		t.Fatal(err)
-	}
-	c.Cmd = exec.Command(bin, "node")
-	c.Env = append(os.Environ(), "NODE_CONFIG="+c.file)
-	c.Stdout, c.Stderr = c.log, c.log
-	if err := c.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		_ = c.Process.Kill()
-		_ = c.Wait()
-		_ = c.log.Close()
-	})
-	return c
-}
-
-func (c *process) said() string {
-	text, _ := os.ReadFile(c.log.Name())
-	return string(text)
-}
-
-func (c *process) signal(s os.Signal) {
-	c.t.Helper()
-	if err := c.Process.Signal(s); err != nil {
-		c.t.Fatal(err)
-	}
-}
-
-// pong dials until a sign of life is answered.
-func (c *process) pong() {
-	c.t.Helper()
-	for end := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if conn, err := net.Dial("tcp", c.address); err == nil {
-			_ = conn.SetDeadline(end)
-			_, _ = conn.Write(resp.Append(nil, "PING"))
-			got := make([]byte, len(proxyproto.PongReply))
-			_, err := io.ReadFull(conn, got)
-			if _ = conn.Close(); err == nil && bytes.Equal(got, proxyproto.PongReply) {
-				return
-			}
-		}
-		if time.Now().After(end) {
-			c.t.Fatalf("no sign of life: %s", c.said())
-		}
-	}
-}
-
-// calls is a discovery that says who asks, and does what it is told with them.
-func calls(t *testing.T, answer func(http.ResponseWriter, *http.Request)) (address string, came chan string) {
-	came = make(chan string, 64)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		came <- req.URL.RequestURI()
-		answer(w, req)
-	}))
-	t.Cleanup(func() {
-		s.CloseClientConnections()
-		s.Close()
-	})
-	return strings.TrimPrefix(s.URL, "http://"), came
-}
-
-func hang(_ http.ResponseWriter, req *http.Request) { <-req.Context().Done() }
-
-// From exec to the first sign of life, with a list of hundreds, whatever discovery does: it is not waited for.
+// The time from exec to the first answered PING, with a list of hundreds, does not depend on discovery.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	for name, discovery := range map[string]func() string{
-		"hangs":   func() string { a, _ := calls(t, hang); return a },
-		"refuses": func() string { return free(t) },
+		"hangs":   func() string { address, _ := startDiscovery(t, hangUntilCanceled); return address },
+		"refuses": func() string { return freeAddress(t) },
 		"busy": func() string {
-			a, _ := calls(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
-			return a
+			address, _ := startDiscovery(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
+			return address
 		},
-		"silent": func() string { // its watch opens and says nothing
-			a, _ := calls(t, func(w http.ResponseWriter, req *http.Request) { w.(http.Flusher).Flush(); <-req.Context().Done() })
-			return a
+		"silent": func() string { // its watch opens and has no lines
+			address, _ := startDiscovery(t, openAndHang)
+			return address
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address := free(t)
-			text := configText(address, discovery(), 256, 600)
+			address := freeAddress(t)
+			text := nodeConfig(address, discovery(), 256, 600)
 			if _, err := program(); err != nil { // built before the clock runs
 				t.Fatal(err)
 			}
 			began := time.Now()
-			c := launch(t, address, text)
-			c.pong()
+			node := startNode(t, address, text)
+			node.waitReady()
 			if took := time.Since(began); took > 2*time.Second {
 				t.Errorf("ready after %s", took)
 			} else {
@@ -187,252 +49,182 @@
 	}
 }
 
-// A new configuration is told of while the first one is still being read: the process goes on, and reads again.
+// SIGHUP comes while the first configuration is still being read: the process goes on, and reads again.
 func TestHangupBeforeReady(t *testing.T) {
-	address := free(t)
-	discovery, came := calls(t, hang)
-	c := launch(t, address, "")
-	w, err := os.OpenFile(c.file, os.O_WRONLY, 0) // waits until it reads
+	address := freeAddress(t)
+	discovery, calls := startDiscovery(t, hangUntilCanceled)
+	node := startNode(t, address, "")
+	fifo, err := os.OpenFile(node.configFile, os.O_WRONLY, 0) // waits until the process reads
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.signal(syscall.SIGHUP)
-	whole := c.file + ".new"
-	if err := os.WriteFile(whole, []byte(configText(address, discovery, 256, 1)), 0o600); err != nil {
+	node.signal(syscall.SIGHUP)
+	complete := node.configFile + ".new"
+	if err := os.WriteFile(complete, []byte(nodeConfig(address, discovery, 256, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(whole, c.file); err != nil {
+	if err := os.Rename(complete, node.configFile); err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(w, configText(address, free(t), 256, 1))
-	_ = w.Close()
-	c.pong()
+	_, _ = io.WriteString(fifo, nodeConfig(address, freeAddress(t), 256, 1))
+	_ = fifo.Close()
+	node.waitReady()
 	select {
-	case <-came: // by the configuration that the signal told of
+	case <-calls: // by the configuration that came with the signal
 	case <-time.After(20 * time.Second):
-		t.Fatalf("it was not read again: %s", c.said())
+		t.Fatalf("the configuration was not read again: %s", node.output())
 	}
 }
 
 // A configuration that is read while it is half written is read again, without another signal.
-func TestHalfAConfiguration(t *testing.T) {
-	address := free(t)
-	first, _ := calls(t, hang)
-	second, came := calls(t, hang)
-	c := launch(t, address, configText(address, first, 256, 1))
-	c.pong()
-	fifo := c.file + ".fifo"
+func TestReloadOfPartialConfiguration(t *testing.T) {
+	address := freeAddress(t)
+	first, _ := startDiscovery(t, hangUntilCanceled)
+	second, calls := startDiscovery(t, hangUntilCanceled)
+	node := startNode(t, address, nodeConfig(address, first, 256, 1))
+	node.waitReady()
+	fifo := node.configFile + ".fifo"
 	if err := syscall.Mkfifo(fifo, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(fifo, c.file); err != nil {
+	if err := os.Rename(fifo, node.configFile); err != nil {
 		t.Fatal(err)
 	}
-	c.signal(syscall.SIGHUP)
-	text := configText(address, second, 512, 1)
-	half, err := os.OpenFile(c.file, os.O_WRONLY, 0) // waits until it reads
+	node.signal(syscall.SIGHUP)
+	text := nodeConfig(address, second, 512, 1)
+	half, err := os.OpenFile(node.configFile, os.O_WRONLY, 0) // waits until the process reads
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := c.file + ".new"
-	if err := os.WriteFile(whole, []byte(text), 0o600); err != nil {
+	complete := node.configFile + ".new"
+	if err := os.WriteFile(complete, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Rename(whole, c.file); err != nil {
+	if err := os.Rename(complete, node.configFile); err != nil {
 		t.Fatal(err)
 	}
 	_, _ = io.WriteString(half, text[:len(text)/2])
 	_ = half.Close()
 	select {
-	case <-came:
+	case <-calls:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("it was not read again: %s", c.said())
+		t.Fatalf("the configuration was not read again: %s", node.output())
 	}
-	if !strings.Contains(c.said(), `"ignored":["limits"]`) {
-		t.Errorf("nothing says that the limits differ: %s", c.said())
+	if !strings.Contains(node.output(), `"ignored":["limits"]`) {
+		t.Errorf("the change of limits is not logged: %s", node.output())
 	}
 }
 
-// As many connections as want to, discovery that never answers and moves again and again: the descriptors stay within the
-// limit, and whoever has joined goes on.
+// With more connections than the limit, and a discovery that never responds and changes its address again and again, the descriptors stay
+// within the limit, and a connected proxy stays connected.
 func TestDescriptorsStayWithinTheLimit(t *testing.T) {
 	const sockets = 64
-	address := free(t)
-	discovery, came := calls(t, hang)
-	c := launch(t, address, configText(address, discovery, sockets, 4))
-	c.pong()
-	most := 0
+	address := freeAddress(t)
+	discovery, calls := startDiscovery(t, hangUntilCanceled)
+	node := startNode(t, address, nodeConfig(address, discovery, sockets, 4))
+	node.waitReady()
+	maxDescriptors := 0
 	count := func() {
-		names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", c.Process.Pid))
-		if err != nil {
-			t.Fatalf("%v: %s", err, c.said())
-		}
-		most = max(most, len(names))
-	}
-	join := func(proxy int) net.Conn {
-		conn, err := net.Dial("tcp", address)
+		names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.Process.Pid))
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%v: %s", err, node.output())
 		}
-		t.Cleanup(func() { _ = conn.Close() })
-		_, _ = conn.Write(resp.Append(nil, "SUBSCRIBE", "sidecar", strconv.Itoa(proxy), "az", "a", "share", "5", "standing", "1"))
-		return conn
+		maxDescriptors = max(maxDescriptors, len(names))
 	}
-	first := join(0)
-	<-came
+	first := node.subscribe(0)
+	<-calls
 	for i := 1; i < 3*sockets; i++ {
-		join(i)
+		node.subscribe(i)
 		if count(); i%sockets == 0 {
 			var next string
-			next, came = calls(t, hang)
-			if err := os.WriteFile(c.file, []byte(configText(address, next, sockets, 4)), 0o600); err != nil {
+			next, calls = startDiscovery(t, hangUntilCanceled)
+			if err := os.WriteFile(node.configFile, []byte(nodeConfig(address, next, sockets, 4)), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			c.signal(syscall.SIGHUP)
-			<-came
+			node.signal(syscall.SIGHUP)
+			<-calls
 		}
 	}
 	count()
-	_, _ = first.Write(resp.Append(nil, "PING"))
-	_ = first.SetReadDeadline(time.Now().Add(20 * time.Second))
-	var got []byte
-	for !bytes.Contains(got, proxyproto.PongReply) {
-		buf := make([]byte, 4096)
-		n, err := first.Read(buf)
-		if got = append(got, buf[:n]...); err != nil {
-			t.Fatalf("%v: %s", err, c.said())
-		}
+	first.send("PING")
+	first.readUntil(func(received []byte) bool { return bytes.Contains(received, proxyproto.PongReply) })
+	if maxDescriptors > sockets || maxDescriptors < sockets/2 {
+		t.Errorf("%d descriptors, limit %d", maxDescriptors, sockets)
 	}
-	if most > sockets || most < sockets/2 {
-		t.Errorf("%d descriptors, %d may be", most, sockets)
-	}
-	c.signal(syscall.SIGTERM)
-	if err := c.Wait(); err != nil {
+	node.signal(syscall.SIGTERM)
+	if err := node.Wait(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The built program, started as the platform starts it: it answers a sign of life, hands a proxy its table, reads its
-// configuration again and ends on SIGTERM with 0. What it is told wrong is said in one line, with the codes of all commands.
-func TestNodeFromOutside(t *testing.T) {
-	bin, err := program()
-	if err != nil {
-		t.Fatal(err)
-	}
-	watched := make(chan string, 16)
-	lists := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		w.(http.Flusher).Flush()
-		watched <- req.URL.RequestURI()
-		<-req.Context().Done()
-	}))
-	defer lists.Close()
-	defer lists.CloseClientConnections()
-	address := free(t)
-	file := filepath.Join(t.TempDir(), "config.json")
-	config := `{"name":"n0","listen":"` + address + `","discovery":"` + strings.TrimPrefix(lists.URL, "http://") + `","seed":"1f",
-		"limits":{"cores":0.25,"memory_mb":48,"sockets":256},
-		"known":{"seq":7,"whole":true,"hosts":[{"host":"s-1","dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1,"born_ms":0}]},
-		"settings":{"localities":["a"],"resolution":4000,"discovery":"ask","domain":{"dataPlaneSize":4,"period":1000000,"queueCap":5000,"envelope":6},
-		"profiles":[{"name":"view","effect":"repeatable","slo":750000,"points":1}]}}`
-	run := func(text string) (*exec.Cmd, func() string) {
-		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-		log, err := os.CreateTemp(t.TempDir(), "log")
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer log.Close()
-		cmd := exec.Command(bin, "node")
-		cmd.Env = append(os.Environ(), "NODE_CONFIG="+file)
-		cmd.Stdout, cmd.Stderr = log, log
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		return cmd, func() string {
-			text, _ := os.ReadFile(log.Name())
-			return string(text)
-		}
-	}
-	code := func(cmd *exec.Cmd) int {
-		var failed *exec.ExitError
-		if err := cmd.Wait(); err != nil && !errors.As(err, &failed) {
-			t.Fatal(err)
-		}
-		return cmd.ProcessState.ExitCode()
-	}
-	cmd, out := run(config)
-	var c net.Conn
-	for end := time.Now().Add(20 * time.Second); ; {
-		if c, err = net.Dial("tcp", address); err == nil {
-			break
-		}
-		if time.Now().After(end) {
-			t.Fatalf("nobody listens: %v: %s", err, out())
-		}
-		time.Sleep(10 * time.Millisecond)
+// The built program, started as the platform starts it: it answers PING, sends a proxy its table, reads its configuration again, keeps the
+// current one if the new one is invalid, and ends on SIGTERM with 0.
+func TestNodeLifecycle(t *testing.T) {
+	address := freeAddress(t)
+	discovery, calls := startDiscovery(t, openAndHang)
+	node := startNode(t, address, nodeConfig(address, discovery, 256, 2))
+	proxy := node.subscribeWhenListening()
+	received := proxy.readUntil(func(received []byte) bool { return bytes.Contains(received, []byte("s-1:")) })
+	if words, size, err := resp.Parse(received, proxyproto.IncomingLimits); err != nil || size == 0 || string(words[0]) != "PONG" {
+		t.Errorf("the first message is in %q", received)
 	}
-	defer c.Close()
-	_, _ = c.Write(resp.Append(nil, "PING"))
-	_, _ = c.Write(resp.Append(nil, "SUBSCRIBE", "sidecar", "0", "az", "a", "share", "5", "standing", "1"))
-	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	var got []byte
-	for !bytes.Contains(got, []byte("s-1:")) {
-		buf := make([]byte, 4096)
-		n, err := c.Read(buf)
-		if got = append(got, buf[:n]...); err != nil {
-			t.Fatalf("%v after %q: %s", err, got, out())
-		}
-	}
-	if words, n, err := resp.Parse(got, proxyproto.IncomingLimits); err != nil || n == 0 || string(words[0]) != "PONG" {
-		t.Errorf("first comes %q", got)
-	}
-	if uri := <-watched; uri != "/discovery/hosts?watch=1&from=7" {
-		t.Errorf("asked discovery for %s", uri)
-	}
-	taken, takenOut := run(config)
-	if n := code(taken); n != exitEnvironment || strings.Count(takenOut(), "\n") != 1 {
-		t.Errorf("an address that is taken: %d, %s", n, takenOut())
+	if uri := <-calls; uri != "/discovery/hosts?watch=1&from=7" {
+		t.Errorf("called discovery by %s", uri)
 	}
-	if err := os.WriteFile(file, []byte("{"), 0o644); err != nil { // half a configuration: the old one stays in force
+	if err := os.WriteFile(node.configFile, []byte("{"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
-	for end := time.Now().Add(20 * time.Second); !strings.Contains(out(), "the configuration stays as it is"); {
+	node.signal(syscall.SIGHUP)
+	for end := time.Now().Add(nodeTimeout); !strings.Contains(node.output(), "the current one stays in force"); {
 		if time.Now().After(end) {
-			t.Fatalf("nothing is said of a bad file: %s", out())
+			t.Fatalf("the invalid configuration is not logged: %s", node.output())
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	_, _ = c.Write(resp.Append(nil, "PING"))
-	for !bytes.HasSuffix(got, []byte("PONG\r\n")) || len(got) < 40 {
-		buf := make([]byte, 4096)
-		n, err := c.Read(buf)
-		if got = append(got, buf[:n]...); err != nil {
-			t.Fatalf("the stream ends with SIGHUP: %v", err)
-		}
-	}
+	proxy.send("PING")
+	proxy.readUntil(func(received []byte) bool {
+		return bytes.HasSuffix(received, []byte("PONG\r\n")) && len(received) >= 40
+	})
 	began := time.Now()
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+	node.signal(syscall.SIGTERM)
+	if code := node.exitCode(); code != exitWell || time.Since(began) > 5*time.Second {
+		t.Errorf("SIGTERM: %d after %s: %s", code, time.Since(began), node.output())
 	}
-	if n := code(cmd); n != exitWell || time.Since(began) > 5*time.Second {
-		t.Errorf("SIGTERM: %d after %s: %s", n, time.Since(began), out())
-	}
-	if _, err := io.ReadAll(c); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := io.ReadAll(proxy); err != nil && !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
-	for want, text := range map[string]string{"not the JSON": "{", "settings": `{"listen":"a:1","discovery":"b:2"}`, "listen": `{"discovery":"b:2"}`} {
-		cmd, out := run(text)
-		if n := code(cmd); n != exitUsage || !strings.Contains(out(), want) || strings.Count(out(), "\n") != 1 {
-			t.Errorf("%s: %d, %s", text, n, out())
-		}
-	}
-	none := exec.Command(bin, "node")
-	none.Env = []string{}
-	if text, _ := none.CombinedOutput(); none.ProcessState.ExitCode() != exitUsage || !strings.Contains(string(text), "NODE_CONFIG") {
-		t.Errorf("without variables: %d, %s", none.ProcessState.ExitCode(), text)
+}
+
+// A start that fails says why in one line, and ends with the exit codes of all commands.
+func TestNodeExitCodes(t *testing.T) {
+	address := freeAddress(t)
+	config := nodeConfig(address, freeAddress(t), 256, 1)
+	startNode(t, address, config).waitReady()
+	for name, c := range map[string]struct {
+		config, output string
+		code           int
+	}{
+		"address in use": {config, "address already in use", exitEnvironment},
+		"not JSON":       {"{", "not the JSON", exitUsage},
+		"no settings":    {`{"listen":"a:1","discovery":"b:2"}`, "settings", exitUsage},
+		"no address":     {`{"discovery":"b:2"}`, "listen", exitUsage},
+	} {
+		t.Run(name, func(t *testing.T) {
+			node := startNode(t, address, c.config)
+			if code := node.exitCode(); code != c.code || !strings.Contains(node.output(), c.output) || strings.Count(node.output(), "\n") != 1 {
+				t.Errorf("exit code %d, %s", code, node.output())
+			}
+		})
 	}
+	t.Run("no variables", func(t *testing.T) {
+		bin, err := program()
+		if err != nil {
+			t.Fatal(err)
+		}
+		cmd := exec.Command(bin, "node")
+		cmd.Env = []string{}
+		if output, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != exitUsage || !strings.Contains(string(output), "NODE_CONFIG") {
+			t.Errorf("exit code %d, %s", cmd.ProcessState.ExitCode(), output)
+		}
+	})
 }
--- /dev/null
+++ b/cmd/porthub/nodeprocess_test.go
@@ -0,0 +1,234 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"porthub/proxyproto"
+	"porthub/resp"
+)
+
+// program returns the path of the built program, which is built once for all tests.
+var program = sync.OnceValues(func() (string, error) {
+	dir, err := os.MkdirTemp("", "porthub")
+	if err != nil {
+		return "", err
+	}
+	bin := filepath.Join(dir, "porthub")
+	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
+		return "", fmt.Errorf("%w: %s", err, out)
+	}
+	return bin, nil
+})
+
+func TestMain(m *testing.M) {
+	code := m.Run()
+	if bin, err := program(); err == nil {
+		_ = os.RemoveAll(filepath.Dir(bin))
+	}
+	os.Exit(code)
+}
+
+// nodeTimeout bounds the wait for what must come; no test waits for it to pass.
+const nodeTimeout = 20 * time.Second
+
+// nodeProcess is a running `porthub node`.
+type nodeProcess struct {
+	*exec.Cmd
+	t                   *testing.T
+	configFile, address string
+	log                 *os.File
+}
+
+// freeAddress returns an address without a listener.
+func freeAddress(t *testing.T) string {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = l.Close() }()
+	return l.Addr().String()
+}
+
+// hostEntries returns so many entries of an endpoint list: s-0, s-1 and so on.
+func hostEntries(n int) string {
+	var entries []string
+	for i := range n {
+		entries = append(entries, fmt.Sprintf(`{"host":"s-%d","dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1,"born_ms":0}`, i))
+	}
+	return strings.Join(entries, ",")
+}
+
+// nodeConfig returns a configuration with so many endpoints in its cached list.
+func nodeConfig(listen, discovery string, sockets, endpoints int) string {
+	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":0.25,"memory_mb":48,"sockets":%d},
+		"known":{"seq":7,"whole":true,"hosts":[%s]},"settings":{"localities":["a"],"resolution":4000,"discovery":"ask",
+		"domain":{"dataPlaneSize":400,"period":1000000,"queueCap":50000,"envelope":6},
+		"profiles":[{"name":"view","effect":"repeatable","slo":750000,"points":1}]}}`, listen, discovery, sockets, hostEntries(endpoints))
+}
+
+// startNode starts the program with a configuration in a file; without one the file is a FIFO that the test writes to.
+func startNode(t *testing.T, address, text string) *nodeProcess {
+	bin, err := program()
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := &nodeProcess{t: t, address: address, configFile: filepath.Join(t.TempDir(), "config.json")}
+	if text == "" {
+		err = syscall.Mkfifo(p.configFile, 0o600)
+	} else {
+		err = os.WriteFile(p.configFile, []byte(text), 0o600)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	if p.log, err = os.CreateTemp(t.TempDir(), "log"); err != nil {
+		t.Fatal(err)
+	}
+	p.Cmd = exec.Command(bin, "node")
+	p.Env = append(os.Environ(), "NODE_CONFIG="+p.configFile)
+	p.Stdout, p.Stderr = p.log, p.log
+	if err := p.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		_ = p.Process.Kill()
+		_ = p.Wait()
+		_ = p.log.Close()
+	})
+	return p
+}
+
+func (p *nodeProcess) output() string {
+	text, _ := os.ReadFile(p.log.Name())
+	return string(text)
+}
+
+func (p *nodeProcess) signal(s os.Signal) {
+	p.t.Helper()
+	if err := p.Process.Signal(s); err != nil {
+		p.t.Fatal(err)
+	}
+}
+
+// waitReady dials until PING is answered.
+func (p *nodeProcess) waitReady() {
+	p.t.Helper()
+	for end := time.Now().Add(nodeTimeout); ; time.Sleep(time.Millisecond) {
+		if conn, err := net.Dial("tcp", p.address); err == nil {
+			_ = conn.SetDeadline(end)
+			_, _ = conn.Write(resp.Append(nil, "PING"))
+			got := make([]byte, len(proxyproto.PongReply))
+			_, err := io.ReadFull(conn, got)
+			if _ = conn.Close(); err == nil && bytes.Equal(got, proxyproto.PongReply) {
+				return
+			}
+		}
+		if time.Now().After(end) {
+			p.t.Fatalf("PING is not answered: %s", p.output())
+		}
+	}
+}
+
+// exitCode waits for the process's end.
+func (p *nodeProcess) exitCode() int {
+	p.t.Helper()
+	var failed *exec.ExitError
+	if err := p.Wait(); err != nil && !errors.As(err, &failed) {
+		p.t.Fatal(err)
+	}
+	return p.ProcessState.ExitCode()
+}
+
+// nodeStream is a proxy's connection to the process.
+type nodeStream struct {
+	net.Conn
+	node     *nodeProcess
+	received []byte
+}
+
+// subscribe connects a proxy.
+func (p *nodeProcess) subscribe(proxy int) *nodeStream {
+	p.t.Helper()
+	conn, err := net.Dial("tcp", p.address)
+	if err != nil {
+		p.t.Fatal(err)
+	}
+	p.t.Cleanup(func() { _ = conn.Close() })
+	s := &nodeStream{Conn: conn, node: p}
+	s.send("SUBSCRIBE", "sidecar", strconv.Itoa(proxy), "az", "a", "share", "5", "standing", "1")
+	return s
+}
+
+// subscribeWhenListening connects proxy 0 as soon as the process listens, with PING as the first message.
+func (p *nodeProcess) subscribeWhenListening() *nodeStream {
+	p.t.Helper()
+	for end := time.Now().Add(nodeTimeout); ; time.Sleep(10 * time.Millisecond) {
+		conn, err := net.Dial("tcp", p.address)
+		if err == nil {
+			p.t.Cleanup(func() { _ = conn.Close() })
+			s := &nodeStream{Conn: conn, node: p}
+			s.send("PING")
+			s.send("SUBSCRIBE", "sidecar", "0", "az", "a", "share", "5", "standing", "1")
+			return s
+		}
+		if time.Now().After(end) {
+			p.t.Fatalf("no listener: %v: %s", err, p.output())
+		}
+	}
+}
+
+// send sends a message. A closed connection shows in readUntil.
+func (s *nodeStream) send(words ...string) { _, _ = s.Write(resp.Append(nil, words...)) }
+
+// readUntil reads until all that was received is as wanted, and returns it.
+func (s *nodeStream) readUntil(isComplete func(received []byte) bool) []byte {
+	s.node.t.Helper()
+	_ = s.SetReadDeadline(time.Now().Add(nodeTimeout))
+	for !isComplete(s.received) {
+		buf := make([]byte, 4096)
+		n, err := s.Read(buf)
+		s.received = append(s.received, buf[:n]...)
+		if err != nil {
+			s.node.t.Fatalf("%v after %q: %s", err, s.received, s.node.output())
+		}
+	}
+	return s.received
+}
+
+// startDiscovery starts a discovery that reports the URI of each call and responds as the test says.
+func startDiscovery(t *testing.T, respond http.HandlerFunc) (address string, calls chan string) {
+	calls = make(chan string, 64)
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		calls <- request.URL.RequestURI()
+		respond(w, request)
+	}))
+	t.Cleanup(func() {
+		s.CloseClientConnections()
+		s.Close()
+	})
+	return strings.TrimPrefix(s.URL, "http://"), calls
+}
+
+// hangUntilCanceled never responds.
+func hangUntilCanceled(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }
+
+// openAndHang responds with the header only.
+func openAndHang(w http.ResponseWriter, request *http.Request) {
+	w.(http.Flusher).Flush()
+	<-request.Context().Done()
+}
