--- a/daemon/server.go
+++ b/daemon/server.go
@@ -125,7 +125,7 @@
 	from, _ := s.byAddress.LoadOrCompute(host, func() (*atomic.Int64, bool) { return &atomic.Int64{}, false })
 	if s.connections.Size() >= s.daemon.config.Limits.Connections || from.Load() >= int64(s.daemon.config.Limits.PerAddress) {
 		s.countRejection(host, "as many connections stand as may")
-		return http1.Answer(http.StatusServiceUnavailable, "text/plain", []byte("as many connections stand as may\n"), true), gnet.Close
+		return http1.EncodeResponse(http.StatusServiceUnavailable, "text/plain", []byte("as many connections stand as may\n"), true), gnet.Close
 	}
 	from.Add(1)
 	p := &connection{id: coordinator.ConnID(s.lastID.Add(1)), conn: c, addressCount: from}
@@ -179,11 +179,11 @@
 		if p.requestBeganAt.IsZero() {
 			p.requestBeganAt = time.Now()
 		}
-		req, body, whole, err := http1.Take(buf, http1.Limits{Head: maxHeadBytes, Body: maxBodyBytes})
+		req, body, whole, err := http1.ParseRequest(buf, http1.Limits{Head: maxHeadBytes, Body: maxBodyBytes})
 		if err != nil {
 			code, why := http.StatusBadRequest, err.Error()
 			if e, is := err.(*http1.Error); is {
-				code, why = e.Code, e.Why
+				code, why = e.Code, e.Reason
 			}
 			return s.rejectAndClose(c, code, why)
 		}
@@ -216,14 +216,14 @@
 // rejectAndClose answers with an error and closes: what follows on the connection can't be told apart.
 func (s *server) rejectAndClose(c gnet.Conn, code int, why string) gnet.Action {
 	s.countRejection(c.RemoteAddr().String(), why)
-	_, _ = c.Write(http1.Answer(code, "text/plain", []byte(why+"\n"), true))
+	_, _ = c.Write(http1.EncodeResponse(code, "text/plain", []byte(why+"\n"), true))
 	return gnet.Close
 }
 
 // answer sends a response and lets the connection's next request be read.
 func (s *server) answer(p *connection, code int, kind string, body []byte) {
 	p.busy.Store(false)
-	_ = p.conn.AsyncWrite(http1.Answer(code, kind, body, false), func(c gnet.Conn, err error) error {
+	_ = p.conn.AsyncWrite(http1.EncodeResponse(code, kind, body, false), func(c gnet.Conn, err error) error {
 		if err == nil && c != nil && c.InboundBuffered() > 0 {
 			return c.Wake(nil)
 		}
