--- a/chaos/doc.go
+++ b/chaos/doc.go
@@ -1,4 +1,6 @@
-// Package chaos stages a bad day on loopback: stand-in calc nodes, gateways and clients in this process, a coordinator
-// in a process of its own so that it can be killed outright, troubles by a timeline, and an audit of the five rules
-// from what passed over the sockets.
+// Package chaos stages fault-injection scenarios on loopback and checks the operating rules from outside.
+//
+// A [Scenario] describes an emulated fleet and the [Fault]s that strike it. [Run] runs it against a coordinator in a
+// process of its own and judges the rules by package audit. [RunLoadReports] has thousands of light gateways report while
+// faults strike, and [RunPolls] measures how quickly many held polls are woken. Package emulator provides the fleet.
 package chaos
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -1,13 +1,9 @@
 package chaos
 
 import (
-	"encoding/json"
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"os"
-	"path/filepath"
-	"strconv"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -16,114 +12,183 @@
 	"porthub/emulator"
 )
 
-// mode is how a fleet's gateways get their tables.
-type mode string
+// tableSource is how a fleet's gateways get their tables. Its values are the names of baselines in results.
+type tableSource string
 
 const (
-	byCoordinator mode = "porthub"
-	standingOnly  mode = "standing tables only"
-	oneTable      mode = "one table of all nodes"
+	byCoordinator tableSource = "porthub"
+	initialTables tableSource = "standing tables only"
+	allEndpoints  tableSource = "one table of all nodes"
 )
 
-// fleet is one set of stand-ins in one world.
+// fleet is an emulated fleet in a world of its own.
 type fleet struct {
-	s     Scenario
-	mode  mode
-	dir   string
-	world *emulator.World
-	log   *audit.Log
-	tally *emulator.Tally
-	reqs  atomic.Uint64
-
-	nodes    []*emulator.Endpoint
-	gateways []*emulator.Gateway
-	weights  []float64 // of the gateways, mean 1
-	clients  []*emulator.Client
+	scenario Scenario
+	source   tableSource
+	dir      string
+	world    *emulator.World
+	log      *audit.Log
+	tally    *emulator.Tally
+	requests atomic.Uint64 // numbers the requests of all clients
 	rng      *rand.Rand
-	struck   [][]int // gateways that trouble i strikes, where it strikes some
 
-	mu     sync.Mutex
-	listed map[string]*entry
-	reg    *registry // in place of the file; nil: the file
-	frozen bool      // the list's source is broken
-	coord  *coordinatorProcess
-	pauses sync.WaitGroup
-	ended  chan struct{}
+	endpoints   []*emulator.Endpoint
+	gateways    []*emulator.Gateway
+	weights     []float64 // of the gateways, mean 1
+	clients     []*emulator.Client
+	affected    [][]int // gateways that fault i strikes, if it strikes some
+	coordinator *coordinatorProcess
+	registry    *eurekaRegistry // in place of the list's file; nil: the file
+
+	pending sync.WaitGroup // changes that are still to happen
+	ended   chan struct{}  // closed at the end of the run
+
+	mu         sync.Mutex // guards all below
+	listed     map[string]*listedEndpoint
+	listFrozen bool // a fault spoils the list's file
 }
 
-// entry is what the list says of a node.
-type entry struct {
-	node     *emulator.Endpoint
-	state    audit.EndpointState
-	launched time.Duration
+// listedEndpoint is what the list says of an endpoint.
+type listedEndpoint struct {
+	state     audit.EndpointState
+	startedAt time.Duration // below 0: long ago
 }
 
-func limits(s Scenario) audit.Limits {
-	r := s.Rules
-	l := audit.Limits{EmptyTableLimit: duration(r.EmptyFor), DrainGracePeriod: duration(r.DrainGrace), WarmUp: duration(r.Cold), InitialCapacity: r.ColdFrom,
-		OverloadFactor: r.ColdMultiple, OverloadWindow: duration(r.ColdWindow), DrainAppliesToRemoved: r.GoneBinds, QueueLimit: r.WaitingLines,
-		MessageOverhead: 6, MessageLimit: r.Messages, MessageWindow: duration(r.MessagesIn)}
-	for _, k := range s.Classes {
-		l.Classes = append(l.Classes, audit.Class{Name: k.Name, Idempotent: k.Repeat == "replayable"})
+// auditLimits are the limits of a scenario's rules.
+func auditLimits(s Scenario) audit.Limits {
+	const messageOverhead = 6 // lines
+	limits := audit.Limits{
+		EmptyTableLimit:       duration(s.Rules.EmptyFor),
+		DrainGracePeriod:      duration(s.Rules.DrainGrace),
+		DrainAppliesToRemoved: s.Rules.GoneBinds,
+		WarmUp:                duration(s.Rules.Cold),
+		InitialCapacity:       s.Rules.ColdFrom,
+		OverloadFactor:        s.Rules.ColdMultiple,
+		OverloadWindow:        duration(s.Rules.ColdWindow),
+		QueueLimit:            s.Rules.WaitingLines,
+		MessageOverhead:       messageOverhead,
+		MessageLimit:          s.Rules.Messages,
+		MessageWindow:         duration(s.Rules.MessagesIn),
+	}
+	for _, class := range s.Classes {
+		limits.Classes = append(limits.Classes, audit.Class{Name: class.Name, Idempotent: class.idempotent()})
 	}
-	return l
+	return limits
 }
 
-func newFleet(s Scenario, m mode, dir string, seed uint64) (*fleet, error) {
-	l := limits(s)
-	l.WithoutCoordinator = m != byCoordinator
-	log := audit.NewLog(l)
-	f := &fleet{s: s, mode: m, dir: dir, log: log, tally: emulator.NewTally(), listed: map[string]*entry{}, ended: make(chan struct{})}
-	f.world = emulator.NewWorld(log, emulator.WarmUpRules{WarmUp: duration(s.Rules.Cold), InitialCapacity: s.Rules.ColdFrom,
-		OverloadFactor: s.Rules.ColdMultiple, OverloadWindow: duration(s.Rules.ColdWindow)}, seed)
+// warmUpRules are how the endpoints of a fleet with these limits warm up.
+func warmUpRules(limits audit.Limits) emulator.WarmUpRules {
+	return emulator.WarmUpRules{WarmUp: limits.WarmUp, InitialCapacity: limits.InitialCapacity, OverloadFactor: limits.OverloadFactor,
+		OverloadWindow: limits.OverloadWindow}
+}
+
+// newFleet starts the endpoints of a fleet. Its caller must call stop, also after an error of a later step.
+func newFleet(s Scenario, source tableSource, dir string, seed uint64) (*fleet, error) {
+	limits := auditLimits(s)
+	limits.WithoutCoordinator = source != byCoordinator
+	log := audit.NewLog(limits)
+	f := &fleet{
+		scenario: s,
+		source:   source,
+		dir:      dir,
+		log:      log,
+		world:    emulator.NewWorld(log, warmUpRules(limits), seed),
+		tally:    emulator.NewTally(),
+		listed:   map[string]*listedEndpoint{},
+		ended:    make(chan struct{}),
+	}
 	f.rng = f.world.Rand("fleet")
-	if s.Registry == "eureka" && m == byCoordinator {
-		var err error
-		if f.reg, err = newRegistry(); err != nil {
+	if s.Registry == "eureka" && source == byCoordinator {
+		registry, err := newEurekaRegistry()
+		if err != nil {
 			return nil, err
 		}
+		f.registry = registry
+	}
+	if err := f.startEndpoints(); err != nil {
+		f.stop()
+		return nil, err
+	}
+	f.prepareGateways()
+	for i, fault := range s.Faults {
+		f.affected = append(f.affected, f.chooseGateways(fault, f.world.Rand(fmt.Sprint("struck ", i))))
 	}
+	return f, nil
+}
+
+func (f *fleet) startEndpoints() error {
+	const endpointsPerPod = 3
+	s := f.scenario
 	for i := range s.EndpointCount {
-		n, err := emulator.NewEndpoint(f.world, emulator.EndpointOptions{Name: fmt.Sprintf("node-%d", i), Zone: s.Zones[i%len(s.Zones)], Machine: "std",
-			Pod: i / 3, Weight: float64(s.EndpointCores), Cores: s.EndpointCores, QueueLength: s.QueueLength, MaxConnections: s.MaxConnections})
+		endpoint, err := emulator.NewEndpoint(f.world, emulator.EndpointOptions{
+			Name:           fmt.Sprintf("node-%d", i),
+			Zone:           s.Zones[i%len(s.Zones)],
+			Machine:        machineType,
+			Pod:            i / endpointsPerPod,
+			Weight:         float64(s.EndpointCores),
+			Cores:          s.EndpointCores,
+			QueueLength:    s.QueueLength,
+			MaxConnections: s.MaxConnections,
+		})
 		if err != nil {
-			return nil, err
+			return err
 		}
-		f.nodes = append(f.nodes, n)
-		f.listed[n.Addr] = &entry{node: n, state: audit.Ready, launched: -time.Hour}
-	}
-	total := 0.0
-	for range s.GatewayCount {
-		w := math.Exp(s.GatewaySpread*f.rng.NormFloat64() - s.GatewaySpread*s.GatewaySpread/2)
-		f.weights = append(f.weights, w)
-		total += w
+		f.endpoints = append(f.endpoints, endpoint)
+		f.listed[endpoint.Addr] = &listedEndpoint{state: audit.Ready, startedAt: -time.Hour}
 	}
-	var kinds []string
-	for _, k := range s.Classes {
-		kinds = append(kinds, k.Name)
+	return nil
+}
+
+func (f *fleet) prepareGateways() {
+	s := f.scenario
+	f.weights = gatewayWeights(s, f.rng)
+	var classes []string
+	for _, class := range s.Classes {
+		classes = append(classes, class.Name)
 	}
 	for i := range s.GatewayCount {
-		f.weights[i] *= float64(s.GatewayCount) / total
-		o := emulator.GatewayOptions{Name: fmt.Sprintf("gw-%d", i), Zone: s.Zones[i%len(s.Zones)], Classes: kinds, TableDir: filepath.Join(dir, "tables"),
-			List: f.entries, InitialTableSize: 6, EjectAfter: 5, EjectionTime: 5 * time.Second, ReportPeriod: duration(s.ReportPeriod), Weight: f.rate(i),
-			UseAllEndpoints: m == oneTable, ReadChunk: s.ReadChunk, ReadPause: time.Millisecond}
-		if m == byCoordinator {
-			o.Coordinator = f.address
+		options := emulator.GatewayOptions{
+			Name:             fmt.Sprintf("gw-%d", i),
+			Zone:             s.Zones[i%len(s.Zones)],
+			Classes:          classes,
+			TableDir:         tableDir(f.dir),
+			List:             f.listEntries,
+			InitialTableSize: 6,
+			EjectAfter:       5,
+			EjectionTime:     5 * time.Second,
+			ReportPeriod:     duration(s.ReportPeriod),
+			Weight:           f.rate(i),
+			UseAllEndpoints:  f.source == allEndpoints,
+			ReadChunk:        s.ReadChunk,
+			ReadPause:        time.Millisecond,
+		}
+		if f.source == byCoordinator {
+			options.Coordinator = f.address
 		}
-		f.gateways = append(f.gateways, emulator.NewGateway(f.world, o))
+		f.gateways = append(f.gateways, emulator.NewGateway(f.world, options))
 	}
-	for i := range s.Faults {
-		f.struck = append(f.struck, f.chooseGateways(s.Faults[i], f.world.Rand(fmt.Sprint("struck ", i))))
+}
+
+// gatewayWeights draws the sizes of the gateways, with a mean of 1.
+func gatewayWeights(s Scenario, rng *rand.Rand) []float64 {
+	weights := make([]float64, s.GatewayCount)
+	total := 0.0
+	for i := range weights {
+		weights[i] = math.Exp(s.GatewaySpread*rng.NormFloat64() - s.GatewaySpread*s.GatewaySpread/2)
+		total += weights[i]
 	}
-	return f, nil
+	for i := range weights {
+		weights[i] *= float64(s.GatewayCount) / total
+	}
+	return weights
 }
 
-// rate is a gateway's usual reqs a second.
+// rate is a gateway's usual requests per second.
 func (f *fleet) rate(i int) float64 {
-	return f.weights[i] * f.s.RequestRate / float64(f.s.GatewayCount)
+	return f.weights[i] * f.scenario.RequestRate / float64(f.scenario.GatewayCount)
 }
 
-// start opens the gateways; clients begin with run.
+// start starts the gateways and prepares the clients, which begin with run.
 func (f *fleet) start() error {
 	if err := f.writeList(); err != nil {
 		return err
@@ -134,57 +199,75 @@
 		}
 	}
 	for i, g := range f.gateways {
-		c := emulator.ClientOptions{Name: g.Name, Gateway: g, RequestRate: f.rate(i), Retries: f.s.Retries, AttemptTimeoutShare: 0.7, Backoff: 50 * time.Millisecond,
-			TrafficFactor: func(at time.Duration) float64 { return f.factor(i, at) }, WorkFactor: f.dear}
-		for at := time.Duration(0); at < f.length(); at += 100 * time.Millisecond {
-			c.MaxTrafficFactor = max(c.MaxTrafficFactor, f.factor(i, at))
-		}
-		for _, k := range f.s.Classes {
-			c.Classes = append(c.Classes, emulator.Class{Name: k.Name, Share: k.Share, Work: duration(k.Work), LatencyObjective: duration(k.LatencyObjective),
-				ClientTimeout: duration(k.ClientTimeout), PriorityWeight: k.PriorityWeight, LateShare: 0.15, Idempotent: k.Repeat == "replayable"})
-		}
-		f.clients = append(f.clients, emulator.NewClient(f.world, c, f.tally, &f.reqs))
+		f.clients = append(f.clients, emulator.NewClient(f.world, f.clientOptions(i, g), f.tally, &f.requests))
 	}
 	return nil
 }
 
-func (f *fleet) length() time.Duration { return time.Duration(f.s.Seconds) * time.Second }
+func (f *fleet) clientOptions(i int, g *emulator.Gateway) emulator.ClientOptions {
+	const lateShare = 0.15 // what a late response is still worth
+	options := emulator.ClientOptions{
+		Name:                g.Name,
+		Gateway:             g,
+		RequestRate:         f.rate(i),
+		Retries:             f.scenario.Retries,
+		AttemptTimeoutShare: 0.7,
+		Backoff:             50 * time.Millisecond,
+		TrafficFactor:       func(at time.Duration) float64 { return f.trafficFactor(i, at) },
+		WorkFactor:          f.workFactor,
+	}
+	for at := time.Duration(0); at < f.scenario.length(); at += 100 * time.Millisecond {
+		options.MaxTrafficFactor = max(options.MaxTrafficFactor, f.trafficFactor(i, at))
+	}
+	for _, class := range f.scenario.Classes {
+		options.Classes = append(options.Classes, emulator.Class{
+			Name:             class.Name,
+			Share:            class.Share,
+			Work:             duration(class.Work),
+			LatencyObjective: duration(class.LatencyObjective),
+			ClientTimeout:    duration(class.ClientTimeout),
+			PriorityWeight:   class.PriorityWeight,
+			LateShare:        lateShare,
+			Idempotent:       class.idempotent(),
+		})
+	}
+	return options
+}
 
-// run lets clients ask and troubles strike until the end.
+// run lets clients send and faults strike until the end of the scenario. It returns when all goroutines have ended.
 func (f *fleet) run() {
-	var all sync.WaitGroup
-	for i, t := range f.s.Faults {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			f.sleepUntil(duration(t.At))
-			faultTypes[t.Name].strike(f, t, f.world.Rand(fmt.Sprint("trouble ", i)), f.struck[i])
-		}()
+	var faults sync.WaitGroup
+	for i, fault := range f.scenario.Faults {
+		faults.Go(func() {
+			f.sleep(duration(fault.At) - f.world.Now())
+			if inject := faultTypes[fault.Name].inject; inject != nil {
+				inject(injection{Fault: fault, fleet: f, rng: f.world.Rand(fmt.Sprint("trouble ", i)), gateways: f.affected[i]})
+			}
+		})
 	}
-	var asking sync.WaitGroup
-	for _, c := range f.clients {
-		asking.Add(1)
-		go func() { defer asking.Done(); c.Run(f.length()) }()
+	var clients sync.WaitGroup
+	for _, client := range f.clients {
+		clients.Go(func() { client.Run(f.scenario.length()) })
 	}
-	asking.Wait()
+	clients.Wait()
 	close(f.ended)
-	all.Wait()
+	faults.Wait()
 }
 
-// stop ends gateways and nodes.
+// stop ends gateways, endpoints and the registry.
 func (f *fleet) stop() {
 	for _, g := range f.gateways {
 		g.Kill()
 	}
-	for _, n := range f.nodes {
-		n.Kill()
+	for _, e := range f.endpoints {
+		e.Kill()
 	}
-	if f.reg != nil {
-		f.reg.close()
+	if f.registry != nil {
+		f.registry.close()
 	}
 }
 
-// sleep waits for a length of time or the end of the run; it tells whether the run goes on.
+// sleep waits for a length of time or the end of the run; it reports whether the run goes on.
 func (f *fleet) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -194,42 +277,41 @@
 	}
 }
 
-func (f *fleet) sleepUntil(at time.Duration) bool { return f.sleep(at - f.world.Now()) }
-
+// address returns where the coordinator listens; empty if there is none.
 func (f *fleet) address() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.coord == nil {
+	if f.coordinator == nil {
 		return ""
 	}
-	return f.coord.addr
+	return f.coordinator.address()
 }
 
-// entries is the list as it stands.
-func (f *fleet) entries() []emulator.ListEntry {
+// listEntries is the endpoint list as it is now.
+func (f *fleet) listEntries() []emulator.ListEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []emulator.ListEntry
-	for _, n := range f.nodes {
-		if e := f.listed[n.Addr]; e.state != audit.Absent {
-			out = append(out, emulator.ListEntry{Addr: n.Addr, Zone: n.Zone, Weight: n.Weight, Draining: e.state == audit.Draining})
+	for _, e := range f.endpoints {
+		listed := f.listed[e.Addr]
+		if listed.state == audit.Absent {
+			continue
 		}
+		out = append(out, emulator.ListEntry{Addr: e.Addr, Zone: e.Zone, Weight: e.Weight, Draining: listed.state == audit.Draining})
 	}
 	return out
 }
 
-// tellList changes what the list says of a node, late as lists are.
-func (f *fleet) tellList(n *emulator.Endpoint, state audit.EndpointState, after time.Duration) {
-	_, launched := n.Running()
-	f.pauses.Add(1)
-	time.AfterFunc(after, func() {
-		defer f.pauses.Done()
+// setListed changes what the list says of an endpoint, after a delay.
+func (f *fleet) setListed(e *emulator.Endpoint, state audit.EndpointState, delay time.Duration) {
+	_, startedAt := e.Running()
+	f.pending.Add(1)
+	time.AfterFunc(delay, func() {
+		defer f.pending.Done()
 		f.mu.Lock()
-		e := f.listed[n.Addr]
-		e.state, e.launched = state, launched
+		f.listed[e.Addr].state = state
+		f.listed[e.Addr].startedAt = startedAt
 		f.mu.Unlock()
-		_ = f.writeList()
-		if f.mode == oneTable {
+		_ = f.writeList() // a list that can't be written stays as it is, as in production
+		if f.source == allEndpoints {
 			for _, g := range f.gateways {
 				g.RefreshEndpoints()
 			}
@@ -237,53 +319,39 @@
 	})
 }
 
-// writeList writes the node list in file_sd form, whole and renamed, and tells the audit.
+// writeList writes the endpoint list to its file or registry, and tells the audit.
 func (f *fleet) writeList() error {
-	type group struct {
-		Targets []string          `json:"targets"`
-		Labels  map[string]string `json:"labels"`
-	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.frozen && f.reg == nil {
+	if f.listFrozen && f.registry == nil {
 		return nil
 	}
-	var groups []group
-	listed := map[string]audit.ListedEndpoint{}
-	for _, n := range f.nodes {
-		e := f.listed[n.Addr]
-		listed[n.Addr] = audit.ListedEndpoint{State: e.state, StartedAt: e.launched, Zone: n.Zone}
-		if e.state == audit.Absent {
-			continue
-		}
-		labels := map[string]string{"zone": n.Zone, "machine": n.Machine, "pod": strconv.Itoa(n.Pod),
-			"weight": strconv.FormatFloat(n.Weight, 'g', -1, 64), "launched": "0"}
-		if e.state == audit.Draining {
-			labels["status"] = "draining"
+	audited := map[string]audit.ListedEndpoint{}
+	var groups []targetGroup
+	for _, e := range f.endpoints {
+		listed := f.listed[e.Addr]
+		audited[e.Addr] = audit.ListedEndpoint{State: listed.state, StartedAt: listed.startedAt, Zone: e.Zone}
+		if listed.state != audit.Absent {
+			groups = append(groups, f.targetGroup(e, listed))
 		}
-		if e.launched >= 0 {
-			labels["launched"] = strconv.FormatInt(f.world.Start.Add(e.launched).UnixMicro(), 10)
-		}
-		groups = append(groups, group{[]string{n.Addr}, labels})
 	}
-	if f.reg != nil {
-		f.reg.list(f.world.Start, f.nodes, f.listed, func() { f.log.EndpointList(f.world.Now(), listed) })
+	record := func() { f.log.EndpointList(f.world.Now(), audited) }
+	if f.registry != nil {
+		f.registry.update(f.world.Start, f.endpoints, f.listed, record)
 		return nil
 	}
-	text, err := json.Marshal(groups)
-	if err != nil {
-		return err
-	}
-	if groups == nil {
-		text = []byte("[]")
-	}
-	path := filepath.Join(f.dir, "nodes.json")
-	if err := os.WriteFile(path+".new", text, 0o644); err != nil {
-		return err
-	}
-	if err := os.Rename(path+".new", path); err != nil {
+	if err := writeListFile(listPath(f.dir), groups); err != nil {
 		return err
 	}
-	f.log.EndpointList(f.world.Now(), listed)
+	record()
 	return nil
 }
+
+func (f *fleet) targetGroup(e *emulator.Endpoint, listed *listedEndpoint) targetGroup {
+	labels := endpointLabels(e)
+	labels[labelLaunched] = launchedLabel(f.world.Start, listed.startedAt)
+	if listed.state == audit.Draining {
+		labels[labelStatus] = statusDraining
+	}
+	return targetGroup{Targets: []string{e.Addr}, Labels: labels}
+}
--- /dev/null
+++ b/chaos/observe.go
@@ -0,0 +1,125 @@
+package chaos
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"porthub/client"
+	"porthub/daemon"
+)
+
+// maxConvergence is how long waitForConvergence waits.
+const maxConvergence = 10 * time.Second
+
+// waitForConvergence returns how many seconds after the last request every connected gateway has what it was last sent;
+// 10 if it takes longer.
+func waitForConvergence(f *fleet) float64 {
+	start := time.Now()
+	for time.Since(start) < maxConvergence {
+		if hasConverged(f) {
+			return time.Since(start).Seconds()
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	return maxConvergence.Seconds()
+}
+
+func hasConverged(f *fleet) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
+	defer cancel()
+	status, err := client.Status(ctx, f.address())
+	if err != nil || len(status.Gateways) != len(f.gateways) {
+		return false
+	}
+	for _, g := range status.Gateways {
+		if !g.Connected || g.Unacknowledged != 0 {
+			return false
+		}
+	}
+	return true
+}
+
+// writtenBy asks the coordinator what it has written since its last start; the zero value if it does not answer.
+func writtenBy(f *fleet) Written {
+	var status daemon.Standing
+	if err := getJSON("http://"+f.address()+"/tables", &status); err != nil {
+		return Written{}
+	}
+	written := Written{Files: status.Front.Files, Bytes: status.Front.Bytes, Polls: status.Poll, Steps: status.Steps}
+	for _, g := range status.Gateways {
+		written.Messages += g.Published
+	}
+	if status.Capture != nil {
+		written.Capture = *status.Capture
+	}
+	return written
+}
+
+// getJSON decodes the response to a request of the control API.
+func getJSON(url string, into any) error {
+	response, err := (&http.Client{Timeout: 5 * time.Second}).Get(url)
+	if err != nil {
+		return err
+	}
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		_, _ = io.Copy(io.Discard, response.Body)
+		return fmt.Errorf("%s: %s", url, response.Status)
+	}
+	return json.NewDecoder(response.Body).Decode(into)
+}
+
+// countLevelChanges counts the changes of the service level in a coordinator's log, in the scope that has most.
+func countLevelChanges(path string) int {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return 0
+	}
+	most := 0
+	byZone := map[string]int{}
+	for line := range strings.Lines(string(text)) {
+		var record struct {
+			Event string `json:"msg"`
+			Zone  string `json:"zone"`
+		}
+		if json.Unmarshal([]byte(line), &record) == nil && record.Event == "service_level" {
+			byZone[record.Zone]++
+			most = max(most, byZone[record.Zone])
+		}
+	}
+	return most
+}
+
+// showProgress writes a line each second until done is closed.
+func showProgress(f *fleet, w io.Writer, done <-chan struct{}) {
+	for {
+		select {
+		case <-done:
+			fmt.Fprintln(w)
+			return
+		case <-time.After(time.Second):
+		}
+		now := f.world.Now()
+		running := 0
+		for _, e := range f.endpoints {
+			if up, _ := e.Running(); up {
+				running++
+			}
+		}
+		var active []string
+		for _, fault := range f.scenario.Faults {
+			if fault.active(now) {
+				active = append(active, fault.Name)
+			}
+		}
+		_, sum := f.tally.Sums()
+		fmt.Fprintf(w, "\r%3.0f of %d s  %6d requests  service %.3f  endpoints up %d of %d  %-50s", now.Seconds(), f.scenario.Seconds, sum.Requests,
+			sum.Service(), running, len(f.endpoints), strings.Join(active, " "))
+	}
+}
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -12,7 +11,6 @@
 	"net/http"
 	"os"
 	"path/filepath"
-	"slices"
 	"sync"
 	"syscall"
 	"time"
@@ -28,247 +26,258 @@
 	"porthub/xds"
 )
 
-// PollResult is what came of waking many held polls at once.
+// PollResult is the outcome of [RunPolls].
 type PollResult struct {
 	Gateways  int `json:"gateways"`
 	Endpoints int `json:"nodes"`
 	Polls     int `json:"polls"` // two for each gateway, a connection each
-	// ConnectSeconds is how long it took until every gateway held its tables, seconds.
+	// ConnectSeconds is how long it took until every gateway had its tables.
 	ConnectSeconds float64 `json:"joined_s"`
-	// KiBPerPoll of the coordinator for each held poll, from before the first to when all are held.
+	// KiBPerPoll is the coordinator's memory for each held poll, from before the first until all are held.
 	KiBPerPoll float64 `json:"kib_per_poll"`
-	// Wake is from a drain's standing in the node list to each gateway's having been told, of those that held the node.
+	// Holders are the gateways with the endpoint that is drained in their tables, and Wake the times from its draining in
+	// the list to their tables without it.
 	Holders     int     `json:"holders"`
 	Wake        Latency `json:"wake_ms"`
 	MaxWake     float64 `json:"wake_most_ms"`
 	Woken       int     `json:"woken"`
-	Disconnects int     `json:"broke"` // connections that broke meanwhile and were dialled again
+	Disconnects int     `json:"broke"` // connections that broke and were dialled again
 }
 
-// RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains a node once all are held.
-func RunPolls(exe []string, gateways, nodes int) (res PollResult, err error) {
-	res.Gateways, res.Polls, res.Endpoints = gateways, 2*gateways, nodes
-	dir, err := os.MkdirTemp(scratch(), "porthub-polls-")
+// RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains an endpoint once all polls are
+// held.
+func RunPolls(command []string, gateways, endpoints int) (PollResult, error) {
+	result := PollResult{Gateways: gateways, Endpoints: endpoints, Polls: 2 * gateways}
+	dir, remove, err := workDir("", "porthub-polls-")
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	defer os.RemoveAll(dir)
-	s := defaultScenario()
-	s.GatewayCount = gateways
-	f := &fleet{s: s, dir: dir, log: audit.NewLog(limits(s))}
-	f.world = emulator.NewWorld(f.log, emulator.WarmUpRules{}, 1)
-	logs, err := os.Create(filepath.Join(dir, "coordinator.log"))
+	defer remove()
+	output, err := os.Create(filepath.Join(dir, "coordinator.log"))
 	if err != nil {
-		return res, err
+		return result, err
 	}
-	defer logs.Close()
-	cfg := s.Config(dir, "127.0.0.1:0", 1)
-	cfg.Rules.WaitingLines, cfg.Gateways.SilentAfter = float64(400*gateways), 120_000_000
-	cfg.Front.Poll.Hold, cfg.Front.Poll.Most = 60_000_000, 4*gateways
-	cfg.Limits = config.Limits{Connections: 4 * gateways, PerAddress: 4 * gateways}
-	list := func(status string) error {
-		var groups []map[string]any
-		for i := range nodes {
-			labels := map[string]string{"zone": s.Zones[i%3], "machine": "std", "launched": "0"}
-			if i == 0 {
-				labels["status"] = status
-			}
-			groups = append(groups, map[string]any{"targets": []string{fmt.Sprintf("127.0.0.1:%d", 1+i)}, "labels": labels})
-		}
-		text, err := json.Marshal(groups)
-		if err != nil {
-			return err
-		}
-		path := filepath.Join(dir, "nodes.json")
-		if err := os.WriteFile(path+".new", text, 0o644); err != nil {
-			return err
-		}
-		return os.Rename(path+".new", path)
-	}
-	if err := list("ready"); err != nil {
-		return res, err
+	defer func() { _ = output.Close() }()
+	m := newPollMeasurement(command, dir, output, gateways, endpoints)
+	if err := m.writeList("ready"); err != nil {
+		return result, err
 	}
-	coord := &coordinatorProcess{f: f, cfg: cfg, exe: exe, logs: logs}
-	if err := coord.start(); err != nil {
-		return res, err
+	if err := m.coordinator.start(); err != nil {
+		return result, err
 	}
-	defer coord.end(syscall.SIGTERM)
-	before := residentOf(coord.cmd.Process.Pid)
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	w := &pollWatch{held: map[int]bool{}}
-	var all sync.WaitGroup
-	began := time.Now()
-	for i := range gateways {
-		for _, routes := range []bool{false, true} {
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				for ctx.Err() == nil { // a gateway dials again
-					w.note(pollFor(ctx, coord.addr, fmt.Sprintf("gw-%d", i), s.Zones[i%3], i, routes, w))
-					time.Sleep(200 * time.Millisecond)
-				}
-			}()
-		}
-		if i%50 == 49 { // connections come in over seconds, as after a restart
-			time.Sleep(10 * time.Millisecond)
-		}
+	defer m.coordinator.end(syscall.SIGTERM)
+	err = m.run(&result)
+	return result, err
+}
+
+// pollMeasurement is a run of [RunPolls].
+type pollMeasurement struct {
+	scenario    Scenario
+	dir         string
+	endpoints   int
+	coordinator *coordinatorProcess
+	watch       *pollWatch
+}
+
+func newPollMeasurement(command []string, dir string, output *os.File, gateways, endpoints int) *pollMeasurement {
+	scenario := defaultScenario()
+	scenario.GatewayCount = gateways
+	log := audit.NewLog(auditLimits(scenario))
+	world := emulator.NewWorld(log, emulator.WarmUpRules{}, 1)
+	c := scenario.Config(dir, "127.0.0.1:0", 1)
+	c.Rules.WaitingLines = float64(400 * gateways)
+	c.Gateways.SilentAfter = 120_000_000
+	c.Front.Poll.Hold = 60_000_000
+	c.Front.Poll.Most = 4 * gateways
+	c.Limits = config.Limits{Connections: 4 * gateways, PerAddress: 4 * gateways}
+	return &pollMeasurement{
+		scenario:    scenario,
+		dir:         dir,
+		endpoints:   endpoints,
+		coordinator: &coordinatorProcess{command: command, dir: dir, world: world, log: log, output: output, config: c},
+		watch:       &pollWatch{hasFirst: map[int]bool{}},
 	}
-	for end := time.Now().Add(2 * time.Minute); w.count() < gateways; time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
-			return res, fmt.Errorf("after two minutes %d of %d gateways hold their tables: %w", w.count(), gateways, w.failed())
+}
+
+// writeList writes the list, with a status for its first endpoint: that is the one that is drained.
+func (m *pollMeasurement) writeList(firstStatus string) error {
+	var groups []targetGroup
+	for i := range m.endpoints {
+		labels := map[string]string{labelZone: m.zone(i), labelMachine: machineType, labelLaunched: launchedLong}
+		if i == 0 {
+			labels[labelStatus] = firstStatus
 		}
+		groups = append(groups, targetGroup{Targets: []string{fmt.Sprintf("127.0.0.1:%d", firstPort+i)}, Labels: labels})
 	}
-	res.ConnectSeconds = time.Since(began).Seconds()
-	time.Sleep(3 * time.Second) // what follows the joins has come
-	res.KiBPerPoll = float64(residentOf(coord.cmd.Process.Pid)-before) / float64(2*gateways)
-	res.Holders = w.drainedAt(time.Now())
-	if err := list("draining"); err != nil {
-		return res, err
+	return writeListFile(listPath(m.dir), groups)
+}
+
+// firstPort is the port of the first endpoint. Nothing listens there.
+const firstPort = 1
+
+func (m *pollMeasurement) zone(i int) string { return m.scenario.Zones[i%len(m.scenario.Zones)] }
+
+// run measures. All goroutines have ended when it returns.
+func (m *pollMeasurement) run(result *PollResult) error {
+	memoryBefore := currentResident(m.coordinator.pid())
+	ctx, cancel := context.WithCancel(context.Background())
+	var polls sync.WaitGroup
+	defer polls.Wait()
+	defer cancel()
+	start := time.Now()
+	m.startPolls(ctx, &polls)
+	if err := m.waitForTables(); err != nil {
+		return err
 	}
-	for end := time.Now().Add(time.Minute); w.told() < res.Holders && time.Now().Before(end); {
-		time.Sleep(20 * time.Millisecond)
+	result.ConnectSeconds = time.Since(start).Seconds()
+	const settling = 3 * time.Second // what follows the connections has arrived
+	time.Sleep(settling)
+	result.KiBPerPoll = float64(currentResident(m.coordinator.pid())-memoryBefore) / float64(result.Polls)
+	result.Holders = m.watch.begin(time.Now())
+	if err := m.writeList(statusDraining); err != nil {
+		return err
 	}
-	took := w.times()
-	if res.Woken = len(took); res.Woken == 0 {
-		return res, fmt.Errorf("nobody was told of the drain: %w", w.failed())
+	m.waitForWakes(result.Holders)
+	if err := m.watch.fill(result); err != nil {
+		return err
 	}
-	ms := func(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
-	res.Wake = Latency{ms(took[len(took)/2]), ms(took[len(took)*99/100])}
-	res.MaxWake = ms(took[len(took)-1])
-	res.Disconnects = w.broken()
 	cancel()
-	coord.end(syscall.SIGTERM)
-	all.Wait()
-	return res, nil
-}
-
-// pollWatch gathers who holds tables and when each was told of the drain.
-type pollWatch struct {
-	mu    sync.Mutex
-	held  map[int]bool // whether the first node is open there
-	at    time.Time
-	took  map[int]time.Duration
-	error error
-	broke int
+	m.coordinator.end(syscall.SIGTERM)
+	return nil
 }
 
-func (w *pollWatch) note(err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if err != nil && !errors.Is(err, context.Canceled) {
-		w.error = err
-		w.broke++
+// startPolls starts two polls for each gateway, which end with the context.
+func (m *pollMeasurement) startPolls(ctx context.Context, polls *sync.WaitGroup) {
+	const batch = 50 // connections arrive over seconds, as after a restart
+	for i := range m.scenario.GatewayCount {
+		for _, routes := range []bool{false, true} {
+			p := poller{measurement: m, gateway: i, routes: routes}
+			polls.Go(func() { p.run(ctx) })
+		}
+		if i%batch == batch-1 {
+			time.Sleep(10 * time.Millisecond)
+		}
 	}
 }
 
-func (w *pollWatch) broken() int { w.mu.Lock(); defer w.mu.Unlock(); return w.broke }
-
-func (w *pollWatch) count() int    { w.mu.Lock(); defer w.mu.Unlock(); return len(w.held) }
-func (w *pollWatch) told() int     { w.mu.Lock(); defer w.mu.Unlock(); return len(w.took) }
-func (w *pollWatch) failed() error { w.mu.Lock(); defer w.mu.Unlock(); return w.error }
-
-// drainedAt begins the measurement and counts whom it concerns.
-func (w *pollWatch) drainedAt(t time.Time) (holders int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, open := range w.held {
-		if open {
-			holders++
+func (m *pollMeasurement) waitForTables() error {
+	gateways := m.scenario.GatewayCount
+	for deadline := time.Now().Add(2 * time.Minute); m.watch.countTables() < gateways; time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			return errors.Join(fmt.Errorf("after two minutes %d of %d gateways have their tables", m.watch.countTables(), gateways), m.watch.lastError())
 		}
 	}
-	w.at, w.took = t, map[int]time.Duration{}
-	return holders
+	return nil
 }
 
-func (w *pollWatch) times() (took []time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, d := range w.took {
-		took = append(took, d)
+func (m *pollMeasurement) waitForWakes(holders int) {
+	for deadline := time.Now().Add(time.Minute); m.watch.countWoken() < holders && time.Now().Before(deadline); {
+		time.Sleep(20 * time.Millisecond)
 	}
-	slices.Sort(took)
-	return took
 }
 
-// saw takes a gateway's endpoints in: whether the first node is open in them.
-func (w *pollWatch) saw(i int, open bool, lines int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if _, known := w.took[i]; w.took != nil && w.held[i] && !open && !known {
-		w.took[i] = time.Since(w.at)
-	}
-	if lines > 0 {
-		w.held[i] = open
+// poller polls for one document of one gateway.
+type poller struct {
+	measurement *pollMeasurement
+	gateway     int
+	routes      bool
+}
+
+// run dials again and again until the context ends.
+func (p poller) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		p.measurement.watch.noteDisconnect(p.runConnection(ctx))
+		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// pollFor polls for one document of one gateway on a connection of its own until the context ends.
-func pollFor(ctx context.Context, addr, name, zone string, i int, routes bool, w *pollWatch) error {
-	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
+// runConnection polls on a connection until that or the context ends.
+func (p poller) runConnection(ctx context.Context) error {
+	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.measurement.coordinator.address())
 	if err != nil {
 		return err
 	}
-	defer conn.Close()
+	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	path, kind := xds.EndpointPath, xds.EndpointType
-	if routes {
-		path, kind = xds.RoutePath, xds.RouteType
-	}
-	r, version := bufio.NewReaderSize(conn, 4096), ""
+	reader := bufio.NewReaderSize(conn, 4096)
+	version := ""
 	for ctx.Err() == nil {
-		// Binary: what is measured is the coordinator, and the gateways share its cores.
-		text, err := proto.Marshal(xds.Acknowledge(xds.Node{Name: name, Zone: zone, Weight: 1, Polls: true, Hold: time.Minute}, kind, version, "", ""))
+		message, err := p.poll(conn, reader, version)
 		if err != nil {
 			return err
 		}
-		head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: %d\r\n\r\n", path, len(text))
-		if _, err := conn.Write(append([]byte(head), text...)); err != nil {
-			return err
+		if message == nil {
+			continue // nothing new
 		}
-		res, err := http.ReadResponse(r, nil)
-		if err != nil {
-			return err
+		version = message.VersionInfo
+		if p.routes {
+			continue
 		}
-		body, err := io.ReadAll(res.Body)
-		_ = res.Body.Close()
-		switch {
-		case err != nil:
+		hasFirst, endpoints, err := findFirstEndpoint(message)
+		if err != nil {
 			return err
-		case res.StatusCode == http.StatusServiceUnavailable:
-			time.Sleep(time.Second)
-		case res.StatusCode >= 400:
-			return fmt.Errorf("%s: %s", res.Status, bytes.TrimSpace(body))
-		case res.StatusCode == http.StatusOK:
-			m := &discoveryv3.DiscoveryResponse{}
-			if err := proto.Unmarshal(body, m); err != nil {
-				return err
-			}
-			if version = m.VersionInfo; !routes {
-				open, lines, err := firstOpen(m)
-				if err != nil {
-					return err
-				}
-				w.saw(i, open, lines)
-			}
 		}
+		p.measurement.watch.observe(p.gateway, hasFirst, endpoints)
 	}
 	return ctx.Err()
 }
 
-// firstOpen tells whether the first node is open in any cluster, and how many lines there are.
-func firstOpen(m *discoveryv3.DiscoveryResponse) (open bool, lines int, err error) {
-	for _, res := range m.Resources {
-		c := &endpointv3.ClusterLoadAssignment{}
-		if err := res.UnmarshalTo(c); err != nil {
+// poll sends a request and returns the response; nil if it has nothing new. It uses the binary form: what is measured is
+// the coordinator, and the gateways share its cores.
+func (p poller) poll(conn net.Conn, reader *bufio.Reader, version string) (*discoveryv3.DiscoveryResponse, error) {
+	path, resourceType := xds.EndpointPath, xds.EndpointType
+	if p.routes {
+		path, resourceType = xds.RoutePath, xds.RouteType
+	}
+	node := xds.Node{Name: fmt.Sprintf("gw-%d", p.gateway), Zone: p.measurement.zone(p.gateway), Weight: 1, Polls: true, Hold: time.Minute}
+	text, err := proto.Marshal(xds.Acknowledge(node, resourceType, version, "", ""))
+	if err != nil {
+		return nil, err
+	}
+	request := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: %d\r\n\r\n", path, len(text))
+	if _, err := conn.Write(append(request, text...)); err != nil {
+		return nil, err
+	}
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		return nil, err
+	}
+	body, err := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	if err != nil {
+		return nil, err
+	}
+	switch {
+	case response.StatusCode == http.StatusServiceUnavailable:
+		time.Sleep(time.Second)
+		return nil, nil
+	case response.StatusCode >= http.StatusBadRequest:
+		return nil, fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(body))
+	case response.StatusCode != http.StatusOK:
+		return nil, nil
+	}
+	message := &discoveryv3.DiscoveryResponse{}
+	if err := proto.Unmarshal(body, message); err != nil {
+		return nil, err
+	}
+	return message, nil
+}
+
+// findFirstEndpoint reports whether the first endpoint can be sent requests by any cluster, and how many endpoints there
+// are in all clusters.
+func findFirstEndpoint(message *discoveryv3.DiscoveryResponse) (found bool, endpoints int, err error) {
+	for _, resource := range message.Resources {
+		cluster := &endpointv3.ClusterLoadAssignment{}
+		if err := resource.UnmarshalTo(cluster); err != nil {
 			return false, 0, err
 		}
-		for _, zone := range c.Endpoints {
-			for _, e := range zone.LbEndpoints {
-				lines++
-				open = open || e.GetEndpoint().GetAddress().GetSocketAddress().GetPortValue() == 1 && e.HealthStatus != corev3.HealthStatus_DRAINING
+		for _, zone := range cluster.Endpoints {
+			for _, endpoint := range zone.LbEndpoints {
+				endpoints++
+				port := endpoint.GetEndpoint().GetAddress().GetSocketAddress().GetPortValue()
+				found = found || port == firstPort && endpoint.HealthStatus != corev3.HealthStatus_DRAINING
 			}
 		}
 	}
-	return open, lines, nil
+	return found, endpoints, nil
 }
--- a/chaos/process.go
+++ b/chaos/process.go
@@ -7,120 +7,190 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"syscall"
 	"time"
 
+	"porthub/audit"
 	"porthub/config"
+	"porthub/emulator"
 )
 
-// coordinatorProcess is a coordinator in a process of its own.
+// processEnvironment marks the coordinator's process, so that a test binary can take that part.
+const processEnvironment = "PORTHUB_DRILL=1"
+
+const (
+	startTimeout  = 15 * time.Second
+	startPollTime = 5 * time.Millisecond
+)
+
+// coordinatorProcess is a coordinator in a process of its own that can be killed and started again. It is safe for
+// concurrent use.
 type coordinatorProcess struct {
-	f     *fleet
-	cfg   config.Config
-	exe   []string // the command, to which serve's arguments are added
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	ended chan struct{} // closed when it has ended
-	addr  string
-	cpu   time.Duration // of ended processes
-	peak  int64         // largest resident set, KiB
-	logs  *os.File
-	err   error
-
-	profile string // file for a CPU profile; empty: none
+	command []string // to which the arguments of serve are added
+	dir     string
+	world   *emulator.World
+	log     *audit.Log
+	output  *os.File // of the process
+	profile string   // file for a CPU profile; empty: none
+	cores   int      // that the process may use; 0: all
+
+	addr atomic.Pointer[string] // where it listens; nil before the first start
+
+	mu     sync.Mutex // guards all below; held while the process starts or ends
+	config config.Config
+	cmd    *exec.Cmd     // nil: it does not run
+	ended  chan struct{} // closed when cmd has ended
+	cpu    time.Duration // of ended processes
+	peak   int64         // largest resident set, KiB
+	err    error         // of all starts
 }
 
-// document is the configuration as a file has it: durations with their unit.
-func document(c config.Config) ([]byte, error) {
-	text, err := json.Marshal(c)
-	if err != nil {
-		return nil, err
+// address returns where the coordinator listens, or last listened; empty before its first start.
+func (p *coordinatorProcess) address() string {
+	if addr := p.addr.Load(); addr != nil {
+		return *addr
 	}
-	return text, nil
+	return ""
 }
 
-// start runs the process and waits until it listens. The port of the first start stays. A failure is kept: a drill
-// whose coordinator did not come back has shown nothing.
-func (p *coordinatorProcess) start() (err error) {
+// start runs the process and waits until it listens. The port of the first start stays. Errors are collected for
+// failure: a scenario whose coordinator did not come back has shown nothing.
+func (p *coordinatorProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	defer func() { p.err = errors.Join(p.err, err) }()
-	text, err := document(p.cfg)
+	err := p.startLocked()
+	p.err = errors.Join(p.err, err)
+	return err
+}
+
+func (p *coordinatorProcess) startLocked() error {
+	text, err := json.Marshal(p.config)
 	if err != nil {
 		return err
 	}
-	path, addrFile := filepath.Join(p.f.dir, "porthub.json"), filepath.Join(p.f.dir, "addr")
-	if err := os.WriteFile(path, text, 0o644); err != nil {
+	configPath := filepath.Join(p.dir, "porthub.json")
+	addrPath := filepath.Join(p.dir, "addr")
+	if err := os.WriteFile(configPath, text, 0o644); err != nil {
 		return err
 	}
-	_ = os.Remove(addrFile)
-	args := append(p.exe[1:], "serve", "-c", path, "--addr-file", addrFile)
+	_ = os.Remove(addrPath)
+	args := slices.Concat(p.command[1:], []string{"serve", "-c", configPath, "--addr-file", addrPath})
 	if p.profile != "" {
 		args = append(args, "--cpu-profile", p.profile)
 	}
-	cmd := exec.Command(p.exe[0], args...)
-	cmd.Stdout, cmd.Stderr = p.logs, p.logs
-	cmd.Env = append(os.Environ(), "PORTHUB_DRILL=1")
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // never left behind
-	began := p.f.world.Now()
+	cmd := exec.Command(p.command[0], args...)
+	cmd.Stdout = p.output
+	cmd.Stderr = p.output
+	cmd.Env = append(os.Environ(), processEnvironment)
+	if p.cores > 0 {
+		cmd.Env = append(cmd.Env, fmt.Sprintf("GOMAXPROCS=%d", p.cores))
+	}
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it never outlives this process
+	startedAt := p.world.Now()
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	p.cmd = cmd
 	ended := make(chan struct{})
+	go func() {
+		_ = cmd.Wait() // how it ended is seen from its state
+		close(ended)
+	}()
+	addr, err := p.waitForAddress(cmd, ended, addrPath)
+	if err != nil {
+		return err
+	}
+	p.cmd = cmd
 	p.ended = ended
-	go func() { _ = cmd.Wait(); close(ended) }()
-	for end := time.Now().Add(15 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		if addr, err := os.ReadFile(addrFile); err == nil && strings.Contains(string(addr), ":") {
-			p.f.log.CoordinatorRunning(began, true)
-			p.f.mu.Lock()
-			p.addr, p.cfg.Listen = string(addr), string(addr)
-			p.f.mu.Unlock()
-			return nil
+	p.log.CoordinatorRunning(startedAt, true)
+	p.config.Listen = addr
+	p.addr.Store(&addr)
+	return nil
+}
+
+// waitForAddress waits until the process has written its address. On an error the process has ended.
+func (p *coordinatorProcess) waitForAddress(cmd *exec.Cmd, ended <-chan struct{}, path string) (string, error) {
+	for deadline := time.Now().Add(startTimeout); ; time.Sleep(startPollTime) {
+		if addr, err := os.ReadFile(path); err == nil && strings.Contains(string(addr), ":") {
+			return string(addr), nil
 		}
 		select {
 		case <-ended:
-			p.cmd = nil
-			return fmt.Errorf("the coordinator ended at its start: %s", lastLine(p.logs.Name()))
+			return "", fmt.Errorf("the coordinator ended at its start: %s", lastLine(p.output.Name()))
 		default:
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			_ = cmd.Process.Kill()
 			<-ended
-			p.cmd = nil
-			return fmt.Errorf("the coordinator is not up after 15 s: see %s", p.logs.Name())
+			return "", fmt.Errorf("the coordinator is not up after %v: see %s", startTimeout, p.output.Name())
 		}
 	}
 }
 
+// failure returns the errors of all starts.
+func (p *coordinatorProcess) failure() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.err
+}
+
+// pid returns the process's id; 0 if it does not run.
+func (p *coordinatorProcess) pid() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.cmd == nil {
+		return 0
+	}
+	return p.cmd.Process.Pid
+}
+
 // kill ends the process outright.
 func (p *coordinatorProcess) kill() { p.end(syscall.SIGKILL) }
 
-// end ends the process by a signal and returns how long it took.
-func (p *coordinatorProcess) end(s syscall.Signal) time.Duration {
+// end ends the process by a signal and returns how long that took; 0 if it did not run.
+func (p *coordinatorProcess) end(signal syscall.Signal) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return 0
 	}
-	began := time.Now()
-	p.peak = max(p.peak, peakOf(p.cmd.Process.Pid))
-	_ = p.cmd.Process.Signal(s)
-	if s == syscall.SIGKILL {
-		p.f.log.CoordinatorRunning(p.f.world.Now(), false)
+	start := time.Now()
+	p.peak = max(p.peak, peakResident(p.cmd.Process.Pid))
+	_ = p.cmd.Process.Signal(signal)
+	if signal == syscall.SIGKILL {
+		p.log.CoordinatorRunning(p.world.Now(), false)
 	}
 	<-p.ended
-	p.f.log.CoordinatorRunning(p.f.world.Now(), false)
+	p.log.CoordinatorRunning(p.world.Now(), false)
 	if state := p.cmd.ProcessState; state != nil {
 		p.cpu += state.UserTime() + state.SystemTime()
 	}
 	p.cmd = nil
-	return time.Since(began)
+	return time.Since(start)
+}
+
+// pause stops all threads of the process for a while, as a long garbage collection would.
+func (p *coordinatorProcess) pause(d time.Duration) {
+	pid := p.pid()
+	if pid == 0 {
+		return
+	}
+	_ = syscall.Kill(pid, syscall.SIGSTOP)
+	time.Sleep(d)
+	_ = syscall.Kill(pid, syscall.SIGCONT)
+}
+
+// usage returns the CPU time and the largest resident set of all ended processes.
+func (p *coordinatorProcess) usage() (cpu time.Duration, peakKiB int64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.cpu, p.peak
 }
 
-// lastLine is the last line of a log.
+// lastLine is the last line of a log file, or why it can't be read.
 func lastLine(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -130,21 +200,23 @@
 	return lines[len(lines)-1]
 }
 
-// peakOf is the largest resident set that a process has had, KiB. What wait tells counts the parent's before the exec.
-func peakOf(pid int) int64 { return sizeOf(pid, "VmHWM:") }
+// peakResident is the largest resident set that a process has had, KiB. What Wait reports counts the parent's before exec.
+func peakResident(pid int) int64 { return readStatus(pid, "VmHWM:") }
 
-// residentOf is a process's resident set now, KiB.
-func residentOf(pid int) int64 { return sizeOf(pid, "VmRSS:") }
+// currentResident is a process's resident set, KiB.
+func currentResident(pid int) int64 { return readStatus(pid, "VmRSS:") }
 
-func sizeOf(pid int, field string) (kib int64) {
+// readStatus reads a size in KiB of a process's status; 0 if it can't be read.
+func readStatus(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0
 	}
-	for _, line := range strings.Split(string(text), "\n") {
-		if rest, is := strings.CutPrefix(line, field); is {
-			_, _ = fmt.Sscan(rest, &kib)
+	size := int64(0)
+	for line := range strings.Lines(string(text)) {
+		if rest, found := strings.CutPrefix(line, field); found {
+			_, _ = fmt.Sscan(rest, &size)
 		}
 	}
-	return kib
+	return size
 }
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -13,43 +13,46 @@
 	"porthub/config"
 )
 
-// Scenario is a fleet and what befalls it.
+// Scenario is a fleet and the faults that strike it.
 type Scenario struct {
 	Name           string          `json:"name"`
 	About          string          `json:"about"`
 	Seconds        int             `json:"seconds"`
 	Zones          []string        `json:"zones"`
 	EndpointCount  int             `json:"nodes"`
-	EndpointCores  int             `json:"cores"` // of a node
+	EndpointCores  int             `json:"cores"`
 	GatewayCount   int             `json:"gateways"`
-	RequestRate    float64         `json:"reqs_per_s"`
-	GatewaySpread  float64         `json:"gateway_spread"` // of the gateways' sizes: 0 all alike
+	RequestRate    float64         `json:"reqs_per_s"`     // of all gateways together
+	GatewaySpread  float64         `json:"gateway_spread"` // sigma of the gateways' log-normal sizes; 0: all the same
 	Classes        []Class         `json:"request_kinds"`
 	Rules          config.Rules    `json:"rules"`
 	ReportPeriod   config.Duration `json:"report_period"`
-	ListDelay      config.Duration `json:"list_late"` // the node list tells so long after the truth
+	ListDelay      config.Duration `json:"list_late"` // from a change to its being in the endpoint list
 	Retries        int             `json:"client_retries"`
 	QueueLength    int             `json:"node_queue"`
 	MaxConnections int             `json:"node_connections"`
-	ReadChunk      int             `json:"read_chunk"` // gateways read files by so many bytes; 0: at once
-	Registry       string          `json:"registry"`   // file or eureka
+	ReadChunk      int             `json:"read_chunk"` // bytes that gateways read of a file at a time; 0: all at once
+	Registry       string          `json:"registry"`   // file or eureka; empty: file
 	Faults         []Fault         `json:"troubles"`
 	Checks         []Check         `json:"checks"`
 	Service        config.Service  `json:"service"` // the coordinator's levels of reduced service
 }
 
-// Class is a request kind of a scenario.
+// Class is a request class of a scenario.
 type Class struct {
 	Name             string          `json:"name"`
-	Share            float64         `json:"share"`
-	Work             config.Duration `json:"work"` // mean core time
+	Share            float64         `json:"share"` // of all requests
+	Work             config.Duration `json:"work"`  // mean core time
 	Repeat           string          `json:"repeat"`
 	LatencyObjective config.Duration `json:"response_target"`
 	ClientTimeout    config.Duration `json:"client_timeout"`
 	PriorityWeight   float64         `json:"payoff"`
 }
 
-// Fault is one thing that goes wrong. What Part, Size and Extra mean is said in the table of troubles.
+// idempotent reports whether requests may be executed again.
+func (c Class) idempotent() bool { return c.Repeat == "replayable" }
+
+// Fault is a fault that strikes at a time. What Share, Size and Extra mean depends on the fault: see [About].
 type Fault struct {
 	Name     string          `json:"what"`
 	At       config.Duration `json:"at"`
@@ -61,121 +64,198 @@
 	Class    string          `json:"kind"`
 }
 
+// end is when the fault ends.
+func (f Fault) end() time.Duration { return duration(f.At + f.Duration) }
+
+// active reports whether the fault strikes at a time.
+func (f Fault) active(at time.Duration) bool { return at >= duration(f.At) && at < f.end() }
+
 // Check is a figure that a scenario has to reach.
 type Check struct {
-	Name    string  `json:"name"` // service, worst_10s, kind:NAME, partial_reads, orders_p99_ms, stop_ms, converged_s, level_changes, over_standing
+	// Name is one of the check names, or kind:CLASS for the service of a class.
+	Name    string  `json:"name"`
 	AtLeast float64 `json:"at_least"`
-	AtMost  float64 `json:"at_most"` // in use where above 0 or where AtLeast is 0
+	AtMost  float64 `json:"at_most"` // checked if it is above 0 or AtLeast is 0
 }
 
 //go:embed scenarios/*.json
 var builtIn embed.FS
 
-// ErrScenario is a scenario that can't be read.
+// ErrScenario is a scenario that can't be read or is not valid.
 var ErrScenario = errors.New("scenario")
 
-// List names the built-in scenarios with what they are about.
+// aloneBy is the prefix of scenarios with a single fault.
+const aloneBy = "only:"
+
+// List names the built-in scenarios and says what they are about.
 func List() (names, about []string) {
-	entries, _ := builtIn.ReadDir("scenarios")
-	for _, e := range entries {
-		name := strings.TrimSuffix(e.Name(), ".json")
-		s, err := Load(name)
+	entries, _ := builtIn.ReadDir("scenarios") // embedded: it is there
+	for _, entry := range entries {
+		name := strings.TrimSuffix(entry.Name(), ".json")
+		scenario, err := Load(name)
 		if err != nil {
 			continue
 		}
-		names, about = append(names, name), append(about, s.About)
+		names = append(names, name)
+		about = append(about, scenario.About)
 	}
 	return names, about
 }
 
+// defaultScenario has the values that a scenario's file leaves out.
 func defaultScenario() Scenario {
-	return Scenario{Seconds: 60, Zones: []string{"hala-a", "hala-b", "hala-c"}, EndpointCount: 18, EndpointCores: 2, GatewayCount: 15, RequestRate: 140, GatewaySpread: 0.7,
+	return Scenario{
+		Seconds:        60,
+		Zones:          []string{"hala-a", "hala-b", "hala-c"},
+		EndpointCount:  18,
+		EndpointCores:  2,
+		GatewayCount:   15,
+		RequestRate:    140,
+		GatewaySpread:  0.7,
+		Rules:          config.Default().Rules,
+		ReportPeriod:   1_000_000,
+		ListDelay:      1_500_000,
+		Retries:        1,
+		QueueLength:    30,
+		MaxConnections: 200,
 		Classes: []Class{
-			{"schedule", 0.39, 160_000, "replayable", 750_000, 2_500_000, 1},
-			{"capacity", 0.32, 160_000, "replayable", 800_000, 2_500_000, 1},
-			{"save-sim", 0.29, 160_000, "non-replayable", 750_000, 2_000_000, 2}},
-		Rules: config.Default().Rules, ReportPeriod: 1_000_000, ListDelay: 1_500_000, Retries: 1, QueueLength: 30, MaxConnections: 200}
+			{Name: "schedule", Share: 0.39, Work: 160_000, Repeat: "replayable", LatencyObjective: 750_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
+			{Name: "capacity", Share: 0.32, Work: 160_000, Repeat: "replayable", LatencyObjective: 800_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
+			{Name: "save-sim", Share: 0.29, Work: 160_000, Repeat: "non-replayable", LatencyObjective: 750_000, ClientTimeout: 2_000_000, PriorityWeight: 2},
+		},
+	}
 }
 
-// Load reads a scenario: a built-in one by its name, only:TROUBLE for that trouble alone in the middle of a short run,
-// or a file.
+// Load returns a scenario: a built-in one by its name, only:FAULT for a single fault in the middle of a short run, or one
+// from a file. Its errors are [ErrScenario].
 func Load(name string) (Scenario, error) {
-	s := defaultScenario()
-	if what, alone := strings.CutPrefix(name, "only:"); alone {
-		t, known := faultTypes[what]
-		if !known {
-			return s, fmt.Errorf("%w: there is no trouble %q, but %s", ErrScenario, what, strings.Join(FaultNames(), ", "))
-		}
-		s.Name, s.Seconds, s.About = name, 24, "that trouble alone"
-		one := t.usual
-		one.Name, one.At = what, 4_000_000
-		s.Faults = []Fault{one}
-		if _, is := registryFaults[what]; is {
-			registryAlone(&s, what)
-		}
-		return s, nil
+	if fault, alone := strings.CutPrefix(name, aloneBy); alone {
+		return singleFault(name, fault)
 	}
-	text, err := builtIn.ReadFile(path.Join("scenarios", name+".json"))
+	scenario := defaultScenario()
+	text, err := readScenario(name)
 	if err != nil {
-		if text, err = os.ReadFile(name); err != nil {
-			names, _ := List()
-			return s, fmt.Errorf("%w: %q is no built-in one (%s), no only:TROUBLE and no file: %v", ErrScenario, name,
-				strings.Join(names, ", "), err)
-		}
+		return scenario, err
 	}
-	if err := config.Decode(name, text, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", ErrScenario, err)
+	if err := config.Decode(name, text, &scenario); err != nil {
+		return scenario, fmt.Errorf("%w: %w", ErrScenario, err)
 	}
-	if s.Name == "" {
-		s.Name = name
+	if scenario.Name == "" {
+		scenario.Name = name
 	}
-	return s, s.validate()
+	return scenario, scenario.validate()
 }
 
-func (s Scenario) validate() error {
-	bad := func(format string, args ...any) error {
-		return fmt.Errorf("%w: %s: %s", ErrScenario, s.Name, fmt.Sprintf(format, args...))
+func readScenario(name string) ([]byte, error) {
+	if text, err := builtIn.ReadFile(path.Join("scenarios", name+".json")); err == nil {
+		return text, nil
 	}
-	if s.Seconds < 3 || s.Seconds > 3600 || s.EndpointCount < 1 || s.EndpointCount > 2000 || s.GatewayCount < 1 || s.GatewayCount > 2000 || s.EndpointCores < 1 ||
-		s.RequestRate <= 0 || len(s.Zones) == 0 || len(s.Classes) == 0 {
-		return bad("it needs 3 to 3600 seconds, 1 to 2000 nodes and gateways, cores, reqs, zones and kinds")
+	text, err := os.ReadFile(name)
+	if err != nil {
+		names, _ := List()
+		return nil, fmt.Errorf("%w: %q is no built-in one (%s), no only:TROUBLE and no file: %w", ErrScenario, name, strings.Join(names, ", "), err)
+	}
+	return text, nil
+}
+
+// singleFault is a short scenario with one fault.
+func singleFault(name, fault string) (Scenario, error) {
+	scenario := defaultScenario()
+	known, ok := faultTypes[fault]
+	if !ok {
+		return scenario, fmt.Errorf("%w: there is no trouble %q, but %s", ErrScenario, fault, strings.Join(FaultNames(), ", "))
+	}
+	scenario.Name = name
+	scenario.Seconds = 24
+	scenario.About = "that trouble alone"
+	single := known.defaults
+	single.Name = fault
+	single.At = 4_000_000
+	scenario.Faults = []Fault{single}
+	if registryFault, ok := registryFaults[fault]; ok {
+		scenario = registryFault.scenario(scenario, fault)
+	}
+	return scenario, nil
+}
+
+// validate returns an [ErrScenario] that names the first thing that is wrong.
+func (s Scenario) validate() error {
+	if !s.plausibleSize() {
+		return s.invalid("it needs 3 to 3600 seconds, 1 to 2000 nodes and gateways, cores, reqs, zones and kinds")
 	}
 	if s.Registry != "" && s.Registry != "file" && s.Registry != "eureka" {
-		return bad("registry is %q: it must be file or eureka", s.Registry)
+		return s.invalid("registry is %q: it must be file or eureka", s.Registry)
 	}
-	for i, t := range s.Faults {
-		if _, known := faultTypes[t.Name]; !known {
-			return bad("troubles[%d]: there is no %q, but %s", i, t.Name, strings.Join(FaultNames(), ", "))
-		}
-		if t.Zone != "" && !slices.Contains(s.Zones, t.Zone) {
-			return bad("troubles[%d]: %q is not one of %v", i, t.Zone, s.Zones)
-		}
-		if t.Class != "" && !slices.ContainsFunc(s.Classes, func(k Class) bool { return k.Name == t.Class }) {
-			return bad("troubles[%d]: there is no request kind %q", i, t.Class)
-		}
-		if t.Share < 0 || t.Share > 1 || t.Size < 0 {
-			return bad("troubles[%d]: part must be 0 to 1 and size 0 or more", i)
+	for i, fault := range s.Faults {
+		if err := s.validateFault(i, fault); err != nil {
+			return err
 		}
 	}
 	return nil
 }
 
+func (s Scenario) plausibleSize() bool {
+	return s.Seconds >= 3 && s.Seconds <= 3600 &&
+		s.EndpointCount >= 1 && s.EndpointCount <= 2000 &&
+		s.GatewayCount >= 1 && s.GatewayCount <= 2000 &&
+		s.EndpointCores >= 1 && s.RequestRate > 0 && len(s.Zones) > 0 && len(s.Classes) > 0
+}
+
+func (s Scenario) validateFault(i int, fault Fault) error {
+	if _, known := faultTypes[fault.Name]; !known {
+		return s.invalid("troubles[%d]: there is no %q, but %s", i, fault.Name, strings.Join(FaultNames(), ", "))
+	}
+	if fault.Zone != "" && !slices.Contains(s.Zones, fault.Zone) {
+		return s.invalid("troubles[%d]: %q is not one of %v", i, fault.Zone, s.Zones)
+	}
+	if fault.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == fault.Class }) {
+		return s.invalid("troubles[%d]: there is no request kind %q", i, fault.Class)
+	}
+	if fault.Share < 0 || fault.Share > 1 || fault.Size < 0 {
+		return s.invalid("troubles[%d]: part must be 0 to 1 and size 0 or more", i)
+	}
+	return nil
+}
+
+func (s Scenario) invalid(format string, args ...any) error {
+	return fmt.Errorf("%w: %s: %s", ErrScenario, s.Name, fmt.Sprintf(format, args...))
+}
+
+// length is how long the scenario runs.
+func (s Scenario) length() time.Duration { return time.Duration(s.Seconds) * time.Second }
+
 func duration(d config.Duration) time.Duration { return time.Duration(d) * time.Microsecond }
 
-// Config is the coordinator's configuration for the scenario.
+// Config is the coordinator's configuration for the scenario, with its files in a directory.
 func (s Scenario) Config(dir, listen string, seed uint64) config.Config {
+	const (
+		listPoll     = 100_000   // microseconds
+		minSilence   = 3_000_000 // microseconds
+		maxSeedValue = 1 << 31
+	)
 	c := config.Default()
-	c.Coordinator = config.Coordinator{Zone: s.Zones[0], Instances: 1, Seed: int(seed % (1 << 31))}
-	c.Listen, c.StateDir = listen, path.Join(dir, "state")
-	c.Front.Files.Dir, c.Registry.File.Path = path.Join(dir, "tables"), path.Join(dir, "nodes.json")
-	c.Registry.File.Poll = 100_000
-	c.Zones, c.Rules, c.Service = s.Zones, s.Rules, s.Service
+	c.Coordinator = config.Coordinator{Zone: s.Zones[0], Instances: 1, Seed: int(seed % maxSeedValue)}
+	c.Listen = listen
+	c.StateDir = path.Join(dir, "state")
+	c.Front.Files.Dir = tableDir(dir)
+	c.Registry.File.Path = listPath(dir)
+	c.Registry.File.Poll = listPoll
+	c.Zones = s.Zones
+	c.Rules = s.Rules
+	c.Service = s.Service
 	c.Reports.Period = s.ReportPeriod
-	c.Gateways.Expected, c.Gateways.SilentAfter = s.GatewayCount, max(3_000_000, 3*s.ReportPeriod)
+	c.Gateways.Expected = s.GatewayCount
+	c.Gateways.SilentAfter = max(minSilence, 3*s.ReportPeriod)
 	c.Channel.Connections = s.MaxConnections
-	for _, k := range s.Classes {
-		c.Kinds = append(c.Kinds, config.Kind{Name: k.Name, Repeat: k.Repeat, ResponseTarget: k.LatencyObjective, ClientTimeout: k.ClientTimeout,
-			Payoff: k.PriorityWeight, OnlyZones: []string{}})
+	for _, class := range s.Classes {
+		c.Kinds = append(c.Kinds, config.Kind{Name: class.Name, Repeat: class.Repeat, ResponseTarget: class.LatencyObjective,
+			ClientTimeout: class.ClientTimeout, Payoff: class.PriorityWeight, OnlyZones: []string{}})
 	}
 	return c
 }
+
+// tableDir is where the coordinator writes the gateways' tables.
+func tableDir(dir string) string { return path.Join(dir, "tables") }
+
+// listPath is the file of the endpoint list.
+func listPath(dir string) string { return path.Join(dir, "nodes.json") }
