--- /dev/null
+++ b/cmd/porthub/chaos.go
@@ -0,0 +1,220 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"text/tabwriter"
+
+	"github.com/spf13/cobra"
+
+	"porthub/audit"
+	"porthub/chaos"
+	"porthub/daemon"
+)
+
+// The scenario without an argument, and the one of light gateways, which is no file.
+const (
+	defaultScenario     = "bad-day"
+	loadReportsScenario = "intake"
+)
+
+// chaosFlags are the flags of the command.
+type chaosFlags struct {
+	options     chaos.Options
+	loadReports chaos.LoadReportOptions
+	seconds     int
+	registry    string
+	endpoints   int
+	heldPolls   int
+	asJSON      bool
+	list        bool
+}
+
+func chaosCommand() *cobra.Command {
+	flags := &chaosFlags{}
+	cmd := &cobra.Command{
+		Use:     "chaos [SCENARIO]",
+		Aliases: []string{"drill"},
+		Short:   "Inject faults into an emulated fleet on loopback and judge the five rules from the sockets",
+		Long: `chaos runs emulated endpoints, gateways and clients in this process and a coordinator in a process of its own, lets
+the scenario's faults strike, and judges the rules from what passed over the sockets. SCENARIO is a built-in one
+(--list), only:FAULT for a single fault, or a file. Without one it is the bad day.`,
+		Example: `  porthub chaos
+  porthub chaos --seed 7 --json
+  porthub chaos only:zone_loss
+  porthub chaos --break-rule drain   # must exit 1 and name that rule`,
+		Args: cobra.MaximumNArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd, args) },
+	}
+	flags.register(cmd)
+	return cmd
+}
+
+func (f *chaosFlags) register(cmd *cobra.Command) {
+	set := cmd.Flags()
+	set.Uint64Var(&f.options.Seed, "seed", 1, "of all random draws")
+	set.IntVar(&f.seconds, "seconds", 0, "length; 0: the scenario's own")
+	set.StringVar(&f.options.Front, "front", "files", "how tables reach gateways: files, poll (long polls, by deltas) or both (gateways take turns)")
+	set.StringVar(&f.options.BreakRule, "break-rule", "", "spoil one thing on the way so that this rule must be found broken")
+	outputFlag(cmd, &f.asJSON)
+	set.BoolVar(&f.list, "list", false, "list scenarios and faults")
+	set.BoolVar(&f.options.Baselines, "baselines", true, "run the baselines beside it, same seed")
+	set.StringVar(&f.registry, "source", "", "where the endpoint list comes from: file or eureka; empty: as the scenario has it")
+	set.BoolVar(&f.options.NoRecovery, "no-recovery", false, "a restarted coordinator restores nothing of the time before but the list")
+	set.BoolVar(&f.options.NoSolver, "no-solver", false, "let the module's tables pass as they are")
+	set.IntVar(&f.loadReports.Gateways, "gateways", 1000, "with intake: light gateways")
+	set.IntVar(&f.loadReports.MaxLinesPerSecond, "bound", 300000, "with intake: lines of reports that are accepted per second; 0: all")
+	set.IntVar(&f.loadReports.CoordinatorCores, "procs", 0, "with intake: cores that the coordinator may use; 0: all")
+	set.BoolVar(&f.loadReports.NoFaults, "calm", false, "with intake: no faults")
+	set.StringVar(&f.loadReports.Profile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
+	set.IntVar(&f.endpoints, "nodes", 100, "with intake and --held-polls: endpoints")
+	set.IntVar(&f.heldPolls, "held-polls", 0, "measure instead: so many gateways with two held polls each are woken at once")
+	set.StringVar(&f.options.Levels, "levels", "named", "levels of service: named (as the scenario has them), plain (the module's admission alone) or off")
+	set.StringVar(&f.options.Dir, "keep", "", "use this folder and leave files and logs there")
+}
+
+func (f *chaosFlags) run(cmd *cobra.Command, args []string) error {
+	if f.list {
+		return listScenarios(cmd.OutOrStdout())
+	}
+	if f.heldPolls > 0 {
+		return f.runPolls(cmd.OutOrStdout())
+	}
+	name := defaultScenario
+	if len(args) > 0 {
+		name = args[0]
+	}
+	if name == loadReportsScenario {
+		return f.runLoadReports(cmd.OutOrStdout())
+	}
+	return f.runScenario(cmd, name)
+}
+
+func listScenarios(out io.Writer) error {
+	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	names, about := chaos.List()
+	for i, name := range names {
+		fmt.Fprintf(table, "%s\t%s\n", name, about[i])
+	}
+	for _, fault := range chaos.FaultNames() {
+		fmt.Fprintf(table, "only:%s\t%s\n", fault, chaos.About(fault))
+	}
+	fmt.Fprintf(table, "%s\tlight gateways by the thousand report while a storm passes: --gateways, --bound, --procs, --calm\n", loadReportsScenario)
+	return table.Flush()
+}
+
+// selfCommand is this program, which serves as the coordinator.
+func selfCommand() ([]string, error) {
+	path, err := os.Executable()
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
+	}
+	return []string{path}, nil
+}
+
+func (f *chaosFlags) runPolls(out io.Writer) error {
+	command, err := selfCommand()
+	if err != nil {
+		return err
+	}
+	result, err := chaos.RunPolls(command, f.heldPolls, f.endpoints)
+	if err != nil {
+		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
+	}
+	return printAny(out, result)
+}
+
+func (f *chaosFlags) runLoadReports(out io.Writer) error {
+	command, err := selfCommand()
+	if err != nil {
+		return err
+	}
+	options := f.loadReports
+	if options.Gateways < 9 || options.Gateways > 15000 || options.MaxLinesPerSecond < 0 || options.CoordinatorCores < 0 || f.endpoints < 9 || f.endpoints > 2000 {
+		return errors.New("intake takes 9 to 15000 --gateways, 9 to 2000 --nodes, and --bound and --procs of 0 or more")
+	}
+	rule := f.options.BreakRule
+	if rule == audit.Queue || !isRule(rule) {
+		return fmt.Errorf("--break-rule %q: with intake it must be one of bare, repeat, drain, cold", rule)
+	}
+	options.Command = command
+	options.Seed = f.options.Seed
+	options.Endpoints = f.endpoints
+	options.BreakRule = rule
+	options.Dir = f.options.Dir
+	options.Seconds = f.seconds
+	if f.seconds == 0 {
+		options.Seconds = 60
+	}
+	result, err := chaos.RunLoadReports(options)
+	if err != nil {
+		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
+	}
+	if err := printAny(out, result); err != nil {
+		return err
+	}
+	if !result.Passed() {
+		return errNotHeld
+	}
+	return nil
+}
+
+// isRule reports whether a rule can be broken; an empty one is none.
+func isRule(rule string) bool { return rule == "" || slices.Contains(audit.Rules, rule) }
+
+func (f *chaosFlags) runScenario(cmd *cobra.Command, name string) error {
+	scenario, err := chaos.Load(name)
+	if err != nil {
+		return err
+	}
+	if err := f.validate(); err != nil {
+		return err
+	}
+	if f.registry != "" {
+		scenario.Registry = f.registry
+	}
+	if f.seconds > 0 {
+		scenario.Seconds = f.seconds
+	}
+	options := f.options
+	options.Command, err = selfCommand()
+	if err != nil {
+		return err
+	}
+	if !f.asJSON {
+		options.Progress = cmd.ErrOrStderr()
+	}
+	result, err := chaos.Run(scenario, options)
+	if err != nil {
+		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
+	}
+	if f.asJSON {
+		err = printAny(cmd.OutOrStdout(), result)
+	} else {
+		err = printChaosResult(cmd.OutOrStdout(), scenario, result)
+	}
+	if err == nil && !result.Passed() {
+		return errNotHeld
+	}
+	return err
+}
+
+// validate checks the flags of scenarios.
+func (f *chaosFlags) validate() error {
+	if !slices.Contains([]string{"files", "poll", "both"}, f.options.Front) {
+		return fmt.Errorf("--front %q: it must be files, poll or both", f.options.Front)
+	}
+	if !isRule(f.options.BreakRule) {
+		return fmt.Errorf("--break-rule %q: it must be one of %v", f.options.BreakRule, audit.Rules)
+	}
+	if !slices.Contains([]string{"", "file", "eureka"}, f.registry) {
+		return fmt.Errorf("--source %q: it must be file or eureka", f.registry)
+	}
+	if !slices.Contains([]string{"named", "plain", "off"}, f.options.Levels) {
+		return fmt.Errorf("--levels %q: it must be named, plain or off", f.options.Levels)
+	}
+	return nil
+}
--- a/cmd/porthub/main.go
+++ b/cmd/porthub/main.go
@@ -58,7 +58,7 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	cmd.AddCommand(serveCommand(), nodeCommand(), checkCommand(), tablesCommand(), drillCommand(), solveCommand(), captureCommand(), replayCommand(), explainCommand(), nodesCommand(), levelsCommand(), expectCommand(), topCommand(), manCommand(), versionCommand())
+	cmd.AddCommand(serveCommand(), nodeCommand(), checkCommand(), tablesCommand(), chaosCommand(), solveCommand(), captureCommand(), replayCommand(), explainCommand(), nodesCommand(), levelsCommand(), expectCommand(), topCommand(), manCommand(), versionCommand())
 	cmd.AddCommand(drainCommands()...)
 	return cmd
 }
