--- /dev/null
+++ b/daemon/control.go
@@ -0,0 +1,209 @@
+package daemon
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"porthub/capture"
+	"porthub/coordinator"
+	"porthub/policyapi"
+	"porthub/routing"
+)
+
+// operation is an operator's request; it runs in the loop that owns the core and returns the answer.
+type operation func(*coordinator.Core) []byte
+
+// requestError is a request that can't be carried out, with the HTTP status that says so.
+type requestError struct {
+	status int
+	err    error
+}
+
+func (e *requestError) Error() string { return e.err.Error() }
+
+func (e *requestError) Unwrap() error { return e.err }
+
+func badRequest(err error) error { return &requestError{http.StatusBadRequest, err} }
+
+// operation reads an operator's request. Its error is a *requestError.
+func (d *Daemon) operation(request *http.Request, body []byte) (operation, error) {
+	switch request.Method + " " + request.URL.Path {
+	case "GET /tables/versions":
+		return func(c *coordinator.Core) []byte { return encodeAnswer(tableVersions(c)) }, nil
+	case "POST /tables/pin":
+		return d.pinOperation(body)
+	case "POST /tables/unpin":
+		return d.unpinOperation(body)
+	case "GET /levels":
+		return func(c *coordinator.Core) []byte { return encodeAnswer(c.Degradation()) }, nil
+	case "POST /levels/say":
+		return d.setLevelOperation(body)
+	case "POST /levels/unsay":
+		return d.clearLevelOperation(body)
+	case "GET /nodes":
+		return d.endpointsAnswer, nil
+	case "POST /nodes/drain":
+		return d.drainOperation(body)
+	case "POST /nodes/undrain":
+		return d.undrainOperation(body)
+	}
+	return nil, &requestError{http.StatusNotFound, fmt.Errorf("nothing answers %s %s", request.Method, request.URL.Path)}
+}
+
+// readBody reads a request's JSON; it rejects fields that are not known.
+func readBody[T any](body []byte) (request T, err error) {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
+		return request, badRequest(err)
+	}
+	return request, nil
+}
+
+// Versions is the answer to GET /tables/versions.
+type Versions struct {
+	Now    policyapi.Microseconds `json:"now_us"`
+	Pins   []routing.Pin          `json:"pins"`
+	Tables []TableVersions        `json:"tables"`
+}
+
+// TableVersions is the versions of one table.
+type TableVersions struct {
+	Table    policyapi.TableID `json:"table"`
+	Zone     policyapi.Zone    `json:"zone,omitempty"` // of the gateways bound to it
+	Gateways int               `json:"gateways"`
+	Versions []TableVersion    `json:"versions"`
+}
+
+// TableVersion is one version of a table.
+type TableVersion struct {
+	Version   routing.Version          `json:"version"`
+	At        policyapi.Microseconds   `json:"at_us"`
+	Endpoints []routing.EndpointWeight `json:"lines"`
+	// Overrides is what the solver had in their place, by request class.
+	Overrides map[string][]routing.EndpointWeight `json:"acting,omitempty"`
+}
+
+// PinRequest is the body of POST /tables/pin. Exactly one of table, zone and fleet is set, and at most one of version and
+// ago_us; with neither it pins what is in effect.
+type PinRequest struct {
+	Table   *policyapi.TableID     `json:"table"`
+	Zone    policyapi.Zone         `json:"zone"`
+	Fleet   bool                   `json:"fleet"`
+	Version routing.Version        `json:"version"`
+	Ago     policyapi.Microseconds `json:"ago_us"`
+	Reason  string                 `json:"reason"`
+}
+
+// UnpinRequest is the body of POST /tables/unpin.
+type UnpinRequest struct {
+	ID     int    `json:"id"`
+	Reason string `json:"reason"`
+}
+
+// PinAnswer is the answer to POST /tables/pin and /tables/unpin.
+type PinAnswer struct {
+	Pin   routing.Pin `json:"pin"`
+	Error string      `json:"error,omitempty"`
+}
+
+func pinAnswer(pin routing.Pin, err error) []byte {
+	answer := PinAnswer{Pin: pin}
+	if err != nil {
+		answer.Error = err.Error()
+	}
+	return encodeAnswer(answer)
+}
+
+// pin is the pin that a request asks for; its time is still missing.
+func (r PinRequest) pin() (routing.Pin, error) {
+	pin := routing.Pin{Scope: routing.Scope{Table: routing.AnyTable, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
+	scopes := 0
+	if r.Table != nil {
+		pin.Scope.Table = *r.Table
+		scopes++
+	}
+	if r.Zone != "" {
+		scopes++
+	}
+	if r.Fleet {
+		scopes++
+	}
+	if scopes != 1 || r.Version > 0 && r.Ago > 0 || r.Ago < 0 {
+		return pin, badRequest(fmt.Errorf("name one of table, zone and fleet, and at most one of version and ago_us"))
+	}
+	return pin, nil
+}
+
+func (d *Daemon) pinOperation(body []byte) (operation, error) {
+	request, err := readBody[PinRequest](body)
+	if err != nil {
+		return nil, err
+	}
+	pin, err := request.pin()
+	if err != nil {
+		return nil, err
+	}
+	return func(c *coordinator.Core) []byte {
+		if request.Ago > 0 {
+			pin.At = c.Now() - request.Ago
+		}
+		set, err := c.Pin(pin)
+		if err == nil {
+			d.recorder.command(capture.Command{Pin: &pin})
+		}
+		return pinAnswer(set, err)
+	}, nil
+}
+
+func (d *Daemon) unpinOperation(body []byte) (operation, error) {
+	request, err := readBody[UnpinRequest](body)
+	if err != nil {
+		return nil, err
+	}
+	return func(c *coordinator.Core) []byte {
+		pin, err := c.Unpin(request.ID, request.Reason)
+		if err == nil {
+			d.recorder.command(capture.Command{Unpin: request.ID, Reason: request.Reason})
+		}
+		return pinAnswer(pin, err)
+	}, nil
+}
+
+func tableVersions(c *coordinator.Core) Versions {
+	status := c.Status()
+	answer := Versions{Now: status.Now, Pins: c.Versions().Pins()}
+	zones := map[policyapi.TableID]policyapi.Zone{}
+	gateways := map[policyapi.TableID]int{}
+	for _, g := range status.Gateways {
+		counted := map[policyapi.TableID]bool{}
+		for _, table := range g.Tables {
+			if g.Connected && !counted[table] {
+				counted[table] = true
+				zones[table] = g.Zone
+				gateways[table]++
+			}
+		}
+	}
+	for _, table := range c.Versions().Tables() {
+		one := TableVersions{Table: table, Zone: zones[table], Gateways: gateways[table]}
+		for _, entry := range c.Versions().Versions(table) {
+			one.Versions = append(one.Versions, tableVersion(c, entry))
+		}
+		answer.Tables = append(answer.Tables, one)
+	}
+	return answer
+}
+
+func tableVersion(c *coordinator.Core, entry routing.VersionEntry) TableVersion {
+	version := TableVersion{Version: entry.Version, At: entry.CreatedAt, Endpoints: entry.State.Entries()}
+	for class, state := range entry.Overrides {
+		if version.Overrides == nil {
+			version.Overrides = map[string][]routing.EndpointWeight{}
+		}
+		version.Overrides[c.ClassName(class)] = state.Entries()
+	}
+	return version
+}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,27 +1,19 @@
 package daemon
 
 import (
-	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
-	"runtime/debug"
-	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"go.uber.org/zap"
 
-	"porthub/capture"
 	"porthub/clock"
 	"porthub/config"
 	"porthub/coordinator"
 	"porthub/healthcheck"
-	"porthub/loadreport"
 	"porthub/mailbox"
 	"porthub/membership"
 	"porthub/policyapi"
@@ -31,7 +23,7 @@
 	"porthub/xdspoll"
 )
 
-// Options are what a daemon is made of. Clock and Tap may be left out.
+// Options are what a daemon is made of. Log, Clock and Tap may be left out.
 type Options struct {
 	Config config.Config
 	Log    *zap.Logger
@@ -47,97 +39,42 @@
 	clock  clock.Clock
 	onStep func(policyapi.Microseconds, []coordinator.Input, *coordinator.Core)
 
-	core           *coordinator.Core
-	inbox          *mailbox.Mailbox[mailboxItem]
-	files          *xdsfile.Front
-	polls          *xdspoll.Hub
-	fileSource     *file.Source // nil: there is no file
-	registries     []*eureka.Client
-	healthChecks   *healthcheck.Checker
-	server         *server
-	savedLists     chan any // lists
-	savedSnapshots chan any // snapshots
-	coreSettings   coordinator.Settings
-	writer         *capture.Writer         // nil: no capture
-	stepTimes      *hdrhistogram.Histogram // steps of the core, microseconds; of the loop's goroutine
-
-	reportIntervalFactor atomic.Int64            // how much longer than a period reports may wait
-	tracer               *tracer                 // nil: off
-	logTail              []coordinator.LogRecord // of the log; of the loop's goroutine
-	overview             []byte                  // the last one that was made, and when the next may be
-	overviewAt           time.Time
-	arrivedAt            time.Time // when the first input of this step came; zero: not known
-	rememberedAt         policyapi.Microseconds
-	saveFailing          bool // of the goroutine that saves
-	captureFailing       bool
-	gaps                 int64
-}
-
-// Status is how a running coordinator stands, as GET /tables answers.
-type Status struct {
-	coordinator.Status
-	FileDelivery xdsfile.Stats `json:"front"`
-	PollDelivery xdspoll.Stats `json:"poll"`
-	StepTimes    Latencies     `json:"step_us"` // of the core
-	// Capture counts what was recorded; nil: it is off.
-	Capture *capture.Stats `json:"capture,omitempty"`
-}
-
-// Latencies are of a histogram, in microseconds.
-type Latencies struct {
-	Count int64 `json:"count"`
-	P50   int64 `json:"p50"`
-	P99   int64 `json:"p99"`
-	Max   int64 `json:"most"`
-}
-
-func (d *Daemon) statusAnswer(c *coordinator.Core) []byte {
-	s := Status{c.Status(), d.files.Stats(), d.polls.Stats(), Latencies{d.stepTimes.TotalCount(), d.stepTimes.ValueAtQuantile(50), d.stepTimes.ValueAtQuantile(99),
-		d.stepTimes.Max()}, nil}
-	if d.writer != nil {
-		stats := d.writer.Stats()
-		s.Capture = &stats
-	}
-	text, err := json.Marshal(s)
-	if err != nil {
-		return fmt.Appendf(nil, `{"error": %q}`, err)
-	}
-	return text
+	// What the core is given and what carries its outputs out; each is safe for use by other goroutines.
+	inbox        *mailbox.Mailbox[mailboxItem]
+	files        *xdsfile.Front
+	polls        *xdspoll.Hub
+	fileSource   *file.Source // nil: there is no file
+	registries   []*eureka.Client
+	healthChecks *healthcheck.Checker
+	server       *server
+	state        *stateStore
+	// reportIntervalFactor is how many report periods gateways are asked to wait between two reports.
+	reportIntervalFactor atomic.Int64
+
+	// What follows is of the goroutine that runs Run.
+	core         *coordinator.Core
+	coreSettings coordinator.Settings
+	recorder     *recorder
+	tracer       *tracer                 // nil: off
+	stepTimes    *hdrhistogram.Histogram // of the core, microseconds
+	arrivedAt    time.Time               // when the first input of this step came; zero: not known
+	snapshotAt   policyapi.Microseconds  // of the last snapshot
+	logTail      []coordinator.LogRecord
+	overview     overviewCache
 }
 
-// mailboxItem is what the loop takes in at a time.
-type mailboxItem struct {
-	arrivedAt time.Time // when it was put in; zero where tracing is off
-	inputs    []coordinator.Input
-	query     func(*coordinator.Core) []byte // instead of inputs: answered from the core's state
-	reply     func([]byte)                   // called after the step; what query returned, or nil
-}
+// ErrEnvironment is a failure of the machine around the daemon: a port that is taken, a folder that can't be made.
+var ErrEnvironment = errors.New("environment")
 
-// urgentCapacity bounds the inbox's urgent lane, plainLength is the least bound of the plain one.
+// The step times' histogram: up to a minute, with two significant digits.
 const (
-	urgentCapacity = 8192
-	normalCapacity = 8192
+	maxStepTime    = 60_000_000 // microseconds
+	stepTimeDigits = 2
 )
 
-// submit hands the core inputs that must not be lost.
-func (d *Daemon) submit(inputs ...coordinator.Input) { d.inbox.PutUrgent(mailboxItem{inputs: inputs}) }
-
-// ErrEnvironment is a failure of the machine around the daemon: a port that is taken, a folder that can't be made.
-var ErrEnvironment = errors.New("environment")
-
-// New opens the daemon's folders and its listener. Addr tells where it listens.
+// New opens the daemon's folders and its listener; Addr is where it listens. Its error wraps ErrEnvironment.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.Tap,
-		savedLists: make(chan any, 1), savedSnapshots: make(chan any, 1), stepTimes: hdrhistogram.New(1, 60_000_000, 2)}
-	var stamp func(mailboxItem) mailboxItem
-	if (o.Config.Trace != config.Trace{Part: o.Config.Trace.Part}) {
-		stamp = func(e mailboxItem) mailboxItem { e.arrivedAt = time.Now(); return e }
-	}
-	// Room in the plain lane for a request of each connection: none has two on its way, so that none that polls or
-	// acknowledges is turned away for what others have sent. (At ten thousand gateways a step of half a second filled 8,192
-	// places, and those that found none came a second later: drains were at 171% of the grace.) Reports are put off long
-	// before, by package intake.
-	d.inbox = mailbox.New(urgentCapacity, max(normalCapacity, o.Config.Limits.Connections), stamp)
+	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.Tap, stepTimes: hdrhistogram.New(1, maxStepTime, stepTimeDigits)}
 	if d.clock == nil {
 		d.clock = clock.New()
 	}
@@ -149,220 +86,96 @@
 			return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
-	now := d.clock.Now()
-	var names []string
-	for _, e := range o.Config.Registry.Eureka {
-		names = append(names, e.Name)
-	}
-	d.coreSettings = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.Intake), Sources: names, Start: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
-		SilenceTimeout: policyapi.Microseconds(o.Config.Gateways.SilentAfter), SolverEnabled: o.Config.Solver.Enabled,
-		SyncDocuments: o.Config.Front.Files.Sync}
-	d.coreSettings.Degradation, d.coreSettings.Fallback = o.Config.ServiceLevels()
+	d.inbox = newInbox(o.Config)
+	d.state = newStateStore(d.config.StateDir, d.log)
+	d.coreSettings = coreSettings(o.Config, d.clock.Now())
 	d.core = coordinator.New(d.coreSettings)
-	if dir := o.Config.Capture.Dir; o.Config.Capture.Enabled && (dir != "" || d.config.StateDir != "") {
-		if dir == "" {
-			dir = filepath.Join(d.config.StateDir, captureName)
-		}
-		d.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(o.Config.Capture.Budget), SegmentBytes: int64(o.Config.Capture.Segment),
-			SegmentAge: time.Duration(o.Config.Capture.Age) * time.Microsecond})
-	}
-	front, err := xdsfile.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
-		d.submit(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
-	})
-	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
-	}
-	d.files = front
+	d.recorder = newRecorder(o.Config.Capture, d.config.StateDir, d.log)
 	d.polls = xdspoll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
-	if d.tracer, err = newTracer(o.Config.Trace); err != nil {
-		front.Close()
-		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
-	}
-	version := policyapi.ListVersion(0)
-	if o.Config.Registry.File.Path != "" {
-		d.fileSource = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
-			func(entries []policyapi.Endpoint, err error) {
-				version++
-				list := coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: entries}}
-				if err != nil {
-					list.Kind, list.Error = policyapi.Failed, err.Error()
-				}
-				d.submit(list)
-			})
-	}
-	for _, e := range o.Config.Registry.Eureka {
-		d.registries = append(d.registries, eureka.New(eurekaOptions(e), func(a membership.SourceUpdate) { d.submit(coordinator.RegistryUpdate{SourceUpdate: a}) }))
-	}
-	d.healthChecks = healthcheck.New(healthCheckOptions(o.Config.Probes), func(p policyapi.HealthCheckResult) { d.submit(coordinator.HealthCheckResult{HealthCheckResult: p}) })
-	if d.server, err = listen(d, o.Config.Listen); err != nil {
-		front.Close()
+	if err := d.open(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
 	return d, nil
 }
 
-// Addr is the address that gateways and tools connect to.
-func (d *Daemon) Addr() string { return d.server.addr }
-
-// FileDelivery tells what the file front has written.
-func (d *Daemon) Front() xdsfile.Stats { return d.files.Stats() }
-
-// Run steps the core until the context ends. A panic of the core ends it with an error that says where the input
-// stood; gateways go on by their files.
-func (d *Daemon) Run(ctx context.Context) (err error) {
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	var sources sync.WaitGroup
-	defer sources.Wait() // a registry's entry is taken out at the end
-	defer cancel()
-	if d.fileSource != nil {
-		go d.fileSource.Run(ctx)
-	}
-	for _, e := range d.registries {
-		sources.Add(1)
-		go func() { defer sources.Done(); e.Run(ctx) }()
-	}
-	go d.saveState(ctx)
-	defer d.close()
-	var inputs []coordinator.Input
-	defer func() {
-		if p := recover(); p != nil {
-			kinds := make([]string, len(inputs))
-			for i, in := range inputs {
-				kinds[i] = fmt.Sprintf("%T", in)
-			}
-			d.log.Error("core failed", zap.Any("panic", p), zap.Uint64("step", d.core.Steps()), zap.Strings("inputs", kinds),
-				zap.ByteString("stack", debug.Stack()))
-			err = fmt.Errorf("the core failed at step %d: %v", d.core.Steps(), p)
-		}
-	}()
-	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.config.Front.Files.Dir))
-	inputs = d.restore(d.clock.Now(), d.coreSettings)
-	d.step(inputs)
-	var events []mailboxItem
-	for ctx.Err() == nil {
-		events = d.inbox.Next(ctx, events[:0], func() <-chan time.Time {
-			if wait := d.core.NextDeadline() - d.clock.Now(); wait > 0 {
-				return d.clock.After(wait)
-			}
-			return nil
-		})
-		if ctx.Err() != nil {
-			break
-		}
-		inputs = inputs[:0]
-		for _, e := range events {
-			inputs = append(inputs, e.inputs...)
-		}
-		began := time.Now()
-		d.arrivedAt = time.Time{}
-		for _, e := range events {
-			if !e.arrivedAt.IsZero() && (d.arrivedAt.IsZero() || e.arrivedAt.Before(d.arrivedAt)) {
-				d.arrivedAt = e.arrivedAt
-			}
-		}
-		d.step(inputs)
-		for _, e := range events {
-			var answer []byte
-			if e.query != nil {
-				answer = e.query(d.core)
-			}
-			if e.reply != nil {
-				e.reply(answer)
-			}
-		}
-		if wait := loadreport.BatchDelay(policyapi.Microseconds(time.Since(began).Microseconds())); wait > 0 {
-			time.Sleep(time.Duration(wait) * time.Microsecond)
+// newInbox makes the mailbox of the core. Its normal lane has a place for a request of each connection: none has two in
+// flight, so none that polls or acknowledges is rejected for what others have sent. (At ten thousand gateways a step of half a
+// second filled 8,192 places, and those that found none came a second later: drains were at 171% of the grace period.)
+// Reports are deferred long before, by package loadreport.
+func newInbox(c config.Config) *mailbox.Mailbox[mailboxItem] {
+	var stamp func(mailboxItem) mailboxItem
+	if tracingEnabled(c.Trace) {
+		stamp = func(item mailboxItem) mailboxItem {
+			item.arrivedAt = time.Now()
+			return item
 		}
 	}
-	return nil
+	return mailbox.New(urgentCapacity, max(normalCapacity, c.Limits.Connections), stamp)
 }
 
-// step hands inputs to the core and carries out what comes of it.
-func (d *Daemon) step(inputs []coordinator.Input) {
-	now, began := d.clock.Now(), time.Now()
-	outputs := d.core.Step(now, inputs)
-	_ = d.stepTimes.RecordValue(max(1, time.Since(began).Microseconds()))
-	d.captureStep(now, inputs, outputs)
-	if d.tracer != nil {
-		d.tracer.step(d.arrivedAt, began, d.core, inputs, outputs)
-	}
-	urgent := false
-	for _, out := range outputs {
-		switch o := out.(type) {
-		case coordinator.Publish:
-			if d.server.polls(o.Gateway) {
-				d.polls.Publish(o)
-			} else {
-				d.files.Publish(o)
-			}
-		case coordinator.CheckHealth:
-			d.healthChecks.Check(o.Endpoint)
-		case coordinator.WatchEndpoints:
-			if d.fileSource != nil {
-				d.fileSource.Watch(o.Enabled)
-			}
-		case coordinator.Resync:
-			if d.fileSource != nil {
-				d.fileSource.Fetch()
+// connectSources makes what the core's inputs come from beside the gateways.
+func (d *Daemon) connectSources() {
+	if path := d.config.Registry.File.Path; path != "" {
+		version := policyapi.ListVersion(0)
+		d.fileSource = file.New(path, duration(d.config.Registry.File.Poll), func(endpoints []policyapi.Endpoint, err error) {
+			version++
+			list := coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: endpoints}}
+			if err != nil {
+				list.Kind = policyapi.Failed
+				list.Error = err.Error()
 			}
-			for _, e := range d.registries {
-				e.Fetch()
-			}
-		case coordinator.SaveList:
-			d.save(o.List)
-			urgent = true
-		case coordinator.CloseConnection:
-			d.server.closeConnection(o.Conn)
-		case coordinator.LogEntry:
-			d.logEntry(o)
-		}
+			d.submit(list)
+		})
 	}
-	d.saveSnapshot(now, urgent)
-	d.reportIntervalFactor.Store(int64(d.core.ReportIntervalFactor()))
-	if d.onStep != nil {
-		d.onStep(now, inputs, d.core)
+	for _, registry := range d.config.Registry.Eureka {
+		d.registries = append(d.registries, eureka.New(eurekaOptions(registry), func(update membership.SourceUpdate) {
+			d.submit(coordinator.RegistryUpdate{SourceUpdate: update})
+		}))
 	}
+	d.healthChecks = healthcheck.New(healthCheckOptions(d.config.Probes), func(result policyapi.HealthCheckResult) {
+		d.submit(coordinator.HealthCheckResult{HealthCheckResult: result})
+	})
 }
 
-// logEntry writes a note as one log record with its fields.
-func (d *Daemon) logEntry(n coordinator.LogEntry) {
-	if n.Level > coordinator.LogDebug {
-		d.logTail = coordinator.AppendLog(d.logTail, d.core.Now(), n)
-	}
-	fields := []zap.Field{zap.String("text", n.Text)}
-	if n.Gateway != "" {
-		fields = append(fields, zap.String("gateway", string(n.Gateway)))
-	}
-	if n.Endpoint != "" {
-		fields = append(fields, zap.String("node", string(n.Endpoint)))
-	}
-	if n.Count > 1 {
-		fields = append(fields, zap.Int("count", n.Count))
+// open opens the folder of the gateways' files, tracing, the sources and, last, the listener.
+func (d *Daemon) open() (err error) {
+	files := d.config.Front.Files
+	d.files, err = xdsfile.Open(files.Dir, files.Writers, func(gateway coordinator.Gateway, err error) {
+		d.submit(coordinator.PublishFailed{Gateway: gateway, Reason: err.Error()})
+	})
+	if err != nil {
+		return err
 	}
-	for _, f := range n.Fields {
-		fields = append(fields, zap.Any(f.Key, f.Value))
+	if d.tracer, err = newTracer(d.config.Trace); err != nil {
+		d.files.Close()
+		return err
 	}
-	switch n.Level {
-	case coordinator.LogWarn:
-		d.log.Warn(n.Event, fields...)
-	case coordinator.LogInfo:
-		d.log.Info(n.Event, fields...)
-	default:
-		d.log.Debug(n.Event, fields...)
+	d.connectSources()
+	if d.server, err = listen(d, d.config.Listen); err != nil {
+		d.files.Close()
+		return err
 	}
+	return nil
 }
 
+// Addr is the address that gateways and tools connect to.
+func (d *Daemon) Addr() string { return d.server.addr }
+
+// Front counts what was written for gateways that read files.
+func (d *Daemon) Front() xdsfile.Stats { return d.files.Stats() }
+
+// shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
+const shutdownTimeout = 300 * time.Millisecond
+
+// close ends what New has opened, after the loop.
 func (d *Daemon) close() {
 	d.server.close()
 	d.healthChecks.Close()
 	d.inbox.Close()
 	closed := make(chan struct{})
-	go func() {
-		if d.writer != nil {
-			d.capture(&capture.Record{End: &capture.End{Steps: d.core.Steps()}})
-			d.writer.Close()
-		}
+	go func() { // ends once the files are written, or with the process
+		defer close(closed)
+		d.recorder.close(d.core.Steps())
 		if d.tracer != nil {
 			d.tracer.close(shutdownTimeout / 2)
 		}
@@ -370,14 +183,10 @@
 			_ = writeSnapshot(d.config.StateDir, d.core.Snapshot())
 		}
 		d.files.Close()
-		close(closed)
 	}()
-	select { // a slow disk must not hold up the end: an unfinished file is swept at the next start
+	select { // a slow disk must not hold up the end: an unfinished file is removed at the next start
 	case <-closed:
 	case <-time.After(shutdownTimeout):
 	}
 	d.log.Info("stopped", zap.Uint64("steps", d.core.Steps()))
 }
-
-// shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
-const shutdownTimeout = 300 * time.Millisecond
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -355,7 +356,7 @@
 	g := r.gateway("gw-1", "a") // served meanwhile
 	r.until("tables in spite of all that", func() bool { g.turn(t); return g.held.Snapshot.OpenEndpoints("view") > 0 })
 	_ = slow.SetReadDeadline(time.Now().Add(50 * time.Second))
-	if _, err := slow.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := slow.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("a request that never ends: %v, want it closed", err)
 	}
 	// One that sends its messages without waiting for answers gets all of them, in order.
--- /dev/null
+++ b/daemon/endpoints.go
@@ -0,0 +1,70 @@
+package daemon
+
+import (
+	"porthub/capture"
+	"porthub/coordinator"
+	"porthub/membership"
+	"porthub/policyapi"
+	"porthub/registry/eureka"
+)
+
+// Endpoints is the answer to GET /nodes: what membership has decided of each endpoint.
+type Endpoints struct {
+	Now        policyapi.Microseconds  `json:"now_us"`
+	Decisions  []membership.Decision   `json:"nodes"`
+	Registries map[string]eureka.Stats `json:"registries,omitempty"`
+}
+
+// EndpointRequest is the body of POST /nodes/drain and /nodes/undrain.
+type EndpointRequest struct {
+	Endpoint policyapi.EndpointID `json:"node"`
+	Reason   string               `json:"reason"`
+}
+
+// EndpointAnswer is the answer to both.
+type EndpointAnswer struct {
+	Error string `json:"error,omitempty"`
+}
+
+func (d *Daemon) endpointsAnswer(c *coordinator.Core) []byte {
+	answer := Endpoints{Now: c.Now(), Decisions: c.Members()}
+	for i, registry := range d.registries {
+		if answer.Registries == nil {
+			answer.Registries = map[string]eureka.Stats{}
+		}
+		answer.Registries[d.config.Registry.Eureka[i].Name] = registry.Stats()
+	}
+	return encodeAnswer(answer)
+}
+
+func (d *Daemon) drainOperation(body []byte) (operation, error) {
+	request, err := readBody[EndpointRequest](body)
+	if err != nil {
+		return nil, err
+	}
+	return func(c *coordinator.Core) []byte {
+		err := c.DrainNode(request.Endpoint, request.Reason)
+		return d.endpointAnswer(c, err, capture.Command{Drain: request.Endpoint, Reason: request.Reason})
+	}, nil
+}
+
+func (d *Daemon) undrainOperation(body []byte) (operation, error) {
+	request, err := readBody[EndpointRequest](body)
+	if err != nil {
+		return nil, err
+	}
+	return func(c *coordinator.Core) []byte {
+		err := c.UndrainNode(request.Endpoint, request.Reason)
+		return d.endpointAnswer(c, err, capture.Command{Undrain: request.Endpoint, Reason: request.Reason})
+	}, nil
+}
+
+// endpointAnswer records a command that was carried out, and saves a snapshot, so that the drain survives a crash.
+func (d *Daemon) endpointAnswer(c *coordinator.Core, err error, command capture.Command) []byte {
+	if err != nil {
+		return encodeAnswer(EndpointAnswer{Error: err.Error()})
+	}
+	d.recorder.command(command)
+	d.saveSnapshot(c.Now(), true)
+	return encodeAnswer(EndpointAnswer{})
+}
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 
 	"porthub/capture"
 	"porthub/coordinator"
@@ -10,7 +9,7 @@
 	"porthub/policyapi"
 )
 
-// LevelRequest is the body of POST /levels/say.
+// LevelRequest is the body of POST /levels/say: an override of the levels of service.
 type LevelRequest struct {
 	Action   degradation.Action     `json:"do"`    // force, forbid or hold
 	Zone     policyapi.Zone         `json:"zone"`  // empty: the fleet
@@ -25,46 +24,45 @@
 	Reason string `json:"reason"`
 }
 
-// LevelAnswer answers both.
+// LevelAnswer is the answer to both.
 type LevelAnswer struct {
 	Override degradation.Override `json:"word"`
 	Error    string               `json:"error,omitempty"`
 }
 
-// levelOperation reads an operator's request about levels; what it returns runs in the loop that owns the core.
-func (d *Daemon) levelOperation(req *http.Request, read func(any) error) (func(*coordinator.Core) []byte, int, error) {
-	answer := func(c *coordinator.Core, w degradation.Override, err error, record capture.Command) []byte {
-		if err != nil {
-			return encodeAnswer(LevelAnswer{w, err.Error()})
-		}
-		d.capture(&capture.Record{Command: &record})
-		d.saveSnapshot(c.Now(), true) // it survives a crash from here on
-		return encodeAnswer(LevelAnswer{Override: w})
+func (d *Daemon) setLevelOperation(body []byte) (operation, error) {
+	request, err := readBody[LevelRequest](body)
+	if err != nil {
+		return nil, err
 	}
-	switch req.URL.Path {
-	case "/levels":
-		return func(c *coordinator.Core) []byte { return encodeAnswer(c.Degradation()) }, 0, nil
-	case "/levels/unsay":
-		var r ClearLevelRequest
-		if err := read(&r); err != nil {
-			return nil, http.StatusBadRequest, err
-		}
-		return func(c *coordinator.Core) []byte {
-			w, err := c.ClearLevelOverride(r.ID, r.Reason)
-			return answer(c, w, err, capture.Command{ClearOverride: r.ID, Reason: r.Reason})
-		}, 0, nil
+	level, ok := d.coreSettings.Degradation.LevelNamed(request.Level)
+	if !ok && request.Action != degradation.HoldLevel {
+		return nil, badRequest(fmt.Errorf("%w: %q", degradation.ErrUnknownLevel, request.Level))
 	}
-	var r LevelRequest
-	if err := read(&r); err != nil {
-		return nil, http.StatusBadRequest, err
-	}
-	level, known := d.coreSettings.Degradation.LevelNamed(r.Level)
-	if !known && r.Action != degradation.HoldLevel {
-		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", degradation.ErrUnknownLevel, r.Level)
+	return func(c *coordinator.Core) []byte {
+		override := degradation.Override{Action: request.Action, Zone: request.Zone, Level: level, Until: c.Now() + request.Duration, Reason: request.Reason}
+		set, err := c.SetLevelOverride(override)
+		return d.levelAnswer(c, set, err, capture.Command{SetOverride: &override})
+	}, nil
+}
+
+func (d *Daemon) clearLevelOperation(body []byte) (operation, error) {
+	request, err := readBody[ClearLevelRequest](body)
+	if err != nil {
+		return nil, err
 	}
 	return func(c *coordinator.Core) []byte {
-		w := degradation.Override{Action: r.Action, Zone: r.Zone, Level: level, Until: c.Now() + r.Duration, Reason: r.Reason}
-		said, err := c.SetLevelOverride(w)
-		return answer(c, said, err, capture.Command{SetOverride: &w})
-	}, 0, nil
+		cleared, err := c.ClearLevelOverride(request.ID, request.Reason)
+		return d.levelAnswer(c, cleared, err, capture.Command{ClearOverride: request.ID, Reason: request.Reason})
+	}, nil
+}
+
+// levelAnswer records a command that was carried out, and saves a snapshot, so that the override survives a crash.
+func (d *Daemon) levelAnswer(c *coordinator.Core, override degradation.Override, err error, command capture.Command) []byte {
+	if err != nil {
+		return encodeAnswer(LevelAnswer{Override: override, Error: err.Error()})
+	}
+	d.recorder.command(command)
+	d.saveSnapshot(c.Now(), true)
+	return encodeAnswer(LevelAnswer{Override: override})
 }
--- /dev/null
+++ b/daemon/settings.go
@@ -0,0 +1,90 @@
+package daemon
+
+import (
+	"cmp"
+	"net/http"
+	"strconv"
+
+	"porthub/config"
+	"porthub/coordinator"
+	"porthub/healthcheck"
+	"porthub/policyapi"
+	"porthub/registry/eureka"
+	"porthub/xds"
+)
+
+// coreSettings are the core's settings by the configuration. The epoch names this start by its time.
+func coreSettings(c config.Config, now policyapi.Microseconds) coordinator.Settings {
+	var sources []string
+	for _, registry := range c.Registry.Eureka {
+		sources = append(sources, registry.Name)
+	}
+	s := coordinator.Settings{
+		Start:          c.Up(),
+		Epoch:          strconv.FormatInt(int64(now), 36),
+		SilenceTimeout: policyapi.Microseconds(c.Gateways.SilentAfter),
+		SolverEnabled:  c.Solver.Enabled,
+		MaxReportLines: float64(c.Reports.Intake),
+		Sources:        sources,
+		Build:          Build(),
+		SyncDocuments:  c.Front.Files.Sync,
+	}
+	s.Degradation, s.Fallback = c.ServiceLevels()
+	return s
+}
+
+func eurekaOptions(c config.EurekaRegistry) eureka.Options {
+	o := eureka.Options{
+		Name:      c.Name,
+		Addresses: c.Addresses,
+		App:       c.App,
+		VIP:       c.VIP,
+		Deltas:    c.Deltas,
+		XML:       c.XML,
+		Poll:      duration(c.Poll),
+		Timeout:   duration(c.Timeout),
+		Most:      int64(c.Most),
+		Zone:      c.Zone,
+		Hosts:     c.Hosts,
+		Fields: map[string]string{
+			"zone":    cmp.Or(c.ZoneField, "zone"),
+			"weight":  cmp.Or(c.WeightField, "weight"),
+			"pod":     cmp.Or(c.PodField, "pod"),
+			"machine": cmp.Or(c.MachineField, "machine"),
+		},
+	}
+	if r := c.Register; r.App != "" {
+		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: cmp.Or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: duration(r.Renew)}
+	}
+	return o
+}
+
+// healthCheckOptions are those of our own endpoints: they answer at their names, and state their metrics in a header.
+func healthCheckOptions(c config.Probes) healthcheck.Options {
+	return healthcheck.Options{
+		Timeout:       duration(c.Timeout),
+		MaxConcurrent: c.AtOnce,
+		URL: func(endpoint policyapi.EndpointID) (string, bool) {
+			return "http://" + string(endpoint) + c.Path, true
+		},
+		Metrics: func(response *http.Response) policyapi.LoadMetrics {
+			return loadMetrics(xds.ReadOrca(response.Header.Get(xds.OrcaHeader)))
+		},
+	}
+}
+
+// loadMetrics converts metrics by their ORCA names to those by the module's; others are dropped. nil: none.
+func loadMetrics(orca map[string]float64) policyapi.LoadMetrics {
+	var metrics policyapi.LoadMetrics
+	for name, value := range orca {
+		moduleName, ok := config.LoadNames[name]
+		if !ok {
+			continue
+		}
+		if metrics == nil {
+			metrics = policyapi.LoadMetrics{}
+		}
+		metrics[moduleName] = value
+	}
+	return metrics
+}
--- /dev/null
+++ b/daemon/status.go
@@ -0,0 +1,98 @@
+package daemon
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"porthub/capture"
+	"porthub/coordinator"
+	"porthub/loadreport"
+	"porthub/policyapi"
+	"porthub/xdsfile"
+	"porthub/xdspoll"
+)
+
+// Status is the state of a running coordinator, the answer to GET /tables.
+type Status struct {
+	coordinator.Status
+	FileDelivery xdsfile.Stats `json:"front"`
+	PollDelivery xdspoll.Stats `json:"poll"`
+	StepTimes    Latencies     `json:"step_us"` // of the core
+	// Capture counts what was recorded; nil: it is off.
+	Capture *capture.Stats `json:"capture,omitempty"`
+}
+
+// SamplingStatus is the answer to GET /intake: how much of the load reports is used, and what they state.
+type SamplingStatus struct {
+	Now       policyapi.Microseconds         `json:"now_us"`
+	Sampling  loadreport.Stats               `json:"intake"`
+	Deferred  int64                          `json:"deferred"` // reports that were answered 429
+	Inbox     int                            `json:"inbox"`    // items that wait for the core
+	StepTimes Latencies                      `json:"step_us"`
+	Endpoints []coordinator.EndpointEstimate `json:"nodes"`
+}
+
+// Latencies are those of a histogram, in microseconds.
+type Latencies struct {
+	Count int64 `json:"count"`
+	P50   int64 `json:"p50"`
+	P99   int64 `json:"p99"`
+	Max   int64 `json:"most"`
+}
+
+func latencies(h *hdrhistogram.Histogram) Latencies {
+	return Latencies{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max()}
+}
+
+// encodeAnswer is an answer's JSON.
+func encodeAnswer(answer any) []byte {
+	text, err := json.Marshal(answer)
+	if err != nil {
+		return fmt.Appendf(nil, `{"error": %q}`, err)
+	}
+	return text
+}
+
+// The following run in the loop that owns the core.
+
+func (d *Daemon) statusAnswer(c *coordinator.Core) []byte {
+	return encodeAnswer(Status{
+		Status:       c.Status(),
+		FileDelivery: d.files.Stats(),
+		PollDelivery: d.polls.Stats(),
+		StepTimes:    latencies(d.stepTimes),
+		Capture:      d.recorder.stats(),
+	})
+}
+
+func (d *Daemon) samplingAnswer(c *coordinator.Core) []byte {
+	stats, endpoints := c.Estimates()
+	return encodeAnswer(SamplingStatus{
+		Now:       c.Now(),
+		Sampling:  stats,
+		Deferred:  d.server.deferredReports.Load(),
+		Inbox:     d.inbox.Len(),
+		StepTimes: latencies(d.stepTimes),
+		Endpoints: endpoints,
+	})
+}
+
+// overviewCache has the last overview, which is the answer until a next one may be made: with thousands of gateways one
+// takes a good part of a step.
+type overviewCache struct {
+	text   []byte
+	nextAt time.Time
+}
+
+func (d *Daemon) overviewAnswer(c *coordinator.Core) []byte {
+	began := time.Now()
+	if began.Before(d.overview.nextAt) {
+		return d.overview.text
+	}
+	d.overview.text = encodeAnswer(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.logTail})
+	d.overview.nextAt = began.Add(duration(loadreport.OverviewInterval(microsecondsSince(began))))
+	return d.overview.text
+}
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -18,62 +18,70 @@
 	"porthub/coordinator"
 )
 
-// tracer follows orders from the input that brought them to the gateway's acknowledgement, as OpenTelemetry spans: a step with
-// what it was told, and below it each publication, which ends when the gateway says that it holds it. Only the goroutine that
-// owns the core uses it.
+// tracer follows publications from the input that caused them to the gateway's acknowledgement, as OpenTelemetry spans: a step
+// with the inputs that it was given, and below it each publication, which ends when the gateway has acknowledged it. Only the
+// goroutine that owns the core uses it.
 type tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
 	inFlight map[coordinator.Gateway][]publicationSpan
-	count    int
-	file     *os.File
+	count    int      // of the spans in flight
+	file     *os.File // nil: spans are not written to a file
 }
 
-// publicationSpan is a publication on its way.
+// publicationSpan is the span of a publication in flight.
 type publicationSpan struct {
 	version        string
-	unacknowledged [2]bool // documents that are not acknowledged
+	unacknowledged [2]bool // by document
 	span           trace.Span
 }
 
 // maxTracedPublications bounds the publications that are followed at a time; more are not followed.
 const maxTracedPublications = 20000
 
-// newTracer makes one as the settings say; nil: tracing is off.
+// exportTimeout bounds an export of spans to the configured endpoint.
+const exportTimeout = 2 * time.Second
+
+func tracingEnabled(c config.Trace) bool { return c.File != "" || c.Endpoint != "" }
+
+// newTracer returns nil if tracing is off.
 func newTracer(c config.Trace) (*tracer, error) {
-	if c.File == "" && c.Endpoint == "" {
+	if !tracingEnabled(c) {
 		return nil, nil
 	}
 	t := &tracer{inFlight: map[coordinator.Gateway][]publicationSpan{}}
-	options := []sdktrace.TracerProviderOption{sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.Part))),
-		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "porthub"), attribute.String("service.version", Build())))}
+	options := []sdktrace.TracerProviderOption{
+		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.Part))),
+		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "porthub"), attribute.String("service.version", Build()))),
+	}
 	if c.File != "" {
 		f, err := os.OpenFile(c.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
 			return nil, err
 		}
-		to, err := stdouttrace.New(stdouttrace.WithWriter(f))
+		exporter, err := stdouttrace.New(stdouttrace.WithWriter(f))
 		if err != nil {
 			return nil, err
 		}
 		t.file = f
-		options = append(options, sdktrace.WithBatcher(to))
+		options = append(options, sdktrace.WithBatcher(exporter))
 	}
 	if c.Endpoint != "" {
-		to, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpoint(c.Endpoint), otlptracehttp.WithInsecure(),
-			otlptracehttp.WithTimeout(2*time.Second))
+		exporter, err := otlptracehttp.New(context.Background(), otlptracehttp.WithEndpoint(c.Endpoint), otlptracehttp.WithInsecure(),
+			otlptracehttp.WithTimeout(exportTimeout))
 		if err != nil {
 			return nil, err
 		}
-		options = append(options, sdktrace.WithBatcher(to))
+		options = append(options, sdktrace.WithBatcher(exporter))
 	}
 	t.provider = sdktrace.NewTracerProvider(options...)
 	t.tracer = t.provider.Tracer("porthub")
 	return t, nil
 }
 
-// step follows a step: acknowledgements end what they confirm, publications begin.
-func (t *tracer) step(came, began time.Time, core *coordinator.Core, inputs []coordinator.Input, outputs []coordinator.Output) {
+// step follows a step: acknowledgements end what they confirm, publications begin. arrivedAt is when the first of the inputs
+// came, zero if that is not known.
+func (t *tracer) step(arrivedAt, began time.Time, core *coordinator.Core, inputs []coordinator.Input, outputs []coordinator.Output) {
 	for _, in := range inputs {
 		switch in := in.(type) {
 		case coordinator.DocumentAck:
@@ -82,40 +90,57 @@
 			t.abandon(in.Gateway, "the link has ended")
 		}
 	}
-	var publishes []coordinator.Publish
-	for _, o := range outputs {
-		if p, is := o.(coordinator.Publish); is {
-			publishes = append(publishes, p)
+	var publications []coordinator.Publish
+	for _, out := range outputs {
+		if p, ok := out.(coordinator.Publish); ok {
+			publications = append(publications, p)
 		}
 	}
-	if len(publishes) == 0 {
+	if len(publications) == 0 {
 		return
 	}
-	if came.IsZero() {
-		came = began
+	if arrivedAt.IsZero() {
+		arrivedAt = began
 	}
-	told := map[string]int{}
-	for _, in := range inputs {
-		told[inputName(in)]++
-	}
-	attributes := []attribute.KeyValue{attribute.Int64("step", int64(core.Steps())), attribute.Int("orders", len(core.Orders())),
-		attribute.Int("publications", len(publishes)), attribute.Int64("inbox_wait_us", began.Sub(came).Microseconds())}
-	for kind, n := range told {
-		attributes = append(attributes, attribute.Int("told."+kind, n))
+	attributes := []attribute.KeyValue{
+		attribute.Int64("step", int64(core.Steps())),
+		attribute.Int("orders", len(core.Orders())),
+		attribute.Int("publications", len(publications)),
+		attribute.Int64("inbox_wait_us", began.Sub(arrivedAt).Microseconds()),
 	}
-	ctx, span := t.tracer.Start(context.Background(), "step", trace.WithTimestamp(came), trace.WithAttributes(attributes...))
-	for _, p := range publishes {
+	ctx, span := t.tracer.Start(context.Background(), "step", trace.WithTimestamp(arrivedAt), trace.WithAttributes(append(attributes, inputCounts(inputs)...)...))
+	for _, p := range publications {
 		if t.count >= maxTracedPublications {
 			break
 		}
-		_, one := t.tracer.Start(ctx, "publish", trace.WithAttributes(attribute.String("gateway", string(p.Gateway)), attribute.String("version", p.Version),
-			attribute.Bool("endpoints", p.Changed[coordinator.EndpointsDocument]), attribute.Bool("routes", p.Changed[coordinator.RoutesDocument])))
-		t.inFlight[p.Gateway] = append(t.inFlight[p.Gateway], publicationSpan{p.Version, p.Changed, one})
-		t.count++
+		t.startPublication(ctx, p)
 	}
 	span.End()
 }
 
+// inputCounts are attributes that count the inputs of a step by their names.
+func inputCounts(inputs []coordinator.Input) (attributes []attribute.KeyValue) {
+	counts := map[string]int{}
+	for _, in := range inputs {
+		counts[inputName(in)]++
+	}
+	for name, n := range counts {
+		attributes = append(attributes, attribute.Int("told."+name, n))
+	}
+	return attributes
+}
+
+func (t *tracer) startPublication(ctx context.Context, p coordinator.Publish) {
+	_, span := t.tracer.Start(ctx, "publish", trace.WithAttributes(
+		attribute.String("gateway", string(p.Gateway)),
+		attribute.String("version", p.Version),
+		attribute.Bool("endpoints", p.Changed[coordinator.EndpointsDocument]),
+		attribute.Bool("routes", p.Changed[coordinator.RoutesDocument]),
+	))
+	t.inFlight[p.Gateway] = append(t.inFlight[p.Gateway], publicationSpan{p.Version, p.Changed, span})
+	t.count++
+}
+
 // inputName is the name of an input in the step's span: its attribute "told.NAME" counts the inputs of that type. Names are
 // written out because they leave the program: whoever reads the spans must not notice that a Go type was renamed.
 func inputName(in coordinator.Input) string {
@@ -143,50 +168,51 @@
 }
 
 // acknowledge ends what an acknowledgement confirms: the version, and for its document all before it.
-func (t *tracer) acknowledge(a coordinator.DocumentAck) {
-	all := t.inFlight[a.Gateway]
-	at := slices.IndexFunc(all, func(p publicationSpan) bool { return p.version == a.Version })
-	if a.Error != "" {
-		for _, p := range all {
-			p.span.AddEvent("refused", trace.WithAttributes(attribute.String("why", a.Error)))
+func (t *tracer) acknowledge(ack coordinator.DocumentAck) {
+	spans := t.inFlight[ack.Gateway]
+	if ack.Error != "" {
+		for _, p := range spans {
+			p.span.AddEvent("refused", trace.WithAttributes(attribute.String("why", ack.Error)))
 		}
 		return
 	}
-	if at < 0 || a.Document < 0 || int(a.Document) >= len(all[at].unacknowledged) {
+	at := slices.IndexFunc(spans, func(p publicationSpan) bool { return p.version == ack.Version })
+	if at < 0 || ack.Document < 0 || int(ack.Document) >= len(spans[at].unacknowledged) {
 		return
 	}
-	for i := range all[:at+1] {
-		if all[i].unacknowledged[a.Document] {
-			all[i].unacknowledged[a.Document] = false
-			all[i].span.AddEvent("acknowledged", trace.WithAttributes(attribute.String("document", a.Document.String())))
+	for i := range spans[:at+1] {
+		if spans[i].unacknowledged[ack.Document] {
+			spans[i].unacknowledged[ack.Document] = false
+			spans[i].span.AddEvent("acknowledged", trace.WithAttributes(attribute.String("document", ack.Document.String())))
 		}
 	}
-	for len(all) > 0 && all[0].unacknowledged == [2]bool{} {
-		all[0].span.End()
-		all = all[1:]
+	for len(spans) > 0 && spans[0].unacknowledged == [2]bool{} {
+		spans[0].span.End()
+		spans = spans[1:]
 		t.count--
 	}
-	if t.inFlight[a.Gateway] = all; len(all) == 0 {
-		delete(t.inFlight, a.Gateway)
+	t.inFlight[ack.Gateway] = spans
+	if len(spans) == 0 {
+		delete(t.inFlight, ack.Gateway)
 	}
 }
 
 // abandon ends what a gateway will not acknowledge any more.
-func (t *tracer) abandon(g coordinator.Gateway, why string) {
-	for _, p := range t.inFlight[g] {
-		p.span.SetStatus(codes.Error, why)
+func (t *tracer) abandon(gateway coordinator.Gateway, reason string) {
+	for _, p := range t.inFlight[gateway] {
+		p.span.SetStatus(codes.Error, reason)
 		p.span.End()
 		t.count--
 	}
-	delete(t.inFlight, g)
+	delete(t.inFlight, gateway)
 }
 
-// close writes out what is left, within the time given.
-func (t *tracer) close(within time.Duration) {
-	for g := range t.inFlight {
-		t.abandon(g, "the coordinator ends")
+// close exports what is left, within the timeout.
+func (t *tracer) close(timeout time.Duration) {
+	for gateway := range t.inFlight {
+		t.abandon(gateway, "the coordinator ends")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_ = t.provider.Shutdown(ctx)
 	if t.file != nil {
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -23,7 +23,7 @@
 func TestTrace(t *testing.T) {
 	var mu sync.Mutex
 	names := map[string]int{}
-	collector := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		m := &collectorv1.ExportTraceServiceRequest{}
 		if err := proto.Unmarshal(body, m); err != nil || req.URL.Path != "/v1/traces" {
