--- /dev/null
+++ b/daemon/control_test.go
@@ -0,0 +1,110 @@
+package daemon
+
+import (
+	"encoding/json"
+	"net/http"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"porthub/capture"
+	"porthub/coordinator"
+	"porthub/membership"
+	"porthub/policyapi"
+	"porthub/xds"
+)
+
+// An operator's drain takes effect at once, survives a restart, is in the capture, which replays, and ends with undrain.
+func TestDrainByOperator(t *testing.T) {
+	r := startTestDaemon(t, nil)
+	g := r.connectGateway("gw-1", "a")
+	open := func(b policyapi.EndpointID) bool {
+		g.sync(t, xds.Kind{Name: "view", Arrived: 1})
+		for _, c := range g.state.Snapshot.Clusters {
+			for _, l := range c.Endpoints {
+				if l.Endpoint == b && !l.Withheld {
+					return true
+				}
+			}
+		}
+		return false
+	}
+	r.waitFor("tables with the endpoint", func() bool { return open("127.0.0.1:9001") })
+	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9001"}); a.Error == "" {
+		t.Error("a drain without a reason")
+	}
+	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9999", Reason: "x"}); a.Error == "" {
+		t.Error("a drain of an unknown endpoint")
+	}
+	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9001", Reason: "disk"}); a.Error != "" {
+		t.Fatal(a.Error)
+	}
+	r.waitFor("tables without the endpoint", func() bool { return !open("127.0.0.1:9001") && open("127.0.0.1:9002") })
+	r.waitFor("the drain in the snapshot", func() bool {
+		s, err := ReadSnapshot(filepath.Join(r.dir, "state"))
+		return err == nil && s.Drains["127.0.0.1:9001"] == "disk"
+	})
+	g.link.Close()
+	r.stop()
+	r.start(nil)
+	g = r.connectGateway("gw-1", "a")
+	r.waitFor("tables without it after the restart", func() bool { return !open("127.0.0.1:9001") && open("127.0.0.1:9002") })
+	if i := slices.IndexFunc(r.endpointDecisions().Decisions, func(v membership.Decision) bool { return v.Endpoint == "127.0.0.1:9001" && v.StateName == "draining" }); i < 0 {
+		t.Errorf("%+v", r.endpointDecisions())
+	}
+	if a := r.post("/nodes/undrain", EndpointRequest{Endpoint: "127.0.0.1:9001", Reason: "repaired"}); a.Error != "" {
+		t.Fatal(a.Error)
+	}
+	r.waitFor("tables with the endpoint again", func() bool { return open("127.0.0.1:9001") })
+	r.stop()
+	r.stop = func() {}
+	c, err := capture.Open(filepath.Join(r.dir, "state", captureName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	v, err := capture.Replay(c, Build(), nil)
+	if err != nil || v.Mismatches > 0 || v.Starts != 2 || v.Orders < 5 || len(v.Gaps) > 0 {
+		t.Errorf("%+v, %v", v, err)
+	}
+	x, err := capture.Open(filepath.Join(r.dir, "state", captureName))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer x.Close()
+	why, err := capture.Explain(x, "127.0.0.1:9001", 1<<62)
+	if err != nil || !slices.ContainsFunc(why.Events, func(e capture.Event) bool { return e.Kind == "command" }) {
+		t.Errorf("the operator's command is not in the explanation: %+v, %v", why, err)
+	}
+}
+
+// However often it is requested, an overview is made once a second at most; it has endpoints, gateways and the log's tail.
+func TestOverviewIsCached(t *testing.T) {
+	r := startTestDaemon(t, nil)
+	g := r.connectGateway("gw-1", "a")
+	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointsFrom != "" })
+	overview := func() coordinator.LoggedOverview {
+		res, err := http.Get("http://" + r.daemon.Addr() + "/overview")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer res.Body.Close()
+		var m coordinator.LoggedOverview
+		if err := json.NewDecoder(res.Body).Decode(&m); err != nil {
+			t.Fatal(err)
+		}
+		return m
+	}
+	r.waitFor("an overview with the gateway's lines", func() bool {
+		m := overview()
+		return len(m.Endpoints) == 3 && len(m.Gateways) == 1 && m.Gateways[0].OpenEndpoints > 0 && m.Endpoints[0].Senders == 1
+	})
+	began, made := time.Now(), map[policyapi.Microseconds]bool{}
+	for time.Since(began) < 500*time.Millisecond {
+		made[overview().Now] = true
+	}
+	if len(made) > 2 {
+		t.Errorf("%d overviews in half a second", len(made))
+	}
+}
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -198,19 +198,19 @@
 }
 
 // answerPoll answers a poll; the hub calls it, from any goroutine.
-func (x *exchange) answerPoll(told *xdspoll.Told, err error) {
+func (x *exchange) answerPoll(delivery *xdspoll.Told, err error) {
 	if errors.Is(err, xdspoll.ErrBase) {
 		x.answer(http.StatusConflict, textType, []byte(err.Error()+"\n"))
 		return
 	}
-	if told == nil && err == nil {
+	if delivery == nil && err == nil {
 		x.answer(http.StatusNotModified, "", nil)
 		return
 	}
 	binary := x.isProtobuf()
 	var body []byte
 	if err == nil {
-		body, err = told.Body(binary)
+		body, err = delivery.Body(binary)
 	}
 	if err != nil {
 		x.answer(http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -140,7 +140,7 @@
 	}
 	if p.announced {
 		s.removeLink(p.gateway, p)
-		s.tryInput(coordinator.GatewayDisconnected{Gateway: p.gateway, Conn: p.id})
+		s.offerInput(coordinator.GatewayDisconnected{Gateway: p.gateway, Conn: p.id})
 	}
 	return gnet.None
 }
@@ -161,8 +161,8 @@
 	}
 }
 
-// tryInput gives the core an input that may be lost when the inbox is full.
-func (s *server) tryInput(in coordinator.Input) {
+// offerInput gives the core an input that may be lost when the inbox is full.
+func (s *server) offerInput(in coordinator.Input) {
 	s.daemon.inbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
 }
 
@@ -175,5 +175,5 @@
 	if now-last < int64(rejectionInterval) || !s.rejectionsReportedAt.CompareAndSwap(last, now) {
 		return
 	}
-	s.tryInput(coordinator.PeerRejected{From: from, Reason: reason, Count: int(s.rejected.Swap(0))})
+	s.offerInput(coordinator.PeerRejected{From: from, Reason: reason, Count: int(s.rejected.Swap(0))})
 }
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -19,7 +19,7 @@
 	"porthub/coordinator"
 )
 
-// An order is followed from the list's word to the gateway's acknowledgement, in a file and at an endpoint.
+// A publication is followed from the list to the gateway's acknowledgement, in a file and at an endpoint.
 func TestTrace(t *testing.T) {
 	var mu sync.Mutex
 	names := map[string]int{}
@@ -41,18 +41,18 @@
 	}))
 	defer collector.Close()
 	path := filepath.Join(t.TempDir(), "spans.json")
-	r := newRig(t, nil, func(c *config.Config) {
+	r := startTestDaemon(t, nil, func(c *config.Config) {
 		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), Part: 1}
 	})
-	g := r.gateway("gw-1", "a")
-	r.until("a table", func() bool { g.turn(t); return g.held.EndpointsFrom != "" })
-	before := g.held.EndpointsFrom
-	r.write("nodes.json", strings.Replace(threeNodes, `"zone": "b"`, `"zone": "b", "status": "draining"`, 1))
-	r.until("a table without it", func() bool {
-		g.turn(t)
-		return g.held.EndpointsFrom != before && g.held.Snapshot.OpenEndpoints("view") == 2
+	g := r.connectGateway("gw-1", "a")
+	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointsFrom != "" })
+	before := g.state.EndpointsFrom
+	r.write("nodes.json", strings.Replace(threeEndpoints, `"zone": "b"`, `"zone": "b", "status": "draining"`, 1))
+	r.waitFor("a table without the drained endpoint", func() bool {
+		g.sync(t)
+		return g.state.EndpointsFrom != before && g.state.Snapshot.OpenEndpoints("view") == 2
 	})
-	g.turn(t)
+	g.sync(t)
 	r.stop()
 	r.stop = func() {}
 	type span struct {
