--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -68,7 +68,7 @@
 	if p.requestBeganAt.IsZero() {
 		p.requestBeganAt = time.Now()
 	}
-	request, body, size, err := http1.Take(buffered, http1.Limits{Head: maxHeadBytes, Body: maxBodyBytes})
+	request, body, size, err := http1.ParseRequest(buffered, http1.Limits{Head: maxHeadBytes, Body: maxBodyBytes})
 	if err != nil {
 		return s.rejectMalformed(c, err), false
 	}
@@ -91,7 +91,7 @@
 func (s *server) rejectMalformed(c gnet.Conn, err error) gnet.Action {
 	var malformed *http1.Error
 	if errors.As(err, &malformed) {
-		return s.rejectAndClose(c, malformed.Code, malformed.Why)
+		return s.rejectAndClose(c, malformed.Code, malformed.Reason)
 	}
 	return s.rejectAndClose(c, http.StatusBadRequest, err.Error())
 }
@@ -108,14 +108,14 @@
 // rejectAndClose answers with an error and closes: what follows on the connection can't be told apart.
 func (s *server) rejectAndClose(c gnet.Conn, status int, reason string) gnet.Action {
 	s.countRejection(c.RemoteAddr().String(), reason)
-	_, _ = c.Write(http1.Answer(status, "text/plain", []byte(reason+"\n"), true))
+	_, _ = c.Write(http1.EncodeResponse(status, "text/plain", []byte(reason+"\n"), true))
 	return gnet.Close
 }
 
 // answer sends a response and lets the connection's next request be read. It may be called by any goroutine.
 func (s *server) answer(p *connection, status int, contentType string, body []byte) {
 	p.busy.Store(false)
-	_ = p.conn.AsyncWrite(http1.Answer(status, contentType, body, false), func(c gnet.Conn, err error) error {
+	_ = p.conn.AsyncWrite(http1.EncodeResponse(status, contentType, body, false), func(c gnet.Conn, err error) error {
 		if err == nil && c != nil && c.InboundBuffered() > 0 {
 			return c.Wake(nil)
 		}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -118,7 +118,7 @@
 	if s.connections.Size() >= limits.Connections || addressCount.Load() >= int64(limits.PerAddress) {
 		const reason = "too many connections"
 		s.countRejection(host, reason)
-		return http1.Answer(http.StatusServiceUnavailable, "text/plain", []byte(reason+"\n"), true), gnet.Close
+		return http1.EncodeResponse(http.StatusServiceUnavailable, "text/plain", []byte(reason+"\n"), true), gnet.Close
 	}
 	addressCount.Add(1)
 	p := &connection{id: coordinator.ConnID(s.lastID.Add(1)), conn: c, addressCount: addressCount}
--- /dev/null
+++ b/mailbox/mailbox.go
@@ -0,0 +1,133 @@
+// Package mailbox provides the input queue of a goroutine that owns some state (an actor): two bounded lock-free lanes, one of them
+// urgent.
+package mailbox
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"github.com/puzpuzpuz/xsync/v4"
+)
+
+// Mailbox has two bounded lock-free queues. Any goroutine may put events in; one goroutine, the owner, takes them out with Next. The
+// urgent lane, for the endpoint list, health checks and operators, is emptied first: a drain must not wait behind thousands of reports,
+// nor find the lane filled by them.
+type Mailbox[T any] struct {
+	urgent, normal *xsync.MPMCQueue[T]
+	normalLen      atomic.Int64
+	ownerWaits     atomic.Bool   // the owner waits for wakeUp, or is about to
+	wakeUp         chan struct{} // has a place for one signal
+	closed         atomic.Bool
+	stamp          func(T) T // nil: events go in as they are
+}
+
+const (
+	// MaxBatch is how many events Next returns at most.
+	MaxBatch = 4096
+	// retryInterval is how often PutUrgent tries again while its lane is full.
+	retryInterval = time.Millisecond
+)
+
+// New returns a Mailbox whose lanes have the given capacities. Each event is passed through stamp, unless that is nil, as it goes in.
+func New[T any](urgent, normal int, stamp func(T) T) *Mailbox[T] {
+	return &Mailbox[T]{
+		urgent: xsync.NewMPMCQueue[T](urgent),
+		normal: xsync.NewMPMCQueue[T](normal),
+		wakeUp: make(chan struct{}, 1),
+		stamp:  stamp,
+	}
+}
+
+func (m *Mailbox[T]) stamped(e T) T {
+	if m.stamp != nil {
+		return m.stamp(e)
+	}
+	return e
+}
+
+// TryPut puts an event into the normal lane and reports whether there was room.
+func (m *Mailbox[T]) TryPut(e T) bool {
+	if !m.normal.TryEnqueue(m.stamped(e)) {
+		return false
+	}
+	m.normalLen.Add(1)
+	m.wake()
+	return true
+}
+
+// TryPutUrgent puts an event into the urgent lane and reports whether there was room.
+func (m *Mailbox[T]) TryPutUrgent(e T) bool {
+	if !m.urgent.TryEnqueue(m.stamped(e)) {
+		return false
+	}
+	m.wake()
+	return true
+}
+
+// PutUrgent puts an event into the urgent lane and waits while that is full. If the mailbox is closed it returns at once, and the event
+// is lost.
+func (m *Mailbox[T]) PutUrgent(e T) {
+	for !m.TryPutUrgent(e) && !m.closed.Load() {
+		time.Sleep(retryInterval)
+	}
+}
+
+// wake wakes a waiting owner. It is called after an event was put in, and the owner looks for events once more after it has announced
+// that it waits: one of the two notices the other.
+func (m *Mailbox[T]) wake() {
+	if m.ownerWaits.CompareAndSwap(true, false) {
+		m.wakeUp <- struct{}{}
+	}
+}
+
+// Len returns how many events are in the normal lane. It may be called from any goroutine.
+func (m *Mailbox[T]) Len() int { return int(max(0, m.normalLen.Load())) }
+
+func (m *Mailbox[T]) dequeue() (T, bool) {
+	if e, has := m.urgent.TryDequeue(); has {
+		return e, true
+	}
+	e, has := m.normal.TryDequeue()
+	if has {
+		m.normalLen.Add(-1)
+	}
+	return e, has
+}
+
+// Next appends to events what is in the mailbox, up to MaxBatch events in all, and returns them. If there is nothing it waits for an
+// event, the channel that wait returns or the end of the context; with a nil channel it does not wait. Only the owner may call it.
+func (m *Mailbox[T]) Next(ctx context.Context, events []T, wait func() <-chan time.Time) []T {
+	events = m.drain(events)
+	timer := wait()
+	if len(events) > 0 || timer == nil {
+		return events
+	}
+	m.ownerWaits.Store(true)
+	if events = m.drain(events); len(events) == 0 {
+		select {
+		case <-ctx.Done():
+		case <-timer:
+		case <-m.wakeUp:
+			return m.drain(events)
+		}
+	}
+	if !m.ownerWaits.CompareAndSwap(true, false) {
+		<-m.wakeUp // a producer has sent the signal, or is about to
+	}
+	return m.drain(events)
+}
+
+func (m *Mailbox[T]) drain(events []T) []T {
+	for len(events) < MaxBatch {
+		e, has := m.dequeue()
+		if !has {
+			break
+		}
+		events = append(events, e)
+	}
+	return events
+}
+
+// Close releases the goroutines that wait in PutUrgent.
+func (m *Mailbox[T]) Close() { m.closed.Store(true) }
