--- /dev/null
+++ b/solver/activation_test.go
@@ -0,0 +1,66 @@
+package solver_test
+
+import (
+	"math"
+	"testing"
+
+	"porthub/solver"
+)
+
+// Solutions become active only on what lasts or is urgent, inactive only after a while, move a bounded number of tables in
+// a round, and are reached.
+func TestActivation(t *testing.T) {
+	demands := make([]float64, 40)
+	for i := range demands {
+		demands[i] = 0.5
+	}
+	calm := evenFleet([]float64{10, 10, 10}, demands...)
+	overloaded := evenFleet([]float64{10, 10, 4}, demands...)
+	activation := solver.NewActivation()
+	if round := activation.Step(overloaded, false); round.Active || len(round.Notes) != 0 {
+		t.Error("active after one round")
+	}
+	if round := activation.Step(calm, false); round.Active {
+		t.Error("active after a calm round")
+	}
+	activation.Step(overloaded, false)
+	round := activation.Step(overloaded, false)
+	if !round.Active || len(round.Notes) != 1 || round.Moved == 0 || round.Moved > 10 {
+		t.Errorf("active %t, %v, moved %d", round.Active, round.Notes, round.Moved)
+	}
+	for range 8 {
+		round = activation.Step(overloaded, false)
+	}
+	load := 0.0
+	for u := range overloaded.Consumers {
+		load += 0.5 * round.Tables[solver.TableKey{Consumer: overloaded.Consumers[u].Name}].Weights["n2"]
+	}
+	if round.Moved != 0 || load > 4*1.05 {
+		t.Errorf("after ten rounds %d tables still move and the weak endpoint is offered %.2f of 4", round.Moved, load)
+	}
+	// Load that hovers at the threshold rarely changes the mode.
+	changes := 0
+	for i := range 600 {
+		f := evenFleet([]float64{10, 10, 4 + 2.8*math.Abs(math.Sin(float64(i)/3))}, demands...)
+		changes += len(activation.Step(f, false).Notes)
+	}
+	if changes > 2 {
+		t.Errorf("%d changes in 600 rounds of hovering load", changes)
+	}
+	for range 3 {
+		round = activation.Step(calm, true)
+	}
+	if !round.Active {
+		t.Error("inactive while an endpoint is on trial")
+	}
+	for range 3 {
+		round = activation.Step(calm, false)
+	}
+	if round.Active || len(round.Tables) != 0 {
+		t.Error("active though all is calm")
+	}
+	calm.Endpoints[0].Failing = []bool{true}
+	if round := activation.Step(calm, true); !round.Active {
+		t.Error("inactive while a table names an endpoint that fails the class")
+	}
+}
--- a/solver/place.go
+++ b/solver/place.go
@@ -2,261 +2,148 @@
 
 import (
 	"cmp"
-	"fmt"
-	"maps"
-	"math"
 	"slices"
-	"strings"
 )
 
-// lot is what one demand puts on one node, in reqs a second.
-type lot struct {
-	node int
-	x    float64
+const (
+	// minShare is the smallest part of a demand that gets an entry of its own in a table.
+	minShare = 0.01
+	// overfill is how far over its limit an endpoint may be filled where almost all demand fits: half of what the
+	// operators allow.
+	overfill = 0.025
+)
+
+// placement is what one demand puts on one endpoint, in requests per second.
+type placement struct {
+	endpoint int
+	rate     float64
 }
 
-// place turns prices into weights: what the prices say, without the shares too small for a line, then F-NORM, then
-// what still has room is filled up.
+// place turns prices into weights: it drops shares that are too small, applies F-NORM, and then fills up endpoints that
+// still have free capacity.
 func (p *problem) place() Solution {
-	f := p.f
-	lots := make([][]lot, len(p.demands))
+	placements := make([][]placement, len(p.demands))
 	load := make([]float64, len(p.limit))
-	at, touched := make([]float64, len(p.limit)), []int(nil) // reqs a second of one demand by node, and where any are
+	rates := newRateMap(len(p.limit))
 	for i := range p.demands {
 		d := &p.demands[i]
-		if d.z <= 0 {
+		if d.partition <= 0 {
 			continue
 		}
-		in := d.rate * d.share / d.z
-		s, e := &p.sets[d.set], p.e[d.kind]
-		touched = touched[:0]
-		put := func(j int, x float64) {
-			if at[j] == 0 {
-				touched = append(touched, j)
-			}
-			at[j] += x
-		}
-		for _, l := range d.lines {
-			put(l.Endpoint, in*l.Weight*e[l.Endpoint])
-		}
-		if d.out > 0 && d.out*s.sum > least*d.z {
-			for n, j := range s.nodes {
-				put(j, in*d.out*s.prior[n]*e[j])
-			}
-		}
-		lots[i] = trim(at, touched, d.rate*d.share)
-		for _, j := range touched {
-			at[j] = 0
+		p.demandRates(d, rates)
+		placements[i] = trim(rates, d.rate*d.admitted)
+		rates.reset()
+		for _, pl := range placements[i] {
+			load[pl.endpoint] += pl.rate * p.fleet.Endpoints[pl.endpoint].cost(d.class)
 		}
-		for _, l := range lots[i] {
-			load[l.node] += l.x * f.Endpoints[l.node].cost(d.kind)
-		}
-	}
-	// F-NORM: what a node is offered is divided by its over-capacity ratio.
-	for i := range lots {
-		for n := range lots[i] {
-			l := &lots[i][n]
-			if ratio := load[l.node] / p.limit[l.node]; ratio > 1 {
-				l.x /= ratio
-			}
-		}
-	}
-	for j := range load {
-		load[j] = min(load[j], p.limit[j])
 	}
-	p.fill(lots, load, 1)
-	if left, all := p.unplaced(lots); left > 0 && left < 2*slack*all {
-		p.fill(lots, load, 1+slack) // almost all fits: it is likelier that all does than that prices are exact
+	p.normalize(placements, load)
+	p.fill(placements, load, 1)
+	if unplaced, total := p.unplaced(placements); unplaced > 0 && unplaced < 2*overfill*total {
+		// Almost all fits: it is likelier that all of it does than that limits are exact.
+		p.fill(placements, load, 1+overfill)
 	}
-	return p.solution(lots)
+	return p.solution(placements)
 }
 
-// trim keeps the lots that are worth a line, in the order of nodes; what the others had goes to the kept ones.
-func trim(at []float64, touched []int, total float64) (kept []lot) {
-	slices.Sort(touched)
-	sum := 0.0
-	for _, j := range touched {
-		if at[j] >= least*total {
-			kept, sum = append(kept, lot{j, at[j]}), sum+at[j]
-		}
-	}
-	if sum < total/2 { // so many that each is small: the largest stand for all
-		kept, sum = kept[:0], 0
-		for _, j := range touched {
-			kept = append(kept, lot{j, at[j]})
-		}
-		slices.SortFunc(kept, func(a, b lot) int { return cmp.Or(cmp.Compare(b.x, a.x), cmp.Compare(a.node, b.node)) })
-		kept = kept[:min(len(kept), int(1/least))]
-		slices.SortFunc(kept, func(a, b lot) int { return cmp.Compare(a.node, b.node) })
-		for _, l := range kept {
-			sum += l.x
-		}
-	}
-	for i := range kept {
-		kept[i].x *= total / sum
-	}
-	return kept
+// rateMap holds the rates of one demand by endpoint. It is reused for all demands.
+type rateMap struct {
+	rates []float64
+	used  []int // endpoints with a rate
 }
 
-func placed(lots []lot) (sum float64) {
-	for _, l := range lots {
-		sum += l.x
+func newRateMap(endpoints int) *rateMap { return &rateMap{rates: make([]float64, endpoints)} }
+
+func (m *rateMap) add(endpoint int, rate float64) {
+	if m.rates[endpoint] == 0 {
+		m.used = append(m.used, endpoint)
 	}
-	return sum
+	m.rates[endpoint] += rate
 }
 
-func (p *problem) unplaced(lots [][]lot) (left, all float64) {
-	for i, d := range p.demands {
-		left, all = left+max(0, d.rate-placed(lots[i])), all+d.rate
+func (m *rateMap) reset() {
+	for _, endpoint := range m.used {
+		m.rates[endpoint] = 0
 	}
-	return left, all
+	m.used = m.used[:0]
 }
 
-// fill puts what is not placed where room is left, the best paid kind first and, within it, those of the fewest open
-// nodes: they have the least choice. Each is spread by room, so that no node gets it all.
-func (p *problem) fill(lots [][]lot, load []float64, upTo float64) {
-	f := p.f
-	rank := make([]int, len(f.Classes))
-	for i, k := range f.byPayoff() {
-		rank[k] = i
+// demandRates adds the rates of a demand at the present prices.
+func (p *problem) demandRates(d *demand, rates *rateMap) {
+	t, factor := &p.targets[d.target], p.factor[d.class]
+	scale := d.rate * d.admitted / d.partition
+	for _, share := range d.wanted {
+		rates.add(share.Endpoint, scale*share.Weight*factor[share.Endpoint])
 	}
-	order := make([]int, len(p.demands))
-	for i := range order {
-		order[i] = i
+	if d.unwanted <= 0 || d.unwanted*t.partition <= minShare*d.partition {
+		return
 	}
-	slices.SortStableFunc(order, func(a, b int) int {
-		x, y := &p.demands[a], &p.demands[b]
-		return cmp.Or(cmp.Compare(rank[x.kind], rank[y.kind]), cmp.Compare(len(p.sets[x.set].nodes), len(p.sets[y.set].nodes)))
-	})
-	// The room of each set, kept up to date as it is used: a set without room is passed over at once.
-	for start := 0; start < len(order); {
-		// Demands of one set share its room by what each lacks, so that none is served by standing first.
-		first, end := &p.demands[order[start]], start
-		for ; end < len(order) && p.demands[order[end]].kind == first.kind && len(p.sets[p.demands[order[end]].set].nodes) ==
-			len(p.sets[first.set].nodes); end++ {
-		}
-		bySet := map[int]float64{}
-		for _, i := range order[start:end] {
-			d := &p.demands[i]
-			if lack := d.rate - placed(lots[i]); lack > 1e-9*d.rate {
-				bySet[d.set] += lack
-			}
-		}
-		for _, s := range slices.Sorted(maps.Keys(bySet)) {
-			set, room := &p.sets[s], 0.0
-			for _, j := range set.nodes {
-				room += max(0, upTo*p.limit[j]-load[j]) / f.Endpoints[j].cost(set.kind)
-			}
-			part := min(1, room/bySet[s])
-			if part <= 1e-9 {
-				continue
-			}
-			// Each takes what it is due from the nodes with the most room, so that few lines are added.
-			byRoom := slices.Clone(set.nodes)
-			free := func(j int) float64 { return max(0, upTo*p.limit[j]-load[j]) / f.Endpoints[j].cost(set.kind) }
-			slices.SortStableFunc(byRoom, func(a, b int) int { return cmp.Compare(free(b), free(a)) })
-			next := 0
-			for _, i := range order[start:end] {
-				d := &p.demands[i]
-				if d.set != s {
-					continue
-				}
-				for due := part * (d.rate - placed(lots[i])); due > 1e-9*d.rate && next < len(byRoom); {
-					j := byRoom[next]
-					x := min(due, free(j))
-					if x > 0 {
-						lots[i] = add(lots[i], lot{j, x})
-						load[j] += x * f.Endpoints[j].cost(set.kind)
-						due -= x
-					}
-					if due > 1e-9*d.rate {
-						next++
-					}
-				}
-			}
-		}
-		start = end
+	for n, endpoint := range t.endpoints {
+		rates.add(endpoint, scale*d.unwanted*t.prior[n]*factor[endpoint])
 	}
 }
 
-// add puts a lot to those of the same node; lots are in the order of nodes.
-func add(lots []lot, l lot) []lot {
-	i, has := slices.BinarySearchFunc(lots, l.node, func(a lot, node int) int { return cmp.Compare(a.node, node) })
-	if has {
-		lots[i].x += l.x
-		return lots
+// trim returns the placements of at least minShare of the total, in the order of endpoints, scaled to the total. If most
+// of the total is in smaller ones, the largest stand for all.
+func trim(rates *rateMap, total float64) (placements []placement) {
+	slices.Sort(rates.used)
+	sum := 0.0
+	for _, endpoint := range rates.used {
+		if rate := rates.rates[endpoint]; rate >= minShare*total {
+			placements = append(placements, placement{endpoint, rate})
+			sum += rate
+		}
+	}
+	if sum < total/2 {
+		placements = largest(rates, int(1/minShare))
+		sum = placedRate(placements)
 	}
-	return slices.Insert(lots, i, l)
+	for i := range placements {
+		placements[i].rate *= total / sum
+	}
+	return placements
 }
 
-func (p *problem) solution(lots [][]lot) Solution {
-	f := p.f
-	s := p.empty()
-	c := &s.Certificate
-	for i, d := range p.demands {
-		sum := placed(lots[i])
-		if s.Admit[d.user][d.kind] = min(1, sum/d.rate); s.Admit[d.user][d.kind] > 1-1e-6 {
-			s.Admit[d.user][d.kind] = 1
-		}
-		c.PlacedPriority += sum * p.payoff[d.kind]
-		c.Shed[d.kind] += max(0, d.rate-sum)
-		for _, l := range lots[i] {
-			if sum > 0 && l.x > 0 {
-				s.Weights[d.user][d.kind] = append(s.Weights[d.user][d.kind], Share{l.node, l.x / sum})
-				c.Load[l.node] += l.x * f.Endpoints[l.node].cost(d.kind)
-			}
-		}
+// largest returns the largest placements, in the order of endpoints.
+func largest(rates *rateMap, count int) (placements []placement) {
+	for _, endpoint := range rates.used {
+		placements = append(placements, placement{endpoint, rates.rates[endpoint]})
 	}
-	c.Bound = p.bound()
-	c.Reason = p.why(c.Shed)
-	return s
+	slices.SortFunc(placements, func(a, b placement) int {
+		return cmp.Or(cmp.Compare(b.rate, a.rate), cmp.Compare(a.endpoint, b.endpoint))
+	})
+	placements = placements[:min(len(placements), count)]
+	slices.SortFunc(placements, func(a, b placement) int { return cmp.Compare(a.endpoint, b.endpoint) })
+	return placements
 }
 
-// bound is the payoff that no placement exceeds, whatever the prices: the dual's value at them.
-func (p *problem) bound() float64 {
-	sum := 0.0
-	for j, l := range p.limit {
-		sum += l * p.price[j]
-	}
-	best := make([]float64, len(p.sets)) // the most that a req of a set's kind earns beside what it costs
-	for i, s := range p.sets {
-		best[i] = math.Inf(-1)
-		for _, j := range s.nodes {
-			best[i] = max(best[i], p.payoff[s.kind]-p.f.Endpoints[j].cost(s.kind)*p.price[j])
+// normalize is the paper's F-NORM: what an endpoint is offered is divided by its overload.
+func (p *problem) normalize(placements [][]placement, load []float64) {
+	for i := range placements {
+		for n := range placements[i] {
+			pl := &placements[i][n]
+			if ratio := load[pl.endpoint] / p.limit[pl.endpoint]; ratio > 1 {
+				pl.rate /= ratio
+			}
 		}
 	}
-	all := 0.0
-	for _, d := range p.demands {
-		sum += d.rate * max(0, best[d.set])
-		all += d.rate * p.payoff[d.kind]
+	for i := range load {
+		load[i] = min(load[i], p.limit[i])
 	}
-	return min(sum, all)
 }
 
-func (p *problem) why(away []float64) string {
-	var parts []string
-	asked := make([]float64, len(away))
-	for _, d := range p.demands {
-		asked[d.kind] += d.rate
+func placedRate(placements []placement) (sum float64) {
+	for _, pl := range placements {
+		sum += pl.rate
 	}
-	for k, a := range away {
-		if a <= 1e-6*asked[k] {
-			continue
-		}
-		nowhere := 0.0
-		for _, d := range p.demands {
-			if d.kind == k && len(p.sets[d.set].nodes) == 0 {
-				nowhere += d.rate
-			}
-		}
-		why := "what the nodes open to it can carry is used by what pays more for its cost"
-		if nowhere > 0.99*a {
-			why = "no open node"
-		}
-		parts = append(parts, fmt.Sprintf("%s: %.3g of %.3g reqs a second turned away: %s", p.f.Classes[k].Name, a, asked[k], why))
-	}
-	if parts == nil {
-		return "all fits once weights are moved"
+	return sum
+}
+
+// unplaced returns the demand that is not placed, and all demand.
+func (p *problem) unplaced(placements [][]placement) (unplaced, total float64) {
+	for i, d := range p.demands {
+		unplaced += max(0, d.rate-placedRate(placements[i]))
+		total += d.rate
 	}
-	return strings.Join(parts, "; ")
+	return unplaced, total
 }
--- /dev/null
+++ b/solver/untouched.go
@@ -0,0 +1,65 @@
+package solver
+
+// untouched returns the weights wanted if they keep every limit as they are.
+func (p *problem) untouched() (solution Solution, ok bool) {
+	load, ok := p.wantedLoad()
+	if !ok {
+		return Solution{}, false
+	}
+	for i := range load {
+		if load[i] > p.limit[i] {
+			return Solution{}, false
+		}
+	}
+	s := p.emptySolution()
+	s.Untouched = true
+	s.Certificate.Load = load
+	s.Certificate.Reason = "all fits as wanted"
+	for _, d := range p.demands {
+		s.Weights[d.consumer][d.class] = normalized(p.fleet.Consumers[d.consumer].Wanted[d.class])
+		s.Certificate.PlacedPriority += d.rate * p.priority[d.class]
+	}
+	s.Certificate.Bound = s.Certificate.PlacedPriority
+	return s, true
+}
+
+// wantedLoad returns the work per second that the weights wanted bring each endpoint; ok is false if a demand has no
+// weights, or has some on endpoints that it may not go to.
+func (p *problem) wantedLoad() (load []float64, ok bool) {
+	load = make([]float64, len(p.limit))
+	for _, d := range p.demands {
+		wanted := p.fleet.Consumers[d.consumer].Wanted
+		if d.class >= len(wanted) {
+			return nil, false
+		}
+		total := 0.0
+		for _, share := range wanted[d.class] {
+			if share.Weight > 0 && !p.targets[d.target].contains(share.Endpoint) {
+				return nil, false
+			}
+			total += share.Weight
+		}
+		if total <= 0 {
+			return nil, false
+		}
+		for _, share := range wanted[d.class] {
+			load[share.Endpoint] += d.rate * share.Weight / total * p.fleet.Endpoints[share.Endpoint].cost(d.class)
+		}
+	}
+	return load, true
+}
+
+// normalized returns the shares above 0, with weights that sum to 1.
+func normalized(wanted []Share) (shares []Share) {
+	total := 0.0
+	for _, share := range wanted {
+		if share.Weight > 0 {
+			shares = append(shares, share)
+			total += share.Weight
+		}
+	}
+	for i := range shares {
+		shares[i].Weight /= total
+	}
+	return shares
+}
