--- a/solver/fleets/measure.go
+++ b/solver/fleets/measure.go
@@ -1,165 +1,146 @@
 package fleets
 
 import (
-	"math"
 	"slices"
 	"time"
 
 	"porthub/solver"
 )
 
-// Measurement sums what Solve made of many random fleets; the fields are those that scripts rely on.
+// Measurement sums up solutions of many random fleets.
 type Measurement struct {
 	Fleets   int `json:"fleets"`
 	Feasible int `json:"feasible"` // of them, by how they were drawn
-	// WorstOverload is the largest offered load over a node's limit.
+	// WorstOverload is the largest load of an endpoint by its limit.
 	WorstOverload float64 `json:"worst_overload"`
 	// Unplaced is the largest part of a feasible fleet's demand that was not placed.
 	Unplaced      float64  `json:"unplaced_when_feasible"`
-	PriorityRatio *Ratio   `json:"payoff_ratio,omitempty"` // to the exact optimum
+	PriorityRatio *Ratio   `json:"payoff_ratio,omitempty"` // of the placed priority to the exact optimum
 	Milliseconds  Quantile `json:"ms"`
 	Steps         Quantile `json:"steps"`
 	Untouched     int      `json:"untouched"`
-	WorstCase     string   `json:"worst_case"`
+	WorstCase     string   `json:"worst_case"`       // of the worst ratio
 	Optima        int      `json:"optima,omitempty"` // fleets whose optimum was found
-	// PriorityRatioWhenShed is the ratio over those fleets in which something had to be turned away.
+	// PriorityRatioWhenShed is the ratio over the fleets in which something had to be rejected.
 	PriorityRatioWhenShed *Ratio `json:"payoff_ratio_when_shed,omitempty"`
-	// Baselines are the ratios of other ways of filling tables on the same fleets.
+	// Baselines are the ratios of baselines on the same fleets.
 	Baselines map[Baseline]*Ratio `json:"ways,omitempty"`
-	// MinAdmitted is the smallest part of its demand of a kind that any user with an open node was let have.
+	// MinAdmitted is the smallest part of its demand for a class that a consumer with an open endpoint was admitted.
 	MinAdmitted float64 `json:"least_let_in"`
 }
 
-// PriorityRatio is over all fleets whose optimum was found.
+// Ratio sums up ratios over fleets.
 type Ratio struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
 }
 
-// Quantile is in the unit its field says.
+// Quantile holds quantiles, in the unit that its field names.
 type Quantile struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// Measure solves so many random fleets of a seed. Oracle finds the exact optimum of each as well; compare fills them in
-// other ways, held against the optimum, or against ours where none is asked for.
-func Measure(n int, seed uint64, oracle, compare bool) (Measurement, error) {
+// samples are the values by fleet that a Measurement sums up.
+type samples struct {
+	milliseconds, steps []float64
+	ratios, shedRatios  []float64
+	worstRatio          float64 // the least of ratios
+	baselines           map[Baseline][]float64
+}
+
+// Measure solves n random fleets of a seed. With optimum it finds the exact optimum of each as well; with baselines it
+// computes those, relative to the optimum or, without it, to the solution. It returns the error of a fleet that is
+// malformed.
+func Measure(n int, seed uint64, optimum, baselines bool) (Measurement, error) {
 	m := Measurement{Fleets: n, MinAdmitted: 1}
-	var took, steps, ratios, shed []float64
-	ways := map[Baseline][]float64{}
-	worst := 2.0
+	s := samples{baselines: map[Baseline][]float64{}}
 	for i := range n {
 		d := Draw(seed, i)
 		if err := d.Check(); err != nil {
 			return m, err
 		}
-		began := time.Now()
-		s := solver.Solve(d.Fleet, nil)
-		took = append(took, float64(time.Since(began).Microseconds())/1000)
-		steps = append(steps, float64(s.Certificate.Steps))
-		if s.Untouched {
-			m.Untouched++
-		}
-		m.WorstOverload = max(m.WorstOverload, Overload(d.Fleet, s))
-		if d.Fits {
-			m.Feasible++
-			m.Unplaced = max(m.Unplaced, Unplaced(d.Fleet, s))
-		}
-		for u := range d.Consumers {
-			for k, rate := range d.Consumers[u].Demand {
-				if rate > 0 && len(solver.OpenEndpoints(d.Fleet, u, k)) > 0 {
-					m.MinAdmitted = min(m.MinAdmitted, s.Admit[u][k])
-				}
-			}
-		}
-		best := s.Certificate.PlacedPriority
-		if oracle {
-			optimum, err := Optimum(d.Fleet)
-			if err != nil || optimum <= 0 {
+		best := m.solve(d, &s)
+		if optimum {
+			var ok bool
+			if best, ok = m.compareOptimum(d, best, &s); !ok {
 				continue
 			}
-			m.Optima++
-			r := s.Certificate.PlacedPriority / optimum
-			if ratios = append(ratios, r); r < worst {
-				worst, m.WorstCase = r, d.Case
-			}
-			if !d.Fits {
-				shed = append(shed, r)
-			}
-			best = optimum
 		}
-		if compare && best > 0 {
-			for _, way := range []Baseline{EvenWeights, CapacityWeights, WantedWeights} {
-				ways[way] = append(ways[way], ServedPriority(d.Fleet, way)/best)
+		if baselines && best > 0 {
+			for _, baseline := range []Baseline{EvenWeights, CapacityWeights, WantedWeights} {
+				s.baselines[baseline] = append(s.baselines[baseline], ServedPriority(d.Fleet, baseline)/best)
 			}
 		}
 	}
-	m.Milliseconds, m.Steps = quantile(took), quantile(steps)
-	m.PriorityRatio, m.PriorityRatioWhenShed = ratio(ratios), ratio(shed)
-	for way, r := range ways {
-		if m.Baselines == nil {
-			m.Baselines = map[Baseline]*Ratio{}
-		}
-		m.Baselines[way] = ratio(r)
-	}
+	m.sumUp(s)
 	return m, nil
 }
 
-func ratio(v []float64) *Ratio {
-	if len(v) == 0 {
-		return nil
+// solve solves a fleet and returns its placed priority.
+func (m *Measurement) solve(d Drawn, s *samples) (placed float64) {
+	start := time.Now()
+	solution := solver.Solve(d.Fleet, nil)
+	s.milliseconds = append(s.milliseconds, millisecondsSince(start))
+	s.steps = append(s.steps, float64(solution.Certificate.Steps))
+	if solution.Untouched {
+		m.Untouched++
+	}
+	m.WorstOverload = max(m.WorstOverload, Overload(d.Fleet, solution))
+	if d.Fits {
+		m.Feasible++
+		m.Unplaced = max(m.Unplaced, Unplaced(d.Fleet, solution))
 	}
-	slices.Sort(v)
-	return &Ratio{Median: v[len(v)/2], Worst: v[0]}
+	m.MinAdmitted = min(m.MinAdmitted, minAdmitted(d.Fleet, solution))
+	return solution.Certificate.PlacedPriority
 }
 
-func quantile(v []float64) Quantile {
-	if len(v) == 0 {
-		return Quantile{}
+// compareOptimum compares the placed priority with the optimum and returns this; ok is false if there is none.
+func (m *Measurement) compareOptimum(d Drawn, placed float64, s *samples) (optimum float64, ok bool) {
+	optimum, err := Optimum(d.Fleet)
+	if err != nil || optimum <= 0 {
+		return 0, false
 	}
-	v = slices.Clone(v)
-	slices.Sort(v)
-	return Quantile{v[len(v)/2], v[min(len(v)-1, len(v)*99/100)]}
+	m.Optima++
+	ratio := placed / optimum
+	if len(s.ratios) == 0 || ratio < s.worstRatio {
+		s.worstRatio = ratio
+		m.WorstCase = d.Case
+	}
+	s.ratios = append(s.ratios, ratio)
+	if !d.Fits {
+		s.shedRatios = append(s.shedRatios, ratio)
+	}
+	return optimum, true
 }
 
-// Overload is the largest offered load over a node's limit, by the weights and admissions themselves and not by the
-// certificate. Any load on a node that may get none is endless.
-func Overload(f solver.Fleet, s solver.Solution) float64 {
-	limit, load, worst := solver.Limits(f), make([]float64, len(f.Endpoints)), 0.0
-	for u := range f.Consumers {
-		for k, rate := range f.Consumers[u].Demand {
-			for _, l := range s.Weights[u][k] {
-				cost := 1.0
-				if len(f.Endpoints[l.Endpoint].Cost) > 0 {
-					cost = f.Endpoints[l.Endpoint].Cost[k]
-				}
-				load[l.Endpoint] += rate * s.Admit[u][k] * l.Weight * cost
-				if rate > 0 && l.Weight > 0 && !slices.Contains(solver.OpenEndpoints(f, u, k), l.Endpoint) {
-					return math.Inf(1)
-				}
-			}
-		}
+func (m *Measurement) sumUp(s samples) {
+	m.Milliseconds = quantiles(s.milliseconds)
+	m.Steps = quantiles(s.steps)
+	m.PriorityRatio = ratioOf(s.ratios)
+	m.PriorityRatioWhenShed = ratioOf(s.shedRatios)
+	if len(s.baselines) == 0 {
+		return
 	}
-	for j, l := range load {
-		if l > 0 {
-			worst = max(worst, l/limit[j])
-		}
+	m.Baselines = map[Baseline]*Ratio{}
+	for baseline, ratios := range s.baselines {
+		m.Baselines[baseline] = ratioOf(ratios)
 	}
-	return worst
 }
 
-// Unplaced is the part of all demand that is not served.
-func Unplaced(f solver.Fleet, s solver.Solution) float64 {
-	all, left := 0.0, 0.0
-	for u := range f.Consumers {
-		for k, rate := range f.Consumers[u].Demand {
-			sum := 0.0
-			for _, l := range s.Weights[u][k] {
-				sum += l.Weight
-			}
-			all, left = all+rate, left+rate*(1-s.Admit[u][k]*min(1, sum))
-		}
+// ratioOf returns nil for no values.
+func ratioOf(values []float64) *Ratio {
+	if len(values) == 0 {
+		return nil
+	}
+	values = slices.Sorted(slices.Values(values))
+	return &Ratio{Median: values[len(values)/2], Worst: values[0]}
+}
+
+func quantiles(values []float64) Quantile {
+	if len(values) == 0 {
+		return Quantile{}
 	}
-	return left / max(all, 1e-12)
+	values = slices.Sorted(slices.Values(values))
+	return Quantile{P50: values[len(values)/2], P99: values[min(len(values)-1, len(values)*99/100)]}
 }
--- /dev/null
+++ b/solver/fleets/optimum.go
@@ -0,0 +1,78 @@
+package fleets
+
+import (
+	"fmt"
+	"slices"
+
+	"gonum.org/v1/gonum/mat"
+	"gonum.org/v1/gonum/optimize/convex/lp"
+
+	"porthub/solver"
+)
+
+// simplexTolerance is the tolerance of the linear program.
+const simplexTolerance = 1e-9
+
+// demandGroup is the demand for a class from all consumers that may go to the same endpoints.
+type demandGroup struct {
+	class     int
+	endpoints []int
+	rate      float64 // requests per second
+}
+
+// Optimum returns the highest priority weight per second that any placement reaches, by a linear program. Its variables are
+// what each class places on each endpoint, summed over consumers that may go to the same endpoints: the priority does
+// not depend on who is served. It returns an error if the program can't be solved.
+func Optimum(f solver.Fleet) (float64, error) {
+	groups := demandGroups(f)
+	variables := 0
+	for _, g := range groups {
+		variables += len(g.endpoints)
+	}
+	if variables == 0 {
+		return 0, nil
+	}
+	// Rows: the demand of each group, then the limit of each endpoint; each has a slack variable, which is basic at first.
+	rows := len(groups) + len(f.Endpoints)
+	matrix := mat.NewDense(rows, variables+rows, nil)
+	objective := make([]float64, variables+rows)
+	bounds := make([]float64, rows)
+	basic := make([]int, rows)
+	column := 0
+	for i, g := range groups {
+		bounds[i] = g.rate
+		for _, endpoint := range g.endpoints {
+			matrix.Set(i, column, 1)
+			matrix.Set(len(groups)+endpoint, column, cost(f, endpoint, g.class))
+			objective[column] = -f.Classes[g.class].PriorityWeight
+			column++
+		}
+	}
+	for endpoint, limit := range solver.Limits(f) {
+		bounds[len(groups)+endpoint] = limit
+	}
+	for row := range rows {
+		matrix.Set(row, variables+row, 1)
+		basic[row] = variables + row
+	}
+	best, _, err := lp.Simplex(objective, matrix, bounds, simplexTolerance, basic)
+	if err != nil {
+		return 0, fmt.Errorf("linear program of %d variables and %d rows: %w", variables, rows, err)
+	}
+	return -best, nil
+}
+
+func demandGroups(f solver.Fleet) (groups []*demandGroup) {
+	for consumer := range f.Consumers {
+		for class, rate := range f.Consumers[consumer].Demand {
+			open := solver.OpenEndpoints(f, consumer, class)
+			i := slices.IndexFunc(groups, func(g *demandGroup) bool { return g.class == class && slices.Equal(g.endpoints, open) })
+			if i < 0 {
+				i = len(groups)
+				groups = append(groups, &demandGroup{class: class, endpoints: open})
+			}
+			groups[i].rate += rate
+		}
+	}
+	return groups
+}
