--- /dev/null
+++ b/httpclient/transport_test.go
@@ -0,0 +1,95 @@
+package httpclient
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// unreachableAddress returns an address at which connections are never established: nobody accepts, and the backlog is full.
+func unreachableAddress(t *testing.T) string {
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = syscall.Close(fd) })
+	if err = syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err == nil {
+		err = syscall.Listen(fd, 0)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	bound, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := fmt.Sprintf("127.0.0.1:%d", bound.(*syscall.SockaddrInet4).Port)
+	for range 8 {
+		c, err := net.DialTimeout("tcp", address, 200*time.Millisecond)
+		if err != nil {
+			return address
+		}
+		t.Cleanup(func() { _ = c.Close() })
+	}
+	t.Fatal("the system establishes connections that nobody accepts")
+	return ""
+}
+
+// synSent is the state of a connection in the system's table that is not established yet.
+const synSent = "02"
+
+// pendingDials returns how many connections to an address are not established yet, by the system's own table.
+func pendingDials(t *testing.T, address string) (n int) {
+	text, err := os.ReadFile("/proc/self/net/tcp")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var port int
+	if _, err := fmt.Sscanf(address, "127.0.0.1:%d", &port); err != nil {
+		t.Fatal(err)
+	}
+	for line := range strings.Lines(string(text)) {
+		fields := strings.Fields(line)
+		if len(fields) > 3 && fields[2] == fmt.Sprintf("0100007F:%04X", port) && fields[3] == synSent {
+			n++
+		}
+	}
+	return n
+}
+
+// A call that is canceled before its connection is established ends the dial too.
+func TestDialEndsWithItsCall(t *testing.T) {
+	address := unreachableAddress(t)
+	client := http.Client{Transport: Transport()}
+	for range 3 {
+		ctx, cancel := context.WithCancel(context.Background())
+		ended := make(chan error, 1)
+		go func() {
+			request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address, nil)
+			if err == nil {
+				_, err = client.Do(request)
+			}
+			ended <- err
+		}()
+		for end := time.Now().Add(10 * time.Second); pendingDials(t, address) == 0; time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatal("no dial is pending")
+			}
+		}
+		cancel()
+		if err := <-ended; err == nil {
+			t.Error("a response from nowhere")
+		}
+		for end := time.Now().Add(2 * time.Second); pendingDials(t, address) > 0; time.Sleep(time.Millisecond) {
+			if time.Now().After(end) {
+				t.Fatal("a dial goes on after the end of its call")
+			}
+		}
+	}
+}
