--- a/mailbox/mailbox.go
+++ b/mailbox/mailbox.go
@@ -104,7 +104,8 @@
 		return events
 	}
 	m.ownerWaits.Store(true)
-	if events = m.drain(events); len(events) == 0 {
+	events = m.drain(events)
+	if len(events) == 0 {
 		select {
 		case <-ctx.Done():
 		case <-timer:
--- a/proxyproto/config.go
+++ b/proxyproto/config.go
@@ -177,9 +177,11 @@
 		return configError("settings", "%d zones and %d proxies: at least one of each is needed", len(settings.Zones), settings.ProxyCount)
 	}
 	if seed != "" {
-		if settings.Seed, err = strconv.ParseUint(seed, 16, 64); err != nil {
+		parsed, err := strconv.ParseUint(seed, 16, 64)
+		if err != nil {
 			return configError("seed", "%q is not a hexadecimal number of 64 bits", seed)
 		}
+		settings.Seed = parsed
 	}
 	c.Start = settings
 	var host hostSettingsJSON
--- a/proxyproto/fleetmodel_test.go
+++ b/proxyproto/fleetmodel_test.go
@@ -143,7 +143,8 @@
 // applyDelta changes endpoints and delivers the change to the coordinator.
 func (m *fleetModel) applyDelta(endpoints ...policyapi.Endpoint) {
 	for _, e := range endpoints {
-		if m.list[e.ID] = e; e.Status == policyapi.Removed {
+		m.list[e.ID] = e
+		if e.Status == policyapi.Removed {
 			delete(m.list, e.ID)
 		}
 	}
@@ -265,7 +266,8 @@
 		if m.tables[o.Table] == nil {
 			m.tables[o.Table] = map[policyapi.EndpointID]float64{}
 		}
-		if m.tables[o.Table][o.Endpoint] = o.Weight; o.Weight == 0 {
+		m.tables[o.Table][o.Endpoint] = o.Weight
+		if o.Weight == 0 {
 			delete(m.tables[o.Table], o.Endpoint)
 		}
 	case policyapi.ClearTable:
--- a/proxyproto/sequences_test.go
+++ b/proxyproto/sequences_test.go
@@ -20,63 +20,116 @@
 	firstSequence = flag.Uint64("first-sequence", 1, "the seed of the first of them")
 )
 
-// sequence is a random sequence of fleet events at one coordinator: settings and events are drawn from a seed.
+// deployment is what a sequence begins with.
+type deployment struct {
+	initialSettings policyapi.Start
+	perZone         int  // endpoints
+	maxProxies      int  // as many proxies connect at most
+	tight           bool // the tables of all proxies do not pass the channel within half of the grace period
+}
+
+// sequence is a random sequence of fleet events at one coordinator: deployment and events are drawn from a seed.
 type sequence struct {
 	*fleetModel
+	deployment
 	random        *rand.Rand
-	perZone       int
-	maxProxies    int // as many proxies connect at most
 	endpointCount int
 	actions       []string
 	changes       []policyapi.Microseconds // when the list changed
-	tight         bool                     // the tables of all proxies do not pass the channel within half of the grace period
 }
 
-// drawSettings draws the settings of a deployment. Limits are such that a coordinator can keep the rules: a line to each proxy takes a
-// small part of the grace period, and so do the tables of proxies that connect together.
-func drawSettings(r *rand.Rand) (settings policyapi.Start, perZone, maxProxies int, tight bool) {
-	pick := func(values ...int) int { return values[r.IntN(len(values))] }
-	settings = policyapi.Start{InstanceCount: pick(1, 1, 5, 5, 40, 300), PollsList: r.IntN(2) == 0, Admission: policyapi.AdmissionMode(r.IntN(3))}
-	maxProxies = pick(1, 2, 4, 8, 8, 12, 30, 100)
+// pick draws one of some values.
+func pick(r *rand.Rand, values ...int) int { return values[r.IntN(len(values))] }
+
+// drawDeployment draws a deployment. Limits are such that a coordinator can keep the rules: a line to each proxy takes a small part of
+// the grace period, and so do the tables of proxies that connect together.
+func drawDeployment(r *rand.Rand) deployment {
+	var d deployment
+	d.initialSettings.InstanceCount = pick(r, 1, 1, 5, 5, 40, 300)
+	d.initialSettings.PollsList = r.IntN(2) == 0
+	d.initialSettings.Admission = policyapi.AdmissionMode(r.IntN(3))
+	d.maxProxies = pick(r, 1, 2, 4, 8, 8, 12, 30, 100)
 	if r.IntN(25) == 0 {
-		maxProxies = pick(300, 1000)
-	}
-	settings.ProxyCount = maxProxies * settings.InstanceCount
-	settings.Zones = []policyapi.Zone{"a", "b", "c", "d"}[:1+r.IntN(4)]
-	settings.Zone = settings.Zones[0]
-	perZone = pick(0, 1, 2, 3, 6, 12, 30)
-	routingPolicies := map[string]bool{}
+		d.maxProxies = pick(r, 300, 1000)
+	}
+	d.initialSettings.ProxyCount = d.maxProxies * d.initialSettings.InstanceCount
+	d.initialSettings.Zones = []policyapi.Zone{"a", "b", "c", "d"}[:1+r.IntN(4)]
+	d.initialSettings.Zone = d.initialSettings.Zones[0]
+	d.perZone = pick(r, 0, 1, 2, 3, 6, 12, 30)
+	d.initialSettings.Classes = drawClasses(r, d.initialSettings.Zones)
+	d.drawLimits(r)
+	return d
+}
+
+func drawClasses(r *rand.Rand, zones []policyapi.Zone) (classes []policyapi.ClassSettings) {
 	for k := range 1 + r.IntN(3) {
-		class := policyapi.ClassSettings{Name: fmt.Sprintf("kind%d", k), LatencyObjective: 800_000, ClientTimeout: 2 * second, PriorityWeight: float64(1 + r.IntN(3)),
-			Idempotency: policyapi.Idempotency(r.IntN(3)), LocalZoneOnly: r.IntN(4) == 0}
+		class := policyapi.ClassSettings{
+			Name:             fmt.Sprintf("kind%d", k),
+			LatencyObjective: 800_000,
+			ClientTimeout:    2 * second,
+			PriorityWeight:   float64(1 + r.IntN(3)),
+			Idempotency:      policyapi.Idempotency(r.IntN(3)),
+			LocalZoneOnly:    r.IntN(4) == 0,
+		}
 		if r.IntN(5) == 0 {
-			class.AllowedZones = settings.Zones[:1+r.IntN(len(settings.Zones))]
+			class.AllowedZones = zones[:1+r.IntN(len(zones))]
 		}
-		routingPolicies[fmt.Sprint(class.LocalZoneOnly, class.AllowedZones)] = true
-		settings.Classes = append(settings.Classes, class)
-	}
-	maxLines := len(routingPolicies) * 2 * max(1, perZone) * len(settings.Zones) // lines of all tables of a proxy, also after the list has doubled
-	envelope := 3 + r.IntN(4)
-	allTablesLines := float64(maxLines + envelope + 3*len(settings.Classes) + 3)
-	limit := allTablesLines * float64(3+r.IntN(20))
-	limit = max(limit, float64(maxProxies)*allTablesLines/2, float64(2*maxProxies*(envelope+8)))
-	settings.Channel = policyapi.ChannelSettings{MessageOverhead: float64(envelope), Latency: 200_000, MaxLatency: 600_000, EndpointConnections: pick(20, 100, 300, 3000)}
-	drainSeconds := 0.5 + 8*r.Float64() // seconds that a full queue takes
-	settings.Channel.LinesPerSecond = limit / drainSeconds
+		classes = append(classes, class)
+	}
+	return classes
+}
+
+// maxTableLines is how many lines all tables of a proxy have, also after the list has doubled.
+func (d *deployment) maxTableLines() int {
+	zoneRules := map[string]bool{}
+	for _, class := range d.initialSettings.Classes {
+		zoneRules[fmt.Sprint(class.LocalZoneOnly, class.AllowedZones)] = true
+	}
+	return len(zoneRules) * 2 * max(1, d.perZone) * len(d.initialSettings.Zones)
+}
+
+// drawLimits draws channel, reports and rules.
+func (d *deployment) drawLimits(r *rand.Rand) {
+	overhead := 3 + r.IntN(4)
+	allTablesLines := float64(d.maxTableLines() + overhead + 3*len(d.initialSettings.Classes) + 3)
+	queueLimit := allTablesLines * float64(3+r.IntN(20))
+	queueLimit = max(queueLimit, float64(d.maxProxies)*allTablesLines/2, float64(2*d.maxProxies*(overhead+8)))
+	d.initialSettings.Channel = policyapi.ChannelSettings{
+		MessageOverhead:     float64(overhead),
+		Latency:             200_000,
+		MaxLatency:          600_000,
+		EndpointConnections: pick(r, 20, 100, 300, 3000),
+	}
+	drainSeconds := 0.5 + 8*r.Float64() // that a full queue takes
+	d.initialSettings.Channel.LinesPerSecond = queueLimit / drainSeconds
 	grace := policyapi.Microseconds((drainSeconds + 2.5) * float64(second))
-	settings.Reports = policyapi.ReportSettings{Period: policyapi.Microseconds(pick(500, 1000, 1000, 2000, 5000)) * 1000, MaxLinesPerSecond: float64(pick(50, 200, 1000)),
-		MetricsInReports: true, MetricNames: []string{"busy"}}
-	settings.Rules = policyapi.RuleSettings{EmptyTableLimit: grace + 3*second, DrainGracePeriod: grace, WarmUp: policyapi.Microseconds(2+r.IntN(15)) * second, InitialCapacity: 0.2, OverloadFactor: 2.5,
-		OverloadWindow: 2 * second, SoftRemoval: r.IntN(5) == 0, PollInterval: 10 * second, QueueLimit: limit, MessageLimit: pick(0, 2, 3, 4, 6, 10, 20, 20), MessageWindow: 10 * second,
-		HealthChecksAllowed: r.IntN(2) == 0}
-	tight = 2*float64(maxProxies)*allTablesLines/settings.Channel.LinesPerSecond > drainSeconds+2.5
-	return settings, perZone, maxProxies, tight
+	d.initialSettings.Reports = policyapi.ReportSettings{
+		Period:            policyapi.Microseconds(pick(r, 500, 1000, 1000, 2000, 5000)) * 1000,
+		MaxLinesPerSecond: float64(pick(r, 50, 200, 1000)),
+		MetricsInReports:  true,
+		MetricNames:       []string{"busy"},
+	}
+	d.initialSettings.Rules = policyapi.RuleSettings{
+		EmptyTableLimit:     grace + 3*second,
+		DrainGracePeriod:    grace,
+		WarmUp:              policyapi.Microseconds(2+r.IntN(15)) * second,
+		InitialCapacity:     0.2,
+		OverloadFactor:      2.5,
+		OverloadWindow:      2 * second,
+		SoftRemoval:         r.IntN(5) == 0,
+		PollInterval:        10 * second,
+		QueueLimit:          queueLimit,
+		MessageLimit:        pick(r, 0, 2, 3, 4, 6, 10, 20, 20),
+		MessageWindow:       10 * second,
+		HealthChecksAllowed: r.IntN(2) == 0,
+	}
+	d.tight = 2*float64(d.maxProxies)*allTablesLines/d.initialSettings.Channel.LinesPerSecond > drainSeconds+2.5
 }
 
 func newSequence(t testing.TB, seed uint64) *sequence {
 	r := rand.New(rand.NewPCG(seed, 1))
-	settings, perZone, maxProxies, tight := drawSettings(r)
-	s := &sequence{fleetModel: newFleetModel(t, settings, seed), random: r, perZone: perZone, maxProxies: maxProxies, tight: tight}
+	d := drawDeployment(r)
+	s := &sequence{fleetModel: newFleetModel(t, d.initialSettings, seed), deployment: d, random: r}
 	if r.IntN(4) == 0 {
 		s.slowdown = 1 + 2*r.Float64()
 		s.oracle.factor = policyapi.Microseconds(s.slowdown + 1)
@@ -92,8 +145,14 @@
 // newEndpoint returns a new endpoint.
 func (s *sequence) newEndpoint(zone policyapi.Zone, startedAt policyapi.Microseconds) policyapi.Endpoint {
 	s.endpointCount++
-	return policyapi.Endpoint{ID: policyapi.EndpointID(fmt.Sprintf("s-%03d", s.endpointCount)), Zone: zone, Weight: 0.5 + s.random.Float64(), Pod: policyapi.PodID(s.random.IntN(4)),
-		MachineType: "std", StartedAt: startedAt}
+	return policyapi.Endpoint{
+		ID:          policyapi.EndpointID(fmt.Sprintf("s-%03d", s.endpointCount)),
+		Zone:        zone,
+		Weight:      0.5 + s.random.Float64(),
+		Pod:         policyapi.PodID(s.random.IntN(4)),
+		MachineType: "std",
+		StartedAt:   startedAt,
+	}
 }
 
 // start delivers a list, perhaps an incomplete one, and connects proxies.
--- a/proxyserver/coordinator_test.go
+++ b/proxyserver/coordinator_test.go
@@ -30,18 +30,12 @@
 	}
 	srv.discovery.send(listMessage(41, false))
 	pinging := srv.dial()
-	pinging.send("PING")
-	if m, err := pinging.receive(); m != "PONG" || err != nil {
-		t.Errorf("%q, %v", m, err)
-	}
+	pinging.ping()
 	source := srv.dial()
 	source.send("SOURCE az a")
 	source.send("LOAD az a host s-1 n 20 bad 0 avg 40 window 200 report util:0.4,queue:0")
 	source.send("LOAD az a host s-9 n 20 bad 0 avg 40 window 200")
-	source.send("PING")
-	if m, err := source.receive(); m != "PONG" || err != nil {
-		t.Errorf("collector: %q, %v", m, err)
-	}
+	source.ping()
 	old := srv.subscribe(7)
 	if m := old.receiveUntil(7, "replace 1"); !strings.Contains(m, "s-1:") || !strings.Contains(m, "s-2:") || !strings.Contains(m, "stamp") {
 		t.Errorf("%q", m)
@@ -67,23 +61,15 @@
 	acceptUntil(ctx, t, coordinator, "ProxyConnected", func(b []policyapi.Event) bool { return len(b) == 1 })
 	coordinator.publisher.Apply([]policyapi.Order{policyapi.RequestAck{AckID: 5}})
 	coordinator.server.send(coordinator.streams[7], proxyproto.OutboundMessage{Proxy: 7, Bytes: proxyproto.PongReply, AckID: 5, RequestsAck: true})
-	if m, err := old.receive(); m != "PONG" || err != nil {
-		t.Fatal(m, err)
-	}
+	old.expectPong()
 	replacement := srv.subscribe(7)
 	for coordinator.mailbox.Len() == 0 { // the new stream waits for the owner, and the old one goes on
 		old.send("RATE sidecar 7 kind view n 3 bad 0 window 200")
 		time.Sleep(time.Millisecond)
 	}
-	replacement.send("PING")
-	if m, err := replacement.receive(); m != "PONG" || err != nil {
-		t.Fatal(m, err)
-	}
+	replacement.ping()
 	old.send("ACK sidecar 7 version 5 lag_ms 3")
-	old.send("PING")
-	if m, err := old.receive(); m != "PONG" || err != nil {
-		t.Fatal(m, err)
-	}
+	old.ping()
 	hasProxyLoad := func(b []policyapi.Event) bool {
 		return slices.ContainsFunc(b, func(ev policyapi.Event) bool { _, is := ev.(policyapi.ProxyLoad); return is })
 	}
--- a/proxyserver/harness_test.go
+++ b/proxyserver/harness_test.go
@@ -138,6 +138,35 @@
 	}
 }
 
+// ping sends PING and expects PONG as the next message.
+func (c *client) ping() {
+	c.t.Helper()
+	c.send("PING")
+	c.expectPong()
+}
+
+func (c *client) expectPong() {
+	c.t.Helper()
+	if message, err := c.receive(); message != "PONG" || err != nil {
+		c.t.Fatalf("%q, %v, want PONG", message, err)
+	}
+}
+
+// pingPastMessages sends PING and receives messages until PONG.
+func (c *client) pingPastMessages() {
+	c.t.Helper()
+	c.send("PING")
+	for {
+		message, err := c.receive()
+		if err != nil {
+			c.t.Fatalf("the connection was closed before PONG: %v", err)
+		}
+		if message == "PONG" {
+			return
+		}
+	}
+}
+
 // receiveUntil receives messages, acknowledging each ack id, until one contains the text.
 func (c *client) receiveUntil(proxy int, text string) string {
 	c.t.Helper()
--- a/proxyserver/listen.go
+++ b/proxyserver/listen.go
@@ -42,9 +42,11 @@
 	if err != nil {
 		return "", err
 	}
-	if addr.Port, err = bindAndRelease(addr); err != nil {
+	port, err := bindAndRelease(addr)
+	if err != nil {
 		return "", fmt.Errorf("%s: %w", text, err)
 	}
+	addr.Port = port
 	return addr.String(), nil
 }
 
--- a/proxyserver/server_test.go
+++ b/proxyserver/server_test.go
@@ -143,14 +143,8 @@
 	}
 	srv := &testServer{t: t, coordinator: coordinator}
 	connecting, pinging := srv.subscribe(7), srv.dial()
-	connecting.send("PING") // its reply shows that the message before it was taken off the socket
-	if m, err := connecting.receive(); m != "PONG" || err != nil {
-		t.Fatalf("%q, %v", m, err)
-	}
-	pinging.send("PING")
-	if m, err := pinging.receive(); m != "PONG" || err != nil {
-		t.Fatalf("%q, %v", m, err)
-	}
+	connecting.ping() // its reply shows that the message before it was taken off the socket
+	pinging.ping()
 	_ = connecting.Close()
 	got := acceptUntil(ctx, t, coordinator, "ProxyDisconnected", func(b []policyapi.Event) bool { return len(b) >= filled+2 })
 	if connected, is := got[filled].(policyapi.ProxyConnected); !is || connected.Proxy != 7 || got[filled+1] != (policyapi.ProxyDisconnected{Proxy: 7}) {
@@ -172,44 +166,24 @@
 	if m, err := rejected.receive(); m != "NACK" || err != nil {
 		t.Fatalf("%q, %v: a connection over the limit is accepted", m, err)
 	}
-	silent.send("PING")
-	for {
-		m, err := silent.receive()
-		if err != nil {
-			t.Fatal("a stream that may yet acknowledge was closed")
-		}
-		if m == "PONG" {
-			break
-		}
-	}
+	silent.pingPastMessages() // it is still connected: it may yet acknowledge
 	done := make(chan struct{})
 	loop := *srv.coordinator.server.loop.Load()
 	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		for l := range srv.coordinator.server.streams { // as if everything had been long ago
-			l.receivedAt, l.ackPendingSince = l.receivedAt.Add(-2*silenceTimeout), l.ackPendingSince.Add(-2*silenceTimeout)
+		for c := range srv.coordinator.server.streams { // as if everything had been long ago
+			c.receivedAt = c.receivedAt.Add(-2 * silenceTimeout)
+			c.ackPendingSince = c.ackPendingSince.Add(-2 * silenceTimeout)
 		}
 		close(done)
 		return nil
 	}))
 	receive(t, "loop", done)
-	responsive.send("PING")
-	if m, err := responsive.receive(); m != "PONG" || err != nil {
-		t.Fatal(m, err)
-	}
+	responsive.ping()
 	srv.subscribe(3).receiveUntil(3, "replace 1")
 	if _, err := silent.receive(); err == nil {
 		if _, err = silent.receive(); err == nil {
 			t.Error("the silent stream is not closed")
 		}
 	}
-	responsive.send("PING")
-	for {
-		m, err := responsive.receive()
-		if err != nil {
-			t.Fatal("a responsive stream was closed")
-		}
-		if m == "PONG" {
-			break
-		}
-	}
+	responsive.pingPastMessages() // it is still connected
 }
