--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -173,7 +173,7 @@
 	if e.running {
 		return nil
 	}
-	listener, err := listenAgain(e.Addr)
+	listener, err := listenAtSameAddress(e.Addr)
 	if err != nil {
 		return fmt.Errorf("endpoint %s: %w", e.Addr, err)
 	}
@@ -186,8 +186,8 @@
 	return nil
 }
 
-// listenAgain listens at an address that a killed process may still be releasing.
-func listenAgain(addr string) (net.Listener, error) {
+// listenAtSameAddress listens at an address that a killed process may still be releasing.
+func listenAtSameAddress(addr string) (net.Listener, error) {
 	const (
 		attempts = 50
 		delay    = 10 * time.Millisecond
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -62,11 +62,11 @@
 	conns    map[net.Conn]bool // to the coordinator
 	stop     context.CancelFunc
 
-	tables    client.Held
-	lastHeard time.Time // when the coordinator last answered
-	balancer  balancer
-	buckets   map[string]*tokenBucket // by class
-	stats     reportStats
+	tables      client.Held
+	lastContact time.Time // when the coordinator last answered
+	balancer    balancer
+	buckets     map[string]*tokenBucket // by class
+	stats       reportStats
 
 	goroutines sync.WaitGroup // of the running process; Kill waits for them
 }
@@ -119,15 +119,15 @@
 
 // Kill ends the process: all that it has is lost, except for its files.
 func (g *Gateway) Kill() {
-	if !g.shutDown() {
+	if !g.closeAll() {
 		return
 	}
 	g.goroutines.Wait()
 	g.world.Log.GatewayConnected(g.world.Now(), g.Name, false)
 }
 
-// shutDown closes everything that the process has open; it returns false if it does not run.
-func (g *Gateway) shutDown() bool {
+// closeAll closes everything that the process has open; it returns false if it does not run.
+func (g *Gateway) closeAll() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.running {
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -13,13 +13,13 @@
 
 // The times of a gateway's link to the coordinator.
 const (
-	linkTick          = 10 * time.Millisecond
-	linkTimeout       = 2 * time.Second
-	coordinatorDial   = time.Second
-	minLinkBackoff    = 200 * time.Millisecond
-	maxLinkBackoff    = 2 * time.Second
-	filePollInterval  = 10 * time.Millisecond
-	longPollHoldLimit = 5 * time.Second
+	linkTick         = 10 * time.Millisecond
+	linkTimeout      = 2 * time.Second
+	coordinatorDial  = time.Second
+	minLinkBackoff   = 200 * time.Millisecond
+	maxLinkBackoff   = 2 * time.Second
+	filePollInterval = 10 * time.Millisecond
+	longPollTimeout  = 5 * time.Second
 )
 
 var errIsolated = errors.New("no way to the coordinator")
@@ -67,7 +67,7 @@
 	}
 	g := l.gateway
 	g.mu.Lock()
-	g.lastHeard = l.link.Heard()
+	g.lastContact = l.link.Heard()
 	fault := g.ackFault
 	g.mu.Unlock()
 	l.acknowledge(ctx, fault)
@@ -94,7 +94,7 @@
 	g := l.gateway
 	// Grace periods begin with the connection. The time before it makes the audit stricter, not looser.
 	at := g.world.Now()
-	if err := l.link.Join(ctx, g.heldTables()); err != nil {
+	if err := l.link.Join(ctx, g.currentTables()); err != nil {
 		l.disconnect()
 		return
 	}
@@ -128,7 +128,7 @@
 			return
 		}
 		l.acks.removeFirst()
-		err := l.link.Answer(ctx, update, g.heldTables())
+		err := l.link.Answer(ctx, update, g.currentTables())
 		if err != nil && !errors.Is(err, client.ErrRefused) {
 			l.disconnect()
 		} else if update.Err == nil {
@@ -212,14 +212,14 @@
 func (g *Gateway) startPolls(ctx context.Context, addr string, acks *ackQueue) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.Weight}
-	poller := client.NewPoller(client.Options{Node: node, Coordinator: addr, Dial: g.dialCoordinator}, g.Classes, longPollHoldLimit)
+	poller := client.NewPoller(client.Options{Node: node, Coordinator: addr, Dial: g.dialCoordinator}, g.Classes, longPollTimeout)
 	receive := func(update client.Update) {
 		g.applyUpdate(update)
 		acks.add(update)
 	}
 	var polls sync.WaitGroup
 	for _, routes := range []bool{false, true} {
-		polls.Go(func() { poller.Follow(ctx, routes, g.heldTables, receive) })
+		polls.Go(func() { poller.Follow(ctx, routes, g.currentTables, receive) })
 	}
 	return func() {
 		cancel()
--- a/emulator/gateway_proxy.go
+++ b/emulator/gateway_proxy.go
@@ -140,10 +140,10 @@
 		if route.Class != class {
 			continue
 		}
-		if g.lastHeard.IsZero() {
+		if g.lastContact.IsZero() {
 			return route
 		}
-		return route.WithoutCoordinator(policyapi.Microseconds(time.Since(g.lastHeard).Microseconds()))
+		return route.WithoutCoordinator(policyapi.Microseconds(time.Since(g.lastContact).Microseconds()))
 	}
 	return routing.Route{Class: class, Rate: routing.UnlimitedRate, Share: 1}
 }
--- a/emulator/gateway_tables.go
+++ b/emulator/gateway_tables.go
@@ -89,8 +89,8 @@
 	g.world.Log.TableApplied(at, written, g.Name, u.Doc.Version, g.tables.Snapshot)
 }
 
-// heldTables returns what the gateway has from the coordinator.
-func (g *Gateway) heldTables() client.Held {
+// currentTables returns what the gateway has from the coordinator.
+func (g *Gateway) currentTables() client.Held {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tables
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -60,13 +60,13 @@
 	reported  atomic.Bool
 
 	// All below belongs to the goroutine of Run.
-	rng       *rand.Rand
-	table     routing.Snapshot
-	versions  [routing.DocumentCount]string
-	traffic   []lightTraffic // by class
-	sentUntil time.Duration  // up to when requests have been counted
-	lastHeard time.Duration  // when the coordinator last answered
-	reports   lightReports
+	rng         *rand.Rand
+	table       routing.Snapshot
+	versions    [routing.DocumentCount]string
+	traffic     []lightTraffic // by class
+	sentUntil   time.Duration  // up to when requests have been counted
+	lastContact time.Duration  // when the coordinator last answered
+	reports     lightReports
 }
 
 // lightTraffic is what a gateway counts of a class for its next report.
@@ -161,8 +161,8 @@
 
 // admit returns how many of the requests that arrived within a time its route admits.
 func (g *LightGateway) admit(route routing.Route, requests int, elapsed float64, now time.Duration) int {
-	if g.lastHeard > 0 {
-		route = route.WithoutCoordinator(policyapi.Microseconds((now - g.lastHeard).Microseconds()))
+	if g.lastContact > 0 {
+		route = route.WithoutCoordinator(policyapi.Microseconds((now - g.lastContact).Microseconds()))
 	}
 	admitted := int(float64(requests)*route.Share + g.rng.Float64())
 	if route.Rate >= 0 {
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -24,9 +24,9 @@
 	conn    net.Conn
 	reader  *bufio.Reader
 
-	nextReport time.Time
-	interval   time.Duration // until the report after the next
-	asked      time.Duration // interval that the coordinator asked for
+	nextReport        time.Time
+	interval          time.Duration // until the report after the next
+	requestedInterval time.Duration // interval that the coordinator asked for
 }
 
 // runConnection dials the coordinator, then polls, reports and sends until the connection or the context ends.
@@ -37,7 +37,7 @@
 	}
 	defer func() { _ = conn.Close() }()
 	defer context.AfterFunc(ctx, func() { _ = conn.Close() })()
-	link := &lightLink{gateway: g, conn: conn, reader: bufio.NewReaderSize(conn, 4096), interval: g.ReportPeriod, asked: g.ReportPeriod}
+	link := &lightLink{gateway: g, conn: conn, reader: bufio.NewReaderSize(conn, 4096), interval: g.ReportPeriod, requestedInterval: g.ReportPeriod}
 	link.nextReport = time.Now().Add(time.Duration(g.rng.Float64() * float64(g.ReportPeriod)))
 	for ctx.Err() == nil {
 		if err := link.runPeriod(ctx); err != nil {
@@ -81,7 +81,7 @@
 	g := l.gateway
 	message := g.loadReport()
 	start := time.Now()
-	body, status, err := l.post(xds.LoadPath, message)
+	body, status, err := l.sendRequest(xds.LoadPath, message)
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	if answerTime > g.ReportPeriod {
 		g.Tally.LateAnswers.Add(1)
 	}
-	if l.asked > g.ReportPeriod {
+	if l.requestedInterval > g.ReportPeriod {
 		g.Tally.Throttled.Add(1)
 	}
 	answer := &loadv3.LoadStatsResponse{}
@@ -113,7 +113,7 @@
 		return
 	}
 	l.interval = max(answer.GetLoadReportingInterval().AsDuration(), g.ReportPeriod)
-	l.asked = l.interval
+	l.requestedInterval = l.interval
 }
 
 // loadReport reports what was sent since the last accepted report.
@@ -166,7 +166,7 @@
 		path, resourceType = xds.RoutePath, xds.RouteType
 	}
 	node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.totalRate(), Polls: true}
-	body, status, err := l.post(path, xds.Acknowledge(node, resourceType, g.versions[document], "", ""))
+	body, status, err := l.sendRequest(path, xds.Acknowledge(node, resourceType, g.versions[document], "", ""))
 	if err != nil {
 		return false, err
 	}
@@ -232,8 +232,8 @@
 	}
 }
 
-// post sends a message and reads the response. It writes HTTP by hand: thousands of gateways share the process.
-func (l *lightLink) post(path string, message proto.Message) (body []byte, status int, err error) {
+// sendRequest sends a message and reads the response. It writes HTTP by hand: thousands of gateways share the process.
+func (l *lightLink) sendRequest(path string, message proto.Message) (body []byte, status int, err error) {
 	text, err := proto.Marshal(message)
 	if err != nil {
 		return nil, 0, err
@@ -249,6 +249,6 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err = io.ReadAll(response.Body)
-	l.gateway.lastHeard = l.gateway.world.Now()
+	l.gateway.lastContact = l.gateway.world.Now()
 	return body, response.StatusCode, err
 }
