--- a/chaos/endpoint_list.go
+++ b/chaos/endpoint_list.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"time"
 
+	"porthub/audit"
 	"porthub/emulator"
 )
 
@@ -63,3 +64,74 @@
 		labelWeight:  formatWeight(e.Weight),
 	}
 }
+
+// listEntries is the endpoint list as it is now.
+func (f *fleet) listEntries() []emulator.ListEntry {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var out []emulator.ListEntry
+	for _, e := range f.endpoints {
+		listed := f.listed[e.Addr]
+		if listed.state == audit.Absent {
+			continue
+		}
+		out = append(out, emulator.ListEntry{Addr: e.Addr, Zone: e.Zone, Weight: e.Weight, Draining: listed.state == audit.Draining})
+	}
+	return out
+}
+
+// setListed changes what the list says of an endpoint, after a delay.
+func (f *fleet) setListed(e *emulator.Endpoint, state audit.EndpointState, delay time.Duration) {
+	_, startedAt := e.Running()
+	f.pending.Add(1)
+	time.AfterFunc(delay, func() {
+		defer f.pending.Done()
+		f.mu.Lock()
+		f.listed[e.Addr].state = state
+		f.listed[e.Addr].startedAt = startedAt
+		f.mu.Unlock()
+		_ = f.writeList() // a list that can't be written stays as it is, as in production
+		if f.source == allEndpoints {
+			for _, g := range f.gateways {
+				g.RefreshEndpoints()
+			}
+		}
+	})
+}
+
+// writeList writes the endpoint list to its file or registry, and tells the audit.
+func (f *fleet) writeList() error {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.listFrozen && f.registry == nil {
+		return nil
+	}
+	audited := map[string]audit.ListedEndpoint{}
+	var groups []targetGroup
+	for _, e := range f.endpoints {
+		listed := f.listed[e.Addr]
+		audited[e.Addr] = audit.ListedEndpoint{State: listed.state, StartedAt: listed.startedAt, Zone: e.Zone}
+		if listed.state != audit.Absent {
+			groups = append(groups, f.targetGroup(e, listed))
+		}
+	}
+	record := func() { f.log.EndpointList(f.world.Now(), audited) }
+	if f.registry != nil {
+		f.registry.update(f.world.Start, f.endpoints, f.listed, record)
+		return nil
+	}
+	if err := writeListFile(listPath(f.dir), groups); err != nil {
+		return err
+	}
+	record()
+	return nil
+}
+
+func (f *fleet) targetGroup(e *emulator.Endpoint, listed *listedEndpoint) targetGroup {
+	labels := endpointLabels(e)
+	labels[labelLaunched] = launchedLabel(f.world.Start, listed.startedAt)
+	if listed.state == audit.Draining {
+		labels[labelStatus] = statusDraining
+	}
+	return targetGroup{Targets: []string{e.Addr}, Labels: labels}
+}
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -34,61 +34,82 @@
 var faultTypes map[string]faultType
 
 func init() {
-	faultTypes = map[string]faultType{
-		"crash": {"part of the nodes die and come back cold after a while",
+	faultTypes = map[string]faultType{}
+	maps.Copy(faultTypes, endpointFaults())
+	maps.Copy(faultTypes, trafficFaults())
+	maps.Copy(faultTypes, gatewayFaults())
+	maps.Copy(faultTypes, listFaults())
+	for name, fault := range registryFaults {
+		faultTypes[name] = faultType{fault.about, Fault{Duration: 10e6}, fault.inject}
+	}
+}
+
+func endpointFaults() map[string]faultType {
+	return map[string]faultType{
+		"crash": {"part of the endpoints crash and are restarted after a while; they have to warm up",
 			Fault{Duration: 6e6, Share: 0.17}, injection.crash},
-		"mass_restart": {"part of the nodes restart at once and are cold",
+		"mass_restart": {"part of the endpoints restart at once and have to warm up",
 			Fault{Duration: 7e5, Share: 0.5}, injection.crash},
-		"vanish": {"part of the nodes go silent, leave the list late and come back cold",
+		"vanish": {"part of the endpoints go silent, leave the list late and are restarted",
 			Fault{Duration: 8e6, Share: 0.12}, injection.vanish},
-		"hang": {"part of the nodes take reqs and answer none; the list shows nothing",
+		"hang": {"part of the endpoints accept requests and answer none; the list shows nothing",
 			Fault{Duration: 8e6, Share: 0.12}, injection.hang},
-		"pauses": {"part of the nodes stand still for size ms every extra s",
+		"pauses": {"part of the endpoints pause for size ms every extra s",
 			Fault{Duration: 10e6, Share: 0.3, Size: 300, Extra: 1.5}, injection.pause},
-		"flapping": {"part of the nodes fail and recover by turns of size s, extra of it down; each return is cold, and the list follows late",
+		"flapping": {"part of the endpoints crash and are restarted by turns of size s, extra of it down; the list follows late",
 			Fault{Duration: 14e6, Share: 0.12, Size: 5, Extra: 0.4}, injection.flap},
-		"shared_slow": {"every node works size times slower",
+		"shared_slow": {"every endpoint works size times slower",
 			Fault{Duration: 5e6, Size: 1.5}, injection.slowDown},
-		"answer_lost": {"part of the nodes do the work, but size of their answers never come back; probes are answered",
+		"answer_lost": {"part of the endpoints do the work, but size of their responses are lost; health checks are answered",
 			Fault{Duration: 8e6, Share: 0.5, Size: 0.2}, injection.loseResponses},
-		"class_fail": {"part of the nodes fail size of one kind's reqs and serve the others; extra over 0.5: by errors, else by silence",
+		"class_fail": {"part of the endpoints fail size of one class's requests and serve the others; extra over 0.5: by errors, else by silence",
 			Fault{Duration: 10e6, Share: 0.4, Size: 0.9, Class: "capacity"}, injection.failClass},
-		"conn_squeeze": {"every node accepts size of its connections",
+		"conn_squeeze": {"every endpoint accepts size of its connections",
 			Fault{Duration: 10e6, Size: 0.1}, injection.limitConnections},
-		"zone_loss": {"all nodes of a zone die and come back cold; size over 0.5: its gateways too",
+		"zone_loss": {"all endpoints of a zone crash and are restarted; size over 0.5: its gateways too",
 			Fault{Duration: 8e6, Size: 0.6}, injection.loseZone},
-		"zone_cut": {"one zone is cut off from the others: reqs and links alike",
+		"zone_cut": {"one zone is partitioned from the others: requests and links to the coordinator alike",
 			Fault{Duration: 6e6}, injection.partitionZone},
-		"shrink": {"the fleet shrinks to one part in size; each leaves after extra s of drain",
+		"shrink": {"the fleet shrinks to one part in size; each endpoint is removed after extra s of draining",
 			Fault{Duration: 4e6, Size: 1.3, Extra: 3}, injection.shrink},
+	}
+}
 
+func trafficFaults() map[string]faultType {
+	return map[string]faultType{
 		"burst": {"traffic rises to size times the usual, within extra s",
 			Fault{Duration: 5e6, Size: 1.6, Extra: 0.5}, nil},
-		"hot_caller": {"part of the gateways take size of all traffic on top, within extra s",
+		"hot_caller": {"part of the gateways receive size of all traffic on top, within extra s",
 			Fault{Duration: 10e6, Share: 0.07, Size: 0.15, Extra: 0.5}, nil},
-		"heavy_tail": {"extra of one kind's reqs cost size times the usual work",
+		"heavy_tail": {"extra of one class's requests take size times the usual work",
 			Fault{Duration: 10e6, Size: 12, Extra: 0.02, Class: "capacity"}, nil},
 		"shift": {"size of all zones' traffic moves to one zone",
 			Fault{Duration: 10e6, Size: 0.4}, nil},
+	}
+}
 
-		"balancer_crash": {"part of the gateways die and come back with a standing table; size over 0.5: the coordinator is killed instead",
+func gatewayFaults() map[string]faultType {
+	return map[string]faultType{
+		"balancer_crash": {"part of the gateways crash and are restarted with an initial table; size over 0.5: the coordinator is killed instead",
 			Fault{Duration: 3e6, Share: 0.3, Size: 1}, injection.crashGateways},
 		"counter_down": {"part of the gateways reach no coordinator and go on",
 			Fault{Duration: 8e6, Share: 0.3}, injection.isolateGateways},
 		"late_acks": {"part of the gateways acknowledge size s late; size 0: never",
 			Fault{Duration: 10e6, Share: 0.2, Size: 1.5}, injection.delayAcks},
-		"lost_folder": {"the folders of part of the gateways are removed",
+		"lost_folder": {"the directories of part of the gateways are removed",
 			Fault{Duration: 1e6, Share: 0.3}, injection.removeTableDirs},
-		"rollback": {"an operator rolls the fleet's tables back by size s, and lets them go after a while",
+		"rollback": {"an operator rolls the fleet's tables back by size s, and ends that after a while",
 			Fault{Duration: 5e6, Size: 6}, injection.rollBack},
-		"wrong_list": {"the list drops part of the nodes that serve, and names them again after a while",
+	}
+}
+
+func listFaults() map[string]faultType {
+	return map[string]faultType{
+		"wrong_list": {"the list drops part of the endpoints though they serve, and names them again after a while",
 			Fault{Duration: 6e6, Share: 0.2}, injection.dropFromList},
 		"broken_list": {"the list's file is half written, then empty, then gone, for a third of the time each",
 			Fault{Duration: 6e6}, injection.breakList},
 	}
-	for name, fault := range registryFaults {
-		faultTypes[name] = faultType{fault.about, Fault{Duration: 10e6}, fault.inject}
-	}
 }
 
 // seconds converts a figure of a scenario.
--- a/chaos/observe.go
+++ b/chaos/observe.go
@@ -81,7 +81,7 @@
 	if err != nil {
 		return 0
 	}
-	most := 0
+	highest := 0
 	byZone := map[string]int{}
 	for line := range strings.Lines(string(text)) {
 		var record struct {
@@ -90,10 +90,10 @@
 		}
 		if json.Unmarshal([]byte(line), &record) == nil && record.Event == "service_level" {
 			byZone[record.Zone]++
-			most = max(most, byZone[record.Zone])
+			highest = max(highest, byZone[record.Zone])
 		}
 	}
-	return most
+	return highest
 }
 
 // showProgress writes a line each second until done is closed.
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -52,9 +52,9 @@
 }
 
 // workDir returns a given directory, or a new one that remove removes.
-func workDir(given, prefix string) (dir string, remove func(), err error) {
-	if given != "" {
-		return given, func() {}, nil
+func workDir(requested, prefix string) (dir string, remove func(), err error) {
+	if requested != "" {
+		return requested, func() {}, nil
 	}
 	dir, err = os.MkdirTemp(scratch(), prefix)
 	return dir, func() { _ = os.RemoveAll(dir) }, err
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -153,7 +153,7 @@
 	text, err := os.ReadFile(name)
 	if err != nil {
 		names, _ := List()
-		return nil, fmt.Errorf("%w: %q is no built-in one (%s), no only:TROUBLE and no file: %w", ErrScenario, name, strings.Join(names, ", "), err)
+		return nil, fmt.Errorf("%w: %q is no built-in one (%s), no only:FAULT and no file: %w", ErrScenario, name, strings.Join(names, ", "), err)
 	}
 	return text, nil
 }
@@ -163,11 +163,11 @@
 	scenario := defaultScenario()
 	known, ok := faultTypes[fault]
 	if !ok {
-		return scenario, fmt.Errorf("%w: there is no trouble %q, but %s", ErrScenario, fault, strings.Join(FaultNames(), ", "))
+		return scenario, fmt.Errorf("%w: there is no fault %q, but %s", ErrScenario, fault, strings.Join(FaultNames(), ", "))
 	}
 	scenario.Name = name
 	scenario.Seconds = 24
-	scenario.About = "that trouble alone"
+	scenario.About = "that fault alone"
 	single := known.defaults
 	single.Name = fault
 	single.At = 4_000_000
@@ -181,7 +181,7 @@
 // validate returns an [ErrScenario] that names the first thing that is wrong.
 func (s Scenario) validate() error {
 	if !s.plausibleSize() {
-		return s.invalid("it needs 3 to 3600 seconds, 1 to 2000 nodes and gateways, cores, reqs, zones and kinds")
+		return s.invalid("it needs 3 to 3600 seconds, 1 to 2000 endpoints and gateways, cores, requests, zones and classes")
 	}
 	if s.Registry != "" && s.Registry != "file" && s.Registry != "eureka" {
 		return s.invalid("registry is %q: it must be file or eureka", s.Registry)
@@ -209,7 +209,7 @@
 		return s.invalid("troubles[%d]: %q is not one of %v", i, fault.Zone, s.Zones)
 	}
 	if fault.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == fault.Class }) {
-		return s.invalid("troubles[%d]: there is no request kind %q", i, fault.Class)
+		return s.invalid("troubles[%d]: there is no request class %q", i, fault.Class)
 	}
 	if fault.Share < 0 || fault.Share > 1 || fault.Size < 0 {
 		return s.invalid("troubles[%d]: part must be 0 to 1 and size 0 or more", i)
--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -28,7 +28,7 @@
 	seconds     int
 	registry    string
 	endpoints   int
-	heldPolls   int
+	openPolls   int
 	asJSON      bool
 	list        bool
 }
@@ -71,7 +71,7 @@
 	set.BoolVar(&f.loadReports.NoFaults, "calm", false, "with intake: no faults")
 	set.StringVar(&f.loadReports.Profile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
 	set.IntVar(&f.endpoints, "nodes", 100, "with intake and --held-polls: endpoints")
-	set.IntVar(&f.heldPolls, "held-polls", 0, "measure instead: so many gateways with two held polls each are woken at once")
+	set.IntVar(&f.openPolls, "held-polls", 0, "measure instead: so many gateways with two held polls each are woken at once")
 	set.StringVar(&f.options.Levels, "levels", "named", "levels of service: named (as the scenario has them), plain (the module's admission alone) or off")
 	set.StringVar(&f.options.Dir, "keep", "", "use this folder and leave files and logs there")
 }
@@ -80,7 +80,7 @@
 	if f.list {
 		return listScenarios(cmd.OutOrStdout())
 	}
-	if f.heldPolls > 0 {
+	if f.openPolls > 0 {
 		return f.runPolls(cmd.OutOrStdout())
 	}
 	name := defaultScenario
@@ -102,7 +102,7 @@
 	for _, fault := range chaos.FaultNames() {
 		fmt.Fprintf(table, "only:%s\t%s\n", fault, chaos.About(fault))
 	}
-	fmt.Fprintf(table, "%s\tlight gateways by the thousand report while a storm passes: --gateways, --bound, --procs, --calm\n", loadReportsScenario)
+	fmt.Fprintf(table, "%s\tlight gateways by the thousand report while faults strike: --gateways, --bound, --procs, --calm\n", loadReportsScenario)
 	return table.Flush()
 }
 
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	result, err := chaos.RunPolls(command, f.heldPolls, f.endpoints)
+	result, err := chaos.RunPolls(command, f.openPolls, f.endpoints)
 	if err != nil {
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 	}
