--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -10,7 +10,7 @@
 
 // measure asks the coordinator each second for its estimates until the end, and fills in the rates and latencies.
 func (f *lightFleet) measure(start time.Duration, result *LoadReportResult) {
-	var last daemon.Heard
+	var last daemon.SamplingStatus
 	_ = f.readEstimates(&last) // an unanswered first question leaves zeros
 	reportsBefore := f.tally.Reports.Load()
 	offered := int64(0)
@@ -22,9 +22,9 @@
 		if err := f.readEstimates(&last); err != nil {
 			continue // it is down, or behind
 		}
-		if last.Intake.Reports >= before.Intake.Reports { // it was not restarted
-			offered += last.Intake.Lines - before.Intake.Lines
-			accepted += last.Intake.Taken - before.Intake.Taken
+		if last.Sampling.Reports >= before.Sampling.Reports { // it was not restarted
+			offered += last.Sampling.Lines - before.Sampling.Lines
+			accepted += last.Sampling.Taken - before.Sampling.Taken
 		}
 		result.MaxMailbox = max(result.MaxMailbox, last.Inbox)
 		f.compareEstimates(last, result)
@@ -33,7 +33,7 @@
 	result.Reports = float64(f.tally.Reports.Load()-reportsBefore) / elapsed
 	result.Lines = float64(offered) / elapsed
 	result.LinesAccepted = float64(accepted) / elapsed
-	result.Steps = last.Steps
+	result.Steps = last.StepTimes
 	result.AnswerTime = latencyOf(f.tally.AnswerTimes().Latencies())
 	result.DrainTime = latencyOf(f.drainTimes.Latencies())
 	result.LateAnswers = f.tally.LateAnswers.Load()
@@ -43,8 +43,8 @@
 }
 
 // readEstimates asks the coordinator for its estimates. They stay as they were if it does not answer.
-func (f *lightFleet) readEstimates(into *daemon.Heard) error {
-	var fresh daemon.Heard
+func (f *lightFleet) readEstimates(into *daemon.SamplingStatus) error {
+	var fresh daemon.SamplingStatus
 	if err := getJSON("http://"+f.coordinator.address()+"/intake", &fresh); err != nil {
 		return err
 	}
@@ -53,14 +53,14 @@
 }
 
 // compareEstimates compares the coordinator's estimates with the endpoints' load.
-func (f *lightFleet) compareEstimates(answer daemon.Heard, result *LoadReportResult) {
+func (f *lightFleet) compareEstimates(answer daemon.SamplingStatus, result *LoadReportResult) {
 	now := f.world.Now()
 	views := []*View{&result.Overall}
 	if f.isSteady(now) {
 		views = append(views, &result.Steady)
 	}
 	positions := map[string]int{}
-	for i, estimate := range answer.Nodes {
+	for i, estimate := range answer.Endpoints {
 		positions[string(estimate.Endpoint)] = i
 	}
 	period := duration(f.scenario.ReportPeriod)
@@ -75,7 +75,7 @@
 				view.Unseen++
 				continue
 			}
-			estimate := answer.Nodes[i]
+			estimate := answer.Endpoints[i]
 			reportedAt := now - time.Duration(answer.Now-estimate.At)*time.Microsecond
 			attempts := e.AttemptRate(reportedAt-3*period/2, reportedAt-period/2) // a report is on the period before it
 			utilization, queue := e.MeanLoad(reportedAt-period, reportedAt)
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -54,10 +54,10 @@
 	Steady  View `json:"view_steady"`
 	Overall View `json:"view_always"`
 
-	MaxMailbox int          `json:"inbox_most"`
-	Steps      daemon.Times `json:"step_us"`
-	CPU        float64      `json:"cpu_s"`
-	PeakKiB    int64        `json:"peak_kib"`
+	MaxMailbox int              `json:"inbox_most"`
+	Steps      daemon.Latencies `json:"step_us"`
+	CPU        float64          `json:"cpu_s"`
+	PeakKiB    int64            `json:"peak_kib"`
 }
 
 // Passed reports whether all rules were satisfied and all checks are ok.
--- a/chaos/observe.go
+++ b/chaos/observe.go
@@ -47,11 +47,11 @@
 
 // writtenBy asks the coordinator what it has written since its last start; the zero value if it does not answer.
 func writtenBy(f *fleet) Written {
-	var status daemon.Standing
+	var status daemon.Status
 	if err := getJSON("http://"+f.address()+"/tables", &status); err != nil {
 		return Written{}
 	}
-	written := Written{Files: status.Front.Files, Bytes: status.Front.Bytes, Polls: status.Poll, Steps: status.Steps}
+	written := Written{Files: status.FileDelivery.Files, Bytes: status.FileDelivery.Bytes, Polls: status.PollDelivery, Steps: status.StepTimes}
 	for _, g := range status.Gateways {
 		written.Messages += g.Published
 	}
--- a/chaos/result.go
+++ b/chaos/result.go
@@ -82,12 +82,12 @@
 
 // Written is what the coordinator did since its last start by its own count. Nothing is judged by it.
 type Written struct {
-	Messages int           `json:"messages"`
-	Files    int           `json:"files"`
-	Bytes    int64         `json:"bytes"`
-	Polls    xdspoll.Stats `json:"polls"`
-	Steps    daemon.Times  `json:"step_us"`
-	Capture  capture.Stats `json:"capture"`
+	Messages int              `json:"messages"`
+	Files    int              `json:"files"`
+	Bytes    int64            `json:"bytes"`
+	Polls    xdspoll.Stats    `json:"polls"`
+	Steps    daemon.Latencies `json:"step_us"`
+	Capture  capture.Stats    `json:"capture"`
 }
 
 // Baseline is the outcome of another source of tables with the same seed.
--- a/cmd/porthub/chaos_report.go
+++ b/cmd/porthub/chaos_report.go
@@ -29,7 +29,7 @@
 		r.DeliveryTime.P50, r.DeliveryTime.P99, r.ResponseTime.P50, r.ResponseTime.P99, r.DocumentsRead, r.IncompleteReads)
 	fmt.Fprintf(out, "coordinator CPU %.2f s, peak %d MiB, stopped in %.0f ms; ", r.CPU, r.PeakKiB/1024, r.StopMilliseconds)
 	fmt.Fprintf(out, "since its last start %d messages, %d files, %d bytes, step p50 %d us, p99 %d us, most %d us\n",
-		r.Written.Messages, r.Written.Files, r.Written.Bytes, r.Written.Steps.P50, r.Written.Steps.P99, r.Written.Steps.Most)
+		r.Written.Messages, r.Written.Files, r.Written.Bytes, r.Written.Steps.P50, r.Written.Steps.P99, r.Written.Steps.Max)
 	return nil
 }
 
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -102,14 +102,14 @@
   porthub levels set hard --forbid --for 2h --reason "it has cost too much"
   porthub levels set --hold --zone hala-a --for 10m --reason "being looked at"`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r.Do, r.Zone, r.For = degradation.ForceLevel, policyapi.Zone(zone), policyapi.Microseconds(length.Microseconds())
+			r.Action, r.Zone, r.Duration = degradation.ForceLevel, policyapi.Zone(zone), policyapi.Microseconds(length.Microseconds())
 			switch {
 			case forbid && hold:
 				return errors.New("--forbid or --hold, not both")
 			case forbid:
-				r.Do = degradation.ForbidLevel
+				r.Action = degradation.ForbidLevel
 			case hold:
-				r.Do = degradation.HoldLevel
+				r.Action = degradation.HoldLevel
 			}
 			if hold != (len(args) == 0) {
 				return errors.New("name a level to force or forbid it; --hold takes none")
@@ -130,7 +130,7 @@
 }
 
 func levelClearCommand(addr *string) *cobra.Command {
-	var r daemon.UnsayRequest
+	var r daemon.ClearLevelRequest
 	cmd := &cobra.Command{Use: "clear WORD", Short: "Take a word back", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := fmt.Sscan(args[0], &r.ID); err != nil {
@@ -151,7 +151,7 @@
 	if a.Error != "" {
 		return errors.New(a.Error)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", a.Word.ID, a.Word.Action, a.Word.Zone, a.Word.Reason)
+	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", a.Override.ID, a.Override.Action, a.Override.Zone, a.Override.Reason)
 	return nil
 }
 
@@ -194,7 +194,7 @@
 }
 
 func simulate(out io.Writer, set degradation.Settings, name string, in io.Reader) error {
-	m := degradation.New(set)
+	m := degradation.NewController(set)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "AT\tSCOPE\tFROM\tTO\tWHY")
 	lines := bufio.NewScanner(in)
@@ -203,7 +203,7 @@
 	step := func() {
 		for _, c := range m.Step(policyapi.Microseconds(last*1e6), figures) {
 			changes++
-			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == degradation.FleetScope], set.Name(c.From), set.Name(c.To), c.Reason)
+			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == degradation.FleetScope], set.LevelName(c.From), set.LevelName(c.To), c.Reason)
 		}
 		clear(figures)
 	}
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -21,9 +21,9 @@
 	return reportState{
 		aggregate: newLoadAggregate(),
 		sampler: loadreport.New(loadreport.Settings{
-			MaxLines: settings.MaxReportLines,
-			Period:   settings.Start.Reports.Period,
-			Seed:     settings.Start.Seed,
+			MaxLinesPerSecond: settings.MaxReportLines,
+			Period:            settings.Start.Reports.Period,
+			Seed:              settings.Start.Seed,
 		}),
 		utilizationMetric: metricName(settings.Start, 0),
 		queueMetric:       metricName(settings.Start, 1),
--- /dev/null
+++ b/proxyserver/coordinator.go
@@ -0,0 +1,175 @@
+package proxyserver
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"porthub/clock"
+	"porthub/healthcheck"
+	"porthub/mailbox"
+	"porthub/policyapi"
+	"porthub/proxyproto"
+)
+
+// ErrEnvironment is a failure of the machine around the coordinator, such as an address that is in use.
+var ErrEnvironment = errors.New("environment")
+
+const (
+	// maxConcurrentHealthChecks bounds the descriptors that health checks hold.
+	maxConcurrentHealthChecks = 8
+	// laneCapacity is how many inputs may wait for the owner in each lane of the mailbox: a second's reports at ten times the rate
+	// to be expected.
+	laneCapacity = 4096
+	// reservedDescriptors are those that connections may not take: standard streams, listener, pollers, a watch and the one that
+	// replaces it, a snapshot, health checks and their name look-ups, the log.
+	reservedDescriptors = 16 + maxConcurrentHealthChecks
+)
+
+// Coordinator is a running coordinator.
+type Coordinator struct {
+	cfg     proxyproto.Config
+	log     *zap.Logger
+	clock   clock.Clock
+	mailbox *mailbox.Mailbox[input]
+	server  *server
+	checker *healthcheck.Checker
+
+	// Of the owner.
+	module    *policyModule
+	publisher *proxyproto.Publisher
+	streams   map[policyapi.ProxyID]*connection
+	endpoints *endpointStore
+	watcher   *discoveryWatcher
+	timers    timerQueue
+	stats     stats
+	inputs    []input // of a step; reused by the next one
+}
+
+// input is what the owner is handed: exactly one of event, discovery and config is set.
+type input struct {
+	connection *connection // that the event came from; nil for others
+	event      policyapi.Event
+	discovery  *discoveryEvent
+	config     *proxyproto.Config // to be put in force
+}
+
+// New makes a coordinator and listens; Run must be called to serve. An error of the machine wraps ErrEnvironment.
+func New(cfg proxyproto.Config, log *zap.Logger) (*Coordinator, error) {
+	c := &Coordinator{
+		cfg:       cfg,
+		log:       log,
+		clock:     clock.New(),
+		mailbox:   mailbox.New[input](laneCapacity, laneCapacity, nil),
+		publisher: proxyproto.NewPublisher(cfg.Start.Classes),
+		streams:   map[policyapi.ProxyID]*connection{},
+		endpoints: newEndpointStore(),
+	}
+	c.module = newPolicyModule(&c.cfg.Start, log, c.restartModule)
+	c.watcher = newDiscoveryWatcher(&c.cfg, log, c.endpoints)
+	c.watcher.applyList = c.applyList
+	c.watcher.client = newDiscoveryClient(cfg.Start.Zones, func(e discoveryEvent) { c.mailbox.PutUrgent(input{discovery: &e}) })
+
+	cached := c.cachedList()
+	c.endpoints.apply(cached, cfg.CachedList.HealthCheckAddresses)
+	validator := proxyproto.NewValidator(cfg.Start)
+	validator.Apply(cached)
+	c.checker = healthcheck.New(c.healthCheckOptions(), func(r policyapi.HealthCheckResult) { c.mailbox.PutUrgent(input{event: r}) })
+
+	maxConnections := math.MaxInt
+	if cfg.Limits.Sockets > 0 {
+		maxConnections = max(1, cfg.Limits.Sockets-reservedDescriptors)
+	}
+	var err error
+	c.server, err = listen(cfg.Listen, &server{
+		mailbox:        c.mailbox,
+		log:            log,
+		maxConnections: maxConnections,
+		validator:      validator,
+	})
+	return c, err
+}
+
+// cachedList is the endpoint list of the configuration.
+func (c *Coordinator) cachedList() policyapi.EndpointUpdate {
+	cached := c.cfg.CachedList.Update
+	cached.Kind = policyapi.Cached
+	return cached
+}
+
+// Addr returns the address on which the coordinator listens.
+func (c *Coordinator) Addr() string { return c.server.addr }
+
+// healthCheckOptions returns how endpoints are checked: where the deployment has load reports, they come with the answer. A check may
+// take as long as a connection may, and then as long as reports are apart: a later result is out of date.
+func (c *Coordinator) healthCheckOptions() healthcheck.Options {
+	path := "/alive"
+	if len(c.cfg.Start.Reports.MetricNames) > 0 {
+		path = "/metrics/load"
+	}
+	return healthcheck.Options{
+		MaxConcurrent: maxConcurrentHealthChecks,
+		Timeout:       time.Duration(c.cfg.Host.ConnectTimeout+c.cfg.Start.Reports.Period) * time.Microsecond,
+		URL: func(id policyapi.EndpointID) (string, bool) {
+			address, has := c.endpoints.addresses.lookup(id)
+			return "http://" + address + path, has
+		},
+		Metrics: func(response *http.Response) policyapi.LoadMetrics {
+			var report map[string]any // values that are no figures are passed over
+			if json.NewDecoder(response.Body).Decode(&report) != nil {
+				return nil
+			}
+			return proxyproto.ParseMetrics(report)
+		},
+	}
+}
+
+// Reload puts a new configuration in force. Only discovery's address can change while the coordinator runs; the log says what else
+// differs. It may be called from any goroutine.
+func (c *Coordinator) Reload(cfg proxyproto.Config) { c.mailbox.PutUrgent(input{config: &cfg}) }
+
+// Run serves until the context ends, then closes all connections and returns nil. It returns an error if the decision module fails
+// repeatedly, or, wrapping ErrEnvironment, if the listener ends.
+func (c *Coordinator) Run(ctx context.Context) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer c.mailbox.Close()
+	defer c.checker.Close()
+	defer c.server.close()
+	if err := c.process(ctx, []policyapi.Event{c.cachedList()}); err != nil {
+		return err
+	}
+	if !c.cfg.Start.PollsList { // the decision module expects changes without asking for them
+		c.watcher.follow(ctx)
+	}
+	for ctx.Err() == nil {
+		if err := c.step(ctx); err != nil {
+			return err
+		}
+		select {
+		case err := <-c.server.ended:
+			return fmt.Errorf("%w: the listener has ended: %w", ErrEnvironment, err)
+		default:
+		}
+	}
+	return nil
+}
+
+// reload takes a configuration of Reload.
+func (c *Coordinator) reload(ctx context.Context, cfg proxyproto.Config) {
+	if ignored := c.cfg.ChangedSettings(cfg); len(ignored) > 0 {
+		c.log.Warn("configuration reloaded: these changes need a restart", zap.Strings("ignored", ignored))
+	}
+	if cfg.Discovery == c.watcher.address {
+		c.log.Info("configuration reloaded: no change")
+		return
+	}
+	c.log.Info("configuration reloaded", zap.String("discovery", cfg.Discovery))
+	c.watcher.setAddress(ctx, cfg.Discovery)
+}
