--- a/audit/warm_up.go
+++ b/audit/warm_up.go
@@ -10,7 +10,7 @@
 // evaluateWarmUps: within any window the work that arrives at an endpoint that warms up stays below a multiple of its
 // capacity; the work of two requests is left to chance. All work counts if two thirds of it came from gateways that knew
 // of the start: whose last file was written after the list had named it, or whose coordinator had known of it for the
-// grace period. Nobody could have told the others; what the knowing ones send must stay below the limit by itself too.
+// grace period. The others could not have known; what the knowing ones send must stay below the limit by itself too.
 func (l *Log) evaluateWarmUps(end time.Duration) Verdict {
 	worst := &peak{}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -12,14 +12,14 @@
 	"porthub/policyapi"
 )
 
-// Damage is a part of a segment that can't be read. What stands there is lost; reading goes on after it.
+// Damage is a part of a segment that can't be read. What it contained is lost; reading goes on after it.
 type Damage struct {
 	Segment string `json:"segment"`
 	Offset  int64  `json:"offset"`
 	Bytes   int64  `json:"bytes"`
 	Problem string `json:"what"`
-	// Torn is the end of a segment as a killed process leaves it: nothing that was written completely is lost.
-	Torn bool `json:"torn"`
+	// Truncated is the end of a segment as a killed process leaves it: nothing that was written completely is lost.
+	Truncated bool `json:"torn"`
 }
 
 // Reader reads a capture block by block: it may be larger than memory. It is not safe for concurrent use.
@@ -130,7 +130,7 @@
 	}
 	gap := gapRecord(max(1, expected), record.Seq-1, "not in this capture")
 	gap.Seq = expected
-	if expected > 0 && len(r.Damages) > 0 && !r.Damages[len(r.Damages)-1].Torn {
+	if expected > 0 && len(r.Damages) > 0 && !r.Damages[len(r.Damages)-1].Truncated {
 		gap.Gap.Reason = "damaged"
 	}
 	r.deferred = record
--- a/capture/reader_test.go
+++ b/capture/reader_test.go
@@ -27,7 +27,7 @@
 				t.Fatalf("cut at %d: record %d is %+v", n, i, record)
 			}
 		}
-		if len(got) < before || len(r.Damages) > 1 || len(r.Damages) == 1 && !r.Damages[0].Torn {
+		if len(got) < before || len(r.Damages) > 1 || len(r.Damages) == 1 && !r.Damages[0].Truncated {
 			t.Fatalf("cut at %d: %d records, %d before, %v", n, len(got), before, r.Damages)
 		}
 		before = len(got)
@@ -50,7 +50,7 @@
 		damaged[position] ^= 1 << rng.IntN(8)
 		writeFile(t, path, damaged)
 		got, r := readAll(t, path)
-		if len(r.Damages) != 1 || r.Damages[0].Torn && len(got) < len(all)-1 {
+		if len(r.Damages) != 1 || r.Damages[0].Truncated && len(got) < len(all)-1 {
 			t.Fatalf("bit at %d: %v", position, r.Damages)
 		}
 		missing := uint64(0)
--- a/capture/record.go
+++ b/capture/record.go
@@ -52,7 +52,7 @@
 	ClearOverride int                   `cbor:"unsay,omitempty" json:"Unsay"`
 }
 
-// Gap stands in the place of missing records: the inputs of that time are unknown.
+// Gap takes the place of missing records: the inputs of that time are unknown.
 type Gap struct {
 	From   uint64 `cbor:"from" json:"From"`
 	To     uint64 `cbor:"to" json:"To"` // 0 if unknown: up to the next record
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -47,7 +47,7 @@
 
 // Incomplete reports whether records are missing that had been written completely.
 func (v ReplayResult) Incomplete() bool {
-	return slices.ContainsFunc(v.Damages, func(d Damage) bool { return !d.Torn })
+	return slices.ContainsFunc(v.Damages, func(d Damage) bool { return !d.Truncated })
 }
 
 // Watcher is called after each record with the core as it then is; core is nil where its state is unknown. Replay ends
--- a/capture/segment_reader.go
+++ b/capture/segment_reader.go
@@ -46,7 +46,7 @@
 		return Damage{}, true
 	}
 	if s.size < segmentHeadSize {
-		return Damage{Segment: s.path, Bytes: s.size, Problem: "no head", Torn: true}, false
+		return Damage{Segment: s.path, Bytes: s.size, Problem: "no head", Truncated: true}, false
 	}
 	return Damage{Segment: s.path, Bytes: segmentHeadSize, Problem: "another head: no capture, or a damaged one"}, false
 }
@@ -89,7 +89,7 @@
 	next, found := s.findBlock(s.offset + 1)
 	if !found {
 		var problem *DamageError
-		damage.Torn = errors.As(reason, &problem) && problem.Truncated
+		damage.Truncated = errors.As(reason, &problem) && problem.Truncated
 		next = s.size
 	}
 	damage.Bytes = next - s.offset
--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -141,7 +141,7 @@
 	lost := false
 	for _, d := range damages {
 		fmt.Fprintf(out, "%s, offset %d, %d bytes: %s\n", d.Segment, d.Offset, d.Bytes, d.Problem)
-		lost = lost || !d.Torn
+		lost = lost || !d.Truncated
 	}
 	if lost {
 		return errNotHeld
