--- a/chaos/checks.go
+++ b/chaos/checks.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		if check.Name == checkLevelChanges { // no more than the settings allow
-			levels, _ := s.Config("", "127.0.0.1:0", 1).ServiceLevels() // valid: the coordinator has run with them
+			levels, _ := s.Config("", "127.0.0.1:0", 1).DegradationSettings() // valid: the coordinator has run with them
 			check.AtMost = float64(levels.MaxChanges(policyapi.Microseconds(s.Seconds+levelChangesMargin) * 1_000_000))
 		}
 		out = append(out, check.evaluate(figure))
--- a/chaos/fault_endpoints.go
+++ b/chaos/fault_endpoints.go
@@ -195,7 +195,7 @@
 		f.setListed(e, audit.Draining, 0)
 		f.setListed(e, audit.Absent, drain)
 		// Twice the grace period later: what is sent within it is still served.
-		time.AfterFunc(drain+2*duration(f.scenario.Rules.DrainGrace), e.Kill)
+		time.AfterFunc(drain+2*duration(f.scenario.Rules.DrainGracePeriod), e.Kill)
 		if !f.sleep(interval) {
 			return
 		}
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -58,17 +58,17 @@
 func auditLimits(s Scenario) audit.Limits {
 	const messageOverhead = 6 // lines
 	limits := audit.Limits{
-		EmptyTableLimit:       duration(s.Rules.EmptyFor),
-		DrainGracePeriod:      duration(s.Rules.DrainGrace),
-		DrainAppliesToRemoved: s.Rules.GoneBinds,
-		WarmUp:                duration(s.Rules.Cold),
-		InitialCapacity:       s.Rules.ColdFrom,
-		OverloadFactor:        s.Rules.ColdMultiple,
-		OverloadWindow:        duration(s.Rules.ColdWindow),
-		QueueLimit:            s.Rules.WaitingLines,
+		EmptyTableLimit:       duration(s.Rules.EmptyTableLimit),
+		DrainGracePeriod:      duration(s.Rules.DrainGracePeriod),
+		DrainAppliesToRemoved: s.Rules.RemovalIsDrain,
+		WarmUp:                duration(s.Rules.WarmUp),
+		InitialCapacity:       s.Rules.InitialCapacity,
+		OverloadFactor:        s.Rules.OverloadFactor,
+		OverloadWindow:        duration(s.Rules.OverloadWindow),
+		QueueLimit:            s.Rules.QueueLimit,
 		MessageOverhead:       messageOverhead,
-		MessageLimit:          s.Rules.Messages,
-		MessageWindow:         duration(s.Rules.MessagesIn),
+		MessageLimit:          s.Rules.MessageLimit,
+		MessageWindow:         duration(s.Rules.MessageWindow),
 	}
 	for _, class := range s.Classes {
 		limits.Classes = append(limits.Classes, audit.Class{Name: class.Name, Idempotent: class.idempotent()})
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -97,16 +97,16 @@
 func lightConfiguration(o LoadReportOptions, scenario Scenario, dir string) config.Config {
 	const linesPerGateway = 40
 	c := scenario.Config(dir, "127.0.0.1:0", 1)
-	c.Rules.WaitingLines = float64(linesPerGateway * o.Gateways)
+	c.Rules.QueueLimit = float64(linesPerGateway * o.Gateways)
 	if o.GracePeriod > 0 {
-		c.Rules.DrainGrace = o.GracePeriod
-		c.Rules.EmptyFor = o.GracePeriod
+		c.Rules.DrainGracePeriod = o.GracePeriod
+		c.Rules.EmptyTableLimit = o.GracePeriod
 	}
 	connections := 2*o.Gateways + 200 // all of them, twice while they reconnect, and the hostile peers
 	c.Limits = config.Limits{Connections: connections, PerAddress: connections}
-	c.Gateways.SilentAfter = 10_000_000
-	c.Reports.Intake = o.MaxLinesPerSecond
-	c.Probes.Allowed = false
+	c.Gateways.SilenceTimeout = 10_000_000
+	c.Reports.SamplingLimit = o.MaxLinesPerSecond
+	c.HealthChecks.Allowed = false
 	c.Capture.Enabled = false
 	return c
 }
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -85,10 +85,10 @@
 	log := audit.NewLog(auditLimits(scenario))
 	world := emulator.NewWorld(log, emulator.WarmUpRules{}, 1)
 	c := scenario.Config(dir, "127.0.0.1:0", 1)
-	c.Rules.WaitingLines = float64(400 * gateways)
-	c.Gateways.SilentAfter = 120_000_000
-	c.Front.Poll.Hold = 60_000_000
-	c.Front.Poll.Most = 4 * gateways
+	c.Rules.QueueLimit = float64(400 * gateways)
+	c.Gateways.SilenceTimeout = 120_000_000
+	c.Delivery.Poll.MaxWait = 60_000_000
+	c.Delivery.Poll.MaxPending = 4 * gateways
 	c.Limits = config.Limits{Connections: 4 * gateways, PerAddress: 4 * gateways}
 	return &pollMeasurement{
 		scenario:    scenario,
@@ -229,8 +229,8 @@
 	if p.routes {
 		path, resourceType = xds.RoutePath, xds.RouteType
 	}
-	node := xds.Node{Name: fmt.Sprintf("gw-%d", p.gateway), Zone: p.measurement.zone(p.gateway), Weight: 1, Polls: true, Hold: time.Minute}
-	text, err := proto.Marshal(xds.Acknowledge(node, resourceType, version, "", ""))
+	node := xds.Node{Name: fmt.Sprintf("gw-%d", p.gateway), Zone: p.measurement.zone(p.gateway), UsualRate: 1, Polls: true, MaxWait: time.Minute}
+	text, err := proto.Marshal(xds.NewAcknowledgement(node, resourceType, version, "", ""))
 	if err != nil {
 		return nil, err
 	}
--- a/chaos/registry.go
+++ b/chaos/registry.go
@@ -122,7 +122,7 @@
 // configure makes the registry the coordinator's source of the list.
 func (r *eurekaRegistry) configure(c *config.Config) {
 	const maxResponse = 1 << 20 // bytes
-	source := config.EurekaRegistry{Name: "eureka", Deltas: true, Poll: 300_000, Timeout: 500_000, Most: maxResponse}
+	source := config.EurekaRegistry{Name: "eureka", Deltas: true, PollInterval: 300_000, Timeout: 500_000, MaxResponseBytes: maxResponse}
 	for _, peer := range r.peers {
 		source.Addresses = append(source.Addresses, peer.Addr)
 	}
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -123,10 +123,10 @@
 	c := r.scenario.Config(r.fleet().dir, "127.0.0.1:0", r.options.Seed)
 	switch r.options.Levels {
 	case "plain":
-		c.Service = config.Service{}
+		c.Degradation = config.Degradation{}
 	case "off":
-		c.Service = config.Service{}
-		c.Levels = "off"
+		c.Degradation = config.Degradation{}
+		c.Admission = "off"
 	}
 	c.Solver.Enabled = !r.options.NoSolver
 	c.Recovery.Enabled = !r.options.NoRecovery
--- a/chaos/run_test.go
+++ b/chaos/run_test.go
@@ -15,11 +15,11 @@
 	s.EndpointCount = 9
 	s.GatewayCount = 6
 	s.RequestRate = 50
-	s.Rules.Cold = 6_000_000
+	s.Rules.WarmUp = 6_000_000
 	// On a machine that is busy with other things a real-time test must not judge tightly: a drain usually takes under a
 	// second.
-	s.Rules.DrainGrace = 10_000_000
-	s.Rules.EmptyFor = 10_000_000
+	s.Rules.DrainGracePeriod = 10_000_000
+	s.Rules.EmptyTableLimit = 10_000_000
 	s.Faults = []Fault{
 		{Name: "crash", At: 2e6, Duration: 3e6, Share: 0.2},
 		{Name: "balancer_crash", At: 6e6, Duration: 15e5, Size: 1},
@@ -54,8 +54,8 @@
 	t.Parallel()
 	runAll(t, audit.Rules, func(t *testing.T, rule string) {
 		s := shortDay()
-		s.Rules.DrainGrace = 3_000_000
-		s.Rules.EmptyFor = 5_000_000
+		s.Rules.DrainGracePeriod = 3_000_000
+		s.Rules.EmptyTableLimit = 5_000_000
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool {
 			return f.Name != "crash" && f.Name != "answer_lost" && f.Name != "shrink"
 		})
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -15,27 +15,27 @@
 
 // Scenario is a fleet and the faults that strike it.
 type Scenario struct {
-	Name           string          `json:"name"`
-	About          string          `json:"about"`
-	Seconds        int             `json:"seconds"`
-	Zones          []string        `json:"zones"`
-	EndpointCount  int             `json:"nodes"`
-	EndpointCores  int             `json:"cores"`
-	GatewayCount   int             `json:"gateways"`
-	RequestRate    float64         `json:"reqs_per_s"`     // of all gateways together
-	GatewaySpread  float64         `json:"gateway_spread"` // sigma of the gateways' log-normal sizes; 0: all the same
-	Classes        []Class         `json:"request_kinds"`
-	Rules          config.Rules    `json:"rules"`
-	ReportPeriod   config.Duration `json:"report_period"`
-	ListDelay      config.Duration `json:"list_late"` // from a change to its being in the endpoint list
-	Retries        int             `json:"client_retries"`
-	QueueLength    int             `json:"node_queue"`
-	MaxConnections int             `json:"node_connections"`
-	ReadChunk      int             `json:"read_chunk"` // bytes that gateways read of a file at a time; 0: all at once
-	Registry       string          `json:"registry"`   // file or eureka; empty: file
-	Faults         []Fault         `json:"troubles"`
-	Checks         []Check         `json:"checks"`
-	Service        config.Service  `json:"service"` // the coordinator's levels of reduced service
+	Name           string             `json:"name"`
+	About          string             `json:"about"`
+	Seconds        int                `json:"seconds"`
+	Zones          []string           `json:"zones"`
+	EndpointCount  int                `json:"nodes"`
+	EndpointCores  int                `json:"cores"`
+	GatewayCount   int                `json:"gateways"`
+	RequestRate    float64            `json:"reqs_per_s"`     // of all gateways together
+	GatewaySpread  float64            `json:"gateway_spread"` // sigma of the gateways' log-normal sizes; 0: all the same
+	Classes        []Class            `json:"request_kinds"`
+	Rules          config.Rules       `json:"rules"`
+	ReportPeriod   config.Duration    `json:"report_period"`
+	ListDelay      config.Duration    `json:"list_late"` // from a change to its being in the endpoint list
+	Retries        int                `json:"client_retries"`
+	QueueLength    int                `json:"node_queue"`
+	MaxConnections int                `json:"node_connections"`
+	ReadChunk      int                `json:"read_chunk"` // bytes that gateways read of a file at a time; 0: all at once
+	Registry       string             `json:"registry"`   // file or eureka; empty: file
+	Faults         []Fault            `json:"troubles"`
+	Checks         []Check            `json:"checks"`
+	Service        config.Degradation `json:"service"` // the coordinator's levels of reduced service
 }
 
 // Class is a request class of a scenario.
@@ -237,19 +237,19 @@
 	c.Coordinator = config.Coordinator{Zone: s.Zones[0], Instances: 1, Seed: int(seed % maxSeedValue)}
 	c.Listen = listen
 	c.StateDir = path.Join(dir, "state")
-	c.Front.Files.Dir = tableDir(dir)
+	c.Delivery.Files.Dir = tableDir(dir)
 	c.Registry.File.Path = listPath(dir)
-	c.Registry.File.Poll = listPoll
+	c.Registry.File.PollInterval = listPoll
 	c.Zones = s.Zones
 	c.Rules = s.Rules
-	c.Service = s.Service
+	c.Degradation = s.Service
 	c.Reports.Period = s.ReportPeriod
-	c.Gateways.Expected = s.GatewayCount
-	c.Gateways.SilentAfter = max(minSilence, 3*s.ReportPeriod)
-	c.Channel.Connections = s.MaxConnections
+	c.Gateways.ExpectedCount = s.GatewayCount
+	c.Gateways.SilenceTimeout = max(minSilence, 3*s.ReportPeriod)
+	c.Channel.EndpointConnections = s.MaxConnections
 	for _, class := range s.Classes {
-		c.Kinds = append(c.Kinds, config.Kind{Name: class.Name, Repeat: class.Repeat, ResponseTarget: class.LatencyObjective,
-			ClientTimeout: class.ClientTimeout, Payoff: class.PriorityWeight, OnlyZones: []string{}})
+		c.Classes = append(c.Classes, config.RequestClass{Name: class.Name, Idempotency: class.Repeat, LatencyObjective: class.LatencyObjective,
+			ClientTimeout: class.ClientTimeout, PriorityWeight: class.PriorityWeight, AllowedZones: []string{}})
 	}
 	return c
 }
--- a/daemon/control_test.go
+++ b/daemon/control_test.go
@@ -20,7 +20,7 @@
 	r := startTestDaemon(t, nil)
 	g := r.connectGateway("gw-1", "a")
 	open := func(b policyapi.EndpointID) bool {
-		g.sync(t, xds.Kind{Name: "view", Arrived: 1})
+		g.sync(t, xds.ClassReport{Class: "view", Arrived: 1})
 		for _, c := range g.state.Snapshot.Clusters {
 			for _, l := range c.Endpoints {
 				if l.Endpoint == b && !l.Withheld {
@@ -83,7 +83,7 @@
 func TestOverviewIsCached(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	g := r.connectGateway("gw-1", "a")
-	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointsFrom != "" })
+	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointVersion != "" })
 	overview := func() coordinator.LoggedOverview {
 		res, err := http.Get("http://" + r.daemon.Addr() + "/overview")
 		if err != nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -91,7 +91,7 @@
 	d.coreSettings = coreSettings(o.Config, d.clock.Now())
 	d.core = coordinator.New(d.coreSettings)
 	d.recorder = newRecorder(o.Config.Capture, d.config.StateDir, d.log)
-	d.polls = xdspoll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
+	d.polls = xdspoll.NewHub(o.Config.Delivery.Poll.MaxPending, o.Config.Delivery.Poll.DeltaBases)
 	if err := d.open(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
@@ -117,7 +117,7 @@
 func (d *Daemon) connectSources() {
 	if path := d.config.Registry.File.Path; path != "" {
 		version := policyapi.ListVersion(0)
-		d.fileSource = file.New(path, duration(d.config.Registry.File.Poll), func(endpoints []policyapi.Endpoint, err error) {
+		d.fileSource = file.New(path, duration(d.config.Registry.File.PollInterval), func(endpoints []policyapi.Endpoint, err error) {
 			version++
 			list := coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: endpoints}}
 			if err != nil {
@@ -132,14 +132,14 @@
 			d.submit(coordinator.RegistryUpdate{SourceUpdate: update})
 		}))
 	}
-	d.healthChecks = healthcheck.New(healthCheckOptions(d.config.Probes), func(result policyapi.HealthCheckResult) {
+	d.healthChecks = healthcheck.New(healthCheckOptions(d.config.HealthChecks), func(result policyapi.HealthCheckResult) {
 		d.submit(coordinator.HealthCheckResult{HealthCheckResult: result})
 	})
 }
 
 // open opens the folder of the gateways' files, tracing, the sources and, last, the listener.
 func (d *Daemon) open() (err error) {
-	files := d.config.Front.Files
+	files := d.config.Delivery.Files
 	d.files, err = xdsfile.Open(files.Dir, files.Writers, func(gateway coordinator.Gateway, err error) {
 		d.submit(coordinator.PublishFailed{Gateway: gateway, Reason: err.Error()})
 	})
@@ -161,7 +161,7 @@
 // Addr is the address that gateways and tools connect to.
 func (d *Daemon) Addr() string { return d.server.addr }
 
-// Front counts what was written for gateways that read files.
+// Delivery counts what was written for gateways that read files.
 func (d *Daemon) Front() xdsfile.Stats { return d.files.Stats() }
 
 // shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -22,15 +22,15 @@
 	r := startTestDaemon(t, nil)
 	g := r.connectGateway("gw-1", "a")
 	r.waitFor("tables that the gateway has acknowledged", func() bool {
-		g.sync(t, xds.Kind{Name: "view", Arrived: 3, Endpoints: []xds.Endpoint{
-			{Backend: "127.0.0.1:9001", Zone: "a", Tries: 3, Answer: 150 * time.Millisecond, Loads: map[string]float64{"util": 0.4}, Loaded: 3}}})
+		g.sync(t, xds.ClassReport{Class: "view", Arrived: 3, Endpoints: []xds.EndpointReport{
+			{Address: "127.0.0.1:9001", Zone: "a", Attempts: 3, MeanLatency: 150 * time.Millisecond, Metrics: map[string]float64{"util": 0.4}, MetricSamples: 3}}})
 		s := r.status("gw-1")
-		return g.state.Snapshot.OpenEndpoints("view") >= 2 && g.state.Snapshot.OpenEndpoints("save") >= 2 && s.Unacknowledged == 0 && s.Confirmed[0] == g.state.EndpointsFrom
+		return g.state.Snapshot.OpenEndpoints("view") >= 2 && g.state.Snapshot.OpenEndpoints("save") >= 2 && s.Unacknowledged == 0 && s.Confirmed[0] == g.state.EndpointVersion
 	})
 	r.write("nodes.json", strings.Replace(threeEndpoints, `"127.0.0.1:9001", `, "", 1)[:1]+
 		`{"targets": ["127.0.0.1:9001"], "labels": {"zone": "a", "status": "draining"}},`+strings.Replace(threeEndpoints, `"127.0.0.1:9001", `, "", 1)[1:])
 	r.waitFor("tables without the drained endpoint", func() bool {
-		g.sync(t, xds.Kind{Name: "view", Arrived: 1})
+		g.sync(t, xds.ClassReport{Class: "view", Arrived: 1})
 		for _, c := range g.state.Snapshot.Clusters {
 			for _, l := range c.Endpoints {
 				if l.Endpoint == "127.0.0.1:9001" && !l.Withheld {
@@ -42,7 +42,7 @@
 	})
 	before := r.daemon.Front()
 	for range 8 {
-		g.sync(t, xds.Kind{Name: "view", Arrived: 1})
+		g.sync(t, xds.ClassReport{Class: "view", Arrived: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
 	if after := r.daemon.Front(); after.Files > before.Files+4 {
@@ -74,14 +74,14 @@
 			r.write("nodes.json", strings.Replace(threeEndpoints, `"127.0.0.1:9001", `, "", 1))
 		}
 		for i, g := range []*testGateway{a, b} {
-			g.sync(t, xds.Kind{Name: "view", Arrived: 10 + round + i, Endpoints: []xds.Endpoint{
-				{Backend: "127.0.0.1:9002", Zone: "a", Tries: 5, Errored: round % 2, Answer: 160 * time.Millisecond, Loads: load, Loaded: 5},
-				{Backend: "127.0.0.1:9003", Zone: "b", Tries: 6, Answer: 170 * time.Millisecond, Loads: load, Loaded: 6}}})
+			g.sync(t, xds.ClassReport{Class: "view", Arrived: 10 + round + i, Endpoints: []xds.EndpointReport{
+				{Address: "127.0.0.1:9002", Zone: "a", Attempts: 5, Failures: round % 2, MeanLatency: 160 * time.Millisecond, Metrics: load, MetricSamples: 5},
+				{Address: "127.0.0.1:9003", Zone: "b", Attempts: 6, MeanLatency: 170 * time.Millisecond, Metrics: load, MetricSamples: 6}}})
 		}
 	}
 	r.stop()
 	r.stop = func() {}
-	core := coordinator.New(coordinator.Settings{Start: r.config.Up(), Epoch: "library", SilenceTimeout: policyapi.Microseconds(r.config.Gateways.SilentAfter), SolverEnabled: true})
+	core := coordinator.New(coordinator.Settings{Start: r.config.Start(), Epoch: "library", SilenceTimeout: policyapi.Microseconds(r.config.Gateways.SilenceTimeout), SolverEnabled: true})
 	orders, tables := 0, 0
 	for i, s := range r.steps {
 		// Versions are named after the start; what was acknowledged is the same message.
@@ -122,7 +122,7 @@
 		return g.state.Snapshot.OpenEndpoints("view") == 3 || g.state.Snapshot.OpenEndpoints("view") == 2
 	})
 	r.waitFor("the saved list", func() bool { _, err := os.Stat(filepath.Join(r.dir, "state", listName)); return err == nil })
-	old := g.state.EndpointsFrom
+	old := g.state.EndpointVersion
 	g.link.Close()
 	r.stop()
 	if err := os.Remove(filepath.Join(r.dir, "nodes.json")); err != nil {
@@ -140,7 +140,7 @@
 	again := r.connectGateway("gw-1", "a")
 	r.waitFor("tables of this start", func() bool {
 		again.sync(t)
-		return again.state.EndpointsFrom != old && again.state.Snapshot.OpenEndpoints("view") > 0 && again.state.Refused == 0
+		return again.state.EndpointVersion != old && again.state.Snapshot.OpenEndpoints("view") > 0 && again.state.Rejected == 0
 	})
 }
 
@@ -195,8 +195,8 @@
 	put("c-2", 9002, "UP")
 	r := startTestDaemon(t, nil, func(c *config.Config) {
 		c.Registry.File.Path = ""
-		c.Registry.Eureka = []config.EurekaRegistry{{Name: "eureka", Addresses: []string{peer.Addr}, Deltas: true, Poll: 30_000, Zone: "a",
-			Register: config.Register{App: "porthub", ID: "p-0", IP: "127.0.0.1", Port: 7070}}}
+		c.Registry.Eureka = []config.EurekaRegistry{{Name: "eureka", Addresses: []string{peer.Addr}, Deltas: true, PollInterval: 30_000, Zone: "a",
+			Registration: config.Registration{App: "porthub", ID: "p-0", IP: "127.0.0.1", Port: 7070}}}
 	})
 	g := r.connectGateway("gw-1", "a")
 	r.waitFor("tables with both", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 2 })
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -46,11 +46,11 @@
 		x.serveDiscovery(coordinator.EndpointsDocument)
 	case "POST " + xds.RoutePath:
 		x.serveDiscovery(coordinator.RoutesDocument)
-	case "POST " + xds.DeltaPath:
-		x.serveDelta(coordinator.EndpointsDocument, xds.LineType)
+	case "POST " + xds.EndpointDeltaPath:
+		x.serveDelta(coordinator.EndpointsDocument, xds.LbEndpointType)
 	case "POST " + xds.RouteDeltaPath:
 		x.serveDelta(coordinator.RoutesDocument, xds.RouteType)
-	case "POST " + xds.LoadPath:
+	case "POST " + xds.LoadReportPath:
 		x.serveReport()
 	case "GET /tables":
 		x.query(d.inbox.TryPut, d.statusAnswer)
@@ -111,7 +111,7 @@
 		return xds.Decode(x.body, m)
 	}
 	if err := proto.Unmarshal(x.body, m); err != nil {
-		return fmt.Errorf("%w: %w", xds.ErrNotXDS, err)
+		return fmt.Errorf("%w: %w", xds.ErrInvalidMessage, err)
 	}
 	return nil
 }
@@ -122,7 +122,7 @@
 	var node xds.Node
 	err := x.read(m)
 	if err == nil {
-		node, err = xds.ReadNode(m.Node)
+		node, err = xds.ParseNode(m.Node)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
@@ -135,14 +135,14 @@
 		Nonce:            m.ResponseNonce,
 		Error:            m.ErrorDetail.GetMessage(),
 		Checksum:         node.Checksum,
-		ChecksumVersions: node.Held,
+		ChecksumVersions: node.Versions,
 	}
 	x.submitAck(node, ack, func() {
 		if !node.Polls {
 			x.answer(http.StatusNotModified, "", nil)
 			return
 		}
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Version: m.VersionInfo, Hold: node.Hold})
+		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Version: m.VersionInfo, Hold: node.MaxWait})
 	})
 }
 
@@ -152,10 +152,10 @@
 	var node xds.Node
 	err := x.read(m)
 	if err == nil {
-		node, err = xds.ReadNode(m.Node)
+		node, err = xds.ParseNode(m.Node)
 	}
 	if err == nil && m.TypeUrl != typeURL {
-		err = fmt.Errorf("%w: type_url %q: %s is told here", xds.ErrNotXDS, m.TypeUrl, typeURL)
+		err = fmt.Errorf("%w: type_url %q: %s is told here", xds.ErrInvalidMessage, m.TypeUrl, typeURL)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
@@ -169,10 +169,10 @@
 		Nonce:            m.ResponseNonce,
 		Error:            m.ErrorDetail.GetMessage(),
 		Checksum:         node.Checksum,
-		ChecksumVersions: node.Held,
+		ChecksumVersions: node.Versions,
 	}
 	x.submitAck(node, ack, func() {
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
+		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
 			Lines: m.InitialResourceVersions})
 	})
 }
@@ -187,7 +187,7 @@
 // holdPoll leaves a poll with the hub until there is something to deliver.
 func (x *exchange) holdPoll(r xdspoll.Request) {
 	hub := x.server.daemon.polls
-	r.Hold = min(r.Hold, duration(x.server.daemon.config.Front.Poll.Hold))
+	r.Hold = min(r.Hold, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
 	r.Answer = x.answerPoll
 	cancel, ok := hub.Poll(r)
 	if !ok {
@@ -247,7 +247,7 @@
 	}
 	p.reportedAt = time.Now()
 	factor := policyapi.Microseconds(max(1, s.daemon.reportIntervalFactor.Load()))
-	text, err := xds.Encode(xds.Reporting(period * factor))
+	text, err := xds.Encode(xds.NewLoadReportResponse(period * factor))
 	if err != nil {
 		x.fail(http.StatusInternalServerError, err.Error())
 		return
@@ -260,25 +260,25 @@
 
 // convertReport converts a load report of the protocol to the core's.
 func convertReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
-	node, interval, classes, err := xds.ReadLoad(m)
+	node, interval, classes, err := xds.ParseLoadReport(m)
 	if err != nil {
 		return node, coordinator.LoadReport{}, err
 	}
 	report := coordinator.LoadReport{
 		Gateway:  coordinator.Gateway(node.Name),
-		Sequence: node.Report,
+		Sequence: node.ReportNumber,
 		Interval: policyapi.Microseconds(interval.Microseconds()),
 	}
 	for _, c := range classes {
-		class := coordinator.ClassReport{Class: c.Name, Arrivals: c.Arrived, Rejected: c.Denied, Failures: c.Errored}
+		class := coordinator.ClassReport{Class: c.Class, Arrivals: c.Arrived, Rejected: c.Rejected, Failures: c.Failures}
 		for _, e := range c.Endpoints {
 			class.Endpoints = append(class.Endpoints, coordinator.EndpointReport{
-				Endpoint:    policyapi.EndpointID(e.Backend),
-				Attempts:    e.Tries,
-				Failures:    e.Errored,
-				InFlight:    e.Active,
-				MeanLatency: policyapi.Microseconds(e.Answer.Microseconds()),
-				Metrics:     loadMetrics(e.Loads),
+				Endpoint:    policyapi.EndpointID(e.Address),
+				Attempts:    e.Attempts,
+				Failures:    e.Failures,
+				InFlight:    e.InFlight,
+				MeanLatency: policyapi.Microseconds(e.MeanLatency.Microseconds()),
+				Metrics:     loadMetrics(e.Metrics),
 			})
 		}
 		report.Classes = append(report.Classes, class)
--- a/daemon/harness_test.go
+++ b/daemon/harness_test.go
@@ -161,13 +161,13 @@
 type testGateway struct {
 	link   *client.Link
 	reader *client.Reader
-	state  client.Held
+	state  client.Tables
 }
 
 func (r *testDaemon) connectGateway(name, zone string) *testGateway {
 	r.t.Helper()
-	g := &testGateway{reader: client.NewReader(r.config.Front.Files.Dir, name),
-		link: client.NewLink(client.Options{Node: xds.Node{Name: name, Zone: zone, Weight: 10}, Coordinator: r.daemon.Addr()})}
+	g := &testGateway{reader: client.NewReader(r.config.Delivery.Files.Dir, name),
+		link: client.NewLink(client.Options{Node: xds.Node{Name: name, Zone: zone, UsualRate: 10}, Coordinator: r.daemon.Addr()})}
 	r.t.Cleanup(g.link.Close)
 	if err := g.link.Join(context.Background(), g.state); err != nil {
 		r.t.Fatal(err)
@@ -176,11 +176,11 @@
 }
 
 // sync reads and acknowledges what is new, and sends a report if there is one.
-func (g *testGateway) sync(t *testing.T, report ...xds.Kind) {
+func (g *testGateway) sync(t *testing.T, report ...xds.ClassReport) {
 	t.Helper()
-	for _, u := range g.reader.Look() {
+	for _, u := range g.reader.Poll() {
 		g.state.Apply(u)
-		if err := g.link.Answer(context.Background(), u, g.state); err != nil {
+		if err := g.link.Acknowledge(context.Background(), u, g.state); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -21,7 +21,7 @@
 		x.fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", p.gateway))
 		return
 	}
-	if node.Polls && !s.daemon.config.Front.Poll.Enabled {
+	if node.Polls && !s.daemon.config.Delivery.Poll.Enabled {
 		x.fail(http.StatusNotImplemented, "polling is off: front.poll.enabled")
 		return
 	}
@@ -36,7 +36,7 @@
 	var inputs []coordinator.Input
 	if link == p && !p.announced {
 		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: policyapi.Zone(node.Zone),
-			HasDefaultTableOnly: node.Standing, Weight: node.Weight})
+			HasDefaultTableOnly: node.InitialTable, Weight: node.UsualRate})
 	}
 	inputs = append(inputs, input(link.id))
 	if !s.daemon.inbox.TryPut(mailboxItem{inputs: inputs, reply: func([]byte) { done() }}) {
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -54,7 +54,7 @@
 			err = d.coreFailed(p, inputs)
 		}
 	}()
-	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.config.Front.Files.Dir))
+	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.config.Delivery.Files.Dir))
 	inputs = d.restore(d.clock.Now(), d.coreSettings)
 	d.step(inputs)
 	var items []mailboxItem
--- a/daemon/recorder.go
+++ b/daemon/recorder.go
@@ -31,7 +31,7 @@
 		dir = filepath.Join(stateDir, captureName)
 	}
 	if c.Enabled && dir != "" {
-		r.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(c.Budget), SegmentBytes: int64(c.Segment), SegmentAge: duration(c.Age)})
+		r.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(c.MaxBytes), SegmentBytes: int64(c.SegmentBytes), SegmentAge: duration(c.MaxAge)})
 	}
 	return r
 }
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -36,10 +36,10 @@
 		code       int
 		answer     string
 	}{
-		{xds.LoadPath, `{"node": {"id": "gw"`, 400, "LoadStatsRequest"},
-		{xds.LoadPath, `[1, 2]`, 400, "no xDS message"},
-		{xds.LoadPath, `{"cluster_stats": []}`, 400, "node.id"},
-		{xds.LoadPath, `{"node": {"id": "../../etc"}}`, 400, "node.id"},
+		{xds.LoadReportPath, `{"node": {"id": "gw"`, 400, "LoadStatsRequest"},
+		{xds.LoadReportPath, `[1, 2]`, 400, "no xDS message"},
+		{xds.LoadReportPath, `{"cluster_stats": []}`, 400, "node.id"},
+		{xds.LoadReportPath, `{"node": {"id": "../../etc"}}`, 400, "node.id"},
 		{xds.EndpointPath, `{"node": {"id": ".hidden"}}`, 400, "dot"},
 		{xds.EndpointPath, `nonsense`, 400, "DiscoveryRequest"},
 		{"/elsewhere", `{}`, 404, "/elsewhere"},
@@ -62,7 +62,7 @@
 		n, _ := c.Read(answer)
 		return c, string(answer[:n])
 	}
-	if _, answer := raw("POST " + xds.LoadPath + " HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n"); !strings.Contains(answer, "413") {
+	if _, answer := raw("POST " + xds.LoadReportPath + " HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n"); !strings.Contains(answer, "413") {
 		t.Errorf("body too large: %q", answer)
 	}
 	if _, answer := raw(strings.Repeat("garbage ", 4000)); !strings.Contains(answer, "431") {
@@ -107,12 +107,12 @@
 func TestSecondConnectionReplacesTheFirst(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	first := r.connectGateway("gw-1", "a")
-	r.waitFor("the first to be connected with tables", func() bool { first.sync(t); return r.status("gw-1").Connected && first.state.EndpointsFrom != "" })
+	r.waitFor("the first to be connected with tables", func() bool { first.sync(t); return r.status("gw-1").Connected && first.state.EndpointVersion != "" })
 	second := r.connectGateway("gw-1", "a")
 	r.waitFor("the second to be connected with tables", func() bool {
 		second.sync(t)
 		s := r.status("gw-1")
-		return s.Connected && s.Unacknowledged == 0 && second.state.EndpointsFrom == s.Confirmed[0]
+		return s.Connected && s.Unacknowledged == 0 && second.state.EndpointVersion == s.Confirmed[0]
 	})
 }
 
@@ -165,10 +165,10 @@
 // A gateway that polls gets complete tables and deltas, follows a removal, and shares its name with no gateway of files.
 func TestPollingGateway(t *testing.T) {
 	r := startTestDaemon(t, nil)
-	node := xds.Node{Name: "gw-1", Zone: "a", Weight: 10, Polls: true}
+	node := xds.Node{Name: "gw-1", Zone: "a", UsualRate: 10, Polls: true}
 	link := client.NewLink(client.Options{Node: node, Coordinator: r.daemon.Addr()})
 	t.Cleanup(link.Close)
-	if err := link.Join(context.Background(), client.Held{}); err != nil {
+	if err := link.Join(context.Background(), client.Tables{}); err != nil {
 		t.Fatal(err)
 	}
 	poller := client.NewPoller(client.Options{Node: node, Coordinator: r.daemon.Addr()}, []string{"view", "save"}, time.Second)
@@ -176,8 +176,8 @@
 	var polls sync.WaitGroup
 	t.Cleanup(func() { cancel(); polls.Wait(); poller.Close() })
 	var mu sync.Mutex
-	var state client.Held
-	current := func() client.Held { mu.Lock(); defer mu.Unlock(); return state }
+	var state client.Tables
+	current := func() client.Tables { mu.Lock(); defer mu.Unlock(); return state }
 	for _, routes := range []bool{false, true} {
 		polls.Add(1)
 		go func() {
@@ -187,14 +187,14 @@
 				state.Apply(u)
 				now := state
 				mu.Unlock()
-				if err := link.Answer(ctx, u, now); err != nil && ctx.Err() == nil {
+				if err := link.Acknowledge(ctx, u, now); err != nil && ctx.Err() == nil {
 					t.Error(err)
 				}
 			})
 		}()
 	}
 	report := func() {
-		if _, err := link.Report(context.Background(), 250*time.Millisecond, []xds.Kind{{Name: "view", Arrived: 2}}); err != nil {
+		if _, err := link.Report(context.Background(), 250*time.Millisecond, []xds.ClassReport{{Class: "view", Arrived: 2}}); err != nil {
 			t.Error(err)
 		}
 	}
@@ -208,7 +208,7 @@
 	}
 	other := client.NewLink(client.Options{Node: xds.Node{Name: "gw-1", Zone: "a"}, Coordinator: r.daemon.Addr()})
 	t.Cleanup(other.Close)
-	if err := other.Join(context.Background(), client.Held{}); err == nil || !strings.Contains(err.Error(), "409") {
+	if err := other.Join(context.Background(), client.Tables{}); err == nil || !strings.Contains(err.Error(), "409") {
 		t.Errorf("a gateway of files under the same name: %v", err)
 	}
 	r.write("nodes.json", strings.Replace(threeEndpoints, `"127.0.0.1:9001", `, "", 1))
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -20,16 +20,16 @@
 		sources = append(sources, registry.Name)
 	}
 	s := coordinator.Settings{
-		Start:          c.Up(),
+		Start:          c.Start(),
 		Epoch:          strconv.FormatInt(int64(now), 36),
-		SilenceTimeout: policyapi.Microseconds(c.Gateways.SilentAfter),
+		SilenceTimeout: policyapi.Microseconds(c.Gateways.SilenceTimeout),
 		SolverEnabled:  c.Solver.Enabled,
-		MaxReportLines: float64(c.Reports.Intake),
+		MaxReportLines: float64(c.Reports.SamplingLimit),
 		Sources:        sources,
 		Build:          Build(),
-		SyncDocuments:  c.Front.Files.Sync,
+		SyncDocuments:  c.Delivery.Files.Sync,
 	}
-	s.Degradation, s.Fallback = c.ServiceLevels()
+	s.Degradation, s.Fallback = c.DegradationSettings()
 	return s
 }
 
@@ -41,11 +41,11 @@
 		VIP:       c.VIP,
 		Deltas:    c.Deltas,
 		XML:       c.XML,
-		Poll:      duration(c.Poll),
+		Poll:      duration(c.PollInterval),
 		Timeout:   duration(c.Timeout),
-		Most:      int64(c.Most),
+		Most:      int64(c.MaxResponseBytes),
 		Zone:      c.Zone,
-		Hosts:     c.Hosts,
+		Hosts:     c.UseHostnames,
 		Fields: map[string]string{
 			"zone":    cmp.Or(c.ZoneField, "zone"),
 			"weight":  cmp.Or(c.WeightField, "weight"),
@@ -53,22 +53,22 @@
 			"machine": cmp.Or(c.MachineField, "machine"),
 		},
 	}
-	if r := c.Register; r.App != "" {
-		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: cmp.Or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: duration(r.Renew)}
+	if r := c.Registration; r.App != "" {
+		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: cmp.Or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: duration(r.RenewInterval)}
 	}
 	return o
 }
 
 // healthCheckOptions are those of our own endpoints: they answer at their names, and state their metrics in a header.
-func healthCheckOptions(c config.Probes) healthcheck.Options {
+func healthCheckOptions(c config.HealthChecks) healthcheck.Options {
 	return healthcheck.Options{
 		Timeout:       duration(c.Timeout),
-		MaxConcurrent: c.AtOnce,
+		MaxConcurrent: c.Concurrency,
 		URL: func(endpoint policyapi.EndpointID) (string, bool) {
 			return "http://" + string(endpoint) + c.Path, true
 		},
 		Metrics: func(response *http.Response) policyapi.LoadMetrics {
-			return loadMetrics(xds.ReadOrca(response.Header.Get(xds.OrcaHeader)))
+			return loadMetrics(xds.ParseORCA(response.Header.Get(xds.ORCAHeader)))
 		},
 	}
 }
@@ -77,7 +77,7 @@
 func loadMetrics(orca map[string]float64) policyapi.LoadMetrics {
 	var metrics policyapi.LoadMetrics
 	for name, value := range orca {
-		moduleName, ok := config.LoadNames[name]
+		moduleName, ok := config.MetricNames[name]
 		if !ok {
 			continue
 		}
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -51,7 +51,7 @@
 	}
 	t := &tracer{inFlight: map[coordinator.Gateway][]publicationSpan{}}
 	options := []sdktrace.TracerProviderOption{
-		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.Part))),
+		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.SampleRatio))),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "porthub"), attribute.String("service.version", Build()))),
 	}
 	if c.File != "" {
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -42,15 +42,15 @@
 	defer collector.Close()
 	path := filepath.Join(t.TempDir(), "spans.json")
 	r := startTestDaemon(t, nil, func(c *config.Config) {
-		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), Part: 1}
+		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), SampleRatio: 1}
 	})
 	g := r.connectGateway("gw-1", "a")
-	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointsFrom != "" })
-	before := g.state.EndpointsFrom
+	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointVersion != "" })
+	before := g.state.EndpointVersion
 	r.write("nodes.json", strings.Replace(threeEndpoints, `"zone": "b"`, `"zone": "b", "status": "draining"`, 1))
 	r.waitFor("a table without the drained endpoint", func() bool {
 		g.sync(t)
-		return g.state.EndpointsFrom != before && g.state.Snapshot.OpenEndpoints("view") == 2
+		return g.state.EndpointVersion != before && g.state.Snapshot.OpenEndpoints("view") == 2
 	})
 	g.sync(t)
 	r.stop()
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Header.Set(xds.KindHeader, "view")
+	r.Header.Set(xds.ClassHeader, "view")
 	response, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -212,7 +212,7 @@
 			_, classes := g.collectReport()
 			attempts := 0
 			for _, e := range classes[0].Endpoints {
-				attempts += e.Tries
+				attempts += e.Attempts
 			}
 			if attempts != test.attempts || classes[0].Arrived != 1 {
 				t.Errorf("%d attempts for %d requests, want %d for 1", attempts, classes[0].Arrived, test.attempts)
