--- a/chaos/drill_test.go
+++ b/chaos/drill_test.go
@@ -58,10 +58,10 @@
 func short() Scenario {
 	s := defaultScenario()
 	s.Name, s.Seconds, s.EndpointCount, s.GatewayCount, s.RequestRate = "short", 18, 9, 6, 50
-	s.Rules.Cold = 6_000_000
+	s.Rules.WarmUp = 6_000_000
 	// On a machine that is busy with other things a real-time test must not judge tightly: a drain usually takes under a
 	// second.
-	s.Rules.DrainGrace, s.Rules.EmptyFor = 10_000_000, 10_000_000
+	s.Rules.DrainGracePeriod, s.Rules.EmptyTableLimit = 10_000_000, 10_000_000
 	s.Faults = []Fault{
 		{Name: "crash", At: 2e6, Duration: 3e6, Share: 0.2},
 		{Name: "balancer_crash", At: 6e6, Duration: 15e5, Size: 1},
@@ -98,7 +98,7 @@
 		go func() {
 			defer all.Done()
 			s := short()
-			s.Rules.DrainGrace, s.Rules.EmptyFor = 3_000_000, 5_000_000
+			s.Rules.DrainGracePeriod, s.Rules.EmptyTableLimit = 3_000_000, 5_000_000
 			s.Faults = slices.DeleteFunc(s.Faults, func(t Fault) bool {
 				return t.Name != "crash" && t.Name != "answer_lost" && t.Name != "shrink"
 			})
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -60,9 +60,9 @@
 
 func limits(s Scenario) audit.Limits {
 	r := s.Rules
-	l := audit.Limits{EmptyTableLimit: duration(r.EmptyFor), DrainGracePeriod: duration(r.DrainGrace), WarmUp: duration(r.Cold), InitialCapacity: r.ColdFrom,
-		OverloadFactor: r.ColdMultiple, OverloadWindow: duration(r.ColdWindow), DrainAppliesToRemoved: r.GoneBinds, QueueLimit: r.WaitingLines,
-		MessageOverhead: 6, MessageLimit: r.Messages, MessageWindow: duration(r.MessagesIn)}
+	l := audit.Limits{EmptyTableLimit: duration(r.EmptyTableLimit), DrainGracePeriod: duration(r.DrainGracePeriod), WarmUp: duration(r.WarmUp), InitialCapacity: r.InitialCapacity,
+		OverloadFactor: r.OverloadFactor, OverloadWindow: duration(r.OverloadWindow), DrainAppliesToRemoved: r.RemovalIsDrain, QueueLimit: r.QueueLimit,
+		MessageOverhead: 6, MessageLimit: r.MessageLimit, MessageWindow: duration(r.MessageWindow)}
 	for _, k := range s.Classes {
 		l.Classes = append(l.Classes, audit.Class{Name: k.Name, Idempotent: k.Repeat == "replayable"})
 	}
@@ -74,8 +74,8 @@
 	l.WithoutCoordinator = m != byCoordinator
 	log := audit.NewLog(l)
 	f := &fleet{s: s, mode: m, dir: dir, log: log, tally: emulator.NewTally(), listed: map[string]*entry{}, ended: make(chan struct{})}
-	f.world = emulator.NewWorld(log, emulator.WarmUpRules{WarmUp: duration(s.Rules.Cold), InitialCapacity: s.Rules.ColdFrom,
-		OverloadFactor: s.Rules.ColdMultiple, OverloadWindow: duration(s.Rules.ColdWindow)}, seed)
+	f.world = emulator.NewWorld(log, emulator.WarmUpRules{WarmUp: duration(s.Rules.WarmUp), InitialCapacity: s.Rules.InitialCapacity,
+		OverloadFactor: s.Rules.OverloadFactor, OverloadWindow: duration(s.Rules.OverloadWindow)}, seed)
 	f.rng = f.world.Rand("fleet")
 	if s.Registry == "eureka" && m == byCoordinator {
 		var err error
--- a/chaos/intake.go
+++ b/chaos/intake.go
@@ -147,9 +147,9 @@
 	}
 	t.s.GatewayCount, t.s.EndpointCount = o.Gateways, o.Endpoints
 	cfg := t.s.Config(dir, "127.0.0.1:0", 1)
-	cfg.Rules.WaitingLines = float64(40 * o.Gateways)
+	cfg.Rules.QueueLimit = float64(40 * o.Gateways)
 	if o.GracePeriod > 0 {
-		cfg.Rules.DrainGrace, cfg.Rules.EmptyFor = o.GracePeriod, o.GracePeriod
+		cfg.Rules.DrainGracePeriod, cfg.Rules.EmptyTableLimit = o.GracePeriod, o.GracePeriod
 	}
 	t.s.Rules = cfg.Rules
 	l := limits(t.s)
@@ -161,8 +161,8 @@
 	}
 	defer logs.Close()
 	cfg.Limits = config.Limits{Connections: 2*o.Gateways + 200, PerAddress: 2*o.Gateways + 200}
-	cfg.Gateways.SilentAfter = 10_000_000
-	cfg.Reports.Intake, cfg.Probes.Allowed, cfg.Capture.Enabled = o.MaxLinesPerSecond, false, false
+	cfg.Gateways.SilenceTimeout = 10_000_000
+	cfg.Reports.SamplingLimit, cfg.HealthChecks.Allowed, cfg.Capture.Enabled = o.MaxLinesPerSecond, false, false
 	if o.CoordinatorCores > 0 {
 		_ = os.Setenv("GOMAXPROCS", fmt.Sprint(o.CoordinatorCores)) // of the coordinator, which inherits it
 		defer os.Unsetenv("GOMAXPROCS")
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -63,8 +63,8 @@
 	}
 	defer logs.Close()
 	cfg := s.Config(dir, "127.0.0.1:0", 1)
-	cfg.Rules.WaitingLines, cfg.Gateways.SilentAfter = float64(400*gateways), 120_000_000
-	cfg.Front.Poll.Hold, cfg.Front.Poll.Most = 60_000_000, 4*gateways
+	cfg.Rules.QueueLimit, cfg.Gateways.SilenceTimeout = float64(400*gateways), 120_000_000
+	cfg.Delivery.Poll.MaxWait, cfg.Delivery.Poll.MaxPending = 60_000_000, 4*gateways
 	cfg.Limits = config.Limits{Connections: 4 * gateways, PerAddress: 4 * gateways}
 	list := func(status string) error {
 		var groups []map[string]any
--- a/chaos/registry.go
+++ b/chaos/registry.go
@@ -95,7 +95,7 @@
 
 // source is the coordinator's configuration for it.
 func (r *registry) source(c *config.Config) {
-	e := config.EurekaRegistry{Name: "eureka", Deltas: true, Poll: 300_000, Timeout: 500_000, Most: 1 << 20}
+	e := config.EurekaRegistry{Name: "eureka", Deltas: true, PollInterval: 300_000, Timeout: 500_000, MaxResponseBytes: 1 << 20}
 	for _, p := range r.peers {
 		e.Addresses = append(e.Addresses, p.Addr)
 	}
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -163,9 +163,9 @@
 	coord := &coordinatorProcess{f: main, cfg: s.Config(main.dir, "127.0.0.1:0", o.Seed), exe: o.Command, logs: logs}
 	switch o.Levels {
 	case "plain":
-		coord.cfg.Service = config.Service{}
+		coord.cfg.Degradation = config.Degradation{}
 	case "off":
-		coord.cfg.Service, coord.cfg.Levels = config.Service{}, "off"
+		coord.cfg.Degradation, coord.cfg.Admission = config.Degradation{}, "off"
 	}
 	coord.cfg.Solver.Enabled, coord.cfg.Recovery.Enabled = !o.NoSolver, !o.NoRecovery
 	if main.reg != nil {
@@ -345,7 +345,7 @@
 			o.Figure = r.StopMilliseconds
 		case c.Name == "level_changes": // of the scope that changed most; no more than the settings allow
 			o.Figure = float64(r.LevelChanges)
-			set, _ := s.Config("", "127.0.0.1:0", 1).ServiceLevels()
+			set, _ := s.Config("", "127.0.0.1:0", 1).DegradationSettings()
 			c.AtMost = float64(set.MaxChanges(policyapi.Microseconds(s.Seconds+10) * 1_000_000))
 		case c.Name == "over_standing":
 			b, has := r.Baselines[string(standingOnly)]
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -15,27 +15,27 @@
 
 // Scenario is a fleet and what befalls it.
 type Scenario struct {
-	Name           string          `json:"name"`
-	About          string          `json:"about"`
-	Seconds        int             `json:"seconds"`
-	Zones          []string        `json:"zones"`
-	EndpointCount  int             `json:"nodes"`
-	EndpointCores  int             `json:"cores"` // of a node
-	GatewayCount   int             `json:"gateways"`
-	RequestRate    float64         `json:"reqs_per_s"`
-	GatewaySpread  float64         `json:"gateway_spread"` // of the gateways' sizes: 0 all alike
-	Classes        []Class         `json:"request_kinds"`
-	Rules          config.Rules    `json:"rules"`
-	ReportPeriod   config.Duration `json:"report_period"`
-	ListDelay      config.Duration `json:"list_late"` // the node list tells so long after the truth
-	Retries        int             `json:"client_retries"`
-	QueueLength    int             `json:"node_queue"`
-	MaxConnections int             `json:"node_connections"`
-	ReadChunk      int             `json:"read_chunk"` // gateways read files by so many bytes; 0: at once
-	Registry       string          `json:"registry"`   // file or eureka
-	Faults         []Fault         `json:"troubles"`
-	Checks         []Check         `json:"checks"`
-	Service        config.Service  `json:"service"` // the coordinator's levels of reduced service
+	Name           string             `json:"name"`
+	About          string             `json:"about"`
+	Seconds        int                `json:"seconds"`
+	Zones          []string           `json:"zones"`
+	EndpointCount  int                `json:"nodes"`
+	EndpointCores  int                `json:"cores"` // of a node
+	GatewayCount   int                `json:"gateways"`
+	RequestRate    float64            `json:"reqs_per_s"`
+	GatewaySpread  float64            `json:"gateway_spread"` // of the gateways' sizes: 0 all alike
+	Classes        []Class            `json:"request_kinds"`
+	Rules          config.Rules       `json:"rules"`
+	ReportPeriod   config.Duration    `json:"report_period"`
+	ListDelay      config.Duration    `json:"list_late"` // the node list tells so long after the truth
+	Retries        int                `json:"client_retries"`
+	QueueLength    int                `json:"node_queue"`
+	MaxConnections int                `json:"node_connections"`
+	ReadChunk      int                `json:"read_chunk"` // gateways read files by so many bytes; 0: at once
+	Registry       string             `json:"registry"`   // file or eureka
+	Faults         []Fault            `json:"troubles"`
+	Checks         []Check            `json:"checks"`
+	Service        config.Degradation `json:"service"` // the coordinator's levels of reduced service
 }
 
 // Class is a request kind of a scenario.
@@ -167,15 +167,15 @@
 	c := config.Default()
 	c.Coordinator = config.Coordinator{Zone: s.Zones[0], Instances: 1, Seed: int(seed % (1 << 31))}
 	c.Listen, c.StateDir = listen, path.Join(dir, "state")
-	c.Front.Files.Dir, c.Registry.File.Path = path.Join(dir, "tables"), path.Join(dir, "nodes.json")
-	c.Registry.File.Poll = 100_000
-	c.Zones, c.Rules, c.Service = s.Zones, s.Rules, s.Service
+	c.Delivery.Files.Dir, c.Registry.File.Path = path.Join(dir, "tables"), path.Join(dir, "nodes.json")
+	c.Registry.File.PollInterval = 100_000
+	c.Zones, c.Rules, c.Degradation = s.Zones, s.Rules, s.Service
 	c.Reports.Period = s.ReportPeriod
-	c.Gateways.Expected, c.Gateways.SilentAfter = s.GatewayCount, max(3_000_000, 3*s.ReportPeriod)
-	c.Channel.Connections = s.MaxConnections
+	c.Gateways.ExpectedCount, c.Gateways.SilenceTimeout = s.GatewayCount, max(3_000_000, 3*s.ReportPeriod)
+	c.Channel.EndpointConnections = s.MaxConnections
 	for _, k := range s.Classes {
-		c.Kinds = append(c.Kinds, config.Kind{Name: k.Name, Repeat: k.Repeat, ResponseTarget: k.LatencyObjective, ClientTimeout: k.ClientTimeout,
-			Payoff: k.PriorityWeight, OnlyZones: []string{}})
+		c.Classes = append(c.Classes, config.RequestClass{Name: k.Name, Idempotency: k.Repeat, LatencyObjective: k.LatencyObjective, ClientTimeout: k.ClientTimeout,
+			PriorityWeight: k.PriorityWeight, AllowedZones: []string{}})
 	}
 	return c
 }
--- a/chaos/troubles.go
+++ b/chaos/troubles.go
@@ -112,7 +112,7 @@
 				drain := time.Duration(t.Extra * float64(time.Second))
 				// Twice the grace at least: what is sent within it is still served.
 				f.tellList(n, audit.Absent, drain)
-				time.AfterFunc(drain+2*duration(f.s.Rules.DrainGrace), n.Kill)
+				time.AfterFunc(drain+2*duration(f.s.Rules.DrainGracePeriod), n.Kill)
 				if !f.sleep(time.Duration(float64(duration(t.Duration)) / float64(len(leave)))) {
 					return
 				}
--- a/cmd/porthub/commands.go
+++ b/cmd/porthub/commands.go
@@ -101,7 +101,7 @@
 			if err == nil {
 				all, err = checkSuites(cfg, path)
 			}
-			var findings config.Findings
+			var findings config.ValidationError
 			if errors.As(err, &findings) {
 				for _, f := range findings {
 					fmt.Fprintln(cmd.OutOrStdout(), f)
--- a/cmd/porthub/expect.go
+++ b/cmd/porthub/expect.go
@@ -60,8 +60,8 @@
 					return err
 				}
 				if cmd.Flags().Changed("seed") {
-					for i := range suite.Expect {
-						suite.Expect[i].Seed = uint64(seed)
+					for i := range suite.Expectations {
+						suite.Expectations[i].Seed = uint64(seed)
 					}
 				}
 				all = append(all, prove(cfg, file, suite, number)...)
@@ -113,10 +113,10 @@
 	if err != nil {
 		return nil, err
 	}
-	var found config.Findings
+	var found config.ValidationError
 	for _, file := range files {
 		suite, err := config.LoadSuite(file, cfg)
-		var some config.Findings
+		var some config.ValidationError
 		switch {
 		case errors.As(err, &some):
 			found = append(found, some...)
@@ -144,11 +144,11 @@
 
 // prove runs all cases of a suite, side by side; what they find does not depend on how many run at a time.
 func prove(cfg config.Config, file string, suite expectation.Suite, number int) (out []proven) {
-	set := coordinator.Settings{Start: cfg.Up(), SilenceTimeout: policyapi.Microseconds(cfg.Gateways.SilentAfter), SolverEnabled: cfg.Solver.Enabled, MaxReportLines: float64(cfg.Reports.Intake)}
-	set.Degradation, set.Fallback = cfg.ServiceLevels()
+	set := coordinator.Settings{Start: cfg.Start(), SilenceTimeout: policyapi.Microseconds(cfg.Gateways.SilenceTimeout), SolverEnabled: cfg.Solver.Enabled, MaxReportLines: float64(cfg.Reports.SamplingLimit)}
+	set.Degradation, set.Fallback = cfg.DegradationSettings()
 	// Cases live for a tenth of a second each: collecting their garbage less often is a third of the time.
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
-	for _, e := range suite.Expect {
+	for _, e := range suite.Expectations {
 		began := time.Now()
 		p := proven{File: file, Name: e.Name, Line: e.Line, Cases: max(1, e.Cases)}
 		from := 0
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -177,7 +177,7 @@
 			if err != nil {
 				return err
 			}
-			set, _ := cfg.ServiceLevels()
+			set, _ := cfg.DegradationSettings()
 			if len(set.Levels) == 0 {
 				return fmt.Errorf("%s names no levels: service.levels", path)
 			}
--- a/cmd/porthub/main.go
+++ b/cmd/porthub/main.go
@@ -33,7 +33,7 @@
 }
 
 func exitCode(err error) int {
-	var findings config.Findings
+	var findings config.ValidationError
 	switch {
 	case err == nil:
 		return exitWell
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := c.Up()
+	up := c.Start()
 	if up.Classes[0].LatencyObjective != 750_000 || up.Classes[0].Idempotency != policyapi.Idempotent || up.Rules.DrainGracePeriod != 3_000_000 ||
 		up.Admission != policyapi.AdmissionByRate || up.Rules.SoftRemoval || up.Reports.MetricNames[0] != "busy" {
 		t.Errorf("%+v", up)
@@ -50,13 +50,13 @@
 	} {
 		text := strings.Replace(small, c.from, c.to, 1)
 		_, err := Parse("x", []byte(text))
-		var found Findings
+		var found ValidationError
 		if !errors.As(err, &found) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
 	_, err := Parse("x", []byte(strings.NewReplacer(`"payoff": 1`, `"payoff": []`, `"dir": "t"`, `"dirt": 3`, `"750ms"`, `true`).Replace(small)))
-	var found Findings
+	var found ValidationError
 	if !errors.As(err, &found) || len(found) != 3 {
 		t.Errorf("three things are wrong: %v", err)
 	}
--- a/config/decode.go
+++ b/config/decode.go
@@ -24,7 +24,7 @@
 }
 
 func (d *decoder) finding(line int, key, wrong, right string) {
-	d.found = append(d.found, Finding{File: d.file, Line: line, Key: key, Wrong: wrong, Right: right})
+	d.found = append(d.found, Finding{File: d.file, Line: line, Key: key, Problem: wrong, Remedy: right})
 }
 
 // line of an offset, from 1.
--- a/config/suite_test.go
+++ b/config/suite_test.go
@@ -19,8 +19,8 @@
 func TestBrokenSuites(t *testing.T) {
 	cfg := Default()
 	cfg.Zones = []string{"a", "b"}
-	cfg.Kinds = []Kind{{Name: "view"}, {Name: "save"}}
-	cfg.Service.Levels = []ServiceLevel{{Name: "tight"}}
+	cfg.Classes = []RequestClass{{Name: "view"}, {Name: "save"}}
+	cfg.Degradation.Levels = []DegradationLevel{{Name: "tight"}}
 	if _, err := ParseSuite("s.json", []byte(soundSuite), cfg); err != nil {
 		t.Fatal(err)
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -130,7 +130,7 @@
 	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.Tap,
 		savedLists: make(chan any, 1), savedSnapshots: make(chan any, 1), stepTimes: hdrhistogram.New(1, 60_000_000, 2)}
 	var stamp func(mailboxItem) mailboxItem
-	if (o.Config.Trace != config.Trace{Part: o.Config.Trace.Part}) {
+	if (o.Config.Trace != config.Trace{SampleRatio: o.Config.Trace.SampleRatio}) {
 		stamp = func(e mailboxItem) mailboxItem { e.arrivedAt = time.Now(); return e }
 	}
 	// Room in the plain lane for a request of each connection: none has two on its way, so that none that polls or
@@ -154,33 +154,33 @@
 	for _, e := range o.Config.Registry.Eureka {
 		names = append(names, e.Name)
 	}
-	d.coreSettings = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.Intake), Sources: names, Start: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
-		SilenceTimeout: policyapi.Microseconds(o.Config.Gateways.SilentAfter), SolverEnabled: o.Config.Solver.Enabled,
-		SyncDocuments: o.Config.Front.Files.Sync}
-	d.coreSettings.Degradation, d.coreSettings.Fallback = o.Config.ServiceLevels()
+	d.coreSettings = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.SamplingLimit), Sources: names, Start: o.Config.Start(), Epoch: strconv.FormatInt(int64(now), 36),
+		SilenceTimeout: policyapi.Microseconds(o.Config.Gateways.SilenceTimeout), SolverEnabled: o.Config.Solver.Enabled,
+		SyncDocuments: o.Config.Delivery.Files.Sync}
+	d.coreSettings.Degradation, d.coreSettings.Fallback = o.Config.DegradationSettings()
 	d.core = coordinator.New(d.coreSettings)
 	if dir := o.Config.Capture.Dir; o.Config.Capture.Enabled && (dir != "" || d.config.StateDir != "") {
 		if dir == "" {
 			dir = filepath.Join(d.config.StateDir, captureName)
 		}
-		d.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(o.Config.Capture.Budget), SegmentBytes: int64(o.Config.Capture.Segment),
-			SegmentAge: time.Duration(o.Config.Capture.Age) * time.Microsecond})
+		d.writer = capture.NewWriter(dir, capture.Limits{MaxBytes: int64(o.Config.Capture.MaxBytes), SegmentBytes: int64(o.Config.Capture.SegmentBytes),
+			SegmentAge: time.Duration(o.Config.Capture.MaxAge) * time.Microsecond})
 	}
-	front, err := xdsfile.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
+	front, err := xdsfile.Open(o.Config.Delivery.Files.Dir, o.Config.Delivery.Files.Writers, func(g coordinator.Gateway, err error) {
 		d.submit(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
 	d.files = front
-	d.polls = xdspoll.NewHub(o.Config.Front.Poll.Most, o.Config.Front.Poll.Keep)
+	d.polls = xdspoll.NewHub(o.Config.Delivery.Poll.MaxPending, o.Config.Delivery.Poll.DeltaBases)
 	if d.tracer, err = newTracer(o.Config.Trace); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
 	version := policyapi.ListVersion(0)
 	if o.Config.Registry.File.Path != "" {
-		d.fileSource = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
+		d.fileSource = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.PollInterval)*time.Microsecond,
 			func(entries []policyapi.Endpoint, err error) {
 				version++
 				list := coordinator.EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: version, Kind: policyapi.Snapshot, Endpoints: entries}}
@@ -193,7 +193,7 @@
 	for _, e := range o.Config.Registry.Eureka {
 		d.registries = append(d.registries, eureka.New(eurekaOptions(e), func(a membership.SourceUpdate) { d.submit(coordinator.RegistryUpdate{SourceUpdate: a}) }))
 	}
-	d.healthChecks = healthcheck.New(healthCheckOptions(o.Config.Probes), func(p policyapi.HealthCheckResult) { d.submit(coordinator.HealthCheckResult{HealthCheckResult: p}) })
+	d.healthChecks = healthcheck.New(healthCheckOptions(o.Config.HealthChecks), func(p policyapi.HealthCheckResult) { d.submit(coordinator.HealthCheckResult{HealthCheckResult: p}) })
 	if d.server, err = listen(d, o.Config.Listen); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -236,7 +236,7 @@
 			err = fmt.Errorf("the core failed at step %d: %v", d.core.Steps(), p)
 		}
 	}()
-	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.config.Front.Files.Dir))
+	d.log.Info("started", zap.String("listen", d.Addr()), zap.String("files", d.config.Delivery.Files.Dir))
 	inputs = d.restore(d.clock.Now(), d.coreSettings)
 	d.step(inputs)
 	var events []mailboxItem
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -120,7 +120,7 @@
 
 func (r *rig) gateway(name, zone string) *gateway {
 	r.t.Helper()
-	g := &gateway{reader: client.NewReader(r.cfg.Front.Files.Dir, name),
+	g := &gateway{reader: client.NewReader(r.cfg.Delivery.Files.Dir, name),
 		link: client.NewLink(client.Options{Node: xds.Node{Name: name, Zone: zone, Weight: 10}, Coordinator: r.d.Addr()})}
 	r.t.Cleanup(g.link.Close)
 	if err := g.link.Join(context.Background(), g.held); err != nil {
@@ -255,7 +255,7 @@
 	}
 	r.stop()
 	r.stop = func() {}
-	core := coordinator.New(coordinator.Settings{Start: r.cfg.Up(), Epoch: "library", SilenceTimeout: policyapi.Microseconds(r.cfg.Gateways.SilentAfter), SolverEnabled: true})
+	core := coordinator.New(coordinator.Settings{Start: r.cfg.Start(), Epoch: "library", SilenceTimeout: policyapi.Microseconds(r.cfg.Gateways.SilenceTimeout), SolverEnabled: true})
 	orders, tables := 0, 0
 	for i, s := range r.steps {
 		// Versions are named after the start; what was acknowledged is the same message.
--- a/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -74,11 +74,11 @@
 		}
 		return b
 	}
-	o := eureka.Options{Name: e.Name, Addresses: e.Addresses, App: e.App, VIP: e.VIP, Deltas: e.Deltas, XML: e.XML, Poll: us(e.Poll), Timeout: us(e.Timeout),
-		Most: int64(e.Most), Zone: e.Zone, Hosts: e.Hosts, Fields: map[string]string{"zone": or(e.ZoneField, "zone"), "weight": or(e.WeightField, "weight"),
+	o := eureka.Options{Name: e.Name, Addresses: e.Addresses, App: e.App, VIP: e.VIP, Deltas: e.Deltas, XML: e.XML, Poll: us(e.PollInterval), Timeout: us(e.Timeout),
+		Most: int64(e.MaxResponseBytes), Zone: e.Zone, Hosts: e.UseHostnames, Fields: map[string]string{"zone": or(e.ZoneField, "zone"), "weight": or(e.WeightField, "weight"),
 			"pod": or(e.PodField, "pod"), "machine": or(e.MachineField, "machine")}}
-	if r := e.Register; r.App != "" {
-		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: us(r.Renew)}
+	if r := e.Registration; r.App != "" {
+		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: us(r.RenewInterval)}
 	}
 	return o
 }
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -124,8 +124,8 @@
 	put("c-2", 9002, "UP")
 	r := newRig(t, nil, func(c *config.Config) {
 		c.Registry.File.Path = ""
-		c.Registry.Eureka = []config.EurekaRegistry{{Name: "eureka", Addresses: []string{peer.Addr}, Deltas: true, Poll: 30_000, Zone: "a",
-			Register: config.Register{App: "porthub", ID: "p-0", IP: "127.0.0.1", Port: 7070}}}
+		c.Registry.Eureka = []config.EurekaRegistry{{Name: "eureka", Addresses: []string{peer.Addr}, Deltas: true, PollInterval: 30_000, Zone: "a",
+			Registration: config.Registration{App: "porthub", ID: "p-0", IP: "127.0.0.1", Port: 7070}}}
 	})
 	g := r.gateway("gw-1", "a")
 	r.until("lines of both", func() bool { g.turn(t); return g.held.Snapshot.OpenEndpoints("view") == 2 })
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -11,8 +11,8 @@
 )
 
 // healthCheckOptions are those of our own nodes: their names are where they answer, their figures ride on a header.
-func healthCheckOptions(cfg config.Probes) healthcheck.Options {
-	return healthcheck.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.AtOnce,
+func healthCheckOptions(cfg config.HealthChecks) healthcheck.Options {
+	return healthcheck.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.Concurrency,
 		URL: func(b policyapi.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
 		Metrics: func(res *http.Response) policyapi.LoadMetrics {
 			return loadMetrics(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
@@ -23,7 +23,7 @@
 func loadMetrics(by map[string]float64) policyapi.LoadMetrics {
 	var out policyapi.LoadMetrics
 	for name, v := range by {
-		if known, has := config.LoadNames[name]; has {
+		if known, has := config.MetricNames[name]; has {
 			if out == nil {
 				out = policyapi.LoadMetrics{}
 			}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -344,7 +344,7 @@
 		fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", p.gateway))
 		return
 	}
-	if node.Polls && !s.daemon.config.Front.Poll.Enabled {
+	if node.Polls && !s.daemon.config.Delivery.Poll.Enabled {
 		fail(http.StatusNotImplemented, "polling is off: front.poll.enabled")
 		return
 	}
@@ -414,7 +414,7 @@
 
 // holdPoll leaves a poll with the hub until there is something to tell.
 func (s *server) holdPoll(p *connection, req *http.Request, r xdspoll.Request) {
-	r.Hold = min(r.Hold, time.Duration(s.daemon.config.Front.Poll.Hold)*time.Microsecond)
+	r.Hold = min(r.Hold, time.Duration(s.daemon.config.Delivery.Poll.MaxWait)*time.Microsecond)
 	binary := strings.HasPrefix(req.Header.Get("Content-Type"), "application/x-protobuf")
 	kind := jsonType
 	if binary {
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -45,7 +45,7 @@
 		return nil, nil
 	}
 	t := &tracer{inFlight: map[coordinator.Gateway][]publicationSpan{}}
-	options := []sdktrace.TracerProviderOption{sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.Part))),
+	options := []sdktrace.TracerProviderOption{sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(c.SampleRatio))),
 		sdktrace.WithResource(resource.NewSchemaless(attribute.String("service.name", "porthub"), attribute.String("service.version", Build())))}
 	if c.File != "" {
 		f, err := os.OpenFile(c.File, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -42,7 +42,7 @@
 	defer collector.Close()
 	path := filepath.Join(t.TempDir(), "spans.json")
 	r := newRig(t, nil, func(c *config.Config) {
-		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), Part: 1}
+		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), SampleRatio: 1}
 	})
 	g := r.gateway("gw-1", "a")
 	r.until("a table", func() bool { g.turn(t); return g.held.EndpointsFrom != "" })
--- a/expectation/expect_test.go
+++ b/expectation/expect_test.go
@@ -16,8 +16,8 @@
 )
 
 func settings(cfg config.Config) coordinator.Settings {
-	set := coordinator.Settings{Start: cfg.Up(), SilenceTimeout: policyapi.Microseconds(cfg.Gateways.SilentAfter), SolverEnabled: true}
-	set.Degradation, set.Fallback = cfg.ServiceLevels()
+	set := coordinator.Settings{Start: cfg.Start(), SilenceTimeout: policyapi.Microseconds(cfg.Gateways.SilenceTimeout), SolverEnabled: true}
+	set.Degradation, set.Fallback = cfg.DegradationSettings()
 	return set
 }
 
@@ -48,7 +48,7 @@
 // The shipped five rules hold, and each is found broken when what guards it is spoilt.
 func TestFiveRulesAsExpectations(t *testing.T) {
 	cfg, suite := shipped(t)
-	set, rules := settings(cfg), suite.Expect[0]
+	set, rules := settings(cfg), suite.Expectations[0]
 	for i := range 3 {
 		if f := rules.Run(set, rules.Draw(i)); len(f) > 0 {
 			t.Errorf("case %d: %v", i, f)
@@ -57,8 +57,8 @@
 	// Limits that are reached soon; with the core told of them they are kept.
 	tight := set
 	tight.Start.Rules.QueueLimit, tight.Start.Rules.MessageLimit = 600, 4
-	rules.That = slices.Clone(rules.That)
-	rules.That[4].MessagesMost = 4
+	rules.Assertions = slices.Clone(rules.Assertions)
+	rules.Assertions[4].MaxMessages = 4
 	for i := range 3 {
 		for _, f := range rules.Run(tight, rules.Draw(i)) {
 			if strings.Contains(f.What, "lines on their way") || strings.Contains(f.What, "messages") {
@@ -120,8 +120,8 @@
 // named, and a smaller case is told.
 func TestBrokenConfigurationIsNamed(t *testing.T) {
 	cfg, suite := shipped(t, `"client_timeout": "2.5s", "payoff": 1}`, `"client_timeout": "2.5s", "payoff": 1, "only_zones": ["hala-a"]}`)
-	e := suite.Expect[1]
-	e.That = []expectation.That{{Kind: "schedule", NodesAtLeast: 1, From: 8_000_000, Line: 33}}
+	e := suite.Expectations[1]
+	e.Assertions = []expectation.Assertion{{Class: "schedule", MinEndpoints: 1, From: 8_000_000, Line: 33}}
 	c := e.Draw(0)
 	found := e.Run(settings(cfg), c)
 	if len(found) != 1 || found[0].Gateway == "" || found[0].Kind != "schedule" || found[0].Line != 33 {
@@ -133,11 +133,11 @@
 	}
 }
 
-// What holds for most gateways and not for all fails and names one for which it does not.
+// Action holds for most gateways and not for all fails and names one for which it does not.
 func TestForAllIsForAll(t *testing.T) {
 	cfg, suite := shipped(t)
-	e := suite.Expect[1]
-	e.Course, e.That = nil, []expectation.That{{HallsAtLeast: 2, Line: 4}}
+	e := suite.Expectations[1]
+	e.Events, e.Assertions = nil, []expectation.Assertion{{MinZones: 2, Line: 4}}
 	for i := range 5 {
 		found := e.Run(settings(cfg), e.Draw(i))
 		if len(found) == 1 && found[0].Gateway != "" && found[0].Figure == "1 halls" {
@@ -153,8 +153,8 @@
 // The same case gives the same failures, time after time.
 func TestSameCaseSameEnd(t *testing.T) {
 	cfg, suite := shipped(t)
-	e := suite.Expect[0]
-	e.That = []expectation.That{{NodesAtLeast: 6}, {LoadAtMost: 0.6}, {ServedAtLeast: 0.999}, {MessagesMost: 2}}
+	e := suite.Expectations[0]
+	e.Assertions = []expectation.Assertion{{MinEndpoints: 6}, {MaxUtilization: 0.6}, {MinSuccessRatio: 0.999}, {MaxMessages: 2}}
 	first := e.Run(settings(cfg), e.Draw(3))
 	if len(first) < 2 || !reflect.DeepEqual(first, e.Run(settings(cfg), e.Draw(3))) {
 		t.Errorf("%v", first)
@@ -167,22 +167,22 @@
 // A level is expected to be entered when half the fleet is lost, and not in calm.
 func TestLevelsExpected(t *testing.T) {
 	cfg, suite := shipped(t)
-	cfg.Service.Levels = []config.ServiceLevel{{Name: "tight", Enter: config.Reasons{Lost: 0.25}, Leave: config.Reasons{Lost: 0.1}, EnterHeld: 2_000_000,
-		LeaveHeld: 15_000_000, SecondTry: 3, Cross: 1, Stretch: 1}}
-	set, e := settings(cfg), suite.Expect[1]
-	e.That = []expectation.That{{Entered: "tight"}, {NotEntered: "tight", To: 4_000_000}}
+	cfg.Degradation.Levels = []config.DegradationLevel{{Name: "tight", Enter: config.Triggers{Lost: 0.25}, Leave: config.Triggers{Lost: 0.1}, EnterDelay: 2_000_000,
+		LeaveDelay: 15_000_000, RetryPolicy: 3, CrossZoneFactor: 1, ReportIntervalFactor: 1}}
+	set, e := settings(cfg), suite.Expectations[1]
+	e.Assertions = []expectation.Assertion{{EnteredLevel: "tight"}, {AvoidedLevel: "tight", To: 4_000_000}}
 	if f := e.Run(set, e.Draw(0)); len(f) > 0 {
 		t.Errorf("%v", f)
 	}
-	e.Course = nil
+	e.Events = nil
 	if f := e.Run(set, e.Draw(0)); len(f) != 1 || f[0].Figure != "it was not" {
 		t.Errorf("in calm: %v", f)
 	}
 	// Half the fleet goes at the moment at which the load doubles: the level comes, and the rules hold at it and when all are back.
 	e.Length = 40_000_000
-	e.Course = []expectation.Event{{At: 4_000_000, What: expectation.Lose, Part: 0.5}, {At: 4_000_000, What: expectation.Times, Size: 2}, {At: 14_000_000, What: expectation.Recover}}
-	e.That = []expectation.That{{Entered: "tight", From: 4_000_000, To: 12_000_000}, {NeverWithout: 5_000_000}, {DrainedWithin: 3_000_000}, {ColdAtMost: 1},
-		{MessagesMost: 20}, {WaitingMost: 1}}
+	e.Events = []expectation.Event{{At: 4_000_000, Action: expectation.Lose, Fraction: 0.5}, {At: 4_000_000, Action: expectation.Times, LoadFactor: 2}, {At: 14_000_000, Action: expectation.Recover}}
+	e.Assertions = []expectation.Assertion{{EnteredLevel: "tight", From: 4_000_000, To: 12_000_000}, {MaxEmptyTable: 5_000_000}, {MaxDrainDelay: 3_000_000}, {MaxWarmUpLoad: 1},
+		{MaxMessages: 20}, {MaxQueued: 1}}
 	for i := range 4 {
 		if f := e.Run(set, e.Draw(i)); len(f) > 0 {
 			t.Errorf("half the fleet lost in a burst: %v", f)
@@ -201,8 +201,8 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	e, set := suite.Expect[0], settings(cfg)
-	e.Fleet.Nodes, e.Fleet.Gateways, e.Length = expectation.Range{From: 100, To: 100}, expectation.Range{From: 300, To: 300}, 12*policyapi.Microseconds(time.Second/time.Microsecond)
+	e, set := suite.Expectations[0], settings(cfg)
+	e.Fleet.Endpoints, e.Fleet.Gateways, e.Length = expectation.Range{From: 100, To: 100}, expectation.Range{From: 300, To: 300}, 12*policyapi.Microseconds(time.Second/time.Microsecond)
 	set.Start.Rules.QueueLimit = 40000
 	for b.Loop() {
 		e.Run(set, e.Draw(b.N))
--- a/expectation/host.go
+++ b/expectation/host.go
@@ -32,8 +32,8 @@
 	seed := e.Seed + uint64(number)*0x9e3779b97f4a7c15
 	rng := rand.New(rand.NewPCG(seed, 1))
 	whole := func(r Range) int { return int(r.From) + rng.IntN(int(r.To)-int(r.From)+1) }
-	return Case{Number: number, Seed: seed, Nodes: whole(e.Fleet.Nodes), Gateways: whole(e.Fleet.Gateways),
-		Load: e.Fleet.Load.From + rng.Float64()*(e.Fleet.Load.To-e.Fleet.Load.From), Course: e.Course}
+	return Case{Number: number, Seed: seed, Nodes: whole(e.Fleet.Endpoints), Gateways: whole(e.Fleet.Gateways),
+		Load: e.Fleet.Load.From + rng.Float64()*(e.Fleet.Load.To-e.Fleet.Load.From), Course: e.Events}
 }
 
 // Class time goes in a case.
@@ -219,8 +219,8 @@
 }
 
 func (h *host) strike(ev Event) {
-	tell := h.e.Fleet.ListLate
-	switch ev.What {
+	tell := h.e.Fleet.ListDelay
+	switch ev.Action {
 	case Lose:
 		for _, n := range h.choose(ev, func(n *node) bool { return n.up }) {
 			n.up = false
@@ -237,7 +237,7 @@
 	case Fail:
 		for _, n := range h.choose(ev, func(n *node) bool { return n.up }) {
 			for k, kind := range h.set.Start.Classes {
-				n.failing[k] = n.failing[k] || ev.Kind == "" || ev.Kind == kind.Name
+				n.failing[k] = n.failing[k] || ev.Class == "" || ev.Class == kind.Name
 			}
 		}
 	case Recover:
@@ -251,12 +251,12 @@
 	case Away, Home:
 		var some []*gateway
 		for _, g := range h.gateways {
-			if (ev.Zone == "" || g.zone == ev.Zone) && g.away == (ev.What == Home) {
+			if (ev.Zone == "" || g.zone == ev.Zone) && g.away == (ev.Action == Home) {
 				some = append(some, g)
 			}
 		}
 		for _, i := range h.rng.Perm(len(some))[:part(ev, len(some))] {
-			if g := some[i]; ev.What == Home {
+			if g := some[i]; ev.Action == Home {
 				h.join(g)
 			} else {
 				g.away = true
@@ -266,7 +266,7 @@
 		}
 		return
 	case Times:
-		h.times = ev.Size
+		h.times = ev.LoadFactor
 		return
 	}
 	h.listAt = append(h.listAt, h.now+tell)
@@ -275,10 +275,10 @@
 
 // part is how many of so many an event strikes: all where it does not say.
 func part(ev Event, of int) int {
-	if ev.Part == 0 {
+	if ev.Fraction == 0 {
 		return of
 	}
-	return min(of, max(1, int(math.Ceil(ev.Part*float64(of)))))
+	return min(of, max(1, int(math.Ceil(ev.Fraction*float64(of)))))
 }
 
 func (h *host) choose(ev Event, may func(*node) bool) (some []*node) {
@@ -339,7 +339,7 @@
 		for d, changed := range m.publish.Changed {
 			if changed {
 				ack := coordinator.DocumentAck{Gateway: g.name, Conn: g.conn, Document: coordinator.Document(d), Version: m.publish.Version, Nonce: m.publish.Nonce}
-				h.mails = append(h.mails, mail{h.now + h.e.Fleet.Transit, m.gateway, nil, ack})
+				h.mails = append(h.mails, mail{h.now + h.e.Fleet.Latency, m.gateway, nil, ack})
 			}
 		}
 	}
@@ -403,7 +403,7 @@
 			g.last = o.Snapshot
 			g.sent = append(g.sent, h.now)
 			h.judge.sent(g)
-			h.mails = append(h.mails, mail{h.now + h.e.Fleet.Transit, i, &o, nil})
+			h.mails = append(h.mails, mail{h.now + h.e.Fleet.Latency, i, &o, nil})
 		case coordinator.Resync, coordinator.WatchEndpoints:
 			h.listAt = append([]policyapi.Microseconds{h.now}, h.listAt...)
 		case coordinator.CheckHealth:
--- a/expectation/judge.go
+++ b/expectation/judge.go
@@ -18,7 +18,7 @@
 }
 
 func newJudge(h *host) *judge {
-	n := len(h.e.That)
+	n := len(h.e.Assertions)
 	return &judge{h: h, found: make([]*Failure, n), asked: make([]float64, n), done: make([]float64, n), entered: make([]policyapi.Microseconds, n),
 		where: make([]string, n)}
 }
@@ -27,7 +27,7 @@
 func (j *judge) at() policyapi.Microseconds { return j.h.now - base - settle }
 
 // counts tells whether an expectation counts now.
-func (j *judge) counts(t That) bool {
+func (j *judge) counts(t Assertion) bool {
 	return j.at() >= t.From && (t.To == 0 || j.at() <= t.To)
 }
 
@@ -35,7 +35,7 @@
 	if j.found[i] != nil {
 		return
 	}
-	f := &Failure{Name: j.h.e.Name, Line: j.h.e.That[i].Line, What: j.h.e.That[i].what(), Case: j.h.c.Number, Seed: j.h.e.Seed, At: j.at(),
+	f := &Failure{Name: j.h.e.Name, Line: j.h.e.Assertions[i].Line, What: j.h.e.Assertions[i].what(), Case: j.h.c.Number, Seed: j.h.e.Seed, At: j.at(),
 		Figure: fmt.Sprintf(format, args...)}
 	if g != nil {
 		f.Gateway = string(g.name)
@@ -91,15 +91,15 @@
 			}
 		}
 	}
-	for i, t := range h.e.That {
+	for i, t := range h.e.Assertions {
 		if j.found[i] != nil || !j.counts(t) {
 			continue
 		}
-		if t.LoadAtMost > 0 || t.ColdAtMost > 0 {
+		if t.MaxUtilization > 0 || t.MaxWarmUpLoad > 0 {
 			j.loads(i, t)
 			continue
 		}
-		if most := h.set.Start.Rules.QueueLimit; t.WaitingMost > 0 && most > 0 && h.waiting > t.WaitingMost*most {
+		if most := h.set.Start.Rules.QueueLimit; t.MaxQueued > 0 && most > 0 && h.waiting > t.MaxQueued*most {
 			j.fail(i, nil, nil, -1, "%.0f lines on their way, %.2f of %.0f", h.waiting, h.waiting/most, most)
 		}
 		for _, g := range h.gateways {
@@ -111,28 +111,28 @@
 	}
 }
 
-func (j *judge) gateway(i int, t That, g *gateway) {
+func (j *judge) gateway(i int, t Assertion, g *gateway) {
 	h := j.h
 	for k, kind := range h.set.Start.Classes {
-		if t.Kind != "" && t.Kind != kind.Name {
+		if t.Class != "" && t.Class != kind.Name {
 			continue
 		}
 		open := len(g.open[k])
 		switch {
-		case t.NeverWithout > 0 && g.without[k] > 0 && h.now-g.without[k] > t.NeverWithout:
+		case t.MaxEmptyTable > 0 && g.without[k] > 0 && h.now-g.without[k] > t.MaxEmptyTable:
 			j.fail(i, g, nil, k, "no line for %.2f s", seconds(h.now-g.without[k]))
-		case t.NodesAtLeast > 0 && open < t.NodesAtLeast:
+		case t.MinEndpoints > 0 && open < t.MinEndpoints:
 			j.fail(i, g, nil, k, "%d nodes", open)
-		case t.NodesAtMost > 0 && open > t.NodesAtMost:
+		case t.MaxEndpoints > 0 && open > t.MaxEndpoints:
 			j.fail(i, g, nil, k, "%d nodes", open)
-		case t.HallsAtLeast > 0 && g.halls[k] < t.HallsAtLeast:
+		case t.MinZones > 0 && g.halls[k] < t.MinZones:
 			j.fail(i, g, nil, k, "%d halls", g.halls[k])
-		case t.RepeatAtMost > 0 && k < len(g.held.Routes) && g.held.Routes[k].RetryPolicy > t.RepeatAtMost:
+		case t.MaxRetryPolicy > 0 && k < len(g.held.Routes) && g.held.Routes[k].RetryPolicy > t.MaxRetryPolicy:
 			j.fail(i, g, nil, k, "second tries by order %d", g.held.Routes[k].RetryPolicy)
-		case t.DrainedWithin > 0:
+		case t.MaxDrainDelay > 0:
 			for _, l := range g.open[k] {
 				n := h.nodes[l.node]
-				if n.closed > 0 && h.now-max(n.closed, g.joinedAt) > t.DrainedWithin {
+				if n.closed > 0 && h.now-max(n.closed, g.joinedAt) > t.MaxDrainDelay {
 					j.fail(i, g, n, k, "still open %.2f s after the list told", seconds(h.now-max(n.closed, g.joinedAt)))
 				}
 			}
@@ -141,7 +141,7 @@
 }
 
 // loads judges what is offered to nodes, over the span in which a cold one falls over.
-func (j *judge) loads(i int, t That) {
+func (j *judge) loads(i int, t Assertion) {
 	h := j.h
 	for _, n := range h.nodes {
 		if !n.up || len(n.window) == 0 {
@@ -154,9 +154,9 @@
 		warmth := h.warmth(n)
 		can := mean * warmth * seconds(tick) * float64(len(n.window))
 		switch {
-		case t.LoadAtMost > 0 && warmth == 1 && offered > t.LoadAtMost*can:
+		case t.MaxUtilization > 0 && warmth == 1 && offered > t.MaxUtilization*can:
 			j.fail(i, nil, n, -1, "offered %.2f of what it can do", offered/can)
-		case t.ColdAtMost > 0 && warmth < 1 && j.knew(n) && offered > t.ColdAtMost*h.set.Start.Rules.OverloadFactor*can:
+		case t.MaxWarmUpLoad > 0 && warmth < 1 && j.knew(n) && offered > t.MaxWarmUpLoad*h.set.Start.Rules.OverloadFactor*can:
 			j.fail(i, nil, n, -1, "offered %.2f of what pushes it over, %.1f s after its start", offered/can/h.set.Start.Rules.OverloadFactor, seconds(h.now-n.launched))
 		}
 	}
@@ -178,16 +178,16 @@
 			n++
 		}
 	}
-	for i, t := range j.h.e.That {
-		if t.MessagesMost > 0 && j.counts(t) && n > t.MessagesMost && (t.Zone == "" || t.Zone == g.zone) {
+	for i, t := range j.h.e.Assertions {
+		if t.MaxMessages > 0 && j.counts(t) && n > t.MaxMessages && (t.Zone == "" || t.Zone == g.zone) {
 			j.fail(i, g, nil, -1, "%d messages in %.0f s", n, seconds(span))
 		}
 	}
 }
 
 func (j *judge) served(g *gateway, kind int, came, done float64) {
-	for i, t := range j.h.e.That {
-		if t.ServedAtLeast > 0 && j.counts(t) && (t.Kind == "" || t.Kind == j.h.set.Start.Classes[kind].Name) && (t.Zone == "" || t.Zone == g.zone) {
+	for i, t := range j.h.e.Assertions {
+		if t.MinSuccessRatio > 0 && j.counts(t) && (t.Class == "" || t.Class == j.h.set.Start.Classes[kind].Name) && (t.Zone == "" || t.Zone == g.zone) {
 			j.asked[i], j.done[i] = j.asked[i]+came, j.done[i]+done
 		}
 	}
@@ -203,8 +203,8 @@
 			to, _ = f.Value.(string)
 		}
 	}
-	for i, t := range j.h.e.That {
-		if to != "" && to == t.Entered+t.NotEntered && j.counts(t) && j.entered[i] == 0 {
+	for i, t := range j.h.e.Assertions {
+		if to != "" && to == t.EnteredLevel+t.AvoidedLevel && j.counts(t) && j.entered[i] == 0 {
 			j.entered[i], j.where[i] = j.at()+1, n.Text
 		}
 	}
@@ -212,16 +212,16 @@
 
 // close judges what is known at the end only.
 func (j *judge) close() (out []Failure) {
-	for i, t := range j.h.e.That {
+	for i, t := range j.h.e.Assertions {
 		switch {
-		case t.ServedAtLeast > 0 && j.asked[i] > 0 && j.done[i] < t.ServedAtLeast*j.asked[i]:
+		case t.MinSuccessRatio > 0 && j.asked[i] > 0 && j.done[i] < t.MinSuccessRatio*j.asked[i]:
 			j.fail(i, nil, nil, -1, "%.3f served", j.done[i]/j.asked[i])
-			if t.Kind != "" {
-				j.found[i].Kind = t.Kind
+			if t.Class != "" {
+				j.found[i].Kind = t.Class
 			}
-		case t.Entered != "" && j.entered[i] == 0:
+		case t.EnteredLevel != "" && j.entered[i] == 0:
 			j.fail(i, nil, nil, -1, "it was not")
-		case t.NotEntered != "" && j.entered[i] > 0:
+		case t.AvoidedLevel != "" && j.entered[i] > 0:
 			j.fail(i, nil, nil, -1, "%s at %.2f s", j.where[i], seconds(j.entered[i]))
 		}
 		if j.found[i] != nil {
