--- a/config/config_test.go
+++ b/config/config_test.go
@@ -9,7 +9,7 @@
 	"porthub/policyapi"
 )
 
-const small = `{
+const validConfig = `{
 	// a comment
 	"coordinator": {"zone": "a"}, "zones": ["a", "b"],
 	"front": {"files": {"dir": "t"}}, "registry": {"file": {"path": "n.json"}},
@@ -17,19 +17,19 @@
 }`
 
 func TestParse(t *testing.T) {
-	c, err := Parse("x", []byte(small))
+	cfg, err := Parse("x", []byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := c.Start()
-	if up.Classes[0].LatencyObjective != 750_000 || up.Classes[0].Idempotency != policyapi.Idempotent || up.Rules.DrainGracePeriod != 3_000_000 ||
-		up.Admission != policyapi.AdmissionByRate || up.Rules.SoftRemoval || up.Reports.MetricNames[0] != "busy" {
-		t.Errorf("%+v", up)
+	start := cfg.Start()
+	if start.Classes[0].LatencyObjective != 750_000 || start.Classes[0].Idempotency != policyapi.Idempotent || start.Rules.DrainGracePeriod != 3_000_000 ||
+		start.Admission != policyapi.AdmissionByRate || start.Rules.SoftRemoval || start.Reports.MetricNames[0] != "busy" {
+		t.Errorf("%+v", start)
 	}
 }
 
 // All findings come at once, each with its line, its key and what would be right.
-func TestFindings(t *testing.T) {
+func TestParseReportsEveryFinding(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"unknown key":     {`"zones"`, `"zonen": 1, "zones"`, "x:3: zonen: is not known, did you mean zones?"},
 		"key twice":       {`"zones": ["a", "b"],`, `"zones": ["a"], "zones": ["a", "b"],`, "x:3: zones: stands twice"},
@@ -46,27 +46,29 @@
 		"a list":          {`["a", "b"]`, `"a"`, `x:3: zones: is "a", it must be a list`},
 		"an object":       {`{"files": {"dir": "t"}}`, `[]`, "x:4: front: is [], it must be an object"},
 		"cut short":       {`"payoff": 1},],`, `"payoff": 1`, "the file must be JSON"},
-		"an array":        {small, `[]`, "holds no object"},
+		"an array":        {validConfig, `[]`, "holds no object"},
 	} {
-		text := strings.Replace(small, c.from, c.to, 1)
-		_, err := Parse("x", []byte(text))
-		var found ValidationError
-		if !errors.As(err, &found) || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", name, err, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			text := strings.Replace(validConfig, c.from, c.to, 1)
+			_, err := Parse("x", []byte(text))
+			var findings ValidationError
+			if !errors.As(err, &findings) || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v, want %q", err, c.want)
+			}
+		})
 	}
-	_, err := Parse("x", []byte(strings.NewReplacer(`"payoff": 1`, `"payoff": []`, `"dir": "t"`, `"dirt": 3`, `"750ms"`, `true`).Replace(small)))
-	var found ValidationError
-	if !errors.As(err, &found) || len(found) != 3 {
-		t.Errorf("three things are wrong: %v", err)
+	_, err := Parse("x", []byte(strings.NewReplacer(`"payoff": 1`, `"payoff": []`, `"dir": "t"`, `"dirt": 3`, `"750ms"`, `true`).Replace(validConfig)))
+	var findings ValidationError
+	if !errors.As(err, &findings) || len(findings) != 3 {
+		t.Errorf("%v, want three findings", err)
 	}
 	if _, err := Load("no/such/file"); !errors.Is(err, ErrUnreadable) {
-		t.Errorf("no file: %v", err)
+		t.Errorf("%v for a missing file, want ErrUnreadable", err)
 	}
 }
 
-// The example is right, and what a default says can be left out.
-func TestExample(t *testing.T) {
+// The example is valid, and keys with a default can be left out.
+func TestParseExample(t *testing.T) {
 	text, err := os.ReadFile("../examples/porthub.json")
 	if err != nil {
 		t.Fatal(err)
--- a/config/decode.go
+++ b/config/decode.go
@@ -15,27 +15,48 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder fills a struct from a syntax tree, so that each finding has its line.
+const (
+	maxQuoted   = 40             // bytes of a wrong value that a finding repeats
+	maxDuration = 24 * time.Hour // longer ones are mistakes of unit
+	maxInteger  = 1e15           // below 2^53: a float64 holds every integer up to it
+)
+
+// defaulter is implemented by list elements that have defaults of their own.
+type defaulter interface{ setDefaults() }
+
+// decoder fills a struct from a syntax tree in place of encoding/json, so that each finding has its line.
 type decoder struct {
-	file  string
-	text  []byte
-	found []Finding
-	lines map[string]int // by key: where it stands
+	file     string
+	text     []byte
+	findings []Finding
+	lines    map[string]int // by path of the key
+}
+
+func newDecoder(file string, text []byte) *decoder {
+	return &decoder{file: file, text: text, lines: map[string]int{}}
+}
+
+// err returns the findings as a ValidationError, or nil.
+func (d *decoder) err() error {
+	if len(d.findings) == 0 {
+		return nil
+	}
+	return ValidationError(d.findings)
 }
 
-func (d *decoder) finding(line int, key, wrong, right string) {
-	d.found = append(d.found, Finding{File: d.file, Line: line, Key: key, Problem: wrong, Remedy: right})
+func (d *decoder) report(line int, key, problem, remedy string) {
+	d.findings = append(d.findings, Finding{File: d.file, Line: line, Key: key, Problem: problem, Remedy: remedy})
 }
 
-// line of an offset, from 1.
-func (d *decoder) line(offset int) int {
+// lineAt returns the line of an offset, from 1.
+func (d *decoder) lineAt(offset int) int {
 	return 1 + bytes.Count(d.text[:min(offset, len(d.text))], []byte("\n"))
 }
 
-// lineOf finds the line of a key, or of the nearest key above it.
+// lineOf returns the line of a key, or of its nearest parent in the file.
 func (d *decoder) lineOf(key string) int {
 	for key != "" {
-		if line, has := d.lines[key]; has {
+		if line, ok := d.lines[key]; ok {
 			return line
 		}
 		key = key[:max(0, strings.LastIndexAny(key, ".["))]
@@ -43,20 +64,21 @@
 	return 1
 }
 
-var hujsonAt = regexp.MustCompile(`line (\d+), column (\d+)`)
+// syntaxErrorPosition matches the position in hujson's errors, which have no type.
+var syntaxErrorPosition = regexp.MustCompile(`line (\d+), column (\d+)`)
 
 func (d *decoder) document(into any) {
 	tree, err := hujson.Parse(d.text)
 	if err != nil {
 		line := 1
-		if m := hujsonAt.FindStringSubmatch(err.Error()); m != nil {
-			line, _ = strconv.Atoi(m[1])
+		if match := syntaxErrorPosition.FindStringSubmatch(err.Error()); match != nil {
+			line, _ = strconv.Atoi(match[1])
 		}
-		d.finding(line, "-", err.Error(), "the file must be JSON, comments and trailing commas allowed")
+		d.report(line, "-", err.Error(), "the file must be JSON, comments and trailing commas allowed")
 		return
 	}
-	if _, is := tree.Value.(*hujson.Object); !is {
-		d.finding(1, "-", "the file holds no object", "it must begin with {")
+	if _, ok := tree.Value.(*hujson.Object); !ok {
+		d.report(1, "-", "the file holds no object", "it must begin with {")
 		return
 	}
 	d.value("", tree, reflect.ValueOf(into).Elem())
@@ -71,156 +93,162 @@
 
 func (d *decoder) value(key string, v hujson.Value, into reflect.Value) {
 	if key != "" {
-		d.lines[key] = d.line(v.StartOffset)
+		d.lines[key] = d.lineAt(v.StartOffset)
 	}
 	switch into.Kind() {
 	case reflect.Struct:
-		object, is := v.Value.(*hujson.Object)
-		if !is {
-			d.wrong(key, v, "an object")
+		object, ok := v.Value.(*hujson.Object)
+		if !ok {
+			d.wrongType(key, v, "an object")
 			return
 		}
 		d.object(key, object, into)
 	case reflect.Slice:
-		if null, is := v.Value.(hujson.Literal); is && null.Kind() == 'n' {
-			into.Set(reflect.MakeSlice(into.Type(), 0, 0)) // as an empty list is written by others
-			return
-		}
-		array, is := v.Value.(*hujson.Array)
-		if !is {
-			d.wrong(key, v, "a list")
-			return
-		}
-		out := reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements))
-		for i, e := range array.Elements {
-			if with, has := out.Index(i).Addr().Interface().(interface{ defaults() }); has {
-				with.defaults()
-			}
-			d.value(fmt.Sprintf("%s[%d]", key, i), e, out.Index(i))
-		}
-		into.Set(out)
+		d.list(key, v, into)
 	default:
 		d.scalar(key, v, into)
 	}
 }
 
 func (d *decoder) object(key string, object *hujson.Object, into reflect.Value) {
-	fields, names := map[string]int{}, []string{}
+	var names []string
+	fields := map[string]int{}
 	for i := range into.NumField() {
 		name := into.Type().Field(i).Tag.Get("json")
-		fields[name], names = i, append(names, name)
+		fields[name] = i
+		names = append(names, name)
 	}
 	seen := map[string]bool{}
-	for _, m := range object.Members {
+	for _, member := range object.Members {
 		var name string
-		if literal, is := m.Name.Value.(hujson.Literal); is {
+		if literal, ok := member.Name.Value.(hujson.Literal); ok {
 			name = literal.String()
 		}
-		i, known := fields[name]
-		switch line := d.line(m.Name.StartOffset); {
-		case !known:
-			d.finding(line, join(key, name), "is not known", "did you mean "+nearest(name, names)+"?")
+		field, ok := fields[name]
+		line := d.lineAt(member.Name.StartOffset)
+		switch {
+		case !ok:
+			d.report(line, join(key, name), "is not known", "did you mean "+nearest(name, names)+"?")
 		case seen[name]:
-			d.finding(line, join(key, name), "stands twice", "leave one of them out")
+			d.report(line, join(key, name), "stands twice", "leave one of them out")
 		default:
-			d.value(join(key, name), m.Value, into.Field(i))
+			d.value(join(key, name), member.Value, into.Field(field))
 		}
 		seen[name] = true
 	}
 }
 
-// wrong says that a value is of the wrong type.
-func (d *decoder) wrong(key string, v hujson.Value, want string) {
+func (d *decoder) list(key string, v hujson.Value, into reflect.Value) {
+	if literal, ok := v.Value.(hujson.Literal); ok && literal.Kind() == 'n' {
+		// Other programs write an empty list as null.
+		into.Set(reflect.MakeSlice(into.Type(), 0, 0))
+		return
+	}
+	array, ok := v.Value.(*hujson.Array)
+	if !ok {
+		d.wrongType(key, v, "a list")
+		return
+	}
+	list := reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements))
+	for i, element := range array.Elements {
+		if target, ok := list.Index(i).Addr().Interface().(defaulter); ok {
+			target.setDefaults()
+		}
+		d.value(fmt.Sprintf("%s[%d]", key, i), element, list.Index(i))
+	}
+	into.Set(list)
+}
+
+// wrongType reports a value of the wrong type.
+func (d *decoder) wrongType(key string, v hujson.Value, want string) {
 	text := string(bytes.TrimSpace(v.Pack()))
-	if len(text) > 40 {
-		text = text[:40] + "..."
+	if len(text) > maxQuoted {
+		text = text[:maxQuoted] + "..."
 	}
-	d.finding(d.line(v.StartOffset), key, "is "+text, "it must be "+want)
+	d.report(d.lineAt(v.StartOffset), key, "is "+text, "it must be "+want)
 }
 
-var durationType = reflect.TypeOf(Duration(0))
+// errWrongType is what a scalar parser returns; the finding has the details.
+var errWrongType = errors.New("wrong type")
 
+// scalar sets a field of a type without parts. Config and Suite have no others than these, so another is a bug.
 func (d *decoder) scalar(key string, v hujson.Value, into reflect.Value) {
-	literal, is := v.Value.(hujson.Literal)
-	if into.Type() == durationType {
-		if !is || literal.Kind() != '"' {
-			d.wrong(key, v, `a time with its unit, such as "750ms" or "2.5s"`)
-			return
-		}
-		t, err := time.ParseDuration(literal.String())
-		if err != nil || t < 0 || t > 24*time.Hour {
-			d.wrong(key, v, `a time with its unit between "0s" and "24h", such as "750ms" or "2.5s"`)
-			return
-		}
-		into.SetInt(t.Microseconds())
-		return
-	}
-	switch into.Kind() {
-	case reflect.String:
-		if !is || literal.Kind() != '"' {
-			d.wrong(key, v, "a string")
-			return
-		}
-		into.SetString(literal.String())
-	case reflect.Bool:
-		if !is || literal.Kind() != 't' && literal.Kind() != 'f' {
-			d.wrong(key, v, "true or false")
-			return
-		}
-		into.SetBool(literal.Kind() == 't')
-	case reflect.Int:
-		n, err := number(literal, is)
-		if err != nil || n != math.Trunc(n) || math.Abs(n) > 1e15 {
-			d.wrong(key, v, "a whole number")
-			return
-		}
-		into.SetInt(int64(n))
-	case reflect.Float64:
-		n, err := number(literal, is)
-		if err != nil {
-			d.wrong(key, v, "a number")
-			return
-		}
-		into.SetFloat(n)
+	literal, _ := v.Value.(hujson.Literal) // of another kind it stays nil, which no parser takes
+	var want string
+	var err error
+	switch {
+	case into.Type() == reflect.TypeFor[Duration]():
+		want, err = setDuration(literal, into)
+	case into.Kind() == reflect.String:
+		want, err = "a string", setString(literal, into)
+	case into.Kind() == reflect.Bool:
+		want, err = "true or false", setBool(literal, into)
+	case into.Kind() == reflect.Int:
+		want, err = "a whole number", setInteger(literal, into)
+	case into.Kind() == reflect.Float64:
+		want, err = "a number", setFloat(literal, into)
 	default:
 		panic(fmt.Sprintf("config: %s has kind %s", key, into.Kind()))
 	}
+	if err != nil {
+		d.wrongType(key, v, want)
+	}
 }
 
-func number(literal hujson.Literal, is bool) (n float64, err error) {
-	if !is || literal.Kind() != '0' {
-		return 0, errors.New("no number")
+func setDuration(literal hujson.Literal, into reflect.Value) (want string, err error) {
+	if literal.Kind() != '"' {
+		return `a time with its unit, such as "750ms" or "2.5s"`, errWrongType
 	}
-	err = json.Unmarshal(literal, &n)
-	return n, err
+	duration, err := time.ParseDuration(literal.String())
+	if err != nil || duration < 0 || duration > maxDuration {
+		return `a time with its unit between "0s" and "24h", such as "750ms" or "2.5s"`, errWrongType
+	}
+	into.SetInt(duration.Microseconds())
+	return "", nil
 }
 
-// nearest finds the known name that takes the fewest edits.
-func nearest(name string, names []string) string {
-	best, least := "", 1<<30
-	for _, n := range names {
-		if d := edits(name, n); d < least {
-			best, least = n, d
-		}
+func setString(literal hujson.Literal, into reflect.Value) error {
+	if literal.Kind() != '"' {
+		return errWrongType
 	}
-	return best
+	into.SetString(literal.String())
+	return nil
 }
 
-func edits(a, b string) int {
-	row := make([]int, len(b)+1)
-	for j := range row {
-		row[j] = j
+func setBool(literal hujson.Literal, into reflect.Value) error {
+	kind := literal.Kind()
+	if kind != 't' && kind != 'f' {
+		return errWrongType
 	}
-	for i := range len(a) {
-		last := row[0]
-		row[0] = i + 1
-		for j := range len(b) {
-			cost := last
-			if a[i] != b[j] {
-				cost = 1 + min(last, row[j], row[j+1])
-			}
-			last, row[j+1] = row[j+1], cost
-		}
+	into.SetBool(kind == 't')
+	return nil
+}
+
+func setInteger(literal hujson.Literal, into reflect.Value) error {
+	n, err := number(literal)
+	if err != nil {
+		return err
+	}
+	if n != math.Trunc(n) || math.Abs(n) > maxInteger {
+		return errWrongType
+	}
+	into.SetInt(int64(n))
+	return nil
+}
+
+func setFloat(literal hujson.Literal, into reflect.Value) error {
+	n, err := number(literal)
+	if err != nil {
+		return err
 	}
-	return row[len(b)]
+	into.SetFloat(n)
+	return nil
+}
+
+func number(literal hujson.Literal) (n float64, err error) {
+	if literal.Kind() != '0' {
+		return 0, errWrongType
+	}
+	err = json.Unmarshal(literal, &n)
+	return n, err
 }
--- a/config/suite.go
+++ b/config/suite.go
@@ -2,19 +2,18 @@
 
 import (
 	"fmt"
-	"os"
 	"slices"
 
 	"porthub/expectation"
 	"porthub/policyapi"
 )
 
-// Suite is a file of expectations, JSON with comments.
+// Suite is an expectation file.
 type Suite struct {
 	Expectations []Expectation `json:"expect"`
 }
 
-// Expectation is one of them; docs/expectations.md says what each key means.
+// Expectation is one expectation of a file; docs/expectations.md defines each key.
 type Expectation struct {
 	Name       string          `json:"name"`
 	Cases      int             `json:"cases"`
@@ -25,12 +24,25 @@
 	Assertions []Assertion     `json:"that"`
 }
 
-func (e *Expectation) defaults() {
-	*e = Expectation{Cases: 1, Seed: 1, Length: 20_000_000, Fleet: ExpectedFleet{Endpoints: []float64{18}, Gateways: []float64{15}, Load: []float64{0.5}, Spread: 0.5,
-		Latency: 100_000, ListDelay: 1_500_000}}
+// setDefaults gives an expectation one case of a small fleet at half its capacity.
+func (e *Expectation) setDefaults() {
+	*e = Expectation{
+		Cases:  1,
+		Seed:   1,
+		Length: 20 * second,
+		Fleet: ExpectedFleet{
+			Endpoints: []float64{18},
+			Gateways:  []float64{15},
+			Load:      []float64{0.5},
+			Spread:    0.5,
+			Latency:   100 * millisecond,
+			ListDelay: 1500 * millisecond,
+		},
+	}
 }
 
-// ExpectedFleet is the fleet that cases begin with. A list of two numbers is drawn from, both included.
+// ExpectedFleet is the fleet that cases begin with. A list of two numbers is a range, both ends included, from which each
+// case draws.
 type ExpectedFleet struct {
 	Endpoints []float64 `json:"nodes"`
 	Gateways  []float64 `json:"gateways"`
@@ -40,7 +52,7 @@
 	ListDelay Duration  `json:"list_late"`
 }
 
-// ExpectedEvent is one event of a course.
+// ExpectedEvent is one event of an expectation.
 type ExpectedEvent struct {
 	At         Duration `json:"at"`
 	Action     string   `json:"what"`
@@ -50,7 +62,8 @@
 	LoadFactor float64  `json:"size"`
 }
 
-// Assertion is one thing that must hold.
+// Assertion is one statement that must hold. Exactly one of its figures is set; class, zone, from and to limit where it
+// applies.
 type Assertion struct {
 	Class string   `json:"kind"`
 	Zone  string   `json:"zone"`
@@ -72,63 +85,116 @@
 	AvoidedLevel    string   `json:"not_entered"`
 }
 
-// Expectations are the same as package expect has them.
-func (s Suite) expectations(line func(key string) int) (out expectation.Suite) {
-	span := func(v []float64) expectation.Range {
-		if len(v) == 0 {
-			return expectation.Range{}
-		}
-		return expectation.Range{From: v[0], To: v[len(v)-1]}
+// LoadSuite reads an expectation file and validates it against a configuration. The error is a ValidationError, or wraps
+// ErrUnreadable.
+func LoadSuite(path string, cfg Config) (expectation.Suite, error) {
+	text, err := readFile(path)
+	if err != nil {
+		return expectation.Suite{}, err
 	}
-	us := func(d Duration) policyapi.Microseconds { return policyapi.Microseconds(d) }
-	for i, e := range s.Expectations {
-		key := fmt.Sprintf("expect[%d]", i)
-		one := expectation.Expectation{Name: e.Name, Cases: e.Cases, Seed: uint64(e.Seed), Length: us(e.Length), Line: line(key), Fleet: expectation.Fleet{Endpoints: span(e.Fleet.Endpoints),
-			Gateways: span(e.Fleet.Gateways), Load: span(e.Fleet.Load), Spread: e.Fleet.Spread, Latency: us(e.Fleet.Latency), ListDelay: us(e.Fleet.ListDelay)}}
-		for j, ev := range e.Events {
-			one.Events = append(one.Events, expectation.Event{At: us(ev.At), Action: ev.Action, Zone: policyapi.Zone(ev.Zone), Fraction: ev.Fraction, Class: ev.Class, LoadFactor: ev.LoadFactor,
-				Line: line(fmt.Sprintf("%s.course[%d]", key, j))})
-		}
-		slices.SortStableFunc(one.Events, func(a, b expectation.Event) int { return int(a.At - b.At) })
-		for j, t := range e.Assertions {
-			one.Assertions = append(one.Assertions, expectation.Assertion{Class: t.Class, Zone: policyapi.Zone(t.Zone), From: us(t.From), To: us(t.To), Line: line(fmt.Sprintf("%s.that[%d]", key, j)),
-				MaxEmptyTable: us(t.MaxEmptyTable), MinEndpoints: t.MinEndpoints, MaxEndpoints: t.MaxEndpoints, MinZones: t.MinZones, MaxUtilization: t.MaxUtilization,
-				MaxWarmUpLoad: t.MaxWarmUpLoad, MaxDrainDelay: us(t.MaxDrainDelay), MaxMessages: t.MaxMessages, MaxQueued: t.MaxQueued, MinSuccessRatio: t.MinSuccessRatio,
-				MaxRetryPolicy: t.MaxRetryPolicy, EnteredLevel: t.EnteredLevel, AvoidedLevel: t.AvoidedLevel})
-		}
-		out.Expectations = append(out.Expectations, one)
+	return ParseSuite(path, text, cfg)
+}
+
+// ParseSuite reads and validates the text of an expectation file; findings name the file given.
+func ParseSuite(file string, text []byte, cfg Config) (expectation.Suite, error) {
+	var decoded Suite
+	d := newDecoder(file, text)
+	d.document(&decoded)
+	if err := d.err(); err != nil {
+		return expectation.Suite{}, err
 	}
-	return out
+	suite := decoded.suite(d.lineOf)
+	for _, f := range suite.Check(cfg.expectationSite()) {
+		d.report(f.Line, "expect", f.Problem, f.Remedy)
+	}
+	return suite, d.err()
 }
 
-// LoadSuite reads a file of expectations and checks it against a configuration. The error is Findings, or wraps ErrUnreadable.
-func LoadSuite(path string, c Config) (expectation.Suite, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return expectation.Suite{}, fmt.Errorf("%s: %w: %v", path, ErrUnreadable, err)
+// expectationSite returns the names that expectations may use.
+func (c Config) expectationSite() expectation.Site {
+	settings, _ := c.DegradationSettings()
+	site := expectation.Site{Zones: settings.Zones, Classes: settings.Classes}
+	for _, level := range settings.Levels {
+		site.Levels = append(site.Levels, level.Name)
+	}
+	return site
+}
+
+// suite converts the file to the form of package expectation. lineOf returns the line of a key.
+func (s Suite) suite(lineOf func(key string) int) (suite expectation.Suite) {
+	for i, e := range s.Expectations {
+		suite.Expectations = append(suite.Expectations, e.expectation(fmt.Sprintf("expect[%d]", i), lineOf))
 	}
-	return ParseSuite(path, text, c)
+	return suite
 }
 
-// ParseSuite reads and checks a text; the name of its file stands in findings.
-func ParseSuite(file string, text []byte, c Config) (expectation.Suite, error) {
-	var s Suite
-	d := decoder{file: file, text: text, lines: map[string]int{}}
-	d.document(&s)
-	if len(d.found) > 0 {
-		return expectation.Suite{}, ValidationError(d.found)
+func (e *Expectation) expectation(key string, lineOf func(key string) int) expectation.Expectation {
+	converted := expectation.Expectation{
+		Name:   e.Name,
+		Cases:  e.Cases,
+		Seed:   uint64(e.Seed),
+		Length: e.Length.microseconds(),
+		Line:   lineOf(key),
+		Fleet: expectation.Fleet{
+			Endpoints: rangeOf(e.Fleet.Endpoints),
+			Gateways:  rangeOf(e.Fleet.Gateways),
+			Load:      rangeOf(e.Fleet.Load),
+			Spread:    e.Fleet.Spread,
+			Latency:   e.Fleet.Latency.microseconds(),
+			ListDelay: e.Fleet.ListDelay.microseconds(),
+		},
+	}
+	for i, event := range e.Events {
+		converted.Events = append(converted.Events, event.event(lineOf(fmt.Sprintf("%s.course[%d]", key, i))))
+	}
+	slices.SortStableFunc(converted.Events, func(a, b expectation.Event) int { return int(a.At - b.At) })
+	for i, assertion := range e.Assertions {
+		line := lineOf(fmt.Sprintf("%s.that[%d]", key, i))
+		converted.Assertions = append(converted.Assertions, assertion.assertion(line))
 	}
-	out := s.expectations(d.lineOf)
-	levels, _ := c.DegradationSettings()
-	site := expectation.Site{Zones: levels.Zones, Classes: levels.Classes}
-	for _, l := range levels.Levels {
-		site.Levels = append(site.Levels, l.Name)
+	return converted
+}
+
+// rangeOf returns the range from the first to the last number.
+func rangeOf(numbers []float64) expectation.Range {
+	if len(numbers) == 0 {
+		return expectation.Range{}
 	}
-	for _, f := range out.Check(site) {
-		d.finding(f.Line, "expect", f.Problem, f.Remedy)
+	return expectation.Range{From: numbers[0], To: numbers[len(numbers)-1]}
+}
+
+func (e ExpectedEvent) event(line int) expectation.Event {
+	return expectation.Event{
+		At:         e.At.microseconds(),
+		Action:     e.Action,
+		Zone:       policyapi.Zone(e.Zone),
+		Fraction:   e.Fraction,
+		Class:      e.Class,
+		LoadFactor: e.LoadFactor,
+		Line:       line,
 	}
-	if len(d.found) > 0 {
-		return out, ValidationError(d.found)
+}
+
+func (a Assertion) assertion(line int) expectation.Assertion {
+	return expectation.Assertion{
+		Class: a.Class,
+		Zone:  policyapi.Zone(a.Zone),
+		From:  a.From.microseconds(),
+		To:    a.To.microseconds(),
+		Line:  line,
+
+		MaxEmptyTable:   a.MaxEmptyTable.microseconds(),
+		MinEndpoints:    a.MinEndpoints,
+		MaxEndpoints:    a.MaxEndpoints,
+		MinZones:        a.MinZones,
+		MaxUtilization:  a.MaxUtilization,
+		MaxWarmUpLoad:   a.MaxWarmUpLoad,
+		MaxDrainDelay:   a.MaxDrainDelay.microseconds(),
+		MaxMessages:     a.MaxMessages,
+		MaxQueued:       a.MaxQueued,
+		MinSuccessRatio: a.MinSuccessRatio,
+		MaxRetryPolicy:  a.MaxRetryPolicy,
+		EnteredLevel:    a.EnteredLevel,
+		AvoidedLevel:    a.AvoidedLevel,
 	}
-	return out, nil
 }
--- a/config/suite_test.go
+++ b/config/suite_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const soundSuite = `{
+const validSuite = `{
   "expect": [
     {"name": "calm", "cases": 2, "length": "10s",
      "fleet": {"nodes": [9, 12], "gateways": [6], "load": [0.4]},
@@ -15,16 +15,16 @@
        {"nodes_at_least": 2},
        {"halls_at_least": 1}]}]}`
 
-// Each broken file of expectations is refused with a message of its own, by the line that is wrong.
-func TestBrokenSuites(t *testing.T) {
+// Each invalid expectation file is rejected with a message of its own that names the line.
+func TestParseSuiteRejectsInvalidFiles(t *testing.T) {
 	cfg := Default()
 	cfg.Zones = []string{"a", "b"}
 	cfg.Classes = []RequestClass{{Name: "view"}, {Name: "save"}}
 	cfg.Degradation.Levels = []DegradationLevel{{Name: "tight"}}
-	if _, err := ParseSuite("s.json", []byte(soundSuite), cfg); err != nil {
+	if _, err := ParseSuite("s.json", []byte(validSuite), cfg); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ old, new, says string }{
+	for _, c := range []struct{ old, new, want string }{
 		{`"what": "lose"`, `"what": "loose"`, `s.json:5: expect: there is no "loose"`},
 		{`"zone": "a"`, `"zone": "x"`, `s.json:5: expect: there is no zone "x"`},
 		{`"part": 0.5`, `"part": 1.5`, `part is 1.5`},
@@ -47,23 +47,25 @@
 		{`"cases": 2`, `"case": 2`, `did you mean cases?`},
 		{`"never_without": "5s"`, `"never_without": 5`, `it must be a time with its unit`},
 		{`"that": [`, `"that": [], "thats": [`, `is not known`},
-		{`{"never_without": "5s", "kind": "view"},`, ``, ``}, // and one that is sound
+		{`{"never_without": "5s", "kind": "view"},`, ``, ``}, // and one that is valid
 	} {
-		_, err := ParseSuite("s.json", []byte(strings.Replace(soundSuite, c.old, c.new, 1)), cfg)
-		if c.says == "" {
-			if err != nil {
-				t.Error(err)
+		t.Run(c.new+" for "+c.old, func(t *testing.T) {
+			_, err := ParseSuite("s.json", []byte(strings.Replace(validSuite, c.old, c.new, 1)), cfg)
+			if c.want == "" {
+				if err != nil {
+					t.Error(err)
+				}
+				return
 			}
-			continue
-		}
-		if err == nil || !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s for %s: %v", c.new, c.old, err)
-		}
+			if err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v, want %q", err, c.want)
+			}
+		})
 	}
 }
 
-// Levels that can't be left are refused by the line of the level.
-func TestBrokenLevels(t *testing.T) {
+// Levels that can't be left are rejected with the line of the level.
+func TestParseRejectsInvalidLevels(t *testing.T) {
 	text := func(level string) []byte {
 		return []byte(`{
   "coordinator": {"zone": "a"}, "zones": ["a"], "front": {"files": {"dir": "d"}}, "registry": {"file": {"path": "p"}},
@@ -74,15 +76,15 @@
 	if _, err := Parse("c.json", text(`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}}`)); err != nil {
 		t.Fatal(err)
 	}
-	for level, says := range map[string]string{
+	for level, want := range map[string]string{
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0}}`:                                              `c.json:5: service.levels[0].leave.load: 0 is never reached in calm`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 1}}`:                                              `would swing`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "x"}]}`:                  `"x" is no request kind`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "view", "share": 0.5}]}`: `part of what can be served would be turned away`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "leave_held": "1s"}`:                        `under two reports`,
 	} {
-		if _, err := Parse("c.json", text(level)); err == nil || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: %v", level, err)
+		if _, err := Parse("c.json", text(level)); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: %v, want %q", level, err, want)
 		}
 	}
 }
