--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -218,7 +218,7 @@
 	r, version := bufio.NewReaderSize(conn, 4096), ""
 	for ctx.Err() == nil {
 		// Binary: what is measured is the coordinator, and the gateways share its cores.
-		text, err := proto.Marshal(xds.Acknowledge(xds.Node{Name: name, Zone: zone, Weight: 1, Polls: true, Hold: time.Minute}, kind, version, "", ""))
+		text, err := proto.Marshal(xds.NewAcknowledgement(xds.Node{Name: name, Zone: zone, UsualRate: 1, Polls: true, MaxWait: time.Minute}, kind, version, "", ""))
 		if err != nil {
 			return err
 		}
--- a/client/files.go
+++ b/client/files.go
@@ -18,32 +18,32 @@
 	"porthub/xdsfile"
 )
 
-// Held is what a gateway holds by its files.
-type Held struct {
-	Snapshot       routing.Snapshot
-	EndpointsFrom  string // version of the clusters; empty: none has been read
-	RoutesFrom     string
-	Reads, Refused int // whole documents read, and texts that were none
+// Tables is what a gateway holds by its files.
+type Tables struct {
+	Snapshot          routing.Snapshot
+	EndpointVersion   string // version of the clusters; empty: none has been read
+	RouteVersion      string
+	Applied, Rejected int // whole documents read, and texts that were none
 }
 
 // Update is one document that was read, or refused.
 type Update struct {
-	File    string
-	Doc     xds.Document
-	Err     error     // why it was refused; what was held stays
-	Written time.Time // the file's time
-	Bytes   int
-	Took    time.Duration // reading and decoding
+	Source   string
+	Document xds.Document
+	Err      error     // why it was refused; what was held stays
+	Written  time.Time // the file's time
+	Size     int
+	Elapsed  time.Duration // reading and decoding
 }
 
 // Reader follows a gateway's folder. It is for one goroutine.
 type Reader struct {
 	dir string
-	// Chunk is how many bytes are read at a time and Pause how long to wait between; 0 reads all at once. A slow reader
+	// ChunkSize is how many bytes are read at a time and Pause how long to wait between; 0 reads all at once. A slow reader
 	// still reads one whole document: it holds the file that it opened, whatever is moved into its place.
-	Chunk int
-	Pause time.Duration
-	seen  map[string]identity
+	ChunkSize  int
+	ChunkDelay time.Duration
+	seen       map[string]identity
 }
 
 // identity tells one file from the next that is moved into its place.
@@ -58,14 +58,14 @@
 	return &Reader{dir: filepath.Join(frontDir, gateway), seen: map[string]identity{}}
 }
 
-// Look reads what has changed since the last look, endpoints before routes. A missing file is no update.
-func (r *Reader) Look() (updates []Update) {
+// Poll reads what has changed since the last look, endpoints before routes. A missing file is no update.
+func (r *Reader) Poll() (updates []Update) {
 	for _, name := range []string{xdsfile.EndpointFile, xdsfile.RouteFile} {
 		path := filepath.Join(r.dir, name)
 		info, err := os.Stat(path)
 		if err != nil {
 			if !errors.Is(err, fs.ErrNotExist) {
-				updates = append(updates, Update{File: path, Err: err})
+				updates = append(updates, Update{Source: path, Err: err})
 			}
 			continue
 		}
@@ -89,7 +89,7 @@
 
 func (r *Reader) read(path string) (u Update, id identity) {
 	start := time.Now()
-	u.File = path
+	u.Source = path
 	f, err := os.Open(path)
 	if err != nil {
 		u.Err = err
@@ -100,14 +100,14 @@
 		id, u.Written = identify(info), info.ModTime()
 	}
 	var text []byte
-	if r.Chunk <= 0 {
+	if r.ChunkSize <= 0 {
 		text, err = io.ReadAll(f)
 	} else {
-		part := make([]byte, r.Chunk)
+		part := make([]byte, r.ChunkSize)
 		for n := 0; err == nil; {
 			n, err = f.Read(part)
 			text = append(text, part[:n]...)
-			time.Sleep(r.Pause)
+			time.Sleep(r.ChunkDelay)
 		}
 		if errors.Is(err, io.EOF) {
 			err = nil
@@ -117,24 +117,24 @@
 		u.Err = err
 		return u, id
 	}
-	u.Bytes = len(text)
-	u.Doc, u.Err = xds.Read(text)
-	u.Took = time.Since(start)
+	u.Size = len(text)
+	u.Document, u.Err = xds.ParseDocument(text)
+	u.Elapsed = time.Since(start)
 	return u, id
 }
 
 // Apply puts an update into what is held. A refused one changes nothing but the count.
-func (h *Held) Apply(u Update) {
+func (h *Tables) Apply(u Update) {
 	if u.Err != nil {
-		h.Refused++
+		h.Rejected++
 		return
 	}
-	h.Reads++
-	switch u.Doc.Type {
+	h.Applied++
+	switch u.Document.Type {
 	case xds.EndpointType:
-		h.Snapshot.Clusters, h.EndpointsFrom = u.Doc.Clusters, u.Doc.Version
+		h.Snapshot.Clusters, h.EndpointVersion = u.Document.Clusters, u.Document.Version
 	case xds.RouteType:
-		h.Snapshot.Routes, h.RoutesFrom = u.Doc.Routes, u.Doc.Version
+		h.Snapshot.Routes, h.RouteVersion = u.Document.Routes, u.Document.Version
 	}
 }
 
@@ -153,7 +153,7 @@
 		if !watched && w != nil {
 			watched = w.Add(r.dir) == nil // the folder comes with the first publication
 		}
-		if updates := r.Look(); len(updates) > 0 {
+		if updates := r.Poll(); len(updates) > 0 {
 			each(updates)
 		}
 		select {
@@ -166,5 +166,5 @@
 }
 
 func (u Update) String() string {
-	return fmt.Sprintf("%s: %s, %d bytes, %v", u.File, u.Doc.Version, u.Bytes, u.Err)
+	return fmt.Sprintf("%s: %s, %d bytes, %v", u.Source, u.Document.Version, u.Size, u.Err)
 }
--- a/client/link.go
+++ b/client/link.go
@@ -69,8 +69,8 @@
 		DialContext: dial, MaxConnsPerHost: 1, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Hour, DisableCompression: true}}}
 }
 
-// ErrRefused is an answer of the coordinator that says no; the message changed nothing.
-var ErrRefused = errors.New("refused")
+// ErrRejected is an answer of the coordinator that says no; the message changed nothing.
+var ErrRejected = errors.New("refused")
 
 // post sends one message and waits for its answer.
 func (l *Link) post(ctx context.Context, path string, m proto.Message, into proto.Message) error {
@@ -80,7 +80,7 @@
 	}
 	l.heard.Store(time.Now().UnixNano())
 	if code >= 400 {
-		return fmt.Errorf("%w: %d: %s", ErrRefused, code, bytes.TrimSpace(body))
+		return fmt.Errorf("%w: %d: %s", ErrRejected, code, bytes.TrimSpace(body))
 	}
 	if into != nil && code == http.StatusOK {
 		return xds.Decode(body, into)
@@ -89,52 +89,52 @@
 }
 
 // Join names the gateway to the coordinator by saying which versions it holds.
-func (l *Link) Join(ctx context.Context, held Held) error {
+func (l *Link) Join(ctx context.Context, held Tables) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.Standing = held.EndpointsFrom == ""
-	if err := l.post(ctx, xds.EndpointPath, xds.Acknowledge(l.node, xds.EndpointType, held.EndpointsFrom, "", ""), nil); err != nil {
+	l.node.InitialTable = held.EndpointVersion == ""
+	if err := l.post(ctx, xds.EndpointPath, xds.NewAcknowledgement(l.node, xds.EndpointType, held.EndpointVersion, "", ""), nil); err != nil {
 		return err
 	}
-	return l.post(ctx, xds.RoutePath, xds.Acknowledge(l.node, xds.RouteType, held.RoutesFrom, "", ""), nil)
+	return l.post(ctx, xds.RoutePath, xds.NewAcknowledgement(l.node, xds.RouteType, held.RouteVersion, "", ""), nil)
 }
 
-// Answer acknowledges an update after it was applied, or refuses it.
-func (l *Link) Answer(ctx context.Context, u Update, held Held) error {
+// NewAcknowledgement acknowledges an update after it was applied, or refuses it.
+func (l *Link) Acknowledge(ctx context.Context, u Update, held Tables) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.Standing = held.EndpointsFrom == ""
-	if l.node.Checksum = 0; held.EndpointsFrom != "" && held.RoutesFrom != "" {
-		l.node.Checksum, l.node.Held = routing.Checksum(held.Snapshot), [routing.DocumentCount]string{held.EndpointsFrom, held.RoutesFrom}
+	l.node.InitialTable = held.EndpointVersion == ""
+	if l.node.Checksum = 0; held.EndpointVersion != "" && held.RouteVersion != "" {
+		l.node.Checksum, l.node.Versions = routing.Checksum(held.Snapshot), [routing.DocumentCount]string{held.EndpointVersion, held.RouteVersion}
 	}
-	path, kind, version := xds.EndpointPath, xds.EndpointType, held.EndpointsFrom
-	if u.Doc.Type == xds.RouteType {
-		path, kind, version = xds.RoutePath, xds.RouteType, held.RoutesFrom
+	path, kind, version := xds.EndpointPath, xds.EndpointType, held.EndpointVersion
+	if u.Document.Type == xds.RouteType {
+		path, kind, version = xds.RoutePath, xds.RouteType, held.RouteVersion
 	}
 	why := ""
 	if u.Err != nil {
 		why = u.Err.Error()
 	}
-	return l.post(ctx, path, xds.Acknowledge(l.node, kind, version, u.Doc.Nonce, why), nil)
+	return l.post(ctx, path, xds.NewAcknowledgement(l.node, kind, version, u.Document.Nonce, why), nil)
 }
 
-// Report sends what was met in an interval and returns how long the next one should be.
-func (l *Link) Report(ctx context.Context, interval time.Duration, kinds []xds.Kind) (time.Duration, error) {
+// ReportNumber sends what was met in an interval and returns how long the next one should be.
+func (l *Link) Report(ctx context.Context, interval time.Duration, kinds []xds.ClassReport) (time.Duration, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report++
 	node := l.node
-	node.Report = l.report
+	node.ReportNumber = l.report
 	answer := &loadv3.LoadStatsResponse{}
-	if err := l.post(ctx, xds.LoadPath, xds.Load(node, interval, kinds), answer); err != nil {
+	if err := l.post(ctx, xds.LoadReportPath, xds.NewLoadReport(node, interval, kinds), answer); err != nil {
 		return 0, err
 	}
 	return answer.GetLoadReportingInterval().AsDuration(), nil
 }
 
-// Heard is when the coordinator answered last; zero: never. A gateway that has heard nothing for long goes by its routes'
+// LastResponse is when the coordinator answered last; zero: never. A gateway that has heard nothing for long goes by its routes'
 // fallback: tables.Route.Away.
-func (l *Link) Heard() time.Time {
+func (l *Link) LastResponse() time.Time {
 	if at := l.heard.Load(); at > 0 {
 		return time.Unix(0, at)
 	}
@@ -157,7 +157,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("%w: %s", ErrRefused, res.Status)
+		return s, fmt.Errorf("%w: %s", ErrRejected, res.Status)
 	}
 	if err := json.NewDecoder(res.Body).Decode(&s); err != nil {
 		return s, fmt.Errorf("the coordinator's answer: %w", err)
--- a/client/poller.go
+++ b/client/poller.go
@@ -41,7 +41,7 @@
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
 	p := &Poller{node: o.Node, addr: o.Coordinator, kinds: kinds, Deltas: true, hold: hold, fresh: [routing.DocumentCount]bool{true, true}}
-	p.node.Polls, p.node.Hold = true, hold
+	p.node.Polls, p.node.MaxWait = true, hold
 	for i := range p.http {
 		p.http[i] = &http.Client{Timeout: hold + 10*time.Second, Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: 1,
 			MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Hour, DisableCompression: true}}
@@ -58,7 +58,7 @@
 
 // Follow polls for one document until the context ends: each is given what has come; held is what the gateway holds
 // now. After a failure it waits, twice as long each time, to two seconds.
-func (p *Poller) Follow(ctx context.Context, routes bool, held func() Held, each func(Update)) {
+func (p *Poller) Follow(ctx context.Context, routes bool, held func() Tables, each func(Update)) {
 	pause := 100 * time.Millisecond
 	for ctx.Err() == nil {
 		u, news, err := p.poll(ctx, routes, held())
@@ -77,21 +77,21 @@
 	}
 }
 
-func (p *Poller) poll(ctx context.Context, routes bool, held Held) (u Update, news bool, err error) {
+func (p *Poller) poll(ctx context.Context, routes bool, held Tables) (u Update, news bool, err error) {
 	began := time.Now()
-	doc, path, kind, version := 0, xds.EndpointPath, xds.EndpointType, held.EndpointsFrom
+	doc, path, kind, version := 0, xds.EndpointPath, xds.EndpointType, held.EndpointVersion
 	if routes {
-		doc, path, kind, version = 1, xds.RoutePath, xds.RouteType, held.RoutesFrom
+		doc, path, kind, version = 1, xds.RoutePath, xds.RouteType, held.RouteVersion
 	}
-	var m proto.Message = xds.Acknowledge(p.node, kind, version, "", "")
+	var m proto.Message = xds.NewAcknowledgement(p.node, kind, version, "", "")
 	if p.Deltas {
-		d := &discoveryv3.DeltaDiscoveryRequest{Node: xds.Acknowledge(p.node, "", "", "", "").Node, TypeUrl: xds.LineType, ResponseNonce: p.nonce[doc]}
-		if path = xds.DeltaPath; routes {
+		d := &discoveryv3.DeltaDiscoveryRequest{Node: xds.NewAcknowledgement(p.node, "", "", "", "").Node, TypeUrl: xds.LbEndpointType, ResponseNonce: p.nonce[doc]}
+		if path = xds.EndpointDeltaPath; routes {
 			path, d.TypeUrl = xds.RouteDeltaPath, xds.RouteType
 		}
 		if p.fresh[doc] {
 			d.ResponseNonce = "" // an earlier coordinator's says nothing, and what is held is stated in full
-			d.InitialResourceVersions = xds.LineVersions(p.held[doc])
+			d.InitialResourceVersions = xds.EndpointVersions(p.held[doc])
 			if routes {
 				d.InitialResourceVersions = xds.RouteVersions(p.held[doc])
 			}
@@ -108,12 +108,12 @@
 		p.fresh[doc] = true // it does not know what we hold: say so, one by one
 		return u, false, nil
 	case code != http.StatusOK:
-		return u, false, fmt.Errorf("%w: %d: %s", ErrRefused, code, bytes.TrimSpace(body))
+		return u, false, fmt.Errorf("%w: %d: %s", ErrRejected, code, bytes.TrimSpace(body))
 	}
-	u = Update{File: path, Written: began, Bytes: len(body)}
+	u = Update{Source: path, Written: began, Size: len(body)}
 	if !p.Deltas {
-		u.Doc, u.Err = xds.Read(body)
-		u.Written, u.Took = time.Now(), time.Since(began)
+		u.Document, u.Err = xds.ParseDocument(body)
+		u.Written, u.Elapsed = time.Now(), time.Since(began)
 		return u, true, nil
 	}
 	d := &discoveryv3.DeltaDiscoveryResponse{}
@@ -124,14 +124,14 @@
 	if routes {
 		next.Routes, err = xds.ApplyRouteDelta(p.kinds, next.Routes, d)
 	} else {
-		next.Clusters, err = xds.ApplyDelta(p.kinds, next, d)
+		next.Clusters, err = xds.ApplyEndpointDelta(p.kinds, next, d)
 	}
 	if err != nil {
 		p.fresh[doc] = true
 		return u, false, err
 	}
 	p.held[doc], p.nonce[doc], p.fresh[doc] = next, d.Nonce, false
-	u.Doc = xds.Document{Type: kind, Version: d.SystemVersionInfo, Nonce: d.Nonce, Clusters: next.Clusters, Routes: next.Routes}
+	u.Document = xds.Document{Type: kind, Version: d.SystemVersionInfo, Nonce: d.Nonce, Clusters: next.Clusters, Routes: next.Routes}
 	u.Written = time.Now()
 	return u, true, nil
 }
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -115,13 +115,13 @@
 type gateway struct {
 	link   *client.Link
 	reader *client.Reader
-	held   client.Held
+	held   client.Tables
 }
 
 func (r *rig) gateway(name, zone string) *gateway {
 	r.t.Helper()
 	g := &gateway{reader: client.NewReader(r.cfg.Delivery.Files.Dir, name),
-		link: client.NewLink(client.Options{Node: xds.Node{Name: name, Zone: zone, Weight: 10}, Coordinator: r.d.Addr()})}
+		link: client.NewLink(client.Options{Node: xds.Node{Name: name, Zone: zone, UsualRate: 10}, Coordinator: r.d.Addr()})}
 	r.t.Cleanup(g.link.Close)
 	if err := g.link.Join(context.Background(), g.held); err != nil {
 		r.t.Fatal(err)
@@ -129,11 +129,11 @@
 	return g
 }
 
-func (g *gateway) turn(t *testing.T, report ...xds.Kind) {
+func (g *gateway) turn(t *testing.T, report ...xds.ClassReport) {
 	t.Helper()
-	for _, u := range g.reader.Look() {
+	for _, u := range g.reader.Poll() {
 		g.held.Apply(u)
-		if err := g.link.Answer(context.Background(), u, g.held); err != nil {
+		if err := g.link.Acknowledge(context.Background(), u, g.held); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -163,15 +163,15 @@
 	r := newRig(t, nil)
 	g := r.gateway("gw-1", "a")
 	r.until("tables that the coordinator sees confirmed", func() bool {
-		g.turn(t, xds.Kind{Name: "view", Arrived: 3, Endpoints: []xds.Endpoint{
-			{Backend: "127.0.0.1:9001", Zone: "a", Tries: 3, Answer: 150 * time.Millisecond, Loads: map[string]float64{"util": 0.4}, Loaded: 3}}})
+		g.turn(t, xds.ClassReport{Class: "view", Arrived: 3, Endpoints: []xds.EndpointReport{
+			{Address: "127.0.0.1:9001", Zone: "a", Attempts: 3, MeanLatency: 150 * time.Millisecond, Metrics: map[string]float64{"util": 0.4}, MetricSamples: 3}}})
 		s := r.status("gw-1")
-		return g.held.Snapshot.OpenEndpoints("view") >= 2 && g.held.Snapshot.OpenEndpoints("save") >= 2 && s.Unacknowledged == 0 && s.Confirmed[0] == g.held.EndpointsFrom
+		return g.held.Snapshot.OpenEndpoints("view") >= 2 && g.held.Snapshot.OpenEndpoints("save") >= 2 && s.Unacknowledged == 0 && s.Confirmed[0] == g.held.EndpointVersion
 	})
 	r.write("nodes.json", strings.Replace(threeNodes, `"127.0.0.1:9001", `, "", 1)[:1]+
 		`{"targets": ["127.0.0.1:9001"], "labels": {"zone": "a", "status": "draining"}},`+strings.Replace(threeNodes, `"127.0.0.1:9001", `, "", 1)[1:])
 	r.until("a drained node without a line", func() bool {
-		g.turn(t, xds.Kind{Name: "view", Arrived: 1})
+		g.turn(t, xds.ClassReport{Class: "view", Arrived: 1})
 		for _, c := range g.held.Snapshot.Clusters {
 			for _, l := range c.Endpoints {
 				if l.Endpoint == "127.0.0.1:9001" && !l.Withheld {
@@ -183,7 +183,7 @@
 	})
 	before := r.d.Front()
 	for range 8 {
-		g.turn(t, xds.Kind{Name: "view", Arrived: 1})
+		g.turn(t, xds.ClassReport{Class: "view", Arrived: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
 	if after := r.d.Front(); after.Files > before.Files+4 {
@@ -248,9 +248,9 @@
 			r.write("nodes.json", strings.Replace(threeNodes, `"127.0.0.1:9001", `, "", 1))
 		}
 		for i, g := range []*gateway{a, b} {
-			g.turn(t, xds.Kind{Name: "view", Arrived: 10 + round + i, Endpoints: []xds.Endpoint{
-				{Backend: "127.0.0.1:9002", Zone: "a", Tries: 5, Errored: round % 2, Answer: 160 * time.Millisecond, Loads: load, Loaded: 5},
-				{Backend: "127.0.0.1:9003", Zone: "b", Tries: 6, Answer: 170 * time.Millisecond, Loads: load, Loaded: 6}}})
+			g.turn(t, xds.ClassReport{Class: "view", Arrived: 10 + round + i, Endpoints: []xds.EndpointReport{
+				{Address: "127.0.0.1:9002", Zone: "a", Attempts: 5, Failures: round % 2, MeanLatency: 160 * time.Millisecond, Metrics: load, MetricSamples: 5},
+				{Address: "127.0.0.1:9003", Zone: "b", Attempts: 6, MeanLatency: 170 * time.Millisecond, Metrics: load, MetricSamples: 6}}})
 		}
 	}
 	r.stop()
@@ -311,10 +311,10 @@
 		code       int
 		says       string
 	}{
-		{xds.LoadPath, `{"node": {"id": "gw"`, 400, "LoadStatsRequest"},
-		{xds.LoadPath, `[1, 2]`, 400, "no xDS message"},
-		{xds.LoadPath, `{"cluster_stats": []}`, 400, "node.id"},
-		{xds.LoadPath, `{"node": {"id": "../../etc"}}`, 400, "node.id"},
+		{xds.LoadReportPath, `{"node": {"id": "gw"`, 400, "LoadStatsRequest"},
+		{xds.LoadReportPath, `[1, 2]`, 400, "no xDS message"},
+		{xds.LoadReportPath, `{"cluster_stats": []}`, 400, "node.id"},
+		{xds.LoadReportPath, `{"node": {"id": "../../etc"}}`, 400, "node.id"},
 		{xds.EndpointPath, `{"node": {"id": ".hidden"}}`, 400, "dot"},
 		{xds.EndpointPath, `nonsense`, 400, "DiscoveryRequest"},
 		{"/elsewhere", `{}`, 404, "/elsewhere"},
@@ -337,7 +337,7 @@
 		n, _ := c.Read(answer)
 		return c, string(answer[:n])
 	}
-	if _, says := raw("POST " + xds.LoadPath + " HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n"); !strings.Contains(says, "413") {
+	if _, says := raw("POST " + xds.LoadReportPath + " HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n"); !strings.Contains(says, "413") {
 		t.Errorf("a huge body: %q", says)
 	}
 	if _, says := raw(strings.Repeat("garbage ", 4000)); !strings.Contains(says, "431") {
@@ -382,12 +382,12 @@
 func TestTwoConnectionsUnderOneName(t *testing.T) {
 	r := newRig(t, nil)
 	first := r.gateway("gw-1", "a")
-	r.until("joined", func() bool { first.turn(t); return r.status("gw-1").Connected && first.held.EndpointsFrom != "" })
+	r.until("joined", func() bool { first.turn(t); return r.status("gw-1").Connected && first.held.EndpointVersion != "" })
 	second := r.gateway("gw-1", "a")
 	r.until("the second reads and is joined", func() bool {
 		second.turn(t)
 		s := r.status("gw-1")
-		return s.Connected && s.Unacknowledged == 0 && second.held.EndpointsFrom == s.Confirmed[0]
+		return s.Connected && s.Unacknowledged == 0 && second.held.EndpointVersion == s.Confirmed[0]
 	})
 }
 
@@ -401,7 +401,7 @@
 		return g.held.Snapshot.OpenEndpoints("view") == 3 || g.held.Snapshot.OpenEndpoints("view") == 2
 	})
 	r.until("the list is kept", func() bool { _, err := os.Stat(filepath.Join(r.dir, "state", listName)); return err == nil })
-	old := g.held.EndpointsFrom
+	old := g.held.EndpointVersion
 	g.link.Close()
 	r.stop()
 	if err := os.Remove(filepath.Join(r.dir, "nodes.json")); err != nil {
@@ -419,7 +419,7 @@
 	again := r.gateway("gw-1", "a")
 	r.until("tables of this start", func() bool {
 		again.turn(t)
-		return again.held.EndpointsFrom != old && again.held.Snapshot.OpenEndpoints("view") > 0 && again.held.Refused == 0
+		return again.held.EndpointVersion != old && again.held.Snapshot.OpenEndpoints("view") > 0 && again.held.Rejected == 0
 	})
 }
 
@@ -472,10 +472,10 @@
 // A gateway that polls gets tables whole and by deltas, follows a drain, and shares its name with no gateway of files.
 func TestPolls(t *testing.T) {
 	r := newRig(t, nil)
-	node := xds.Node{Name: "gw-1", Zone: "a", Weight: 10, Polls: true}
+	node := xds.Node{Name: "gw-1", Zone: "a", UsualRate: 10, Polls: true}
 	link := client.NewLink(client.Options{Node: node, Coordinator: r.d.Addr()})
 	t.Cleanup(link.Close)
-	if err := link.Join(context.Background(), client.Held{}); err != nil {
+	if err := link.Join(context.Background(), client.Tables{}); err != nil {
 		t.Fatal(err)
 	}
 	poller := client.NewPoller(client.Options{Node: node, Coordinator: r.d.Addr()}, []string{"view", "save"}, time.Second)
@@ -483,8 +483,8 @@
 	var polls sync.WaitGroup
 	t.Cleanup(func() { cancel(); polls.Wait(); poller.Close() })
 	var mu sync.Mutex
-	var held client.Held
-	have := func() client.Held { mu.Lock(); defer mu.Unlock(); return held }
+	var held client.Tables
+	have := func() client.Tables { mu.Lock(); defer mu.Unlock(); return held }
 	for _, routes := range []bool{false, true} {
 		polls.Add(1)
 		go func() {
@@ -494,14 +494,14 @@
 				held.Apply(u)
 				now := held
 				mu.Unlock()
-				if err := link.Answer(ctx, u, now); err != nil && ctx.Err() == nil {
+				if err := link.Acknowledge(ctx, u, now); err != nil && ctx.Err() == nil {
 					t.Error(err)
 				}
 			})
 		}()
 	}
 	report := func() {
-		if _, err := link.Report(context.Background(), 250*time.Millisecond, []xds.Kind{{Name: "view", Arrived: 2}}); err != nil {
+		if _, err := link.Report(context.Background(), 250*time.Millisecond, []xds.ClassReport{{Class: "view", Arrived: 2}}); err != nil {
 			t.Error(err)
 		}
 	}
@@ -515,7 +515,7 @@
 	}
 	other := client.NewLink(client.Options{Node: xds.Node{Name: "gw-1", Zone: "a"}, Coordinator: r.d.Addr()})
 	t.Cleanup(other.Close)
-	if err := other.Join(context.Background(), client.Held{}); err == nil || !strings.Contains(err.Error(), "409") {
+	if err := other.Join(context.Background(), client.Tables{}); err == nil || !strings.Contains(err.Error(), "409") {
 		t.Errorf("a file client under the same name: %v", err)
 	}
 	r.write("nodes.json", strings.Replace(threeNodes, `"127.0.0.1:9001", `, "", 1))
@@ -542,7 +542,7 @@
 func TestOverview(t *testing.T) {
 	r := newRig(t, nil)
 	g := r.gateway("gw-1", "a")
-	r.until("a table", func() bool { g.turn(t); return g.held.EndpointsFrom != "" })
+	r.until("a table", func() bool { g.turn(t); return g.held.EndpointVersion != "" })
 	ask := func() coordinator.LoggedOverview {
 		res, err := http.Get("http://" + r.d.Addr() + "/overview")
 		if err != nil {
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -50,7 +50,7 @@
 	r := newRig(t, nil)
 	g := r.gateway("gw-1", "a")
 	open := func(b policyapi.EndpointID) bool {
-		g.turn(t, xds.Kind{Name: "view", Arrived: 1})
+		g.turn(t, xds.ClassReport{Class: "view", Arrived: 1})
 		for _, c := range g.held.Snapshot.Clusters {
 			for _, l := range c.Endpoints {
 				if l.Endpoint == b && !l.Withheld {
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -15,7 +15,7 @@
 	return healthcheck.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, MaxConcurrent: cfg.Concurrency,
 		URL: func(b policyapi.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
 		Metrics: func(res *http.Response) policyapi.LoadMetrics {
-			return loadMetrics(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
+			return loadMetrics(xds.ParseORCA(res.Header.Get(xds.ORCAHeader)))
 		}}
 }
 
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -246,7 +246,7 @@
 	read := func(m proto.Message) error {
 		if strings.HasPrefix(req.Header.Get("Content-Type"), "application/x-protobuf") {
 			if err := proto.Unmarshal(body, m); err != nil {
-				return fmt.Errorf("%w: %v", xds.ErrNotXDS, err)
+				return fmt.Errorf("%w: %v", xds.ErrInvalidMessage, err)
 			}
 			return nil
 		}
@@ -258,7 +258,7 @@
 		err := read(m)
 		var node xds.Node
 		if err == nil {
-			node, err = xds.ReadNode(m.Node)
+			node, err = xds.ParseNode(m.Node)
 		}
 		if err != nil {
 			fail(http.StatusBadRequest, err.Error())
@@ -269,19 +269,19 @@
 			doc = coordinator.RoutesDocument
 		}
 		ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.VersionInfo,
-			Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
+			Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Versions}
 		s.submit(p, node, &ack, func([]byte) {
 			if !node.Polls {
 				s.answer(p, http.StatusNotModified, "", nil)
 				return
 			}
-			s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.Hold})
+			s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.MaxWait})
 		}, fail)
-	case req.Method == http.MethodPost && req.URL.Path == xds.DeltaPath:
-		s.serveDelta(p, req, coordinator.EndpointsDocument, xds.LineType, read, fail)
+	case req.Method == http.MethodPost && req.URL.Path == xds.EndpointDeltaPath:
+		s.serveDelta(p, req, coordinator.EndpointsDocument, xds.LbEndpointType, read, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.RouteDeltaPath:
 		s.serveDelta(p, req, coordinator.RoutesDocument, xds.RouteType, read, fail)
-	case req.Method == http.MethodPost && req.URL.Path == xds.LoadPath:
+	case req.Method == http.MethodPost && req.URL.Path == xds.LoadReportPath:
 		m := &loadv3.LoadStatsRequest{}
 		err := read(m)
 		var report coordinator.LoadReport
@@ -300,7 +300,7 @@
 			return
 		}
 		p.reportedAt = time.Now()
-		text, err := xds.Encode(xds.Reporting(policyapi.Microseconds(s.daemon.config.Reports.Period) * policyapi.Microseconds(max(1, s.daemon.reportIntervalFactor.Load()))))
+		text, err := xds.Encode(xds.NewLoadReportResponse(policyapi.Microseconds(s.daemon.config.Reports.Period) * policyapi.Microseconds(max(1, s.daemon.reportIntervalFactor.Load()))))
 		if err != nil {
 			fail(http.StatusInternalServerError, err.Error())
 			return
@@ -373,8 +373,8 @@
 	}
 	var inputs []coordinator.Input
 	if main == p && !p.announced {
-		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: policyapi.Zone(node.Zone), HasDefaultTableOnly: node.Standing,
-			Weight: node.Weight})
+		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: policyapi.Zone(node.Zone), HasDefaultTableOnly: node.InitialTable,
+			Weight: node.UsualRate})
 	}
 	link := main.id
 	switch in := in.(type) {
@@ -454,10 +454,10 @@
 	err := read(m)
 	var node xds.Node
 	if err == nil {
-		node, err = xds.ReadNode(m.Node)
+		node, err = xds.ParseNode(m.Node)
 	}
 	if err == nil && m.TypeUrl != kind {
-		err = fmt.Errorf("%w: type_url %q: %s is told here", xds.ErrNotXDS, m.TypeUrl, kind)
+		err = fmt.Errorf("%w: type_url %q: %s is told here", xds.ErrInvalidMessage, m.TypeUrl, kind)
 	}
 	if err != nil {
 		fail(http.StatusBadRequest, err.Error())
@@ -465,24 +465,24 @@
 	}
 	node.Polls = true
 	ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.ResponseNonce, Nonce: m.ResponseNonce,
-		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
+		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Versions}
 	s.submit(p, node, &ack, func([]byte) {
-		s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
+		s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
 			Lines: m.InitialResourceVersions})
 	}, fail)
 }
 
 func convertReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
-	node, interval, kinds, err := xds.ReadLoad(m)
+	node, interval, kinds, err := xds.ParseLoadReport(m)
 	if err != nil {
 		return node, coordinator.LoadReport{}, err
 	}
-	r := coordinator.LoadReport{Gateway: coordinator.Gateway(node.Name), Sequence: node.Report, Interval: policyapi.Microseconds(interval.Microseconds())}
+	r := coordinator.LoadReport{Gateway: coordinator.Gateway(node.Name), Sequence: node.ReportNumber, Interval: policyapi.Microseconds(interval.Microseconds())}
 	for _, k := range kinds {
-		kind := coordinator.ClassReport{Class: k.Name, Arrivals: k.Arrived, Rejected: k.Denied, Failures: k.Errored}
+		kind := coordinator.ClassReport{Class: k.Class, Arrivals: k.Arrived, Rejected: k.Rejected, Failures: k.Failures}
 		for _, e := range k.Endpoints {
-			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Endpoint: policyapi.EndpointID(e.Backend), Attempts: e.Tries,
-				Failures: e.Errored, InFlight: e.Active, MeanLatency: policyapi.Microseconds(e.Answer.Microseconds()), Metrics: loadMetrics(e.Loads)})
+			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Endpoint: policyapi.EndpointID(e.Address), Attempts: e.Attempts,
+				Failures: e.Failures, InFlight: e.InFlight, MeanLatency: policyapi.Microseconds(e.MeanLatency.Microseconds()), Metrics: loadMetrics(e.Metrics)})
 		}
 		r.Classes = append(r.Classes, kind)
 	}
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -45,12 +45,12 @@
 		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), SampleRatio: 1}
 	})
 	g := r.gateway("gw-1", "a")
-	r.until("a table", func() bool { g.turn(t); return g.held.EndpointsFrom != "" })
-	before := g.held.EndpointsFrom
+	r.until("a table", func() bool { g.turn(t); return g.held.EndpointVersion != "" })
+	before := g.held.EndpointVersion
 	r.write("nodes.json", strings.Replace(threeNodes, `"zone": "b"`, `"zone": "b", "status": "draining"`, 1))
 	r.until("a table without it", func() bool {
 		g.turn(t)
-		return g.held.EndpointsFrom != before && g.held.Snapshot.OpenEndpoints("view") == 2
+		return g.held.EndpointVersion != before && g.held.Snapshot.OpenEndpoints("view") == 2
 	})
 	g.turn(t)
 	r.stop()
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -156,7 +156,7 @@
 	if err != nil {
 		return false, true
 	}
-	r.Header.Set(xds.KindHeader, request.class)
+	r.Header.Set(xds.ClassHeader, request.class)
 	r.Header.Set(headerRequest, strconv.FormatUint(request.number, 10))
 	r.Header.Set(headerAttempt, strconv.Itoa(request.clientAttempt))
 	r.Header.Set(headerWork, strconv.FormatInt(request.work.Microseconds(), 10))
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -238,5 +238,5 @@
 
 // loadHeader is the load that the endpoint reports of itself.
 func (e *Endpoint) loadHeader() string {
-	return xds.Orca(min(1.2, e.utilization.value), float64(e.queued))
+	return xds.FormatORCA(min(1.2, e.utilization.value), float64(e.queued))
 }
--- a/emulator/endpoint_handler.go
+++ b/emulator/endpoint_handler.go
@@ -52,7 +52,7 @@
 	if !e.waitWhilePaused(process, r) {
 		return
 	}
-	w.Header().Set(xds.OrcaHeader, load)
+	w.Header().Set(xds.ORCAHeader, load)
 	_, _ = w.Write([]byte("done\n"))
 }
 
@@ -148,7 +148,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	w.Header().Set(xds.OrcaHeader, load)
+	w.Header().Set(xds.ORCAHeader, load)
 	_, _ = w.Write([]byte("well\n"))
 }
 
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -62,7 +62,7 @@
 	conns    map[net.Conn]bool // to the coordinator
 	stop     context.CancelFunc
 
-	tables    client.Held
+	tables    client.Tables
 	lastHeard time.Time // when the coordinator last answered
 	balancer  balancer
 	buckets   map[string]*tokenBucket // by class
@@ -98,7 +98,7 @@
 	defer g.mu.Unlock()
 	g.Addr = listener.Addr().String()
 	g.running = true
-	g.tables = client.Held{Snapshot: g.initialTable()}
+	g.tables = client.Tables{Snapshot: g.initialTable()}
 	g.balancer = newBalancer()
 	g.buckets = map[string]*tokenBucket{}
 	g.stats = newReportStats()
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -67,7 +67,7 @@
 	}
 	g := l.gateway
 	g.mu.Lock()
-	g.lastHeard = l.link.Heard()
+	g.lastHeard = l.link.LastResponse()
 	fault := g.ackFault
 	g.mu.Unlock()
 	l.acknowledge(ctx, fault)
@@ -80,7 +80,7 @@
 func (l *gatewayLink) connect(ctx context.Context) {
 	g := l.gateway
 	if addr := g.Coordinator(); addr != "" {
-		node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.Weight, Polls: g.Polls}
+		node := xds.Node{Name: g.Name, Zone: g.Zone, UsualRate: g.Weight, Polls: g.Polls}
 		l.link = client.NewLink(client.Options{Node: node, Coordinator: addr, Timeout: linkTimeout, Dial: g.dialCoordinator})
 		l.join(ctx, addr)
 	}
@@ -128,11 +128,11 @@
 			return
 		}
 		l.acks.removeFirst()
-		err := l.link.Answer(ctx, update, g.heldTables())
-		if err != nil && !errors.Is(err, client.ErrRefused) {
+		err := l.link.Acknowledge(ctx, update, g.heldTables())
+		if err != nil && !errors.Is(err, client.ErrRejected) {
 			l.disconnect()
 		} else if update.Err == nil {
-			g.world.Log.VersionAcknowledged(g.world.Now(), g.Name, update.Doc.Version)
+			g.world.Log.VersionAcknowledged(g.world.Now(), g.Name, update.Document.Version)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 		l.nextReport = time.Now().Add(g.ReportPeriod)
 	}
 	interval, classes := g.collectReport()
-	if _, err := l.link.Report(ctx, interval, classes); err != nil && !errors.Is(err, client.ErrRefused) {
+	if _, err := l.link.Report(ctx, interval, classes); err != nil && !errors.Is(err, client.ErrRejected) {
 		l.disconnect()
 	}
 }
@@ -195,11 +195,11 @@
 // tables. It ends with the process.
 func (g *Gateway) readFiles(ctx context.Context, acks *ackQueue) {
 	reader := client.NewReader(g.TableDir, g.Name)
-	reader.Chunk = g.ReadChunk
-	reader.Pause = g.ReadPause
-	reader.Look() // the files of an earlier process are not used: the coordinator writes new ones
+	reader.ChunkSize = g.ReadChunk
+	reader.ChunkDelay = g.ReadPause
+	reader.Poll() // the files of an earlier process are not used: the coordinator writes new ones
 	for ctx.Err() == nil {
-		for _, update := range reader.Look() {
+		for _, update := range reader.Poll() {
 			g.applyUpdate(update)
 			acks.add(update)
 		}
@@ -211,7 +211,7 @@
 // is used at once, as with files.
 func (g *Gateway) startPolls(ctx context.Context, addr string, acks *ackQueue) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.Weight}
+	node := xds.Node{Name: g.Name, Zone: g.Zone, UsualRate: g.Weight}
 	poller := client.NewPoller(client.Options{Node: node, Coordinator: addr, Dial: g.dialCoordinator}, g.Classes, longPollHoldLimit)
 	receive := func(update client.Update) {
 		g.applyUpdate(update)
--- a/emulator/gateway_proxy.go
+++ b/emulator/gateway_proxy.go
@@ -24,7 +24,7 @@
 
 // handle takes one request of a client through its attempts.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
-	class := r.Header.Get(xds.KindHeader)
+	class := r.Header.Get(xds.ClassHeader)
 	stats, route, admitted := g.admit(class)
 	if !admitted {
 		reject(w)
@@ -198,7 +198,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, header := range []string{xds.KindHeader, headerRequest, headerAttempt, headerWork} {
+	for _, header := range []string{xds.ClassHeader, headerRequest, headerAttempt, headerWork} {
 		request.Header.Set(header, r.Header.Get(header))
 	}
 	request.Header.Set(headerGateway, g.Name)
@@ -222,7 +222,7 @@
 	case response.StatusCode != http.StatusOK:
 		return nil, statusError(response.StatusCode)
 	}
-	return xds.ReadOrca(response.Header.Get(xds.OrcaHeader)), nil
+	return xds.ParseORCA(response.Header.Get(xds.ORCAHeader)), nil
 }
 
 // waitIfBlocked waits for the end of a request that can't reach its zone: nothing comes back, not even a refusal.
--- a/emulator/gateway_stats.go
+++ b/emulator/gateway_stats.go
@@ -50,7 +50,7 @@
 }
 
 // collectReport returns the counts since the last report and begins a new interval.
-func (g *Gateway) collectReport() (interval time.Duration, classes []xds.Kind) {
+func (g *Gateway) collectReport() (interval time.Duration, classes []xds.ClassReport) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	interval = time.Since(g.stats.since)
@@ -58,7 +58,7 @@
 	for _, name := range g.Classes {
 		stats := g.stats.classes[name]
 		if stats == nil {
-			classes = append(classes, xds.Kind{Name: name})
+			classes = append(classes, xds.ClassReport{Class: name})
 			continue
 		}
 		classes = append(classes, stats.collect(name))
@@ -67,8 +67,8 @@
 }
 
 // collect returns the counts and resets them; requests in flight stay.
-func (s *classStats) collect(name string) xds.Kind {
-	report := xds.Kind{Name: name, Arrived: s.arrived, Denied: s.rejected, Errored: s.failed}
+func (s *classStats) collect(name string) xds.ClassReport {
+	report := xds.ClassReport{Class: name, Arrived: s.arrived, Rejected: s.rejected, Failures: s.failed}
 	for _, addr := range slices.Sorted(maps.Keys(s.endpoints)) {
 		endpoint := s.endpoints[addr]
 		report.Endpoints = append(report.Endpoints, endpoint.report(addr))
@@ -80,10 +80,10 @@
 	return report
 }
 
-func (s *endpointStats) report(addr string) xds.Endpoint {
-	report := xds.Endpoint{Backend: addr, Zone: s.zone, Tries: s.attempts, Errored: s.failed, Active: s.inFlight, Loads: s.load, Loaded: s.loadReports}
+func (s *endpointStats) report(addr string) xds.EndpointReport {
+	report := xds.EndpointReport{Address: addr, Zone: s.zone, Attempts: s.attempts, Failures: s.failed, InFlight: s.inFlight, Metrics: s.load, MetricSamples: s.loadReports}
 	if succeeded := s.attempts - s.failed; succeeded > 0 {
-		report.Answer = s.latency / time.Duration(succeeded)
+		report.MeanLatency = s.latency / time.Duration(succeeded)
 	}
 	return report
 }
--- a/emulator/gateway_tables.go
+++ b/emulator/gateway_tables.go
@@ -86,11 +86,11 @@
 	}
 	at := g.world.Now()
 	written := u.Written.Sub(g.world.Start)
-	g.world.Log.TableApplied(at, written, g.Name, u.Doc.Version, g.tables.Snapshot)
+	g.world.Log.TableApplied(at, written, g.Name, u.Document.Version, g.tables.Snapshot)
 }
 
 // heldTables returns what the gateway has from the coordinator.
-func (g *Gateway) heldTables() client.Held {
+func (g *Gateway) heldTables() client.Tables {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.tables
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -72,7 +72,7 @@
 // lightTraffic is what a gateway counts of a class for its next report.
 type lightTraffic struct {
 	arrived, rejected, failed int
-	endpoints                 map[string]*xds.Endpoint
+	endpoints                 map[string]*xds.EndpointReport
 	fraction                  float64 // of a request that has arrived
 }
 
@@ -88,7 +88,7 @@
 	var classes []string
 	for _, class := range o.Classes {
 		classes = append(classes, class.Name)
-		g.traffic = append(g.traffic, lightTraffic{endpoints: map[string]*xds.Endpoint{}, fraction: g.rng.Float64()})
+		g.traffic = append(g.traffic, lightTraffic{endpoints: map[string]*xds.EndpointReport{}, fraction: g.rng.Float64()})
 	}
 	g.table = tableOf(classes, initial)
 	now := w.Now()
@@ -207,18 +207,18 @@
 	traffic := &g.traffic[class]
 	stats := traffic.endpoints[name]
 	if stats == nil {
-		stats = &xds.Endpoint{Backend: name, Zone: string(to.Zone), Answer: reportedLatency}
+		stats = &xds.EndpointReport{Address: name, Zone: string(to.Zone), MeanLatency: reportedLatency}
 		traffic.endpoints[name] = stats
 	}
 	failed := attempts // at an endpoint that is not there
 	if endpoint := g.Endpoints[name]; endpoint != nil {
 		failed = endpoint.receive(g.Name, attempts)
 		utilization, queue := endpoint.Load()
-		stats.Loads = map[string]float64{"util": utilization, "queue": queue}
-		stats.Loaded += attempts - failed
+		stats.Metrics = map[string]float64{"util": utilization, "queue": queue}
+		stats.MetricSamples += attempts - failed
 	}
-	stats.Tries += attempts
-	stats.Errored += failed
+	stats.Attempts += attempts
+	stats.Failures += failed
 	traffic.failed += failed
 	g.Tally.Attempts.Add(int64(attempts))
 	g.Tally.Failures.Add(int64(failed))
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -81,7 +81,7 @@
 	g := l.gateway
 	message := g.loadReport()
 	start := time.Now()
-	body, status, err := l.post(xds.LoadPath, message)
+	body, status, err := l.post(xds.LoadReportPath, message)
 	if err != nil {
 		return err
 	}
@@ -120,16 +120,16 @@
 func (g *LightGateway) loadReport() *loadv3.LoadStatsRequest {
 	g.send()
 	interval := g.sentUntil - g.reports.since
-	classes := make([]xds.Kind, len(g.Classes))
+	classes := make([]xds.ClassReport, len(g.Classes))
 	for i, class := range g.Classes {
 		traffic := &g.traffic[i]
-		classes[i] = xds.Kind{Name: class.Name, Arrived: traffic.arrived, Denied: traffic.rejected, Errored: traffic.failed}
+		classes[i] = xds.ClassReport{Class: class.Name, Arrived: traffic.arrived, Rejected: traffic.rejected, Failures: traffic.failed}
 		for _, endpoint := range traffic.endpoints {
 			classes[i].Endpoints = append(classes[i].Endpoints, *endpoint)
 		}
 	}
 	g.reports.number++
-	return xds.Load(xds.Node{Name: g.Name, Zone: g.Zone, Report: g.reports.number, Polls: true}, interval, classes)
+	return xds.NewLoadReport(xds.Node{Name: g.Name, Zone: g.Zone, ReportNumber: g.reports.number, Polls: true}, interval, classes)
 }
 
 // resetReport begins the next report where the accepted one ended.
@@ -165,8 +165,8 @@
 	if document == routesDocument {
 		path, resourceType = xds.RoutePath, xds.RouteType
 	}
-	node := xds.Node{Name: g.Name, Zone: g.Zone, Weight: g.totalRate(), Polls: true}
-	body, status, err := l.post(path, xds.Acknowledge(node, resourceType, g.versions[document], "", ""))
+	node := xds.Node{Name: g.Name, Zone: g.Zone, UsualRate: g.totalRate(), Polls: true}
+	body, status, err := l.post(path, xds.NewAcknowledgement(node, resourceType, g.versions[document], "", ""))
 	if err != nil {
 		return false, err
 	}
@@ -197,7 +197,7 @@
 
 // apply uses a document from now on.
 func (g *LightGateway) apply(document int, message *discoveryv3.DiscoveryResponse) error {
-	received, err := xds.ReadResponse(message)
+	received, err := xds.ParseResponse(message)
 	if err != nil {
 		return err
 	}
--- a/emulator/request.go
+++ b/emulator/request.go
@@ -36,7 +36,7 @@
 	attempt, _ := strconv.Atoi(r.Header.Get(headerAttempt))
 	work, _ := strconv.ParseInt(r.Header.Get(headerWork), 10, 64)
 	return workRequest{
-		class:         r.Header.Get(xds.KindHeader),
+		class:         r.Header.Get(xds.ClassHeader),
 		number:        number,
 		clientAttempt: attempt,
 		work:          time.Duration(work) * time.Microsecond,
--- a/xds/delta.go
+++ b/xds/delta.go
@@ -15,12 +15,12 @@
 	"porthub/routing"
 )
 
-// LineType is the type URL of one line, as LEDS has it. DeltaPath and RouteDeltaPath are where DeltaDiscoveryRequests for
+// LbEndpointType is the type URL of one line, as LEDS has it. DeltaPath and RouteDeltaPath are where DeltaDiscoveryRequests for
 // lines and for routes are posted.
 const (
-	LineType       = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
-	DeltaPath      = "/envoy.service.endpoint.v3.LocalityEndpointDiscoveryService/DeltaLocalityEndpoints"
-	RouteDeltaPath = "/envoy.service.route.v3.RouteDiscoveryService/DeltaRoutes"
+	LbEndpointType    = "type.googleapis.com/envoy.config.endpoint.v3.LbEndpoint"
+	EndpointDeltaPath = "/envoy.service.endpoint.v3.LocalityEndpointDiscoveryService/DeltaLocalityEndpoints"
+	RouteDeltaPath    = "/envoy.service.route.v3.RouteDiscoveryService/DeltaRoutes"
 )
 
 // A line's resource name is kind/zone/address; its version tells weight and whether it is withheld.
@@ -39,8 +39,8 @@
 	return uint32(min(max(1, math.Round(l.Weight*WeightScale)), 1<<31))
 }
 
-// LineVersions are the names and versions of all lines of a snapshot, as initial_resource_versions has them.
-func LineVersions(s routing.Snapshot) map[string]string {
+// EndpointVersions are the names and versions of all lines of a snapshot, as initial_resource_versions has them.
+func EndpointVersions(s routing.Snapshot) map[string]string {
 	out := map[string]string{}
 	for _, c := range s.Clusters {
 		for _, l := range c.Endpoints {
@@ -68,8 +68,8 @@
 	return fmt.Sprintf("%g.%g.%d.%d", r.Rate, r.Share, r.RetryPolicy, r.Timeout)
 }
 
-// RouteDelta is what leads a gateway that holds the routes given to a snapshot's.
-func RouteDelta(version, nonce string, held map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
+// NewRouteDelta is what leads a gateway that holds the routes given to a snapshot's.
+func NewRouteDelta(version, nonce string, held map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	r := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: RouteType, Nonce: nonce}
 	seen := map[string]bool{}
 	for _, one := range to.Routes {
@@ -108,14 +108,14 @@
 	for _, res := range d.Resources {
 		rc := &routev3.RouteConfiguration{}
 		if err := res.GetResource().UnmarshalTo(rc); err != nil {
-			return nil, fmt.Errorf("%w: resource %q: %v", ErrNotXDS, res.Name, err)
+			return nil, fmt.Errorf("%w: resource %q: %v", ErrInvalidMessage, res.Name, err)
 		}
 		read, err := readRoutes(rc)
 		if err != nil {
 			return nil, err
 		}
 		if len(read) != 1 || read[0].Class != res.Name || !slices.Contains(kinds, res.Name) {
-			return nil, fmt.Errorf("%w: resource %q is not the one route of a known kind", ErrNotXDS, res.Name)
+			return nil, fmt.Errorf("%w: resource %q is not the one route of a known kind", ErrInvalidMessage, res.Name)
 		}
 		routes[res.Name] = read[0]
 	}
@@ -128,9 +128,9 @@
 	return out, nil
 }
 
-// Delta is what leads a gateway that holds the lines given to a snapshot's clusters.
-func Delta(version, nonce string, held map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
-	r := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: LineType, Nonce: nonce}
+// NewEndpointDelta is what leads a gateway that holds the lines given to a snapshot's clusters.
+func NewEndpointDelta(version, nonce string, held map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
+	r := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: LbEndpointType, Nonce: nonce}
 	seen := map[string]bool{}
 	for _, c := range to.Clusters {
 		for _, l := range c.Endpoints {
@@ -157,9 +157,9 @@
 	return r, nil
 }
 
-// ApplyDelta makes the clusters that a delta leads to, of the kinds given and in their order. What it was made from
+// ApplyEndpointDelta makes the clusters that a delta leads to, of the kinds given and in their order. What it was made from
 // stays as it is. A resource that can't be read is an error and changes nothing.
-func ApplyDelta(kinds []string, held routing.Snapshot, d *discoveryv3.DeltaDiscoveryResponse) ([]routing.Cluster, error) {
+func ApplyEndpointDelta(kinds []string, held routing.Snapshot, d *discoveryv3.DeltaDiscoveryResponse) ([]routing.Cluster, error) {
 	lines := map[string]routing.ClusterEndpoint{}
 	for _, c := range held.Clusters {
 		for _, l := range c.Endpoints {
@@ -173,10 +173,10 @@
 		parts := strings.SplitN(res.Name, "/", 3)
 		e := &endpointv3.LbEndpoint{}
 		if len(parts) != 3 {
-			return nil, fmt.Errorf("%w: resource name %q is not kind/zone/address", ErrNotXDS, res.Name)
+			return nil, fmt.Errorf("%w: resource name %q is not kind/zone/address", ErrInvalidMessage, res.Name)
 		}
 		if err := res.GetResource().UnmarshalTo(e); err != nil {
-			return nil, fmt.Errorf("%w: resource %q: %v", ErrNotXDS, res.Name, err)
+			return nil, fmt.Errorf("%w: resource %q: %v", ErrInvalidMessage, res.Name, err)
 		}
 		lines[res.Name] = readLine(e, parts[2], parts[1])
 	}
@@ -189,7 +189,7 @@
 		kind, _, _ := strings.Cut(name, "/")
 		i, known := index[kind]
 		if !known {
-			return nil, fmt.Errorf("%w: resource %q is of no known kind", ErrNotXDS, name)
+			return nil, fmt.Errorf("%w: resource %q is of no known kind", ErrInvalidMessage, name)
 		}
 		out[i].Endpoints = append(out[i].Endpoints, l)
 	}
--- a/xds/fuzz_test.go
+++ b/xds/fuzz_test.go
@@ -10,7 +10,7 @@
 
 // Whatever a document or report holds, reading it ends in values or an error.
 func FuzzRead(f *testing.F) {
-	m, err := Endpoints("v", "n", []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
+	m, err := NewEndpointDocument("v", "n", []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -18,7 +18,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	r, err := RouteDocument("v", "n", []routing.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
+	r, err := NewRouteDocument("v", "n", []routing.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if d, err := Read(text); err == nil {
+		if d, err := ParseDocument(text); err == nil {
 			for _, c := range d.Clusters {
 				for _, l := range c.Endpoints {
 					if l.Weight < 0 {
@@ -43,8 +43,8 @@
 }
 
 func FuzzReport(f *testing.F) {
-	text, err := Encode(Load(Node{Name: "gw", Zone: "a", Report: 1}, 1e9, []Kind{{Name: "view", Arrived: 3,
-		Endpoints: []Endpoint{{Backend: "127.0.0.1:1", Zone: "a", Tries: 3, Loads: map[string]float64{"util": 1}, Loaded: 1}}}}))
+	text, err := Encode(NewLoadReport(Node{Name: "gw", Zone: "a", ReportNumber: 1}, 1e9, []ClassReport{{Class: "view", Arrived: 3,
+		Endpoints: []EndpointReport{{Address: "127.0.0.1:1", Zone: "a", Attempts: 3, Metrics: map[string]float64{"util": 1}, MetricSamples: 1}}}}))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -56,16 +56,16 @@
 		if Decode(text, m) != nil {
 			return
 		}
-		_, _, kinds, err := ReadLoad(m)
+		_, _, kinds, err := ParseLoadReport(m)
 		if err != nil {
 			return
 		}
 		for _, k := range kinds {
-			if k.Arrived < 0 || k.Denied < 0 || k.Errored < 0 {
+			if k.Arrived < 0 || k.Rejected < 0 || k.Failures < 0 {
 				t.Errorf("%+v", k)
 			}
 			for _, e := range k.Endpoints {
-				if e.Tries < 0 || e.Errored > e.Tries || e.Answer < 0 {
+				if e.Attempts < 0 || e.Failures > e.Attempts || e.MeanLatency < 0 {
 					t.Errorf("%+v", e)
 				}
 			}
--- a/xds/orca.go
+++ b/xds/orca.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// OrcaHeader is the response header in which backends report their load (ORCA, TEXT format).
-const OrcaHeader = "endpoint-load-metrics"
+// ORCAHeader is the response header in which backends report their load (ORCA, TEXT format).
+const ORCAHeader = "endpoint-load-metrics"
 
-// Orca writes load figures for the header: util as cpu_utilization, qps as rps_fractional, others as named metrics.
-func Orca(util, queue float64) string {
+// FormatORCA writes load figures for the header: util as cpu_utilization, qps as rps_fractional, others as named metrics.
+func FormatORCA(util, queue float64) string {
 	return fmt.Sprintf("TEXT cpu_utilization=%.4g, named_metrics.queue=%.4g", util, queue)
 }
 
-// ReadOrca reads the header by our names. What is not known or malformed is left out; nil if nothing is left.
-func ReadOrca(header string) map[string]float64 {
+// ParseORCA reads the header by our names. What is not known or malformed is left out; nil if nothing is left.
+func ParseORCA(header string) map[string]float64 {
 	rest, is := strings.CutPrefix(header, "TEXT ")
 	if !is {
 		return nil
--- a/xds/shared.go
+++ b/xds/shared.go
@@ -10,9 +10,9 @@
 	"porthub/routing"
 )
 
-// Shared is a response without the version and nonce of the gateway that it goes to. Gateways that are to hold the same
+// SharedResponse is a response without the version and nonce of the gateway that it goes to. Gateways that are to hold the same
 // share one: its resources are made once, and so is each encoding of them. It is safe for many goroutines.
-type Shared struct {
+type SharedResponse struct {
 	whole *discoveryv3.DiscoveryResponse // or
 	delta *discoveryv3.DeltaDiscoveryResponse
 
@@ -25,32 +25,32 @@
 	err  error
 }
 
-// ShareEndpoints is the response with whole clusters.
-func ShareEndpoints(clusters []routing.Cluster) (*Shared, error) {
-	m, err := Endpoints("", "", clusters)
-	return &Shared{whole: m}, err
+// ShareEndpointDocument is the response with whole clusters.
+func ShareEndpointDocument(clusters []routing.Cluster) (*SharedResponse, error) {
+	m, err := NewEndpointDocument("", "", clusters)
+	return &SharedResponse{whole: m}, err
 }
 
-// ShareRoutes is the response with routes.
-func ShareRoutes(routes []routing.Route) (*Shared, error) {
-	m, err := RouteDocument("", "", routes)
-	return &Shared{whole: m}, err
+// ShareRouteDocument is the response with routes.
+func ShareRouteDocument(routes []routing.Route) (*SharedResponse, error) {
+	m, err := NewRouteDocument("", "", routes)
+	return &SharedResponse{whole: m}, err
 }
 
-// ShareDelta is what leads a gateway that holds the lines given to a snapshot's clusters.
-func ShareDelta(held map[string]string, to routing.Snapshot) (*Shared, error) {
-	m, err := Delta("", "", held, to)
-	return &Shared{delta: m}, err
+// ShareEndpointDelta is what leads a gateway that holds the lines given to a snapshot's clusters.
+func ShareEndpointDelta(held map[string]string, to routing.Snapshot) (*SharedResponse, error) {
+	m, err := NewEndpointDelta("", "", held, to)
+	return &SharedResponse{delta: m}, err
 }
 
 // ShareRouteDelta is what leads a gateway that holds the routes given to a snapshot's.
-func ShareRouteDelta(held map[string]string, to routing.Snapshot) (*Shared, error) {
-	m, err := RouteDelta("", "", held, to)
-	return &Shared{delta: m}, err
+func ShareRouteDelta(held map[string]string, to routing.Snapshot) (*SharedResponse, error) {
+	m, err := NewRouteDelta("", "", held, to)
+	return &SharedResponse{delta: m}, err
 }
 
 // Message is the response to one gateway. Its resources are shared: it must not be changed.
-func (s *Shared) Message(version, nonce string) proto.Message {
+func (s *SharedResponse) Message(version, nonce string) proto.Message {
 	if s.delta != nil {
 		return &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, Nonce: nonce, TypeUrl: s.delta.TypeUrl, Resources: s.delta.Resources,
 			RemovedResources: s.delta.RemovedResources}
@@ -58,15 +58,15 @@
 	return &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce, TypeUrl: s.whole.TypeUrl, Resources: s.whole.Resources}
 }
 
-func (s *Shared) bare() proto.Message {
+func (s *SharedResponse) bare() proto.Message {
 	if s.delta != nil {
 		return s.delta
 	}
 	return s.whole
 }
 
-// Lines counts the resources, removed ones too.
-func (s *Shared) Lines() int {
+// ResourceCount counts the resources, removed ones too.
+func (s *SharedResponse) ResourceCount() int {
 	if s.delta != nil {
 		return len(s.delta.Resources) + len(s.delta.RemovedResources)
 	}
@@ -74,7 +74,7 @@
 }
 
 // Encode writes the response to one gateway as protobuf JSON.
-func (s *Shared) Encode(version, nonce string) ([]byte, error) {
+func (s *SharedResponse) Encode(version, nonce string) ([]byte, error) {
 	s.text.once.Do(func() { s.text.body, s.text.err = Encode(s.bare()) })
 	if s.text.err != nil {
 		return nil, s.text.err
@@ -92,7 +92,7 @@
 }
 
 // EncodeBinary writes it as a protobuf: fields that follow one another are one message.
-func (s *Shared) EncodeBinary(version, nonce string) ([]byte, error) {
+func (s *SharedResponse) EncodeBinary(version, nonce string) ([]byte, error) {
 	s.binary.once.Do(func() { s.binary.body, s.binary.err = proto.Marshal(s.bare()) })
 	if s.binary.err != nil {
 		return nil, s.binary.err
--- a/xds/xds.go
+++ b/xds/xds.go
@@ -44,11 +44,11 @@
 // WeightScale is what a weight of 1 becomes: the published weights are whole numbers from 1 on.
 const WeightScale = routing.WeightScale
 
-// KindHeader is the request header that names a req's kind.
-const KindHeader = "x-request-kind"
+// ClassHeader is the request header that names a req's kind.
+const ClassHeader = "x-request-kind"
 
-// RouteName is the name of the RouteConfiguration.
-const RouteName = "request-kinds"
+// RouteConfigurationName is the name of the RouteConfiguration.
+const RouteConfigurationName = "request-kinds"
 
 // FallbackMetadata names the part of a route's metadata that says what holds while no coordinator is reached.
 const FallbackMetadata = "porthub.fallback"
@@ -62,8 +62,8 @@
 
 const rateFilter = "envoy.filters.http.local_ratelimit"
 
-// Endpoints makes the document of a gateway's clusters.
-func Endpoints(version, nonce string, clusters []routing.Cluster) (*discoveryv3.DiscoveryResponse, error) {
+// NewEndpointDocument makes the document of a gateway's clusters.
+func NewEndpointDocument(version, nonce string, clusters []routing.Cluster) (*discoveryv3.DiscoveryResponse, error) {
 	r := &discoveryv3.DiscoveryResponse{VersionInfo: version, TypeUrl: EndpointType, Nonce: nonce}
 	for _, c := range clusters {
 		a, err := assignment(c)
@@ -133,9 +133,9 @@
 	return net.JoinHostPort(s.GetAddress(), strconv.Itoa(int(s.GetPortValue())))
 }
 
-// RouteDocument makes the document of a gateway's routes.
-func RouteDocument(version, nonce string, routes []routing.Route) (*discoveryv3.DiscoveryResponse, error) {
-	rc, err := configuration(RouteName, routes)
+// NewRouteDocument makes the document of a gateway's routes.
+func NewRouteDocument(version, nonce string, routes []routing.Route) (*discoveryv3.DiscoveryResponse, error) {
+	rc, err := configuration(RouteConfigurationName, routes)
 	if err != nil {
 		return nil, err
 	}
@@ -178,7 +178,7 @@
 	}
 	one := &routev3.Route{Name: r.Class,
 		Match: &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"},
-			Headers: []*routev3.HeaderMatcher{{Name: KindHeader, HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{
+			Headers: []*routev3.HeaderMatcher{{Name: ClassHeader, HeaderMatchSpecifier: &routev3.HeaderMatcher_StringMatch{
 				StringMatch: exact(r.Class)}}}},
 		Action: &routev3.Route_Route{Route: action}}
 	if r.Fallback.Duration > 0 {
@@ -233,13 +233,13 @@
 	return text, nil
 }
 
-// ErrNotXDS is a text that is no message of the type it should be.
-var ErrNotXDS = errors.New("no xDS message")
+// ErrInvalidMessage is a text that is no message of the type it should be.
+var ErrInvalidMessage = errors.New("no xDS message")
 
 // Decode reads protobuf JSON. Unknown fields are passed over: a newer peer may say more.
 func Decode(text []byte, into proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(text, into); err != nil {
-		return fmt.Errorf("%w: %s: %v", ErrNotXDS, into.ProtoReflect().Descriptor().Name(), err)
+		return fmt.Errorf("%w: %s: %v", ErrInvalidMessage, into.ProtoReflect().Descriptor().Name(), err)
 	}
 	return nil
 }
@@ -251,25 +251,25 @@
 	Routes               []routing.Route
 }
 
-// Read reads a document as a gateway does. A text that is cut short or not a whole document is an error, and what
+// ParseDocument reads a document as a gateway does. A text that is cut short or not a whole document is an error, and what
 // could be read of it is still told by its nonce if there is one.
-func Read(text []byte) (Document, error) {
+func ParseDocument(text []byte) (Document, error) {
 	r := &discoveryv3.DiscoveryResponse{}
 	if err := Decode(text, r); err != nil {
 		return Document{}, err
 	}
-	return ReadResponse(r)
+	return ParseResponse(r)
 }
 
-// ReadResponse reads a document from its message.
-func ReadResponse(r *discoveryv3.DiscoveryResponse) (Document, error) {
+// ParseResponse reads a document from its message.
+func ParseResponse(r *discoveryv3.DiscoveryResponse) (Document, error) {
 	d := Document{Type: r.TypeUrl, Version: r.VersionInfo, Nonce: r.Nonce}
 	for i, res := range r.Resources {
 		switch r.TypeUrl {
 		case EndpointType:
 			a := &endpointv3.ClusterLoadAssignment{}
 			if err := res.UnmarshalTo(a); err != nil {
-				return d, fmt.Errorf("%w: resource %d: %v", ErrNotXDS, i, err)
+				return d, fmt.Errorf("%w: resource %d: %v", ErrInvalidMessage, i, err)
 			}
 			c := routing.Cluster{Class: a.ClusterName}
 			for _, zone := range a.Endpoints {
@@ -281,7 +281,7 @@
 		case RouteType:
 			rc := &routev3.RouteConfiguration{}
 			if err := res.UnmarshalTo(rc); err != nil {
-				return d, fmt.Errorf("%w: resource %d: %v", ErrNotXDS, i, err)
+				return d, fmt.Errorf("%w: resource %d: %v", ErrInvalidMessage, i, err)
 			}
 			routes, err := readRoutes(rc)
 			if err != nil {
@@ -289,7 +289,7 @@
 			}
 			d.Routes = append(d.Routes, routes...)
 		default:
-			return d, fmt.Errorf("%w: type %q is not known", ErrNotXDS, r.TypeUrl)
+			return d, fmt.Errorf("%w: type %q is not known", ErrInvalidMessage, r.TypeUrl)
 		}
 	}
 	return d, nil
@@ -327,18 +327,18 @@
 		f := routing.Fallback{After: policyapi.Microseconds(number(fallbackAfter)) * 1000, Duration: policyapi.Microseconds(number(fallbackFor)) * 1000,
 			Share: number(fallbackShare), RetryPolicy: int(number(fallbackTry))}
 		if !(f.Share >= 0 && f.Share <= 1) || f.After < 0 || f.Duration < 0 || f.RetryPolicy < 0 || f.RetryPolicy > 3 {
-			return r, fmt.Errorf("%w: route %s: a fallback of %+v", ErrNotXDS, one.Name, f)
+			return r, fmt.Errorf("%w: route %s: a fallback of %+v", ErrInvalidMessage, one.Name, f)
 		}
 		r.Fallback = f
 	}
 	if settings := one.TypedPerFilterConfig[rateFilter]; settings != nil {
 		limit := &ratev3.LocalRateLimit{}
 		if err := settings.UnmarshalTo(limit); err != nil {
-			return r, fmt.Errorf("%w: route %s: %v", ErrNotXDS, one.Name, err)
+			return r, fmt.Errorf("%w: route %s: %v", ErrInvalidMessage, one.Name, err)
 		}
 		every := limit.GetTokenBucket().GetFillInterval().AsDuration().Seconds()
 		if every <= 0 {
-			return r, fmt.Errorf("%w: route %s: a bucket without a fill interval", ErrNotXDS, one.Name)
+			return r, fmt.Errorf("%w: route %s: a bucket without a fill interval", ErrInvalidMessage, one.Name)
 		}
 		if r.Rate = float64(limit.TokenBucket.GetTokensPerFill().GetValue()) / every; r.Rate < 1e-3 {
 			r.Rate = 0
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -30,17 +30,17 @@
 func TestDocumentsThereAndBack(t *testing.T) {
 	clusters := []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 0.25},
 		{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 1, Withheld: true}, {Endpoint: "[::1]:3", Zone: "b", Weight: 3.5}}}, {Class: "save"}}
-	m, err := Endpoints("v1", "n1", clusters)
+	m, err := NewEndpointDocument("v1", "n1", clusters)
 	text := encoded(t, m, err)
-	d, err := Read(text)
+	d, err := ParseDocument(text)
 	if err != nil || d.Version != "v1" || d.Nonce != "n1" || !reflect.DeepEqual(d.Clusters, clusters) {
 		t.Errorf("%+v, %v", d, err)
 	}
 	for _, rate := range []float64{routing.UnlimitedRate, 0, 0.37, 1, 7.5, 333, 12345} {
 		for second := range 4 {
 			routes := []routing.Route{{Class: "view", Rate: rate, Share: 1, RetryPolicy: second, Timeout: 2_500_000}, {Class: "save", Rate: -1, Share: 0.25}}
-			m, err := RouteDocument("v2", "n2", routes)
-			d, err := Read(encoded(t, m, err))
+			m, err := NewRouteDocument("v2", "n2", routes)
+			d, err := ParseDocument(encoded(t, m, err))
 			if err != nil || len(d.Routes) != 2 {
 				t.Fatalf("%+v, %v", d, err)
 			}
@@ -55,21 +55,21 @@
 	}
 	// Every text that is cut short is refused, wherever it is cut.
 	for n := range len(text) {
-		if _, err := Read(text[:n]); !errors.Is(err, ErrNotXDS) && err == nil {
+		if _, err := ParseDocument(text[:n]); !errors.Is(err, ErrInvalidMessage) && err == nil {
 			t.Fatalf("cut at %d of %d it is taken", n, len(text))
 		}
 	}
-	if _, err := Endpoints("v", "n", []routing.Cluster{{Class: "k", Endpoints: []routing.ClusterEndpoint{{Endpoint: "nowhere"}}}}); err == nil {
+	if _, err := NewEndpointDocument("v", "n", []routing.Cluster{{Class: "k", Endpoints: []routing.ClusterEndpoint{{Endpoint: "nowhere"}}}}); err == nil {
 		t.Error("a backend without a port is written")
 	}
 }
 
 func TestReportsThereAndBack(t *testing.T) {
-	node := Node{Name: "gw-1", Zone: "a", Standing: true, Weight: 12, Report: 7}
-	kinds := []Kind{{Name: "view", Arrived: 20, Denied: 3, Errored: 2, Endpoints: []Endpoint{
-		{Backend: "127.0.0.1:1", Zone: "a", Tries: 10, Errored: 2, Active: 1, Answer: 150 * time.Millisecond, Loads: map[string]float64{"util": 0.5, "queue": 2}, Loaded: 8},
-		{Backend: "127.0.0.1:2", Zone: "b", Tries: 7, Errored: 7}}}}
-	got, interval, read, err := ReadLoad(Load(node, 2*time.Second, kinds))
+	node := Node{Name: "gw-1", Zone: "a", InitialTable: true, UsualRate: 12, ReportNumber: 7}
+	kinds := []ClassReport{{Class: "view", Arrived: 20, Rejected: 3, Failures: 2, Endpoints: []EndpointReport{
+		{Address: "127.0.0.1:1", Zone: "a", Attempts: 10, Failures: 2, InFlight: 1, MeanLatency: 150 * time.Millisecond, Metrics: map[string]float64{"util": 0.5, "queue": 2}, MetricSamples: 8},
+		{Address: "127.0.0.1:2", Zone: "b", Attempts: 7, Failures: 7}}}}
+	got, interval, read, err := ParseLoadReport(NewLoadReport(node, 2*time.Second, kinds))
 	if err != nil || got != node || interval != 2*time.Second || !reflect.DeepEqual(read, kinds) {
 		t.Errorf("%+v %v %+v %v", got, interval, read, err)
 	}
@@ -81,7 +81,7 @@
 	if err := Decode([]byte(text), m); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, read, err := ReadLoad(m); err != nil || read[0].Arrived != 8 || read[0].Endpoints[0].Tries != 6 {
+	if _, _, read, err := ParseLoadReport(m); err != nil || read[0].Arrived != 8 || read[0].Endpoints[0].Attempts != 6 {
 		t.Errorf("%+v %v", read, err)
 	}
 	for _, spoil := range []string{`"5"`, `"1s"`, `"envoy-1"`} {
@@ -89,9 +89,9 @@
 		bad := strings.Replace(text, spoil, map[string]string{`"5"`: `"99999999999"`, `"1s"`: `"1 s"`, `"envoy-1"`: `"a/b"`}[spoil], 1)
 		err := Decode([]byte(bad), m)
 		if err == nil {
-			_, _, _, err = ReadLoad(m)
+			_, _, _, err = ParseLoadReport(m)
 		}
-		if !errors.Is(err, ErrNotXDS) {
+		if !errors.Is(err, ErrInvalidMessage) {
 			t.Errorf("%s spoilt: %v", spoil, err)
 		}
 	}
@@ -99,14 +99,14 @@
 
 func TestOrca(t *testing.T) {
 	for header, want := range map[string]map[string]float64{
-		Orca(0.5, 3): {"util": 0.5, "queue": 3},
+		FormatORCA(0.5, 3): {"util": 0.5, "queue": 3},
 		"TEXT cpu_utilization=0.25,rps_fractional=12,mem=3": {"util": 0.25, "qps": 12},
 		"TEXT cpu_utilization=NaN, named_metrics.queue=-1":  nil,
 		"TEXT cpu_utilization":                              nil,
 		"JSON {}":                                           nil,
 		"":                                                  nil,
 	} {
-		if got := ReadOrca(header); !reflect.DeepEqual(got, want) {
+		if got := ParseORCA(header); !reflect.DeepEqual(got, want) {
 			t.Errorf("%q: %v", header, got)
 		}
 	}
@@ -116,19 +116,19 @@
 func TestShared(t *testing.T) {
 	from := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
 	to := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
-	whole, err := ShareEndpoints(to.Clusters)
+	whole, err := ShareEndpointDocument(to.Clusters)
 	if err != nil {
 		t.Fatal(err)
 	}
-	delta, err := ShareDelta(LineVersions(from), to)
+	delta, err := ShareEndpointDelta(EndpointVersions(from), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nothing, err := ShareDelta(LineVersions(to), to)
+	nothing, err := ShareEndpointDelta(EndpointVersions(to), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, s := range map[string]*Shared{"whole": whole, "delta": delta, "nothing": nothing} {
+	for name, s := range map[string]*SharedResponse{"whole": whole, "delta": delta, "nothing": nothing} {
 		for _, v := range []string{"e.1", `quoted "and\ worse`} {
 			want := s.Message(v, v+"n")
 			text, err := s.Encode(v, v+"n")
--- a/xdsfile/files.go
+++ b/xdsfile/files.go
@@ -215,13 +215,13 @@
 		return err
 	}
 	if p.Changed[coordinator.EndpointsDocument] {
-		m, err := xds.Endpoints(p.Version, p.Nonce, p.Snapshot.Clusters)
+		m, err := xds.NewEndpointDocument(p.Version, p.Nonce, p.Snapshot.Clusters)
 		if err := f.send(filepath.Join(dir, EndpointFile), m, err, p.Sync); err != nil {
 			return err
 		}
 	}
 	if p.Changed[coordinator.RoutesDocument] {
-		m, err := xds.RouteDocument(p.Version, p.Nonce, p.Snapshot.Routes)
+		m, err := xds.NewRouteDocument(p.Version, p.Nonce, p.Snapshot.Routes)
 		return f.send(filepath.Join(dir, RouteFile), m, err, p.Sync)
 	}
 	return nil
--- a/xdsfile/files_test.go
+++ b/xdsfile/files_test.go
@@ -62,28 +62,28 @@
 		go func() {
 			defer readers.Done()
 			reader := client.NewReader(dir, "gw")
-			reader.Chunk, reader.Pause = 4096<<r, 50*time.Microsecond
-			var held client.Held
+			reader.ChunkSize, reader.ChunkDelay = 4096<<r, 50*time.Microsecond
+			var held client.Tables
 			last := -1
 			for {
-				for _, u := range reader.Look() {
+				for _, u := range reader.Poll() {
 					if u.Err != nil {
 						t.Errorf("a partial table: %v", u.Err)
 					}
 					held.Apply(u)
-					if u.Doc.Clusters == nil {
+					if u.Document.Clusters == nil {
 						continue
 					}
 					var n int
-					_, _ = fmt.Sscanf(u.Doc.Version, "e.%d", &n)
-					if len(u.Doc.Clusters[0].Endpoints) != lines || u.Doc.Clusters[0].Endpoints[0].Weight != float64(n+1) || n < last {
-						t.Errorf("version %d after %d with %d lines", n, last, len(u.Doc.Clusters[0].Endpoints))
+					_, _ = fmt.Sscanf(u.Document.Version, "e.%d", &n)
+					if len(u.Document.Clusters[0].Endpoints) != lines || u.Document.Clusters[0].Endpoints[0].Weight != float64(n+1) || n < last {
+						t.Errorf("version %d after %d with %d lines", n, last, len(u.Document.Clusters[0].Endpoints))
 					}
 					last = n
 				}
 				select {
 				case <-stop:
-					if held.Reads == 0 {
+					if held.Applied == 0 {
 						t.Error("nothing was read")
 					}
 					return
@@ -98,8 +98,8 @@
 	}
 	last := client.NewReader(dir, "gw")
 	within(t, "the last version", func() bool {
-		for _, u := range last.Look() {
-			if u.Doc.Version == fmt.Sprintf("e.%d", rounds-1) {
+		for _, u := range last.Poll() {
+			if u.Document.Version == fmt.Sprintf("e.%d", rounds-1) {
 				return true
 			}
 		}
--- a/xdspoll/bench_test.go
+++ b/xdspoll/bench_test.go
@@ -40,11 +40,11 @@
 	for _, lines := range []int{18, 100, 400} {
 		from, to := large(lines, 1), large(lines, 2)
 		kinds := []string{"kind-0", "kind-1", "kind-2"}
-		whole, err := xds.Endpoints("v", "n", to.Clusters)
+		whole, err := xds.NewEndpointDocument("v", "n", to.Clusters)
 		if err != nil {
 			b.Fatal(err)
 		}
-		delta, err := xds.Delta("v", "n", xds.LineVersions(from), to)
+		delta, err := xds.NewEndpointDelta("v", "n", xds.EndpointVersions(from), to)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -56,7 +56,7 @@
 			b.Run(fmt.Sprintf("%d_lines_%s", lines, name), func(b *testing.B) {
 				for b.Loop() {
 					if name == "whole" {
-						if _, err := xds.Read(text); err != nil {
+						if _, err := xds.ParseDocument(text); err != nil {
 							b.Fatal(err)
 						}
 						continue
@@ -66,7 +66,7 @@
 					if err := xds.Decode(text, d); err != nil {
 						b.Fatal(err)
 					}
-					if _, err := xds.ApplyDelta(kinds, from, delta); err != nil {
+					if _, err := xds.ApplyEndpointDelta(kinds, from, delta); err != nil {
 						b.Fatal(err)
 					}
 				}
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -213,11 +213,11 @@
 // Told is what answers a poll: shared between the gateways that are told the same.
 type Told struct {
 	Version, Nonce string
-	*xds.Shared
+	*xds.SharedResponse
 }
 
 // Message is the answer whole.
-func (t *Told) Message() proto.Message { return t.Shared.Message(t.Version, t.Nonce) }
+func (t *Told) Message() proto.Message { return t.SharedResponse.Message(t.Version, t.Nonce) }
 
 // Body is the answer as it is sent.
 func (t *Told) Body(binary bool) ([]byte, error) {
@@ -250,21 +250,21 @@
 		if base != nil {
 			held = xds.RouteVersions(*base)
 		}
-		told.Shared, err = xds.ShareRouteDelta(held, to)
+		told.SharedResponse, err = xds.ShareRouteDelta(held, to)
 		lines = linesOf(told, err)
 	case r.Delta && base != nil:
-		told.Shared, err = h.same(base.Clusters, to.Clusters, func() (*xds.Shared, error) { return xds.ShareDelta(xds.LineVersions(*base), to) })
+		told.SharedResponse, err = h.same(base.Clusters, to.Clusters, func() (*xds.SharedResponse, error) { return xds.ShareEndpointDelta(xds.EndpointVersions(*base), to) })
 		lines = linesOf(told, err)
 	case r.Delta:
-		told.Shared, err = xds.ShareDelta(r.Lines, to)
+		told.SharedResponse, err = xds.ShareEndpointDelta(r.Lines, to)
 		lines = linesOf(told, err)
 	case r.Doc == coordinator.EndpointsDocument:
-		told.Shared, err = h.same(nil, to.Clusters, func() (*xds.Shared, error) { return xds.ShareEndpoints(to.Clusters) })
+		told.SharedResponse, err = h.same(nil, to.Clusters, func() (*xds.SharedResponse, error) { return xds.ShareEndpointDocument(to.Clusters) })
 		for _, c := range to.Clusters {
 			lines += len(c.Endpoints)
 		}
 	default:
-		told.Shared, err = xds.ShareRoutes(to.Routes)
+		told.SharedResponse, err = xds.ShareRouteDocument(to.Routes)
 		lines = len(to.Routes)
 	}
 	if err != nil {
@@ -285,7 +285,7 @@
 	if err != nil {
 		return 0
 	}
-	return t.Lines()
+	return t.ResourceCount()
 }
 
 // Sent counts the bytes of an answer.
@@ -300,7 +300,7 @@
 type shares struct {
 	from, to []routing.Cluster
 	once     sync.Once
-	shared   *xds.Shared
+	shared   *xds.SharedResponse
 	err      error
 }
 
@@ -309,7 +309,7 @@
 
 // same makes an answer once for all gateways that go from the same clusters to the same. The core hands gateways of one
 // zone on one table the very same lines, so being the same is being in the same place.
-func (h *Hub) same(from, to []routing.Cluster, make func() (*xds.Shared, error)) (*xds.Shared, error) {
+func (h *Hub) same(from, to []routing.Cluster, make func() (*xds.SharedResponse, error)) (*xds.SharedResponse, error) {
 	var key strings.Builder
 	for _, clusters := range [][]routing.Cluster{from, to} {
 		for _, c := range clusters {
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -124,7 +124,7 @@
 		if !is {
 			t.Fatalf("no delta: %v", x)
 		}
-		clusters, err := xds.ApplyDelta(kinds, held, d)
+		clusters, err := xds.ApplyEndpointDelta(kinds, held, d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,7 +162,7 @@
 	if x := take(nil); !errors.Is(x.err, ErrBase) {
 		t.Errorf("from what is let go: %v", x)
 	}
-	apply(take(xds.LineVersions(held)))
+	apply(take(xds.EndpointVersions(held)))
 	same(p)
 	// Another start of the coordinator knows nothing of the nonce, nor of lines that are gone.
 	h = NewHub(10, 3)
@@ -171,7 +171,7 @@
 	if x := take(nil); !errors.Is(x.err, ErrBase) {
 		t.Errorf("another start's nonce: %v", x)
 	}
-	apply(take(xds.LineVersions(held)))
+	apply(take(xds.EndpointVersions(held)))
 	same(p)
 }
 
--- a/xdspoll/model_test.go
+++ b/xdspoll/model_test.go
@@ -118,7 +118,7 @@
 	g := m.gws[i]
 	r := Request{Gateway: coordinator.Gateway(fmt.Sprint(i)), Doc: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce}
 	if g.fresh {
-		r.Lines = xds.LineVersions(g.held)
+		r.Lines = xds.EndpointVersions(g.held)
 	}
 	r.Answer = func(t *Told, err error) { g.answer = &told{messageOf(t), err} }
 	m.hub.Poll(r)
@@ -143,7 +143,7 @@
 	if m.spoil {
 		d = &discoveryv3.DeltaDiscoveryResponse{Nonce: d.Nonce, Resources: d.Resources}
 	}
-	clusters, err := xds.ApplyDelta(modelKinds, g.held, d)
+	clusters, err := xds.ApplyEndpointDelta(modelKinds, g.held, d)
 	if err != nil {
 		m.fail("gateway %d: %v", i, err)
 		return
