--- a/xds/orca.go
+++ b/xds/orca.go
@@ -6,41 +6,46 @@
 	"strings"
 )
 
-// ORCAHeader is the response header in which backends report their load (ORCA, TEXT format).
+// ORCAHeader is the response header in which endpoints report their load (ORCA, TEXT format).
 const ORCAHeader = "endpoint-load-metrics"
 
-// FormatORCA writes load figures for the header: util as cpu_utilization, qps as rps_fractional, others as named metrics.
+// maxMetric bounds a load metric.
+const maxMetric = 1e9
+
+// metricNames maps ORCA's names to ours.
+var metricNames = map[string]string{
+	"cpu_utilization":     "util",
+	"rps_fractional":      "qps",
+	"named_metrics.queue": "queue",
+}
+
+// FormatORCA returns the header's value for a utilization, from 0 to 1, and a queue length.
 func FormatORCA(util, queue float64) string {
 	return fmt.Sprintf("TEXT cpu_utilization=%.4g, named_metrics.queue=%.4g", util, queue)
 }
 
-// ParseORCA reads the header by our names. What is not known or malformed is left out; nil if nothing is left.
+// ParseORCA returns the load metrics in the header's value: util, queue and qps. Unknown and malformed ones are left out;
+// the map is nil if none is left.
 func ParseORCA(header string) map[string]float64 {
-	rest, is := strings.CutPrefix(header, "TEXT ")
-	if !is {
+	list, ok := strings.CutPrefix(header, "TEXT ")
+	if !ok {
 		return nil
 	}
-	var loads map[string]float64
-	for _, pair := range strings.Split(rest, ",") {
-		name, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
-		v, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(v >= 0 && v < 1e9) {
+	var metrics map[string]float64
+	for _, pair := range strings.Split(list, ",") {
+		key, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
+		value, err := strconv.ParseFloat(text, 64)
+		if err != nil || !(value >= 0 && value < maxMetric) { // also for NaN
 			continue
 		}
-		switch name {
-		case "cpu_utilization":
-			name = "util"
-		case "rps_fractional":
-			name = "qps"
-		case "named_metrics.queue":
-			name = "queue"
-		default:
+		name, ok := metricNames[key]
+		if !ok {
 			continue
 		}
-		if loads == nil {
-			loads = map[string]float64{}
+		if metrics == nil {
+			metrics = map[string]float64{}
 		}
-		loads[name] = v
+		metrics[name] = value
 	}
-	return loads
+	return metrics
 }
--- a/xds/shared.go
+++ b/xds/shared.go
@@ -10,74 +10,94 @@
 	"porthub/routing"
 )
 
-// SharedResponse is a response without the version and nonce of the gateway that it goes to. Gateways that are to hold the same
-// share one: its resources are made once, and so is each encoding of them. It is safe for many goroutines.
+// SharedResponse is a response without the version and nonce of the gateway that it goes to. Gateways that are to have
+// the same tables share one: its resources are built once, and so is each encoding of them. It is safe for concurrent
+// use.
 type SharedResponse struct {
-	whole *discoveryv3.DiscoveryResponse // or
+	// One of the two is set.
+	full  *discoveryv3.DiscoveryResponse
 	delta *discoveryv3.DeltaDiscoveryResponse
 
-	text, binary encoding
+	json   encoding
+	binary encoding
 }
 
+// encoding is a body that is made on first use.
 type encoding struct {
 	once sync.Once
 	body []byte
 	err  error
 }
 
-// ShareEndpointDocument is the response with whole clusters.
+func (e *encoding) get(encode func() ([]byte, error)) ([]byte, error) {
+	e.once.Do(func() { e.body, e.err = encode() })
+	return e.body, e.err
+}
+
+// ShareEndpointDocument returns the response with all clusters.
 func ShareEndpointDocument(clusters []routing.Cluster) (*SharedResponse, error) {
 	m, err := NewEndpointDocument("", "", clusters)
-	return &SharedResponse{whole: m}, err
+	return &SharedResponse{full: m}, err
 }
 
-// ShareRouteDocument is the response with routes.
+// ShareRouteDocument returns the response with all routes.
 func ShareRouteDocument(routes []routing.Route) (*SharedResponse, error) {
 	m, err := NewRouteDocument("", "", routes)
-	return &SharedResponse{whole: m}, err
+	return &SharedResponse{full: m}, err
 }
 
-// ShareEndpointDelta is what leads a gateway that holds the lines given to a snapshot's clusters.
-func ShareEndpointDelta(held map[string]string, to routing.Snapshot) (*SharedResponse, error) {
-	m, err := NewEndpointDelta("", "", held, to)
+// ShareEndpointDelta returns the response of NewEndpointDelta.
+func ShareEndpointDelta(from map[string]string, to routing.Snapshot) (*SharedResponse, error) {
+	m, err := NewEndpointDelta("", "", from, to)
 	return &SharedResponse{delta: m}, err
 }
 
-// ShareRouteDelta is what leads a gateway that holds the routes given to a snapshot's.
-func ShareRouteDelta(held map[string]string, to routing.Snapshot) (*SharedResponse, error) {
-	m, err := NewRouteDelta("", "", held, to)
+// ShareRouteDelta returns the response of NewRouteDelta.
+func ShareRouteDelta(from map[string]string, to routing.Snapshot) (*SharedResponse, error) {
+	m, err := NewRouteDelta("", "", from, to)
 	return &SharedResponse{delta: m}, err
 }
 
-// Message is the response to one gateway. Its resources are shared: it must not be changed.
+// Message returns the response to one gateway. Its resources are shared: it must not be changed.
 func (s *SharedResponse) Message(version, nonce string) proto.Message {
 	if s.delta != nil {
-		return &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, Nonce: nonce, TypeUrl: s.delta.TypeUrl, Resources: s.delta.Resources,
-			RemovedResources: s.delta.RemovedResources}
+		return &discoveryv3.DeltaDiscoveryResponse{
+			SystemVersionInfo: version,
+			Nonce:             nonce,
+			TypeUrl:           s.delta.TypeUrl,
+			Resources:         s.delta.Resources,
+			RemovedResources:  s.delta.RemovedResources,
+		}
+	}
+	return &discoveryv3.DiscoveryResponse{
+		VersionInfo: version,
+		Nonce:       nonce,
+		TypeUrl:     s.full.TypeUrl,
+		Resources:   s.full.Resources,
 	}
-	return &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce, TypeUrl: s.whole.TypeUrl, Resources: s.whole.Resources}
 }
 
-func (s *SharedResponse) bare() proto.Message {
+// unaddressed is the message without version and nonce.
+func (s *SharedResponse) unaddressed() proto.Message {
 	if s.delta != nil {
 		return s.delta
 	}
-	return s.whole
+	return s.full
 }
 
-// ResourceCount counts the resources, removed ones too.
+// ResourceCount returns the number of resources, removed ones included.
 func (s *SharedResponse) ResourceCount() int {
 	if s.delta != nil {
 		return len(s.delta.Resources) + len(s.delta.RemovedResources)
 	}
-	return len(s.whole.Resources)
+	return len(s.full.Resources)
 }
 
 // Encode writes the response to one gateway as protobuf JSON.
 func (s *SharedResponse) Encode(version, nonce string) ([]byte, error) {
-	s.text.once.Do(func() { s.text.body, s.text.err = Encode(s.bare()) })
-	if s.text.err != nil {
-		return nil, s.text.err
+	body, err := s.json.get(func() ([]byte, error) { return Encode(s.unaddressed()) })
+	if err != nil {
+		return nil, err
 	}
 	key := "version_info"
 	if s.delta != nil {
@@ -87,20 +107,21 @@
 	if err != nil {
 		return nil, err
 	}
-	// Two objects become one. The shared one is never empty: it has its type.
-	return append(append(head[:len(head)-1], ','), s.text.body[1:]...), nil
+	// Two objects are joined to one. The shared one is never empty: it has its type.
+	return append(append(head[:len(head)-1], ','), body[1:]...), nil
 }
 
-// EncodeBinary writes it as a protobuf: fields that follow one another are one message.
+// EncodeBinary writes the response to one gateway in the protobuf wire format, in which the concatenation of two
+// messages is their merge.
 func (s *SharedResponse) EncodeBinary(version, nonce string) ([]byte, error) {
-	s.binary.once.Do(func() { s.binary.body, s.binary.err = proto.Marshal(s.bare()) })
-	if s.binary.err != nil {
-		return nil, s.binary.err
+	body, err := s.binary.get(func() ([]byte, error) { return proto.Marshal(s.unaddressed()) })
+	if err != nil {
+		return nil, err
 	}
 	var head proto.Message = &discoveryv3.DiscoveryResponse{VersionInfo: version, Nonce: nonce}
 	if s.delta != nil {
 		head = &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, Nonce: nonce}
 	}
-	body, err := proto.Marshal(head)
-	return append(body, s.binary.body...), err
+	addressed, err := proto.Marshal(head)
+	return append(addressed, body...), err
 }
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"math"
 	"reflect"
 	"strings"
@@ -26,45 +27,66 @@
 	return text
 }
 
-// What is written is what is read: lines, weights, what is withheld, levels and second tries.
-func TestDocumentsThereAndBack(t *testing.T) {
-	clusters := []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 0.25},
-		{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 1, Withheld: true}, {Endpoint: "[::1]:3", Zone: "b", Weight: 3.5}}}, {Class: "save"}}
-	m, err := NewEndpointDocument("v1", "n1", clusters)
-	text := encoded(t, m, err)
-	d, err := ParseDocument(text)
-	if err != nil || d.Version != "v1" || d.Nonce != "n1" || !reflect.DeepEqual(d.Clusters, clusters) {
+var testClusters = []routing.Cluster{
+	{Class: "view", Endpoints: []routing.ClusterEndpoint{
+		{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 0.25},
+		{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 1, Withheld: true},
+		{Endpoint: "[::1]:3", Zone: "b", Weight: 3.5},
+	}},
+	{Class: "save"},
+}
+
+func TestEndpointDocumentRoundTrip(t *testing.T) {
+	m, err := NewEndpointDocument("v1", "n1", testClusters)
+	d, err := ParseDocument(encoded(t, m, err))
+	if err != nil || d.Version != "v1" || d.Nonce != "n1" || !reflect.DeepEqual(d.Clusters, testClusters) {
 		t.Errorf("%+v, %v", d, err)
 	}
+}
+
+func TestRouteDocumentRoundTrip(t *testing.T) {
 	for _, rate := range []float64{routing.UnlimitedRate, 0, 0.37, 1, 7.5, 333, 12345} {
-		for second := range 4 {
-			routes := []routing.Route{{Class: "view", Rate: rate, Share: 1, RetryPolicy: second, Timeout: 2_500_000}, {Class: "save", Rate: -1, Share: 0.25}}
-			m, err := NewRouteDocument("v2", "n2", routes)
-			d, err := ParseDocument(encoded(t, m, err))
-			if err != nil || len(d.Routes) != 2 {
-				t.Fatalf("%+v, %v", d, err)
-			}
-			got := d.Routes[0]
-			if got.RetryPolicy != second || got.Timeout != 2_500_000 || math.Abs(got.Rate-rate) > 0.01*math.Abs(rate) {
-				t.Errorf("rate %v, second try %d: read %+v", rate, second, got)
-			}
-			if d.Routes[1].Share != 0.25 {
-				t.Errorf("share read as %v", d.Routes[1].Share)
-			}
+		for retryPolicy := range 4 {
+			t.Run(fmt.Sprintf("rate %v, retry policy %d", rate, retryPolicy), func(t *testing.T) {
+				routes := []routing.Route{
+					{Class: "view", Rate: rate, Share: 1, RetryPolicy: retryPolicy, Timeout: 2_500_000},
+					{Class: "save", Rate: -1, Share: 0.25},
+				}
+				m, err := NewRouteDocument("v2", "n2", routes)
+				d, err := ParseDocument(encoded(t, m, err))
+				if err != nil || len(d.Routes) != 2 {
+					t.Fatalf("%+v, %v", d, err)
+				}
+				got := d.Routes[0]
+				if got.RetryPolicy != retryPolicy || got.Timeout != 2_500_000 || math.Abs(got.Rate-rate) > 0.01*math.Abs(rate) {
+					t.Errorf("parsed %+v", got)
+				}
+				if d.Routes[1].Share != 0.25 {
+					t.Errorf("share parsed as %v", d.Routes[1].Share)
+				}
+			})
 		}
 	}
-	// Every text that is cut short is refused, wherever it is cut.
+}
+
+func TestParseDocumentRejectsEveryTruncation(t *testing.T) {
+	m, err := NewEndpointDocument("v1", "n1", testClusters)
+	text := encoded(t, m, err)
 	for n := range len(text) {
-		if _, err := ParseDocument(text[:n]); !errors.Is(err, ErrInvalidMessage) && err == nil {
-			t.Fatalf("cut at %d of %d it is taken", n, len(text))
+		if _, err := ParseDocument(text[:n]); !errors.Is(err, ErrInvalidMessage) {
+			t.Fatalf("cut at %d of %d: %v, want ErrInvalidMessage", n, len(text), err)
 		}
 	}
-	if _, err := NewEndpointDocument("v", "n", []routing.Cluster{{Class: "k", Endpoints: []routing.ClusterEndpoint{{Endpoint: "nowhere"}}}}); err == nil {
-		t.Error("a backend without a port is written")
+}
+
+func TestNewEndpointDocumentRejectsAddressWithoutPort(t *testing.T) {
+	clusters := []routing.Cluster{{Class: "k", Endpoints: []routing.ClusterEndpoint{{Endpoint: "nowhere"}}}}
+	if _, err := NewEndpointDocument("v", "n", clusters); err == nil {
+		t.Error("no error")
 	}
 }
 
-func TestReportsThereAndBack(t *testing.T) {
+func TestLoadReportRoundTrip(t *testing.T) {
 	node := Node{Name: "gw-1", Zone: "a", InitialTable: true, UsualRate: 12, ReportNumber: 7}
 	kinds := []ClassReport{{Class: "view", Arrived: 20, Rejected: 3, Failures: 2, Endpoints: []EndpointReport{
 		{Address: "127.0.0.1:1", Zone: "a", Attempts: 10, Failures: 2, InFlight: 1, MeanLatency: 150 * time.Millisecond, Metrics: map[string]float64{"util": 0.5, "queue": 2}, MetricSamples: 8},
@@ -84,20 +106,20 @@
 	if _, _, read, err := ParseLoadReport(m); err != nil || read[0].Arrived != 8 || read[0].Endpoints[0].Attempts != 6 {
 		t.Errorf("%+v %v", read, err)
 	}
-	for _, spoil := range []string{`"5"`, `"1s"`, `"envoy-1"`} {
+	for _, invalid := range []string{`"5"`, `"1s"`, `"envoy-1"`} {
 		m := &loadv3.LoadStatsRequest{}
-		bad := strings.Replace(text, spoil, map[string]string{`"5"`: `"99999999999"`, `"1s"`: `"1 s"`, `"envoy-1"`: `"a/b"`}[spoil], 1)
+		bad := strings.Replace(text, invalid, map[string]string{`"5"`: `"99999999999"`, `"1s"`: `"1 s"`, `"envoy-1"`: `"a/b"`}[invalid], 1)
 		err := Decode([]byte(bad), m)
 		if err == nil {
 			_, _, _, err = ParseLoadReport(m)
 		}
 		if !errors.Is(err, ErrInvalidMessage) {
-			t.Errorf("%s spoilt: %v", spoil, err)
+			t.Errorf("with an invalid value for %s: %v", invalid, err)
 		}
 	}
 }
 
-func TestOrca(t *testing.T) {
+func TestParseORCA(t *testing.T) {
 	for header, want := range map[string]map[string]float64{
 		FormatORCA(0.5, 3): {"util": 0.5, "queue": 3},
 		"TEXT cpu_utilization=0.25,rps_fractional=12,mem=3": {"util": 0.25, "qps": 12},
@@ -112,11 +134,11 @@
 	}
 }
 
-// A shared response reads as the one made for a gateway alone, in both encodings, whole and by deltas.
-func TestShared(t *testing.T) {
+// A shared response decodes to the one built for a gateway alone, in both encodings, full and incremental.
+func TestSharedResponseEncodings(t *testing.T) {
 	from := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
 	to := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
-	whole, err := ShareEndpointDocument(to.Clusters)
+	full, err := ShareEndpointDocument(to.Clusters)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,11 +146,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nothing, err := ShareEndpointDelta(EndpointVersions(to), to)
+	empty, err := ShareEndpointDelta(EndpointVersions(to), to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, s := range map[string]*SharedResponse{"whole": whole, "delta": delta, "nothing": nothing} {
+	for name, s := range map[string]*SharedResponse{"full": full, "delta": delta, "empty": empty} {
 		for _, v := range []string{"e.1", `quoted "and\ worse`} {
 			want := s.Message(v, v+"n")
 			text, err := s.Encode(v, v+"n")
