--- a/membership/apply.go
+++ b/membership/apply.go
@@ -211,8 +211,8 @@
 }
 
 // isMass reports whether so many endpoints of those known are more than leave a fleet at once.
-func isMass(count, known int) bool {
-	return count >= massDropMinimum && float64(count) >= massDropFraction*float64(known)
+func isMass(count, total int) bool {
+	return count >= massDropMinimum && float64(count) >= massDropFraction*float64(total)
 }
 
 // endMassDrop ends a mass drop once the source names most of the endpoints again: those that it still does not name left
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -1,6 +1,7 @@
 package membership
 
 import (
+	"errors"
 	"fmt"
 	"slices"
 	"strings"
@@ -36,11 +37,11 @@
 	s.requireStates(map[policyapi.EndpointID]string{"a1": "ready"})
 	s.report("eureka", "a1+", "a2o", "a3+", "b1+", "b2+", "b3+")
 	s.requireStates(map[policyapi.EndpointID]string{"a2": "draining"})
-	if err := s.membership.Drain(s.now, "a3", ""); err == nil {
-		t.Error("a drain without a reason is accepted")
+	if err := s.membership.Drain(s.now, "a3", ""); !errors.Is(err, ErrReasonRequired) {
+		t.Errorf("a drain without a reason: %v", err)
 	}
-	if err := s.membership.Drain(s.now, "z9", "why"); err == nil {
-		t.Error("an endpoint that no source names is drained")
+	if err := s.membership.Drain(s.now, "z9", "why"); !errors.Is(err, ErrUnknownEndpoint) {
+		t.Errorf("a drain of an endpoint that no source names: %v", err)
 	}
 	if err := s.membership.Drain(s.now, "a3", "disk"); err != nil {
 		t.Fatal(err)
@@ -51,9 +52,12 @@
 	again.membership.Restore(again.now, s.membership.Drains(), s.list)
 	again.report("eureka", allUp...)
 	again.requireList("a1+", "a2+", "a3o", "b1+", "b2+", "b3+")
-	if err := s.membership.Undrain(s.now, "a3"); err != nil || s.membership.Undrain(s.now, "a3") == nil {
+	if err := s.membership.Undrain(s.now, "a3"); err != nil {
 		t.Error(err)
 	}
+	if err := s.membership.Undrain(s.now, "a3"); !errors.Is(err, ErrNotDrained) {
+		t.Errorf("a second undrain: %v", err)
+	}
 	s.step()
 	s.requireList(allUp...)
 }
--- a/routing/acknowledge.go
+++ b/routing/acknowledge.go
@@ -7,8 +7,8 @@
 )
 
 // Ack records that a gateway has acknowledged a version of a document and returns the messages that are complete by it.
-// Only messages in flight count: known is false for any other version but the one last acknowledged.
-func (d *Delivery) Ack(now policyapi.Microseconds, document int, version string) (complete []Message, known bool) {
+// Only messages in flight count: ok is false for any other version but the one last acknowledged.
+func (d *Delivery) Ack(now policyapi.Microseconds, document int, version string) (complete []Message, ok bool) {
 	index := slices.IndexFunc(d.inFlight, func(m Message) bool { return m.Version == version })
 	if index < 0 {
 		return nil, version == d.acknowledged[document].Version
@@ -29,8 +29,8 @@
 
 // Reject records that a gateway has rejected a message and returns after which time everything is sent again, longer with
 // each rejection: the gateway may have read at a bad moment, and it goes on using the last version that it accepted.
-// known is false for a message that is not in flight.
-func (d *Delivery) Reject(now policyapi.Microseconds, nonce string) (backoff policyapi.Microseconds, known bool) {
+// ok is false for a message that is not in flight.
+func (d *Delivery) Reject(now policyapi.Microseconds, nonce string) (backoff policyapi.Microseconds, ok bool) {
 	if !slices.ContainsFunc(d.inFlight, func(m Message) bool { return m.Version == nonce }) {
 		return 0, false
 	}
--- a/solver/activation.go
+++ b/solver/activation.go
@@ -17,11 +17,11 @@
 // apply from when the limits are clearly broken until they have clearly been kept for some rounds, and change a bounded
 // number of tables in each round.
 type Activation struct {
-	active     bool
-	overRounds int                // in a row in which limits were broken
-	keptRounds int                // in a row in which limits were kept
-	prices     map[string]float64 // of the last solution, by endpoint name
-	tables     map[TableKey]Table // that replace the wanted ones
+	active            bool
+	overLimitRounds   int                // in a row in which limits were broken
+	withinLimitRounds int                // in a row in which limits were kept
+	prices            map[string]float64 // of the last solution, by endpoint name
+	tables            map[TableKey]Table // that replace the wanted ones
 }
 
 // Round is the result of one Step.
@@ -53,12 +53,12 @@
 	case !a.active && wanted.urgent != "":
 		a.active = true
 		round.Notes = append(round.Notes, "solver active: "+wanted.urgent)
-	case !a.active && a.overRounds >= enterRounds:
+	case !a.active && a.overLimitRounds >= enterRounds:
 		a.active = true
 		round.Notes = append(round.Notes, fmt.Sprintf("solver active: %s would be offered %.2f of its limit", wanted.worstEndpoint, wanted.worst))
-	case a.active && a.keptRounds >= leaveRounds:
+	case a.active && a.withinLimitRounds >= leaveRounds:
 		a.active = false
-		a.overRounds = 0
+		a.overLimitRounds = 0
 		round.Moved = len(a.tables)
 		clear(a.tables)
 		round.Notes = append(round.Notes, fmt.Sprintf("solver inactive: %s is offered the most, %.2f of its limit", wanted.worstEndpoint, wanted.worst))
@@ -76,14 +76,14 @@
 
 func (a *Activation) countRounds(wanted wantedLoads, keepActive bool) {
 	if wanted.worst > enterOverload {
-		a.overRounds++
+		a.overLimitRounds++
 	} else {
-		a.overRounds = 0
+		a.overLimitRounds = 0
 	}
 	if wanted.worst < leaveOverload && wanted.urgent == "" && !keepActive {
-		a.keptRounds++
+		a.withinLimitRounds++
 	} else {
-		a.keptRounds = 0
+		a.withinLimitRounds = 0
 	}
 }
 
--- a/solver/fleet.go
+++ b/solver/fleet.go
@@ -113,17 +113,17 @@
 
 // medianCapacity returns the median of the known capacities.
 func (f Fleet) medianCapacity() float64 {
-	var known []float64
+	var capacities []float64
 	for _, e := range f.Endpoints {
 		if e.plausible() && e.Capacity > 0 {
-			known = append(known, e.Capacity)
+			capacities = append(capacities, e.Capacity)
 		}
 	}
-	if len(known) == 0 {
+	if len(capacities) == 0 {
 		return unlimitedCapacity
 	}
-	slices.Sort(known)
-	return known[len(known)/2]
+	slices.Sort(capacities)
+	return capacities[len(capacities)/2]
 }
 
 // byPriority returns the classes by their priority weight for their mean cost, the highest first.
--- a/solver/fleets/cases.go
+++ b/solver/fleets/cases.go
@@ -59,7 +59,7 @@
 	}
 	d.drawClasses(classes)
 	d.drawEndpoints(endpoints)
-	d.spoilEndpoints(d.drawZone())
+	d.impairEndpoints(d.drawZone())
 	d.drawConsumers(consumers)
 	d.scaleDemand()
 	d.drawTables()
@@ -103,20 +103,20 @@
 	}
 }
 
-// spoilEndpoints makes what is hard about the endpoints; zone is the one that is hit.
-func (d *drawing) spoilEndpoints(zone string) {
+// impairEndpoints makes what is hard about the endpoints; zone is the one that is hit.
+func (d *drawing) impairEndpoints(zone string) {
 	switch d.Case {
 	case caseZoneLost:
 		if len(d.Endpoints) > 4 {
 			d.closeZone(zone, 0)
 		}
 	case caseWarmingUp:
-		d.spoilPart(0.4, func(e *solver.Endpoint) {
+		d.impairPart(0.4, func(e *solver.Endpoint) {
 			e.Capacity *= 0.16 + 0.84*d.rng.Float64()
 			e.Limit = 0.7
 		})
 	case caseClassFailing:
-		d.spoilPart(0.4, func(e *solver.Endpoint) {
+		d.impairPart(0.4, func(e *solver.Endpoint) {
 			e.Failing = make([]bool, len(d.Classes))
 			e.Failing[d.rng.IntN(len(d.Classes))] = true
 		})
@@ -130,21 +130,21 @@
 		d.Classes[0].AllowedZones = []string{zone}
 		d.closeZone(zone, 1)
 	case casePodShrinks:
-		d.spoilPart(0.5, func(e *solver.Endpoint) { e.Closed = e.Pod == 1 })
+		d.impairPart(0.5, func(e *solver.Endpoint) { e.Closed = e.Pod == 1 })
 	case caseWrongCapacity:
-		d.spoilPart(0.5, func(e *solver.Endpoint) { e.Capacity *= []float64{0.5, 2}[d.rng.IntN(2)] })
+		d.impairPart(0.5, func(e *solver.Endpoint) { e.Capacity *= []float64{0.5, 2}[d.rng.IntN(2)] })
 	case caseSenselessCapacity:
-		d.spoilPart(0.3, func(e *solver.Endpoint) {
+		d.impairPart(0.3, func(e *solver.Endpoint) {
 			e.Capacity = []float64{0, math.NaN(), math.Inf(1), -3, 1e9}[d.rng.IntN(5)]
 		})
 	}
 }
 
-// spoilPart spoils each endpoint with a probability.
-func (d *drawing) spoilPart(probability float64, spoil func(e *solver.Endpoint)) {
+// impairPart spoils each endpoint with a probability.
+func (d *drawing) impairPart(probability float64, impair func(e *solver.Endpoint)) {
 	for i := range d.Endpoints {
 		if d.rng.Float64() < probability {
-			spoil(&d.Endpoints[i])
+			impair(&d.Endpoints[i])
 		}
 	}
 }
