--- a/config/suite.go
+++ b/config/suite.go
@@ -2,133 +2,199 @@
 
 import (
 	"fmt"
-	"os"
 	"slices"
 
 	"porthub/expectation"
 	"porthub/policyapi"
 )
 
-// Suite is a file of expectations, JSON with comments.
+// Suite is an expectation file.
 type Suite struct {
-	Expect []Expectation `json:"expect"`
+	Expectations []Expectation `json:"expect"`
 }
 
-// Expectation is one of them; docs/expectations.md says what each key means.
+// Expectation is one expectation of a file; docs/expectations.md defines each key.
 type Expectation struct {
-	Name   string    `json:"name"`
-	Cases  int       `json:"cases"`
-	Seed   int       `json:"seed"`
-	Length Duration  `json:"length"`
-	Fleet  FleetOf   `json:"fleet"`
-	Course []EventOf `json:"course"`
-	That   []ThatOf  `json:"that"`
+	Name       string          `json:"name"`
+	Cases      int             `json:"cases"`
+	Seed       int             `json:"seed"`
+	Length     Duration        `json:"length"`
+	Fleet      ExpectedFleet   `json:"fleet"`
+	Events     []ExpectedEvent `json:"course"`
+	Assertions []Assertion     `json:"that"`
 }
 
-func (e *Expectation) defaults() {
-	*e = Expectation{Cases: 1, Seed: 1, Length: 20_000_000, Fleet: FleetOf{Nodes: []float64{18}, Gateways: []float64{15}, Load: []float64{0.5}, Spread: 0.5,
-		Transit: 100_000, ListLate: 1_500_000}}
+// setDefaults gives an expectation one case of a small fleet at half its capacity.
+func (e *Expectation) setDefaults() {
+	*e = Expectation{
+		Cases:  1,
+		Seed:   1,
+		Length: 20 * second,
+		Fleet: ExpectedFleet{
+			Endpoints: []float64{18},
+			Gateways:  []float64{15},
+			Load:      []float64{0.5},
+			Spread:    0.5,
+			Latency:   100 * millisecond,
+			ListDelay: 1500 * millisecond,
+		},
+	}
 }
 
-// FleetOf is the fleet that cases begin with. A list of two numbers is drawn from, both included.
-type FleetOf struct {
-	Nodes    []float64 `json:"nodes"`
-	Gateways []float64 `json:"gateways"`
-	Load     []float64 `json:"load"`
-	Spread   float64   `json:"spread"`
-	Transit  Duration  `json:"transit"`
-	ListLate Duration  `json:"list_late"`
+// ExpectedFleet is the fleet that cases begin with. A list of two numbers is a range, both ends included, from which each
+// case draws.
+type ExpectedFleet struct {
+	Endpoints []float64 `json:"nodes"`
+	Gateways  []float64 `json:"gateways"`
+	Load      []float64 `json:"load"`
+	Spread    float64   `json:"spread"`
+	Latency   Duration  `json:"transit"`
+	ListDelay Duration  `json:"list_late"`
 }
 
-// EventOf is one event of a course.
-type EventOf struct {
-	At   Duration `json:"at"`
-	What string   `json:"what"`
-	Zone string   `json:"zone"`
-	Part float64  `json:"part"`
-	Kind string   `json:"kind"`
-	Size float64  `json:"size"`
+// ExpectedEvent is one event of an expectation.
+type ExpectedEvent struct {
+	At         Duration `json:"at"`
+	Action     string   `json:"what"`
+	Zone       string   `json:"zone"`
+	Fraction   float64  `json:"part"`
+	Class      string   `json:"kind"`
+	LoadFactor float64  `json:"size"`
 }
 
-// ThatOf is one thing that must hold.
-type ThatOf struct {
-	Kind string   `json:"kind"`
-	Zone string   `json:"zone"`
-	From Duration `json:"from"`
-	To   Duration `json:"to"`
-
-	NeverWithout  Duration `json:"never_without"`
-	NodesAtLeast  int      `json:"nodes_at_least"`
-	NodesAtMost   int      `json:"nodes_at_most"`
-	HallsAtLeast  int      `json:"halls_at_least"`
-	LoadAtMost    float64  `json:"load_at_most"`
-	ColdAtMost    float64  `json:"cold_at_most"`
-	DrainedWithin Duration `json:"drained_within"`
-	MessagesMost  int      `json:"messages_at_most"`
-	WaitingMost   float64  `json:"waiting_at_most"`
-	ServedAtLeast float64  `json:"served_at_least"`
-	RepeatAtMost  int      `json:"second_try_at_most"`
-	Entered       string   `json:"entered"`
-	NotEntered    string   `json:"not_entered"`
+// Assertion is one statement that must hold. Exactly one of its figures is set; class, zone, from and to limit where it
+// applies.
+type Assertion struct {
+	Class string   `json:"kind"`
+	Zone  string   `json:"zone"`
+	From  Duration `json:"from"`
+	To    Duration `json:"to"`
+
+	MaxEmptyTable   Duration `json:"never_without"`
+	MinEndpoints    int      `json:"nodes_at_least"`
+	MaxEndpoints    int      `json:"nodes_at_most"`
+	MinZones        int      `json:"halls_at_least"`
+	MaxUtilization  float64  `json:"load_at_most"`
+	MaxWarmUpLoad   float64  `json:"cold_at_most"`
+	MaxDrainDelay   Duration `json:"drained_within"`
+	MaxMessages     int      `json:"messages_at_most"`
+	MaxQueued       float64  `json:"waiting_at_most"`
+	MinSuccessRatio float64  `json:"served_at_least"`
+	MaxRetryPolicy  int      `json:"second_try_at_most"`
+	EnteredLevel    string   `json:"entered"`
+	AvoidedLevel    string   `json:"not_entered"`
+}
+
+// LoadSuite reads an expectation file and validates it against a configuration. The error is a ValidationError, or wraps
+// ErrUnreadable.
+func LoadSuite(path string, cfg Config) (expectation.Suite, error) {
+	text, err := readFile(path)
+	if err != nil {
+		return expectation.Suite{}, err
+	}
+	return ParseSuite(path, text, cfg)
 }
 
-// Expectations are the same as package expect has them.
-func (s Suite) expectations(line func(key string) int) (out expectation.Suite) {
-	span := func(v []float64) expectation.Range {
-		if len(v) == 0 {
-			return expectation.Range{}
-		}
-		return expectation.Range{From: v[0], To: v[len(v)-1]}
+// ParseSuite reads and validates the text of an expectation file; findings name the file given.
+func ParseSuite(file string, text []byte, cfg Config) (expectation.Suite, error) {
+	var decoded Suite
+	d := newDecoder(file, text)
+	d.document(&decoded)
+	if err := d.err(); err != nil {
+		return expectation.Suite{}, err
 	}
-	us := func(d Duration) policyapi.Microseconds { return policyapi.Microseconds(d) }
-	for i, e := range s.Expect {
-		key := fmt.Sprintf("expect[%d]", i)
-		one := expectation.Expectation{Name: e.Name, Cases: e.Cases, Seed: uint64(e.Seed), Length: us(e.Length), Line: line(key), Fleet: expectation.Fleet{Nodes: span(e.Fleet.Nodes),
-			Gateways: span(e.Fleet.Gateways), Load: span(e.Fleet.Load), Spread: e.Fleet.Spread, Transit: us(e.Fleet.Transit), ListLate: us(e.Fleet.ListLate)}}
-		for j, ev := range e.Course {
-			one.Course = append(one.Course, expectation.Event{At: us(ev.At), What: ev.What, Zone: policyapi.Zone(ev.Zone), Part: ev.Part, Kind: ev.Kind, Size: ev.Size,
-				Line: line(fmt.Sprintf("%s.course[%d]", key, j))})
-		}
-		slices.SortStableFunc(one.Course, func(a, b expectation.Event) int { return int(a.At - b.At) })
-		for j, t := range e.That {
-			one.That = append(one.That, expectation.That{Kind: t.Kind, Zone: policyapi.Zone(t.Zone), From: us(t.From), To: us(t.To), Line: line(fmt.Sprintf("%s.that[%d]", key, j)),
-				NeverWithout: us(t.NeverWithout), NodesAtLeast: t.NodesAtLeast, NodesAtMost: t.NodesAtMost, HallsAtLeast: t.HallsAtLeast, LoadAtMost: t.LoadAtMost,
-				ColdAtMost: t.ColdAtMost, DrainedWithin: us(t.DrainedWithin), MessagesMost: t.MessagesMost, WaitingMost: t.WaitingMost, ServedAtLeast: t.ServedAtLeast,
-				RepeatAtMost: t.RepeatAtMost, Entered: t.Entered, NotEntered: t.NotEntered})
-		}
-		out.Expect = append(out.Expect, one)
+	suite := decoded.suite(d.lineOf)
+	for _, f := range suite.Check(cfg.expectationSite()) {
+		d.report(f.Line, "expect", f.Problem, f.Remedy)
 	}
-	return out
+	return suite, d.err()
 }
 
-// LoadSuite reads a file of expectations and checks it against a configuration. The error is Findings, or wraps ErrUnreadable.
-func LoadSuite(path string, c Config) (expectation.Suite, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return expectation.Suite{}, fmt.Errorf("%s: %w: %v", path, ErrUnreadable, err)
+// expectationSite returns the names that expectations may use.
+func (c Config) expectationSite() expectation.Site {
+	settings, _ := c.DegradationSettings()
+	site := expectation.Site{Zones: settings.Zones, Classes: settings.Classes}
+	for _, level := range settings.Levels {
+		site.Levels = append(site.Levels, level.Name)
+	}
+	return site
+}
+
+// suite converts the file to the form of package expectation. lineOf returns the line of a key.
+func (s Suite) suite(lineOf func(key string) int) (suite expectation.Suite) {
+	for i, e := range s.Expectations {
+		suite.Expectations = append(suite.Expectations, e.expectation(fmt.Sprintf("expect[%d]", i), lineOf))
 	}
-	return ParseSuite(path, text, c)
+	return suite
 }
 
-// ParseSuite reads and checks a text; the name of its file stands in findings.
-func ParseSuite(file string, text []byte, c Config) (expectation.Suite, error) {
-	var s Suite
-	d := decoder{file: file, text: text, lines: map[string]int{}}
-	d.document(&s)
-	if len(d.found) > 0 {
-		return expectation.Suite{}, Findings(d.found)
+func (e *Expectation) expectation(key string, lineOf func(key string) int) expectation.Expectation {
+	converted := expectation.Expectation{
+		Name:   e.Name,
+		Cases:  e.Cases,
+		Seed:   uint64(e.Seed),
+		Length: e.Length.microseconds(),
+		Line:   lineOf(key),
+		Fleet: expectation.Fleet{
+			Endpoints: rangeOf(e.Fleet.Endpoints),
+			Gateways:  rangeOf(e.Fleet.Gateways),
+			Load:      rangeOf(e.Fleet.Load),
+			Spread:    e.Fleet.Spread,
+			Latency:   e.Fleet.Latency.microseconds(),
+			ListDelay: e.Fleet.ListDelay.microseconds(),
+		},
 	}
-	out := s.expectations(d.lineOf)
-	levels, _ := c.ServiceLevels()
-	site := expectation.Site{Zones: levels.Zones, Kinds: levels.Classes}
-	for _, l := range levels.Levels {
-		site.Levels = append(site.Levels, l.Name)
+	for i, event := range e.Events {
+		converted.Events = append(converted.Events, event.event(lineOf(fmt.Sprintf("%s.course[%d]", key, i))))
 	}
-	for _, f := range out.Check(site) {
-		d.finding(f.Line, "expect", f.Wrong, f.Right)
+	slices.SortStableFunc(converted.Events, func(a, b expectation.Event) int { return int(a.At - b.At) })
+	for i, assertion := range e.Assertions {
+		line := lineOf(fmt.Sprintf("%s.that[%d]", key, i))
+		converted.Assertions = append(converted.Assertions, assertion.assertion(line))
 	}
-	if len(d.found) > 0 {
-		return out, Findings(d.found)
+	return converted
+}
+
+// rangeOf returns the range from the first to the last number.
+func rangeOf(numbers []float64) expectation.Range {
+	if len(numbers) == 0 {
+		return expectation.Range{}
+	}
+	return expectation.Range{From: numbers[0], To: numbers[len(numbers)-1]}
+}
+
+func (e ExpectedEvent) event(line int) expectation.Event {
+	return expectation.Event{
+		At:         e.At.microseconds(),
+		Action:     e.Action,
+		Zone:       policyapi.Zone(e.Zone),
+		Fraction:   e.Fraction,
+		Class:      e.Class,
+		LoadFactor: e.LoadFactor,
+		Line:       line,
+	}
+}
+
+func (a Assertion) assertion(line int) expectation.Assertion {
+	return expectation.Assertion{
+		Class: a.Class,
+		Zone:  policyapi.Zone(a.Zone),
+		From:  a.From.microseconds(),
+		To:    a.To.microseconds(),
+		Line:  line,
+
+		MaxEmptyTable:   a.MaxEmptyTable.microseconds(),
+		MinEndpoints:    a.MinEndpoints,
+		MaxEndpoints:    a.MaxEndpoints,
+		MinZones:        a.MinZones,
+		MaxUtilization:  a.MaxUtilization,
+		MaxWarmUpLoad:   a.MaxWarmUpLoad,
+		MaxDrainDelay:   a.MaxDrainDelay.microseconds(),
+		MaxMessages:     a.MaxMessages,
+		MaxQueued:       a.MaxQueued,
+		MinSuccessRatio: a.MinSuccessRatio,
+		MaxRetryPolicy:  a.MaxRetryPolicy,
+		EnteredLevel:    a.EnteredLevel,
+		AvoidedLevel:    a.AvoidedLevel,
 	}
-	return out, nil
 }
