--- a/capture/replay.go
+++ b/capture/replay.go
@@ -148,13 +148,13 @@
 	case c.Pin != nil:
 		_, _ = core.Pin(*c.Pin)
 	case c.Drain != "":
-		_ = core.DrainNode(c.Drain, c.Reason)
+		_ = core.DrainEndpoint(c.Drain, c.Reason)
 	case c.SetOverride != nil:
 		_, _ = core.SetLevelOverride(*c.SetOverride)
 	case c.ClearOverride != 0:
 		_, _ = core.ClearLevelOverride(c.ClearOverride, c.Reason)
 	case c.Undrain != "":
-		_ = core.UndrainNode(c.Undrain, c.Reason)
+		_ = core.UndrainEndpoint(c.Undrain, c.Reason)
 	default:
 		_, _ = core.Unpin(c.Unpin, c.Reason)
 	}
--- a/coordinator/aggregate.go
+++ b/coordinator/aggregate.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// loadAggregate sums up what the gateways have reported since the decision module was last told.
+// loadAggregate sums up what the gateways have reported since the last round, for the decision module.
 type loadAggregate struct {
 	endpoints map[endpointKey]*endpointSum
 	proxies   map[proxyKey]*policyapi.ProxyLoad
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// withStartTime gives an entry its start time. A source that states none still tells it by naming an endpoint that it did
+// withStartTime gives an entry its start time. A source that states none still implies it by naming an endpoint that it did
 // not name before, or that was removed: it has just started. What the first list names has run for long. A start ahead of
 // our clock is now: another machine's clock must not keep an endpoint warming up for ever.
 func (c *Core) withStartTime(entry policyapi.Endpoint, class policyapi.UpdateKind) policyapi.Endpoint {
--- a/coordinator/endpoints_test.go
+++ b/coordinator/endpoints_test.go
@@ -23,9 +23,9 @@
 	e := append(readyEndpoints("a", "a1:1", "a2:1", "a3:1", "a1:1"), readyEndpoints("x", "x1:1")...)
 	e[1].StartedAt = h.now + 3600*second
 	h.setEndpoints(e...)
-	for node, startedAt := range map[policyapi.EndpointID]microseconds{"a1:1": 0, "a2:1": h.now, "a3:1": h.now} {
-		if got := h.core.endpoints.entries[node]; got.Status != policyapi.Ready || got.StartedAt != startedAt {
-			t.Errorf("%s: status %d, startedAt %d, want %d", node, got.Status, got.StartedAt, startedAt)
+	for endpoint, startedAt := range map[policyapi.EndpointID]microseconds{"a1:1": 0, "a2:1": h.now, "a3:1": h.now} {
+		if got := h.core.endpoints.entries[endpoint]; got.Status != policyapi.Ready || got.StartedAt != startedAt {
+			t.Errorf("%s: status %d, startedAt %d, want %d", endpoint, got.Status, got.StartedAt, startedAt)
 		}
 	}
 	if h.logged["endpoint_duplicate"] != 1 || h.logged["endpoint_unknown_zone"] != 1 || h.core.endpoints.readyCount() != 3 {
--- a/coordinator/inputs.go
+++ b/coordinator/inputs.go
@@ -5,7 +5,7 @@
 	"porthub/policyapi"
 )
 
-// Gateway is a gateway's name, its node id on the wire.
+// Gateway is a gateway's name, the id of its node message in xDS.
 type Gateway string
 
 // ConnID is one connection of a gateway. It is never used twice within a process.
@@ -26,7 +26,7 @@
 func (PublishFailed) input()       {}
 
 type (
-	// EndpointUpdate is an answer of the endpoint list's file, or its failure (Kind Failed; Error says what went wrong).
+	// EndpointUpdate is the content of the endpoint list's file, or its failure (Kind Failed; Error says what went wrong).
 	EndpointUpdate struct {
 		policyapi.EndpointUpdate
 		Error string `cbor:"Why" json:"Why"`
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -82,9 +82,9 @@
 	})
 }
 
-// DrainNode drains an endpoint at an operator's command, until UndrainNode; the drain survives restarts. It fails if
+// DrainEndpoint drains an endpoint at an operator's command, until UndrainEndpoint; the drain survives restarts. It fails if
 // membership does not know the endpoint.
-func (c *Core) DrainNode(endpoint policyapi.EndpointID, reason string) error {
+func (c *Core) DrainEndpoint(endpoint policyapi.EndpointID, reason string) error {
 	if err := c.membership.Drain(c.now, endpoint, reason); err != nil {
 		return err
 	}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// UndrainNode ends an operator's drain. It fails if there is none.
-func (c *Core) UndrainNode(endpoint policyapi.EndpointID, reason string) error {
+// UndrainEndpoint ends an operator's drain. It fails if there is none.
+func (c *Core) UndrainEndpoint(endpoint policyapi.EndpointID, reason string) error {
 	if err := c.membership.Undrain(c.now, endpoint); err != nil {
 		return err
 	}
@@ -103,5 +103,5 @@
 	return nil
 }
 
-// Members returns what membership has decided of every endpoint, and why.
-func (c *Core) Members() []membership.Decision { return c.membership.Decisions() }
+// MembershipDecisions returns what membership has decided of every endpoint, and why.
+func (c *Core) MembershipDecisions() []membership.Decision { return c.membership.Decisions() }
--- a/coordinator/orders.go
+++ b/coordinator/orders.go
@@ -72,7 +72,7 @@
 }
 
 // applyOrders carries out the decision module's orders and publishes to each gateway what has changed. It returns what the
-// module must be told at once: acknowledgements of messages that hold nothing new.
+// module must get at once: acknowledgements of messages that hold nothing new.
 func (c *Core) applyOrders(orders []policyapi.Order) []policyapi.Event {
 	effects := orderEffects{tables: map[policyapi.TableID]bool{}, bound: map[policyapi.ProxyID]bool{}, ackID: routing.NoAckID}
 	for _, order := range orders {
--- a/coordinator/publish.go
+++ b/coordinator/publish.go
@@ -30,7 +30,7 @@
 }
 
 // publish offers a gateway its snapshot; what goes out now depends on what it holds and on its message budget. ackID is the
-// module's request to be told when the gateway holds it, or routing.NoAckID.
+// module's request for an acknowledgement once the gateway holds it, or routing.NoAckID.
 func (c *Core) publish(g *gateway, ackID policyapi.AckID) []policyapi.Event {
 	defer c.updateGateway(g)
 	snapshot := c.snapshot(g)
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -14,7 +14,7 @@
 	// The metrics by which endpoints state their utilization, a share of busy time, and the requests that wait there;
 	// empty: they state none.
 	utilizationMetric, queueMetric string
-	delivered                      bool // a report has been told to the decision module
+	delivered                      bool // the decision module has got a report
 }
 
 func newReportState(settings Settings) reportState {
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -27,7 +27,7 @@
 	Fallback       degradation.Fallback   `cbor:"Fallback" json:"Fallback"`
 }
 
-// policyStart is what the decision module is told of the site. The module counts a table's line once, but it travels to a
+// policyStart is the description of the site that the decision module gets. The module counts a table's line once, but it travels to a
 // gateway once for each request class, so the module gets its part of the lines that may be queued.
 func policyStart(start policyapi.Start) policyapi.Start {
 	classes := float64(max(1, len(start.Classes)))
--- a/coordinator/warnings.go
+++ b/coordinator/warnings.go
@@ -7,7 +7,7 @@
 )
 
 // warningInterval is the least time between two warnings of one event name: an input that is wrong may come in
-// thousands, and one entry that counts them says as much.
+// thousands, and one entry that counts them is enough.
 const warningInterval = 10 * second
 
 // warningLog limits the rate of warnings by event name: the first goes out with the step that it arose in, then one in an
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -161,8 +161,8 @@
 // Addr is the address that gateways and tools connect to.
 func (d *Daemon) Addr() string { return d.server.addr }
 
-// Delivery counts what was written for gateways that read files.
-func (d *Daemon) Front() xdsfile.Stats { return d.files.Stats() }
+// FileStats counts what was written for gateways that read files.
+func (d *Daemon) FileStats() xdsfile.Stats { return d.files.Stats() }
 
 // shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
 const shutdownTimeout = 300 * time.Millisecond
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -40,12 +40,12 @@
 		}
 		return true
 	})
-	before := r.daemon.Front()
+	before := r.daemon.FileStats()
 	for range 8 {
 		g.sync(t, xds.ClassReport{Class: "view", Arrived: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	if after := r.daemon.Front(); after.Files > before.Files+4 {
+	if after := r.daemon.FileStats(); after.Files > before.Files+4 {
 		t.Errorf("%d files written while nothing changed", after.Files-before.Files)
 	}
 	if err := g.link.Join(context.Background(), g.state); err != nil {
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -27,7 +27,7 @@
 }
 
 func (d *Daemon) endpointsAnswer(c *coordinator.Core) []byte {
-	answer := Endpoints{Now: c.Now(), Decisions: c.Members()}
+	answer := Endpoints{Now: c.Now(), Decisions: c.MembershipDecisions()}
 	for i, registry := range d.registries {
 		if answer.Registries == nil {
 			answer.Registries = map[string]eureka.Stats{}
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	return func(c *coordinator.Core) []byte {
-		err := c.DrainNode(request.Endpoint, request.Reason)
+		err := c.DrainEndpoint(request.Endpoint, request.Reason)
 		return d.endpointAnswer(c, err, capture.Command{Drain: request.Endpoint, Reason: request.Reason})
 	}, nil
 }
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	return func(c *coordinator.Core) []byte {
-		err := c.UndrainNode(request.Endpoint, request.Reason)
+		err := c.UndrainEndpoint(request.Endpoint, request.Reason)
 		return d.endpointAnswer(c, err, capture.Command{Undrain: request.Endpoint, Reason: request.Reason})
 	}, nil
 }
--- a/daemon/harness_test.go
+++ b/daemon/harness_test.go
@@ -20,7 +20,7 @@
 	"porthub/xds"
 )
 
-// testDaemon is a daemon in folders of its own, with a node list of three nodes in two zones.
+// testDaemon is a daemon in folders of its own, with an endpoint list of three endpoints in two zones.
 type testDaemon struct {
 	t      *testing.T
 	daemon *Daemon
@@ -191,7 +191,7 @@
 	}
 }
 
-// manualClock goes on when the test says so.
+// manualClock advances when the test sets it.
 type manualClock struct {
 	mu      sync.Mutex
 	now     policyapi.Microseconds
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -47,7 +47,7 @@
 	links *xsync.Map[coordinator.Gateway, *connection]
 
 	deferredReports      atomic.Int64 // reports that were asked to come later
-	rejected             atomic.Int64 // since the core was told
+	rejected             atomic.Int64 // since the last PeerRejected
 	rejectionsReportedAt atomic.Int64 // nanoseconds since 1970
 }
 
@@ -166,7 +166,7 @@
 	s.daemon.inbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
 }
 
-// countRejection counts an error that a peer was answered with, and tells the core once a second at most: a peer that sends
+// countRejection counts an error that a peer was answered with, and reports it to the core once a second at most: a peer that sends
 // garbage at full speed must not fill the inbox.
 func (s *server) countRejection(from, reason string) {
 	s.rejected.Add(1)
