--- a/proxyproto/publisher_test.go
+++ b/proxyproto/publisher_test.go
@@ -35,25 +35,131 @@
 		orders []policyapi.Order
 		want   map[policyapi.ProxyID]string
 	}{
-		{"weights of a table without proxies", []policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 0.75}, policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1.23456789}}, nil},
-		{"bind", []policyapi.Order{policyapi.BindProxy{Proxy: 1, Table: 1}, policyapi.RequestAck{AckID: 4}},
-			map[policyapi.ProxyID]string{1: "CONFIG replace 1 rows s-1:1.23457,s-2:0.75 stamp 4"}},
-		{"weight", []policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-2"}, policyapi.RequestAck{AckID: 5}}, map[policyapi.ProxyID]string{1: "CONFIG rows s-2:0 stamp 5"}},
-		{"admission for all tables", []policyapi.Order{policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1}},
-			map[policyapi.ProxyID]string{0: "CONFIG for save gate 1000000 again 1", 1: "CONFIG for save gate 1000000 again 1"}},
-		{"admission of a table", []policyapi.Order{policyapi.SetAdmission{Table: 1, Level: 2.5, RetryPolicy: 0}}, map[policyapi.ProxyID]string{1: "CONFIG gate 2.5 again 0"}},
-		{"lower level with the table's own retry policy", []policyapi.Order{policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 0.5, RetryPolicy: 1}},
-			map[policyapi.ProxyID]string{0: "CONFIG for save gate 0.5 again 1", 1: "CONFIG for save gate 0.5 again 0"}},
-		{"another table for two classes", []policyapi.Order{policyapi.SetWeight{Table: 2, Endpoint: "s-1", Weight: 1}, policyapi.BindProxy{Proxy: 1, Table: 2, Classes: 3}, policyapi.RequestAck{AckID: 6}},
-			map[policyapi.ProxyID]string{1: "CONFIG for view+save replace 1 rows s-1:1 part 1|CONFIG for save gate 0.5 again 1 stamp 6"}},
-		{"ejection", []policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true}}, map[policyapi.ProxyID]string{0: "CONFIG drop s-1", 1: "CONFIG drop s-1"}},
-		{"ejection lifted", []policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1"}, policyapi.RequestAck{AckID: 7}},
-			map[policyapi.ProxyID]string{0: "CONFIG undrop s-1 stamp 7", 1: "CONFIG undrop s-1 stamp 7"}},
-		{"ack id alone", []policyapi.Order{policyapi.RequestAck{AckID: 8}}, nil},
-		{"ack id for all proxies", []policyapi.Order{policyapi.RequestAck{AckID: 9, AllProxies: true}}, map[policyapi.ProxyID]string{0: "CONFIG stamp 9", 1: "CONFIG stamp 9"}},
-		{"cleared table", []policyapi.Order{policyapi.ClearTable{Table: 2}}, map[policyapi.ProxyID]string{1: "CONFIG for view+save replace 1 part 1|CONFIG for save gate 0.5 again 1"}},
-		{"bind of a disconnected proxy", []policyapi.Order{policyapi.BindProxy{Proxy: 7, Table: 1, Classes: everyClass}}, nil},
-		{"order without a message", []policyapi.Order{policyapi.Log{Text: "x"}}, nil},
+		{
+			name: "weights of a table without proxies",
+			orders: []policyapi.Order{
+				policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 0.75},
+				policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1.23456789},
+			},
+		},
+		{
+			name: "bind",
+			orders: []policyapi.Order{
+				policyapi.BindProxy{Proxy: 1, Table: 1},
+				policyapi.RequestAck{AckID: 4},
+			},
+			want: map[policyapi.ProxyID]string{
+				1: "CONFIG replace 1 rows s-1:1.23457,s-2:0.75 stamp 4",
+			},
+		},
+		{
+			name: "weight",
+			orders: []policyapi.Order{
+				policyapi.SetWeight{Table: 1, Endpoint: "s-2"},
+				policyapi.RequestAck{AckID: 5},
+			},
+			want: map[policyapi.ProxyID]string{
+				1: "CONFIG rows s-2:0 stamp 5",
+			},
+		},
+		{
+			name: "admission for all tables",
+			orders: []policyapi.Order{
+				policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1},
+			},
+			want: map[policyapi.ProxyID]string{
+				0: "CONFIG for save gate 1000000 again 1",
+				1: "CONFIG for save gate 1000000 again 1",
+			},
+		},
+		{
+			name: "admission of a table",
+			orders: []policyapi.Order{
+				policyapi.SetAdmission{Table: 1, Level: 2.5, RetryPolicy: 0},
+			},
+			want: map[policyapi.ProxyID]string{
+				1: "CONFIG gate 2.5 again 0",
+			},
+		},
+		{
+			name: "lower level with the table's own retry policy",
+			orders: []policyapi.Order{
+				policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 0.5, RetryPolicy: 1},
+			},
+			want: map[policyapi.ProxyID]string{
+				0: "CONFIG for save gate 0.5 again 1",
+				1: "CONFIG for save gate 0.5 again 0",
+			},
+		},
+		{
+			name: "another table for two classes",
+			orders: []policyapi.Order{
+				policyapi.SetWeight{Table: 2, Endpoint: "s-1", Weight: 1},
+				policyapi.BindProxy{Proxy: 1, Table: 2, Classes: 3},
+				policyapi.RequestAck{AckID: 6},
+			},
+			want: map[policyapi.ProxyID]string{
+				1: "CONFIG for view+save replace 1 rows s-1:1 part 1|CONFIG for save gate 0.5 again 1 stamp 6",
+			},
+		},
+		{
+			name: "ejection",
+			orders: []policyapi.Order{
+				policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true},
+			},
+			want: map[policyapi.ProxyID]string{
+				0: "CONFIG drop s-1",
+				1: "CONFIG drop s-1",
+			},
+		},
+		{
+			name: "ejection lifted",
+			orders: []policyapi.Order{
+				policyapi.EjectEndpoint{Endpoint: "s-1"},
+				policyapi.RequestAck{AckID: 7},
+			},
+			want: map[policyapi.ProxyID]string{
+				0: "CONFIG undrop s-1 stamp 7",
+				1: "CONFIG undrop s-1 stamp 7",
+			},
+		},
+		{
+			name: "ack id alone",
+			orders: []policyapi.Order{
+				policyapi.RequestAck{AckID: 8},
+			},
+		},
+		{
+			name: "ack id for all proxies",
+			orders: []policyapi.Order{
+				policyapi.RequestAck{AckID: 9, AllProxies: true},
+			},
+			want: map[policyapi.ProxyID]string{
+				0: "CONFIG stamp 9",
+				1: "CONFIG stamp 9",
+			},
+		},
+		{
+			name: "cleared table",
+			orders: []policyapi.Order{
+				policyapi.ClearTable{Table: 2},
+			},
+			want: map[policyapi.ProxyID]string{
+				1: "CONFIG for view+save replace 1 part 1|CONFIG for save gate 0.5 again 1",
+			},
+		},
+		{
+			name: "bind of a disconnected proxy",
+			orders: []policyapi.Order{
+				policyapi.BindProxy{Proxy: 7, Table: 1, Classes: everyClass},
+			},
+		},
+		{
+			name: "order without a message",
+			orders: []policyapi.Order{
+				policyapi.Log{Text: "x"},
+			},
+		},
 	} {
 		t.Run(step.name, func(t *testing.T) {
 			got := map[policyapi.ProxyID]string{}
@@ -71,7 +177,10 @@
 func TestEjectionsSurviveReconnect(t *testing.T) {
 	publisher := NewPublisher(testSettings.Classes)
 	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
-	publisher.Apply([]policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true}, policyapi.EjectEndpoint{Endpoint: "s-2", Ejected: true}})
+	publisher.Apply([]policyapi.Order{
+		policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true},
+		policyapi.EjectEndpoint{Endpoint: "s-2", Ejected: true},
+	})
 	publisher.Disconnect(1)
 	publisher.Apply([]policyapi.Order{policyapi.EjectEndpoint{Endpoint: "s-1"}})
 	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
@@ -103,8 +212,11 @@
 // A stream is bound in the batch that changes its table, before or after the change, or is bound to another one: its message is what
 // holds at the end of the batch.
 func TestBindAndWeightInOneBatch(t *testing.T) {
-	setUp := []policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1}, policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 1},
-		policyapi.SetWeight{Table: 2, Endpoint: "s-3", Weight: 1}}
+	setUp := []policyapi.Order{
+		policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1},
+		policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 1},
+		policyapi.SetWeight{Table: 2, Endpoint: "s-3", Weight: 1},
+	}
 	bind := func(table policyapi.TableID) policyapi.Order { return policyapi.BindProxy{Proxy: 1, Table: table} }
 	drain := policyapi.SetWeight{Table: 1, Endpoint: "s-1"}
 	for name, c := range map[string]struct {
--- a/proxyproto/surge_test.go
+++ b/proxyproto/surge_test.go
@@ -10,15 +10,45 @@
 
 // fullSize returns the settings of a deployment of 200 endpoints and 2,400 proxies under five coordinators.
 func fullSize() policyapi.Start {
-	return policyapi.Start{InstanceCount: 5, ProxyCount: 2400, PollsList: true, Admission: policyapi.AdmissionByRate, Zone: "a", Zones: []policyapi.Zone{"a", "b", "c"},
+	return policyapi.Start{
+		InstanceCount: 5,
+		ProxyCount:    2400,
+		PollsList:     true,
+		Admission:     policyapi.AdmissionByRate,
+		Zone:          "a",
+		Zones:         []policyapi.Zone{"a", "b", "c"},
 		Classes: []policyapi.ClassSettings{
 			{Name: "schedule", Idempotency: policyapi.Idempotent, LatencyObjective: 750_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
 			{Name: "capacity", Idempotency: policyapi.Idempotent, LatencyObjective: 800_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
-			{Name: "save", LatencyObjective: 750_000, ClientTimeout: 2_000_000, PriorityWeight: 2}},
-		Rules: policyapi.RuleSettings{EmptyTableLimit: 18 * second, DrainGracePeriod: 11_100_000, WarmUp: 17 * second, InitialCapacity: 0.16, OverloadFactor: 2.5, OverloadWindow: 2 * second,
-			PollInterval: 10 * second, QueueLimit: 62400, MessageLimit: 20, MessageWindow: 10 * second, HealthChecksAllowed: true},
-		Channel: policyapi.ChannelSettings{LinesPerSecond: 6700, MessageOverhead: 6, Latency: 330_000, MaxLatency: 825_000, EndpointConnections: 219},
-		Reports: policyapi.ReportSettings{Period: second, MaxLinesPerSecond: 200, MetricsInReports: true, MetricNames: []string{"busy", "q"}}}
+			{Name: "save", LatencyObjective: 750_000, ClientTimeout: 2_000_000, PriorityWeight: 2},
+		},
+		Rules: policyapi.RuleSettings{
+			EmptyTableLimit:     18 * second,
+			DrainGracePeriod:    11_100_000,
+			WarmUp:              17 * second,
+			InitialCapacity:     0.16,
+			OverloadFactor:      2.5,
+			OverloadWindow:      2 * second,
+			PollInterval:        10 * second,
+			QueueLimit:          62400,
+			MessageLimit:        20,
+			MessageWindow:       10 * second,
+			HealthChecksAllowed: true,
+		},
+		Channel: policyapi.ChannelSettings{
+			LinesPerSecond:      6700,
+			MessageOverhead:     6,
+			Latency:             330_000,
+			MaxLatency:          825_000,
+			EndpointConnections: 219,
+		},
+		Reports: policyapi.ReportSettings{
+			Period:            second,
+			MaxLinesPerSecond: 200,
+			MetricsInReports:  true,
+			MetricNames:       []string{"busy", "q"},
+		},
+	}
 }
 
 // Most coordinators are killed while a release replaces half of the endpoints: all proxies connect to the one that is left, with the
--- a/proxyserver/server_test.go
+++ b/proxyserver/server_test.go
@@ -23,20 +23,25 @@
 	began := time.Now()
 	clients := map[string]*client{}
 	for name, text := range map[string]string{
-		"HTTP": "GET / HTTP/1.1\r\nHost: x\r\n\r\n", "noise": "\x00\xff\x13\x37", "silence": "", "half a message": "*3\r\n$9\r\nSUBSC",
-		"an impossible length": "*2\r\n$99999999999\r\n", "too long a message": "*2\r\n$1000000\r\n" + strings.Repeat("x", 8000),
-		"orders": string(resp.Append(nil, "CONFIG", "drop", "s-1")), "a report": string(resp.Append(nil, "RATE", "sidecar", "1")),
-		"no such proxy":     string(resp.Append(nil, "SUBSCRIBE", "sidecar", "500", "az", "a", "share", "1", "standing", "1")),
-		"no such zone":      string(resp.Append(nil, "SOURCE", "az", "z")),
-		"endless lines":     strings.Repeat("*1\r\n", 100),
-		"a ping, then none": string(resp.Append(nil, "PING")),
+		"HTTP":               "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+		"noise":              "\x00\xff\x13\x37",
+		"silence":            "",
+		"incomplete message": "*3\r\n$9\r\nSUBSC",
+		"impossible length":  "*2\r\n$99999999999\r\n",
+		"message too long":   "*2\r\n$1000000\r\n" + strings.Repeat("x", 8000),
+		"CONFIG":             string(resp.Append(nil, "CONFIG", "drop", "s-1")),
+		"report first":       string(resp.Append(nil, "RATE", "sidecar", "1")),
+		"unknown proxy":      string(resp.Append(nil, "SUBSCRIBE", "sidecar", "500", "az", "a", "share", "1", "standing", "1")),
+		"unknown zone":       string(resp.Append(nil, "SOURCE", "az", "z")),
+		"endless lines":      strings.Repeat("*1\r\n", 100),
+		"PING, then silence": string(resp.Append(nil, "PING")),
 	} {
 		clients[name] = srv.dial()
 		_, _ = clients[name].Write([]byte(text))
 	}
 	for name, c := range clients {
 		m, err := c.receive()
-		if name == "a ping, then none" {
+		if name == "PING, then silence" {
 			if m != "PONG" {
 				t.Errorf("%s: %q", name, m)
 			}
@@ -74,11 +79,11 @@
 	srv := startServer(t, reservedDescriptors+maxConnections)
 	var silent []*client
 	for range 20 * maxConnections {
-		proxy, err := net.Dial("tcp", srv.coordinator.Addr())
+		conn, err := net.Dial("tcp", srv.coordinator.Addr())
 		if err != nil {
 			continue // refused, which is an end too
 		}
-		silent = append(silent, &client{Conn: proxy, t: t})
+		silent = append(silent, &client{Conn: conn, t: t})
 	}
 	proxy := srv.subscribe(1)
 	proxy.receiveUntil(1, "replace 1")
@@ -88,8 +93,8 @@
 	if srv.coordinator.server.counters.evicted.Load() == 0 {
 		t.Error("no connection was evicted")
 	}
-	for _, proxy := range silent {
-		_ = proxy.Close()
+	for _, c := range silent {
+		_ = c.Close()
 	}
 }
 
@@ -115,17 +120,18 @@
 	connections := make(chan *connection, 1)
 	loop := *srv.coordinator.server.loop.Load()
 	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		for stalledConnection := range srv.coordinator.server.streams {
-			if stalledConnection.session.Proxy == 1 {
-				connections <- stalledConnection
+		for c := range srv.coordinator.server.streams {
+			if c.session.Proxy == 1 {
+				connections <- c
 			}
 		}
 		return nil
 	}))
-	stalledConnection := receive(t, "link", connections)
+	stalledConnection := receive(t, "connection", connections)
 	largeMessage := proxyproto.OutboundMessage{Proxy: 1, Bytes: bytes.Repeat([]byte("x"), 1<<20)}
 	for end := time.Now().Add(testTimeout); srv.coordinator.server.counters.stalled.Load() == 0; {
-		if srv.coordinator.server.send(stalledConnection, largeMessage); time.Now().After(end) {
+		srv.coordinator.server.send(stalledConnection, largeMessage)
+		if time.Now().After(end) {
 			t.Fatal("it is not closed")
 		}
 		time.Sleep(time.Millisecond)
--- a/proxyserver/snapshot_test.go
+++ b/proxyserver/snapshot_test.go
@@ -128,7 +128,12 @@
 	replacement := `{"host":"s-3","dial":"127.0.0.1:1","site":"a","class":"m","block":1,"health":"Ready","share":1,"born_ms":1700000000000}`
 	watch.lines <- listMessage(45, true, hostEntry("s-1", "Ready"), hostEntry("s-2", "Ready"), replacement, hostEntry("s-4", "Ready"))
 	acceptUntil(ctx, t, coordinator, "older snapshot", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 45) })
-	for id, want := range map[policyapi.EndpointID]policyapi.EndpointStatus{"s-1": policyapi.Draining, "s-2": policyapi.Draining, "s-3": policyapi.Ready, "s-4": policyapi.Ready} {
+	for id, want := range map[policyapi.EndpointID]policyapi.EndpointStatus{
+		"s-1": policyapi.Draining,
+		"s-2": policyapi.Draining,
+		"s-3": policyapi.Ready,
+		"s-4": policyapi.Ready,
+	} {
 		if coordinator.endpoints.endpoints[id].Status != want {
 			t.Errorf("%s has status %d, want %d", id, coordinator.endpoints.endpoints[id].Status, want)
 		}
--- a/proxyserver/watcher_test.go
+++ b/proxyserver/watcher_test.go
@@ -122,7 +122,8 @@
 	acceptUntil(ctx, t, coordinator, "open watch", func([]policyapi.Event) bool { return coordinator.watcher.watches[1].open })
 	coordinator.watcher.startWatch(ctx, 0)
 	next := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
-	late := discoveryEvent{call: 1, kind: listReceived, list: proxyproto.EndpointList{Update: policyapi.EndpointUpdate{Version: 42, Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: policyapi.Draining}}}}}
+	update := policyapi.EndpointUpdate{Version: 42, Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: policyapi.Draining}}}
+	late := discoveryEvent{call: 1, kind: listReceived, list: proxyproto.EndpointList{Update: update}}
 	coordinator.watcher.handle(ctx, nil, discoveryEvent{call: 2, kind: watchOpened})
 	if batch := coordinator.watcher.handle(ctx, nil, late); len(batch) > 0 || coordinator.endpoints.version != 41 {
 		t.Fatalf("a canceled watch brought %+v", batch)
