--- a/client/poller.go
+++ b/client/poller.go
@@ -1,162 +1,206 @@
 package client
 
 import (
-	"bytes"
 	"context"
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"time"
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
-	"google.golang.org/protobuf/proto"
 
+	"porthub/coordinator"
 	"porthub/routing"
 	"porthub/xds"
 )
 
-// Poller gets a gateway's tables by polls that the coordinator holds until there is something new. Endpoints and routes
-// are polled on a connection each; the Link beside it reports. It is for one goroutine a document.
+const (
+	pollDialTimeout = 2 * time.Second
+	// pollMargin is how much longer than its longest wait a poll may take.
+	pollMargin     = 10 * time.Second
+	minPollBackoff = 100 * time.Millisecond
+	maxPollBackoff = 2 * time.Second
+)
+
+// Poller gets a gateway's tables by long polls, which the coordinator answers when there is something new. Endpoints and
+// routes are polled on a connection each; load reports go over a Link. Each document is for one goroutine.
 type Poller struct {
-	node  xds.Node
-	addr  string
-	kinds []string
-	http  [2]*http.Client
-	// Deltas asks for endpoints line by line and for routes one by one; else whole documents come.
+	// Deltas requests the changes of single endpoints and routes; otherwise complete documents are sent. It is true for a
+	// new Poller and must not change while it polls.
 	Deltas bool
-	hold   time.Duration
 
-	// What is held by deltas, by document; each is touched by its goroutine alone.
-	held  [routing.DocumentCount]routing.Snapshot
-	nonce [routing.DocumentCount]string // of the last delta that was taken
-	fresh [routing.DocumentCount]bool   // what is held must be stated: the coordinator does not know it
+	node      xds.Node
+	addr      string
+	classes   []string
+	documents [routing.DocumentCount]polledDocument
 }
 
-// NewPoller polls for a gateway's tables, of the request kinds given; each poll is held for so long at most.
-func NewPoller(o Options, kinds []string, hold time.Duration) *Poller {
-	dial := o.Dial
-	if dial == nil {
-		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
-	}
-	p := &Poller{node: o.Node, addr: o.Coordinator, kinds: kinds, Deltas: true, hold: hold, fresh: [routing.DocumentCount]bool{true, true}}
-	p.node.Polls, p.node.MaxWait = true, hold
-	for i := range p.http {
-		p.http[i] = &http.Client{Timeout: hold + 10*time.Second, Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: 1,
-			MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Hour, DisableCompression: true}}
+// polledDocument is the state of one document's polls. It belongs to the goroutine that polls for it.
+type polledDocument struct {
+	httpClient *http.Client
+	snapshot   routing.Snapshot // that deltas have led to
+	nonce      string           // of the last delta applied
+	stateAll   bool             // the coordinator does not know the nonce: versions of all resources are to be sent
+}
+
+// resourceNames are the paths and type URLs of a document.
+type resourceNames struct {
+	path      string
+	typeURL   string
+	deltaPath string
+	deltaType string
+}
+
+var namesByDocument = [routing.DocumentCount]resourceNames{
+	coordinator.EndpointsDocument: {xds.EndpointPath, xds.EndpointType, xds.EndpointDeltaPath, xds.LbEndpointType},
+	coordinator.RoutesDocument:    {xds.RoutePath, xds.RouteType, xds.RouteDeltaPath, xds.RouteType},
+}
+
+// NewPoller returns a poller for the tables of the request classes given. Each poll waits for maxWait at most.
+func NewPoller(o Options, classes []string, maxWait time.Duration) *Poller {
+	p := &Poller{node: o.Node, addr: o.Coordinator, classes: classes, Deltas: true}
+	p.node.Polls = true
+	p.node.MaxWait = maxWait
+	for i := range p.documents {
+		p.documents[i] = polledDocument{httpClient: o.httpClient(pollDialTimeout, maxWait+pollMargin), stateAll: true}
 	}
 	return p
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (p *Poller) Close() {
-	for _, h := range p.http {
-		h.CloseIdleConnections()
+	for i := range p.documents {
+		p.documents[i].httpClient.CloseIdleConnections()
 	}
 }
 
-// Follow polls for one document until the context ends: each is given what has come; held is what the gateway holds
-// now. After a failure it waits, twice as long each time, to two seconds.
-func (p *Poller) Follow(ctx context.Context, routes bool, held func() Tables, each func(Update)) {
-	pause := 100 * time.Millisecond
+// Follow polls for one document until the context ends and calls handle with each update. The function tables returns
+// the gateway's current tables. After a failure it waits, twice as long each time, for 2 s at most.
+func (p *Poller) Follow(ctx context.Context, document coordinator.Document, tables func() Tables, handle func(Update)) {
+	backoff := minPollBackoff
 	for ctx.Err() == nil {
-		u, news, err := p.poll(ctx, routes, held())
+		update, ok, err := p.poll(ctx, document, tables())
 		if err != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(pause):
+			case <-time.After(backoff):
 			}
-			pause = min(2*pause, 2*time.Second)
+			backoff = min(2*backoff, maxPollBackoff)
 			continue
 		}
-		pause = 100 * time.Millisecond
-		if news {
-			each(u)
+		backoff = minPollBackoff
+		if ok {
+			handle(update)
 		}
 	}
 }
 
-func (p *Poller) poll(ctx context.Context, routes bool, held Tables) (u Update, news bool, err error) {
-	began := time.Now()
-	doc, path, kind, version := 0, xds.EndpointPath, xds.EndpointType, held.EndpointVersion
-	if routes {
-		doc, path, kind, version = 1, xds.RoutePath, xds.RouteType, held.RouteVersion
-	}
-	var m proto.Message = xds.NewAcknowledgement(p.node, kind, version, "", "")
+// poll makes one poll. It reports false if there was nothing new.
+func (p *Poller) poll(ctx context.Context, document coordinator.Document, tables Tables) (update Update, ok bool, err error) {
 	if p.Deltas {
-		d := &discoveryv3.DeltaDiscoveryRequest{Node: xds.NewAcknowledgement(p.node, "", "", "", "").Node, TypeUrl: xds.LbEndpointType, ResponseNonce: p.nonce[doc]}
-		if path = xds.EndpointDeltaPath; routes {
-			path, d.TypeUrl = xds.RouteDeltaPath, xds.RouteType
-		}
-		if p.fresh[doc] {
-			d.ResponseNonce = "" // an earlier coordinator's says nothing, and what is held is stated in full
-			d.InitialResourceVersions = xds.EndpointVersions(p.held[doc])
-			if routes {
-				d.InitialResourceVersions = xds.RouteVersions(p.held[doc])
-			}
-		}
-		m = d
-	}
-	body, code, err := post(ctx, p.http[doc], p.addr, path, m)
-	switch {
-	case err != nil:
-		return u, false, err
-	case code == http.StatusNotModified:
-		return u, false, nil
-	case code == http.StatusConflict && p.Deltas && !p.fresh[doc]:
-		p.fresh[doc] = true // it does not know what we hold: say so, one by one
-		return u, false, nil
-	case code != http.StatusOK:
-		return u, false, fmt.Errorf("%w: %d: %s", ErrRejected, code, bytes.TrimSpace(body))
-	}
-	u = Update{Source: path, Written: began, Size: len(body)}
-	if !p.Deltas {
-		u.Document, u.Err = xds.ParseDocument(body)
-		u.Written, u.Elapsed = time.Now(), time.Since(began)
-		return u, true, nil
-	}
-	d := &discoveryv3.DeltaDiscoveryResponse{}
-	if err := xds.Decode(body, d); err != nil {
-		return u, false, err
-	}
-	next := p.held[doc]
-	if routes {
-		next.Routes, err = xds.ApplyRouteDelta(p.kinds, next.Routes, d)
-	} else {
-		next.Clusters, err = xds.ApplyEndpointDelta(p.kinds, next, d)
+		return p.pollDelta(ctx, document)
+	}
+	start := time.Now()
+	names := namesByDocument[document]
+	version := tables.EndpointVersion
+	if document == coordinator.RoutesDocument {
+		version = tables.RouteVersion
 	}
+	request := xds.NewAcknowledgement(p.node, names.typeURL, version, "", "")
+	body, statusCode, err := post(ctx, p.documents[document].httpClient, p.addr, names.path, request)
 	if err != nil {
-		p.fresh[doc] = true
-		return u, false, err
+		return Update{}, false, err
 	}
-	p.held[doc], p.nonce[doc], p.fresh[doc] = next, d.Nonce, false
-	u.Document = xds.Document{Type: kind, Version: d.SystemVersionInfo, Nonce: d.Nonce, Clusters: next.Clusters, Routes: next.Routes}
-	u.Written = time.Now()
-	return u, true, nil
+	switch statusCode {
+	case http.StatusOK:
+	case http.StatusNotModified:
+		return Update{}, false, nil
+	default:
+		return Update{}, false, rejected(statusCode, body)
+	}
+	update = Update{Source: names.path, Size: len(body)}
+	update.Document, update.Err = xds.ParseDocument(body)
+	update.Written = time.Now()
+	update.Elapsed = time.Since(start)
+	return update, true, nil
 }
 
-// post sends one message and returns the answer's body and code.
-func post(ctx context.Context, h *http.Client, addr, path string, m proto.Message) ([]byte, int, error) {
-	text, err := xds.Encode(m)
+func (p *Poller) pollDelta(ctx context.Context, document coordinator.Document) (update Update, ok bool, err error) {
+	names := namesByDocument[document]
+	state := &p.documents[document]
+	body, statusCode, err := post(ctx, state.httpClient, p.addr, names.deltaPath, p.deltaRequest(document))
 	if err != nil {
-		return nil, 0, err
+		return Update{}, false, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(text))
-	if err != nil {
-		return nil, 0, err
+	switch statusCode {
+	case http.StatusOK:
+	case http.StatusNotModified:
+		return Update{}, false, nil
+	case http.StatusConflict:
+		if state.stateAll {
+			return Update{}, false, rejected(statusCode, body)
+		}
+		state.stateAll = true // the nonce is not known to it
+		return Update{}, false, nil
+	default:
+		return Update{}, false, rejected(statusCode, body)
 	}
-	req.Header.Set("Content-Type", "application/json")
-	res, err := h.Do(req)
-	if err != nil {
-		return nil, 0, err
+	delta := &discoveryv3.DeltaDiscoveryResponse{}
+	if err := xds.Decode(body, delta); err != nil {
+		return Update{}, false, err
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, answerMost+1))
-	if err == nil && len(body) > answerMost {
-		err = errors.New("the answer is too large")
+	if err := p.applyDelta(document, delta); err != nil {
+		state.stateAll = true
+		return Update{}, false, err
 	}
-	return body, res.StatusCode, err
+	update = Update{
+		Source:  names.deltaPath,
+		Written: time.Now(),
+		Size:    len(body),
+		Document: xds.Document{
+			Type:     names.typeURL,
+			Version:  delta.SystemVersionInfo,
+			Nonce:    delta.Nonce,
+			Clusters: state.snapshot.Clusters,
+			Routes:   state.snapshot.Routes,
+		},
+	}
+	return update, true, nil
 }
 
-const answerMost = 64 << 20
+func (p *Poller) deltaRequest(document coordinator.Document) *discoveryv3.DeltaDiscoveryRequest {
+	state := &p.documents[document]
+	request := &discoveryv3.DeltaDiscoveryRequest{
+		Node:          xds.NewAcknowledgement(p.node, "", "", "", "").Node,
+		TypeUrl:       namesByDocument[document].deltaType,
+		ResponseNonce: state.nonce,
+	}
+	if !state.stateAll {
+		return request
+	}
+	// A nonce of an earlier coordinator means nothing to this one.
+	request.ResponseNonce = ""
+	request.InitialResourceVersions = xds.EndpointVersions(state.snapshot)
+	if document == coordinator.RoutesDocument {
+		request.InitialResourceVersions = xds.RouteVersions(state.snapshot)
+	}
+	return request
+}
+
+// applyDelta changes the state only if the whole delta is valid.
+func (p *Poller) applyDelta(document coordinator.Document, delta *discoveryv3.DeltaDiscoveryResponse) error {
+	state := &p.documents[document]
+	next := state.snapshot
+	var err error
+	if document == coordinator.RoutesDocument {
+		next.Routes, err = xds.ApplyRouteDelta(p.classes, next.Routes, delta)
+	} else {
+		next.Clusters, err = xds.ApplyEndpointDelta(p.classes, next, delta)
+	}
+	if err != nil {
+		return fmt.Errorf("delta %s: %w", delta.Nonce, err)
+	}
+	state.snapshot = next
+	state.nonce = delta.Nonce
+	state.stateAll = false
+	return nil
+}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -485,11 +485,11 @@
 	var mu sync.Mutex
 	var held client.Tables
 	have := func() client.Tables { mu.Lock(); defer mu.Unlock(); return held }
-	for _, routes := range []bool{false, true} {
+	for _, document := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
 		polls.Add(1)
 		go func() {
 			defer polls.Done()
-			poller.Follow(ctx, routes, have, func(u client.Update) {
+			poller.Follow(ctx, document, have, func(u client.Update) {
 				mu.Lock()
 				held.Apply(u)
 				now := held
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"porthub/client"
+	"porthub/coordinator"
 	"porthub/xds"
 )
 
@@ -218,8 +219,8 @@
 		acks.add(update)
 	}
 	var polls sync.WaitGroup
-	for _, routes := range []bool{false, true} {
-		polls.Go(func() { poller.Follow(ctx, routes, g.heldTables, receive) })
+	for _, document := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
+		polls.Go(func() { poller.Follow(ctx, document, g.heldTables, receive) })
 	}
 	return func() {
 		cancel()
