--- a/client/client_test.go
+++ b/client/client_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := xdsfile.Replace(filepath.Join(dir, xdsfile.EndpointFile), text); err != nil {
+	if err := xdsfile.ReplaceFile(filepath.Join(dir, xdsfile.EndpointFile), text); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -49,7 +49,7 @@
 
 	core           *coordinator.Core
 	inbox          *mailbox.Mailbox[mailboxItem]
-	files          *xdsfile.Front
+	files          *xdsfile.Publisher
 	polls          *xdspoll.Hub
 	fileSource     *file.Source // nil: there is no file
 	registries     []*eureka.Client
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -275,7 +275,7 @@
 				s.answer(p, http.StatusNotModified, "", nil)
 				return
 			}
-			s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.MaxWait})
+			s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Document: doc, Version: m.VersionInfo, MaxWait: node.MaxWait})
 		}, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.EndpointDeltaPath:
 		s.serveDelta(p, req, coordinator.EndpointsDocument, xds.LbEndpointType, read, fail)
@@ -414,14 +414,14 @@
 
 // holdPoll leaves a poll with the hub until there is something to tell.
 func (s *server) holdPoll(p *connection, req *http.Request, r xdspoll.Request) {
-	r.Hold = min(r.Hold, time.Duration(s.daemon.config.Delivery.Poll.MaxWait)*time.Microsecond)
+	r.MaxWait = min(r.MaxWait, time.Duration(s.daemon.config.Delivery.Poll.MaxWait)*time.Microsecond)
 	binary := strings.HasPrefix(req.Header.Get("Content-Type"), "application/x-protobuf")
 	kind := jsonType
 	if binary {
 		kind = "application/x-protobuf"
 	}
-	r.Answer = func(told *xdspoll.Told, err error) {
-		if errors.Is(err, xdspoll.ErrBase) {
+	r.Respond = func(told *xdspoll.Response, err error) {
+		if errors.Is(err, xdspoll.ErrUnknownBase) {
 			s.answer(p, http.StatusConflict, textType, []byte(err.Error()+"\n"))
 			return
 		}
@@ -437,7 +437,7 @@
 			s.answer(p, http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
 			return
 		}
-		s.daemon.polls.Sent(len(body))
+		s.daemon.polls.CountBytes(len(body))
 		s.answer(p, http.StatusOK, kind, body)
 	}
 	cancel, ok := s.daemon.polls.Poll(r)
@@ -467,8 +467,8 @@
 	ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.ResponseNonce, Nonce: m.ResponseNonce,
 		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Versions}
 	s.submit(p, node, &ack, func([]byte) {
-		s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
-			Lines: m.InitialResourceVersions})
+		s.holdPoll(p, req, xdspoll.Request{Gateway: ack.Gateway, Document: doc, MaxWait: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
+			Versions: m.InitialResourceVersions})
 	}, fail)
 }
 
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -93,7 +93,7 @@
 	}
 	text := binary.LittleEndian.AppendUint32([]byte(snapshotMagic), uint32(s.Format))
 	text = binary.LittleEndian.AppendUint32(text, crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)))
-	return xdsfile.Replace(filepath.Join(dir, snapshotName), append(text, body...))
+	return xdsfile.ReplaceFile(filepath.Join(dir, snapshotName), append(text, body...))
 }
 
 // restore reads what an earlier start has left and hands the core what is believed of it. It returns the first inputs.
@@ -197,7 +197,7 @@
 			}
 			var text []byte
 			if text, err = json.Marshal(savedList{v.Version, v.Endpoints}); err == nil {
-				err = xdsfile.Replace(filepath.Join(d.config.StateDir, listName), text)
+				err = xdsfile.ReplaceFile(filepath.Join(d.config.StateDir, listName), text)
 			}
 		case recovery.Snapshot:
 			err = writeSnapshot(d.config.StateDir, v)
--- a/xdsfile/files_test.go
+++ b/xdsfile/publisher_test.go
@@ -28,7 +28,7 @@
 		Routes: []routing.Route{{Class: "view", Rate: float64(n + 1), Share: 1}}}, Changed: [2]bool{true, true}, Sync: n%2 == 1}
 }
 
-func open(t *testing.T, dir string) (*xdsfile.Front, func() []error) {
+func open(t *testing.T, dir string) (*xdsfile.Publisher, func() []error) {
 	t.Helper()
 	var mu sync.Mutex
 	var errs []error
@@ -49,9 +49,9 @@
 	}
 }
 
-// Large files are replaced over and over while slow readers are in the middle of them: each reads one whole version,
+// Large files are replaced over and over while slow readers are in the middle of them: each reads one complete version,
 // and versions never go back.
-func TestNoReaderSeesHalfAFile(t *testing.T) {
+func TestReadersNeverSeeAPartialFile(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := open(t, dir)
 	const rounds, lines = 150, 1500
@@ -63,14 +63,14 @@
 			defer readers.Done()
 			reader := client.NewReader(dir, "gw")
 			reader.ChunkSize, reader.ChunkDelay = 4096<<r, 50*time.Microsecond
-			var held client.Tables
+			var tables client.Tables
 			last := -1
 			for {
 				for _, u := range reader.Poll() {
 					if u.Err != nil {
 						t.Errorf("a partial table: %v", u.Err)
 					}
-					held.Apply(u)
+					tables.Apply(u)
 					if u.Document.Clusters == nil {
 						continue
 					}
@@ -83,7 +83,7 @@
 				}
 				select {
 				case <-stop:
-					if held.Applied == 0 {
+					if tables.Applied == 0 {
 						t.Error("nothing was read")
 					}
 					return
@@ -109,8 +109,8 @@
 	readers.Wait()
 }
 
-// What a writer killed before its rename has left is swept; whole files stay.
-func TestSweep(t *testing.T) {
+// The files of a writer killed before its rename are removed; complete files stay.
+func TestRemoveTemporaryFiles(t *testing.T) {
 	dir := t.TempDir()
 	f, _ := open(t, dir)
 	f.Publish(publication(1, 3))
@@ -121,29 +121,29 @@
 			t.Fatal(err)
 		}
 	}
-	if n, err := xdsfile.Sweep(dir); n != 2 || err != nil {
-		t.Errorf("swept %d, %v", n, err)
+	if n, err := xdsfile.RemoveTemporaryFiles(dir); n != 2 || err != nil {
+		t.Errorf("removed %d, %v", n, err)
 	}
 	if _, err := os.Stat(path); err != nil {
 		t.Error(err)
 	}
 }
 
-// A file that would say the same is not written again.
-func TestSameIsNotWritten(t *testing.T) {
+// A file with the same content is not written again.
+func TestUnchangedFilesAreNotWritten(t *testing.T) {
 	f, _ := open(t, t.TempDir())
 	f.Publish(publication(1, 3))
 	within(t, "both files", func() bool { return f.Stats().Files == 2 })
 	f.Publish(publication(1, 3))
-	within(t, "both found the same", func() bool { return f.Stats().Same == 2 })
+	within(t, "both unchanged", func() bool { return f.Stats().Unchanged == 2 })
 	if n := f.Stats().Files; n != 2 {
 		t.Errorf("%d files written", n)
 	}
 }
 
-// A folder that vanished is made again; where it can't be (a file stands there, as a full disk would refuse too) the
-// failure is told, the rest is served, and it is written once the way is free.
-func TestFolderThatVanishes(t *testing.T) {
+// A directory that was removed is created again. Where that fails (a file is in its place; a full disk would fail as
+// well) the failure is reported, other gateways are served, and it is retried until it succeeds.
+func TestDirectoryThatVanishes(t *testing.T) {
 	dir := t.TempDir()
 	f, errs := open(t, dir)
 	f.Publish(publication(1, 3))
@@ -163,15 +163,15 @@
 	other := publication(1, 3)
 	other.Gateway = "other"
 	f.Publish(other)
-	within(t, "the failure told and the other one served", func() bool { return len(errs()) > 0 && f.Stats().Files == 6 })
+	within(t, "the failure reported and the other gateway served", func() bool { return len(errs()) > 0 && f.Stats().Files == 6 })
 	if err := os.Remove(filepath.Join(dir, "gw")); err != nil {
 		t.Fatal(err)
 	}
-	within(t, "the third, by itself", func() bool { return f.Stats().Files == 8 })
+	within(t, "the third, by a retry", func() bool { return f.Stats().Files == 8 })
 	bad := publication(1, 1)
 	bad.Gateway = "../elsewhere"
 	f.Publish(bad)
-	within(t, "a name that is no folder", func() bool {
+	within(t, "a name that is no directory", func() bool {
 		for _, err := range errs() {
 			if strings.Contains(err.Error(), "can't name a folder") {
 				return true
--- a/xdspoll/bench_test.go
+++ b/xdspoll/bench_test.go
@@ -83,7 +83,7 @@
 	for b.Loop() {
 		took := make([]time.Duration, many)
 		var before, after runtime.MemStats
-		runtime.GC() // twice: the last round's polls are let go
+		runtime.GC() // twice: the last round's polls are freed
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		h := NewHub(many, 1)
@@ -91,8 +91,8 @@
 		var answered sync.WaitGroup
 		for i := range many {
 			answered.Add(1)
-			h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Doc: coordinator.EndpointsDocument, Hold: time.Minute,
-				Answer: func(*Told, error) { took[i] = time.Since(began); answered.Done() }})
+			h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Document: coordinator.EndpointsDocument, MaxWait: time.Minute,
+				Respond: func(*Response, error) { took[i] = time.Since(began); answered.Done() }})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -103,7 +103,6 @@
 		}
 		answered.Wait()
 		runtime.KeepAlive(h)
-		h = nil
 		slices.Sort(took)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "bytes/poll")
 		b.ReportMetric(float64(took[many/2].Microseconds())/1000, "ms-p50")
