--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -41,7 +41,7 @@
 
 	// What the core is given and what carries its outputs out; each is safe for use by other goroutines.
 	inbox        *mailbox.Mailbox[mailboxItem]
-	files        *xdsfile.Front
+	files        *xdsfile.Publisher
 	polls        *xdspoll.Hub
 	fileSource   *file.Source // nil: there is no file
 	registries   []*eureka.Client
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -142,7 +142,7 @@
 			x.answer(http.StatusNotModified, "", nil)
 			return
 		}
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Version: m.VersionInfo, Hold: node.MaxWait})
+		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Document: document, Version: m.VersionInfo, MaxWait: node.MaxWait})
 	})
 }
 
@@ -172,8 +172,8 @@
 		ChecksumVersions: node.Versions,
 	}
 	x.submitAck(node, ack, func() {
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
-			Lines: m.InitialResourceVersions})
+		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Document: document, MaxWait: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
+			Versions: m.InitialResourceVersions})
 	})
 }
 
@@ -187,8 +187,8 @@
 // holdPoll leaves a poll with the hub until there is something to deliver.
 func (x *exchange) holdPoll(r xdspoll.Request) {
 	hub := x.server.daemon.polls
-	r.Hold = min(r.Hold, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
-	r.Answer = x.answerPoll
+	r.MaxWait = min(r.MaxWait, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
+	r.Respond = x.answerPoll
 	cancel, ok := hub.Poll(r)
 	if !ok {
 		x.answer(http.StatusServiceUnavailable, textType, []byte("too many polls are held\n"))
@@ -198,8 +198,8 @@
 }
 
 // answerPoll answers a poll; the hub calls it, from any goroutine.
-func (x *exchange) answerPoll(delivery *xdspoll.Told, err error) {
-	if errors.Is(err, xdspoll.ErrBase) {
+func (x *exchange) answerPoll(delivery *xdspoll.Response, err error) {
+	if errors.Is(err, xdspoll.ErrUnknownBase) {
 		x.answer(http.StatusConflict, textType, []byte(err.Error()+"\n"))
 		return
 	}
@@ -216,7 +216,7 @@
 		x.answer(http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
 		return
 	}
-	x.server.daemon.polls.Sent(len(body))
+	x.server.daemon.polls.CountBytes(len(body))
 	contentType := jsonType
 	if binary {
 		contentType = protobufType
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -178,11 +178,11 @@
 	var mu sync.Mutex
 	var state client.Tables
 	current := func() client.Tables { mu.Lock(); defer mu.Unlock(); return state }
-	for _, routes := range []bool{false, true} {
+	for _, document := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
 		polls.Add(1)
 		go func() {
 			defer polls.Done()
-			poller.Follow(ctx, routes, current, func(u client.Update) {
+			poller.Follow(ctx, document, current, func(u client.Update) {
 				mu.Lock()
 				state.Apply(u)
 				now := state
