--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"porthub/client"
+	"porthub/coordinator"
 	"porthub/config"
 	"porthub/xds"
 )
