--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -128,21 +128,13 @@
 		x.fail(http.StatusBadRequest, err.Error())
 		return
 	}
-	ack := coordinator.DocumentAck{
-		Gateway:          coordinator.Gateway(node.Name),
-		Document:         document,
-		Version:          m.VersionInfo,
-		Nonce:            m.ResponseNonce,
-		Error:            m.ErrorDetail.GetMessage(),
-		Checksum:         node.Checksum,
-		ChecksumVersions: node.Versions,
-	}
+	ack := coordinator.DocumentAck{Document: document, Version: m.VersionInfo, Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
 		if !node.Polls {
 			x.answer(http.StatusNotModified, "", nil)
 			return
 		}
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Version: m.VersionInfo, Hold: node.MaxWait})
+		x.holdPoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Doc: document, Version: m.VersionInfo, Hold: node.MaxWait})
 	})
 }
 
@@ -162,22 +154,18 @@
 		return
 	}
 	node.Polls = true
-	ack := coordinator.DocumentAck{
-		Gateway:          coordinator.Gateway(node.Name),
-		Document:         document,
-		Version:          m.ResponseNonce,
-		Nonce:            m.ResponseNonce,
-		Error:            m.ErrorDetail.GetMessage(),
-		Checksum:         node.Checksum,
-		ChecksumVersions: node.Versions,
-	}
+	ack := coordinator.DocumentAck{Document: document, Version: m.ResponseNonce, Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
+		x.holdPoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Doc: document, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
 			Lines: m.InitialResourceVersions})
 	})
 }
 
+// submitAck submits an acknowledgement with what the gateway states of itself.
 func (x *exchange) submitAck(node xds.Node, ack coordinator.DocumentAck, done func()) {
+	ack.Gateway = coordinator.Gateway(node.Name)
+	ack.Checksum = node.Checksum
+	ack.ChecksumVersions = node.Versions
 	x.submit(node, func(link coordinator.ConnID) coordinator.Input {
 		ack.Conn = link
 		return ack
