--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -58,17 +58,17 @@
 func auditLimits(s Scenario) audit.Limits {
 	const messageOverhead = 6 // lines
 	limits := audit.Limits{
-		EmptyTableLimit:       duration(s.Rules.EmptyFor),
-		DrainGracePeriod:      duration(s.Rules.DrainGrace),
-		DrainAppliesToRemoved: s.Rules.GoneBinds,
-		WarmUp:                duration(s.Rules.Cold),
-		InitialCapacity:       s.Rules.ColdFrom,
-		OverloadFactor:        s.Rules.ColdMultiple,
-		OverloadWindow:        duration(s.Rules.ColdWindow),
-		QueueLimit:            s.Rules.WaitingLines,
+		EmptyTableLimit:       duration(s.Rules.EmptyTableLimit),
+		DrainGracePeriod:      duration(s.Rules.DrainGracePeriod),
+		DrainAppliesToRemoved: s.Rules.RemovalIsDrain,
+		WarmUp:                duration(s.Rules.WarmUp),
+		InitialCapacity:       s.Rules.InitialCapacity,
+		OverloadFactor:        s.Rules.OverloadFactor,
+		OverloadWindow:        duration(s.Rules.OverloadWindow),
+		QueueLimit:            s.Rules.QueueLimit,
 		MessageOverhead:       messageOverhead,
-		MessageLimit:          s.Rules.Messages,
-		MessageWindow:         duration(s.Rules.MessagesIn),
+		MessageLimit:          s.Rules.MessageLimit,
+		MessageWindow:         duration(s.Rules.MessageWindow),
 	}
 	for _, class := range s.Classes {
 		limits.Classes = append(limits.Classes, audit.Class{Name: class.Name, Idempotent: class.idempotent()})
@@ -284,74 +284,3 @@
 	}
 	return f.coordinator.address()
 }
-
-// listEntries is the endpoint list as it is now.
-func (f *fleet) listEntries() []emulator.ListEntry {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	var out []emulator.ListEntry
-	for _, e := range f.endpoints {
-		listed := f.listed[e.Addr]
-		if listed.state == audit.Absent {
-			continue
-		}
-		out = append(out, emulator.ListEntry{Addr: e.Addr, Zone: e.Zone, Weight: e.Weight, Draining: listed.state == audit.Draining})
-	}
-	return out
-}
-
-// setListed changes what the list says of an endpoint, after a delay.
-func (f *fleet) setListed(e *emulator.Endpoint, state audit.EndpointState, delay time.Duration) {
-	_, startedAt := e.Running()
-	f.pending.Add(1)
-	time.AfterFunc(delay, func() {
-		defer f.pending.Done()
-		f.mu.Lock()
-		f.listed[e.Addr].state = state
-		f.listed[e.Addr].startedAt = startedAt
-		f.mu.Unlock()
-		_ = f.writeList() // a list that can't be written stays as it is, as in production
-		if f.source == allEndpoints {
-			for _, g := range f.gateways {
-				g.RefreshEndpoints()
-			}
-		}
-	})
-}
-
-// writeList writes the endpoint list to its file or registry, and tells the audit.
-func (f *fleet) writeList() error {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.listFrozen && f.registry == nil {
-		return nil
-	}
-	audited := map[string]audit.ListedEndpoint{}
-	var groups []targetGroup
-	for _, e := range f.endpoints {
-		listed := f.listed[e.Addr]
-		audited[e.Addr] = audit.ListedEndpoint{State: listed.state, StartedAt: listed.startedAt, Zone: e.Zone}
-		if listed.state != audit.Absent {
-			groups = append(groups, f.targetGroup(e, listed))
-		}
-	}
-	record := func() { f.log.EndpointList(f.world.Now(), audited) }
-	if f.registry != nil {
-		f.registry.update(f.world.Start, f.endpoints, f.listed, record)
-		return nil
-	}
-	if err := writeListFile(listPath(f.dir), groups); err != nil {
-		return err
-	}
-	record()
-	return nil
-}
-
-func (f *fleet) targetGroup(e *emulator.Endpoint, listed *listedEndpoint) targetGroup {
-	labels := endpointLabels(e)
-	labels[labelLaunched] = launchedLabel(f.world.Start, listed.startedAt)
-	if listed.state == audit.Draining {
-		labels[labelStatus] = statusDraining
-	}
-	return targetGroup{Targets: []string{e.Addr}, Labels: labels}
-}
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -13,7 +13,6 @@
 
 	"porthub/audit"
 	"porthub/config"
-	"porthub/daemon"
 	"porthub/emulator"
 	"porthub/routing"
 )
@@ -98,16 +97,16 @@
 func lightConfiguration(o LoadReportOptions, scenario Scenario, dir string) config.Config {
 	const linesPerGateway = 40
 	c := scenario.Config(dir, "127.0.0.1:0", 1)
-	c.Rules.WaitingLines = float64(linesPerGateway * o.Gateways)
+	c.Rules.QueueLimit = float64(linesPerGateway * o.Gateways)
 	if o.GracePeriod > 0 {
-		c.Rules.DrainGrace = o.GracePeriod
-		c.Rules.EmptyFor = o.GracePeriod
+		c.Rules.DrainGracePeriod = o.GracePeriod
+		c.Rules.EmptyTableLimit = o.GracePeriod
 	}
 	connections := 2*o.Gateways + 200 // all of them, twice while they reconnect, and the hostile peers
 	c.Limits = config.Limits{Connections: connections, PerAddress: connections}
-	c.Gateways.SilentAfter = 10_000_000
-	c.Reports.Intake = o.MaxLinesPerSecond
-	c.Probes.Allowed = false
+	c.Gateways.SilenceTimeout = 10_000_000
+	c.Reports.SamplingLimit = o.MaxLinesPerSecond
+	c.HealthChecks.Allowed = false
 	c.Capture.Enabled = false
 	return c
 }
@@ -300,100 +299,3 @@
 	}
 	return n
 }
-
-// measure asks the coordinator each second for its estimates until the end, and fills in the rates and latencies.
-func (f *lightFleet) measure(start time.Duration, result *LoadReportResult) {
-	var last daemon.SamplingStatus
-	_ = f.readEstimates(&last) // an unanswered first question leaves zeros
-	reportsBefore := f.tally.Reports.Load()
-	offered := int64(0)
-	accepted := int64(0)
-	end := start + time.Duration(f.options.Seconds)*time.Second
-	for f.world.Now() < end {
-		time.Sleep(time.Second)
-		before := last
-		if err := f.readEstimates(&last); err != nil {
-			continue // it is down, or behind
-		}
-		if last.Sampling.Reports >= before.Sampling.Reports { // it was not restarted
-			offered += last.Sampling.Lines - before.Sampling.Lines
-			accepted += last.Sampling.Taken - before.Sampling.Taken
-		}
-		result.MaxMailbox = max(result.MaxMailbox, last.Inbox)
-		f.compareEstimates(last, result)
-	}
-	elapsed := (f.world.Now() - start).Seconds()
-	result.Reports = float64(f.tally.Reports.Load()-reportsBefore) / elapsed
-	result.Lines = float64(offered) / elapsed
-	result.LinesAccepted = float64(accepted) / elapsed
-	result.Steps = last.StepTimes
-	result.AnswerTime = latencyOf(f.tally.AnswerTimes().Latencies())
-	result.DrainTime = latencyOf(f.drainTimes.Latencies())
-	result.LateAnswers = f.tally.LateAnswers.Load()
-	result.Deferred = f.tally.Deferred.Load()
-	result.Disconnects = f.tally.Disconnects.Load()
-	result.Throttled = f.tally.Throttled.Load()
-}
-
-// readEstimates asks the coordinator for its estimates. They stay as they were if it does not answer.
-func (f *lightFleet) readEstimates(into *daemon.SamplingStatus) error {
-	var fresh daemon.SamplingStatus
-	if err := getJSON("http://"+f.coordinator.address()+"/intake", &fresh); err != nil {
-		return err
-	}
-	*into = fresh
-	return nil
-}
-
-// compareEstimates compares the coordinator's estimates with the endpoints' load.
-func (f *lightFleet) compareEstimates(heard daemon.SamplingStatus, result *LoadReportResult) {
-	now := f.world.Now()
-	views := []*View{&result.Overall}
-	if f.isSteady(now) {
-		views = append(views, &result.Steady)
-	}
-	positions := map[string]int{}
-	for i, estimate := range heard.Endpoints {
-		positions[string(estimate.Endpoint)] = i
-	}
-	period := duration(f.scenario.ReportPeriod)
-	for _, e := range f.endpoints {
-		if f.stateOf(e) == audit.Draining {
-			continue
-		}
-		i, seen := positions[e.Name]
-		for _, view := range views {
-			view.Cases++
-			if !seen {
-				view.Unseen++
-				continue
-			}
-			estimate := heard.Endpoints[i]
-			reportedAt := now - time.Duration(heard.Now-estimate.At)*time.Microsecond
-			attempts := e.AttemptRate(reportedAt-3*period/2, reportedAt-period/2) // a report is on the period before it
-			utilization, queue := e.MeanLoad(reportedAt-period, reportedAt)
-			view.Attempts.add(estimate.Attempts, attempts, estimate.AttemptsError, max(attempts, 1))
-			view.Utilization.add(estimate.Utilization, utilization, estimate.UtilizationError, 1)
-			view.Queue.add(estimate.Queue, queue, estimate.QueueError, 10)
-		}
-	}
-}
-
-// isSteady reports whether nothing has struck the fleet for some seconds.
-func (f *lightFleet) isSteady(now time.Duration) bool {
-	const settling = 6 * time.Second
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, at := range f.changes {
-		if now-at <= settling {
-			return false
-		}
-	}
-	return true
-}
-
-func (f *lightFleet) stateOf(e *emulator.LightEndpoint) audit.EndpointState {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.states[e.Name]
-}
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -52,9 +52,9 @@
 }
 
 // workDir returns a given directory, or a new one that remove removes.
-func workDir(given, prefix string) (dir string, remove func(), err error) {
-	if given != "" {
-		return given, func() {}, nil
+func workDir(requested, prefix string) (dir string, remove func(), err error) {
+	if requested != "" {
+		return requested, func() {}, nil
 	}
 	dir, err = os.MkdirTemp(scratch(), prefix)
 	return dir, func() { _ = os.RemoveAll(dir) }, err
@@ -123,10 +123,10 @@
 	c := r.scenario.Config(r.fleet().dir, "127.0.0.1:0", r.options.Seed)
 	switch r.options.Levels {
 	case "plain":
-		c.Service = config.Service{}
+		c.Degradation = config.Degradation{}
 	case "off":
-		c.Service = config.Service{}
-		c.Levels = "off"
+		c.Degradation = config.Degradation{}
+		c.Admission = "off"
 	}
 	c.Solver.Enabled = !r.options.NoSolver
 	c.Recovery.Enabled = !r.options.NoRecovery
