--- a/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -74,11 +74,11 @@
 		}
 		return b
 	}
-	o := eureka.Options{Name: e.Name, Addresses: e.Addresses, App: e.App, VIP: e.VIP, Deltas: e.Deltas, XML: e.XML, Poll: us(e.PollInterval), Timeout: us(e.Timeout),
-		Most: int64(e.MaxResponseBytes), Zone: e.Zone, Hosts: e.UseHostnames, Fields: map[string]string{"zone": or(e.ZoneField, "zone"), "weight": or(e.WeightField, "weight"),
+	o := eureka.Options{Name: e.Name, Addresses: e.Addresses, App: e.App, VIP: e.VIP, Deltas: e.Deltas, XML: e.XML, PollInterval: us(e.PollInterval), Timeout: us(e.Timeout),
+		MaxResponseBytes: int64(e.MaxResponseBytes), Zone: e.Zone, UseHostnames: e.UseHostnames, MetadataKeys: map[string]string{"zone": or(e.ZoneField, "zone"), "weight": or(e.WeightField, "weight"),
 			"pod": or(e.PodField, "pod"), "machine": or(e.MachineField, "machine")}}
 	if r := e.Registration; r.App != "" {
-		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: us(r.RenewInterval)}
+		o.Registration = &eureka.Registration{App: r.App, ID: r.ID, Host: or(r.Host, r.IP), IP: r.IP, Port: r.Port, RenewInterval: us(r.RenewInterval)}
 	}
 	return o
 }
--- a/daemon/nodes_test.go
+++ b/daemon/nodes_test.go
@@ -132,7 +132,7 @@
 	put("c-2", 9002, "OUT_OF_SERVICE")
 	r.until("one drained", func() bool { g.turn(t); return g.held.Snapshot.OpenEndpoints("view") == 1 })
 	r.until("our own entry", func() bool { return reg.Has("PORTHUB", "p-0") })
-	if s := r.verdicts().Registries["eureka"]; s.Calls == 0 || s.Whole == 0 {
+	if s := r.verdicts().Registries["eureka"]; s.Requests == 0 || s.Snapshots == 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/registry/eureka/eureka_test.go
+++ b/registry/eureka/eureka_test.go
@@ -10,14 +10,14 @@
 	"testing"
 	"time"
 
-	standin "porthub/emulator/eureka"
+	emulated "porthub/emulator/eureka"
 	"porthub/membership"
 	"porthub/registry/eureka"
 )
 
 // Bodies written by us from the published operations: both encodings, a list of one as an object, numbers as strings.
 const (
-	wholeJSON = `{"applications": {"versions__delta": "7", "apps__hashcode": "DOWN_1_UP_1_", "application": [
+	snapshotJSON = `{"applications": {"versions__delta": "7", "apps__hashcode": "DOWN_1_UP_1_", "application": [
 		{"name": "CALC", "instance": [
 			{"instanceId": "c-1", "hostName": "h1", "app": "CALC", "ipAddr": "127.0.0.1", "status": "UP", "overriddenStatus": "UNKNOWN",
 			 "port": {"$": 9001, "@enabled": "true"}, "securePort": {"$": 443, "@enabled": "false"}, "countryId": 1,
@@ -28,7 +28,7 @@
 			 "lastUpdatedTimestamp": "1700000002000", "lastDirtyTimestamp": "1700000000500", "actionType": "ADDED"},
 			{"instanceId": "c-2", "hostName": "h2", "app": "CALC", "ipAddr": "127.0.0.2", "status": "DOWN", "overriddenstatus": "OUT_OF_SERVICE",
 			 "port": {"$": "9002", "@enabled": "true"}, "metadata": {"zone": "b"}, "lastDirtyTimestamp": 1700000000600}]}]}}`
-	wholeXML = `<?xml version="1.0"?><applications><versions__delta>7</versions__delta><apps__hashcode>DOWN_1_UP_1_</apps__hashcode><application>
+	snapshotXML = `<?xml version="1.0"?><applications><versions__delta>7</versions__delta><apps__hashcode>DOWN_1_UP_1_</apps__hashcode><application>
 		<name>CALC</name><instance><instanceId>c-1</instanceId><hostName>h1</hostName><app>CALC</app><ipAddr>127.0.0.1</ipAddr><status>UP</status>
 		<overriddenstatus>UNKNOWN</overriddenstatus><port enabled="true">9001</port><securePort enabled="false">443</securePort>
 		<leaseInfo><durationInSecs>90</durationInSecs><lastRenewalTimestamp>1700000090000</lastRenewalTimestamp><serviceUpTimestamp>1700000001000</serviceUpTimestamp></leaseInfo>
@@ -39,21 +39,21 @@
 
 var fields = map[string]string{"zone": "zone", "weight": "weight", "pod": "pod", "machine": "machine"}
 
-func TestGoldenBodies(t *testing.T) {
-	o := eureka.Options{Fields: fields}
+func TestParseBodies(t *testing.T) {
+	o := eureka.Options{MetadataKeys: fields}
 	want := []membership.Observation{
 		{Endpoint: "127.0.0.1:9001", Instance: "c-1", Zone: "a", Weight: 2, Pod: 3, Status: membership.Up, StartedAt: 1700000001000_000, ChangedAt: 1700000000500_000,
 			LeaseRenewedAt: 1700000090000_000, LeaseDuration: 90_000_000},
 		{Endpoint: "127.0.0.2:9002", Instance: "c-2", Zone: "b", Weight: 1, Status: membership.OutOfService, ChangedAt: 1700000000600_000}}
-	for name, body := range map[string]string{"JSON": wholeJSON, "XML": wholeXML} {
+	for name, body := range map[string]string{"JSON": snapshotJSON, "XML": snapshotXML} {
 		a, err := eureka.Parse([]byte(body))
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if got := o.Claims(a.Instances); !slices.Equal(got, want) {
+		if got := o.Observations(a.Instances); !slices.Equal(got, want) {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if h := eureka.HashOf(a.Instances); h != a.Hash {
+		if h := eureka.StatusHash(a.Instances); h != a.Hash {
 			t.Errorf("%s: hash %s, says %s", name, h, a.Hash)
 		}
 	}
@@ -66,9 +66,9 @@
 			t.Errorf("%s: %+v, %v", name, a, err)
 		}
 	}
-	for name, body := range map[string]string{"empty": "", "cut off": wholeJSON[:len(wholeJSON)/2], "XML cut off": wholeXML[:len(wholeXML)/2], "a page": "<html></html>",
+	for name, body := range map[string]string{"empty": "", "cut off": snapshotJSON[:len(snapshotJSON)/2], "XML cut off": snapshotXML[:len(snapshotXML)/2], "a page": "<html></html>",
 		"another object": `{"error": "no"}`, "text": "sorry", "nobody": `{"applications": {"application": [{"name": "A", "instance": [{"status": "UP"}]}]}}`} {
-		if _, err := eureka.Parse([]byte(body)); !errors.Is(err, eureka.ErrBody) {
+		if _, err := eureka.Parse([]byte(body)); !errors.Is(err, eureka.ErrInvalidResponse) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -78,15 +78,15 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{wholeJSON, wholeXML, `{"applications":{"application":{"instance":""}}}`, `<applications><application/></applications>`} {
+	for _, s := range []string{snapshotJSON, snapshotXML, `{"applications":{"application":{"instance":""}}}`, `<applications><application/></applications>`} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		a, err := eureka.Parse(body)
-		if err != nil && !errors.Is(err, eureka.ErrBody) {
+		if err != nil && !errors.Is(err, eureka.ErrInvalidResponse) {
 			t.Errorf("%v", err)
 		}
-		for _, c := range (eureka.Options{Fields: fields}).Claims(a.Instances) {
+		for _, c := range (eureka.Options{MetadataKeys: fields}).Observations(a.Instances) {
 			if c.Endpoint == "" || !(c.Weight > 0) || c.StartedAt < 0 {
 				t.Errorf("%+v", c)
 			}
@@ -97,8 +97,8 @@
 // site is a registry with peers, and a client that follows it.
 type site struct {
 	t     *testing.T
-	reg   *standin.Registry
-	peers []*standin.Peer
+	reg   *emulated.Registry
+	peers []*emulated.Peer
 	c     *eureka.Client
 
 	mu      sync.Mutex
@@ -109,8 +109,8 @@
 
 func newSite(t *testing.T, peers int, change func(*eureka.Options)) *site {
 	t.Helper()
-	s := &site{t: t, reg: standin.New()}
-	o := eureka.Options{Name: "eureka", Fields: fields, Poll: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, Deltas: true, Most: 1 << 20}
+	s := &site{t: t, reg: emulated.New()}
+	o := eureka.Options{Name: "eureka", MetadataKeys: fields, PollInterval: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, Deltas: true, MaxResponseBytes: 1 << 20}
 	for range peers {
 		p, err := s.reg.Listen()
 		if err != nil {
@@ -144,7 +144,7 @@
 }
 
 func (s *site) put(n int, status string) {
-	s.reg.Put(standin.Instance{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status, Metadata: map[string]string{"zone": "a", "vip": "calc"}})
+	s.reg.Put(emulated.Instance{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status, Metadata: map[string]string{"zone": "a", "vip": "calc"}})
 }
 
 func (s *site) has(want string) bool {
@@ -168,83 +168,83 @@
 	}
 }
 
-// Whole, then by deltas; one that was lost or is stale shows in the hash, and the whole is asked for.
+// After a snapshot deltas suffice; a lost or stale delta has the wrong hash, and a snapshot is fetched.
 func TestDeltas(t *testing.T) {
 	s := newSite(t, 1, nil)
 	s.put(1, "UP")
 	s.put(2, "STARTING")
 	s.run()
 	s.until("the first", func() bool { return s.has("c-1 up, c-2 starting") })
-	whole := s.c.Stats().Whole
+	snapshots := s.c.Stats().Snapshots
 	s.put(2, "UP")
 	s.put(3, "UP")
 	s.reg.Remove("CALC", "c-1")
 	s.until("changes", func() bool { return s.has("c-2 up, c-3 up") })
-	if st := s.c.Stats(); st.Whole != whole || st.Deltas == 0 || st.Mismatch != 0 {
+	if st := s.c.Stats(); st.Snapshots != snapshots || st.Deltas == 0 || st.HashMismatches != 0 {
 		t.Errorf("deltas suffice: %+v", st)
 	}
-	s.peers[0].SetFaults(standin.Faults{StaleDelta: true})
+	s.peers[0].SetFaults(emulated.Faults{StaleDelta: true})
 	s.put(3, "OUT_OF_SERVICE")
 	s.until("a change that the deltas lack", func() bool { return s.has("c-2 up, c-3 out of service") })
-	if st := s.c.Stats(); st.Mismatch == 0 {
+	if st := s.c.Stats(); st.HashMismatches == 0 {
 		t.Errorf("%+v", st)
 	}
 }
 
-// Each fault: what was known stays, the failure is told, and the next right answer is taken.
+// With each fault the known state stays, the failure is reported, and the next valid response is applied.
 func TestFaults(t *testing.T) {
-	for name, f := range map[string]standin.Faults{"refuses": {ErrorStatus: 503}, "truncated": {Truncated: true}, "huge": {PaddingBytes: 2 << 20}, "slow": {Delay: 5 * time.Second},
+	for name, f := range map[string]emulated.Faults{"refuses": {ErrorStatus: 503}, "truncated": {Truncated: true}, "huge": {PaddingBytes: 2 << 20}, "slow": {Delay: 5 * time.Second},
 		"wrong hash": {WrongHash: true}} {
 		s := newSite(t, 1, nil)
 		s.put(1, "UP")
 		s.run()
 		s.until("the first", func() bool { return s.has("c-1 up") })
 		s.peers[0].SetFaults(f)
-		s.until(name+": told", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.failed) > 0 })
+		s.until(name+": reported", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.failed) > 0 })
 		s.put(2, "UP")
 		if !s.has("c-1 up") {
-			t.Errorf("%s: what was known is lost", name)
+			t.Errorf("%s: the known state is lost", name)
 		}
-		s.peers[0].SetFaults(standin.Faults{})
+		s.peers[0].SetFaults(emulated.Faults{})
 		s.until(name+": over", func() bool { return s.has("c-1 up, c-2 up") })
 	}
 }
 
-// A peer that fails is left for the next one, without a word of failure; down from the start is told, and asked less and
-// less often.
+// A failing peer is replaced by the next without a report; a registry that is down is reported, and polled less and less
+// often.
 func TestFailover(t *testing.T) {
 	s := newSite(t, 2, nil)
 	s.put(1, "UP")
-	s.peers[0].SetFaults(standin.Faults{ErrorStatus: 500})
+	s.peers[0].SetFaults(emulated.Faults{ErrorStatus: 500})
 	s.run()
 	s.until("by the second peer", func() bool { return s.has("c-1 up") })
-	s.peers[0].SetFaults(standin.Faults{})
+	s.peers[0].SetFaults(emulated.Faults{})
 	s.peers[1].Close()
 	s.put(2, "UP")
 	s.until("by the first again", func() bool { return s.has("c-1 up, c-2 up") })
 	if len(s.failed) > 0 {
-		t.Errorf("a failure is told though a peer answers: %v", s.failed)
+		t.Errorf("a failure is reported though a peer answers: %v", s.failed)
 	}
-	down := newSite(t, 1, func(o *eureka.Options) { o.Poll = 40 * time.Millisecond })
-	down.peers[0].SetFaults(standin.Faults{ErrorStatus: 503})
+	down := newSite(t, 1, func(o *eureka.Options) { o.PollInterval = 40 * time.Millisecond })
+	down.peers[0].SetFaults(emulated.Faults{ErrorStatus: 503})
 	down.run()
 	time.Sleep(1200 * time.Millisecond)
-	if n := down.c.Stats().Calls; n < 3 || n > 15 {
-		t.Errorf("asked %d times in 1.2 s with a poll of 40 ms", n)
+	if n := down.c.Stats().Requests; n < 3 || n > 15 {
+		t.Errorf("%d requests in 1.2 s with a poll interval of 40 ms", n)
 	}
 	down.put(1, "UP")
-	down.peers[0].SetFaults(standin.Faults{})
+	down.peers[0].SetFaults(emulated.Faults{})
 	down.until("up at last", func() bool { return down.has("c-1 up") })
 }
 
-// One application, a vip address and XML say the same; an answer that is the same to the letter is not read again.
+// One application, a vip address and XML give the same state; a body that did not change is not decoded again.
 func TestQueries(t *testing.T) {
 	for name, change := range map[string]func(*eureka.Options){"app": func(o *eureka.Options) { o.App, o.Deltas = "calc", false },
 		"vip": func(o *eureka.Options) { o.VIP, o.Deltas = "calc", false }, "xml": func(o *eureka.Options) { o.XML, o.Deltas = true, false }} {
 		s := newSite(t, 1, change)
 		s.put(1, "UP")
 		if name != "xml" {
-			s.reg.Put(standin.Instance{App: "OTHER", ID: "o-1", IP: "127.0.0.1", Port: 8000, Status: "UP"})
+			s.reg.Put(emulated.Instance{App: "OTHER", ID: "o-1", IP: "127.0.0.1", Port: 8000, Status: "UP"})
 		}
 		s.run()
 		s.until(name, func() bool { return s.has("c-1 up") })
@@ -254,12 +254,12 @@
 	}
 }
 
-// Our own entry is registered, renewed, registered anew where the registry has lost it, and taken out at the end; it is no
-// calc node.
-func TestSelf(t *testing.T) {
+// The own entry is registered, renewed, registered again when the registry has lost it, and removed at the end; it is no
+// endpoint.
+func TestRegistration(t *testing.T) {
 	s := newSite(t, 1, func(o *eureka.Options) {
 		o.Zone = "a"
-		o.Self = &eureka.Self{App: "porthub", ID: "p-1", Host: "h", IP: "127.0.0.1", Port: 7070, Renew: 30 * time.Millisecond}
+		o.Registration = &eureka.Registration{App: "porthub", ID: "p-1", Host: "h", IP: "127.0.0.1", Port: 7070, RenewInterval: 30 * time.Millisecond}
 	})
 	s.put(1, "UP")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -267,36 +267,36 @@
 	go func() { defer close(done); s.c.Run(ctx) }()
 	s.until("registered", func() bool { return s.reg.Has("PORTHUB", "p-1") && s.has("c-1 up") })
 	s.reg.Remove("PORTHUB", "p-1")
-	s.until("registered anew", func() bool { return s.reg.Has("PORTHUB", "p-1") })
+	s.until("registered again", func() bool { return s.reg.Has("PORTHUB", "p-1") })
 	cancel()
 	<-done
 	if s.reg.Has("PORTHUB", "p-1") {
-		t.Error("it stays registered")
+		t.Error("the entry stays registered")
 	}
 }
 
-// The hash counts statuses alone: a stale delta that brings an instance back as it was before it left has the right hash once
-// another one has come. It must not: what restarted would pass for warm.
-func TestStaleDeltaBringsNobodyBack(t *testing.T) {
+// The hash covers only the counts of statuses: a stale delta that brings a removed instance back as it was has the right
+// hash once another was added. It must not be applied: a restarted endpoint would count as warm.
+func TestStaleDeltaRestoresNoInstance(t *testing.T) {
 	inst := func(id string, dirty int64, action string) eureka.Instance {
-		return eureka.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: 1, Status: "UP", Dirty: dirty, ServiceUp: dirty, Action: action}
+		return eureka.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: 1, Status: "UP", DirtyAt: dirty, ServiceUpAt: dirty, Action: action}
 	}
-	var h eureka.Holding
-	h.Whole(eureka.Applications{Instances: []eureka.Instance{inst("a", 10, ""), inst("b", 10, "")}})
-	h.Whole(eureka.Applications{Instances: []eureka.Instance{inst("b", 10, "")}}) // a has died
-	// It is back, started anew; the delta that would say so stands still and has its first registration.
+	var h eureka.Cache
+	h.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{inst("a", 10, ""), inst("b", 10, "")}})
+	h.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{inst("b", 10, "")}}) // a was removed
+	// It has restarted; the stale delta still has its first registration.
 	stale := eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{inst("a", 10, "ADDED"), inst("b", 10, "ADDED")}}
-	if h.Delta(stale) {
-		t.Fatal("the stale delta is taken")
+	if h.ApplyDelta(stale) {
+		t.Fatal("the stale delta is applied")
 	}
-	h.Whole(eureka.Applications{Instances: []eureka.Instance{inst("a", 50, ""), inst("b", 10, "")}})
-	if got := h.Instances(); len(got) != 2 || got[0].ServiceUp != 50 {
+	h.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{inst("a", 50, ""), inst("b", 10, "")}})
+	if got := h.Instances(); len(got) != 2 || got[0].ServiceUpAt != 50 {
 		t.Errorf("%+v", got)
 	}
-	if !h.Delta(eureka.Applications{Hash: "UP_1_", Instances: []eureka.Instance{inst("a", 50, "DELETED")}}) || len(h.Instances()) != 1 {
-		t.Error("a true delta is refused")
+	if !h.ApplyDelta(eureka.Applications{Hash: "UP_1_", Instances: []eureka.Instance{inst("a", 50, "DELETED")}}) || len(h.Instances()) != 1 {
+		t.Error("a valid delta is rejected")
 	}
-	if !h.Delta(eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{inst("a", 90, "ADDED")}}) || h.Instances()[0].ServiceUp != 90 {
-		t.Error("a true return is refused")
+	if !h.ApplyDelta(eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{inst("a", 90, "ADDED")}}) || h.Instances()[0].ServiceUpAt != 90 {
+		t.Error("a valid return is rejected")
 	}
 }
--- a/registry/file/file_test.go
+++ b/registry/file/file_test.go
@@ -26,7 +26,10 @@
 	if got[2].Weight != 1 || got[2].StartedAt != 77 || got[2].Status != policyapi.Ready {
 		t.Errorf("%+v", got[2])
 	}
-	for text, says := range map[string]string{
+}
+
+func TestParseRejectsInvalidLists(t *testing.T) {
+	for text, want := range map[string]string{
 		``:                       "empty",
 		`   `:                    "empty",
 		`[{"targets": ["a:1"]`:   "unexpected",
@@ -41,14 +44,16 @@
 		`[{"targets": ["a:1"], "labels": {"zone": "a", "launched": "today"}}]`: "launched",
 		`[{"targets": ["a:1"], "labels": {"zone": "a", "pod": "x"}}]`:          "pod",
 	} {
-		if _, err := Parse([]byte(text)); !errors.Is(err, ErrList) || !strings.Contains(err.Error(), says) {
-			t.Errorf("%s: %v", text, err)
-		}
+		t.Run(text, func(t *testing.T) {
+			if _, err := Parse([]byte(text)); !errors.Is(err, ErrInvalidList) || !strings.Contains(err.Error(), want) {
+				t.Errorf("%v, want ErrInvalidList with %q", err, want)
+			}
+		})
 	}
 }
 
-// A source tells each change once, tells a bad file once, and nothing that it was not asked for.
-func TestSource(t *testing.T) {
+// A source delivers each change once, an invalid file once, and nothing without a request.
+func TestSourceDeliversChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.json")
 	var mu sync.Mutex
 	var lists, failures int
@@ -78,9 +83,9 @@
 		t.Helper()
 		for end := time.Now().Add(10 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 			mu.Lock()
-			is := ok()
+			done := ok()
 			mu.Unlock()
-			if is {
+			if done {
 				return
 			}
 			if time.Now().After(end) {
@@ -90,8 +95,9 @@
 	}
 	put(`[{"targets": ["a:1"], "labels": {"zone": "a"}}]`)
 	time.Sleep(60 * time.Millisecond)
-	if mu.Lock(); lists+failures != 0 {
-		t.Error("it tells without being asked")
+	mu.Lock()
+	if lists+failures != 0 {
+		t.Error("it delivers without a request")
 	}
 	mu.Unlock()
 	s.Watch(true)
@@ -99,14 +105,14 @@
 	put(`[{"targets": ["a:1", "b:1"], "labels": {"zone": "a"}}]`)
 	wait("the change", func() bool { return lists == 2 && len(last) == 2 })
 	put(`[{"targets": ["a:1", "b`)
-	wait("the half written one", func() bool { return failures == 1 })
+	wait("the partial file", func() bool { return failures == 1 })
 	time.Sleep(100 * time.Millisecond)
-	wait("told once", func() bool { return failures == 1 && lists == 2 })
+	wait("delivered once", func() bool { return failures == 1 && lists == 2 })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	s.Fetch()
-	wait("a missing one when asked", func() bool { return failures == 2 })
+	wait("a missing file after a request", func() bool { return failures == 2 })
 	put(`[{"targets": ["a:1", "b:1"], "labels": {"zone": "a"}}]`)
 	wait("the same list again, after the failure", func() bool { return lists == 3 })
 }
