--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -203,7 +203,7 @@
 	put("c-2", 9002, "OUT_OF_SERVICE")
 	r.waitFor("tables with one", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 1 })
 	r.waitFor("our own entry", func() bool { return reg.Has("PORTHUB", "p-0") })
-	if s := r.endpointDecisions().Registries["eureka"]; s.Calls == 0 || s.Whole == 0 {
+	if s := r.endpointDecisions().Registries["eureka"]; s.Requests == 0 || s.Snapshots == 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"porthub/client"
-	"porthub/coordinator"
 	"porthub/config"
+	"porthub/coordinator"
 	"porthub/xds"
 )
 
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -35,18 +35,18 @@
 
 func eurekaOptions(c config.EurekaRegistry) eureka.Options {
 	o := eureka.Options{
-		Name:      c.Name,
-		Addresses: c.Addresses,
-		App:       c.App,
-		VIP:       c.VIP,
-		Deltas:    c.Deltas,
-		XML:       c.XML,
-		Poll:      duration(c.PollInterval),
-		Timeout:   duration(c.Timeout),
-		Most:      int64(c.MaxResponseBytes),
-		Zone:      c.Zone,
-		Hosts:     c.UseHostnames,
-		Fields: map[string]string{
+		Name:             c.Name,
+		Addresses:        c.Addresses,
+		App:              c.App,
+		VIP:              c.VIP,
+		Deltas:           c.Deltas,
+		XML:              c.XML,
+		PollInterval:     duration(c.PollInterval),
+		Timeout:          duration(c.Timeout),
+		MaxResponseBytes: int64(c.MaxResponseBytes),
+		Zone:             c.Zone,
+		UseHostnames:     c.UseHostnames,
+		MetadataKeys: map[string]string{
 			"zone":    cmp.Or(c.ZoneField, "zone"),
 			"weight":  cmp.Or(c.WeightField, "weight"),
 			"pod":     cmp.Or(c.PodField, "pod"),
@@ -54,7 +54,7 @@
 		},
 	}
 	if r := c.Registration; r.App != "" {
-		o.Self = &eureka.Self{App: r.App, ID: r.ID, Host: cmp.Or(r.Host, r.IP), IP: r.IP, Port: r.Port, Renew: duration(r.RenewInterval)}
+		o.Registration = &eureka.Registration{App: r.App, ID: r.ID, Host: cmp.Or(r.Host, r.IP), IP: r.IP, Port: r.Port, RenewInterval: duration(r.RenewInterval)}
 	}
 	return o
 }
