--- a/coordinator/logevents.go
+++ b/coordinator/logevents.go
@@ -1,14 +1,8 @@
 package coordinator
 
-// Names of log entries. On-call staff search by them, and chaos and expectation count eventServiceLevel: a change needs a
-// line in CHANGELOG.md.
+// Names of log entries; those of the decision module are constants of package policylog. On-call staff search by them, and
+// chaos and expectation count eventServiceLevel: a change needs a line in CHANGELOG.md.
 const (
-	// The decision module's own lines, by their form (policylog.go).
-	eventPolicy          = "policy" // of no known form
-	eventAdmission       = "admission"
-	eventEndpointEjected = "endpoint_ejected"
-	eventPanicThreshold  = "panic_threshold"
-
 	// Endpoint lists and membership.
 	eventEndpointList        = "endpoint_list"
 	eventEndpointListFailed  = "endpoint_list_failed"
--- a/coordinator/orders.go
+++ b/coordinator/orders.go
@@ -95,7 +95,7 @@
 func (c *Core) applyOrder(order policyapi.Order, effects *orderEffects) {
 	switch o := order.(type) {
 	case policyapi.Log:
-		c.outbox.emit(parsePolicyLog(o.Text))
+		c.outbox.emit(policyLogEntry(o.Text))
 	case policyapi.WatchEndpoints:
 		c.outbox.emit(WatchEndpoints{o.Enabled})
 	case policyapi.Resync:
--- a/coordinator/policylog_test.go
+++ b/coordinator/policylog_test.go
@@ -3,6 +3,8 @@
 import (
 	"reflect"
 	"testing"
+
+	"porthub/policylog"
 )
 
 // Each form of the module's log lines becomes an entry with its figures.
@@ -17,8 +19,8 @@
 		"something new": {Event: "policy"},
 	} {
 		t.Run(text, func(t *testing.T) {
-			got := parsePolicyLog(text)
-			if got.Event != want.Event || !reflect.DeepEqual(got.Fields, want.Fields) || got.Text != text {
+			got := policyLogEntry(text)
+			if got.Event != want.Event || !reflect.DeepEqual(got.Fields, want.Fields) || got.Text != policylog.Parse(text).Text || got.Level != LogInfo {
 				t.Errorf("%+v", got)
 			}
 		})
--- a/imports_test.go
+++ b/imports_test.go
@@ -8,7 +8,7 @@
 )
 
 // purePackages decide and do no I/O.
-var purePackages = []string{"policyapi", "policy", "routing", "coordinator", "solver", "recovery", "membership", "loadreport", "degradation",
+var purePackages = []string{"policyapi", "policylog", "policy", "routing", "coordinator", "solver", "recovery", "membership", "loadreport", "degradation",
 	"expectation", "resp", "proxyproto"}
 
 // The packages that decide are free of I/O and of what does I/O: an import of ours never points from them to a front,
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"porthub/policyapi"
+	"porthub/policylog"
 )
 
 const (
@@ -51,7 +52,7 @@
 		admitted = 0
 	}
 	if (admitted > 0) != (p.admittedRate > 0) {
-		p.out.logf(admissionLog, admitted > 0, demand, capacity)
+		p.out.log(policylog.Admission(admitted > 0, demand, capacity))
 	}
 	if admitted == 0 || math.Abs(admitted-p.admittedRate) > admissionStep*p.admittedRate {
 		p.admittedRate = admitted
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"porthub/policyapi"
+	"porthub/policylog"
 )
 
 const (
@@ -190,7 +191,7 @@
 		panicking := healthy < panicThreshold*ready
 		if panicking != p.panicZones[z] {
 			p.panicZones[z] = panicking
-			p.out.logf(panicLog, name, panicking, healthy, ready)
+			p.out.log(policylog.PanicThreshold(name, panicking, healthy, ready))
 		}
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -1,6 +1,9 @@
 package policy
 
-import "porthub/policyapi"
+import (
+	"porthub/policyapi"
+	"porthub/policylog"
+)
 
 // Outlier detection: an endpoint that answers the proxies of a zone nothing at all, by failures or by silence, is
 // ejected from their tables. One that is merely full answers some requests and stays: without it the others would be
@@ -104,7 +107,7 @@
 	healthy := fleetFailureCeiling - fleetFailureRate
 	if zone.consecutiveFailures > ejectionFailures/(healthy*healthy) {
 		zone.eject(now)
-		a.out.logf(ejectionLog, a.id, a.settings.zones[z], zone.consecutiveFailures)
+		a.out.log(policylog.EndpointEjected(a.id, a.settings.zones[z], zone.consecutiveFailures))
 		return true
 	}
 	return false
--- a/policy/mailbox.go
+++ b/policy/mailbox.go
@@ -1,10 +1,6 @@
 package policy
 
-import (
-	"fmt"
-
-	"porthub/policyapi"
-)
+import "porthub/policyapi"
 
 // mailbox is the queue of messages that an actor has not received yet.
 type mailbox struct{ messages []message }
@@ -30,14 +26,5 @@
 
 func (o *outbox) add(order policyapi.Order) { o.orders = append(o.orders, order) }
 
-// The texts of log orders. Captures hold them, replays compare them and the coordinator reads their figures, so they
-// stay as they are.
-const (
-	ejectionLog  = "%s sick from %s: of about %.0f tries in a row none was done"
-	panicLog     = "sick marks of %s passed over: %t, %.0f of %.0f reqs a second well"
-	admissionLog = "levels on: %t, %.1f reqs a second asked, %.1f can be done"
-)
-
-func (o *outbox) logf(format string, args ...any) {
-	o.add(policyapi.Log{Text: fmt.Sprintf(format, args...)})
-}
+// log orders a line of the log; package policylog writes it.
+func (o *outbox) log(line string) { o.add(policyapi.Log{Text: line}) }
--- a/proxyserver/loop.go
+++ b/proxyserver/loop.go
@@ -116,7 +116,7 @@
 func (c *Coordinator) execute(ctx context.Context, now policyapi.Microseconds, order policyapi.Order) {
 	switch o := order.(type) {
 	case policyapi.Log:
-		c.log.Info(o.Text)
+		c.logPolicy(o.Text)
 	case policyapi.SetTimer:
 		c.timers.set(now+max(1, o.After), o.Token)
 	case policyapi.WatchEndpoints:
--- a/proxyserver/stats.go
+++ b/proxyserver/stats.go
@@ -6,6 +6,7 @@
 	"go.uber.org/zap"
 
 	"porthub/policyapi"
+	"porthub/policylog"
 )
 
 // statusInterval is the time between two status lines of the log.
@@ -72,3 +73,13 @@
 
 // roundForLog rounds to two decimals.
 func roundForLog(v float64) float64 { return math.Round(100*v) / 100 }
+
+// logPolicy logs a line of the decision module by its event, with its figures as fields.
+func (c *Coordinator) logPolicy(line string) {
+	entry := policylog.Parse(line)
+	fields := []zap.Field{zap.String("text", entry.Text)}
+	for _, field := range entry.Fields {
+		fields = append(fields, zap.Any(field.Key, field.Value))
+	}
+	c.log.Info(entry.Event, fields...)
+}
