--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -41,7 +41,7 @@
 
 	// What the core is given and what carries its outputs out; each is safe for use by other goroutines.
 	inbox        *mailbox.Mailbox[mailboxItem]
-	files        *xdsfile.Front
+	files        *xdsfile.Publisher
 	polls        *xdspoll.Hub
 	fileSource   *file.Source // nil: there is no file
 	registries   []*eureka.Client
@@ -161,8 +161,8 @@
 // Addr is the address that gateways and tools connect to.
 func (d *Daemon) Addr() string { return d.server.addr }
 
-// Delivery counts what was written for gateways that read files.
-func (d *Daemon) Front() xdsfile.Stats { return d.files.Stats() }
+// FileStats counts what was written for gateways that read files.
+func (d *Daemon) FileStats() xdsfile.Stats { return d.files.Stats() }
 
 // shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
 const shutdownTimeout = 300 * time.Millisecond
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -40,12 +40,12 @@
 		}
 		return true
 	})
-	before := r.daemon.Front()
+	before := r.daemon.FileStats()
 	for range 8 {
 		g.sync(t, xds.ClassReport{Class: "view", Arrived: 1})
 		time.Sleep(20 * time.Millisecond)
 	}
-	if after := r.daemon.Front(); after.Files > before.Files+4 {
+	if after := r.daemon.FileStats(); after.Files > before.Files+4 {
 		t.Errorf("%d files written while nothing changed", after.Files-before.Files)
 	}
 	if err := g.link.Join(context.Background(), g.state); err != nil {
@@ -203,7 +203,7 @@
 	put("c-2", 9002, "OUT_OF_SERVICE")
 	r.waitFor("tables with one", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 1 })
 	r.waitFor("our own entry", func() bool { return reg.Has("PORTHUB", "p-0") })
-	if s := r.endpointDecisions().Registries["eureka"]; s.Calls == 0 || s.Whole == 0 {
+	if s := r.endpointDecisions().Registries["eureka"]; s.Requests == 0 || s.Snapshots == 0 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -128,21 +128,13 @@
 		x.fail(http.StatusBadRequest, err.Error())
 		return
 	}
-	ack := coordinator.DocumentAck{
-		Gateway:          coordinator.Gateway(node.Name),
-		Document:         document,
-		Version:          m.VersionInfo,
-		Nonce:            m.ResponseNonce,
-		Error:            m.ErrorDetail.GetMessage(),
-		Checksum:         node.Checksum,
-		ChecksumVersions: node.Versions,
-	}
+	ack := coordinator.DocumentAck{Document: document, Version: m.VersionInfo, Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
 		if !node.Polls {
 			x.answer(http.StatusNotModified, "", nil)
 			return
 		}
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Version: m.VersionInfo, Hold: node.MaxWait})
+		x.holdPoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, Version: m.VersionInfo, MaxWait: node.MaxWait})
 	})
 }
 
@@ -162,22 +154,18 @@
 		return
 	}
 	node.Polls = true
-	ack := coordinator.DocumentAck{
-		Gateway:          coordinator.Gateway(node.Name),
-		Document:         document,
-		Version:          m.ResponseNonce,
-		Nonce:            m.ResponseNonce,
-		Error:            m.ErrorDetail.GetMessage(),
-		Checksum:         node.Checksum,
-		ChecksumVersions: node.Versions,
-	}
+	ack := coordinator.DocumentAck{Document: document, Version: m.ResponseNonce, Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
-		x.holdPoll(xdspoll.Request{Gateway: ack.Gateway, Doc: document, Hold: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
-			Lines: m.InitialResourceVersions})
+		x.holdPoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, MaxWait: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
+			Versions: m.InitialResourceVersions})
 	})
 }
 
+// submitAck submits an acknowledgement with what the gateway states of itself.
 func (x *exchange) submitAck(node xds.Node, ack coordinator.DocumentAck, done func()) {
+	ack.Gateway = coordinator.Gateway(node.Name)
+	ack.Checksum = node.Checksum
+	ack.ChecksumVersions = node.Versions
 	x.submit(node, func(link coordinator.ConnID) coordinator.Input {
 		ack.Conn = link
 		return ack
@@ -187,8 +175,8 @@
 // holdPoll leaves a poll with the hub until there is something to deliver.
 func (x *exchange) holdPoll(r xdspoll.Request) {
 	hub := x.server.daemon.polls
-	r.Hold = min(r.Hold, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
-	r.Answer = x.answerPoll
+	r.MaxWait = min(r.MaxWait, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
+	r.Respond = x.answerPoll
 	cancel, ok := hub.Poll(r)
 	if !ok {
 		x.answer(http.StatusServiceUnavailable, textType, []byte("too many polls are held\n"))
@@ -198,8 +186,8 @@
 }
 
 // answerPoll answers a poll; the hub calls it, from any goroutine.
-func (x *exchange) answerPoll(delivery *xdspoll.Told, err error) {
-	if errors.Is(err, xdspoll.ErrBase) {
+func (x *exchange) answerPoll(delivery *xdspoll.Response, err error) {
+	if errors.Is(err, xdspoll.ErrUnknownBase) {
 		x.answer(http.StatusConflict, textType, []byte(err.Error()+"\n"))
 		return
 	}
@@ -216,7 +204,7 @@
 		x.answer(http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
 		return
 	}
-	x.server.daemon.polls.Sent(len(body))
+	x.server.daemon.polls.CountBytes(len(body))
 	contentType := jsonType
 	if binary {
 		contentType = protobufType
--- a/daemon/snapshotfile.go
+++ b/daemon/snapshotfile.go
@@ -77,7 +77,7 @@
 	}
 	file := binary.LittleEndian.AppendUint32([]byte(snapshotMagic), uint32(s.Format))
 	file = binary.LittleEndian.AppendUint32(file, snapshotChecksum(body))
-	return xdsfile.Replace(filepath.Join(dir, snapshotName), append(file, body...))
+	return xdsfile.ReplaceFile(filepath.Join(dir, snapshotName), append(file, body...))
 }
 
 // readList reads the endpoint list of a state folder; nil: there is none.
@@ -101,5 +101,5 @@
 	if err != nil {
 		return err
 	}
-	return xdsfile.Replace(filepath.Join(dir, listName), file)
+	return xdsfile.ReplaceFile(filepath.Join(dir, listName), file)
 }
