--- a/expectation/expect.go
+++ b/expectation/expect.go
@@ -42,18 +42,18 @@
 
 // Action can befall a fleet.
 const (
-	Lose    = "lose"    // nodes die; the list drops them late
-	Drain   = "drain"   // nodes drain
-	Restart = "restart" // nodes start anew and are cold
-	Fail    = "fail"    // nodes fail a kind, or all
-	Recover = "back"    // all nodes are as at the start again; those that were lost are cold
-	Away    = "away"    // gateways reach no coordinator
-	Home    = "home"    // all gateways do
-	Times   = "load"    // the load is so many times the usual
+	Lose       = "lose"    // nodes die; the list drops them late
+	Drain      = "drain"   // nodes drain
+	Restart    = "restart" // nodes start anew and are cold
+	Fail       = "fail"    // nodes fail a kind, or all
+	Recover    = "back"    // all nodes are as at the start again; those that were lost are cold
+	Disconnect = "away"    // gateways reach no coordinator
+	Reconnect  = "home"    // all gateways do
+	ScaleLoad  = "load"    // the load is so many times the usual
 )
 
-// Whats lists them.
-var Whats = []string{Lose, Drain, Restart, Fail, Recover, Away, Home, Times}
+// Actions lists them.
+var Actions = []string{Lose, Drain, Restart, Fail, Recover, Disconnect, Reconnect, ScaleLoad}
 
 // Event is one thing that happens.
 type Event struct {
@@ -89,8 +89,8 @@
 	AvoidedLevel    string                 // a level of service is not
 }
 
-// what names a That's figure and tells it as operators wrote it.
-func (t Assertion) what() string {
+// describe names a That's figure and tells it as operators wrote it.
+func (t Assertion) describe() string {
 	switch {
 	case t.MaxEmptyTable > 0:
 		return fmt.Sprintf("never without a node for %.1f s", float64(t.MaxEmptyTable)/float64(second))
@@ -122,8 +122,8 @@
 	return "nothing"
 }
 
-// figures counts what is set.
-func (t Assertion) figures() (n int) {
+// figureCount counts what is set.
+func (t Assertion) figureCount() (n int) {
 	for _, set := range []bool{t.MaxEmptyTable > 0, t.MinEndpoints > 0, t.MaxEndpoints > 0, t.MinZones > 0, t.MaxUtilization > 0, t.MaxWarmUpLoad > 0,
 		t.MaxDrainDelay > 0, t.MaxMessages > 0, t.MaxQueued > 0, t.MinSuccessRatio > 0, t.MaxRetryPolicy > 0, t.EnteredLevel != "", t.AvoidedLevel != ""} {
 		if set {
@@ -170,8 +170,8 @@
 		}
 		for _, ev := range e.Events {
 			switch {
-			case !slices.Contains(Whats, ev.Action):
-				find(ev.Line, "one of "+strings.Join(Whats, ", "), "there is no %q", ev.Action)
+			case !slices.Contains(Actions, ev.Action):
+				find(ev.Line, "one of "+strings.Join(Actions, ", "), "there is no %q", ev.Action)
 			case ev.At < 0 || ev.At > e.Length:
 				find(ev.Line, "within the length", "it happens at %.1f s", float64(ev.At)/float64(second))
 			case ev.Zone != "" && !slices.Contains(site.Zones, ev.Zone):
@@ -180,14 +180,14 @@
 				find(ev.Line, fmt.Sprintf("one of %v", site.Classes), "there is no request kind %q", ev.Class)
 			case ev.Fraction < 0 || ev.Fraction > 1:
 				find(ev.Line, "0 to 1", "part is %v", ev.Fraction)
-			case ev.Action == Times && !(ev.LoadFactor > 0):
+			case ev.Action == ScaleLoad && !(ev.LoadFactor > 0):
 				find(ev.Line, "above 0", "size is %v", ev.LoadFactor)
 			}
 		}
 		for _, t := range e.Assertions {
 			switch {
-			case t.figures() != 1:
-				find(t.Line, "one figure in each", "it has %d figures", t.figures())
+			case t.figureCount() != 1:
+				find(t.Line, "one figure in each", "it has %d figures", t.figureCount())
 			case t.Class != "" && !slices.Contains(site.Classes, t.Class):
 				find(t.Line, fmt.Sprintf("one of %v", site.Classes), "there is no request kind %q", t.Class)
 			case t.Zone != "" && !slices.Contains(site.Zones, t.Zone):
@@ -202,7 +202,7 @@
 		}
 	}
 	for _, c := range s.conflicts() {
-		find(c[1].Line, "change one of them", "%s (line %d) and %s (line %d) can't both hold", c[0].what(), c[0].Line, c[1].what(), c[1].Line)
+		find(c[1].Line, "change one of them", "%s (line %d) and %s (line %d) can't both hold", c[0].describe(), c[0].Line, c[1].describe(), c[1].Line)
 	}
 	return found
 }
@@ -211,12 +211,12 @@
 func (s Suite) conflicts() (pairs [][2]Assertion) {
 	for i, a := range s.Expectations {
 		for _, b := range s.Expectations[i:] {
-			if !a.same(b) {
+			if !a.sameCourse(b) {
 				continue
 			}
 			for _, x := range a.Assertions {
 				for _, y := range b.Assertions {
-					if x.meets(y) && (x.contradicts(y) || y.contradicts(x) && x.Line < y.Line) {
+					if x.overlaps(y) && (x.contradicts(y) || y.contradicts(x) && x.Line < y.Line) {
 						pairs = append(pairs, [2]Assertion{x, y})
 					}
 				}
@@ -226,13 +226,13 @@
 	return pairs
 }
 
-// same tells whether two expectations are about the same fleets and courses.
-func (e Expectation) same(o Expectation) bool {
+// sameCourse tells whether two expectations are about the same fleets and courses.
+func (e Expectation) sameCourse(o Expectation) bool {
 	return e.Fleet == o.Fleet && slices.EqualFunc(e.Events, o.Events, func(a, b Event) bool { a.Line, b.Line = 0, 0; return a == b })
 }
 
-// meets tells whether two speak of the same gateways, kinds and moments, at least in part.
-func (t Assertion) meets(o Assertion) bool {
+// overlaps tells whether two speak of the same gateways, kinds and moments, at least in part.
+func (t Assertion) overlaps(o Assertion) bool {
 	end := func(x Assertion) policyapi.Microseconds {
 		if x.To == 0 {
 			return 1 << 62
--- a/expectation/expect_test.go
+++ b/expectation/expect_test.go
@@ -21,8 +21,8 @@
 	return set
 }
 
-// shipped is the example configuration with its expectations.
-func shipped(t *testing.T, changes ...string) (config.Config, expectation.Suite) {
+// exampleSuite is the example configuration with its expectations.
+func exampleSuite(t *testing.T, changes ...string) (config.Config, expectation.Suite) {
 	t.Helper()
 	text, err := os.ReadFile("../examples/porthub.json")
 	if err != nil {
@@ -47,7 +47,7 @@
 
 // The shipped five rules hold, and each is found broken when what guards it is spoilt.
 func TestFiveRulesAsExpectations(t *testing.T) {
-	cfg, suite := shipped(t)
+	cfg, suite := exampleSuite(t)
 	set, rules := settings(cfg), suite.Expectations[0]
 	for i := range 3 {
 		if f := rules.Run(set, rules.Draw(i)); len(f) > 0 {
@@ -106,7 +106,7 @@
 			if spoil.told == nil {
 				limits = set
 			}
-			for _, f := range rules.RunSpoilt(limits, rules.Draw(i), spoil.held, spoil.told) {
+			for _, f := range rules.RunTampered(limits, rules.Draw(i), spoil.held, spoil.told) {
 				found = found || strings.Contains(f.What, what)
 			}
 		}
@@ -119,7 +119,7 @@
 // A configuration in which one kind may be served in one hall alone fails when that hall empties: the gateway and the kind are
 // named, and a smaller case is told.
 func TestBrokenConfigurationIsNamed(t *testing.T) {
-	cfg, suite := shipped(t, `"client_timeout": "2.5s", "payoff": 1}`, `"client_timeout": "2.5s", "payoff": 1, "only_zones": ["hala-a"]}`)
+	cfg, suite := exampleSuite(t, `"client_timeout": "2.5s", "payoff": 1}`, `"client_timeout": "2.5s", "payoff": 1, "only_zones": ["hala-a"]}`)
 	e := suite.Expectations[1]
 	e.Assertions = []expectation.Assertion{{Class: "schedule", MinEndpoints: 1, From: 8_000_000, Line: 33}}
 	c := e.Draw(0)
@@ -135,7 +135,7 @@
 
 // Action holds for most gateways and not for all fails and names one for which it does not.
 func TestForAllIsForAll(t *testing.T) {
-	cfg, suite := shipped(t)
+	cfg, suite := exampleSuite(t)
 	e := suite.Expectations[1]
 	e.Events, e.Assertions = nil, []expectation.Assertion{{MinZones: 2, Line: 4}}
 	for i := range 5 {
@@ -152,7 +152,7 @@
 
 // The same case gives the same failures, time after time.
 func TestSameCaseSameEnd(t *testing.T) {
-	cfg, suite := shipped(t)
+	cfg, suite := exampleSuite(t)
 	e := suite.Expectations[0]
 	e.Assertions = []expectation.Assertion{{MinEndpoints: 6}, {MaxUtilization: 0.6}, {MinSuccessRatio: 0.999}, {MaxMessages: 2}}
 	first := e.Run(settings(cfg), e.Draw(3))
@@ -166,7 +166,7 @@
 
 // A level is expected to be entered when half the fleet is lost, and not in calm.
 func TestLevelsExpected(t *testing.T) {
-	cfg, suite := shipped(t)
+	cfg, suite := exampleSuite(t)
 	cfg.Degradation.Levels = []config.DegradationLevel{{Name: "tight", Enter: config.Triggers{Lost: 0.25}, Leave: config.Triggers{Lost: 0.1}, EnterDelay: 2_000_000,
 		LeaveDelay: 15_000_000, RetryPolicy: 3, CrossZoneFactor: 1, ReportIntervalFactor: 1}}
 	set, e := settings(cfg), suite.Expectations[1]
@@ -180,7 +180,7 @@
 	}
 	// Half the fleet goes at the moment at which the load doubles: the level comes, and the rules hold at it and when all are back.
 	e.Length = 40_000_000
-	e.Events = []expectation.Event{{At: 4_000_000, Action: expectation.Lose, Fraction: 0.5}, {At: 4_000_000, Action: expectation.Times, LoadFactor: 2}, {At: 14_000_000, Action: expectation.Recover}}
+	e.Events = []expectation.Event{{At: 4_000_000, Action: expectation.Lose, Fraction: 0.5}, {At: 4_000_000, Action: expectation.ScaleLoad, LoadFactor: 2}, {At: 14_000_000, Action: expectation.Recover}}
 	e.Assertions = []expectation.Assertion{{EnteredLevel: "tight", From: 4_000_000, To: 12_000_000}, {MaxEmptyTable: 5_000_000}, {MaxDrainDelay: 3_000_000}, {MaxWarmUpLoad: 1},
 		{MaxMessages: 20}, {MaxQueued: 1}}
 	for i := range 4 {
--- a/expectation/export_test.go
+++ b/expectation/export_test.go
@@ -5,7 +5,7 @@
 	"porthub/routing"
 )
 
-// RunSpoilt runs a case with what gateways read spoilt, or with other limits told to the core than the judge goes by.
-func (e Expectation) RunSpoilt(set coordinator.Settings, c Case, held func(*routing.Snapshot), told func(*coordinator.Settings)) []Failure {
-	return e.run(set, c, spoilt{held, told})
+// RunTampered runs a case with what gateways read spoilt, or with other limits told to the core than the judge goes by.
+func (e Expectation) RunTampered(set coordinator.Settings, c Case, held func(*routing.Snapshot), told func(*coordinator.Settings)) []Failure {
+	return e.run(set, c, tampering{held, told})
 }
--- a/expectation/host.go
+++ b/expectation/host.go
@@ -15,16 +15,16 @@
 
 // Case is one drawn fleet with its course.
 type Case struct {
-	Number   int
-	Seed     uint64
-	Nodes    int
-	Gateways int
-	Load     float64
-	Course   []Event
+	Number    int
+	Seed      uint64
+	Endpoints int
+	Gateways  int
+	Load      float64
+	Events    []Event
 }
 
 func (c Case) String() string {
-	return fmt.Sprintf("%d nodes, %d gateways, load %.2f and %d events", c.Nodes, c.Gateways, c.Load, len(c.Course))
+	return fmt.Sprintf("%d nodes, %d gateways, load %.2f and %d events", c.Endpoints, c.Gateways, c.Load, len(c.Events))
 }
 
 // Draw draws a case of an expectation; the same number and seed draw the same.
@@ -32,124 +32,126 @@
 	seed := e.Seed + uint64(number)*0x9e3779b97f4a7c15
 	rng := rand.New(rand.NewPCG(seed, 1))
 	whole := func(r Range) int { return int(r.From) + rng.IntN(int(r.To)-int(r.From)+1) }
-	return Case{Number: number, Seed: seed, Nodes: whole(e.Fleet.Endpoints), Gateways: whole(e.Fleet.Gateways),
-		Load: e.Fleet.Load.From + rng.Float64()*(e.Fleet.Load.To-e.Fleet.Load.From), Course: e.Events}
+	return Case{Number: number, Seed: seed, Endpoints: whole(e.Fleet.Endpoints), Gateways: whole(e.Fleet.Gateways),
+		Load: e.Fleet.Load.From + rng.Float64()*(e.Fleet.Load.To-e.Fleet.Load.From), Events: e.Events}
 }
 
 // Class time goes in a case.
 const (
-	tick   = second / 4
-	settle = 9 * second // before the course begins: gateways have joined, the module has its rounds
-	base   = 1_000_000 * second
-	mean   = 20.0 // reqs a second that a warm node can do
+	tick         = second / 4
+	settleTime   = 9 * second // before the course begins: gateways have joined, the module has its rounds
+	startTime    = 1_000_000 * second
+	warmCapacity = 20.0 // reqs a second that a warm node can do
 )
 
-// node is one of a case's.
-type node struct {
-	name     policyapi.EndpointID
-	zone     policyapi.Zone
-	up       bool
-	draining bool
-	failing  []bool // by kind
-	launched policyapi.Microseconds
+// endpoint is one of a case's.
+type endpoint struct {
+	name      policyapi.EndpointID
+	zone      policyapi.Zone
+	running   bool
+	draining  bool
+	failing   []bool // by kind
+	startedAt policyapi.Microseconds
 	// By the list as it was last told.
-	listed  policyapi.EndpointStatus
-	closed  policyapi.Microseconds // since when the list closes it; 0: it does not
-	started policyapi.Microseconds // the start that the list names, and since when it names that
-	named   policyapi.Microseconds
-	offered float64   // reqs in this tick
-	window  []float64 // of the last ticks
-	util    float64
+	listedStatus     policyapi.EndpointStatus
+	closedSince      policyapi.Microseconds // since when the list closes it; 0: it does not
+	listedStart      policyapi.Microseconds // the start that the list names, and since when it names that
+	listedStartSince policyapi.Microseconds
+	offered          float64   // reqs in this tick
+	offeredWindow    []float64 // of the last ticks
+	utilization      float64
 }
 
 type gateway struct {
-	name     coordinator.Gateway
-	zone     policyapi.Zone
-	conn     coordinator.ConnID
-	rates    []float64 // reqs a second by kind
-	held     routing.Snapshot
-	last     routing.Snapshot // that was sent on this link
-	open     [][]line         // by kind
-	halls    []int
-	joinedAt policyapi.Microseconds
-	away     bool
-	seq      uint64
-	sums     []map[int]*sum // by kind and node, since the last report
-	arrived  []float64
-	denied   []float64
-	errored  []float64
-	sent     []policyapi.Microseconds
-	without  []policyapi.Microseconds // by kind: since when it has no line; 0: it has
-	waiting  []posted
-	heard    policyapi.Microseconds
+	name           coordinator.Gateway
+	zone           policyapi.Zone
+	conn           coordinator.ConnID
+	rates          []float64 // reqs a second by kind
+	tables         routing.Snapshot
+	published      routing.Snapshot     // that was sent on this link
+	open           [][]weightedEndpoint // by kind
+	zoneCounts     []int
+	joinedAt       policyapi.Microseconds
+	disconnected   bool
+	reportNumber   uint64
+	attempts       []map[int]*attemptTotals // by kind and node, since the last report
+	arrived        []float64
+	rejected       []float64
+	failures       []float64
+	sentAt         []policyapi.Microseconds
+	emptySince     []policyapi.Microseconds // by kind: since when it has no line; 0: it has
+	unacknowledged []sentMessage
+	tablesAt       policyapi.Microseconds
 }
 
-type line struct {
-	node   int
-	weight float64
+type weightedEndpoint struct {
+	endpoint int
+	weight   float64
 }
 
-type sum struct{ tries, errored float64 }
+type attemptTotals struct{ attempts, failures float64 }
 
-type posted struct {
+type sentMessage struct {
 	version string
 	lines   float64
 }
 
-// mail is a publication on its way to a gateway, or an acknowledgement on its way back.
-type mail struct {
+// delivery is a publication on its way to a gateway, or an acknowledgement on its way back.
+type delivery struct {
 	at      policyapi.Microseconds
 	gateway int
 	publish *coordinator.Publish
 	ack     coordinator.Input
 }
 
-// host feeds a core its time and plays the fleet.
-type host struct {
-	e        Expectation
-	c        Case
-	set      coordinator.Settings
-	core     *coordinator.Core
-	now      policyapi.Microseconds
-	rng      *rand.Rand
-	nodes    []*node
-	byName   map[policyapi.EndpointID]int
-	gateways []*gateway
-	gwByName map[coordinator.Gateway]int
-	mails    []mail
-	version  policyapi.ListVersion
-	listAt   []policyapi.Microseconds // when the list tells what it has not told yet
-	times    float64
-	conns    coordinator.ConnID
-	inputs   []coordinator.Input
-	judge    *judge
-	waiting  float64
-	done     int // events of the course
-	spoil    func(*routing.Snapshot)
+// simulation feeds a core its time and plays the fleet.
+type simulation struct {
+	expectation   Expectation
+	drawn         Case
+	settings      coordinator.Settings
+	core          *coordinator.Core
+	now           policyapi.Microseconds
+	rng           *rand.Rand
+	endpoints     []*endpoint
+	endpointIndex map[policyapi.EndpointID]int
+	gateways      []*gateway
+	gatewayIndex  map[coordinator.Gateway]int
+	deliveries    []delivery
+	version       policyapi.ListVersion
+	listUpdates   []policyapi.Microseconds // when the list tells what it has not told yet
+	loadFactor    float64
+	lastConn      coordinator.ConnID
+	inputs        []coordinator.Input
+	evaluator     *evaluator
+	queuedLines   float64
+	eventsDone    int // events of the course
+	tamper        func(*routing.Snapshot)
 }
 
 // Run plays a case through a core with the settings given and tells what did not hold, the first of each.
-func (e Expectation) Run(set coordinator.Settings, c Case) []Failure { return e.run(set, c, spoilt{}) }
+func (e Expectation) Run(set coordinator.Settings, c Case) []Failure {
+	return e.run(set, c, tampering{})
+}
 
-// spoilt is what tests put between the core and its judge: what a gateway holds, and what the core is told of the limits.
-type spoilt struct {
-	held func(*routing.Snapshot)
-	told func(*coordinator.Settings)
+// tampering is what tests put between the core and its judge: what a gateway holds, and what the core is told of the limits.
+type tampering struct {
+	tables   func(*routing.Snapshot)
+	settings func(*coordinator.Settings)
 }
 
-func (e Expectation) run(set coordinator.Settings, c Case, by spoilt) []Failure {
+func (e Expectation) run(set coordinator.Settings, c Case, by tampering) []Failure {
 	set.Epoch, set.Start.Seed, set.Start.ProxyCount = "x", c.Seed, c.Gateways
 	told := set
-	if by.told != nil {
-		by.told(&told)
+	if by.settings != nil {
+		by.settings(&told)
 	}
-	h := &host{e: e, c: c, set: set, core: coordinator.New(told), now: base, rng: rand.New(rand.NewPCG(c.Seed, 2)), byName: map[policyapi.EndpointID]int{},
-		gwByName: map[coordinator.Gateway]int{}, times: 1, spoil: by.held}
+	h := &simulation{expectation: e, drawn: c, settings: set, core: coordinator.New(told), now: startTime, rng: rand.New(rand.NewPCG(c.Seed, 2)), endpointIndex: map[policyapi.EndpointID]int{},
+		gatewayIndex: map[coordinator.Gateway]int{}, loadFactor: 1, tamper: by.tables}
 	h.build()
-	h.judge = newJudge(h)
-	h.list()
-	for end := base + settle + e.Length; h.now < end; h.now += tick {
-		h.events()
+	h.evaluator = newEvaluator(h)
+	h.updateList()
+	for end := startTime + settleTime + e.Length; h.now < end; h.now += tick {
+		h.applyDueEvents()
 		h.deliver()
 		h.report()
 		h.step()
@@ -162,226 +164,226 @@
 				break
 			}
 		}
-		h.send()
-		h.judge.look()
+		h.serveTraffic()
+		h.evaluator.evaluate()
 	}
-	return h.judge.close()
+	return h.evaluator.finish()
 }
 
-func (h *host) build() {
-	zones, kinds := h.set.Start.Zones, len(h.set.Start.Classes)
-	for i := range h.c.Nodes {
-		n := &node{name: policyapi.EndpointID(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], up: true, failing: make([]bool, kinds)}
-		h.byName[n.name] = i
-		h.nodes = append(h.nodes, n)
+func (h *simulation) build() {
+	zones, kinds := h.settings.Start.Zones, len(h.settings.Start.Classes)
+	for i := range h.drawn.Endpoints {
+		n := &endpoint{name: policyapi.EndpointID(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], running: true, failing: make([]bool, kinds)}
+		h.endpointIndex[n.name] = i
+		h.endpoints = append(h.endpoints, n)
 	}
-	total, sizes := 0.0, make([]float64, h.c.Gateways)
+	total, sizes := 0.0, make([]float64, h.drawn.Gateways)
 	for i := range sizes {
-		sizes[i] = math.Exp(h.e.Fleet.Spread * h.rng.NormFloat64())
+		sizes[i] = math.Exp(h.expectation.Fleet.Spread * h.rng.NormFloat64())
 		total += sizes[i]
 	}
-	for i := range h.c.Gateways {
-		g := &gateway{name: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), zone: zones[i%len(zones)], arrived: make([]float64, kinds), denied: make([]float64, kinds),
-			errored: make([]float64, kinds), open: make([][]line, kinds), halls: make([]int, kinds), without: make([]policyapi.Microseconds, kinds)}
+	for i := range h.drawn.Gateways {
+		g := &gateway{name: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), zone: zones[i%len(zones)], arrived: make([]float64, kinds), rejected: make([]float64, kinds),
+			failures: make([]float64, kinds), open: make([][]weightedEndpoint, kinds), zoneCounts: make([]int, kinds), emptySince: make([]policyapi.Microseconds, kinds)}
 		for range kinds {
-			g.rates = append(g.rates, h.c.Load*mean*float64(h.c.Nodes)*sizes[i]/total/float64(kinds))
-			g.sums = append(g.sums, map[int]*sum{})
+			g.rates = append(g.rates, h.drawn.Load*warmCapacity*float64(h.drawn.Endpoints)*sizes[i]/total/float64(kinds))
+			g.attempts = append(g.attempts, map[int]*attemptTotals{})
 		}
-		h.gwByName[g.name] = i
+		h.gatewayIndex[g.name] = i
 		h.gateways = append(h.gateways, g)
 		h.join(g)
 	}
 }
 
-func (h *host) join(g *gateway) {
-	h.conns++
-	g.conn, g.joinedAt, g.seq, g.away, g.last = h.conns, h.now, 0, false, routing.Snapshot{}
+func (h *simulation) join(g *gateway) {
+	h.lastConn++
+	g.conn, g.joinedAt, g.reportNumber, g.disconnected, g.published = h.lastConn, h.now, 0, false, routing.Snapshot{}
 	weight := 0.0
 	for _, r := range g.rates {
 		weight += r
 	}
-	h.inputs = append(h.inputs, coordinator.GatewayConnected{Gateway: g.name, Conn: g.conn, Zone: g.zone, HasDefaultTableOnly: len(g.held.Clusters) == 0, Weight: weight})
+	h.inputs = append(h.inputs, coordinator.GatewayConnected{Gateway: g.name, Conn: g.conn, Zone: g.zone, HasDefaultTableOnly: len(g.tables.Clusters) == 0, Weight: weight})
 }
 
-// events lets happen what is due.
-func (h *host) events() {
-	for ; h.done < len(h.c.Course); h.done++ {
-		ev := h.c.Course[h.done]
-		if h.now < base+settle+ev.At {
+// applyDueEvents lets happen what is due.
+func (h *simulation) applyDueEvents() {
+	for ; h.eventsDone < len(h.drawn.Events); h.eventsDone++ {
+		ev := h.drawn.Events[h.eventsDone]
+		if h.now < startTime+settleTime+ev.At {
 			break
 		}
-		h.strike(ev)
+		h.apply(ev)
 	}
-	for len(h.listAt) > 0 && h.now >= h.listAt[0] {
-		h.listAt = h.listAt[1:]
-		h.list()
+	for len(h.listUpdates) > 0 && h.now >= h.listUpdates[0] {
+		h.listUpdates = h.listUpdates[1:]
+		h.updateList()
 	}
 }
 
-func (h *host) strike(ev Event) {
-	tell := h.e.Fleet.ListDelay
+func (h *simulation) apply(ev Event) {
+	tell := h.expectation.Fleet.ListDelay
 	switch ev.Action {
 	case Lose:
-		for _, n := range h.choose(ev, func(n *node) bool { return n.up }) {
-			n.up = false
+		for _, n := range h.chooseEndpoints(ev, func(n *endpoint) bool { return n.running }) {
+			n.running = false
 		}
 	case Drain:
 		tell = 0 // it is the list's own word
-		for _, n := range h.choose(ev, func(n *node) bool { return n.up && !n.draining }) {
+		for _, n := range h.chooseEndpoints(ev, func(n *endpoint) bool { return n.running && !n.draining }) {
 			n.draining = true
 		}
 	case Restart:
-		for _, n := range h.choose(ev, func(n *node) bool { return n.up && !n.draining }) {
-			n.launched = h.now
+		for _, n := range h.chooseEndpoints(ev, func(n *endpoint) bool { return n.running && !n.draining }) {
+			n.startedAt = h.now
 		}
 	case Fail:
-		for _, n := range h.choose(ev, func(n *node) bool { return n.up }) {
-			for k, kind := range h.set.Start.Classes {
+		for _, n := range h.chooseEndpoints(ev, func(n *endpoint) bool { return n.running }) {
+			for k, kind := range h.settings.Start.Classes {
 				n.failing[k] = n.failing[k] || ev.Class == "" || ev.Class == kind.Name
 			}
 		}
 	case Recover:
-		for _, n := range h.nodes {
-			if !n.up || n.draining {
-				n.launched = h.now
+		for _, n := range h.endpoints {
+			if !n.running || n.draining {
+				n.startedAt = h.now
 			}
-			n.up, n.draining = true, false
+			n.running, n.draining = true, false
 			clear(n.failing)
 		}
-	case Away, Home:
+	case Disconnect, Reconnect:
 		var some []*gateway
 		for _, g := range h.gateways {
-			if (ev.Zone == "" || g.zone == ev.Zone) && g.away == (ev.Action == Home) {
+			if (ev.Zone == "" || g.zone == ev.Zone) && g.disconnected == (ev.Action == Reconnect) {
 				some = append(some, g)
 			}
 		}
-		for _, i := range h.rng.Perm(len(some))[:part(ev, len(some))] {
-			if g := some[i]; ev.Action == Home {
+		for _, i := range h.rng.Perm(len(some))[:affectedCount(ev, len(some))] {
+			if g := some[i]; ev.Action == Reconnect {
 				h.join(g)
 			} else {
-				g.away = true
+				g.disconnected = true
 				h.inputs = append(h.inputs, coordinator.GatewayDisconnected{Gateway: g.name, Conn: g.conn})
-				h.drop(g)
+				h.dropUnacknowledged(g)
 			}
 		}
 		return
-	case Times:
-		h.times = ev.LoadFactor
+	case ScaleLoad:
+		h.loadFactor = ev.LoadFactor
 		return
 	}
-	h.listAt = append(h.listAt, h.now+tell)
-	slices.Sort(h.listAt)
+	h.listUpdates = append(h.listUpdates, h.now+tell)
+	slices.Sort(h.listUpdates)
 }
 
-// part is how many of so many an event strikes: all where it does not say.
-func part(ev Event, of int) int {
+// affectedCount is how many of so many an event strikes: all where it does not say.
+func affectedCount(ev Event, of int) int {
 	if ev.Fraction == 0 {
 		return of
 	}
 	return min(of, max(1, int(math.Ceil(ev.Fraction*float64(of)))))
 }
 
-func (h *host) choose(ev Event, may func(*node) bool) (some []*node) {
-	for _, n := range h.nodes {
+func (h *simulation) chooseEndpoints(ev Event, may func(*endpoint) bool) (some []*endpoint) {
+	for _, n := range h.endpoints {
 		if may(n) && (ev.Zone == "" || n.zone == ev.Zone) {
 			some = append(some, n)
 		}
 	}
 	h.rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	return some[:part(ev, len(some))]
+	return some[:affectedCount(ev, len(some))]
 }
 
-// list tells the node list as it is now.
-func (h *host) list() {
+// updateList tells the node list as it is now.
+func (h *simulation) updateList() {
 	h.version++
 	l := policyapi.EndpointUpdate{Version: h.version, Kind: policyapi.Snapshot}
-	for _, n := range h.nodes {
-		was := n.listed
+	for _, n := range h.endpoints {
+		was := n.listedStatus
 		switch {
-		case !n.up:
-			n.listed = policyapi.Removed
+		case !n.running:
+			n.listedStatus = policyapi.Removed
 		case n.draining:
-			n.listed = policyapi.Draining
+			n.listedStatus = policyapi.Draining
 		default:
-			n.listed = policyapi.Ready
+			n.listedStatus = policyapi.Ready
 		}
-		if n.started != n.launched {
-			n.started, n.named = n.launched, h.now
+		if n.listedStart != n.startedAt {
+			n.listedStart, n.listedStartSince = n.startedAt, h.now
 		}
-		if n.listed == policyapi.Ready {
-			n.closed = 0
+		if n.listedStatus == policyapi.Ready {
+			n.closedSince = 0
 		} else if was == policyapi.Ready {
-			n.closed = h.now
+			n.closedSince = h.now
 		}
-		if n.listed != policyapi.Removed {
-			l.Endpoints = append(l.Endpoints, policyapi.Endpoint{ID: n.name, Zone: n.zone, Weight: 1, MachineType: "std", StartedAt: n.launched, Status: n.listed})
+		if n.listedStatus != policyapi.Removed {
+			l.Endpoints = append(l.Endpoints, policyapi.Endpoint{ID: n.name, Zone: n.zone, Weight: 1, MachineType: "std", StartedAt: n.startedAt, Status: n.listedStatus})
 		}
 	}
 	h.inputs = append(h.inputs, coordinator.EndpointUpdate{EndpointUpdate: l})
 }
 
 // deliver brings publications and acknowledgements whose time has come.
-func (h *host) deliver() {
-	slices.SortStableFunc(h.mails, func(a, b mail) int { return cmp.Compare(a.at, b.at) })
+func (h *simulation) deliver() {
+	slices.SortStableFunc(h.deliveries, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
 	n := 0
-	for ; n < len(h.mails) && h.mails[n].at <= h.now; n++ {
-		m := h.mails[n]
+	for ; n < len(h.deliveries) && h.deliveries[n].at <= h.now; n++ {
+		m := h.deliveries[n]
 		g := h.gateways[m.gateway]
-		if g.away {
+		if g.disconnected {
 			continue
 		}
 		if m.ack != nil {
 			h.inputs = append(h.inputs, m.ack)
-			h.acked(g, m.ack.(coordinator.DocumentAck).Version)
+			h.acknowledge(g, m.ack.(coordinator.DocumentAck).Version)
 			continue
 		}
-		h.hold(g, m.publish.Snapshot)
+		h.applyTables(g, m.publish.Snapshot)
 		for d, changed := range m.publish.Changed {
 			if changed {
 				ack := coordinator.DocumentAck{Gateway: g.name, Conn: g.conn, Document: coordinator.Document(d), Version: m.publish.Version, Nonce: m.publish.Nonce}
-				h.mails = append(h.mails, mail{h.now + h.e.Fleet.Latency, m.gateway, nil, ack})
+				h.deliveries = append(h.deliveries, delivery{h.now + h.expectation.Fleet.Latency, m.gateway, nil, ack})
 			}
 		}
 	}
-	h.mails = slices.Delete(h.mails, 0, n)
+	h.deliveries = slices.Delete(h.deliveries, 0, n)
 }
 
-func (h *host) acked(g *gateway, version string) {
-	for i, p := range g.waiting {
+func (h *simulation) acknowledge(g *gateway, version string) {
+	for i, p := range g.unacknowledged {
 		if p.version == version {
-			for _, done := range g.waiting[:i+1] {
-				h.waiting -= done.lines
+			for _, done := range g.unacknowledged[:i+1] {
+				h.queuedLines -= done.lines
 			}
-			g.waiting = g.waiting[i+1:]
+			g.unacknowledged = g.unacknowledged[i+1:]
 			return
 		}
 	}
 }
 
-// drop forgets what was on its way to a gateway whose link has ended.
-func (h *host) drop(g *gateway) {
-	for _, p := range g.waiting {
-		h.waiting -= p.lines
+// dropUnacknowledged forgets what was on its way to a gateway whose link has ended.
+func (h *simulation) dropUnacknowledged(g *gateway) {
+	for _, p := range g.unacknowledged {
+		h.queuedLines -= p.lines
 	}
-	g.waiting = nil
+	g.unacknowledged = nil
 }
 
-// hold puts a snapshot in force at a gateway.
-func (h *host) hold(g *gateway, s routing.Snapshot) {
-	if h.spoil != nil {
+// applyTables puts a snapshot in force at a gateway.
+func (h *simulation) applyTables(g *gateway, s routing.Snapshot) {
+	if h.tamper != nil {
 		s.Clusters, s.Routes = slices.Clone(s.Clusters), slices.Clone(s.Routes)
-		h.spoil(&s)
+		h.tamper(&s)
 	}
-	g.held, g.heard = s, h.now
+	g.tables, g.tablesAt = s, h.now
 	for k := range s.Clusters {
-		g.open[k], g.halls[k] = g.open[k][:0], 0
+		g.open[k], g.zoneCounts[k] = g.open[k][:0], 0
 		last := policyapi.Zone("")
 		for _, l := range s.Clusters[k].Endpoints {
-			if i, known := h.byName[l.Endpoint]; known && !l.Withheld && l.Weight > 0 {
-				g.open[k] = append(g.open[k], line{i, l.Weight})
+			if i, known := h.endpointIndex[l.Endpoint]; known && !l.Withheld && l.Weight > 0 {
+				g.open[k] = append(g.open[k], weightedEndpoint{i, l.Weight})
 				if l.Zone != last {
 					last = l.Zone
-					g.halls[k]++
+					g.zoneCounts[k]++
 				}
 			}
 		}
@@ -389,82 +391,82 @@
 }
 
 // step steps the core and takes what it wants done.
-func (h *host) step() {
+func (h *simulation) step() {
 	inputs := h.inputs
 	h.inputs = nil
 	for _, out := range h.core.Step(h.now, inputs) {
 		switch o := out.(type) {
 		case coordinator.Publish:
-			i := h.gwByName[o.Gateway]
+			i := h.gatewayIndex[o.Gateway]
 			g := h.gateways[i]
-			lines := float64(routing.ChangeCost(g.last, o.Snapshot)) + h.set.Start.Channel.MessageOverhead
-			g.waiting = append(g.waiting, posted{o.Version, lines})
-			h.waiting += lines
-			g.last = o.Snapshot
-			g.sent = append(g.sent, h.now)
-			h.judge.sent(g)
-			h.mails = append(h.mails, mail{h.now + h.e.Fleet.Latency, i, &o, nil})
+			lines := float64(routing.ChangeCost(g.published, o.Snapshot)) + h.settings.Start.Channel.MessageOverhead
+			g.unacknowledged = append(g.unacknowledged, sentMessage{o.Version, lines})
+			h.queuedLines += lines
+			g.published = o.Snapshot
+			g.sentAt = append(g.sentAt, h.now)
+			h.evaluator.messageSent(g)
+			h.deliveries = append(h.deliveries, delivery{h.now + h.expectation.Fleet.Latency, i, &o, nil})
 		case coordinator.Resync, coordinator.WatchEndpoints:
-			h.listAt = append([]policyapi.Microseconds{h.now}, h.listAt...)
+			h.listUpdates = append([]policyapi.Microseconds{h.now}, h.listUpdates...)
 		case coordinator.CheckHealth:
-			if i, known := h.byName[o.Endpoint]; known {
-				h.inputs = append(h.inputs, coordinator.HealthCheckResult{HealthCheckResult: policyapi.HealthCheckResult{Endpoint: o.Endpoint, Healthy: h.nodes[i].up, Code: "200", Duration: 5000}})
+			if i, known := h.endpointIndex[o.Endpoint]; known {
+				h.inputs = append(h.inputs, coordinator.HealthCheckResult{HealthCheckResult: policyapi.HealthCheckResult{Endpoint: o.Endpoint, Healthy: h.endpoints[i].running, Code: "200", Duration: 5000}})
 			}
 		case coordinator.LogEntry:
-			h.judge.note(o)
+			h.evaluator.logged(o)
 		}
 	}
 }
 
 // report lets the gateways report whose turn it is: each once a period, spread over it.
-func (h *host) report() {
-	period := h.set.Start.Reports.Period
+func (h *simulation) report() {
+	period := h.settings.Start.Reports.Period
 	turns := max(1, int(period/tick))
-	now := int((h.now - base) / tick)
+	now := int((h.now - startTime) / tick)
 	for i, g := range h.gateways {
-		if g.away || (now+i)%turns != 0 || h.now == base {
+		if g.disconnected || (now+i)%turns != 0 || h.now == startTime {
 			continue
 		}
-		g.seq++
-		r := coordinator.LoadReport{Gateway: g.name, Conn: g.conn, Sequence: g.seq, Interval: period}
-		for k, kind := range h.set.Start.Classes {
-			one := coordinator.ClassReport{Class: kind.Name, Arrivals: int(math.Round(g.arrived[k])), Rejected: int(math.Round(g.denied[k])), Failures: int(math.Round(g.errored[k]))}
-			for _, n := range slices.Sorted(maps.Keys(g.sums[k])) {
-				s := g.sums[k][n]
-				tries := int(math.Ceil(s.tries - 1e-9))
-				busy := min(1, h.nodes[n].util)
-				one.Endpoints = append(one.Endpoints, coordinator.EndpointReport{Endpoint: h.nodes[n].name, Attempts: tries,
-					Failures: min(tries, int(math.Round(s.errored))), MeanLatency: policyapi.Microseconds(160_000 / max(0.2, 1.1-busy)),
-					Metrics: policyapi.LoadMetrics{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
+		g.reportNumber++
+		r := coordinator.LoadReport{Gateway: g.name, Conn: g.conn, Sequence: g.reportNumber, Interval: period}
+		for k, kind := range h.settings.Start.Classes {
+			one := coordinator.ClassReport{Class: kind.Name, Arrivals: int(math.Round(g.arrived[k])), Rejected: int(math.Round(g.rejected[k])), Failures: int(math.Round(g.failures[k]))}
+			for _, n := range slices.Sorted(maps.Keys(g.attempts[k])) {
+				s := g.attempts[k][n]
+				tries := int(math.Ceil(s.attempts - 1e-9))
+				busy := min(1, h.endpoints[n].utilization)
+				one.Endpoints = append(one.Endpoints, coordinator.EndpointReport{Endpoint: h.endpoints[n].name, Attempts: tries,
+					Failures: min(tries, int(math.Round(s.failures))), MeanLatency: policyapi.Microseconds(160_000 / max(0.2, 1.1-busy)),
+					Metrics: policyapi.LoadMetrics{"busy": busy, "q": max(0, 10*(h.endpoints[n].utilization-1))}})
 			}
 			r.Classes = append(r.Classes, one)
-			g.arrived[k], g.denied[k], g.errored[k] = 0, 0, 0
-			clear(g.sums[k])
+			g.arrived[k], g.rejected[k], g.failures[k] = 0, 0, 0
+			clear(g.attempts[k])
 		}
 		h.inputs = append(h.inputs, r)
 	}
 }
 
-// warmth is the part of its capacity that a node has.
-func (h *host) warmth(n *node) float64 {
-	r := h.set.Start.Rules
-	if since := h.now - n.launched; n.launched > 0 && since < r.WarmUp {
+// capacityFactor is the part of its capacity that a node has.
+func (h *simulation) capacityFactor(n *endpoint) float64 {
+	r := h.settings.Start.Rules
+	if since := h.now - n.startedAt; n.startedAt > 0 && since < r.WarmUp {
 		return r.InitialCapacity + (1-r.InitialCapacity)*float64(since)/float64(r.WarmUp)
 	}
 	return 1
 }
 
-// send lets a tick's reqs come and go to nodes by the tables that are held.
-func (h *host) send() {
+// serveTraffic lets a tick's reqs come and go to nodes by the tables that are held.
+func (h *simulation) serveTraffic() {
 	seconds := float64(tick) / float64(second)
-	for _, n := range h.nodes {
+	for _, n := range h.endpoints {
 		n.offered = 0
 	}
 	let := func(g *gateway, k int) (came, in float64) {
-		came = g.rates[k] * h.times * seconds
+		came = g.rates[k] * h.loadFactor * seconds
 		in = came
-		if k < len(g.held.Routes) {
-			r := g.held.Routes[k].WithoutCoordinator(h.now - g.heard)
+		if k < len(g.tables.Routes) {
+			r := g.tables.Routes[k].WithoutCoordinator(h.now - g.tablesAt)
 			if in *= r.Share; r.Rate >= 0 {
 				in = min(in, r.Rate*seconds)
 			}
@@ -479,45 +481,45 @@
 				total += l.weight
 			}
 			for _, l := range g.open[k] {
-				h.nodes[l.node].offered += in * l.weight / total
+				h.endpoints[l.endpoint].offered += in * l.weight / total
 			}
 		}
 	}
-	for _, n := range h.nodes {
-		can := mean * h.warmth(n) * seconds
-		n.util = 0.5*n.util + 0.5*n.offered/can
-		n.window = append(n.window, n.offered)
-		if most := max(1, int(h.set.Start.Rules.OverloadWindow/tick)); len(n.window) > most {
-			n.window = n.window[1:]
+	for _, n := range h.endpoints {
+		can := warmCapacity * h.capacityFactor(n) * seconds
+		n.utilization = 0.5*n.utilization + 0.5*n.offered/can
+		n.offeredWindow = append(n.offeredWindow, n.offered)
+		if most := max(1, int(h.settings.Start.Rules.OverloadWindow/tick)); len(n.offeredWindow) > most {
+			n.offeredWindow = n.offeredWindow[1:]
 		}
 	}
 	for _, g := range h.gateways {
 		for k := range g.rates {
 			came, in := let(g, k)
 			g.arrived[k] += came
-			g.denied[k] += came - in
+			g.rejected[k] += came - in
 			total, done := 0.0, 0.0
 			for _, l := range g.open[k] {
 				total += l.weight
 			}
 			for _, l := range g.open[k] {
-				n, tries := h.nodes[l.node], in*l.weight/total
+				n, tries := h.endpoints[l.endpoint], in*l.weight/total
 				good := tries
-				if !n.up || n.failing[k] {
+				if !n.running || n.failing[k] {
 					good = 0
-				} else if can := mean * h.warmth(n) * seconds; n.offered > can {
+				} else if can := warmCapacity * h.capacityFactor(n) * seconds; n.offered > can {
 					good *= can / n.offered
 				}
-				s := g.sums[k][l.node]
+				s := g.attempts[k][l.endpoint]
 				if s == nil {
-					s = &sum{}
-					g.sums[k][l.node] = s
+					s = &attemptTotals{}
+					g.attempts[k][l.endpoint] = s
 				}
-				s.tries, s.errored = s.tries+tries, s.errored+tries-good
+				s.attempts, s.failures = s.attempts+tries, s.failures+tries-good
 				done += good
 			}
-			g.errored[k] += in - done
-			h.judge.served(g, k, came, done)
+			g.failures[k] += in - done
+			h.evaluator.recordServed(g, k, came, done)
 		}
 	}
 }
--- a/expectation/judge.go
+++ b/expectation/judge.go
@@ -7,35 +7,35 @@
 	"porthub/policyapi"
 )
 
-// judge watches a case and keeps the first failure of each expectation.
-type judge struct {
-	h       *host
-	found   []*Failure // by position in That
-	asked   []float64  // of ServedAtLeast
-	done    []float64
-	entered []policyapi.Microseconds // of Entered and NotEntered: when first, within the time; 0: not
-	where   []string
+// evaluator watches a case and keeps the first failure of each expectation.
+type evaluator struct {
+	sim         *simulation
+	failures    []*Failure // by position in That
+	requests    []float64  // of ServedAtLeast
+	successes   []float64
+	enteredAt   []policyapi.Microseconds // of Entered and NotEntered: when first, within the time; 0: not
+	enteredText []string
 }
 
-func newJudge(h *host) *judge {
-	n := len(h.e.Assertions)
-	return &judge{h: h, found: make([]*Failure, n), asked: make([]float64, n), done: make([]float64, n), entered: make([]policyapi.Microseconds, n),
-		where: make([]string, n)}
+func newEvaluator(h *simulation) *evaluator {
+	n := len(h.expectation.Assertions)
+	return &evaluator{sim: h, failures: make([]*Failure, n), requests: make([]float64, n), successes: make([]float64, n), enteredAt: make([]policyapi.Microseconds, n),
+		enteredText: make([]string, n)}
 }
 
-// at is the time of the course.
-func (j *judge) at() policyapi.Microseconds { return j.h.now - base - settle }
+// elapsed is the time of the course.
+func (j *evaluator) elapsed() policyapi.Microseconds { return j.sim.now - startTime - settleTime }
 
-// counts tells whether an expectation counts now.
-func (j *judge) counts(t Assertion) bool {
-	return j.at() >= t.From && (t.To == 0 || j.at() <= t.To)
+// applies tells whether an expectation counts now.
+func (j *evaluator) applies(t Assertion) bool {
+	return j.elapsed() >= t.From && (t.To == 0 || j.elapsed() <= t.To)
 }
 
-func (j *judge) fail(i int, g *gateway, n *node, kind int, format string, args ...any) {
-	if j.found[i] != nil {
+func (j *evaluator) fail(i int, g *gateway, n *endpoint, kind int, format string, args ...any) {
+	if j.failures[i] != nil {
 		return
 	}
-	f := &Failure{Name: j.h.e.Name, Line: j.h.e.Assertions[i].Line, What: j.h.e.Assertions[i].what(), Case: j.h.c.Number, Seed: j.h.e.Seed, At: j.at(),
+	f := &Failure{Name: j.sim.expectation.Name, Line: j.sim.expectation.Assertions[i].Line, What: j.sim.expectation.Assertions[i].describe(), Case: j.sim.drawn.Number, Seed: j.sim.expectation.Seed, At: j.elapsed(),
 		Figure: fmt.Sprintf(format, args...)}
 	if g != nil {
 		f.Gateway = string(g.name)
@@ -44,18 +44,18 @@
 		f.Node = string(n.name)
 	}
 	if kind >= 0 {
-		f.Kind = j.h.set.Start.Classes[kind].Name
+		f.Kind = j.sim.settings.Start.Classes[kind].Name
 	}
-	j.found[i] = f
+	j.failures[i] = f
 }
 
 func seconds(m policyapi.Microseconds) float64 { return float64(m) / float64(second) }
 
-// warmFor tells whether a warm ready node is listed that may serve a kind for a zone's gateways.
-func (j *judge) warmFor(kind int, zone policyapi.Zone) bool {
-	k := j.h.set.Start.Classes[kind]
-	for _, n := range j.h.nodes {
-		if n.listed != policyapi.Ready || j.h.warmth(n) < 1 || k.LocalZoneOnly && n.zone != zone {
+// hasWarmEndpoint tells whether a warm ready node is listed that may serve a kind for a zone's gateways.
+func (j *evaluator) hasWarmEndpoint(kind int, zone policyapi.Zone) bool {
+	k := j.sim.settings.Start.Classes[kind]
+	for _, n := range j.sim.endpoints {
+		if n.listedStatus != policyapi.Ready || j.sim.capacityFactor(n) < 1 || k.LocalZoneOnly && n.zone != zone {
 			continue
 		}
 		may := len(k.AllowedZones) == 0
@@ -69,131 +69,131 @@
 	return false
 }
 
-// look judges a moment.
-func (j *judge) look() {
-	h := j.h
-	if j.at() < 0 {
+// evaluate judges a moment.
+func (j *evaluator) evaluate() {
+	h := j.sim
+	if j.elapsed() < 0 {
 		return
 	}
-	kinds := h.set.Start.Classes
+	kinds := h.settings.Start.Classes
 	warm := map[policyapi.Zone][]bool{}
-	for _, z := range h.set.Start.Zones {
+	for _, z := range h.settings.Start.Zones {
 		for k := range kinds {
-			warm[z] = append(warm[z], j.warmFor(k, z))
+			warm[z] = append(warm[z], j.hasWarmEndpoint(k, z))
 		}
 	}
 	for _, g := range h.gateways {
 		for k := range kinds {
-			if empty := len(g.open[k]) == 0 && !g.away && warm[g.zone][k]; !empty {
-				g.without[k] = 0
-			} else if g.without[k] == 0 {
-				g.without[k] = h.now
+			if empty := len(g.open[k]) == 0 && !g.disconnected && warm[g.zone][k]; !empty {
+				g.emptySince[k] = 0
+			} else if g.emptySince[k] == 0 {
+				g.emptySince[k] = h.now
 			}
 		}
 	}
-	for i, t := range h.e.Assertions {
-		if j.found[i] != nil || !j.counts(t) {
+	for i, t := range h.expectation.Assertions {
+		if j.failures[i] != nil || !j.applies(t) {
 			continue
 		}
 		if t.MaxUtilization > 0 || t.MaxWarmUpLoad > 0 {
-			j.loads(i, t)
+			j.evaluateLoads(i, t)
 			continue
 		}
-		if most := h.set.Start.Rules.QueueLimit; t.MaxQueued > 0 && most > 0 && h.waiting > t.MaxQueued*most {
-			j.fail(i, nil, nil, -1, "%.0f lines on their way, %.2f of %.0f", h.waiting, h.waiting/most, most)
+		if most := h.settings.Start.Rules.QueueLimit; t.MaxQueued > 0 && most > 0 && h.queuedLines > t.MaxQueued*most {
+			j.fail(i, nil, nil, -1, "%.0f lines on their way, %.2f of %.0f", h.queuedLines, h.queuedLines/most, most)
 		}
 		for _, g := range h.gateways {
-			if g.away || t.Zone != "" && g.zone != t.Zone {
+			if g.disconnected || t.Zone != "" && g.zone != t.Zone {
 				continue
 			}
-			j.gateway(i, t, g)
+			j.evaluateGateway(i, t, g)
 		}
 	}
 }
 
-func (j *judge) gateway(i int, t Assertion, g *gateway) {
-	h := j.h
-	for k, kind := range h.set.Start.Classes {
+func (j *evaluator) evaluateGateway(i int, t Assertion, g *gateway) {
+	h := j.sim
+	for k, kind := range h.settings.Start.Classes {
 		if t.Class != "" && t.Class != kind.Name {
 			continue
 		}
 		open := len(g.open[k])
 		switch {
-		case t.MaxEmptyTable > 0 && g.without[k] > 0 && h.now-g.without[k] > t.MaxEmptyTable:
-			j.fail(i, g, nil, k, "no line for %.2f s", seconds(h.now-g.without[k]))
+		case t.MaxEmptyTable > 0 && g.emptySince[k] > 0 && h.now-g.emptySince[k] > t.MaxEmptyTable:
+			j.fail(i, g, nil, k, "no line for %.2f s", seconds(h.now-g.emptySince[k]))
 		case t.MinEndpoints > 0 && open < t.MinEndpoints:
 			j.fail(i, g, nil, k, "%d nodes", open)
 		case t.MaxEndpoints > 0 && open > t.MaxEndpoints:
 			j.fail(i, g, nil, k, "%d nodes", open)
-		case t.MinZones > 0 && g.halls[k] < t.MinZones:
-			j.fail(i, g, nil, k, "%d halls", g.halls[k])
-		case t.MaxRetryPolicy > 0 && k < len(g.held.Routes) && g.held.Routes[k].RetryPolicy > t.MaxRetryPolicy:
-			j.fail(i, g, nil, k, "second tries by order %d", g.held.Routes[k].RetryPolicy)
+		case t.MinZones > 0 && g.zoneCounts[k] < t.MinZones:
+			j.fail(i, g, nil, k, "%d halls", g.zoneCounts[k])
+		case t.MaxRetryPolicy > 0 && k < len(g.tables.Routes) && g.tables.Routes[k].RetryPolicy > t.MaxRetryPolicy:
+			j.fail(i, g, nil, k, "second tries by order %d", g.tables.Routes[k].RetryPolicy)
 		case t.MaxDrainDelay > 0:
 			for _, l := range g.open[k] {
-				n := h.nodes[l.node]
-				if n.closed > 0 && h.now-max(n.closed, g.joinedAt) > t.MaxDrainDelay {
-					j.fail(i, g, n, k, "still open %.2f s after the list told", seconds(h.now-max(n.closed, g.joinedAt)))
+				n := h.endpoints[l.endpoint]
+				if n.closedSince > 0 && h.now-max(n.closedSince, g.joinedAt) > t.MaxDrainDelay {
+					j.fail(i, g, n, k, "still open %.2f s after the list told", seconds(h.now-max(n.closedSince, g.joinedAt)))
 				}
 			}
 		}
 	}
 }
 
-// loads judges what is offered to nodes, over the span in which a cold one falls over.
-func (j *judge) loads(i int, t Assertion) {
-	h := j.h
-	for _, n := range h.nodes {
-		if !n.up || len(n.window) == 0 {
+// evaluateLoads judges what is offered to nodes, over the span in which a cold one falls over.
+func (j *evaluator) evaluateLoads(i int, t Assertion) {
+	h := j.sim
+	for _, n := range h.endpoints {
+		if !n.running || len(n.offeredWindow) == 0 {
 			continue
 		}
 		offered := 0.0
-		for _, x := range n.window {
+		for _, x := range n.offeredWindow {
 			offered += x
 		}
-		warmth := h.warmth(n)
-		can := mean * warmth * seconds(tick) * float64(len(n.window))
+		warmth := h.capacityFactor(n)
+		can := warmCapacity * warmth * seconds(tick) * float64(len(n.offeredWindow))
 		switch {
 		case t.MaxUtilization > 0 && warmth == 1 && offered > t.MaxUtilization*can:
 			j.fail(i, nil, n, -1, "offered %.2f of what it can do", offered/can)
-		case t.MaxWarmUpLoad > 0 && warmth < 1 && j.knew(n) && offered > t.MaxWarmUpLoad*h.set.Start.Rules.OverloadFactor*can:
-			j.fail(i, nil, n, -1, "offered %.2f of what pushes it over, %.1f s after its start", offered/can/h.set.Start.Rules.OverloadFactor, seconds(h.now-n.launched))
+		case t.MaxWarmUpLoad > 0 && warmth < 1 && j.startWasListed(n) && offered > t.MaxWarmUpLoad*h.settings.Start.Rules.OverloadFactor*can:
+			j.fail(i, nil, n, -1, "offered %.2f of what pushes it over, %.1f s after its start", offered/can/h.settings.Start.Rules.OverloadFactor, seconds(h.now-n.startedAt))
 		}
 	}
 }
 
-// knew tells whether the list has named a node's start for the grace, and what falls over has come since: of what came
+// startWasListed tells whether the list has named a node's start for the grace, and what falls over has come since: of what came
 // before, nobody could have known.
-func (j *judge) knew(n *node) bool {
-	r := j.h.set.Start.Rules
-	return n.started == n.launched && j.h.now-n.named > r.DrainGracePeriod+r.OverloadWindow
+func (j *evaluator) startWasListed(n *endpoint) bool {
+	r := j.sim.settings.Start.Rules
+	return n.listedStart == n.startedAt && j.sim.now-n.listedStartSince > r.DrainGracePeriod+r.OverloadWindow
 }
 
-// sent judges a publication to a gateway.
-func (j *judge) sent(g *gateway) {
-	span := j.h.set.Start.Rules.MessageWindow
+// sentAt judges a publication to a gateway.
+func (j *evaluator) messageSent(g *gateway) {
+	span := j.sim.settings.Start.Rules.MessageWindow
 	n := 0
-	for _, at := range g.sent {
-		if j.h.now-at <= span {
+	for _, at := range g.sentAt {
+		if j.sim.now-at <= span {
 			n++
 		}
 	}
-	for i, t := range j.h.e.Assertions {
-		if t.MaxMessages > 0 && j.counts(t) && n > t.MaxMessages && (t.Zone == "" || t.Zone == g.zone) {
+	for i, t := range j.sim.expectation.Assertions {
+		if t.MaxMessages > 0 && j.applies(t) && n > t.MaxMessages && (t.Zone == "" || t.Zone == g.zone) {
 			j.fail(i, g, nil, -1, "%d messages in %.0f s", n, seconds(span))
 		}
 	}
 }
 
-func (j *judge) served(g *gateway, kind int, came, done float64) {
-	for i, t := range j.h.e.Assertions {
-		if t.MinSuccessRatio > 0 && j.counts(t) && (t.Class == "" || t.Class == j.h.set.Start.Classes[kind].Name) && (t.Zone == "" || t.Zone == g.zone) {
-			j.asked[i], j.done[i] = j.asked[i]+came, j.done[i]+done
+func (j *evaluator) recordServed(g *gateway, kind int, came, done float64) {
+	for i, t := range j.sim.expectation.Assertions {
+		if t.MinSuccessRatio > 0 && j.applies(t) && (t.Class == "" || t.Class == j.sim.settings.Start.Classes[kind].Name) && (t.Zone == "" || t.Zone == g.zone) {
+			j.requests[i], j.successes[i] = j.requests[i]+came, j.successes[i]+done
 		}
 	}
 }
 
-func (j *judge) note(n coordinator.LogEntry) {
+func (j *evaluator) logged(n coordinator.LogEntry) {
 	if n.Event != "service_level" {
 		return
 	}
@@ -203,29 +203,29 @@
 			to, _ = f.Value.(string)
 		}
 	}
-	for i, t := range j.h.e.Assertions {
-		if to != "" && to == t.EnteredLevel+t.AvoidedLevel && j.counts(t) && j.entered[i] == 0 {
-			j.entered[i], j.where[i] = j.at()+1, n.Text
+	for i, t := range j.sim.expectation.Assertions {
+		if to != "" && to == t.EnteredLevel+t.AvoidedLevel && j.applies(t) && j.enteredAt[i] == 0 {
+			j.enteredAt[i], j.enteredText[i] = j.elapsed()+1, n.Text
 		}
 	}
 }
 
-// close judges what is known at the end only.
-func (j *judge) close() (out []Failure) {
-	for i, t := range j.h.e.Assertions {
+// finish judges what is known at the end only.
+func (j *evaluator) finish() (out []Failure) {
+	for i, t := range j.sim.expectation.Assertions {
 		switch {
-		case t.MinSuccessRatio > 0 && j.asked[i] > 0 && j.done[i] < t.MinSuccessRatio*j.asked[i]:
-			j.fail(i, nil, nil, -1, "%.3f served", j.done[i]/j.asked[i])
+		case t.MinSuccessRatio > 0 && j.requests[i] > 0 && j.successes[i] < t.MinSuccessRatio*j.requests[i]:
+			j.fail(i, nil, nil, -1, "%.3f served", j.successes[i]/j.requests[i])
 			if t.Class != "" {
-				j.found[i].Kind = t.Class
+				j.failures[i].Kind = t.Class
 			}
-		case t.EnteredLevel != "" && j.entered[i] == 0:
+		case t.EnteredLevel != "" && j.enteredAt[i] == 0:
 			j.fail(i, nil, nil, -1, "it was not")
-		case t.AvoidedLevel != "" && j.entered[i] > 0:
-			j.fail(i, nil, nil, -1, "%s at %.2f s", j.where[i], seconds(j.entered[i]))
+		case t.AvoidedLevel != "" && j.enteredAt[i] > 0:
+			j.fail(i, nil, nil, -1, "%s at %.2f s", j.enteredText[i], seconds(j.enteredAt[i]))
 		}
-		if j.found[i] != nil {
-			out = append(out, *j.found[i])
+		if j.failures[i] != nil {
+			out = append(out, *j.failures[i])
 		}
 	}
 	return out
@@ -239,9 +239,9 @@
 		smaller = false
 		var next []Case
 		for _, part := range []int{2, 4} {
-			if n := c.Nodes - c.Nodes/part; n < c.Nodes && n >= len(set.Start.Zones) {
+			if n := c.Endpoints - c.Endpoints/part; n < c.Endpoints && n >= len(set.Start.Zones) {
 				one := c
-				one.Nodes = n
+				one.Endpoints = n
 				next = append(next, one)
 			}
 			if n := c.Gateways - c.Gateways/part; n < c.Gateways && n >= 1 {
@@ -250,9 +250,9 @@
 				next = append(next, one)
 			}
 		}
-		for i := range c.Course {
+		for i := range c.Events {
 			one := c
-			one.Course = append(append([]Event(nil), c.Course[:i]...), c.Course[i+1:]...)
+			one.Events = append(append([]Event(nil), c.Events[:i]...), c.Events[i+1:]...)
 			next = append(next, one)
 		}
 		for _, one := range next {
@@ -271,7 +271,7 @@
 			}
 		}
 	}
-	if c.Nodes != begun.Nodes || c.Gateways != begun.Gateways || len(c.Course) != len(begun.Course) {
+	if c.Endpoints != begun.Endpoints || c.Gateways != begun.Gateways || len(c.Events) != len(begun.Events) {
 		f.Small = c.String()
 	}
 	return f
