--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -11,7 +11,7 @@
 )
 
 // Failures met so far, captured by `porthub chaos only:FAULT --seconds 14 --keep DIR` from DIR/fleet-0/state/capture, are
-// replayed to identical decisions. After a change of decisions on purpose they are captured anew, and the commit says
+// replayed to identical decisions. After an intended change of decisions they are captured again, and the commit says
 // which departed and where.
 func TestCapturedCases(t *testing.T) {
 	cases, err := filepath.Glob(filepath.Join("testdata", "cases", "*"))
--- a/capture/doc.go
+++ b/capture/doc.go
@@ -3,6 +3,6 @@
 //
 // A [Writer] appends records to a directory of segments without ever blocking the caller. A [Reader] iterates over such
 // a directory and reports damaged and missing parts. [Replay] runs a capture through the core of this build and compares
-// the orders, and [Explain] says why an endpoint received traffic at a given time. The on-disk format is described in
+// the orders, and [Explain] reports why an endpoint received traffic at a given time. The on-disk format is described in
 // docs/capture-format.md.
 package capture
--- a/capture/encoding.go
+++ b/capture/encoding.go
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// recordHeaderSize is the length of what stands before each record of a block: its length and its CRC-32C, 4 bytes each.
+// recordHeaderSize is the size, in bytes, of the header of each record of a block: its length and its CRC-32C, 4 bytes each.
 const recordHeaderSize = 4 + 4
 
 // blockBody is the uncompressed body of a block.
--- a/capture/errors.go
+++ b/capture/errors.go
@@ -28,7 +28,7 @@
 // Is makes every NewerFormatError an [ErrFormat].
 func (e *NewerFormatError) Is(target error) bool { return target == ErrFormat }
 
-// DamageError says why a block of a segment can't be read.
+// DamageError reports why a block of a segment can't be read.
 type DamageError struct {
 	Problem string
 	// Truncated is a block that extends beyond the end of its segment, as a killed process leaves it.
--- a/capture/explain.go
+++ b/capture/explain.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// Explanation says why an endpoint received traffic at a time, or why not.
+// Explanation is the reason why an endpoint received traffic at a time, or why not.
 type Explanation struct {
 	Endpoint policyapi.EndpointID   `json:"node"`
 	At       policyapi.Microseconds `json:"at_us"`
@@ -37,7 +37,7 @@
 	Text string                 `json:"text"`
 }
 
-// EventKind says what an [Event] is about. Its values are part of the output.
+// EventKind is the subject of an [Event]. Its values are part of the output.
 type EventKind string
 
 // The kinds of events.
@@ -55,7 +55,7 @@
 	NoteEvent       EventKind = "note"      // a log entry
 )
 
-// Explain replays a capture up to a time and says what led to the endpoint's weights as they were then. A time before the
+// Explain replays a capture up to a time and returns what led to the endpoint's weights as they were then. A time before the
 // first step is an [ErrNothingRecorded].
 func Explain(r *Reader, endpoint policyapi.EndpointID, at policyapi.Microseconds) (Explanation, error) {
 	history := newEndpointHistory(endpoint)
--- a/capture/export.go
+++ b/capture/export.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// ExportedRecord is a record as `porthub capture export` prints it. Its fields stand in the order of their keys.
+// ExportedRecord is a record as `porthub capture export` prints it. Its fields are in the order of their keys.
 type ExportedRecord struct {
 	Command   *Command                `json:"command,omitempty"`
 	End       *End                    `json:"end,omitempty"`
--- a/capture/history.go
+++ b/capture/history.go
@@ -19,7 +19,7 @@
 	// Since the last start or gap:
 	weights      map[policyapi.TableID]float64
 	gateways     map[coordinator.Gateway]*gatewayHistory
-	observations map[string]string // what each registry last said, in words
+	observations map[string]string // the last state that each registry reported, as text
 }
 
 // gatewayHistory is what a gateway was sent of the endpoint, and what it reported.
@@ -250,7 +250,7 @@
 	h.add(at, ListEvent, "the endpoint list (version %d): %s in %s%s", version, statusText(endpoint.Status), endpoint.Zone, started)
 }
 
-// observeRegistry notes what a registry says of the endpoint, if that has changed.
+// observeRegistry records the endpoint's state by a registry, if that has changed.
 func (h *endpointHistory) observeRegistry(at instant, update coordinator.RegistryUpdate) {
 	text := "does not name it"
 	for _, observation := range update.Observations {
--- a/capture/reader_test.go
+++ b/capture/reader_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// A segment cut off anywhere, as a killed process leaves it, opens and gives all that stands before the cut.
+// A segment cut off anywhere, as a killed process leaves it, opens and returns all records before the cut.
 func TestTruncatedSegmentKeepsRecordsBeforeTheCut(t *testing.T) {
 	dir := t.TempDir()
 	text := writeBlockPerRecord(t, dir, 2, 60)
@@ -96,7 +96,7 @@
 	}
 }
 
-// A format from the future is told apart from damage, with the build that wrote it.
+// A newer format is distinguished from damage, and the error names the build that wrote it.
 func TestNewerFormatIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -37,7 +37,7 @@
 	Inputs   []string               `json:"inputs"`
 }
 
-// maxInputText is how many bytes of each input a mismatch shows: a list of a whole fleet would hide the rest.
+// maxInputText is how many bytes of each input a mismatch shows: the endpoint list of a large fleet would hide the rest.
 const maxInputText = 400
 
 // SameBuild reports whether all of the capture was written by the build that replayed it.
--- a/client/poller.go
+++ b/client/poller.go
@@ -186,7 +186,7 @@
 	return request
 }
 
-// applyDelta changes the state only if the whole delta is valid.
+// applyDelta applies a delta to the state, or returns an error and leaves the state unchanged if any part of it is invalid.
 func (p *Poller) applyDelta(document coordinator.Document, delta *discoveryv3.DeltaDiscoveryResponse) error {
 	state := &p.documents[document]
 	next := state.snapshot
--- a/client/transport.go
+++ b/client/transport.go
@@ -17,7 +17,7 @@
 	defaultTimeout = 2 * time.Second
 	// maxResponseBytes bounds the largest table several times over.
 	maxResponseBytes = 64 << 20
-	// idleTimeout keeps the connection: its end tells the coordinator that the gateway has left.
+	// idleTimeout keeps the connection: the coordinator takes its end for the gateway's departure.
 	idleTimeout = time.Hour
 )
 
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -7,8 +7,9 @@
 	"porthub/policyapi"
 )
 
-// Clock tells a host the time, in microseconds since 1970.
+// Clock provides the time. Implementations are safe for concurrent use.
 type Clock interface {
+	// Now returns the time in microseconds since 1970.
 	Now() policyapi.Microseconds
 	// After returns a channel on which the time is sent once the duration has passed.
 	After(d policyapi.Microseconds) <-chan time.Time
--- a/config/sections.go
+++ b/config/sections.go
@@ -90,7 +90,7 @@
 type Rules struct {
 	EmptyTableLimit  Duration `json:"empty_for"`     // longest time without an endpoint to pick
 	DrainGracePeriod Duration `json:"drain_grace"`   // after it nothing is sent to a draining endpoint
-	WarmUp           Duration `json:"cold"`          // an endpoint is warm at the latest this long after its start
+	WarmUp           Duration `json:"cold"`          // an endpoint is warmed up at the latest this long after its start
 	InitialCapacity  float64  `json:"cold_from"`     // fraction of its capacity that an endpoint has at its start
 	OverloadFactor   float64  `json:"cold_multiple"` // load over capacity that overloads a warming endpoint ...
 	OverloadWindow   Duration `json:"cold_window"`   // ... if it lasts this long
@@ -117,7 +117,7 @@
 	SamplingLimit     int      `json:"intake"`      // report lines processed each second, the rest is sampled; 0: all
 }
 
-// Gateways says what to expect of gateways.
+// Gateways is what to expect of gateways.
 type Gateways struct {
 	ExpectedCount     int      `json:"expected"`
 	EjectionThreshold int      `json:"shun_after"`   // consecutive failures after which a gateway ejects an endpoint; 0: never
--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -105,7 +105,7 @@
 	return gnet.None
 }
 
-// rejectAndClose answers with an error and closes: what follows on the connection can't be told apart.
+// rejectAndClose answers with an error and closes: the boundaries of later requests on the connection are unknown.
 func (s *server) rejectAndClose(c gnet.Conn, status int, reason string) gnet.Action {
 	s.countRejection(c.RemoteAddr().String(), reason)
 	_, _ = c.Write(http1.EncodeResponse(status, "text/plain", []byte(reason+"\n"), true))
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -15,7 +15,7 @@
 // operation is an operator's request; it runs in the loop that owns the core and returns the answer.
 type operation func(*coordinator.Core) []byte
 
-// requestError is a request that can't be carried out, with the HTTP status that says so.
+// requestError is a request that can't be carried out, with the HTTP status of the response.
 type requestError struct {
 	status int
 	err    error
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -82,7 +82,7 @@
 	})
 }
 
-// polls tells whether a gateway's link is one that polls.
+// polls reports whether a gateway's link is one that polls.
 func (s *server) polls(gateway coordinator.Gateway) bool {
 	link, ok := s.links.Load(gateway)
 	return ok && link.polls
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -38,7 +38,7 @@
 var ErrCoreFailed = errors.New("the core failed")
 
 // Run steps the core until the context ends; it owns the core, and no other goroutine touches it. A panic of the core ends
-// Run with an error that wraps ErrCoreFailed and says where the input stood; gateways go on by their files.
+// Run with an error that wraps ErrCoreFailed and has the input's position; gateways continue with their files.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/daemon/snapshotfile.go
+++ b/daemon/snapshotfile.go
@@ -17,7 +17,7 @@
 	"porthub/xdsfile"
 )
 
-// The files of the state folder, each replaced as a whole: the endpoint list whenever it changes, and a snapshot of the
+// The files of the state folder, each replaced atomically: the endpoint list whenever it changes, and a snapshot of the
 // core's state every second. Package recovery decides what of the snapshot the next start may use.
 const (
 	listName     = "list.json"
--- a/degradation/admission.go
+++ b/degradation/admission.go
@@ -8,7 +8,7 @@
 
 const (
 	// MinShare is the part of a class's own demand that is admitted first where its share allows it: of a class that is
-	// rejected whole the demand could no longer be seen, and its callers retry.
+	// rejected completely the demand is no longer observable, and its callers retry.
 	MinShare = 0.1
 	// shareSteps is the number of steps of AdmittedShare.
 	shareSteps = 20
--- a/degradation/check.go
+++ b/degradation/check.go
@@ -167,5 +167,5 @@
 	}
 }
 
-// isPart reports whether v is a part of a whole; NaN is not.
+// isPart reports whether v is a fraction from 0 to 1; NaN is not.
 func isPart(v float64) bool { return v >= 0 && v <= 1 }
--- a/degradation/controller.go
+++ b/degradation/controller.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// unknownTimeout is how long a trigger of unknown value keeps a level: one that never becomes known must not keep it
-	// for ever.
+	// unknownTimeout is how long a trigger of unknown value prevents leaving a level: one that never becomes known must
+	// not do so for ever.
 	unknownTimeout = 60 * second
 	// reentryFactor is the multiple of a level's leave delay within which entering it again doubles the delay.
 	reentryFactor = 10
--- a/degradation/override.go
+++ b/degradation/override.go
@@ -40,7 +40,7 @@
 	ErrUnknownOverride = errors.New("no such override")
 )
 
-// SetOverride sets an override and returns it with its ID, and with its level if it holds the current one. It replaces an
+// SetOverride sets an override and returns it with its ID, and with its level if it holds the current level. It replaces an
 // override with the same action of the same scope. It returns ErrReasonRequired, ErrInvalidEnd, ErrUnknownZone or
 // ErrUnknownLevel if the override is invalid.
 func (c *Controller) SetOverride(now policyapi.Microseconds, o Override) (Override, error) {
--- a/degradation/status.go
+++ b/degradation/status.go
@@ -14,7 +14,7 @@
 	Since          policyapi.Microseconds `json:"since_us"`
 	Reason         string                 `json:"why"`
 	AutomaticLevel int                    `json:"by_itself"` // without overrides
-	EndConditions  []string               `json:"ends"`      // what keeps the level, and until when
+	EndConditions  []string               `json:"ends"`      // what prevents leaving the level, and until when
 	Signals        []Signal               `json:"figures"`
 }
 
@@ -60,7 +60,7 @@
 	return signals
 }
 
-// endConditions describes what keeps a scope's level: its triggers, its leave delay, and overrides.
+// endConditions describes what prevents a scope from leaving its level: its triggers, its leave delay, and overrides.
 func (c *Controller) endConditions(now policyapi.Microseconds, zone policyapi.Zone, s *scope) (conditions []string) {
 	if s.level > 0 {
 		conditions = triggerConditions(c.settings.Levels[s.level-1], s.signals)
--- a/degradation/table.go
+++ b/degradation/table.go
@@ -22,7 +22,7 @@
 	WarmingUp bool
 }
 
-// warm reports whether the endpoint is open and warmed up.
+// warm reports whether the endpoint is open and warmed up, so that its weight is a share of ordinary traffic.
 func (e TableEndpoint) warm() bool { return e.Open && !e.WarmingUp }
 
 // LimitCrossZone returns a table with CrossZoneFactor applied to the endpoints of other zones. The part of endpoints that
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -15,8 +15,7 @@
 	Body int
 }
 
-// Error is a request that can't be parsed, with the status to respond with. Requests after it on the connection can't be told apart any
-// more.
+// Error is a request that can't be parsed, with the status to respond with. The boundaries of later requests on the connection are unknown.
 type Error struct {
 	Code   int    // HTTP status
 	Reason string // for the response's body
--- a/loadreport/estimate.go
+++ b/loadreport/estimate.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// errorSigmas makes stated errors those that hold in 19 of 20 cases.
+	// errorSigmas is the number of standard deviations in a stated error: two cover 19 of 20 cases.
 	errorSigmas = 2.0
 	// driftPerPeriod is the part of a figure by which it may have changed in a period without reports.
 	driftPerPeriod = 0.1
@@ -17,7 +17,8 @@
 	minDriftingQueue       = 1
 )
 
-// Estimate is what one round tells of an endpoint, with errors that hold in 19 of 20 cases.
+// Estimate is the load of an endpoint by the reports of one round. Its error fields are half-widths of intervals that contain
+// the true value in 19 of 20 cases.
 type Estimate struct {
 	Attempts         float64                `json:"tries_per_s"` // per second
 	AttemptsError    float64                `json:"tries_error"`
@@ -117,7 +118,7 @@
 }
 
 // missingVariance returns the variance of an endpoint's attempts by which the gateways that did not report may differ from
-// those that did. A gateway that reported twice, since its last report was late, counts twice but tells little more.
+// those that did. A gateway that reported twice, since its last report was late, counts twice but adds little information.
 func (s *Sampler) missingVariance(e *endpointRound, gateways, reports float64) float64 {
 	mean := e.attempts / reports
 	return gateways * gateways * max(0, s.round.squaredReports/(reports*reports)-1/max(1, gateways)) * max(0, e.squaredAttempts/reports-mean*mean)
--- a/loadreport/sampler.go
+++ b/loadreport/sampler.go
@@ -27,7 +27,7 @@
 
 // SamplingDecision is what becomes of the lines of one report.
 type SamplingDecision struct {
-	// IncludeRoutine says that routine lines are taken; each counts for Weight of them.
+	// IncludeRoutine reports whether routine lines are taken; each counts for Weight of them.
 	IncludeRoutine bool
 	Weight         float64
 	// TrustedFraction is the part of the report's counts that is trusted: below 1 for a gateway that suddenly reports
--- a/loadreport/sampler_test.go
+++ b/loadreport/sampler_test.go
@@ -11,7 +11,7 @@
 
 const second policyapi.Microseconds = 1_000_000
 
-// fleet has gateways that each send requests to some endpoints; the numbers of attempts are drawn anew each round.
+// fleet has gateways that each send requests to some endpoints; the numbers of attempts are drawn again each round.
 type fleet struct {
 	rng          *rand.Rand
 	names        []string
@@ -31,7 +31,7 @@
 	return f
 }
 
-// round reports once for each gateway and returns the attempts that each endpoint really had, and the number of lines taken.
+// round reports once for each gateway. It returns the attempts that each endpoint really had and the number of lines taken.
 func (f *fleet) round(sampler *Sampler, now policyapi.Microseconds, linesPerReport int, failureRate func(g, index int) float64) (truth map[policyapi.EndpointID]float64, taken int) {
 	truth = map[policyapi.EndpointID]float64{}
 	for g, name := range f.names {
--- a/mailbox/mailbox.go
+++ b/mailbox/mailbox.go
@@ -17,7 +17,7 @@
 	urgent, normal *xsync.MPMCQueue[T]
 	normalLen      atomic.Int64
 	ownerWaits     atomic.Bool   // the owner waits for wakeUp, or is about to
-	wakeUp         chan struct{} // has a place for one signal
+	wakeUp         chan struct{} // buffers one signal
 	closed         atomic.Bool
 	stamp          func(T) T // nil: events go in as they are
 }
@@ -46,7 +46,7 @@
 	return e
 }
 
-// TryPut puts an event into the normal lane and reports whether there was room.
+// TryPut puts an event into the normal lane without waiting. It reports false if the lane is full.
 func (m *Mailbox[T]) TryPut(e T) bool {
 	if !m.normal.TryEnqueue(m.stamped(e)) {
 		return false
@@ -56,7 +56,7 @@
 	return true
 }
 
-// TryPutUrgent puts an event into the urgent lane and reports whether there was room.
+// TryPutUrgent puts an event into the urgent lane without waiting. It reports false if the lane is full.
 func (m *Mailbox[T]) TryPutUrgent(e T) bool {
 	if !m.urgent.TryEnqueue(m.stamped(e)) {
 		return false
--- a/registry/eureka/cache.go
+++ b/registry/eureka/cache.go
@@ -20,7 +20,7 @@
 	complete  bool                // deltas may be applied
 }
 
-// changedAt is when an instance last changed as far as the registry says, in milliseconds.
+// changedAt is when an instance last changed as the registry reports it, in milliseconds since 1970.
 func (i Instance) changedAt() int64 {
 	return max(i.DirtyAt, i.UpdatedAt, i.RegisteredAt, i.ServiceUpAt)
 }
@@ -94,7 +94,7 @@
 	next[key] = instance
 }
 
-// recordRemovals remembers the instances of an earlier state that are gone.
+// recordRemovals records the instances of an earlier state that have been removed.
 func (c *Cache) recordRemovals(before map[string]Instance) {
 	for key, instance := range before {
 		if _, ok := c.instances[key]; !ok {
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// checkHash finds a snapshot of the whole registry that lacks instances.
+// checkHash detects a snapshot of the complete registry that lacks instances.
 func (c *Client) checkHash(snapshot Applications) error {
 	if snapshot.Hash == "" || c.options.VIP != "" || c.options.App != "" {
 		return nil
--- a/registry/eureka/eureka_test.go
+++ b/registry/eureka/eureka_test.go
@@ -276,7 +276,7 @@
 }
 
 // The hash covers only the counts of statuses: a stale delta that brings a removed instance back as it was has the right
-// hash once another was added. It must not be applied: a restarted endpoint would count as warm.
+// hash once another was added. It must not be applied: a restarted endpoint would count as warmed up.
 func TestStaleDeltaRestoresNoInstance(t *testing.T) {
 	inst := func(id string, dirty int64, action string) eureka.Instance {
 		return eureka.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: 1, Status: "UP", DirtyAt: dirty, ServiceUpAt: dirty, Action: action}
--- a/registry/eureka/registration.go
+++ b/registry/eureka/registration.go
@@ -29,7 +29,7 @@
 	registered bool
 }
 
-// register keeps the coordinator's own entry until the context ends: it registers, renews, registers again when the
+// register maintains the coordinator's own registration until the context ends: it registers, renews, registers again when the
 // registry has lost the entry, and removes it at the end.
 func (c *Client) register(ctx context.Context) {
 	registration := c.options.Registration
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -15,7 +15,7 @@
 	Words int
 }
 
-// Error is a message that can't be parsed. Messages after it on the connection can't be told apart any more.
+// Error is a message that can't be parsed. The boundaries of later messages on the connection are unknown.
 type Error struct{ Reason string }
 
 func (e *Error) Error() string { return e.Reason }
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -37,7 +37,7 @@
 	s.sum += value
 }
 
-// halve makes room for newer values, so that older ones fade.
+// halve halves the weight of the values so far, so that older ones fade.
 func (s *weightedSum) halve() {
 	s.weight /= 2
 	s.sum /= 2
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -21,7 +21,7 @@
 	// maxFailurePart bounds the part of failures in the odds.
 	maxFailurePart = 0.99
 	// firstBackoff is the time in microseconds until the first trial; it doubles up to maxBackoff, and after a time of
-	// maxBackoff without an ejection it starts anew.
+	// maxBackoff without an ejection it is reset.
 	firstBackoff policyapi.Microseconds = 4_000_000
 	maxBackoff   policyapi.Microseconds = 32_000_000
 	// trialAttempts is the number of attempts in a trial, maxTrialFailures the part of them that may fail.
@@ -131,7 +131,7 @@
 	}
 }
 
-// forgetUnlisted drops the endpoints that are not ready: what comes back at an address is evaluated anew.
+// forgetUnlisted drops the endpoints that are not ready: an endpoint that comes back at an address is evaluated from the start.
 func (h *ClassHealth) forgetUnlisted(ready []policyapi.EndpointID) {
 	listed := map[policyapi.EndpointID]bool{}
 	for _, endpoint := range ready {
--- a/solver/doc.go
+++ b/solver/doc.go
@@ -4,7 +4,7 @@
 // is passed in.
 //
 // Solve is given the weights that the decision module wants. Where they keep every limit they are returned unchanged.
-// Otherwise the solution is the nearest one that keeps the limits, by relative entropy: a weight is multiplied by
+// Otherwise the solution is the nearest one within the limits, by relative entropy: a weight is multiplied by
 // exp(-β·cost·price of its endpoint), and what even that can't place is rejected, the lowest priority first.
 // docs/solver.md has the mathematics.
 //
--- a/solver/fleet.go
+++ b/solver/fleet.go
@@ -8,7 +8,7 @@
 
 const (
 	// unlimitedCapacity is the capacity from which on a stated one makes no sense, and the one assumed in a fleet of
-	// which no capacity is known: nobody can say that it is overloaded.
+	// which no capacity is known: whether it is overloaded can't be determined.
 	unlimitedCapacity = 1e9
 	// maxCapacityRatio is the largest multiple of the median capacity that makes sense.
 	maxCapacityRatio = 1000
@@ -26,7 +26,7 @@
 	Limit float64 `json:"limit,omitempty"`
 	// Cost is the work of a request of each class; without it each is 1.
 	Cost []float64 `json:"cost,omitempty"`
-	// Failing says which classes it fails; without it none.
+	// Failing reports by class whether it fails that class's requests; nil: none.
 	Failing []bool `json:"failing,omitempty"`
 	Closed  bool   `json:"closed,omitempty"` // draining or removed: it must get nothing
 }
--- a/solver/fleets/cases.go
+++ b/solver/fleets/cases.go
@@ -39,7 +39,7 @@
 // Drawn is a random fleet.
 type Drawn struct {
 	solver.Fleet
-	// Fits says that the demand was made from a placement that keeps every limit, so that all of it can be placed.
+	// Fits reports that the demand was generated from a placement within every limit, so that all of it can be placed.
 	Fits bool
 	// Case is what is hard about the fleet, one of Cases.
 	Case string
--- a/solver/fleets/scale.go
+++ b/solver/fleets/scale.go
@@ -15,7 +15,7 @@
 	Consumers   int     `json:"users"`
 	Classes     int     `json:"kinds"`
 	Utilization float64 `json:"use"` // demand over what fits
-	// A cold start, and a warm start after one endpoint was lost.
+	// Without the prices of an earlier solution, and with them after one endpoint was removed.
 	ColdMilliseconds float64 `json:"cold_ms"`
 	ColdSteps        int     `json:"cold_steps"`
 	WarmMilliseconds float64 `json:"warm_ms"`
--- a/solver/overshoot.go
+++ b/solver/overshoot.go
@@ -3,7 +3,7 @@
 import "slices"
 
 const (
-	// minPlanned is the planned rate, in requests per second, below which an endpoint's count says little.
+	// minPlanned is the planned rate, in requests per second, below which an endpoint's count is too noisy to use.
 	minPlanned = 2.0
 	// maxOvershoot bounds the factor.
 	maxOvershoot = 3.0
--- a/solver/place.go
+++ b/solver/place.go
@@ -84,7 +84,7 @@
 }
 
 // trim returns the placements of at least minShare of the total, in the order of endpoints, scaled to the total. If most
-// of the total is in smaller ones, the largest stand for all.
+// of the total is in smaller ones, the 1/minShare largest are returned instead.
 func trim(rates *rateMap, total float64) (placements []placement) {
 	slices.Sort(rates.used)
 	sum := 0.0
--- a/solver/solution.go
+++ b/solver/solution.go
@@ -4,7 +4,7 @@
 
 // Solution is the result of Solve.
 type Solution struct {
-	// Untouched says that the weights wanted keep every limit and are returned unchanged.
+	// Untouched reports that the wanted weights are within every limit and are returned unchanged.
 	Untouched bool `json:"untouched"`
 	// Weights by consumer and class; each table sums to 1 unless nothing of the class can be served.
 	Weights [][][]Share `json:"weights"`
--- a/solver/tables.go
+++ b/solver/tables.go
@@ -49,7 +49,7 @@
 }
 
 // tableChanges returns the tables that should change and the number of all tables. It drops those of consumers that are
-// gone, or have no demand or no open endpoint: these are as wanted.
+// removed, or have no demand or no open endpoint: these are as wanted.
 func (a *Activation) tableChanges(f Fleet, solution Solution) (changes []tableChange, total int) {
 	solved := map[TableKey]bool{}
 	for i := range f.Consumers {
--- a/xds/names.go
+++ b/xds/names.go
@@ -28,7 +28,7 @@
 // RouteConfigurationName is the name of the RouteConfiguration in a full document.
 const RouteConfigurationName = "request-kinds"
 
-// FallbackMetadata is the key of a route's metadata that holds what applies while no coordinator is reached.
+// FallbackMetadata is the key of a route's metadata that has the settings which apply while no coordinator is reached.
 const FallbackMetadata = "porthub.fallback"
 
 // Keys of a node's metadata, and names of load metrics and drop categories in a report.
--- a/xds/node.go
+++ b/xds/node.go
@@ -15,7 +15,7 @@
 	"porthub/routing"
 )
 
-// Bounds of what a node may say of itself.
+// Bounds on the fields of a node that a gateway sends.
 const (
 	maxNodeName     = 200       // bytes: the name becomes that of a directory
 	maxReportNumber = 1 << 53   // JSON numbers are exact below it
--- a/xdspoll/bench_test.go
+++ b/xdspoll/bench_test.go
@@ -16,7 +16,7 @@
 	"porthub/xds"
 )
 
-// large is a gateway's snapshot: three kinds with so many lines each.
+// large is a gateway's snapshot: three classes with so many endpoints each.
 func large(lines, version int) routing.Snapshot {
 	var s routing.Snapshot
 	for k := range 3 {
@@ -34,8 +34,8 @@
 	return s
 }
 
-// BenchmarkChange is what a change of one line costs a gateway, whole or as a delta: bytes of the text and the time to
-// read and apply it, for which a plain gateway stands still.
+// BenchmarkChange is what a change of one weight costs a gateway, as a complete document or as a delta: bytes of the text and the time to
+// read and apply it, for which a single-threaded gateway pauses.
 func BenchmarkChange(b *testing.B) {
 	for _, lines := range []int{18, 100, 400} {
 		from, to := large(lines, 1), large(lines, 2)
--- a/xdspoll/gateway.go
+++ b/xdspoll/gateway.go
@@ -37,7 +37,7 @@
 	return &gatewayState{byNonce: map[string]base{}, waiters: map[*waiter]bool{}}
 }
 
-// publish records a publication and keeps so many before it as bases.
+// publish records a publication and retains up to deltaBases earlier ones as bases of deltas.
 func (g *gatewayState) publish(p coordinator.Publish, deltaBases int) {
 	g.count++
 	for document, changed := range p.Changed {
--- a/xdspoll/request.go
+++ b/xdspoll/request.go
@@ -10,7 +10,7 @@
 	"porthub/xds"
 )
 
-// ErrUnknownBase says that a delta can't be built: the publication that the poll's nonce names is not known, or no longer,
+// ErrUnknownBase is returned if a delta can't be built: the publication that the poll's nonce names is not known, or no longer,
 // and the poll has no resource versions.
 var ErrUnknownBase = errors.New("what the nonce names is not known here: state initial_resource_versions")
 
