--- a/capture/encoding.go
+++ b/capture/encoding.go
@@ -132,7 +132,7 @@
 		}
 		value, ok := decoded.Elem().Interface().(T)
 		if !ok {
-			return nil, fmt.Errorf("%w: %s stands in the wrong place", ErrFormat, tagged.Name)
+			return nil, fmt.Errorf("%w: %s is not valid at this place", ErrFormat, tagged.Name)
 		}
 		out = append(out, value)
 	}
--- a/capture/pinned_test.go
+++ b/capture/pinned_test.go
@@ -98,7 +98,7 @@
 	}
 	for of, name := range recordNames {
 		if !shown[of] {
-			t.Errorf("%s (%s) stands in no golden record", name, of)
+			t.Errorf("%s (%s) is in no golden record", name, of)
 		}
 	}
 }
--- a/chaos/poll_watch.go
+++ b/chaos/poll_watch.go
@@ -19,8 +19,8 @@
 	disconnects int
 }
 
-// errNobodyWoken is a drain that no gateway was sent.
-var errNobodyWoken = errors.New("nobody was told of the drain")
+// errNoPollAnswered is returned if a drain reached no gateway.
+var errNoPollAnswered = errors.New("no poll was answered with the drain")
 
 // noteDisconnect notes why a connection ended.
 func (w *pollWatch) noteDisconnect(err error) {
@@ -84,7 +84,7 @@
 	times := slices.Sorted(maps.Values(w.wakes))
 	result.Woken = len(times)
 	if len(times) == 0 {
-		return errors.Join(errNobodyWoken, w.err)
+		return errors.Join(errNoPollAnswered, w.err)
 	}
 	result.Wake = Latency{P50: milliseconds(times[len(times)/2]), P99: milliseconds(times[len(times)*99/100])}
 	result.MaxWake = milliseconds(times[len(times)-1])
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -32,7 +32,7 @@
 func TestParseReportsEveryFinding(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"unknown key":     {`"zones"`, `"zonen": 1, "zones"`, "x:3: zonen: is not known, did you mean zones?"},
-		"key twice":       {`"zones": ["a", "b"],`, `"zones": ["a"], "zones": ["a", "b"],`, "x:3: zones: stands twice"},
+		"key twice":       {`"zones": ["a", "b"],`, `"zones": ["a"], "zones": ["a", "b"],`, "x:3: zones: appears twice"},
 		"wrong type":      {`"payoff": 1`, `"payoff": "1"`, `x:5: request_kinds[0].payoff: is "1", it must be a number`},
 		"no unit":         {`"750ms"`, `750`, "x:5: request_kinds[0].response_target: is 750, it must be a time with its unit"},
 		"wrong unit":      {`"2.5s"`, `"2.5 parsecs"`, `client_timeout: is "2.5 parsecs"`},
--- a/config/decode.go
+++ b/config/decode.go
@@ -130,7 +130,7 @@
 		case !ok:
 			d.report(line, join(key, name), "is not known", "did you mean "+nearest(name, names)+"?")
 		case seen[name]:
-			d.report(line, join(key, name), "stands twice", "leave one of them out")
+			d.report(line, join(key, name), "appears twice", "leave one of them out")
 		default:
 			d.value(join(key, name), member.Value, into.Field(field))
 		}
--- a/config/validate.go
+++ b/config/validate.go
@@ -79,14 +79,14 @@
 	v.require(len(zones) > 0, "zones", "is empty", "name at least one zone")
 	for i, zone := range zones {
 		v.require(!slices.Contains(zones[:i], zone), fmt.Sprintf("zones[%d]", i),
-			fmt.Sprintf("%q stands twice", zone), "name each zone once")
+			fmt.Sprintf("%q appears twice", zone), "name each zone once")
 	}
 }
 
 func (v validator) coordinator() {
 	c := v.cfg.Coordinator
 	v.oneOf("coordinator.zone", c.Zone, v.cfg.Zones, fmt.Sprintf("%q is not one of zones", c.Zone),
-		"name the zone that this coordinator stands in")
+		"name the zone of this coordinator")
 	v.require(c.Index >= 0 && c.Index < max(1, c.Instances), "coordinator.index",
 		fmt.Sprintf("is %d of %d", c.Index, c.Instances), "it counts from 0 and stays under instances")
 }
@@ -98,7 +98,7 @@
 	for i, class := range classes {
 		key := fmt.Sprintf("request_kinds[%d].", i)
 		v.require(class.Name != "" && !names[class.Name], key+"name",
-			fmt.Sprintf("%q is empty or stands twice", class.Name), "name each kind once")
+			fmt.Sprintf("%q is empty or appears twice", class.Name), "name each kind once")
 		names[class.Name] = true
 		v.class(key, class)
 	}
--- a/config/validate_degradation.go
+++ b/config/validate_degradation.go
@@ -32,7 +32,7 @@
 	seen := map[string]bool{}
 	for j, bounds := range level.Classes {
 		key := fmt.Sprintf("service.levels[%d].kinds[%d].name", index, j)
-		problem := fmt.Sprintf("%q is no request kind or stands twice", bounds.Name)
+		problem := fmt.Sprintf("%q is no request kind or appears twice", bounds.Name)
 		if seen[bounds.Name] {
 			v.require(false, key, problem, "name each of request_kinds once at most")
 		} else {
--- a/config/validate_registry.go
+++ b/config/validate_registry.go
@@ -29,8 +29,8 @@
 		v.require(isBaseURL(address), fmt.Sprintf("%saddresses[%d]", prefix, j), fmt.Sprintf("%q is no base URL", address),
 			"such as http://127.0.0.1:8761/eureka, without a slash at its end")
 	}
-	v.require(registry.App == "" || registry.VIP == "", prefix+"vip", "stands beside app", "name one of them")
-	v.require(!registry.Deltas || registry.App == "" && registry.VIP == "", prefix+"deltas", "stands beside app or vip",
+	v.require(registry.App == "" || registry.VIP == "", prefix+"vip", "is set together with app", "name one of them")
+	v.require(!registry.Deltas || registry.App == "" && registry.VIP == "", prefix+"deltas", "is set together with app or vip",
 		"there are deltas of all applications only")
 	v.require(registry.Zone == "" || slices.Contains(v.cfg.Zones, registry.Zone), prefix+"zone",
 		fmt.Sprintf("%q is not one of zones", registry.Zone), "name one of them")
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -138,7 +138,7 @@
 	})
 }
 
-// serveDelta takes a poll for endpoints line by line, or for routes one by one.
+// serveDelta handles a poll for changes of single endpoints or routes.
 func (x *exchange) serveDelta(document coordinator.Document, typeURL string) {
 	m := &discoveryv3.DeltaDiscoveryRequest{}
 	var node xds.Node
@@ -147,7 +147,7 @@
 		node, err = xds.ParseNode(m.Node)
 	}
 	if err == nil && m.TypeUrl != typeURL {
-		err = fmt.Errorf("%w: type_url %q: %s is told here", xds.ErrInvalidMessage, m.TypeUrl, typeURL)
+		err = fmt.Errorf("%w: type_url %q: this path takes %s", xds.ErrInvalidMessage, m.TypeUrl, typeURL)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -30,7 +30,7 @@
 	}
 	link, ok := s.claimLink(name, p)
 	if !ok {
-		x.fail(http.StatusConflict, fmt.Sprintf("%s has a link by the other front: one name, one gateway", name))
+		x.fail(http.StatusConflict, fmt.Sprintf("%s is already connected by the other way of delivery: give each gateway a name of its own", name))
 		return
 	}
 	var inputs []coordinator.Input
--- a/degradation/check.go
+++ b/degradation/check.go
@@ -55,7 +55,7 @@
 	names := map[string]bool{"": true, NormalLevel: true}
 	for i, l := range s.Levels {
 		if names[l.Name] {
-			found.add(i, "name", fmt.Sprintf("%q is empty, %q or stands twice", l.Name, NormalLevel), "give each level a name of its own")
+			found.add(i, "name", fmt.Sprintf("%q is empty, %q or appears twice", l.Name, NormalLevel), "give each level a name of its own")
 		}
 		names[l.Name] = true
 		s.checkTriggers(i, &found)
@@ -76,7 +76,7 @@
 			triggers++
 			s.checkTrigger(i, t, found)
 		case leave > 0:
-			found.add(i, "leave."+t.String(), "stands without enter."+t.String(), "give both or none")
+			found.add(i, "leave."+t.String(), "is set without enter."+t.String(), "give both or none")
 		}
 	}
 	if triggers == 0 {
@@ -163,7 +163,7 @@
 		sum += share
 	}
 	if sum < 1 {
-		found.add(i, "kinds", fmt.Sprintf("shares add up to %.2f: part of what can be served would be turned away", sum), "1 or more")
+		found.add(i, "kinds", fmt.Sprintf("shares add up to %.2f: part of what can be served would be rejected", sum), "1 or more")
 	}
 }
 
--- a/degradation/check_test.go
+++ b/degradation/check_test.go
@@ -16,9 +16,9 @@
 			s.Levels[0].Enter, s.Levels[0].Leave = [TriggerCount]float64{}, [TriggerCount]float64{}
 		},
 		"under two reports":     func(s *Settings) { s.Levels[1].Bounds.ReportIntervalFactor = 8 },
-		"turned away":           func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
-		"stands twice":          func(s *Settings) { s.Levels[1].Name = "tight" },
-		"stands without enter.": func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
+		"would be rejected":     func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
+		"appears twice":         func(s *Settings) { s.Levels[1].Name = "tight" },
+		"is set without enter.": func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
 		"0 to 3":                func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []int{4, 0} },
 		"of 2 request kinds":    func(s *Settings) { s.Levels[0].Bounds.Share = nil },
 		"or 0 for no bound":     func(s *Settings) { s.Levels[0].Bounds.MaxEndpoints = 1 },
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -23,7 +23,7 @@
 	longPollTimeout  = 5 * time.Second
 )
 
-var errIsolated = errors.New("no way to the coordinator")
+var errIsolated = errors.New("the coordinator is unreachable (injected fault)")
 
 // follow keeps the link to the coordinator, and reads files if the gateway does not poll. It ends with the process.
 func (g *Gateway) follow(ctx context.Context) {
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -210,7 +210,7 @@
 		return nil
 	}
 	if hash := StatusHash(snapshot.Instances); hash != snapshot.Hash {
-		return fmt.Errorf("%w: the whole has hash %s, its instances %s: half of an answer?", ErrInvalidResponse, snapshot.Hash, hash)
+		return fmt.Errorf("%w: the snapshot has hash %s, its instances %s: the response is incomplete", ErrInvalidResponse, snapshot.Hash, hash)
 	}
 	return nil
 }
--- a/registry/eureka/response.go
+++ b/registry/eureka/response.go
@@ -88,7 +88,7 @@
 	case outer.One != nil:
 		return applications{Apps: oneOrMany[application]{*outer.One}}, nil
 	default:
-		return applications{}, errors.New("neither applications nor application stand in it")
+		return applications{}, errors.New("it has neither applications nor application")
 	}
 }
 
--- a/xds/parse_report.go
+++ b/xds/parse_report.go
@@ -114,7 +114,7 @@
 	mean := metric.TotalMetricValue / samples
 	if metric.MetricName == metricLatency {
 		if !(mean >= 0 && mean < maxMeanLatencyMS) { // also for NaN
-			return fmt.Errorf("%w: %s: a mean answer of %v ms", ErrInvalidMessage, r.Address, mean)
+			return fmt.Errorf("%w: %s: a mean latency of %v ms", ErrInvalidMessage, r.Address, mean)
 		}
 		r.MeanLatency = time.Duration(mean * float64(time.Millisecond))
 		return nil
--- a/xdspoll/request.go
+++ b/xdspoll/request.go
@@ -12,7 +12,7 @@
 
 // ErrUnknownBase is returned if a delta can't be built: the publication that the poll's nonce names is not known, or no longer,
 // and the poll has no resource versions.
-var ErrUnknownBase = errors.New("what the nonce names is not known here: state initial_resource_versions")
+var ErrUnknownBase = errors.New("unknown response_nonce: send initial_resource_versions")
 
 // Request is one poll.
 type Request struct {
