--- a/capture/doc.go
+++ b/capture/doc.go
@@ -5,4 +5,7 @@
 // a directory and reports damaged and missing parts. [Replay] runs a capture through the core of this build and compares
 // the orders, and [Explain] reports why an endpoint received traffic at a given time. The on-disk format is described in
 // docs/capture-format.md.
+//
+// A Writer has a goroutine of its own, which ends with Close, and is safe for concurrent use. A Reader is for one goroutine.
+// A damaged block is a [DamageError]; a record that this build can't decode is an error that wraps [ErrFormat].
 package capture
--- a/client/doc.go
+++ b/client/doc.go
@@ -17,4 +17,7 @@
 //	})
 //
 // If the Link breaks, the gateway goes on with the tables that it has.
+//
+// A Link is safe for concurrent use. A Reader, a Tables and each document of a Poller belong to one goroutine. A request that the
+// coordinator rejects is a [RejectedError], which errors.Is matches with [ErrRejected].
 package client
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,4 +1,3 @@
-// Package clock provides the time to running coordinators, and lets tests set it.
 package clock
 
 import (
--- a/degradation/doc.go
+++ b/degradation/doc.go
@@ -8,4 +8,7 @@
 // that the level is soon entered again. Operators can force, forbid and hold levels for a limited time by overrides.
 //
 // The package is pure: times and signals are passed in. docs/levels.md gives the reasons for the rules.
+//
+// A reader starts with [Controller.Step]; [Settings.Check] has what valid settings must satisfy, [DivideAdmission] divides the
+// admitted work. A Controller is not safe for concurrent use. Times are microseconds.
 package degradation
--- a/healthcheck/checker.go
+++ b/healthcheck/checker.go
@@ -1,4 +1,3 @@
-// Package healthcheck checks endpoints by an HTTP GET each.
 package healthcheck
 
 import (
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -1,5 +1,3 @@
-// Package http1 parses HTTP/1.1 requests at the front of a buffer, within limits, and encodes responses. It keeps no state: the same bytes
-// give the same requests however they were split on the way.
 package http1
 
 import (
--- a/httpclient/transport.go
+++ b/httpclient/transport.go
@@ -1,4 +1,3 @@
-// Package httpclient provides the HTTP transport for outgoing calls where descriptors are scarce.
 package httpclient
 
 import (
--- a/mailbox/mailbox.go
+++ b/mailbox/mailbox.go
@@ -1,5 +1,3 @@
-// Package mailbox provides the input queue of a goroutine that owns some state (an actor): two bounded lock-free lanes, one of them
-// urgent.
 package mailbox
 
 import (
--- a/registry/file/doc.go
+++ b/registry/file/doc.go
@@ -6,4 +6,7 @@
 //
 // The label zone is required. Optional are weight (1), machine, pod (0), status (ready; or draining) and launched
 // (unknown), which is a time of RFC 3339 or microseconds since 1970. Other labels are ignored.
+//
+// [Parse] and [Load] read a list once; an invalid one is an error that wraps [ErrInvalidList]. A [Source] follows a file: it runs
+// in the caller's goroutine until the context ends, and delivers each changed list, or error, by a callback.
 package file
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -1,6 +1,3 @@
-// Package resp parses and encodes RESP2 arrays of bulk strings, within limits. It keeps no state: the same bytes give the same messages
-// however they were split on the way. No other part of RESP2 is used on the platform: no inline commands, no nested arrays, no other
-// types.
 package resp
 
 import (
--- a/solver/doc.go
+++ b/solver/doc.go
@@ -11,4 +11,7 @@
 // ClassHealth decides which endpoint fails which request class, CapacityEstimator and OvershootEstimator learn what
 // endpoints can do and how much comes beyond the plan, and Activation decides when a solution replaces the module's
 // weights, so that it neither oscillates nor moves everything at once.
+//
+// A reader starts with [Solve]. [Fleet] is its input and must pass [Fleet.Check]. Solve may be called concurrently for different
+// fleets; the types that learn are not safe for concurrent use.
 package solver
--- a/xds/doc.go
+++ b/xds/doc.go
@@ -9,4 +9,6 @@
 //   - Acknowledgements are DiscoveryRequest messages, load reports are LoadStatsRequest messages.
 //
 // The package is pure: it opens no sockets and starts no goroutines.
+//
+// A message that breaks the protocol is an error that wraps [ErrInvalidMessage] and names the field.
 package xds
--- a/xdsfile/doc.go
+++ b/xdsfile/doc.go
@@ -6,4 +6,7 @@
 //
 // Endpoints are written before routes. Whoever opens a file reads one complete document whatever happens to the writer:
 // the text is written to a hidden file in the same directory and renamed over the old one.
+//
+// A [Publisher] queues publications and writes them with a fixed number of goroutines, which Close ends. It is safe for
+// concurrent use, Publish never waits for the disk, and a document that could not be written is written again later.
 package xdsfile
