--- a/degradation/controller_test.go
+++ b/degradation/controller_test.go
@@ -2,26 +2,17 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
-	"os"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"porthub/policyapi"
+	"porthub/testutil"
 )
 
 // TestMain fixes the draws of property tests.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": "400", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
 
 // testLevel returns a level by load; options add to it.
 func testLevel(name string, enter, leave float64, enterDelay, leaveDelay policyapi.Microseconds, options ...func(*Level)) Level {
--- a/solver/solve_test.go
+++ b/solver/solve_test.go
@@ -1,10 +1,8 @@
 package solver_test
 
 import (
-	"flag"
 	"fmt"
 	"math"
-	"os"
 	"reflect"
 	"testing"
 
@@ -12,18 +10,11 @@
 
 	"porthub/solver"
 	"porthub/solver/fleets"
+	"porthub/testutil"
 )
 
 // TestMain fixes the draws of property tests.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": "400", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
 
 // On random fleets of all hard cases no endpoint is offered more than its limit, what fits is placed, and the placed
 // priority is near the exact optimum.
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"errors"
-	"flag"
 	"fmt"
-	"os"
 	"slices"
 	"sync"
 	"testing"
@@ -16,19 +14,12 @@
 	"porthub/coordinator"
 	"porthub/policyapi"
 	"porthub/routing"
+	"porthub/testutil"
 	"porthub/xds"
 )
 
-// TestMain gives drawn courses the same draws in each run.
-func TestMain(m *testing.M) {
-	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": "300", "rapid.nofailfile": "true"} {
-		if err := flag.Set(name, value); err != nil {
-			panic(err)
-		}
-	}
-	os.Exit(m.Run())
-}
+// TestMain fixes the draws of property tests.
+func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 300) }
 
 func publication(gw string, n int, lines ...int) coordinator.Publish {
 	c := routing.Cluster{Class: "view"}
