--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -64,16 +65,39 @@
 	l.EndpointList(at, map[string]ListedEndpoint{"n1": unknownStart(Draining), "n2": unknownStart(Ready)})
 }
 
+// evaluationCase is a course of events after a calm day, and what a rule's verdict must be.
+type evaluationCase struct {
+	name     string
+	rule     string
+	violated bool
+	usage    float64 // at least
+	do       func(l *Log)
+}
+
 // Each rule is violated by what violates it and by nothing that comes near; a calm day violates none.
 func TestEvaluate(t *testing.T) {
-	for _, test := range []struct {
-		name     string
-		rule     string
-		violated bool
-		usage    float64 // at least
-		do       func(l *Log)
-	}{
-		{"a calm day", "", false, 0, func(*Log) {}},
+	cases := slices.Concat([]evaluationCase{{"a calm day", "", false, 0, func(*Log) {}}},
+		emptyTableCases(), duplicateEffectCases(), drainCases(), warmUpCases(), queueCases())
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			l := calmDay()
+			test.do(l)
+			for rule, verdict := range l.Evaluate(runEnd) {
+				violated := rule == test.rule && test.violated
+				if verdict.Satisfied == violated {
+					t.Errorf("%s: %+v", rule, verdict)
+				}
+				if rule == test.rule && verdict.PeakUsage < test.usage {
+					t.Errorf("%s: usage %.2f, want %.2f at least", rule, verdict.PeakUsage, test.usage)
+				}
+			}
+		})
+	}
+}
+
+// emptyTableCases has tables without an endpoint for a class.
+func emptyTableCases() []evaluationCase {
+	return []evaluationCase{
 		{"class without an endpoint for too long", EmptyTable, true, 1.5, func(l *Log) {
 			l.TableApplied(30*s, 30*s, "gw", "e.3", routing.Snapshot{Clusters: tableOf("n1").Clusters[:1]})
 		}},
@@ -89,6 +113,12 @@
 			l.EndpointList(30*s, map[string]ListedEndpoint{"n1": unknownStart(Draining), "n2": startedAt(29 * s)})
 			l.TableApplied(30*s, 30*s, "gw", "e.3", tableOf())
 		}},
+	}
+}
+
+// duplicateEffectCases has requests that are executed more than once.
+func duplicateEffectCases() []evaluationCase {
+	return []evaluationCase{
 		{"executed twice in one attempt", DuplicateEffect, true, 2, func(l *Log) {
 			l.RequestExecuted("save", 1, 0)
 			l.RequestExecuted("save", 1, 0)
@@ -101,6 +131,12 @@
 			l.RequestExecuted("view", 1, 0)
 			l.RequestExecuted("view", 1, 0)
 		}},
+	}
+}
+
+// drainCases has requests to endpoints that drain or were removed.
+func drainCases() []evaluationCase {
+	return []evaluationCase{
 		{"sent after the grace period", Drain, true, 1.2, func(l *Log) {
 			drainFirst(l, 30*s)
 			l.RequestSent(34*s, "gw", "n1")
@@ -130,6 +166,12 @@
 			l.EndpointList(33*s, map[string]ListedEndpoint{"n1": unknownStart(Ready), "n2": unknownStart(Ready)})
 			l.RequestSent(36*s, "gw", "n1")
 		}},
+	}
+}
+
+// warmUpCases has loads on the endpoint that starts at 20 s.
+func warmUpCases() []evaluationCase {
+	return []evaluationCase{
 		{"endpoint overloaded while warming up", WarmUp, true, 1.4, func(l *Log) { sendBurst(l, 23*s, 40) }},
 		{"short heavy burst", WarmUp, true, 1.1, func(l *Log) {
 			for range 30 {
@@ -139,25 +181,17 @@
 		{"endpoint busy while warming up", WarmUp, false, 0.5, func(l *Log) { sendBurst(l, 23*s, 13) }},
 		{"the same load when it is warm", WarmUp, false, 0, func(l *Log) { sendBurst(l, 38*s, 40) }},
 		{"overloaded by a gateway that did not know", WarmUp, false, 0, func(l *Log) { sendBurst(l, 20*s+s/10, 12) }},
+	}
+}
+
+// queueCases has messages and lines in flight to a gateway.
+func queueCases() []evaluationCase {
+	return []evaluationCase{
 		{"too many messages", Queue, true, 1.05, func(l *Log) { sendMessages(l, 22) }},
 		{"as many messages as allowed", Queue, false, 0.9, func(l *Log) { sendMessages(l, 18) }},
 		{"overtaken messages count", Queue, true, 1.05, func(l *Log) { l.TableApplied(23*s, 23*s, "gw", "e.40", tableOf("n1")) }},
 		{"too many lines on their way", Queue, true, 1.1, func(l *Log) { publishWideTable(l, 60) }},
 		{"lines that fit", Queue, false, 0.5, func(l *Log) { publishWideTable(l, 30) }},
-	} {
-		t.Run(test.name, func(t *testing.T) {
-			l := calmDay()
-			test.do(l)
-			for rule, verdict := range l.Evaluate(runEnd) {
-				violated := rule == test.rule && test.violated
-				if verdict.Satisfied == violated {
-					t.Errorf("%s: %+v", rule, verdict)
-				}
-				if rule == test.rule && verdict.PeakUsage < test.usage {
-					t.Errorf("%s: usage %.2f, want %.2f at least", rule, verdict.PeakUsage, test.usage)
-				}
-			}
-		})
 	}
 }
 
--- a/client/poller.go
+++ b/client/poller.go
@@ -110,12 +110,8 @@
 	if err != nil {
 		return Update{}, false, err
 	}
-	switch statusCode {
-	case http.StatusOK:
-	case http.StatusNotModified:
-		return Update{}, false, nil
-	default:
-		return Update{}, false, rejected(statusCode, body)
+	if changed, err := isChanged(statusCode, body); !changed {
+		return Update{}, false, err
 	}
 	update = Update{Source: names.path, Size: len(body)}
 	update.Document, update.Err = xds.ParseDocument(body)
@@ -131,18 +127,12 @@
 	if err != nil {
 		return Update{}, false, err
 	}
-	switch statusCode {
-	case http.StatusOK:
-	case http.StatusNotModified:
-		return Update{}, false, nil
-	case http.StatusConflict:
-		if state.stateAll {
-			return Update{}, false, rejected(statusCode, body)
-		}
-		state.stateAll = true // the nonce is not known to it
+	if statusCode == http.StatusConflict && !state.stateAll {
+		state.stateAll = true // the nonce is not known to the coordinator
 		return Update{}, false, nil
-	default:
-		return Update{}, false, rejected(statusCode, body)
+	}
+	if changed, err := isChanged(statusCode, body); !changed {
+		return Update{}, false, err
 	}
 	delta := &discoveryv3.DeltaDiscoveryResponse{}
 	if err := xds.Decode(body, delta); err != nil {
@@ -167,6 +157,18 @@
 	return update, true, nil
 }
 
+// isChanged reports whether a poll's response has a document. An error is a [RejectedError].
+func isChanged(statusCode int, body []byte) (bool, error) {
+	switch statusCode {
+	case http.StatusOK:
+		return true, nil
+	case http.StatusNotModified:
+		return false, nil
+	default:
+		return false, rejected(statusCode, body)
+	}
+}
+
 func (p *Poller) deltaRequest(document coordinator.Document) *discoveryv3.DeltaDiscoveryRequest {
 	state := &p.documents[document]
 	request := &discoveryv3.DeltaDiscoveryRequest{
