--- a/daemon/control_test.go
+++ b/daemon/control_test.go
@@ -15,20 +15,24 @@
 	"porthub/xds"
 )
 
+// openCapture opens the daemon's capture from its beginning; the test's end closes it.
+func (r *testDaemon) openCapture() *capture.Reader {
+	r.t.Helper()
+	reader, err := capture.Open(filepath.Join(r.dir, "state", captureName))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(reader.Close)
+	return reader
+}
+
 // An operator's drain takes effect at once, survives a restart, is in the capture, which replays, and ends with undrain.
 func TestDrainByOperator(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	g := r.connectGateway("gw-1", "a")
-	open := func(b policyapi.EndpointID) bool {
+	open := func(id policyapi.EndpointID) bool {
 		g.sync(t, xds.ClassReport{Class: "view", Arrived: 1})
-		for _, c := range g.state.Snapshot.Clusters {
-			for _, l := range c.Endpoints {
-				if l.Endpoint == b && !l.Withheld {
-					return true
-				}
-			}
-		}
-		return false
+		return isOpen(g.state, id)
 	}
 	r.waitFor("tables with the endpoint", func() bool { return open("127.0.0.1:9001") })
 	if a := r.post("/nodes/drain", EndpointRequest{Endpoint: "127.0.0.1:9001"}); a.Error == "" {
@@ -59,21 +63,11 @@
 	r.waitFor("tables with the endpoint again", func() bool { return open("127.0.0.1:9001") })
 	r.stop()
 	r.stop = func() {}
-	c, err := capture.Open(filepath.Join(r.dir, "state", captureName))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	v, err := capture.Replay(c, Build(), nil)
+	v, err := capture.Replay(r.openCapture(), Build(), nil)
 	if err != nil || v.Mismatches > 0 || v.Starts != 2 || v.Orders < 5 || len(v.Gaps) > 0 {
 		t.Errorf("%+v, %v", v, err)
 	}
-	x, err := capture.Open(filepath.Join(r.dir, "state", captureName))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer x.Close()
-	why, err := capture.Explain(x, "127.0.0.1:9001", 1<<62)
+	why, err := capture.Explain(r.openCapture(), "127.0.0.1:9001", 1<<62)
 	if err != nil || !slices.ContainsFunc(why.Events, func(e capture.Event) bool { return e.Kind == "command" }) {
 		t.Errorf("the operator's command is not in the explanation: %+v, %v", why, err)
 	}
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -17,21 +17,54 @@
 	"porthub/client"
 	"porthub/config"
 	"porthub/coordinator"
+	"porthub/policyapi"
 	"porthub/xds"
 )
 
+// postText posts a body and returns the response's status and text.
+func (r *testDaemon) postText(path, body string) (status int, text string) {
+	r.t.Helper()
+	response, err := http.Post("http://"+r.daemon.Addr()+path, "application/json", strings.NewReader(body))
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	defer response.Body.Close()
+	all, _ := io.ReadAll(response.Body)
+	return response.StatusCode, string(all)
+}
+
+// dialAndSend opens a connection, which the test's end closes, and sends a text.
+func (r *testDaemon) dialAndSend(text string) net.Conn {
+	r.t.Helper()
+	c, err := net.Dial("tcp", r.daemon.Addr())
+	if err != nil {
+		r.t.Fatal(err)
+	}
+	r.t.Cleanup(func() { _ = c.Close() })
+	if _, err := io.WriteString(c, text); err != nil {
+		r.t.Fatal(err)
+	}
+	return c
+}
+
 // Peers that send malformed requests, too much or too slowly get a clear error or are closed, and no other waits for them.
 func TestMalformedAndSlowRequests(t *testing.T) {
 	r := startTestDaemon(t, nil)
-	post := func(path, body string) (int, string) {
-		res, err := http.Post("http://"+r.daemon.Addr()+path, "application/json", strings.NewReader(body))
-		if err != nil {
-			t.Fatal(err)
+	t.Run("malformed bodies", func(t *testing.T) { testMalformedBodies(t, r) })
+	t.Run("malformed heads and sizes", func(t *testing.T) { testMalformedHeads(t, r) })
+	t.Run("a request that never ends", func(t *testing.T) {
+		slow := r.dialAndSend("POST /v3/disc")
+		g := r.connectGateway("gw-1", "a") // is served meanwhile
+		r.waitFor("tables in spite of the bad peers", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") > 0 })
+		_ = slow.SetReadDeadline(time.Now().Add(50 * time.Second))
+		if _, err := slow.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+			t.Errorf("%v, want it closed", err)
 		}
-		defer res.Body.Close()
-		text, _ := io.ReadAll(res.Body)
-		return res.StatusCode, string(text)
-	}
+	})
+	t.Run("pipelined requests", func(t *testing.T) { testPipelinedRequests(t, r) })
+}
+
+func testMalformedBodies(t *testing.T, r *testDaemon) {
 	for _, c := range []struct {
 		path, body string
 		code       int
@@ -45,53 +78,32 @@
 		{xds.EndpointPath, `nonsense`, 400, "DiscoveryRequest"},
 		{"/elsewhere", `{}`, 404, "/elsewhere"},
 	} {
-		if code, answer := post(c.path, c.body); code != c.code || !strings.Contains(answer, c.answer) {
+		if code, answer := r.postText(c.path, c.body); code != c.code || !strings.Contains(answer, c.answer) {
 			t.Errorf("%s %s: %d %q", c.path, c.body, code, answer)
 		}
 	}
-	raw := func(text string) (net.Conn, string) {
-		c, err := net.Dial("tcp", r.daemon.Addr())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { _ = c.Close() })
-		if _, err := io.WriteString(c, text); err != nil {
-			t.Fatal(err)
-		}
+}
+
+func testMalformedHeads(t *testing.T, r *testDaemon) {
+	for _, c := range []struct{ name, text, want string }{
+		{"body too large", "POST " + xds.LoadReportPath + " HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n", "413"},
+		{"head too large", strings.Repeat("garbage ", 4000), "431"},
+		{"malformed head", "GARBAGE\r\n\r\n", "400"},
+	} {
+		conn := r.dialAndSend(c.text)
 		answer := make([]byte, 512)
-		_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
-		n, _ := c.Read(answer)
-		return c, string(answer[:n])
-	}
-	if _, answer := raw("POST " + xds.LoadReportPath + " HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n"); !strings.Contains(answer, "413") {
-		t.Errorf("body too large: %q", answer)
-	}
-	if _, answer := raw(strings.Repeat("garbage ", 4000)); !strings.Contains(answer, "431") {
-		t.Errorf("head too large: %q", answer)
-	}
-	if _, answer := raw("GARBAGE\r\n\r\n"); !strings.Contains(answer, "400") {
-		t.Errorf("malformed head: %q", answer)
-	}
-	slow, err := net.Dial("tcp", r.daemon.Addr())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer slow.Close()
-	_, _ = io.WriteString(slow, "POST /v3/disc")
-	g := r.connectGateway("gw-1", "a") // is served meanwhile
-	r.waitFor("tables in spite of the bad peers", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") > 0 })
-	_ = slow.SetReadDeadline(time.Now().Add(50 * time.Second))
-	if _, err := slow.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("a request that never ends: %v, want it closed", err)
-	}
-	// One that sends its requests without waiting for answers gets all of them, in order.
-	c, err := net.Dial("tcp", r.daemon.Addr())
-	if err != nil {
-		t.Fatal(err)
+		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+		n, _ := conn.Read(answer)
+		if !strings.Contains(string(answer[:n]), c.want) {
+			t.Errorf("%s: %q", c.name, answer[:n])
+		}
 	}
-	defer c.Close()
+}
+
+// testPipelinedRequests sends requests without waiting for responses: all of them are answered, in order.
+func testPipelinedRequests(t *testing.T, r *testDaemon) {
 	const requests = 50
-	_, _ = io.WriteString(c, strings.Repeat("GET /nothing HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", requests))
+	c := r.dialAndSend(strings.Repeat("GET /nothing HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", requests))
 	_ = c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	var all strings.Builder
 	buf := make([]byte, 4096)
@@ -163,46 +175,79 @@
 	r.waitFor("another connection to be admitted", func() bool { return strings.Contains(request(dial()), "200") })
 }
 
-// A gateway that polls gets complete tables and deltas, follows a removal, and shares its name with no gateway of files.
-func TestPollingGateway(t *testing.T) {
-	r := startTestDaemon(t, nil)
-	node := xds.Node{Name: "gw-1", Zone: "a", UsualRate: 10, Polls: true}
-	link := client.NewLink(client.Options{Node: node, Coordinator: r.daemon.Addr()})
-	t.Cleanup(link.Close)
-	if err := link.Join(context.Background(), client.Tables{}); err != nil {
-		t.Fatal(err)
+// pollingGateway is a gateway that gets its tables by polls for both documents and acknowledges them.
+type pollingGateway struct {
+	link *client.Link
+
+	mu    sync.Mutex // guards state
+	state client.Tables
+}
+
+func (r *testDaemon) connectPollingGateway(name, zone string) *pollingGateway {
+	r.t.Helper()
+	node := xds.Node{Name: name, Zone: zone, UsualRate: 10, Polls: true}
+	g := &pollingGateway{link: client.NewLink(client.Options{Node: node, Coordinator: r.daemon.Addr()})}
+	r.t.Cleanup(g.link.Close)
+	if err := g.link.Join(context.Background(), client.Tables{}); err != nil {
+		r.t.Fatal(err)
 	}
 	poller := client.NewPoller(client.Options{Node: node, Coordinator: r.daemon.Addr()}, []string{"view", "save"}, time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	var polls sync.WaitGroup
-	t.Cleanup(func() { cancel(); polls.Wait(); poller.Close() })
-	var mu sync.Mutex
-	var state client.Tables
-	current := func() client.Tables { mu.Lock(); defer mu.Unlock(); return state }
+	r.t.Cleanup(func() { cancel(); polls.Wait(); poller.Close() })
 	for _, document := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
-		polls.Add(1)
-		go func() {
-			defer polls.Done()
-			poller.Follow(ctx, document, current, func(u client.Update) {
-				mu.Lock()
-				state.Apply(u)
-				now := state
-				mu.Unlock()
-				if err := link.Acknowledge(ctx, u, now); err != nil && ctx.Err() == nil {
-					t.Error(err)
+		polls.Go(func() {
+			poller.Follow(ctx, document, g.tables, func(u client.Update) {
+				if err := g.link.Acknowledge(ctx, u, g.apply(u)); err != nil && ctx.Err() == nil {
+					r.t.Error(err)
 				}
 			})
-		}()
+		})
+	}
+	return g
+}
+
+func (g *pollingGateway) tables() client.Tables {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.state
+}
+
+func (g *pollingGateway) apply(u client.Update) client.Tables {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.state.Apply(u)
+	return g.state
+}
+
+func (g *pollingGateway) report(t *testing.T) {
+	t.Helper()
+	if _, err := g.link.Report(context.Background(), 250*time.Millisecond, []xds.ClassReport{{Class: "view", Arrived: 2}}); err != nil {
+		t.Error(err)
 	}
-	report := func() {
-		if _, err := link.Report(context.Background(), 250*time.Millisecond, []xds.ClassReport{{Class: "view", Arrived: 2}}); err != nil {
-			t.Error(err)
+}
+
+// isOpen reports whether a table has an endpoint that is not withheld.
+func isOpen(tables client.Tables, id policyapi.EndpointID) bool {
+	for _, cluster := range tables.Snapshot.Clusters {
+		for _, endpoint := range cluster.Endpoints {
+			if endpoint.Endpoint == id && !endpoint.Withheld {
+				return true
+			}
 		}
 	}
+	return false
+}
+
+// A gateway that polls gets complete tables and deltas, follows a removal, and shares its name with no gateway of files.
+func TestPollingGateway(t *testing.T) {
+	r := startTestDaemon(t, nil)
+	g := r.connectPollingGateway("gw-1", "a")
 	r.waitFor("tables by polls, acknowledged", func() bool {
-		report()
+		g.report(t)
 		s := r.status("gw-1")
-		return current().Snapshot.OpenEndpoints("view") >= 2 && len(current().Snapshot.Routes) == 2 && s.Unacknowledged == 0 && s.Confirmed[0] != ""
+		tables := g.tables().Snapshot
+		return tables.OpenEndpoints("view") >= 2 && len(tables.Routes) == 2 && s.Unacknowledged == 0 && s.Confirmed[0] != ""
 	})
 	if _, err := os.Stat(filepath.Join(r.dir, "tables", "gw-1")); !os.IsNotExist(err) {
 		t.Errorf("it polls, and has files: %v", err)
@@ -214,18 +259,11 @@
 	}
 	r.write("nodes.json", strings.Replace(threeEndpoints, `"127.0.0.1:9001", `, "", 1))
 	r.waitFor("tables without the removed endpoint", func() bool {
-		report()
-		for _, c := range current().Snapshot.Clusters {
-			for _, l := range c.Endpoints {
-				if l.Endpoint == "127.0.0.1:9001" && !l.Withheld {
-					return false
-				}
-			}
-		}
-		return true
+		g.report(t)
+		return !isOpen(g.tables(), "127.0.0.1:9001")
 	})
 	since := r.status("gw-1").Since
-	link.Close()
+	g.link.Close()
 	r.waitFor("a poll to become the link", func() bool {
 		s := r.status("gw-1")
 		return s.Connected && s.Since > since
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -19,60 +19,73 @@
 	"porthub/coordinator"
 )
 
-// A publication is followed from the list to the gateway's acknowledgement, in a file and at an endpoint.
-func TestTrace(t *testing.T) {
-	var mu sync.Mutex
-	names := map[string]int{}
-	collector := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
-		body, _ := io.ReadAll(req.Body)
+// spanCollector is an OTLP endpoint that counts the spans it gets by name.
+type spanCollector struct {
+	addr string
+
+	mu     sync.Mutex // guards counts
+	counts map[string]int
+}
+
+func startSpanCollector(t *testing.T) *spanCollector {
+	t.Helper()
+	c := &spanCollector{counts: map[string]int{}}
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+		body, _ := io.ReadAll(request.Body)
 		m := &collectorv1.ExportTraceServiceRequest{}
-		if err := proto.Unmarshal(body, m); err != nil || req.URL.Path != "/v1/traces" {
-			t.Errorf("%s: %v", req.URL.Path, err)
+		if err := proto.Unmarshal(body, m); err != nil || request.URL.Path != "/v1/traces" {
+			t.Errorf("%s: %v", request.URL.Path, err)
 		}
-		mu.Lock()
-		defer mu.Unlock()
-		for _, r := range m.ResourceSpans {
-			for _, s := range r.ScopeSpans {
-				for _, one := range s.Spans {
-					names[one.Name]++
-				}
+		c.add(m)
+	}))
+	t.Cleanup(server.Close)
+	c.addr = strings.TrimPrefix(server.URL, "http://")
+	return c
+}
+
+func (c *spanCollector) add(m *collectorv1.ExportTraceServiceRequest) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, r := range m.ResourceSpans {
+		for _, s := range r.ScopeSpans {
+			for _, span := range s.Spans {
+				c.counts[span.Name]++
 			}
 		}
-	}))
-	defer collector.Close()
-	path := filepath.Join(t.TempDir(), "spans.json")
-	r := startTestDaemon(t, nil, func(c *config.Config) {
-		c.Trace = config.Trace{File: path, Endpoint: strings.TrimPrefix(collector.URL, "http://"), SampleRatio: 1}
-	})
-	g := r.connectGateway("gw-1", "a")
-	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointVersion != "" })
-	before := g.state.EndpointVersion
-	r.write("nodes.json", strings.Replace(threeEndpoints, `"zone": "b"`, `"zone": "b", "status": "draining"`, 1))
-	r.waitFor("a table without the drained endpoint", func() bool {
-		g.sync(t)
-		return g.state.EndpointVersion != before && g.state.Snapshot.OpenEndpoints("view") == 2
-	})
-	g.sync(t)
-	r.stop()
-	r.stop = func() {}
-	type span struct {
-		Name        string
-		SpanContext struct{ TraceID, SpanID string }
-		Parent      struct{ SpanID string }
-		Attributes  []struct {
-			Key   string
-			Value struct{ Value any }
+	}
+}
+
+// span is a span as the trace file has it.
+type span struct {
+	Name        string
+	SpanContext struct{ TraceID, SpanID string }
+	Parent      struct{ SpanID string }
+	Attributes  []struct {
+		Key   string
+		Value struct{ Value any }
+	}
+	Events []struct{ Name string }
+	Status struct{ Code string }
+}
+
+func (s span) hasAttribute(key string) bool {
+	for _, a := range s.Attributes {
+		if a.Key == key {
+			return true
 		}
-		Events []struct{ Name string }
-		Status struct{ Code string }
 	}
+	return false
+}
+
+// readSpans reads a trace file: the spans of steps by their ID, and all others.
+func readSpans(t *testing.T, path string) (steps map[string]span, others []span) {
+	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	steps, followed := map[string]span{}, 0
-	var publishes []span
+	steps = map[string]span{}
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -83,26 +96,46 @@
 		if s.Name == "step" {
 			steps[s.SpanContext.SpanID] = s
 		} else {
-			publishes = append(publishes, s)
+			others = append(others, s)
 		}
 	}
+	return steps, others
+}
+
+// A publication is followed from the list to the gateway's acknowledgement, in a file and at an endpoint.
+func TestTrace(t *testing.T) {
+	collector := startSpanCollector(t)
+	path := filepath.Join(t.TempDir(), "spans.json")
+	r := startTestDaemon(t, nil, func(c *config.Config) {
+		c.Trace = config.Trace{File: path, Endpoint: collector.addr, SampleRatio: 1}
+	})
+	g := r.connectGateway("gw-1", "a")
+	r.waitFor("a table", func() bool { g.sync(t); return g.state.EndpointVersion != "" })
+	before := g.state.EndpointVersion
+	r.write("nodes.json", strings.Replace(threeEndpoints, `"zone": "b"`, `"zone": "b", "status": "draining"`, 1))
+	r.waitFor("a table without the drained endpoint", func() bool {
+		g.sync(t)
+		return g.state.EndpointVersion != before && g.state.Snapshot.OpenEndpoints("view") == 2
+	})
+	g.sync(t)
+	r.stop()
+	r.stop = func() {}
+
+	steps, publishes := readSpans(t, path)
+	followed := 0
 	for _, p := range publishes {
 		parent, has := steps[p.Parent.SpanID]
 		if !has || parent.SpanContext.TraceID != p.SpanContext.TraceID {
 			t.Errorf("a publication without its step: %+v", p)
 		}
-		byList := false
-		for _, a := range parent.Attributes {
-			byList = byList || a.Key == "told.List"
-		}
-		if byList && len(p.Events) > 0 && p.Status.Code != "Error" {
+		if parent.hasAttribute("told.List") && len(p.Events) > 0 && p.Status.Code != "Error" {
 			followed++
 		}
 	}
-	mu.Lock()
-	defer mu.Unlock()
-	if followed == 0 || names["step"] == 0 || names["publish"] == 0 {
-		t.Errorf("%d publications are followed from the list to an acknowledgement; the endpoint has %v", followed, names)
+	collector.mu.Lock()
+	defer collector.mu.Unlock()
+	if followed == 0 || collector.counts["step"] == 0 || collector.counts["publish"] == 0 {
+		t.Errorf("%d publications are followed from the list to an acknowledgement; the endpoint has %v", followed, collector.counts)
 	}
 }
 
