--- a/client/example_test.go
+++ b/client/example_test.go
@@ -47,6 +47,23 @@
 	return d.Addr(), tableDir, func() { cancel(); <-ended }, nil
 }
 
+// followTables applies and acknowledges updates until there are tables for endpoints and routes.
+func followTables(ctx context.Context, link *client.Link, reader *client.Reader, tables *client.Tables) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	reader.Follow(ctx, 100*time.Millisecond, func(updates []client.Update) {
+		for _, update := range updates {
+			tables.Apply(update)
+			if err := link.Acknowledge(ctx, update, *tables); err != nil {
+				fmt.Println(err)
+			}
+		}
+		if tables.EndpointVersion != "" && tables.RouteVersion != "" {
+			cancel() // a gateway goes on; the example has seen enough
+		}
+	})
+}
+
 // A gateway joins a coordinator, applies and acknowledges the tables that it gets as files, and reports its load.
 func Example() {
 	dir, err := os.MkdirTemp("", "porthub-example")
@@ -72,18 +89,7 @@
 		return
 	}
 
-	reader := client.NewReader(tableDir, "gw-7")
-	reader.Follow(ctx, 100*time.Millisecond, func(updates []client.Update) {
-		for _, update := range updates {
-			tables.Apply(update)
-			if err := link.Acknowledge(ctx, update, tables); err != nil {
-				fmt.Println(err)
-			}
-		}
-		if tables.EndpointVersion != "" && tables.RouteVersion != "" {
-			cancel() // a gateway goes on; the example has seen enough
-		}
-	})
+	followTables(ctx, link, client.NewReader(tableDir, "gw-7"), &tables)
 	for _, cluster := range tables.Snapshot.Clusters {
 		for _, endpoint := range cluster.Endpoints {
 			fmt.Println(cluster.Class, endpoint.Zone, endpoint.Endpoint)
--- a/degradation/controller_test.go
+++ b/degradation/controller_test.go
@@ -144,83 +144,121 @@
 	}
 }
 
+// drawSettings draws settings, which may have findings.
+func drawSettings(t *rapid.T) Settings {
+	settings := Settings{Zones: []policyapi.Zone{"a"}, Classes: []string{"view", "save"}, Period: second}
+	for i := range rapid.IntRange(1, 4).Draw(t, "levels") {
+		l := Level{Name: fmt.Sprint("l", i), Bounds: Unbounded(2), EnterDelay: policyapi.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
+			LeaveDelay: policyapi.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
+		for trigger := range TriggerCount {
+			if rapid.IntRange(0, 2).Draw(t, "counts") > 0 {
+				l.Enter[trigger] = float64(rapid.IntRange(1, 20).Draw(t, "enter")) / 20
+				l.Leave[trigger] = max(minLeave[trigger], l.Enter[trigger]*rapid.Float64Range(0.1, 0.95).Draw(t, "leave"))
+			}
+		}
+		settings.Levels = append(settings.Levels, l)
+	}
+	return settings
+}
+
+func drawSignals(t *rapid.T) (signals Signals) {
+	for trigger := range TriggerCount {
+		if rapid.IntRange(0, 9).Draw(t, "known") > 0 {
+			signals.Set(trigger, float64(rapid.IntRange(0, 24).Draw(t, "figure"))/20)
+		}
+	}
+	return signals
+}
+
+// steppedController is a controller whose fleet scope is stepped once a second.
+type steppedController struct {
+	*Controller
+	now     policyapi.Microseconds
+	changes int
+}
+
+func (c *steppedController) step(signals Signals) {
+	c.now += second
+	c.changes += len(c.Step(c.now, map[policyapi.Zone]Signals{FleetScope: signals}))
+}
+
 // For all settings without findings: calm signals lead back to normal service in a bounded time, constant ones never make
 // a level oscillate, and no course has more changes than MaxChanges.
 func TestAllValidSettings(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{Zones: []policyapi.Zone{"a"}, Classes: []string{"view", "save"}, Period: second}
-		for i := range rapid.IntRange(1, 4).Draw(t, "levels") {
-			l := Level{Name: fmt.Sprint("l", i), Bounds: Unbounded(2), EnterDelay: policyapi.Microseconds(rapid.IntRange(0, 4).Draw(t, "enter held")) * second,
-				LeaveDelay: policyapi.Microseconds(rapid.IntRange(2, 12).Draw(t, "leave held")) * second}
-			for r := range TriggerCount {
-				if rapid.IntRange(0, 2).Draw(t, "counts") > 0 {
-					l.Enter[r] = float64(rapid.IntRange(1, 20).Draw(t, "enter")) / 20
-					l.Leave[r] = max(minLeave[r], l.Enter[r]*rapid.Float64Range(0.1, 0.95).Draw(t, "leave"))
-				}
-			}
-			settings.Levels = append(settings.Levels, l)
-		}
+		settings := drawSettings(t)
 		if len(settings.Check()) > 0 {
 			return
 		}
 		accepted++
-		controller, now, changes := NewController(settings), policyapi.Microseconds(0), 0
-		step := func(f Signals) int {
-			now += second
-			n := len(controller.Step(now, map[policyapi.Zone]Signals{FleetScope: f}))
-			changes += n
-			return n
-		}
-		draw := func() (f Signals) {
-			for r := range TriggerCount {
-				if rapid.IntRange(0, 9).Draw(t, "known") > 0 {
-					f.Set(r, float64(rapid.IntRange(0, 24).Draw(t, "figure"))/20)
-				}
-			}
-			return f
-		}
-		for range rapid.IntRange(0, 12).Draw(t, "spells") {
-			f := draw()
-			for range rapid.IntRange(1, 20).Draw(t, "seconds") {
-				step(f)
-			}
-		}
-		if maxChanges := settings.MaxChanges(now); changes > maxChanges {
-			t.Fatalf("%d changes in %d s, at most %d by the settings %+v", changes, now/second, maxChanges, settings.Levels)
-		}
-		constant, lastLevel, ups, downs := draw(), controller.Level("a"), 0, 0
-		for range 600 {
-			step(constant)
-			if at := controller.Level("a"); at > lastLevel {
-				ups, lastLevel = ups+1, at
-			} else if at < lastLevel {
-				downs, lastLevel = downs+1, at
-			}
-		}
-		if ups > len(settings.Levels) || ups > 0 && downs > 0 {
-			t.Fatalf("on constant signals %d up and %d down: %+v, %+v", ups, downs, constant, settings.Levels)
-		}
-		var calm Signals
-		for r := range TriggerCount {
-			calm.Set(r, 0)
-		}
-		bound := 0
-		for _, l := range settings.Levels {
-			bound += int(l.LeaveDelay/second)*maxBackoff + 1
-		}
-		for range bound {
-			step(calm)
-		}
-		if controller.Level("a") != 0 {
-			t.Fatalf("still at %d after %d calm seconds: %+v", controller.Level("a"), bound, settings.Levels)
-		}
+		controller := &steppedController{Controller: NewController(settings)}
+		requireBoundedChanges(t, controller)
+		requireNoOscillation(t, controller)
+		requireReturnToNormal(t, controller)
 	})
 	if accepted < 30 {
 		t.Errorf("only %d settings were valid", accepted)
 	}
 }
 
+// requireBoundedChanges steps through drawn spells of constant signals.
+func requireBoundedChanges(t *rapid.T, controller *steppedController) {
+	t.Helper()
+	for range rapid.IntRange(0, 12).Draw(t, "spells") {
+		signals := drawSignals(t)
+		for range rapid.IntRange(1, 20).Draw(t, "seconds") {
+			controller.step(signals)
+		}
+	}
+	settings := controller.Settings()
+	if maxChanges := settings.MaxChanges(controller.now); controller.changes > maxChanges {
+		t.Fatalf("%d changes in %d s, at most %d by the settings %+v", controller.changes, controller.now/second, maxChanges, settings.Levels)
+	}
+}
+
+// requireNoOscillation holds drawn signals for ten minutes: the level goes up or down, not both.
+func requireNoOscillation(t *rapid.T, controller *steppedController) {
+	t.Helper()
+	settings := controller.Settings()
+	constant := drawSignals(t)
+	lastLevel, ups, downs := controller.Level("a"), 0, 0
+	for range 600 {
+		controller.step(constant)
+		level := controller.Level("a")
+		if level > lastLevel {
+			ups++
+		}
+		if level < lastLevel {
+			downs++
+		}
+		lastLevel = level
+	}
+	if ups > len(settings.Levels) || ups > 0 && downs > 0 {
+		t.Fatalf("on constant signals %d up and %d down: %+v, %+v", ups, downs, constant, settings.Levels)
+	}
+}
+
+// requireReturnToNormal steps with calm signals for as long as all leave delays with the largest backoff.
+func requireReturnToNormal(t *rapid.T, controller *steppedController) {
+	t.Helper()
+	var calm Signals
+	for trigger := range TriggerCount {
+		calm.Set(trigger, 0)
+	}
+	settings := controller.Settings()
+	bound := 0
+	for _, l := range settings.Levels {
+		bound += int(l.LeaveDelay/second)*maxBackoff + 1
+	}
+	for range bound {
+		controller.step(calm)
+	}
+	if controller.Level("a") != 0 {
+		t.Fatalf("still at %d after %d calm seconds: %+v", controller.Level("a"), bound, settings.Levels)
+	}
+}
+
 // Force takes precedence over hold and forbid over both; each ends by itself, and beneath them the level by the signals
 // goes on.
 func TestOverrides(t *testing.T) {
--- a/registry/file/file_test.go
+++ b/registry/file/file_test.go
@@ -52,67 +52,80 @@
 	}
 }
 
+// deliveries counts what a source delivers.
+type deliveries struct {
+	mu       sync.Mutex // guards what follows
+	lists    int
+	failures int
+	last     []policyapi.Endpoint
+}
+
+func (d *deliveries) onUpdate(endpoints []policyapi.Endpoint, err error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err != nil {
+		d.failures++
+		return
+	}
+	d.lists++
+	d.last = endpoints
+}
+
+// waitFor waits until a condition holds, which is evaluated with the mutex locked.
+func (d *deliveries) waitFor(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(2 * time.Millisecond) {
+		d.mu.Lock()
+		done := ok()
+		d.mu.Unlock()
+		if done {
+			return
+		}
+		if time.Now().After(end) {
+			t.Fatalf("not within 10 s: %s (%d lists, %d failures)", what, d.lists, d.failures)
+		}
+	}
+}
+
+// replaceFile replaces a file at once, as those who write endpoint lists do.
+func replaceFile(t *testing.T, path, text string) {
+	t.Helper()
+	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A source delivers each change once, an invalid file once, and nothing without a request.
 func TestSourceDeliversChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "nodes.json")
-	var mu sync.Mutex
-	var lists, failures int
-	var last []policyapi.Endpoint
-	s := New(path, 20*time.Millisecond, func(e []policyapi.Endpoint, err error) {
-		mu.Lock()
-		defer mu.Unlock()
-		if err != nil {
-			failures++
-		} else {
-			lists, last = lists+1, e
-		}
-	})
+	d := &deliveries{}
+	s := New(path, 20*time.Millisecond, d.onUpdate)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
-	put := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(path+".new", path); err != nil {
-			t.Fatal(err)
-		}
-	}
-	wait := func(what string, ok func() bool) {
-		t.Helper()
-		for end := time.Now().Add(10 * time.Second); ; time.Sleep(2 * time.Millisecond) {
-			mu.Lock()
-			done := ok()
-			mu.Unlock()
-			if done {
-				return
-			}
-			if time.Now().After(end) {
-				t.Fatalf("not within 10 s: %s (%d lists, %d failures)", what, lists, failures)
-			}
-		}
-	}
-	put(`[{"targets": ["a:1"], "labels": {"zone": "a"}}]`)
+	replaceFile(t, path, `[{"targets": ["a:1"], "labels": {"zone": "a"}}]`)
 	time.Sleep(60 * time.Millisecond)
-	mu.Lock()
-	if lists+failures != 0 {
+	d.mu.Lock()
+	if d.lists+d.failures != 0 {
 		t.Error("it delivers without a request")
 	}
-	mu.Unlock()
+	d.mu.Unlock()
 	s.Watch(true)
-	wait("the list", func() bool { return lists == 1 && len(last) == 1 })
-	put(`[{"targets": ["a:1", "b:1"], "labels": {"zone": "a"}}]`)
-	wait("the change", func() bool { return lists == 2 && len(last) == 2 })
-	put(`[{"targets": ["a:1", "b`)
-	wait("the partial file", func() bool { return failures == 1 })
+	d.waitFor(t, "the list", func() bool { return d.lists == 1 && len(d.last) == 1 })
+	replaceFile(t, path, `[{"targets": ["a:1", "b:1"], "labels": {"zone": "a"}}]`)
+	d.waitFor(t, "the change", func() bool { return d.lists == 2 && len(d.last) == 2 })
+	replaceFile(t, path, `[{"targets": ["a:1", "b`)
+	d.waitFor(t, "the partial file", func() bool { return d.failures == 1 })
 	time.Sleep(100 * time.Millisecond)
-	wait("delivered once", func() bool { return failures == 1 && lists == 2 })
+	d.waitFor(t, "delivered once", func() bool { return d.failures == 1 && d.lists == 2 })
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
 	}
 	s.Fetch()
-	wait("a missing file after a request", func() bool { return failures == 2 })
-	put(`[{"targets": ["a:1", "b:1"], "labels": {"zone": "a"}}]`)
-	wait("the same list again, after the failure", func() bool { return lists == 3 })
+	d.waitFor(t, "a missing file after a request", func() bool { return d.failures == 2 })
+	replaceFile(t, path, `[{"targets": ["a:1", "b:1"], "labels": {"zone": "a"}}]`)
+	d.waitFor(t, "the same list again, after the failure", func() bool { return d.lists == 3 })
 }
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -98,72 +98,85 @@
 	}
 }
 
-// Whatever deltas a gateway misses, repeats or gets late, they lead to what was published.
-func TestEndpointDeltas(t *testing.T) {
-	h := NewHub(10, 3)
-	classes := []string{"view"}
-	var tables routing.Snapshot
-	nonce := ""
-	take := func(lines map[string]string) response {
-		ch, cancel := startPoll(t, h, Request{Gateway: "gw", Document: coordinator.EndpointsDocument, Delta: true, Nonce: nonce, Versions: lines, MaxWait: time.Millisecond})
-		defer cancel()
-		return receive(t, ch)
-	}
-	apply := func(x response) int {
-		t.Helper()
-		d, ok := x.m.(*discoveryv3.DeltaDiscoveryResponse)
-		if !ok {
-			t.Fatalf("no delta: %v", x)
-		}
-		clusters, err := xds.ApplyEndpointDelta(classes, tables, d)
-		if err != nil {
-			t.Fatal(err)
-		}
-		tables.Clusters, nonce = clusters, d.Nonce
-		return len(d.Resources) + len(d.RemovedResources)
+// deltaGateway is a gateway that polls for deltas of its endpoints.
+type deltaGateway struct {
+	t      *testing.T
+	hub    *Hub
+	tables routing.Snapshot
+	nonce  string
+}
+
+// poll polls with the gateway's nonce, or with the versions that it has.
+func (g *deltaGateway) poll(versions map[string]string) response {
+	g.t.Helper()
+	ch, cancel := startPoll(g.t, g.hub, Request{Gateway: "gw", Document: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce,
+		Versions: versions, MaxWait: time.Millisecond})
+	defer cancel()
+	return receive(g.t, ch)
+}
+
+// apply applies a response, which must be a delta, and returns the number of resources in it.
+func (g *deltaGateway) apply(x response) int {
+	g.t.Helper()
+	delta, ok := x.m.(*discoveryv3.DeltaDiscoveryResponse)
+	if !ok {
+		g.t.Fatalf("no delta: %v", x)
 	}
-	same := func(p coordinator.Publish) {
-		t.Helper()
-		if !slices.EqualFunc(tables.Clusters, p.Snapshot.Clusters, routing.Cluster.Equal) {
-			t.Fatalf("applied %v, published %v", tables.Clusters, p.Snapshot.Clusters)
-		}
+	clusters, err := xds.ApplyEndpointDelta([]string{"view"}, g.tables, delta)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.tables.Clusters = clusters
+	g.nonce = delta.Nonce
+	return len(delta.Resources) + len(delta.RemovedResources)
+}
+
+// requirePublished fails the test unless the gateway has the tables of a publication.
+func (g *deltaGateway) requirePublished(p coordinator.Publish) {
+	g.t.Helper()
+	if !slices.EqualFunc(g.tables.Clusters, p.Snapshot.Clusters, routing.Cluster.Equal) {
+		g.t.Fatalf("applied %v, published %v", g.tables.Clusters, p.Snapshot.Clusters)
 	}
+}
+
+// Whatever deltas a gateway misses, repeats or gets late, they lead to what was published.
+func TestEndpointDeltas(t *testing.T) {
+	g := &deltaGateway{t: t, hub: NewHub(10, 3)}
 	p := publication("gw", 1, 1, 2, 3, 4, 5, 6)
-	h.Publish(p)
-	if n := apply(take(nil)); n != 6 {
+	g.hub.Publish(p)
+	if n := g.apply(g.poll(nil)); n != 6 {
 		t.Errorf("%d endpoints in the first delta", n)
 	}
-	same(p)
-	p = publication("gw", 2, 1, 2, 3, 4, 5, 7)
-	h.Publish(p)
-	take(nil) // the response is lost
+	g.requirePublished(p)
+	g.hub.Publish(publication("gw", 2, 1, 2, 3, 4, 5, 7))
+	g.poll(nil) // the response is lost
 	p = publication("gw", 3, 1, 2, 3, 4, 7)
-	h.Publish(p)
-	if n := apply(take(nil)); n != 3 {
+	g.hub.Publish(p)
+	if n := g.apply(g.poll(nil)); n != 3 {
 		t.Errorf("%d endpoints with 5 and 6 removed and 7 added", n)
 	}
-	same(p)
-	if x := take(nil); x.m != nil || x.err != nil {
+	g.requirePublished(p)
+	if x := g.poll(nil); x.m != nil || x.err != nil {
 		t.Errorf("%v for an unchanged document", x)
 	}
 	for n := 4; n < 12; n++ { // so many that its base is dropped
 		p = publication("gw", n, 1, n)
-		h.Publish(p)
+		g.hub.Publish(p)
 	}
-	if x := take(nil); !errors.Is(x.err, ErrUnknownBase) {
+	if x := g.poll(nil); !errors.Is(x.err, ErrUnknownBase) {
 		t.Errorf("from a base that was dropped: %v", x)
 	}
-	apply(take(xds.EndpointVersions(tables)))
-	same(p)
+	g.apply(g.poll(xds.EndpointVersions(g.tables)))
+	g.requirePublished(p)
 	// A restarted coordinator knows neither the nonce nor removed endpoints.
-	h = NewHub(10, 3)
+	g.hub = NewHub(10, 3)
 	p = publication("gw", 1, 9)
-	h.Publish(p)
-	if x := take(nil); !errors.Is(x.err, ErrUnknownBase) {
+	g.hub.Publish(p)
+	if x := g.poll(nil); !errors.Is(x.err, ErrUnknownBase) {
 		t.Errorf("from the nonce of an earlier process: %v", x)
 	}
-	apply(take(xds.EndpointVersions(tables)))
-	same(p)
+	g.apply(g.poll(xds.EndpointVersions(g.tables)))
+	g.requirePublished(p)
 }
 
 // Ten thousand waiting polls are answered at once, each one time; a poll over the limit is rejected.
