--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -6,7 +6,6 @@
 	"math"
 	"math/rand/v2"
 	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
@@ -45,16 +44,11 @@
 func RunLoadReports(o LoadReportOptions) (LoadReportResult, error) {
 	result := LoadReportResult{Scenario: "intake", Seed: o.Seed, Gateways: o.Gateways, Endpoints: o.Endpoints,
 		MaxLinesPerSecond: o.MaxLinesPerSecond, CoordinatorCores: o.CoordinatorCores}
-	dir, remove, err := workDir(o.Dir, "porthub-intake-")
+	dir, output, remove, err := workDirWithLog(o.Dir, "porthub-intake-")
 	if err != nil {
 		return result, err
 	}
 	defer remove()
-	output, err := os.Create(filepath.Join(dir, "coordinator.log"))
-	if err != nil {
-		return result, err
-	}
-	defer func() { _ = output.Close() }()
 	f := newLightFleet(o, dir, output)
 	if err := f.writeList(); err != nil {
 		return result, err
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -10,7 +10,6 @@
 	"net"
 	"net/http"
 	"os"
-	"path/filepath"
 	"sync"
 	"syscall"
 	"time"
@@ -48,16 +47,11 @@
 // held.
 func RunPolls(command []string, gateways, endpoints int) (PollResult, error) {
 	result := PollResult{Gateways: gateways, Endpoints: endpoints, Polls: 2 * gateways}
-	dir, remove, err := workDir("", "porthub-polls-")
+	dir, output, remove, err := workDirWithLog("", "porthub-polls-")
 	if err != nil {
 		return result, err
 	}
 	defer remove()
-	output, err := os.Create(filepath.Join(dir, "coordinator.log"))
-	if err != nil {
-		return result, err
-	}
-	defer func() { _ = output.Close() }()
 	m := newPollMeasurement(command, dir, output, gateways, endpoints)
 	if err := m.writeList("ready"); err != nil {
 		return result, err
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -60,6 +60,24 @@
 	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
+// workDirWithLog returns a directory as [workDir] does, with a file in it for what the coordinator prints. The function remove
+// closes the file.
+func workDirWithLog(requested, prefix string) (dir string, output *os.File, remove func(), err error) {
+	dir, removeDir, err := workDir(requested, prefix)
+	if err != nil {
+		return "", nil, nil, err
+	}
+	output, err = os.Create(filepath.Join(dir, "coordinator.log"))
+	if err != nil {
+		removeDir()
+		return "", nil, nil, err
+	}
+	return dir, output, func() {
+		_ = output.Close()
+		removeDir()
+	}, nil
+}
+
 // scratch is where a run's files are: in memory if the machine has such a directory, as operators' tables are. Otherwise
 // a disk that others keep busy would be judged in place of the coordinator.
 func scratch() string {
