--- a/capture/explanation.go
+++ b/capture/explanation.go
@@ -66,9 +66,10 @@
 // acknowledged one.
 func (h *endpointHistory) countOutdated(gateways []GatewayTable) (disconnected, unconfirmed int) {
 	for _, table := range gateways {
-		if table.Disconnected {
+		switch {
+		case table.Disconnected:
 			disconnected++
-		} else if !h.gateways[table.Gateway].sent.contains() {
+		case !h.gateways[table.Gateway].sent.contains():
 			unconfirmed++
 		}
 	}
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -164,14 +164,16 @@
 func compareStep(record *Record, replayed []policyapi.Order, digest uint64) *Mismatch {
 	recorded := record.Step.Orders
 	mismatch := &Mismatch{Seq: record.Seq, Now: record.Step.Now, Order: -1}
-	if i, differ := firstDifference(recorded, replayed); differ {
+	i, differ := firstDifference(recorded, replayed)
+	switch {
+	case differ:
 		mismatch.Order = i
 		mismatch.Recorded = orderText(recorded, i)
 		mismatch.Replayed = orderText(replayed, i)
-	} else if digest != record.Step.Digest {
+	case digest != record.Step.Digest:
 		mismatch.Recorded = fmt.Sprintf("publications %x", record.Step.Digest)
 		mismatch.Replayed = fmt.Sprintf("publications %x", digest)
-	} else {
+	default:
 		return nil
 	}
 	for _, input := range record.Step.Inputs {
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -161,7 +161,9 @@
 		}
 		if len(table) < lightInitialTable {
 			table = append(table, entry)
-		} else if rng.IntN(3) == 0 {
+			continue
+		}
+		if rng.IntN(3) == 0 {
 			table[rng.IntN(lightInitialTable)] = entry
 		}
 	}
--- a/config/validate_degradation.go
+++ b/config/validate_degradation.go
@@ -8,23 +8,23 @@
 	for i, level := range v.cfg.Degradation.Levels {
 		v.classBounds(i, level, settings.Classes)
 	}
-	for _, f := range settings.Check() {
+	for _, finding := range settings.Check() {
 		key := "service.levels"
-		if f.Level >= 0 {
-			key = fmt.Sprintf("service.levels[%d]", f.Level)
-			if f.Key != "" {
-				key += "." + f.Key
+		if finding.Level >= 0 {
+			key = fmt.Sprintf("service.levels[%d]", finding.Level)
+			if finding.Key != "" {
+				key += "." + finding.Key
 			}
 		}
-		v.require(false, key, f.Problem, f.Remedy)
+		v.require(false, key, finding.Problem, finding.Remedy)
 	}
-	f := v.cfg.Degradation.Fallback
-	if f.Level == "" {
+	configured := v.cfg.Degradation.Fallback
+	if configured.Level == "" {
 		return
 	}
-	v.require(fallback.Level > 0, "service.fallback.level", fmt.Sprintf("%q is no level", f.Level), "name one of service.levels")
-	v.require(f.Duration > 0 && f.After >= v.cfg.Gateways.SilenceTimeout, "service.fallback",
-		fmt.Sprintf("begins after %d ms and lasts %d ms", f.After/millisecond, f.Duration/millisecond),
+	v.require(fallback.Level > 0, "service.fallback.level", fmt.Sprintf("%q is no level", configured.Level), "name one of service.levels")
+	v.require(configured.Duration > 0 && configured.After >= v.cfg.Gateways.SilenceTimeout, "service.fallback",
+		fmt.Sprintf("begins after %d ms and lasts %d ms", configured.After/millisecond, configured.Duration/millisecond),
 		"it must not begin before gateways.silent_after, and must end")
 }
 
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -106,11 +106,11 @@
 }
 
 // read decodes the body, protobuf or its JSON form.
-func (x *exchange) read(m proto.Message) error {
+func (x *exchange) read(message proto.Message) error {
 	if !x.isProtobuf() {
-		return xds.Decode(x.body, m)
+		return xds.Decode(x.body, message)
 	}
-	if err := proto.Unmarshal(x.body, m); err != nil {
+	if err := proto.Unmarshal(x.body, message); err != nil {
 		return fmt.Errorf("%w: %w", xds.ErrInvalidMessage, err)
 	}
 	return nil
@@ -118,46 +118,46 @@
 
 // serveDiscovery takes a gateway's acknowledgement of a document, and its poll for the next one.
 func (x *exchange) serveDiscovery(document coordinator.Document) {
-	m := &discoveryv3.DiscoveryRequest{}
+	message := &discoveryv3.DiscoveryRequest{}
 	var node xds.Node
-	err := x.read(m)
+	err := x.read(message)
 	if err == nil {
-		node, err = xds.ParseNode(m.Node)
+		node, err = xds.ParseNode(message.Node)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
 		return
 	}
-	ack := coordinator.DocumentAck{Document: document, Version: m.VersionInfo, Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage()}
+	ack := coordinator.DocumentAck{Document: document, Version: message.VersionInfo, Nonce: message.ResponseNonce, Error: message.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
 		if !node.Polls {
 			x.answer(http.StatusNotModified, "", nil)
 			return
 		}
-		x.holdPoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, Version: m.VersionInfo, MaxWait: node.MaxWait})
+		x.queuePoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, Version: message.VersionInfo, MaxWait: node.MaxWait})
 	})
 }
 
 // serveDelta handles a poll for changes of single endpoints or routes.
 func (x *exchange) serveDelta(document coordinator.Document, typeURL string) {
-	m := &discoveryv3.DeltaDiscoveryRequest{}
+	message := &discoveryv3.DeltaDiscoveryRequest{}
 	var node xds.Node
-	err := x.read(m)
+	err := x.read(message)
 	if err == nil {
-		node, err = xds.ParseNode(m.Node)
+		node, err = xds.ParseNode(message.Node)
 	}
-	if err == nil && m.TypeUrl != typeURL {
-		err = fmt.Errorf("%w: type_url %q: this path takes %s", xds.ErrInvalidMessage, m.TypeUrl, typeURL)
+	if err == nil && message.TypeUrl != typeURL {
+		err = fmt.Errorf("%w: type_url %q: this path takes %s", xds.ErrInvalidMessage, message.TypeUrl, typeURL)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
 		return
 	}
 	node.Polls = true
-	ack := coordinator.DocumentAck{Document: document, Version: m.ResponseNonce, Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage()}
+	ack := coordinator.DocumentAck{Document: document, Version: message.ResponseNonce, Nonce: message.ResponseNonce, Error: message.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
-		x.holdPoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, MaxWait: node.MaxWait, Delta: true, Nonce: m.ResponseNonce,
-			Versions: m.InitialResourceVersions})
+		x.queuePoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, MaxWait: node.MaxWait, Delta: true, Nonce: message.ResponseNonce,
+			Versions: message.InitialResourceVersions})
 	})
 }
 
@@ -172,14 +172,14 @@
 	}, done)
 }
 
-// holdPoll leaves a poll with the hub until there is something to deliver.
-func (x *exchange) holdPoll(r xdspoll.Request) {
+// queuePoll leaves a poll with the hub until there is something to deliver.
+func (x *exchange) queuePoll(request xdspoll.Request) {
 	hub := x.server.daemon.polls
-	r.MaxWait = min(r.MaxWait, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
-	r.Respond = x.answerPoll
-	cancel, ok := hub.Poll(r)
+	request.MaxWait = min(request.MaxWait, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
+	request.Respond = x.answerPoll
+	cancel, ok := hub.Poll(request)
 	if !ok {
-		x.answer(http.StatusServiceUnavailable, textType, []byte("too many polls are held\n"))
+		x.answer(http.StatusServiceUnavailable, textType, []byte("too many polls are waiting\n"))
 		return
 	}
 	x.connection.cancelPoll.Store(&cancel)
@@ -247,8 +247,8 @@
 }
 
 // convertReport converts a load report of the protocol to the core's.
-func convertReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
-	node, interval, classes, err := xds.ParseLoadReport(m)
+func convertReport(message *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
+	node, interval, classes, err := xds.ParseLoadReport(message)
 	if err != nil {
 		return node, coordinator.LoadReport{}, err
 	}
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -15,40 +15,41 @@
 // once the core has taken it. input makes the core's input, given the gateway's link. A connection keeps the gateway that it
 // began with. A gateway that polls may have several connections: the first that is open is its link.
 func (x *exchange) submit(node xds.Node, input func(link coordinator.ConnID) coordinator.Input, done func()) {
-	s, p := x.server, x.connection
+	server := x.server
+	conn := x.connection
 	name := coordinator.Gateway(node.Name)
-	if p.gateway != "" && p.gateway != name {
-		x.fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", p.gateway))
+	if conn.gateway != "" && conn.gateway != name {
+		x.fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", conn.gateway))
 		return
 	}
-	if node.Polls && !s.daemon.config.Delivery.Poll.Enabled {
+	if node.Polls && !server.daemon.config.Delivery.Poll.Enabled {
 		x.fail(http.StatusNotImplemented, "polling is off: front.poll.enabled")
 		return
 	}
-	if p.gateway == "" {
-		p.polls = node.Polls
+	if conn.gateway == "" {
+		conn.polls = node.Polls
 	}
-	link, ok := s.claimLink(name, p)
+	link, ok := server.claimLink(name, conn)
 	if !ok {
 		x.fail(http.StatusConflict, fmt.Sprintf("%s is already connected by the other way of delivery: give each gateway a name of its own", name))
 		return
 	}
 	var inputs []coordinator.Input
-	if link == p && !p.announced {
-		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: policyapi.Zone(node.Zone),
+	if link == conn && !conn.announced {
+		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: conn.id, Zone: policyapi.Zone(node.Zone),
 			HasDefaultTableOnly: node.InitialTable, Weight: node.UsualRate})
 	}
 	inputs = append(inputs, input(link.id))
-	if !s.daemon.inbox.TryPut(mailboxItem{inputs: inputs, reply: func([]byte) { done() }}) {
-		if link == p && !p.announced {
-			s.removeLink(name, p)
+	if !server.daemon.inbox.TryPut(mailboxItem{inputs: inputs, reply: func([]byte) { done() }}) {
+		if link == conn && !conn.announced {
+			server.removeLink(name, conn)
 		}
 		x.fail(http.StatusServiceUnavailable, busyReason)
 		return
 	}
-	p.announced = p.announced || link == p
-	p.gateway = name
-	p.linkID = link.id
+	conn.announced = conn.announced || link == conn
+	conn.gateway = name
+	conn.linkID = link.id
 }
 
 // claimLink returns the connection that is a gateway's link, p itself if there is none yet. It is settled in one go: two polls
--- a/degradation/check.go
+++ b/degradation/check.go
@@ -124,41 +124,41 @@
 }
 
 func (s Settings) checkBounds(i int, found *findings) {
-	b := s.Levels[i].Bounds
-	if len(b.Share) != len(s.Classes) || len(b.RetryPolicy) != len(s.Classes) {
-		found.add(i, "kinds", fmt.Sprintf("has bounds for %d of %d request kinds", len(b.Share), len(s.Classes)), "one for each")
+	bounds := s.Levels[i].Bounds
+	if len(bounds.Share) != len(s.Classes) || len(bounds.RetryPolicy) != len(s.Classes) {
+		found.add(i, "kinds", fmt.Sprintf("has bounds for %d of %d request kinds", len(bounds.Share), len(s.Classes)), "one for each")
 		return
 	}
 	s.checkClassBounds(i, found)
-	if !isPart(b.CrossZoneFactor) {
-		found.add(i, "cross", fmt.Sprintf("is %v", b.CrossZoneFactor), "0 to 1")
+	if !isPart(bounds.CrossZoneFactor) {
+		found.add(i, "cross", fmt.Sprintf("is %v", bounds.CrossZoneFactor), "0 to 1")
 	}
-	if b.MaxEndpoints != 0 && b.MaxEndpoints < minTableEndpoints {
-		found.add(i, "lines", fmt.Sprintf("is %d", b.MaxEndpoints), fmt.Sprintf("%d or more, or 0 for no bound", minTableEndpoints))
+	if bounds.MaxEndpoints != 0 && bounds.MaxEndpoints < minTableEndpoints {
+		found.add(i, "lines", fmt.Sprintf("is %d", bounds.MaxEndpoints), fmt.Sprintf("%d or more, or 0 for no bound", minTableEndpoints))
 	}
-	if b.MaxHealthChecks < 0 {
+	if bounds.MaxHealthChecks < 0 {
 		found.add(i, "probes_per_s", "is below 0", "0 for no bound")
 	}
-	if b.ReportIntervalFactor < 1 || b.ReportIntervalFactor > maxIntervalFactor {
-		found.add(i, "report_stretch", fmt.Sprintf("is %d", b.ReportIntervalFactor), fmt.Sprintf("1 to %d", maxIntervalFactor))
+	if bounds.ReportIntervalFactor < 1 || bounds.ReportIntervalFactor > maxIntervalFactor {
+		found.add(i, "report_stretch", fmt.Sprintf("is %d", bounds.ReportIntervalFactor), fmt.Sprintf("1 to %d", maxIntervalFactor))
 	}
 	if i == 0 {
 		return
 	}
-	if milder := s.Levels[i-1]; b.ReportIntervalFactor < milder.Bounds.ReportIntervalFactor {
-		found.add(i, "report_stretch", fmt.Sprintf("%d is under that of %q", b.ReportIntervalFactor, milder.Name), "severer levels bound as much or more")
+	if milder := s.Levels[i-1]; bounds.ReportIntervalFactor < milder.Bounds.ReportIntervalFactor {
+		found.add(i, "report_stretch", fmt.Sprintf("%d is under that of %q", bounds.ReportIntervalFactor, milder.Name), "severer levels bound as much or more")
 	}
 }
 
 func (s Settings) checkClassBounds(i int, found *findings) {
-	b := s.Levels[i].Bounds
+	bounds := s.Levels[i].Bounds
 	sum := 0.0
-	for class, share := range b.Share {
+	for class, share := range bounds.Share {
 		if !isPart(share) {
 			found.add(i, "kinds."+s.Classes[class]+".share", fmt.Sprintf("is %v", share), "0 to 1")
 		}
-		if b.RetryPolicy[class] < 0 || b.RetryPolicy[class] > maxRetryPolicy {
-			found.add(i, "kinds."+s.Classes[class]+".second_try", fmt.Sprintf("is %d", b.RetryPolicy[class]), fmt.Sprintf("0 to %d", maxRetryPolicy))
+		if bounds.RetryPolicy[class] < 0 || bounds.RetryPolicy[class] > maxRetryPolicy {
+			found.add(i, "kinds."+s.Classes[class]+".second_try", fmt.Sprintf("is %d", bounds.RetryPolicy[class]), fmt.Sprintf("0 to %d", maxRetryPolicy))
 		}
 		sum += share
 	}
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -132,7 +132,9 @@
 		err := l.link.Acknowledge(ctx, update, g.currentTables())
 		if err != nil && !errors.Is(err, client.ErrRejected) {
 			l.disconnect()
-		} else if update.Err == nil {
+			continue
+		}
+		if update.Err == nil {
 			g.world.Log.VersionAcknowledged(g.world.Now(), g.Name, update.Document.Version)
 		}
 	}
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -11,8 +11,8 @@
 	maxBusySeconds = 20.0
 	// minBusySeconds is the number of busy seconds from which on a capacity is known.
 	minBusySeconds = 3.0
-	// maxCostAnswers is the number of answers from which on a class's cost is halved.
-	maxCostAnswers = 400.0
+	// maxCostResponses is the number of responses from which on a class's cost is halved.
+	maxCostResponses = 400.0
 	// priorAnswers is the number of answers for which the mean cost of all classes counts in each class's.
 	priorAnswers = 30
 	// queueingUtilization is the utilization below which answers are taken not to have waited.
@@ -77,30 +77,30 @@
 	if !(utilization > minUtilization) || !warm || seconds <= 0 {
 		return
 	}
-	t := e.endpoints[endpoint]
-	if t == nil {
-		t = &throughput{}
-		e.endpoints[endpoint] = t
+	observed := e.endpoints[endpoint]
+	if observed == nil {
+		observed = &throughput{}
+		e.endpoints[endpoint] = observed
 	}
 	done := 0.0
 	for _, load := range loads {
-		answers := float64(load.Attempts - load.Failures)
-		if answers <= 0 || int(load.Class) >= e.classes {
+		responses := float64(load.Attempts - load.Failures)
+		if responses <= 0 || int(load.Class) >= e.classes {
 			continue
 		}
-		done += answers * e.cost(int(load.Class))
+		done += responses * e.cost(int(load.Class))
 		if utilization < queueingUtilization {
-			e.addLatency(load, answers)
+			e.addLatency(load, responses)
 		}
 	}
 	utilization = min(1, utilization)
-	t.add(utilization, utilization*seconds, done)
+	observed.add(utilization, utilization*seconds, done)
 }
 
-func (e *CapacityEstimator) addLatency(load policyapi.EndpointClassLoad, answers float64) {
+func (e *CapacityEstimator) addLatency(load policyapi.EndpointClassLoad, responses float64) {
 	latency := &e.latencies[load.Class]
-	latency.add(answers, answers*float64(load.MeanLatency))
-	if latency.weight > maxCostAnswers {
+	latency.add(responses, responses*float64(load.MeanLatency))
+	if latency.weight > maxCostResponses {
 		latency.halve()
 	}
 }
--- a/solver/fleets/measure.go
+++ b/solver/fleets/measure.go
@@ -43,38 +43,39 @@
 
 // samples are the values by fleet that a Measurement sums up.
 type samples struct {
-	milliseconds, steps []float64
-	ratios, shedRatios  []float64
-	worstRatio          float64 // the least of ratios
-	baselines           map[Baseline][]float64
+	milliseconds, steps    []float64
+	ratios, rejectedRatios []float64
+	worstRatio             float64 // the least of ratios
+	baselines              map[Baseline][]float64
 }
 
 // Measure solves n random fleets of a seed. With optimum it finds the exact optimum of each as well; with baselines it
 // computes those, relative to the optimum or, without it, to the solution. It returns the error of a fleet that is
 // malformed.
 func Measure(n int, seed uint64, optimum, baselines bool) (Measurement, error) {
-	m := Measurement{Fleets: n, MinAdmitted: 1}
-	s := samples{baselines: map[Baseline][]float64{}}
+	measurement := Measurement{Fleets: n, MinAdmitted: 1}
+	collected := samples{baselines: map[Baseline][]float64{}}
 	for i := range n {
-		d := Draw(seed, i)
-		if err := d.Check(); err != nil {
-			return m, err
+		drawn := Draw(seed, i)
+		if err := drawn.Check(); err != nil {
+			return measurement, err
 		}
-		best := m.solve(d, &s)
+		best := measurement.solve(drawn, &collected)
 		if optimum {
-			var ok bool
-			if best, ok = m.compareOptimum(d, best, &s); !ok {
+			exact, ok := measurement.compareOptimum(drawn, best, &collected)
+			if !ok {
 				continue
 			}
+			best = exact
 		}
 		if baselines && best > 0 {
 			for _, baseline := range []Baseline{EvenWeights, CapacityWeights, WantedWeights} {
-				s.baselines[baseline] = append(s.baselines[baseline], ServedPriority(d.Fleet, baseline)/best)
+				collected.baselines[baseline] = append(collected.baselines[baseline], ServedPriority(drawn.Fleet, baseline)/best)
 			}
 		}
 	}
-	m.sumUp(s)
-	return m, nil
+	measurement.sumUp(collected)
+	return measurement, nil
 }
 
 // solve solves a fleet and returns its placed priority.
@@ -109,7 +110,7 @@
 	}
 	s.ratios = append(s.ratios, ratio)
 	if !d.Fits {
-		s.shedRatios = append(s.shedRatios, ratio)
+		s.rejectedRatios = append(s.rejectedRatios, ratio)
 	}
 	return optimum, true
 }
@@ -118,7 +119,7 @@
 	m.Milliseconds = quantiles(s.milliseconds)
 	m.Steps = quantiles(s.steps)
 	m.PriorityRatio = ratioOf(s.ratios)
-	m.PriorityRatioWhenShed = ratioOf(s.shedRatios)
+	m.PriorityRatioWhenShed = ratioOf(s.rejectedRatios)
 	if len(s.baselines) == 0 {
 		return
 	}
--- a/solver/fleets/optimum.go
+++ b/solver/fleets/optimum.go
@@ -26,8 +26,8 @@
 func Optimum(f solver.Fleet) (float64, error) {
 	groups := demandGroups(f)
 	variables := 0
-	for _, g := range groups {
-		variables += len(g.endpoints)
+	for _, group := range groups {
+		variables += len(group.endpoints)
 	}
 	if variables == 0 {
 		return 0, nil
@@ -39,12 +39,12 @@
 	bounds := make([]float64, rows)
 	basic := make([]int, rows)
 	column := 0
-	for i, g := range groups {
-		bounds[i] = g.rate
-		for _, endpoint := range g.endpoints {
+	for i, group := range groups {
+		bounds[i] = group.rate
+		for _, endpoint := range group.endpoints {
 			matrix.Set(i, column, 1)
-			matrix.Set(len(groups)+endpoint, column, cost(f, endpoint, g.class))
-			objective[column] = -f.Classes[g.class].PriorityWeight
+			matrix.Set(len(groups)+endpoint, column, cost(f, endpoint, group.class))
+			objective[column] = -f.Classes[group.class].PriorityWeight
 			column++
 		}
 	}
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -97,13 +97,13 @@
 }
 
 // remove takes a waiting poll off, and reports whether it still waited. The caller holds the mutex.
-func (h *Hub) remove(g *gatewayState, w *waiter) bool {
+func (h *Hub) remove(gateway *gatewayState, w *waiter) bool {
 	if w.answered {
 		return false
 	}
 	w.answered = true
 	w.timer.Stop()
-	delete(g.waiters, w)
+	delete(gateway.waiters, w)
 	h.pending--
 	return true
 }
@@ -131,35 +131,35 @@
 	return cancel, result != pollRejected
 }
 
-func (h *Hub) admit(r Request) (result pollResult, cancel func()) {
+func (h *Hub) admit(request Request) (result pollResult, cancel func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	g := h.gateway(r.Gateway)
+	gateway := h.gateway(request.Gateway)
 	switch {
-	case g.hasUpdate(r):
+	case gateway.hasUpdate(request):
 		return pollAnswered, func() {}
-	case r.MaxWait <= 0:
+	case request.MaxWait <= 0:
 		h.stats.Unchanged++
 		return pollUnchanged, func() {}
 	case h.pending >= h.maxPending:
 		h.stats.Rejected++
 		return pollRejected, func() {}
 	}
-	w := &waiter{request: r}
-	g.waiters[w] = true
+	waiting := &waiter{request: request}
+	gateway.waiters[waiting] = true
 	h.pending++
-	w.timer = time.AfterFunc(r.MaxWait, func() { h.expire(g, w) })
+	waiting.timer = time.AfterFunc(request.MaxWait, func() { h.expire(gateway, waiting) })
 	return pollWaiting, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		h.remove(g, w)
+		h.remove(gateway, waiting)
 	}
 }
 
 // expire answers a poll whose time is up.
-func (h *Hub) expire(g *gatewayState, w *waiter) {
+func (h *Hub) expire(gateway *gatewayState, w *waiter) {
 	h.mu.Lock()
-	removed := h.remove(g, w)
+	removed := h.remove(gateway, w)
 	if removed {
 		h.stats.Unchanged++
 	}
