--- a/chaos/fault_gateways.go
+++ b/chaos/fault_gateways.go
@@ -90,7 +90,7 @@
 	if f.source != byCoordinator {
 		return
 	}
-	var answer daemon.PinAnswer
+	var answer daemon.PinResponse
 	pin := daemon.PinRequest{Fleet: true, Ago: policyapi.Microseconds(in.Size * 1e6), Reason: reason}
 	if err := f.operate("/tables/pin", pin, &answer); err != nil || answer.Error != "" {
 		return // no coordinator, or no version so old: there is nothing to roll back
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -144,7 +144,7 @@
 }
 
 func sendLevel(cmd *cobra.Command, addr, path string, body any) error {
-	var a daemon.LevelAnswer
+	var a daemon.LevelResponse
 	if err := ask(cmd, addr, path, body, &a); err != nil {
 		return err
 	}
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -56,7 +56,7 @@
 		{"undrain", "Let a node in again", "let in again, as far as the sources have it"}} {
 		var addr, reason string
 		cmd := &cobra.Command{Use: c[0] + " NODE", Short: c[1], Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			var a daemon.EndpointAnswer
+			var a daemon.EndpointResponse
 			if err := ask(cmd, addr, "/nodes/"+c[0], daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
 				return err
 			}
--- a/cmd/porthub/versions.go
+++ b/cmd/porthub/versions.go
@@ -178,7 +178,7 @@
 		return r, nil
 	}
 	send := func(cmd *cobra.Command, path string, body any) error {
-		var o daemon.PinAnswer
+		var o daemon.PinResponse
 		if err := ask(cmd, *addr, path, body, &o); err != nil {
 			return err
 		}
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -12,7 +12,7 @@
 	"porthub/routing"
 )
 
-// operation is an operator's request; it runs in the loop that owns the core and returns the answer.
+// operation is an operator's request; it runs in the loop that owns the core and returns the response's body.
 type operation func(*coordinator.Core) []byte
 
 // requestError is a request that can't be carried out, with the HTTP status of the response.
@@ -31,25 +31,25 @@
 func (d *Daemon) operation(request *http.Request, body []byte) (operation, error) {
 	switch request.Method + " " + request.URL.Path {
 	case "GET /tables/versions":
-		return func(c *coordinator.Core) []byte { return encodeAnswer(tableVersions(c)) }, nil
+		return func(c *coordinator.Core) []byte { return encodeResponse(tableVersions(c)) }, nil
 	case "POST /tables/pin":
 		return d.pinOperation(body)
 	case "POST /tables/unpin":
 		return d.unpinOperation(body)
 	case "GET /levels":
-		return func(c *coordinator.Core) []byte { return encodeAnswer(c.Degradation()) }, nil
+		return func(c *coordinator.Core) []byte { return encodeResponse(c.Degradation()) }, nil
 	case "POST /levels/say":
 		return d.setLevelOperation(body)
 	case "POST /levels/unsay":
 		return d.clearLevelOperation(body)
 	case "GET /nodes":
-		return d.endpointsAnswer, nil
+		return d.endpointsResponse, nil
 	case "POST /nodes/drain":
 		return d.drainOperation(body)
 	case "POST /nodes/undrain":
 		return d.undrainOperation(body)
 	}
-	return nil, &requestError{http.StatusNotFound, fmt.Errorf("nothing answers %s %s", request.Method, request.URL.Path)}
+	return nil, &requestError{http.StatusNotFound, fmt.Errorf("there is no %s %s", request.Method, request.URL.Path)}
 }
 
 // readBody reads a request's JSON; it rejects fields that are not known.
@@ -62,7 +62,7 @@
 	return request, nil
 }
 
-// Versions is the answer to GET /tables/versions.
+// Versions is the response to GET /tables/versions.
 type Versions struct {
 	Now    policyapi.Microseconds `json:"now_us"`
 	Pins   []routing.Pin          `json:"pins"`
@@ -103,18 +103,18 @@
 	Reason string `json:"reason"`
 }
 
-// PinAnswer is the answer to POST /tables/pin and /tables/unpin.
-type PinAnswer struct {
+// PinResponse is the response to POST /tables/pin and /tables/unpin.
+type PinResponse struct {
 	Pin   routing.Pin `json:"pin"`
 	Error string      `json:"error,omitempty"`
 }
 
-func pinAnswer(pin routing.Pin, err error) []byte {
-	answer := PinAnswer{Pin: pin}
+func pinResponse(pin routing.Pin, err error) []byte {
+	response := PinResponse{Pin: pin}
 	if err != nil {
-		answer.Error = err.Error()
+		response.Error = err.Error()
 	}
-	return encodeAnswer(answer)
+	return encodeResponse(response)
 }
 
 // pin is the pin that a request asks for; its time is still missing.
@@ -154,7 +154,7 @@
 		if err == nil {
 			d.recorder.command(capture.Command{Pin: &pin})
 		}
-		return pinAnswer(set, err)
+		return pinResponse(set, err)
 	}, nil
 }
 
@@ -168,13 +168,13 @@
 		if err == nil {
 			d.recorder.command(capture.Command{Unpin: request.ID, Reason: request.Reason})
 		}
-		return pinAnswer(pin, err)
+		return pinResponse(pin, err)
 	}, nil
 }
 
 func tableVersions(c *coordinator.Core) Versions {
 	status := c.Status()
-	answer := Versions{Now: status.Now, Pins: c.Versions().Pins()}
+	versions := Versions{Now: status.Now, Pins: c.Versions().Pins()}
 	zones := map[policyapi.TableID]policyapi.Zone{}
 	gateways := map[policyapi.TableID]int{}
 	for _, g := range status.Gateways {
@@ -192,9 +192,9 @@
 		for _, entry := range c.Versions().Versions(table) {
 			one.Versions = append(one.Versions, tableVersion(c, entry))
 		}
-		answer.Tables = append(answer.Tables, one)
+		versions.Tables = append(versions.Tables, one)
 	}
-	return answer
+	return versions
 }
 
 func tableVersion(c *coordinator.Core, entry routing.VersionEntry) TableVersion {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -40,7 +40,7 @@
 	onStep func(policyapi.Microseconds, []coordinator.Input, *coordinator.Core)
 
 	// What the core is given and what carries its outputs out; each is safe for use by other goroutines.
-	inbox        *mailbox.Mailbox[mailboxItem]
+	mailbox      *mailbox.Mailbox[mailboxItem]
 	files        *xdsfile.Publisher
 	polls        *xdspoll.Hub
 	fileSource   *file.Source // nil: there is no file
@@ -86,7 +86,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
-	d.inbox = newInbox(o.Config)
+	d.mailbox = newInbox(o.Config)
 	d.state = newStateStore(d.config.StateDir, d.log)
 	d.coreSettings = coreSettings(o.Config, d.clock.Now())
 	d.core = coordinator.New(d.coreSettings)
@@ -171,7 +171,7 @@
 func (d *Daemon) close() {
 	d.server.close()
 	d.healthChecks.Close()
-	d.inbox.Close()
+	d.mailbox.Close()
 	closed := make(chan struct{})
 	go func() { // ends once the files are written, or with the process
 		defer close(closed)
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -2,8 +2,8 @@
 // own. Gateways and tools speak HTTP/1.1 to gnet event loops; one goroutine owns the core and steps it with the inputs that
 // have arrived; files, health checks, registries and saved state have goroutines of their own and never hold it up.
 //
-// Everything that waits is bounded: a connection's buffer by the largest request, the inbox by its length (what does not fit
-// is answered 503 and may be sent again), a gateway's publications by one that waits, health checks by their number.
+// Everything that waits is bounded: a connection's buffer by the largest request, the mailbox by its length (what does not fit
+// is rejected with 503 and may be sent again), a gateway's publications by one that waits, health checks by their number.
 //
 // The files by concern:
 //
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -8,7 +8,7 @@
 	"porthub/registry/eureka"
 )
 
-// Endpoints is the answer to GET /nodes: what membership has decided of each endpoint.
+// Endpoints is the response to GET /nodes: what membership has decided of each endpoint.
 type Endpoints struct {
 	Now        policyapi.Microseconds  `json:"now_us"`
 	Decisions  []membership.Decision   `json:"nodes"`
@@ -21,20 +21,20 @@
 	Reason   string               `json:"reason"`
 }
 
-// EndpointAnswer is the answer to both.
-type EndpointAnswer struct {
+// EndpointResponse is the response to both.
+type EndpointResponse struct {
 	Error string `json:"error,omitempty"`
 }
 
-func (d *Daemon) endpointsAnswer(c *coordinator.Core) []byte {
-	answer := Endpoints{Now: c.Now(), Decisions: c.MembershipDecisions()}
+func (d *Daemon) endpointsResponse(c *coordinator.Core) []byte {
+	response := Endpoints{Now: c.Now(), Decisions: c.MembershipDecisions()}
 	for i, registry := range d.registries {
-		if answer.Registries == nil {
-			answer.Registries = map[string]eureka.Stats{}
+		if response.Registries == nil {
+			response.Registries = map[string]eureka.Stats{}
 		}
-		answer.Registries[d.config.Registry.Eureka[i].Name] = registry.Stats()
+		response.Registries[d.config.Registry.Eureka[i].Name] = registry.Stats()
 	}
-	return encodeAnswer(answer)
+	return encodeResponse(response)
 }
 
 func (d *Daemon) drainOperation(body []byte) (operation, error) {
@@ -44,7 +44,7 @@
 	}
 	return func(c *coordinator.Core) []byte {
 		err := c.DrainEndpoint(request.Endpoint, request.Reason)
-		return d.endpointAnswer(c, err, capture.Command{Drain: request.Endpoint, Reason: request.Reason})
+		return d.endpointResponse(c, err, capture.Command{Drain: request.Endpoint, Reason: request.Reason})
 	}, nil
 }
 
@@ -55,16 +55,16 @@
 	}
 	return func(c *coordinator.Core) []byte {
 		err := c.UndrainEndpoint(request.Endpoint, request.Reason)
-		return d.endpointAnswer(c, err, capture.Command{Undrain: request.Endpoint, Reason: request.Reason})
+		return d.endpointResponse(c, err, capture.Command{Undrain: request.Endpoint, Reason: request.Reason})
 	}, nil
 }
 
-// endpointAnswer records a command that was carried out, and saves a snapshot, so that the drain survives a crash.
-func (d *Daemon) endpointAnswer(c *coordinator.Core, err error, command capture.Command) []byte {
+// endpointResponse records a command that was carried out, and saves a snapshot, so that the drain survives a crash.
+func (d *Daemon) endpointResponse(c *coordinator.Core, err error, command capture.Command) []byte {
 	if err != nil {
-		return encodeAnswer(EndpointAnswer{Error: err.Error()})
+		return encodeResponse(EndpointResponse{Error: err.Error()})
 	}
 	d.recorder.command(command)
 	d.saveSnapshot(c.Now(), true)
-	return encodeAnswer(EndpointAnswer{})
+	return encodeResponse(EndpointResponse{})
 }
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -18,17 +18,17 @@
 	"porthub/xdspoll"
 )
 
-// Content types of requests and answers.
+// Content types of requests and responses.
 const (
 	textType     = "text/plain; charset=utf-8"
 	jsonType     = "application/json"
 	protobufType = "application/x-protobuf"
 )
 
-// busyReason is the answer when the inbox is full.
+// busyReason is the response's text when the mailbox is full.
 const busyReason = "busy"
 
-// exchange is one request and its answer.
+// exchange is one request and its response.
 type exchange struct {
 	server     *server
 	connection *connection
@@ -36,11 +36,11 @@
 	body       []byte
 }
 
-// serve answers one request, at once or after the core has taken its input.
-func (s *server) serve(p *connection, request *http.Request, body []byte) {
-	p.busy.Store(true)
-	x := &exchange{server: s, connection: p, request: request, body: body}
-	d := s.daemon
+// serve handles one request. The response is sent at once or after the core has taken the input.
+func (s *server) serve(conn *connection, request *http.Request, body []byte) {
+	conn.busy.Store(true)
+	x := &exchange{server: s, connection: conn, request: request, body: body}
+	daemon := s.daemon
 	switch request.Method + " " + request.URL.Path {
 	case "POST " + xds.EndpointPath:
 		x.serveDiscovery(coordinator.EndpointsDocument)
@@ -53,38 +53,38 @@
 	case "POST " + xds.LoadReportPath:
 		x.serveReport()
 	case "GET /tables":
-		x.query(d.inbox.TryPut, d.statusAnswer)
+		x.query(daemon.mailbox.TryPut, daemon.statusResponse)
 	case "GET /overview":
-		x.query(d.inbox.TryPutUrgent, d.overviewAnswer)
+		x.query(daemon.mailbox.TryPutUrgent, daemon.overviewResponse)
 	case "GET /intake":
-		x.query(d.inbox.TryPutUrgent, d.samplingAnswer)
+		x.query(daemon.mailbox.TryPutUrgent, daemon.samplingResponse)
 	default:
 		x.serveOperation()
 	}
 }
 
-func (x *exchange) answer(status int, contentType string, body []byte) {
-	x.server.answer(x.connection, status, contentType, body)
+func (x *exchange) respond(status int, contentType string, body []byte) {
+	x.server.respond(x.connection, status, contentType, body)
 }
 
-// fail answers with an error.
+// fail responds with an error, which is counted as a rejection.
 func (x *exchange) fail(status int, reason string) {
 	x.server.countRejection(x.request.Method+" "+x.request.URL.Path, reason)
-	x.answer(status, textType, []byte(reason+"\n"))
+	x.respond(status, textType, []byte(reason+"\n"))
 }
 
-// query has the loop that owns the core answer.
-func (x *exchange) query(put func(mailboxItem) bool, run operation) {
-	item := mailboxItem{query: run, reply: func(text []byte) { x.answer(http.StatusOK, jsonType, text) }}
-	if !put(item) {
+// query has the loop that owns the core make the response.
+func (x *exchange) query(enqueue func(mailboxItem) bool, run operation) {
+	item := mailboxItem{query: run, reply: func(text []byte) { x.respond(http.StatusOK, jsonType, text) }}
+	if !enqueue(item) {
 		x.fail(http.StatusServiceUnavailable, busyReason)
 	}
 }
 
 // serveOperation has an operator's request carried out.
 func (x *exchange) serveOperation() {
-	d := x.server.daemon
-	run, err := d.operation(x.request, x.body)
+	daemon := x.server.daemon
+	run, err := daemon.operation(x.request, x.body)
 	if err != nil {
 		status := http.StatusInternalServerError
 		var invalid *requestError
@@ -94,11 +94,11 @@
 		x.fail(status, err.Error())
 		return
 	}
-	put := d.inbox.TryPut
+	enqueue := daemon.mailbox.TryPut
 	if x.request.Method == http.MethodPost { // an operator's command does not wait behind reports
-		put = d.inbox.TryPutUrgent
+		enqueue = daemon.mailbox.TryPutUrgent
 	}
-	x.query(put, run)
+	x.query(enqueue, run)
 }
 
 func (x *exchange) isProtobuf() bool {
@@ -131,7 +131,7 @@
 	ack := coordinator.DocumentAck{Document: document, Version: message.VersionInfo, Nonce: message.ResponseNonce, Error: message.ErrorDetail.GetMessage()}
 	x.submitAck(node, ack, func() {
 		if !node.Polls {
-			x.answer(http.StatusNotModified, "", nil)
+			x.respond(http.StatusNotModified, "", nil)
 			return
 		}
 		x.queuePoll(xdspoll.Request{Gateway: coordinator.Gateway(node.Name), Document: document, Version: message.VersionInfo, MaxWait: node.MaxWait})
@@ -176,23 +176,23 @@
 func (x *exchange) queuePoll(request xdspoll.Request) {
 	hub := x.server.daemon.polls
 	request.MaxWait = min(request.MaxWait, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
-	request.Respond = x.answerPoll
+	request.Respond = x.respondToPoll
 	cancel, ok := hub.Poll(request)
 	if !ok {
-		x.answer(http.StatusServiceUnavailable, textType, []byte("too many polls are waiting\n"))
+		x.respond(http.StatusServiceUnavailable, textType, []byte("too many polls are waiting\n"))
 		return
 	}
 	x.connection.cancelPoll.Store(&cancel)
 }
 
-// answerPoll answers a poll; the hub calls it, from any goroutine.
-func (x *exchange) answerPoll(delivery *xdspoll.Response, err error) {
+// respondToPoll responds to a poll; the hub calls it, from any goroutine.
+func (x *exchange) respondToPoll(delivery *xdspoll.Response, err error) {
 	if errors.Is(err, xdspoll.ErrUnknownBase) {
-		x.answer(http.StatusConflict, textType, []byte(err.Error()+"\n"))
+		x.respond(http.StatusConflict, textType, []byte(err.Error()+"\n"))
 		return
 	}
 	if delivery == nil && err == nil {
-		x.answer(http.StatusNotModified, "", nil)
+		x.respond(http.StatusNotModified, "", nil)
 		return
 	}
 	binary := x.isProtobuf()
@@ -201,7 +201,7 @@
 		body, err = delivery.Body(binary)
 	}
 	if err != nil {
-		x.answer(http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
+		x.respond(http.StatusInternalServerError, textType, []byte(err.Error()+"\n"))
 		return
 	}
 	x.server.daemon.polls.CountBytes(len(body))
@@ -209,32 +209,32 @@
 	if binary {
 		contentType = protobufType
 	}
-	x.answer(http.StatusOK, contentType, body)
+	x.respond(http.StatusOK, contentType, body)
 }
 
-// serveReport takes a load report. A gateway whose last report is young has to wait while the core is behind: the others' come
-// first.
+// serveReport takes a load report. A gateway whose last report is recent is deferred while the core is behind, so that the
+// others' reports come first.
 func (x *exchange) serveReport() {
-	m := &loadv3.LoadStatsRequest{}
+	message := &loadv3.LoadStatsRequest{}
 	var report coordinator.LoadReport
 	var node xds.Node
-	err := x.read(m)
+	err := x.read(message)
 	if err == nil {
-		node, report, err = convertReport(m)
+		node, report, err = convertReport(message)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
 		return
 	}
-	s, p := x.server, x.connection
-	period := policyapi.Microseconds(s.daemon.config.Reports.Period)
-	if loadreport.ShouldDefer(s.daemon.inbox.Len(), normalCapacity, microsecondsSince(p.reportedAt), period) {
-		s.deferredReports.Add(1)
-		x.answer(http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
+	server, conn := x.server, x.connection
+	period := policyapi.Microseconds(server.daemon.config.Reports.Period)
+	if loadreport.ShouldDefer(server.daemon.mailbox.Len(), normalCapacity, microsecondsSince(conn.reportedAt), period) {
+		server.deferredReports.Add(1)
+		x.respond(http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
 		return
 	}
-	p.reportedAt = time.Now()
-	factor := policyapi.Microseconds(max(1, s.daemon.reportIntervalFactor.Load()))
+	conn.reportedAt = time.Now()
+	factor := policyapi.Microseconds(max(1, server.daemon.reportIntervalFactor.Load()))
 	text, err := xds.Encode(xds.NewLoadReportResponse(period * factor))
 	if err != nil {
 		x.fail(http.StatusInternalServerError, err.Error())
@@ -243,7 +243,7 @@
 	x.submit(node, func(link coordinator.ConnID) coordinator.Input {
 		report.Conn = link
 		return report
-	}, func() { x.answer(http.StatusOK, jsonType, text) })
+	}, func() { x.respond(http.StatusOK, jsonType, text) })
 }
 
 // convertReport converts a load report of the protocol to the core's.
--- a/daemon/harness_test.go
+++ b/daemon/harness_test.go
@@ -130,7 +130,7 @@
 }
 
 // post sends an operator's request.
-func (r *testDaemon) post(path string, body any) (answer EndpointAnswer) {
+func (r *testDaemon) post(path string, body any) (answer EndpointResponse) {
 	r.t.Helper()
 	text, _ := json.Marshal(body)
 	res, err := http.Post("http://"+r.daemon.Addr()+path, "application/json", bytes.NewReader(text))
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -24,8 +24,8 @@
 	Reason string `json:"reason"`
 }
 
-// LevelAnswer is the answer to both.
-type LevelAnswer struct {
+// LevelResponse is the response to both.
+type LevelResponse struct {
 	Override degradation.Override `json:"word"`
 	Error    string               `json:"error,omitempty"`
 }
@@ -42,7 +42,7 @@
 	return func(c *coordinator.Core) []byte {
 		override := degradation.Override{Action: request.Action, Zone: request.Zone, Level: level, Until: c.Now() + request.Duration, Reason: request.Reason}
 		set, err := c.SetLevelOverride(override)
-		return d.levelAnswer(c, set, err, capture.Command{SetOverride: &override})
+		return d.levelResponse(c, set, err, capture.Command{SetOverride: &override})
 	}, nil
 }
 
@@ -53,16 +53,16 @@
 	}
 	return func(c *coordinator.Core) []byte {
 		cleared, err := c.ClearLevelOverride(request.ID, request.Reason)
-		return d.levelAnswer(c, cleared, err, capture.Command{ClearOverride: request.ID, Reason: request.Reason})
+		return d.levelResponse(c, cleared, err, capture.Command{ClearOverride: request.ID, Reason: request.Reason})
 	}, nil
 }
 
-// levelAnswer records a command that was carried out, and saves a snapshot, so that the override survives a crash.
-func (d *Daemon) levelAnswer(c *coordinator.Core, override degradation.Override, err error, command capture.Command) []byte {
+// levelResponse records a command that was carried out, and saves a snapshot, so that the override survives a crash.
+func (d *Daemon) levelResponse(c *coordinator.Core, override degradation.Override, err error, command capture.Command) []byte {
 	if err != nil {
-		return encodeAnswer(LevelAnswer{Override: override, Error: err.Error()})
+		return encodeResponse(LevelResponse{Override: override, Error: err.Error()})
 	}
 	d.recorder.command(command)
 	d.saveSnapshot(c.Now(), true)
-	return encodeAnswer(LevelAnswer{Override: override})
+	return encodeResponse(LevelResponse{Override: override})
 }
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -40,7 +40,7 @@
 			HasDefaultTableOnly: node.InitialTable, Weight: node.UsualRate})
 	}
 	inputs = append(inputs, input(link.id))
-	if !server.daemon.inbox.TryPut(mailboxItem{inputs: inputs, reply: func([]byte) { done() }}) {
+	if !server.daemon.mailbox.TryPut(mailboxItem{inputs: inputs, reply: func([]byte) { done() }}) {
 		if link == conn && !conn.announced {
 			server.removeLink(name, conn)
 		}
@@ -52,31 +52,31 @@
 	conn.linkID = link.id
 }
 
-// claimLink returns the connection that is a gateway's link, p itself if there is none yet. It is settled in one go: two polls
+// claimLink returns the connection that is a gateway's link, conn itself if there is none yet. It is one atomic step: two polls
 // of one gateway may come at once, on two event loops, and must not each replace the other. ok is false if the gateway's link
 // is of the other way of delivery.
-func (s *server) claimLink(name coordinator.Gateway, p *connection) (link *connection, ok bool) {
+func (s *server) claimLink(name coordinator.Gateway, conn *connection) (link *connection, ok bool) {
 	ok = true
 	link, _ = s.links.Compute(name, func(open *connection, exists bool) (*connection, xsync.ComputeOp) {
 		switch {
-		case !exists || open == p:
-			return p, xsync.UpdateOp
-		case open.polls != p.polls:
+		case !exists || open == conn:
+			return conn, xsync.UpdateOp
+		case open.polls != conn.polls:
 			ok = false
 			return open, xsync.CancelOp
 		case open.polls:
 			return open, xsync.CancelOp
 		default: // a later link of a gateway that reads files
-			return p, xsync.UpdateOp
+			return conn, xsync.UpdateOp
 		}
 	})
 	return link, ok
 }
 
-// removeLink has a connection be its gateway's link no longer, if it is that.
-func (s *server) removeLink(name coordinator.Gateway, p *connection) {
+// removeLink removes a connection as its gateway's link, if it is that.
+func (s *server) removeLink(name coordinator.Gateway, conn *connection) {
 	s.links.Compute(name, func(open *connection, exists bool) (*connection, xsync.ComputeOp) {
-		if exists && open == p {
+		if exists && open == conn {
 			return nil, xsync.DeleteOp
 		}
 		return open, xsync.CancelOp
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -19,7 +19,7 @@
 type mailboxItem struct {
 	arrivedAt time.Time // when it was put in; zero where tracing is off
 	inputs    []coordinator.Input
-	query     func(*coordinator.Core) []byte // instead of inputs: answered from the core's state
+	query     func(*coordinator.Core) []byte // instead of inputs: makes a response of the core's state
 	reply     func([]byte)                   // called after the step; what query returned, or nil
 }
 
@@ -31,7 +31,7 @@
 
 // submit hands the core inputs that must not be lost.
 func (d *Daemon) submit(inputs ...coordinator.Input) {
-	d.inbox.PutUrgent(mailboxItem{inputs: inputs})
+	d.mailbox.PutUrgent(mailboxItem{inputs: inputs})
 }
 
 // ErrCoreFailed is a panic of the core.
@@ -44,7 +44,7 @@
 	defer cancel()
 	var sources sync.WaitGroup
 	defer sources.Wait() // a registry client deregisters at the end
-	defer cancel()
+	defer cancel()       // runs before the wait above
 	d.startSources(ctx, &sources)
 	go d.state.run(ctx)
 	defer d.close()
@@ -59,7 +59,7 @@
 	d.step(inputs)
 	var items []mailboxItem
 	for ctx.Err() == nil {
-		items = d.inbox.Next(ctx, items[:0], d.deadline)
+		items = d.mailbox.Next(ctx, items[:0], d.deadline)
 		if ctx.Err() != nil {
 			break
 		}
@@ -122,15 +122,15 @@
 	return first
 }
 
-// reply answers the queries and confirms the inputs of a step.
+// reply runs the queries and calls the reply functions of a step's items.
 func (d *Daemon) reply(items []mailboxItem) {
 	for _, item := range items {
-		var answer []byte
+		var response []byte
 		if item.query != nil {
-			answer = item.query(d.core)
+			response = item.query(d.core)
 		}
 		if item.reply != nil {
-			item.reply(answer)
+			item.reply(response)
 		}
 	}
 }
--- a/daemon/pinned_test.go
+++ b/daemon/pinned_test.go
@@ -18,10 +18,10 @@
 	t.Helper()
 	return map[string]any{
 		"tables": testutil.Filled[Status](t), "versions": testutil.Filled[Versions](t), "pin-request": testutil.Filled[PinRequest](t),
-		"unpin-request": testutil.Filled[UnpinRequest](t), "pin-answer": testutil.Filled[PinAnswer](t), "nodes": testutil.Filled[Endpoints](t),
-		"node-request": testutil.Filled[EndpointRequest](t), "node-answer": testutil.Filled[EndpointAnswer](t), "intake": testutil.Filled[SamplingStatus](t),
+		"unpin-request": testutil.Filled[UnpinRequest](t), "pin-answer": testutil.Filled[PinResponse](t), "nodes": testutil.Filled[Endpoints](t),
+		"node-request": testutil.Filled[EndpointRequest](t), "node-answer": testutil.Filled[EndpointResponse](t), "intake": testutil.Filled[SamplingStatus](t),
 		"level-request": testutil.Filled[LevelRequest](t), "unsay-request": testutil.Filled[ClearLevelRequest](t),
-		"level-answer": testutil.Filled[LevelAnswer](t), "levels": testutil.Filled[coordinator.DegradationStatus](t),
+		"level-answer": testutil.Filled[LevelResponse](t), "levels": testutil.Filled[coordinator.DegradationStatus](t),
 		"overview": testutil.Filled[coordinator.LoggedOverview](t),
 	}
 }
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -121,34 +121,34 @@
 		return http1.EncodeResponse(http.StatusServiceUnavailable, "text/plain", []byte(reason+"\n"), true), gnet.Close
 	}
 	addressCount.Add(1)
-	p := &connection{id: coordinator.ConnID(s.lastID.Add(1)), conn: c, addressCount: addressCount}
-	c.SetContext(p)
-	s.connections.Store(p.id, p)
+	conn := &connection{id: coordinator.ConnID(s.lastID.Add(1)), gnetConn: c, addressCount: addressCount}
+	c.SetContext(conn)
+	s.connections.Store(conn.id, conn)
 	return nil, gnet.None
 }
 
-// OnClose disconnects a gateway if the connection was its link. If the inbox is full the core finds the silence by itself.
+// OnClose disconnects a gateway if the connection was its link. If the mailbox is full the core detects the silence by itself.
 func (s *server) OnClose(c gnet.Conn, _ error) gnet.Action {
-	p, ok := c.Context().(*connection)
+	conn, ok := c.Context().(*connection)
 	if !ok {
 		return gnet.None
 	}
-	s.connections.Delete(p.id)
-	p.addressCount.Add(-1)
-	if cancel := p.cancelPoll.Load(); cancel != nil {
+	s.connections.Delete(conn.id)
+	conn.addressCount.Add(-1)
+	if cancel := conn.cancelPoll.Load(); cancel != nil {
 		(*cancel)()
 	}
-	if p.announced {
-		s.removeLink(p.gateway, p)
-		s.offerInput(coordinator.GatewayDisconnected{Gateway: p.gateway, Conn: p.id})
+	if conn.announced {
+		s.removeLink(conn.gateway, conn)
+		s.offerInput(coordinator.GatewayDisconnected{Gateway: conn.gateway, Conn: conn.id})
 	}
 	return gnet.None
 }
 
 // OnTick wakes all connections, so that those whose request has not become complete in time are closed.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
-	s.connections.Range(func(_ coordinator.ConnID, p *connection) bool {
-		_ = p.conn.Wake(nil) // its own event loop checks requestBeganAt
+	s.connections.Range(func(_ coordinator.ConnID, conn *connection) bool {
+		_ = conn.gnetConn.Wake(nil) // its own event loop checks requestBeganAt
 		return true
 	})
 	return requestTimeout / 2, gnet.None
@@ -156,18 +156,18 @@
 
 // closeConnection closes a connection, if it is still open.
 func (s *server) closeConnection(id coordinator.ConnID) {
-	if p, ok := s.connections.Load(id); ok {
-		_ = p.conn.Close()
+	if conn, ok := s.connections.Load(id); ok {
+		_ = conn.gnetConn.Close()
 	}
 }
 
-// offerInput gives the core an input that may be lost when the inbox is full.
+// offerInput gives the core an input that may be lost when the mailbox is full.
 func (s *server) offerInput(in coordinator.Input) {
-	s.daemon.inbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
+	s.daemon.mailbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
 }
 
-// countRejection counts an error that a peer was answered with, and reports it to the core once a second at most: a peer that sends
-// garbage at full speed must not fill the inbox.
+// countRejection counts an error response to a peer, and reports it to the core once a second at most: a peer that sends
+// garbage at full speed must not fill the mailbox.
 func (s *server) countRejection(from, reason string) {
 	s.rejected.Add(1)
 	now := time.Now().UnixNano()
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -59,7 +59,7 @@
 	return o
 }
 
-// healthCheckOptions are those of our own endpoints: they answer at their names, and state their metrics in a header.
+// healthCheckOptions are those of our own endpoints: an endpoint's ID is its address, and its responses have its metrics in a header.
 func healthCheckOptions(c config.HealthChecks) healthcheck.Options {
 	return healthcheck.Options{
 		Timeout:       duration(c.Timeout),
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -15,7 +15,7 @@
 	"porthub/xdspoll"
 )
 
-// Status is the state of a running coordinator, the answer to GET /tables.
+// Status is the state of a running coordinator, the response to GET /tables.
 type Status struct {
 	coordinator.Status
 	FileDelivery xdsfile.Stats `json:"front"`
@@ -25,11 +25,11 @@
 	Capture *capture.Stats `json:"capture,omitempty"`
 }
 
-// SamplingStatus is the answer to GET /intake: how much of the load reports is used, and what they state.
+// SamplingStatus is the response to GET /intake: how much of the load reports is used, and the estimates by them.
 type SamplingStatus struct {
 	Now       policyapi.Microseconds         `json:"now_us"`
 	Sampling  loadreport.Stats               `json:"intake"`
-	Deferred  int64                          `json:"deferred"` // reports that were answered 429
+	Deferred  int64                          `json:"deferred"` // reports that were rejected with 429
 	Inbox     int                            `json:"inbox"`    // items that wait for the core
 	StepTimes Latencies                      `json:"step_us"`
 	Endpoints []coordinator.EndpointEstimate `json:"nodes"`
@@ -47,9 +47,9 @@
 	return Latencies{Count: h.TotalCount(), P50: h.ValueAtQuantile(50), P99: h.ValueAtQuantile(99), Max: h.Max()}
 }
 
-// encodeAnswer is an answer's JSON.
-func encodeAnswer(answer any) []byte {
-	text, err := json.Marshal(answer)
+// encodeResponse returns the JSON of a response.
+func encodeResponse(response any) []byte {
+	text, err := json.Marshal(response)
 	if err != nil {
 		return fmt.Appendf(nil, `{"error": %q}`, err)
 	}
@@ -58,8 +58,8 @@
 
 // The following run in the loop that owns the core.
 
-func (d *Daemon) statusAnswer(c *coordinator.Core) []byte {
-	return encodeAnswer(Status{
+func (d *Daemon) statusResponse(c *coordinator.Core) []byte {
+	return encodeResponse(Status{
 		Status:       c.Status(),
 		FileDelivery: d.files.Stats(),
 		PollDelivery: d.polls.Stats(),
@@ -68,31 +68,31 @@
 	})
 }
 
-func (d *Daemon) samplingAnswer(c *coordinator.Core) []byte {
+func (d *Daemon) samplingResponse(c *coordinator.Core) []byte {
 	stats, endpoints := c.Estimates()
-	return encodeAnswer(SamplingStatus{
+	return encodeResponse(SamplingStatus{
 		Now:       c.Now(),
 		Sampling:  stats,
 		Deferred:  d.server.deferredReports.Load(),
-		Inbox:     d.inbox.Len(),
+		Inbox:     d.mailbox.Len(),
 		StepTimes: latencies(d.stepTimes),
 		Endpoints: endpoints,
 	})
 }
 
-// overviewCache has the last overview, which is the answer until a next one may be made: with thousands of gateways one
+// overviewCache has the last overview, which is sent until the next one may be made: with thousands of gateways one
 // takes a good part of a step.
 type overviewCache struct {
 	text   []byte
 	nextAt time.Time
 }
 
-func (d *Daemon) overviewAnswer(c *coordinator.Core) []byte {
+func (d *Daemon) overviewResponse(c *coordinator.Core) []byte {
 	began := time.Now()
 	if began.Before(d.overview.nextAt) {
 		return d.overview.text
 	}
-	d.overview.text = encodeAnswer(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.logTail})
+	d.overview.text = encodeResponse(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.logTail})
 	d.overview.nextAt = began.Add(duration(loadreport.OverviewInterval(microsecondsSince(began))))
 	return d.overview.text
 }
