--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -18,8 +18,8 @@
 	"porthub/tui"
 )
 
-// momentsMost bounds what top keeps of a capture: an hour, a moment a second.
-const momentsMost = 3600
+// maxFrames bounds what top keeps of a capture: an hour, a moment a second.
+const maxFrames = 3600
 
 func topCommand() *cobra.Command {
 	var addr, dir string
@@ -96,7 +96,7 @@
 			last = rec.Step.Now
 			moments = append(moments, tui.Frame{Overview: core.Overview(), Log: tail})
 		}
-		return len(moments) < momentsMost
+		return len(moments) < maxFrames
 	})
 	return moments, err
 }
--- a/tui/doc.go
+++ b/tui/doc.go
@@ -1,3 +1,5 @@
-// Package tui is the operators' screen: what goes on at a coordinator, or went on by a capture, in a terminal of 80 columns and 24
-// lines or more, with or without colour. A Model is fed Moments; drawing one is pure and tested as text.
+// Package tui is the operators' terminal view: what happens at a running coordinator, or what happened by a capture. It
+// needs 80 columns and 24 lines, with or without colour.
+//
+// A Model is a bubbletea model. It is given frames by a Source; drawing one is pure and tested as text.
 package tui
--- a/tui/desk_test.go
+++ b/tui/tui_test.go
@@ -19,22 +19,23 @@
 	"porthub/policyapi"
 )
 
-var update = flag.Bool("update", false, "write the sessions anew")
+var update = flag.Bool("update", false, "rewrite the recorded screens")
 
-// fixed is a source that gives one moment, or fails.
-type fixed struct {
-	moment Frame
-	err    error
+// fixedSource is a source that gives one moment, or fails.
+type fixedSource struct {
+	frame Frame
+	err   error
 }
 
-func (f *fixed) Look() (Frame, error) { return f.moment, f.err }
-func (f *fixed) Move(int) bool        { return false }
-func (f *fixed) Name() string         { return "127.0.0.1:7070" }
+func (f *fixedSource) Fetch() (Frame, error) { return f.frame, f.err }
+func (f *fixedSource) Seek(int) bool         { return false }
+func (f *fixedSource) Name() string          { return "127.0.0.1:7070" }
 
 const second policyapi.Microseconds = 1_000_000
 
-// night is a fleet on a bad night: a hall lost, a node that fails a kind, a gateway away, a level in force.
-func night(nodes int) Frame {
+// incidentFrame is a fleet in an incident: a zone lost, an endpoint that fails a class, a gateway disconnected, a level in
+// force.
+func incidentFrame(nodes int) Frame {
 	zones := []policyapi.Zone{"hala-a", "hala-b", "hala-ż-北"}
 	m := Frame{Overview: coordinator.Overview{Now: 5000 * second, StartedAt: 1000 * second, Build: "test", Classes: []string{"schedule", "save-sim"}, LinesInFlight: 120, LineLimit: 8000,
 		Sampling: loadreport.Stats{Reports: 4321, SampledFraction: 0.5, Reporting: 14, Silent: 1, ReportsPerGateway: 0.98}}}
@@ -74,8 +75,8 @@
 	return m
 }
 
-// play looks once and types the keys given.
-func play(source Source, keys ...string) Model {
+// pressKeys fetches a frame and presses the keys given.
+func pressKeys(source Source, keys ...string) Model {
 	var m tea.Model = New(source, time.Second)
 	m, _ = m.Update(m.(Model).Init()())
 	for _, k := range keys {
@@ -94,36 +95,38 @@
 	return m.(Model)
 }
 
-// Each screen, as it is at 80 by 24 without colour.
+// Each screen at 80 by 24 without colour.
 func TestScreens(t *testing.T) {
 	for name, keys := range map[string][]string{
 		"fleet": nil, "nodes": {"2", "s"}, "node": {"2", "/", "0", ".", "3", ":", "enter", "enter"}, "gateways": {"3", "s", "s", "down"},
 		"levels": {"4"}, "log": {"5"}, "filter": {"3", "/", "a", "w", "a", "y"}, "back": {"2", "enter", "tab"}, "scrolled": {"2", "pgdown", "pgdown", "down"},
 	} {
-		got := ansi.Strip(play(&fixed{moment: night(60)}, keys...).Draw(time.Time{}))
-		path := filepath.Join("testdata", name+".txt")
-		if *update {
-			if err := os.WriteFile(path, []byte(got+"\n"), 0o644); err != nil {
+		t.Run(name, func(t *testing.T) {
+			got := ansi.Strip(pressKeys(&fixedSource{frame: incidentFrame(60)}, keys...).Draw(time.Time{}))
+			path := filepath.Join("testdata", name+".txt")
+			if *update {
+				if err := os.WriteFile(path, []byte(got+"\n"), 0o644); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil {
 				t.Fatal(err)
 			}
-		}
-		want, err := os.ReadFile(path)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if got+"\n" != string(want) {
-			t.Errorf("%s is not as recorded:\n%s", name, got)
-		}
+			if got+"\n" != string(want) {
+				t.Errorf("not as recorded:\n%s", got)
+			}
+		})
 	}
 }
 
-// Whatever the size and however many nodes, no line is wider than the terminal, there are as many as it has, and the chosen row
-// is among them.
+// Whatever the size and the number of endpoints, no line is wider than the terminal, there are as many as it has, and the
+// selected row is visible.
 func TestEverySize(t *testing.T) {
-	source := &fixed{moment: night(1000)}
+	source := &fixedSource{frame: incidentFrame(1000)}
 	for _, size := range [][2]int{{80, 24}, {40, 10}, {200, 60}, {81, 11}} {
 		for _, keys := range [][]string{nil, {"2", "pgdown", "pgdown", "down"}, {"3"}, {"4"}, {"5"}, {"2", "enter"}} {
-			m := play(source, keys...)
+			m := pressKeys(source, keys...)
 			next, _ := m.Update(tea.WindowSizeMsg{Width: size[0], Height: size[1]})
 			text := ansi.Strip(next.(Model).Draw(time.Time{}))
 			lines := strings.Split(text, "\n")
@@ -136,38 +139,38 @@
 				}
 			}
 			if len(keys) > 1 && keys[1] == "pgdown" && !strings.Contains(text, "\n>") {
-				t.Errorf("%v: the chosen row is not to be seen:\n%s", size, text)
+				t.Errorf("%v: the selected row is not visible:\n%s", size, text)
 			}
 		}
 	}
 }
 
-// A coordinator that dies while it is looked at: what was known stays, and it says since when there is no answer.
-func TestDeadCoordinator(t *testing.T) {
-	source := &fixed{moment: night(9)}
-	var m tea.Model = play(source)
+// When a coordinator stops answering the last frame stays, and the screen says for how long.
+func TestUnreachableCoordinator(t *testing.T) {
+	source := &fixedSource{frame: incidentFrame(9)}
+	var m tea.Model = pressKeys(source)
 	source.err = errors.New("connection refused")
-	m, _ = m.Update(m.(Model).look()())
-	text := m.(Model).Draw(m.(Model).since.Add(42 * time.Second))
+	m, _ = m.Update(m.(Model).fetch()())
+	text := m.(Model).Draw(m.(Model).receivedAt.Add(42 * time.Second))
 	if !strings.Contains(text, "NO ANSWER for 42s: connection refused") || !strings.Contains(text, "hala-a") {
 		t.Errorf("%s", text)
 	}
-	if text := play(&fixed{err: errors.New("connection refused")}).Draw(time.Time{}); !strings.Contains(text, "NO ANSWER: connection refused") {
+	if text := pressKeys(&fixedSource{err: errors.New("connection refused")}).Draw(time.Time{}); !strings.Contains(text, "NO ANSWER: connection refused") {
 		t.Errorf("%s", text)
 	}
-	if text := play(NewLive("127.0.0.1:1")).Draw(time.Time{}); !strings.Contains(text, "NO ANSWER") {
+	if text := pressKeys(NewLive("127.0.0.1:1")).Draw(time.Time{}); !strings.Contains(text, "NO ANSWER") {
 		t.Errorf("%s", text)
 	}
 }
 
-// A recorded course is gone through by its seconds, no further than its ends.
-func TestRecorded(t *testing.T) {
-	r := NewRecorded("capture", []Frame{night(3), night(6), night(9)})
-	m := play(r, "right", "right", "right", "left")
+// The keys move through a capture second by second, up to its ends.
+func TestRecordedSeek(t *testing.T) {
+	r := NewRecorded("capture", []Frame{incidentFrame(3), incidentFrame(6), incidentFrame(9)})
+	m := pressKeys(r, "right", "right", "right", "left")
 	if text := ansi.Strip(m.Draw(time.Time{})); !strings.Contains(text, "second 2 of 3") || !strings.Contains(text, "6 nodes") {
 		t.Errorf("%s", text)
 	}
-	if text := play(NewRecorded("empty", nil)).Draw(time.Time{}); !strings.Contains(text, "holds no second") {
+	if text := pressKeys(NewRecorded("empty", nil)).Draw(time.Time{}); !strings.Contains(text, "holds no second") {
 		t.Errorf("%s", text)
 	}
 }
