--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -45,7 +45,7 @@
 			}
 			out := cmd.OutOrStdout()
 			if asJSON {
-				return printAny(out, status)
+				return printJSON(out, status)
 			}
 			fmt.Fprintf(out, "%d segments, %d bytes, %d records from %s to %s\n", status.Segments, status.Bytes, status.Records,
 				formatTime(status.First), formatTime(status.Last))
@@ -144,7 +144,7 @@
 		lost = lost || !d.Truncated
 	}
 	if lost {
-		return errNotHeld
+		return errCheckFailed
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 				return err
 			}
 			if asJSON {
-				err = printAny(cmd.OutOrStdout(), result)
+				err = printJSON(cmd.OutOrStdout(), result)
 			} else {
 				printReplay(cmd.OutOrStdout(), result)
 			}
@@ -177,7 +177,7 @@
 				return err
 			}
 			if result.Mismatches > 0 && result.SameBuild() || result.Incomplete() {
-				return errNotHeld
+				return errCheckFailed
 			}
 			return nil
 		},
@@ -233,7 +233,7 @@
 				return err
 			}
 			if asJSON {
-				return printAny(cmd.OutOrStdout(), explanation)
+				return printJSON(cmd.OutOrStdout(), explanation)
 			}
 			return printExplanation(cmd.OutOrStdout(), explanation)
 		},
--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 	}
-	return printAny(out, result)
+	return printJSON(out, result)
 }
 
 func (f *chaosFlags) runLoadReports(out io.Writer) error {
@@ -153,11 +153,11 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 	}
-	if err := printAny(out, result); err != nil {
+	if err := printJSON(out, result); err != nil {
 		return err
 	}
 	if !result.Passed() {
-		return errNotHeld
+		return errCheckFailed
 	}
 	return nil
 }
@@ -192,12 +192,12 @@
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 	}
 	if f.asJSON {
-		err = printAny(cmd.OutOrStdout(), result)
+		err = printJSON(cmd.OutOrStdout(), result)
 	} else {
 		err = printChaosResult(cmd.OutOrStdout(), scenario, result)
 	}
 	if err == nil && !result.Passed() {
-		return errNotHeld
+		return errCheckFailed
 	}
 	return err
 }
--- a/cmd/porthub/commands.go
+++ b/cmd/porthub/commands.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			log, err := logger(cfg.LogLevel)
+			log, err := newLogger(cfg.LogLevel)
 			if err != nil {
 				return err
 			}
@@ -64,7 +64,7 @@
 				defer pprof.StopCPUProfile()
 			}
 			if err := d.Run(ctx); err != nil {
-				return fmt.Errorf("%w: %w", errNotHeld, err)
+				return fmt.Errorf("%w: %w", errCheckFailed, err)
 			}
 			return nil
 		},
@@ -76,7 +76,7 @@
 	return cmd
 }
 
-func logger(level string) (*zap.Logger, error) {
+func newLogger(level string) (*zap.Logger, error) {
 	l, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := config.Load(path)
-			var all []proven
+			var all []expectationResult
 			if err == nil {
 				all, err = checkSuites(cfg, path)
 			}
@@ -106,16 +106,16 @@
 				for _, f := range findings {
 					fmt.Fprintln(cmd.OutOrStdout(), f)
 				}
-				return errNotHeld
+				return errCheckFailed
 			}
 			if err != nil {
 				return err
 			}
 			if len(all) > 0 {
-				printProven(cmd.OutOrStdout(), all)
+				printResults(cmd.OutOrStdout(), all)
 			}
-			if slices.ContainsFunc(all, func(p proven) bool { return len(p.Failures) > 0 }) {
-				return errNotHeld
+			if slices.ContainsFunc(all, func(p expectationResult) bool { return len(p.Failures) > 0 }) {
+				return errCheckFailed
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: all well\n", path)
 			return nil
@@ -152,7 +152,7 @@
 				return fmt.Errorf("no gateway %q has ever joined: it may be misspelt, or be another coordinator's", only)
 			}
 			if asJSON {
-				return printAny(cmd.OutOrStdout(), shown)
+				return printJSON(cmd.OutOrStdout(), shown)
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "GATEWAY\tZONE\tJOINED\tGIVEN\tCONFIRMED\tAGE\tWAITING\tOPEN LINES")
@@ -165,7 +165,7 @@
 				if g.ConfirmedAt[0] > 0 {
 					age = (time.Duration(int64(s.Now)-g.ConfirmedAt[0]) * time.Microsecond).Round(100 * time.Millisecond).String()
 				}
-				fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%s\n", g.Gateway, g.Zone, g.Connected, dash(g.Version), dash(g.Confirmed[0]),
+				fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%s\n", g.Gateway, g.Zone, g.Connected, orDash(g.Version), orDash(g.Confirmed[0]),
 					age, g.Unacknowledged, strings.Join(open, ", "))
 			}
 			return w.Flush()
@@ -178,7 +178,7 @@
 	return cmd
 }
 
-func dash(s string) string {
+func orDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/cmd/porthub/expect.go
+++ b/cmd/porthub/expect.go
@@ -26,8 +26,8 @@
 // suiteSuffix is how files of expectations beside a configuration end.
 const suiteSuffix = ".expect.json"
 
-// shrinkTries bounds the search for a smaller case of a failure.
-const shrinkTries = 40
+// maxShrinkRuns bounds the search for a smaller case of a failure.
+const maxShrinkRuns = 40
 
 func expectCommand() *cobra.Command {
 	var path, junit string
@@ -46,14 +46,14 @@
 				return err
 			}
 			if len(files) == 0 {
-				if files, err = suitesBeside(path); err != nil {
+				if files, err = findSuites(path); err != nil {
 					return err
 				}
 				if len(files) == 0 {
 					return fmt.Errorf("no file beside %s ends in %s: name one", path, suiteSuffix)
 				}
 			}
-			var all []proven
+			var all []expectationResult
 			for _, file := range files {
 				suite, err := config.LoadSuite(file, cfg)
 				if err != nil {
@@ -64,7 +64,7 @@
 						suite.Expectations[i].Seed = uint64(seed)
 					}
 				}
-				all = append(all, prove(cfg, file, suite, number)...)
+				all = append(all, runSuite(cfg, file, suite, number)...)
 			}
 			if junit != "" {
 				if err := writeJUnit(junit, all); err != nil {
@@ -72,15 +72,15 @@
 				}
 			}
 			if asJSON {
-				err = printAny(cmd.OutOrStdout(), all)
+				err = printJSON(cmd.OutOrStdout(), all)
 			} else {
-				printProven(cmd.OutOrStdout(), all)
+				printResults(cmd.OutOrStdout(), all)
 			}
 			if err != nil {
 				return err
 			}
-			if slices.ContainsFunc(all, func(p proven) bool { return len(p.Failures) > 0 }) {
-				return errNotHeld
+			if slices.ContainsFunc(all, func(p expectationResult) bool { return len(p.Failures) > 0 }) {
+				return errCheckFailed
 			}
 			return nil
 		}}
@@ -93,8 +93,8 @@
 	return cmd
 }
 
-// suitesBeside lists the files of expectations in a configuration's folder.
-func suitesBeside(path string) (files []string, err error) {
+// findSuites lists the files of expectations in a configuration's folder.
+func findSuites(path string) (files []string, err error) {
 	entries, err := os.ReadDir(filepath.Dir(path))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, fmt.Errorf("%s: %w", filepath.Dir(path), err)
@@ -108,8 +108,8 @@
 }
 
 // checkSuites proves all expectations beside a configuration; the findings of all files come together.
-func checkSuites(cfg config.Config, path string) (all []proven, err error) {
-	files, err := suitesBeside(path)
+func checkSuites(cfg config.Config, path string) (all []expectationResult, err error) {
+	files, err := findSuites(path)
 	if err != nil {
 		return nil, err
 	}
@@ -123,7 +123,7 @@
 		case err != nil:
 			return nil, err
 		default:
-			all = append(all, prove(cfg, file, suite, -1)...)
+			all = append(all, runSuite(cfg, file, suite, -1)...)
 		}
 	}
 	if len(found) > 0 {
@@ -132,25 +132,25 @@
 	return all, nil
 }
 
-// proven is how one expectation came out.
-type proven struct {
+// expectationResult is how one expectation came out.
+type expectationResult struct {
 	File     string                `json:"file"`
 	Name     string                `json:"name"`
 	Line     int                   `json:"line"`
 	Cases    int                   `json:"cases"`
-	Took     time.Duration         `json:"took_ns"`
+	Duration time.Duration         `json:"took_ns"`
 	Failures []expectation.Failure `json:"failures"` // the first of each thing that does not hold
 }
 
-// prove runs all cases of a suite, side by side; what they find does not depend on how many run at a time.
-func prove(cfg config.Config, file string, suite expectation.Suite, number int) (out []proven) {
+// runSuite runs all cases of a suite, side by side; what they find does not depend on how many run at a time.
+func runSuite(cfg config.Config, file string, suite expectation.Suite, number int) (out []expectationResult) {
 	set := coordinator.Settings{Start: cfg.Start(), SilenceTimeout: policyapi.Microseconds(cfg.Gateways.SilenceTimeout), SolverEnabled: cfg.Solver.Enabled, MaxReportLines: float64(cfg.Reports.SamplingLimit)}
 	set.Degradation, set.Fallback = cfg.DegradationSettings()
 	// Cases live for a tenth of a second each: collecting their garbage less often is a third of the time.
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	for _, e := range suite.Expectations {
 		began := time.Now()
-		p := proven{File: file, Name: e.Name, Line: e.Line, Cases: max(1, e.Cases)}
+		p := expectationResult{File: file, Name: e.Name, Line: e.Line, Cases: max(1, e.Cases)}
 		from := 0
 		if number >= 0 {
 			from, p.Cases = number, 1
@@ -172,22 +172,22 @@
 			for _, f := range found[i] {
 				if !seen[f.Line] {
 					seen[f.Line] = true
-					p.Failures = append(p.Failures, e.Shrink(set, e.Draw(from+i), f, shrinkTries))
+					p.Failures = append(p.Failures, e.Shrink(set, e.Draw(from+i), f, maxShrinkRuns))
 				}
 			}
 		}
-		p.Took = time.Since(began)
+		p.Duration = time.Since(began)
 		out = append(out, p)
 	}
 	return out
 }
 
-func printProven(out io.Writer, all []proven) {
+func printResults(out io.Writer, all []expectationResult) {
 	cases, failed := 0, 0
 	for _, p := range all {
 		cases += p.Cases
 		if len(p.Failures) == 0 {
-			fmt.Fprintf(out, "holds  %s:%d: %s (%d cases, %.1f s)\n", p.File, p.Line, p.Name, p.Cases, p.Took.Seconds())
+			fmt.Fprintf(out, "holds  %s:%d: %s (%d cases, %.1f s)\n", p.File, p.Line, p.Name, p.Cases, p.Duration.Seconds())
 			continue
 		}
 		failed++
@@ -199,7 +199,7 @@
 }
 
 // writeJUnit writes the form that CI systems read.
-func writeJUnit(path string, all []proven) error {
+func writeJUnit(path string, all []expectationResult) error {
 	type failure struct {
 		Message string `xml:"message,attr"`
 	}
@@ -218,7 +218,7 @@
 	}
 	s := suite{Name: "porthub expect", Tests: len(all)}
 	for _, p := range all {
-		one := testCase{Name: p.Name, Class: p.File, Time: p.Took.Seconds()}
+		one := testCase{Name: p.Name, Class: p.File, Time: p.Duration.Seconds()}
 		for _, f := range p.Failures {
 			one.Failures = append(one.Failures, failure{fmt.Sprintf("%s:%d: %s", p.File, f.Line, f)})
 		}
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -26,11 +26,11 @@
 	cmd := &cobra.Command{Use: "levels", Short: "Show levels of service: now, since when, why, what would end them, who has them", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var l coordinator.DegradationStatus
-			if err := ask(cmd, addr, "/levels", nil, &l); err != nil {
+			if err := call(cmd, addr, "/levels", nil, &l); err != nil {
 				return err
 			}
 			if asJSON {
-				return printAny(cmd.OutOrStdout(), l)
+				return printJSON(cmd.OutOrStdout(), l)
 			}
 			return printLevels(cmd.OutOrStdout(), l)
 		}}
@@ -58,7 +58,7 @@
 		for level, n := range l.Gateways[string(s.Zone)] {
 			held = append(held, fmt.Sprintf("%d at %s", n, l.Levels[min(level, len(l.Levels)-1)]))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", scope, s.Name, since, dash(s.Reason), dash(strings.Join(s.EndConditions, "; ")), dash(strings.Join(held, ", ")))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", scope, s.Name, since, orDash(s.Reason), orDash(strings.Join(s.EndConditions, "; ")), orDash(strings.Join(held, ", ")))
 	}
 	fmt.Fprint(w, "\nFIGURE")
 	for _, s := range l.Scopes {
@@ -78,7 +78,7 @@
 	}
 	fmt.Fprintln(w, "\nWORD\tDO\tSCOPE\tLEVEL\tENDS IN\tREASON")
 	for _, x := range l.Overrides {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", x.ID, x.Action, dash(string(x.Zone)), l.Levels[x.Level], age(x.Until, l.Now), x.Reason)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", x.ID, x.Action, orDash(string(x.Zone)), l.Levels[x.Level], age(x.Until, l.Now), x.Reason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -145,7 +145,7 @@
 
 func sendLevel(cmd *cobra.Command, addr, path string, body any) error {
 	var a daemon.LevelAnswer
-	if err := ask(cmd, addr, path, body, &a); err != nil {
+	if err := call(cmd, addr, path, body, &a); err != nil {
 		return err
 	}
 	if a.Error != "" {
@@ -155,8 +155,8 @@
 	return nil
 }
 
-// course is one line of a recorded course: what is left out is not known.
-type course struct {
+// signalLine is one line of a recorded course: what is left out is not known.
+type signalLine struct {
 	At          float64  `json:"at_s"`
 	Zone        string   `json:"zone"` // empty: the fleet
 	Load        *float64 `json:"load"`
@@ -186,14 +186,14 @@
 				return err
 			}
 			defer f.Close()
-			return simulate(cmd.OutOrStdout(), set, args[0], f)
+			return simulateLevels(cmd.OutOrStdout(), set, args[0], f)
 		}}
 	cmd.Flags().StringVarP(&path, "config", "c", "", "configuration, JSON with comments")
 	_ = cmd.MarkFlagRequired("config")
 	return cmd
 }
 
-func simulate(out io.Writer, set degradation.Settings, name string, in io.Reader) error {
+func simulateLevels(out io.Writer, set degradation.Settings, name string, in io.Reader) error {
 	m := degradation.NewController(set)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "AT\tSCOPE\tFROM\tTO\tWHY")
@@ -212,7 +212,7 @@
 		if strings.TrimSpace(lines.Text()) == "" {
 			continue
 		}
-		var c course
+		var c signalLine
 		dec := json.NewDecoder(strings.NewReader(lines.Text()))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&c); err != nil {
--- a/cmd/porthub/main.go
+++ b/cmd/porthub/main.go
@@ -14,19 +14,19 @@
 
 // Exit codes, for scripts.
 const (
-	exitWell        = 0
-	exitNotHeld     = 1 // it ran, and something asked for does not hold
+	exitOK          = 0
+	exitCheckFailed = 1 // it ran, and something asked for does not hold
 	exitUsage       = 2 // bad usage or unreadable input
 	exitEnvironment = 3 // the machine failed: a port taken, a disk full
 )
 
-// errNotHeld ends a command whose findings have been printed already.
-var errNotHeld = errors.New("something asked for does not hold")
+// errCheckFailed ends a command whose findings have been printed already.
+var errCheckFailed = errors.New("something asked for does not hold")
 
 func main() {
 	cmd := root()
 	err := cmd.Execute()
-	if err != nil && !errors.Is(err, errNotHeld) {
+	if err != nil && !errors.Is(err, errCheckFailed) {
 		fmt.Fprintln(os.Stderr, "porthub:", err)
 	}
 	os.Exit(exitCode(err))
@@ -36,9 +36,9 @@
 	var findings config.ValidationError
 	switch {
 	case err == nil:
-		return exitWell
-	case errors.Is(err, errNotHeld), errors.As(err, &findings):
-		return exitNotHeld
+		return exitOK
+	case errors.Is(err, errCheckFailed), errors.As(err, &findings):
+		return exitCheckFailed
 	case errors.Is(err, daemon.ErrEnvironment):
 		return exitEnvironment
 	default:
--- a/cmd/porthub/node.go
+++ b/cmd/porthub/node.go
@@ -40,7 +40,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	log, err := logger("info")
+	log, err := newLogger("info")
 	if err != nil {
 		return err
 	}
--- a/cmd/porthub/node_test.go
+++ b/cmd/porthub/node_test.go
@@ -187,7 +187,7 @@
 	})
 	began := time.Now()
 	node.signal(syscall.SIGTERM)
-	if code := node.exitCode(); code != exitWell || time.Since(began) > 5*time.Second {
+	if code := node.exitCode(); code != exitOK || time.Since(began) > 5*time.Second {
 		t.Errorf("SIGTERM: %d after %s: %s", code, time.Since(began), node.output())
 	}
 	if _, err := io.ReadAll(proxy); err != nil && !errors.Is(err, syscall.ECONNRESET) {
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -21,11 +21,11 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var n daemon.Endpoints
-			if err := ask(cmd, addr, "/nodes", nil, &n); err != nil {
+			if err := call(cmd, addr, "/nodes", nil, &n); err != nil {
 				return err
 			}
 			if asJSON {
-				return printAny(cmd.OutOrStdout(), n)
+				return printJSON(cmd.OutOrStdout(), n)
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "NODE\tZONE\tSTATE\tSINCE\tSOURCES\tWHY")
@@ -57,7 +57,7 @@
 		var addr, reason string
 		cmd := &cobra.Command{Use: c[0] + " NODE", Short: c[1], Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			var a daemon.EndpointAnswer
-			if err := ask(cmd, addr, "/nodes/"+c[0], daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
+			if err := call(cmd, addr, "/nodes/"+c[0], daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
 				return err
 			}
 			if a.Error != "" {
--- a/cmd/porthub/output.go
+++ b/cmd/porthub/output.go
@@ -11,17 +11,17 @@
 	"porthub/daemon"
 )
 
-// form is how a command prints: a table for people, or one JSON object.
-type form struct{ json *bool }
+// outputFormat is how a command prints: a table for people, or one JSON object.
+type outputFormat struct{ json *bool }
 
-func (f form) String() string {
+func (f outputFormat) String() string {
 	if f.json != nil && *f.json {
 		return "json"
 	}
 	return "table"
 }
 
-func (f form) Set(text string) error {
+func (f outputFormat) Set(text string) error {
 	if text != "table" && text != "json" {
 		return fmt.Errorf("%q: it must be table or json", text)
 	}
@@ -29,11 +29,11 @@
 	return nil
 }
 
-func (f form) Type() string { return "table|json" }
+func (f outputFormat) Type() string { return "table|json" }
 
 // outputFlag gives a command --output, and --json, which says the same in fewer letters.
 func outputFlag(cmd *cobra.Command, asJSON *bool) {
-	cmd.Flags().VarP(form{asJSON}, "output", "o", "table, or one JSON object")
+	cmd.Flags().VarP(outputFormat{asJSON}, "output", "o", "table, or one JSON object")
 	cmd.Flags().BoolVar(asJSON, "json", false, "the same as --output json")
 	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
 }
--- a/cmd/porthub/output_test.go
+++ b/cmd/porthub/output_test.go
@@ -24,7 +24,7 @@
 		"nodes": testutil.Filled[daemon.Endpoints](t), "solve": testutil.Filled[solver.Solution](t), "solve-random": testutil.Filled[fleets.Measurement](t),
 		"solve-scale": []fleets.ScaleMeasurement{testutil.Filled[fleets.ScaleMeasurement](t)}, "drill": testutil.Filled[chaos.Result](t),
 		"drill-polls": testutil.Filled[chaos.PollResult](t), "drill-intake": testutil.Filled[chaos.LoadReportResult](t),
-		"expect": []proven{{File: "file", Name: "name", Line: 1, Cases: 2, Took: 3, Failures: []expectation.Failure{failure}}},
+		"expect": []expectationResult{{File: "file", Name: "name", Line: 1, Cases: 2, Duration: 3, Failures: []expectation.Failure{failure}}},
 	}
 }
 
@@ -34,7 +34,7 @@
 		t.Run(name, func(t *testing.T) {
 			testutil.RequireKeys(t, "json", reflect.TypeOf(document))
 			var got bytes.Buffer
-			if err := printAny(&got, document); err != nil {
+			if err := printJSON(&got, document); err != nil {
 				t.Fatal(err)
 			}
 			testutil.Golden(t, name+".json", got.Bytes())
--- a/cmd/porthub/solve.go
+++ b/cmd/porthub/solve.go
@@ -40,17 +40,17 @@
 			out := cmd.OutOrStdout()
 			switch {
 			case scale:
-				return printAny(out, fleets.MeasureScale())
+				return printJSON(out, fleets.MeasureScale())
 			case random > 0 && len(args) == 0:
 				m, err := fleets.Measure(random, seed, oracle, compare)
 				if err != nil {
 					return err
 				}
-				if err := printAny(out, m); err != nil {
+				if err := printJSON(out, m); err != nil {
 					return err
 				}
 				if m.WorstOverload > 1.05 || m.Unplaced > 1e-3 {
-					return errNotHeld
+					return errCheckFailed
 				}
 				return nil
 			case random < 0 || len(args) == 0:
@@ -62,14 +62,14 @@
 			}
 			s := solver.Solve(f, nil)
 			if asJSON {
-				if err := printAny(out, s); err != nil {
+				if err := printJSON(out, s); err != nil {
 					return err
 				}
 			} else if err := printSolution(out, f, s, explain); err != nil {
 				return err
 			}
 			if fleets.Overload(f, s) > 1.05 {
-				return errNotHeld
+				return errCheckFailed
 			}
 			return nil
 		},
@@ -84,7 +84,7 @@
 	return cmd
 }
 
-func printAny(out io.Writer, v any) error {
+func printJSON(out io.Writer, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -38,7 +38,7 @@
 			}
 			var source tui.Source = tui.NewLive(addr)
 			if dir != "" {
-				moments, err := momentsOf(dir)
+				moments, err := readFrames(dir)
 				if err != nil {
 					return err
 				}
@@ -71,8 +71,8 @@
 	return err
 }
 
-// momentsOf replays a capture and keeps a moment of each second.
-func momentsOf(dir string) (moments []tui.Frame, err error) {
+// readFrames replays a capture and keeps a moment of each second.
+func readFrames(dir string) (moments []tui.Frame, err error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
 	}
--- a/cmd/porthub/versions.go
+++ b/cmd/porthub/versions.go
@@ -20,8 +20,8 @@
 	"porthub/routing"
 )
 
-// ask sends a request to a coordinator and reads its answer.
-func ask(cmd *cobra.Command, addr, path string, body, into any) error {
+// call sends a request to a coordinator and reads its answer.
+func call(cmd *cobra.Command, addr, path string, body, into any) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), 5*time.Second)
 	defer cancel()
 	method, text := http.MethodGet, []byte(nil)
@@ -64,7 +64,7 @@
 	)
 	find := func(cmd *cobra.Command, t int) (daemon.Versions, daemon.TableVersions, error) {
 		var v daemon.Versions
-		if err := ask(cmd, *addr, "/tables/versions", nil, &v); err != nil {
+		if err := call(cmd, *addr, "/tables/versions", nil, &v); err != nil {
 			return v, daemon.TableVersions{}, err
 		}
 		for _, one := range v.Tables {
@@ -88,14 +88,14 @@
 	list := &cobra.Command{Use: "list", Short: "List tables with their versions, and pins", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var v daemon.Versions
-			if err := ask(cmd, *addr, "/tables/versions", nil, &v); err != nil {
+			if err := call(cmd, *addr, "/tables/versions", nil, &v); err != nil {
 				return err
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "TABLE\tZONE\tGATEWAYS\tVERSIONS\tLAST\tAGE\tLINES")
 			for _, t := range v.Tables {
 				last := t.Versions[len(t.Versions)-1]
-				fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%d\t%s\t%d\n", t.Table, dash(string(t.Zone)), t.Gateways, len(t.Versions), last.Version,
+				fmt.Fprintf(w, "%d\t%s\t%d\t%d\t%d\t%s\t%d\n", t.Table, orDash(string(t.Zone)), t.Gateways, len(t.Versions), last.Version,
 					age(v.Now, last.At), len(last.Endpoints))
 			}
 			fmt.Fprintln(w, "\nPIN\tOF\tHOLDS\tSINCE\tREASON")
@@ -179,7 +179,7 @@
 	}
 	send := func(cmd *cobra.Command, path string, body any) error {
 		var o daemon.PinAnswer
-		if err := ask(cmd, *addr, path, body, &o); err != nil {
+		if err := call(cmd, *addr, path, body, &o); err != nil {
 			return err
 		}
 		if o.Error != "" {
