--- /dev/null
+++ b/cmd/porthub/check.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"porthub/config"
+)
+
+func checkCommand() *cobra.Command {
+	var path string
+	cmd := &cobra.Command{
+		Use:     "check -c FILE",
+		Short:   "Check a configuration, and what is expected of it in the files *.expect.json beside it",
+		Example: "  porthub check -c porthub.json",
+		Args:    cobra.NoArgs,
+		RunE:    func(cmd *cobra.Command, _ []string) error { return check(cmd.OutOrStdout(), path) },
+	}
+	cmd.Flags().StringVarP(&path, "config", "c", "", "configuration to check")
+	_ = cmd.MarkFlagRequired("config")
+	return cmd
+}
+
+// check prints everything that is wrong with a configuration and its expectations.
+func check(out io.Writer, path string) error {
+	results, err := checkSuites(path)
+	var findings config.ValidationError
+	if errors.As(err, &findings) {
+		for _, finding := range findings {
+			fmt.Fprintln(out, finding)
+		}
+		return errCheckFailed
+	}
+	if err != nil {
+		return err
+	}
+	if len(results) > 0 {
+		printResults(out, results)
+	}
+	if anyFailed(results) {
+		return errCheckFailed
+	}
+	fmt.Fprintf(out, "%s: all well\n", path)
+	return nil
+}
+
+// checkSuites runs all expectations beside a configuration. The findings of all files are returned together.
+func checkSuites(path string) (results []expectationResult, err error) {
+	cfg, err := config.Load(path)
+	if err != nil {
+		return nil, err
+	}
+	files, err := findSuites(path)
+	if err != nil {
+		return nil, err
+	}
+	var findings config.ValidationError
+	for _, file := range files {
+		suite, err := config.LoadSuite(file, cfg)
+		var invalid config.ValidationError
+		switch {
+		case errors.As(err, &invalid):
+			findings = append(findings, invalid...)
+		case err != nil:
+			return nil, err
+		default:
+			results = append(results, runSuite(cfg, file, suite, allCases)...)
+		}
+	}
+	if len(findings) > 0 {
+		return nil, findings
+	}
+	return results, nil
+}
--- a/cmd/porthub/main.go
+++ b/cmd/porthub/main.go
@@ -7,45 +7,16 @@
 	"os"
 
 	"github.com/spf13/cobra"
-
-	"porthub/config"
-	"porthub/daemon"
-)
-
-// Exit codes, for scripts.
-const (
-	exitOK          = 0
-	exitCheckFailed = 1 // it ran, and something asked for does not hold
-	exitUsage       = 2 // bad usage or unreadable input
-	exitEnvironment = 3 // the machine failed: a port taken, a disk full
 )
 
-// errCheckFailed ends a command whose findings have been printed already.
-var errCheckFailed = errors.New("something asked for does not hold")
-
 func main() {
-	cmd := root()
-	err := cmd.Execute()
+	err := root().Execute()
 	if err != nil && !errors.Is(err, errCheckFailed) {
 		fmt.Fprintln(os.Stderr, "porthub:", err)
 	}
 	os.Exit(exitCode(err))
 }
 
-func exitCode(err error) int {
-	var findings config.ValidationError
-	switch {
-	case err == nil:
-		return exitOK
-	case errors.Is(err, errCheckFailed), errors.As(err, &findings):
-		return exitCheckFailed
-	case errors.Is(err, daemon.ErrEnvironment):
-		return exitEnvironment
-	default:
-		return exitUsage
-	}
-}
-
 func root() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "porthub",
@@ -58,7 +29,24 @@
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
-	cmd.AddCommand(serveCommand(), nodeCommand(), checkCommand(), tablesCommand(), chaosCommand(), solveCommand(), captureCommand(), replayCommand(), explainCommand(), nodesCommand(), levelsCommand(), expectCommand(), topCommand(), manCommand(), versionCommand())
-	cmd.AddCommand(drainCommands()...)
+	cmd.AddCommand(
+		serveCommand(),
+		nodeCommand(),
+		checkCommand(),
+		tablesCommand(),
+		chaosCommand(),
+		solveCommand(),
+		captureCommand(),
+		replayCommand(),
+		explainCommand(),
+		nodesCommand(),
+		drainCommand(),
+		undrainCommand(),
+		levelsCommand(),
+		expectCommand(),
+		topCommand(),
+		manCommand(),
+		versionCommand(),
+	)
 	return cmd
 }
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -3,8 +3,8 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"strings"
-	"text/tabwriter"
 
 	"github.com/spf13/cobra"
 
@@ -13,63 +13,74 @@
 )
 
 func nodesCommand() *cobra.Command {
-	var addr, node string
+	var addr, endpoint string
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "nodes",
 		Short: "Each node: what every source says, what was decided and why, since when",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var n daemon.Endpoints
-			if err := call(cmd, addr, "/nodes", nil, &n); err != nil {
+			var endpoints daemon.Endpoints
+			if err := call(cmd, addr, "/nodes", nil, &endpoints); err != nil {
 				return err
 			}
 			if asJSON {
-				return printJSON(cmd.OutOrStdout(), n)
+				return printJSON(cmd.OutOrStdout(), endpoints)
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintln(w, "NODE\tZONE\tSTATE\tSINCE\tSOURCES\tWHY")
-			for _, v := range n.Decisions {
-				if node != "" && string(v.Endpoint) != node {
-					continue
-				}
-				var says []string
-				for _, s := range v.Observations {
-					says = append(says, fmt.Sprintf("%s: %s (%s ago)", s.Source, s.Text, age(n.Now, s.At)))
-				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Endpoint, v.Listed.Zone, v.StateName, age(n.Now, v.Since), strings.Join(says, "; "), v.Reason)
-			}
-			return w.Flush()
+			return printEndpoints(cmd.OutOrStdout(), endpoints, endpoint)
 		},
 	}
-	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:7070", "address of the coordinator")
-	cmd.Flags().StringVar(&node, "node", "", "this one alone")
+	cmd.Flags().StringVar(&addr, "addr", defaultAddr, "address of the coordinator")
+	cmd.Flags().StringVar(&endpoint, "node", "", "this one alone")
 	outputFlag(cmd, &asJSON)
 	return cmd
 }
 
-// drainCommands are porthub drain and undrain.
-func drainCommands() []*cobra.Command {
-	var out []*cobra.Command
-	for _, c := range [][3]string{
-		{"drain", "Take a node out until it is let in again, whatever sources say; survives restarts", "drained"},
-		{"undrain", "Let a node in again", "let in again, as far as the sources have it"}} {
-		var addr, reason string
-		cmd := &cobra.Command{Use: c[0] + " NODE", Short: c[1], Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-			var a daemon.EndpointAnswer
-			if err := call(cmd, addr, "/nodes/"+c[0], daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
-				return err
-			}
-			if a.Error != "" {
-				return errors.New(a.Error)
-			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], c[2])
-			return nil
-		}}
-		cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:7070", "address of the coordinator")
-		cmd.Flags().StringVar(&reason, "reason", "", "goes into the log")
-		_ = cmd.MarkFlagRequired("reason")
-		out = append(out, cmd)
+// printEndpoints prints the decisions about endpoints, or about the one named.
+func printEndpoints(out io.Writer, endpoints daemon.Endpoints, only string) error {
+	table := newTable(out)
+	fmt.Fprintln(table, "NODE\tZONE\tSTATE\tSINCE\tSOURCES\tWHY")
+	for _, decision := range endpoints.Decisions {
+		if only != "" && string(decision.Endpoint) != only {
+			continue
+		}
+		var sources []string
+		for _, observation := range decision.Observations {
+			sources = append(sources, fmt.Sprintf("%s: %s (%s ago)", observation.Source, observation.Text, age(endpoints.Now, observation.At)))
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\n", decision.Endpoint, decision.Listed.Zone, decision.StateName,
+			age(endpoints.Now, decision.Since), strings.Join(sources, "; "), decision.Reason)
+	}
+	return table.Flush()
+}
+
+func drainCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "drain NODE", Short: "Take a node out until it is let in again, whatever sources say; survives restarts"}
+	return endpointCommand(cmd, "/nodes/drain", "drained")
+}
+
+func undrainCommand() *cobra.Command {
+	cmd := &cobra.Command{Use: "undrain NODE", Short: "Let a node in again"}
+	return endpointCommand(cmd, "/nodes/undrain", "let in again, as far as the sources have it")
+}
+
+// endpointCommand makes a command post a request about one endpoint and print what was done.
+func endpointCommand(cmd *cobra.Command, path, done string) *cobra.Command {
+	var addr, reason string
+	cmd.Args = cobra.ExactArgs(1)
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
+		var answer daemon.EndpointAnswer
+		request := daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}
+		if err := call(cmd, addr, path, request, &answer); err != nil {
+			return err
+		}
+		if answer.Error != "" {
+			return errors.New(answer.Error)
+		}
+		fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], done)
+		return nil
 	}
-	return out
+	cmd.Flags().StringVar(&addr, "addr", defaultAddr, "address of the coordinator")
+	reasonFlag(cmd, &reason)
+	return cmd
 }
--- a/cmd/porthub/output.go
+++ b/cmd/porthub/output.go
@@ -1,17 +1,18 @@
 package main
 
 import (
+	"encoding/json"
 	"fmt"
-	"os"
-	"path/filepath"
+	"io"
+	"text/tabwriter"
+	"time"
 
 	"github.com/spf13/cobra"
-	"github.com/spf13/cobra/doc"
 
-	"porthub/daemon"
+	"porthub/policyapi"
 )
 
-// outputFormat is how a command prints: a table for people, or one JSON object.
+// outputFormat is the value of --output: a table for people, or one JSON object.
 type outputFormat struct{ json *bool }
 
 func (f outputFormat) String() string {
@@ -31,25 +32,31 @@
 
 func (f outputFormat) Type() string { return "table|json" }
 
-// outputFlag gives a command --output, and --json, which says the same in fewer letters.
+// outputFlag gives a command --output, and --json as its short form.
 func outputFlag(cmd *cobra.Command, asJSON *bool) {
 	cmd.Flags().VarP(outputFormat{asJSON}, "output", "o", "table, or one JSON object")
 	cmd.Flags().BoolVar(asJSON, "json", false, "the same as --output json")
 	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
 }
 
-func manCommand() *cobra.Command {
-	return &cobra.Command{Use: "man DIR", Short: "Write man pages of all commands into a folder", Args: cobra.ExactArgs(1),
-		Example: "  porthub man /usr/local/share/man/man1",
-		RunE: func(cmd *cobra.Command, args []string) error {
-			if err := os.MkdirAll(args[0], 0o755); err != nil {
-				return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
-			}
-			if err := doc.GenManTree(cmd.Root(), &doc.GenManHeader{Title: "PORTHUB", Section: "1", Source: "porthub"}, args[0]); err != nil {
-				return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
-			}
-			pages, err := filepath.Glob(filepath.Join(args[0], "porthub*.1"))
-			fmt.Fprintf(cmd.OutOrStdout(), "%d pages in %s\n", len(pages), args[0])
-			return err
-		}}
+func printJSON(out io.Writer, document any) error {
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(document)
+}
+
+// newTable returns a writer that aligns cells, which tabs separate. It is to be flushed.
+func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
+
+// orDash shows an empty cell.
+func orDash(s string) string {
+	if s == "" {
+		return "-"
+	}
+	return s
+}
+
+// age formats the time from one moment to another.
+func age(now, at policyapi.Microseconds) string {
+	return (time.Duration(now-at) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
--- a/cmd/porthub/solve.go
+++ b/cmd/porthub/solve.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"io"
 	"os"
-	"text/tabwriter"
+	"slices"
 
 	"github.com/spf13/cobra"
 	"github.com/tailscale/hujson"
@@ -15,14 +15,28 @@
 	"porthub/solver/fleets"
 )
 
+// What a solution must meet for the exit code 0.
+const (
+	maxOverload = 1.05 // load over limit of any endpoint
+	maxUnplaced = 1e-3 // fraction of the demand that would have fitted
+)
+
+// minLimit replaces the limit of an endpoint without one in quotients.
+const minLimit = 1e-12
+
+// solveFlags are the flags of the command.
+type solveFlags struct {
+	random  int
+	seed    uint64
+	asJSON  bool
+	explain bool
+	oracle  bool
+	compare bool
+	scale   bool
+}
+
 func solveCommand() *cobra.Command {
-	var (
-		random          int
-		seed            uint64
-		asJSON, explain bool
-		oracle, compare bool
-		scale           bool
-	)
+	flags := &solveFlags{}
 	cmd := &cobra.Command{
 		Use:   "solve [FLEET.json]",
 		Short: "Turn capacities, costs and demand into weights that nobody is crushed by",
@@ -36,121 +50,136 @@
   porthub solve --random 1000 --seed 7 --json
   porthub solve --random 1000 --oracle --compare`,
 		Args: cobra.MaximumNArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			out := cmd.OutOrStdout()
-			switch {
-			case scale:
-				return printJSON(out, fleets.MeasureScale())
-			case random > 0 && len(args) == 0:
-				m, err := fleets.Measure(random, seed, oracle, compare)
-				if err != nil {
-					return err
-				}
-				if err := printJSON(out, m); err != nil {
-					return err
-				}
-				if m.WorstOverload > 1.05 || m.Unplaced > 1e-3 {
-					return errCheckFailed
-				}
-				return nil
-			case random < 0 || len(args) == 0:
-				return errors.New("name a fleet's file, or --random N")
-			}
-			f, err := readFleet(args[0])
-			if err != nil {
-				return err
-			}
-			s := solver.Solve(f, nil)
-			if asJSON {
-				if err := printJSON(out, s); err != nil {
-					return err
-				}
-			} else if err := printSolution(out, f, s, explain); err != nil {
-				return err
-			}
-			if fleets.Overload(f, s) > 1.05 {
-				return errCheckFailed
-			}
-			return nil
-		},
-	}
-	cmd.Flags().IntVar(&random, "random", 0, "draw so many fleets")
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of the draws")
-	outputFlag(cmd, &asJSON)
-	cmd.Flags().BoolVar(&explain, "explain", false, "say for each node and kind what was done and why")
-	cmd.Flags().BoolVar(&oracle, "oracle", false, "find the exact optimum of each drawn fleet as well")
-	cmd.Flags().BoolVar(&compare, "compare", false, "fill the same fleets by even weights, by capacity and as wanted")
-	cmd.Flags().BoolVar(&scale, "scale", false, "measure how time and steps grow with the fleet")
+		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd.OutOrStdout(), args) },
+	}
+	cmd.Flags().IntVar(&flags.random, "random", 0, "draw so many fleets")
+	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "of the draws")
+	outputFlag(cmd, &flags.asJSON)
+	cmd.Flags().BoolVar(&flags.explain, "explain", false, "say for each node and kind what was done and why")
+	cmd.Flags().BoolVar(&flags.oracle, "oracle", false, "find the exact optimum of each drawn fleet as well")
+	cmd.Flags().BoolVar(&flags.compare, "compare", false, "fill the same fleets by even weights, by capacity and as wanted")
+	cmd.Flags().BoolVar(&flags.scale, "scale", false, "measure how time and steps grow with the fleet")
 	return cmd
 }
 
-func printJSON(out io.Writer, v any) error {
-	e := json.NewEncoder(out)
-	e.SetIndent("", "  ")
-	return e.Encode(v)
+func (f *solveFlags) run(out io.Writer, args []string) error {
+	switch {
+	case f.scale:
+		return printJSON(out, fleets.MeasureScale())
+	case f.random > 0 && len(args) == 0:
+		return f.solveRandom(out)
+	case f.random < 0 || len(args) == 0:
+		return errors.New("name a fleet's file, or --random N")
+	default:
+		return f.solveFile(out, args[0])
+	}
+}
+
+func (f *solveFlags) solveRandom(out io.Writer) error {
+	measurement, err := fleets.Measure(f.random, f.seed, f.oracle, f.compare)
+	if err != nil {
+		return err
+	}
+	if err := printJSON(out, measurement); err != nil {
+		return err
+	}
+	if measurement.WorstOverload > maxOverload || measurement.Unplaced > maxUnplaced {
+		return errCheckFailed
+	}
+	return nil
 }
 
-func readFleet(path string) (f solver.Fleet, err error) {
+func (f *solveFlags) solveFile(out io.Writer, path string) error {
+	fleet, err := readFleet(path)
+	if err != nil {
+		return err
+	}
+	solution := solver.Solve(fleet, nil)
+	if f.asJSON {
+		err = printJSON(out, solution)
+	} else {
+		err = printSolution(out, fleet, solution, f.explain)
+	}
+	if err != nil {
+		return err
+	}
+	if fleets.Overload(fleet, solution) > maxOverload {
+		return errCheckFailed
+	}
+	return nil
+}
+
+func readFleet(path string) (fleet solver.Fleet, err error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return f, err
+		return fleet, err
 	}
-	plain, err := hujson.Standardize(text)
+	standard, err := hujson.Standardize(text)
 	if err != nil {
-		return f, fmt.Errorf("%s: %w", path, err)
+		return fleet, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := json.Unmarshal(plain, &f); err != nil {
-		return f, fmt.Errorf("%s: %w", path, err)
+	if err := json.Unmarshal(standard, &fleet); err != nil {
+		return fleet, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := f.Check(); err != nil {
-		return f, fmt.Errorf("%s: %w", path, err)
+	if err := fleet.Check(); err != nil {
+		return fleet, fmt.Errorf("%s: %w", path, err)
 	}
-	return f, nil
+	return fleet, nil
 }
 
-func printSolution(out io.Writer, f solver.Fleet, s solver.Solution, explain bool) error {
-	c := s.Certificate
+func printSolution(out io.Writer, fleet solver.Fleet, solution solver.Solution, explain bool) error {
+	c := solution.Certificate
 	fmt.Fprintf(out, "%s\npayoff %.4g a second, at most %.4g is possible; %d steps, prices left %.2f%% too much before F-NORM\n\n", c.Reason, c.PlacedPriority,
 		c.Bound, c.Steps, 100*c.Residual)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "NODE\tZONE\tLIMIT\tLOAD\tUSED\tPRICE\tNOTE")
-	for j, n := range f.Endpoints {
-		note := ""
-		switch {
-		case n.Closed:
-			note = "closed"
-		case n.Limit > 0 && n.Limit < 1:
-			note = fmt.Sprintf("cold: %.2f of its capacity", n.Limit)
-		}
-		for _, g := range c.GuessedCapacities {
-			if g == j {
-				note = "its stated capacity makes no sense: taken as the median"
-			}
-		}
-		for k := range f.Classes {
-			if len(n.Failing) > 0 && n.Failing[k] {
-				note += " fails " + f.Classes[k].Name
-			}
+	table := newTable(out)
+	printSolvedEndpoints(table, fleet, c)
+	printConsumers(table, fleet, solution, explain)
+	return table.Flush()
+}
+
+func printSolvedEndpoints(table io.Writer, fleet solver.Fleet, c solver.Certificate) {
+	fmt.Fprintln(table, "NODE\tZONE\tLIMIT\tLOAD\tUSED\tPRICE\tNOTE")
+	for i, endpoint := range fleet.Endpoints {
+		note := endpointNote(fleet, endpoint, slices.Contains(c.GuessedCapacities, i))
+		fmt.Fprintf(table, "%s\t%s\t%.4g\t%.4g\t%.0f%%\t%.3g\t%s\n", endpoint.Name, endpoint.Zone, c.Limit[i], c.Load[i],
+			100*c.Load[i]/max(c.Limit[i], minLimit), c.Prices[i], note)
+	}
+}
+
+// endpointNote says what is unusual about an endpoint.
+func endpointNote(fleet solver.Fleet, endpoint solver.Endpoint, guessedCapacity bool) (note string) {
+	switch {
+	case guessedCapacity:
+		note = "its stated capacity makes no sense: taken as the median"
+	case endpoint.Closed:
+		note = "closed"
+	case endpoint.Limit > 0 && endpoint.Limit < 1:
+		note = fmt.Sprintf("cold: %.2f of its capacity", endpoint.Limit)
+	}
+	for class, settings := range fleet.Classes {
+		if len(endpoint.Failing) > 0 && endpoint.Failing[class] {
+			note += " fails " + settings.Name
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.0f%%\t%.3g\t%s\n", n.Name, n.Zone, c.Limit[j], c.Load[j], 100*c.Load[j]/max(c.Limit[j], 1e-12),
-			c.Prices[j], note)
 	}
-	fmt.Fprintln(w, "\nUSER\tKIND\tDEMAND\tLET IN\tLINES")
-	for u, user := range f.Consumers {
-		for k, kind := range f.Classes {
-			if user.Demand[k] <= 0 {
+	return note
+}
+
+func printConsumers(table io.Writer, fleet solver.Fleet, solution solver.Solution, explain bool) {
+	fmt.Fprintln(table, "\nUSER\tKIND\tDEMAND\tLET IN\tLINES")
+	for u, consumer := range fleet.Consumers {
+		for k, class := range fleet.Classes {
+			if consumer.Demand[k] <= 0 {
+				continue
+			}
+			fmt.Fprintf(table, "%s\t%s\t%.4g\t%.1f%%\t", consumer.Name, class.Name, consumer.Demand[k], 100*solution.Admit[u][k])
+			if !explain {
+				fmt.Fprintln(table, len(solution.Weights[u][k]))
 				continue
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.4g\t%.1f%%\t", user.Name, kind.Name, user.Demand[k], 100*s.Admit[u][k])
-			if explain {
-				for _, l := range s.Weights[u][k] {
-					fmt.Fprintf(w, "%s %.3f  ", f.Endpoints[l.Endpoint].Name, l.Weight)
-				}
-			} else {
-				fmt.Fprint(w, len(s.Weights[u][k]))
+			for _, line := range solution.Weights[u][k] {
+				fmt.Fprintf(table, "%s %.3f  ", fleet.Endpoints[line.Endpoint].Name, line.Weight)
 			}
-			fmt.Fprintln(w)
+			fmt.Fprintln(table)
 		}
 	}
-	return w.Flush()
 }
--- /dev/null
+++ b/cmd/porthub/tables_pins.go
@@ -0,0 +1,131 @@
+package main
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"porthub/daemon"
+	"porthub/policyapi"
+	"porthub/routing"
+)
+
+// pinScope are the flags that say what is pinned, and why.
+type pinScope struct {
+	table  int
+	zone   string
+	fleet  bool
+	reason string
+}
+
+func (s *pinScope) register(cmd *cobra.Command) {
+	cmd.Flags().IntVar(&s.table, "table", 0, "one table")
+	cmd.Flags().StringVar(&s.zone, "zone", "", "all tables of a zone's gateways")
+	cmd.Flags().BoolVar(&s.fleet, "fleet", false, "all tables")
+	reasonFlag(cmd, &s.reason)
+}
+
+// request returns the request for the scope, of which exactly one part must be given.
+func (s *pinScope) request(cmd *cobra.Command) (daemon.PinRequest, error) {
+	request := daemon.PinRequest{Zone: policyapi.Zone(s.zone), Fleet: s.fleet, Reason: s.reason}
+	if cmd.Flags().Changed("table") {
+		table := policyapi.TableID(s.table)
+		request.Table = &table
+	}
+	given := 0
+	for _, set := range []bool{request.Table != nil, s.zone != "", s.fleet} {
+		if set {
+			given++
+		}
+	}
+	if given != 1 {
+		return request, errors.New("say what, one of: --table N, --zone ZONE, --fleet")
+	}
+	return request, nil
+}
+
+// reasonFlag gives a command the required flag --reason.
+func reasonFlag(cmd *cobra.Command, reason *string) {
+	cmd.Flags().StringVar(reason, "reason", "", "goes into the log")
+	_ = cmd.MarkFlagRequired("reason")
+}
+
+func sendPin(cmd *cobra.Command, addr, path string, body any) error {
+	var answer daemon.PinAnswer
+	if err := call(cmd, addr, path, body, &answer); err != nil {
+		return err
+	}
+	if answer.Error != "" {
+		return errors.New(answer.Error)
+	}
+	fmt.Fprintf(cmd.OutOrStdout(), "pin %d of %s: %s\n", answer.Pin.ID, answer.Pin.Scope, answer.Pin.Reason)
+	return nil
+}
+
+func pinCommand(addr *string) *cobra.Command {
+	scope := &pinScope{}
+	cmd := &cobra.Command{
+		Use:     "pin",
+		Short:   "Hold a table, a zone's tables or the fleet's at what is in force now",
+		Args:    cobra.NoArgs,
+		Example: `  porthub tables pin --fleet --reason "rate decision at noon"`,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			request, err := scope.request(cmd)
+			if err != nil {
+				return err
+			}
+			return sendPin(cmd, *addr, "/tables/pin", request)
+		},
+	}
+	scope.register(cmd)
+	return cmd
+}
+
+func rollbackCommand(addr *string) *cobra.Command {
+	scope := &pinScope{}
+	var version uint64
+	var ago time.Duration
+	cmd := &cobra.Command{
+		Use:   "rollback",
+		Short: "Hold them at an earlier state; the rules mask it",
+		Args:  cobra.NoArgs,
+		Example: `  porthub tables rollback --table 4 --version 17 --reason "worse since"
+  porthub tables rollback --fleet --ago 10m --reason "worse since"`,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			request, err := scope.request(cmd)
+			if err != nil {
+				return err
+			}
+			if (version == 0) == (ago == 0) {
+				return errors.New("say to when: --version N of a table, or --ago TIME")
+			}
+			request.Version = routing.Version(version)
+			request.Ago = policyapi.Microseconds(ago.Microseconds())
+			return sendPin(cmd, *addr, "/tables/pin", request)
+		},
+	}
+	scope.register(cmd)
+	cmd.Flags().Uint64Var(&version, "version", 0, "version of the table")
+	cmd.Flags().DurationVar(&ago, "ago", 0, "as it was so long ago")
+	return cmd
+}
+
+func unpinCommand(addr *string) *cobra.Command {
+	var reason string
+	cmd := &cobra.Command{
+		Use:   "unpin PIN",
+		Short: "Let a pin go",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			var id int
+			if _, err := fmt.Sscan(args[0], &id); err != nil {
+				return fmt.Errorf("%q is no pin's number: porthub tables list names them", args[0])
+			}
+			return sendPin(cmd, *addr, "/tables/unpin", daemon.UnpinRequest{ID: id, Reason: reason})
+		},
+	}
+	reasonFlag(cmd, &reason)
+	return cmd
+}
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -18,85 +18,119 @@
 	"porthub/tui"
 )
 
-// maxFrames bounds what top keeps of a capture: an hour, a moment a second.
-const maxFrames = 3600
+const (
+	// maxFrames bounds what is kept of a capture: an hour, with a frame for each second.
+	maxFrames                            = 3600
+	frameInterval policyapi.Microseconds = 1_000_000
+	// minFetchInterval spares the coordinator.
+	minFetchInterval = 200 * time.Millisecond
+)
+
+// topFlags are the flags of the command.
+type topFlags struct {
+	addr     string
+	capture  string
+	interval time.Duration
+	once     bool
+}
 
 func topCommand() *cobra.Command {
-	var addr, dir string
-	var every time.Duration
-	var once bool
-	cmd := &cobra.Command{Use: "top", Short: "Watch a coordinator, or a capture, in the terminal", Args: cobra.NoArgs,
+	flags := &topFlags{}
+	cmd := &cobra.Command{
+		Use:   "top",
+		Short: "Watch a coordinator, or a capture, in the terminal",
+		Args:  cobra.NoArgs,
 		Long: `top shows the fleet by hall and kind, nodes, gateways, levels and the log of a running coordinator; enter on a node or gateway says
 what is known of it. With --capture it replays a folder of captures and goes through its seconds with left and right. The
 coordinator spends a hundredth of its time on overviews at most, however many look.`,
 		Example: `  porthub top --addr 127.0.0.1:7070
   porthub top --capture var/capture
   porthub top --once   # one screen as text, for scripts`,
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if every < 200*time.Millisecond {
-				return errors.New("--every: 200ms at least")
-			}
-			var source tui.Source = tui.NewLive(addr)
-			if dir != "" {
-				moments, err := readFrames(dir)
-				if err != nil {
-					return err
-				}
-				source = tui.NewRecorded(dir, moments)
-			}
-			m := tui.New(source, every)
-			if once {
-				return drawOnce(cmd.OutOrStdout(), m)
-			}
-			if _, err := tea.NewProgram(m).Run(); err != nil {
-				return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
-			}
-			return nil
-		}}
-	cmd.Flags().StringVar(&addr, "addr", "127.0.0.1:7070", "the coordinator's address")
-	cmd.Flags().StringVar(&dir, "capture", "", "a folder of captures in place of a coordinator")
-	cmd.Flags().DurationVar(&every, "every", time.Second, "how often it looks")
-	cmd.Flags().BoolVar(&once, "once", false, "print the first screen as text and end")
+		RunE: func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.OutOrStdout()) },
+	}
+	cmd.Flags().StringVar(&flags.addr, "addr", defaultAddr, "the coordinator's address")
+	cmd.Flags().StringVar(&flags.capture, "capture", "", "a folder of captures in place of a coordinator")
+	cmd.Flags().DurationVar(&flags.interval, "every", time.Second, "how often it looks")
+	cmd.Flags().BoolVar(&flags.once, "once", false, "print the first screen as text and end")
 	return cmd
 }
 
-// drawOnce draws what a first look shows.
-func drawOnce(out io.Writer, m tui.Model) error {
-	next, _ := m.Update(m.Init()())
-	shown, is := next.(tui.Model)
-	if !is {
+func (f *topFlags) run(out io.Writer) error {
+	if f.interval < minFetchInterval {
+		return errors.New("--every: 200ms at least")
+	}
+	source, err := f.source()
+	if err != nil {
+		return err
+	}
+	model := tui.New(source, f.interval)
+	if f.once {
+		return drawOnce(out, model)
+	}
+	if _, err := tea.NewProgram(model).Run(); err != nil {
+		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
+	}
+	return nil
+}
+
+func (f *topFlags) source() (tui.Source, error) {
+	if f.capture == "" {
+		return tui.NewLive(f.addr), nil
+	}
+	frames, err := readFrames(f.capture)
+	if err != nil {
+		return nil, err
+	}
+	return tui.NewRecorded(f.capture, frames), nil
+}
+
+// drawOnce prints the screen after the first fetch.
+func drawOnce(out io.Writer, model tui.Model) error {
+	next, _ := model.Update(model.Init()())
+	fetched, ok := next.(tui.Model)
+	if !ok {
 		return errors.New("the screen has gone")
 	}
-	_, err := fmt.Fprintln(out, ansi.Strip(shown.Draw(time.Now())))
+	_, err := fmt.Fprintln(out, ansi.Strip(fetched.Draw(time.Now())))
 	return err
 }
 
-// readFrames replays a capture and keeps a moment of each second.
-func readFrames(dir string) (moments []tui.Frame, err error) {
+// readFrames replays a capture and keeps a frame of each second.
+func readFrames(dir string) (frames []tui.Frame, err error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
 	}
-	r, err := capture.Open(dir)
+	reader, err := capture.Open(dir)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
-	var tail []coordinator.LogRecord
-	last := policyapi.Microseconds(0)
-	_, err = capture.Replay(r, "", func(rec *capture.Record, core *coordinator.Core, outputs []coordinator.Output) bool {
-		if rec.Step == nil || core == nil {
-			return true
-		}
-		for _, o := range outputs {
-			if n, is := o.(coordinator.LogEntry); is && n.Level > coordinator.LogDebug {
-				tail = coordinator.AppendLog(tail, rec.Step.Now, n)
-			}
-		}
-		if rec.Step.Now-last >= 1_000_000 {
-			last = rec.Step.Now
-			moments = append(moments, tui.Frame{Overview: core.Overview(), Log: tail})
+	defer reader.Close()
+	recorder := &frameRecorder{}
+	_, err = capture.Replay(reader, "", recorder.step)
+	return recorder.frames, err
+}
+
+// frameRecorder collects the frames of a replay.
+type frameRecorder struct {
+	frames []tui.Frame
+	log    []coordinator.LogRecord // the last records
+	last   policyapi.Microseconds  // time of the last frame
+}
+
+// step sees one record of the replay. It reports whether more are wanted.
+func (r *frameRecorder) step(record *capture.Record, core *coordinator.Core, outputs []coordinator.Output) bool {
+	if record.Step == nil || core == nil {
+		return true
+	}
+	now := record.Step.Now
+	for _, output := range outputs {
+		if entry, ok := output.(coordinator.LogEntry); ok && entry.Level > coordinator.LogDebug {
+			r.log = coordinator.AppendLog(r.log, now, entry)
 		}
-		return len(moments) < maxFrames
-	})
-	return moments, err
+	}
+	if now-r.last >= frameInterval {
+		r.last = now
+		r.frames = append(r.frames, tui.Frame{Overview: core.Overview(), Log: r.log})
+	}
+	return len(r.frames) < maxFrames
 }
