--- a/expectation/evaluator.go
+++ b/expectation/evaluator.go
@@ -216,16 +216,16 @@
 		switch {
 		case t.MaxUtilization > 0 && factor == 1 && offered > t.MaxUtilization*capacity:
 			v.fail(c, subject{endpoint: e}, "offered %.2f of what it can do", offered/capacity)
-		case t.MaxWarmUpLoad > 0 && factor < 1 && v.startIsKnown(e) && offered > t.MaxWarmUpLoad*overload*capacity:
+		case t.MaxWarmUpLoad > 0 && factor < 1 && v.startIsListed(e) && offered > t.MaxWarmUpLoad*overload*capacity:
 			v.fail(c, subject{endpoint: e}, "offered %.2f of what pushes it over, %.1f s after its start",
 				offered/capacity/overload, seconds(s.now-e.startedAt))
 		}
 	}
 }
 
-// startIsKnown reports whether the list has had an endpoint's start for the grace period and an overload window since:
+// startIsListed reports whether the list has had an endpoint's start for the grace period and an overload window since:
 // nobody could have prevented an overload before that.
-func (v *evaluator) startIsKnown(e *endpoint) bool {
+func (v *evaluator) startIsListed(e *endpoint) bool {
 	rules := v.sim.settings.Start.Rules
 	return e.listed.startedAt == e.startedAt && v.sim.now-e.listed.startedSince > rules.DrainGracePeriod+rules.OverloadWindow
 }
--- a/registry/eureka/cache.go
+++ b/registry/eureka/cache.go
@@ -80,7 +80,7 @@
 // it changed after it was removed.
 func (c *Cache) applyInstance(next map[string]Instance, instance Instance) {
 	key := instance.key()
-	if known, ok := next[key]; ok && known.DirtyAt > instance.DirtyAt && instance.Action != actionDeleted {
+	if current, ok := next[key]; ok && current.DirtyAt > instance.DirtyAt && instance.Action != actionDeleted {
 		return // deltas overlap: this is an older state
 	}
 	if removedAt, ok := c.removed[key]; ok && instance.changedAt() <= removedAt {
