--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -88,34 +88,47 @@
 
 func TestLoadReportRoundTrip(t *testing.T) {
 	node := Node{Name: "gw-1", Zone: "a", InitialTable: true, UsualRate: 12, ReportNumber: 7}
-	kinds := []ClassReport{{Class: "view", Arrived: 20, Rejected: 3, Failures: 2, Endpoints: []EndpointReport{
+	classes := []ClassReport{{Class: "view", Arrived: 20, Rejected: 3, Failures: 2, Endpoints: []EndpointReport{
 		{Address: "127.0.0.1:1", Zone: "a", Attempts: 10, Failures: 2, InFlight: 1, MeanLatency: 150 * time.Millisecond, Metrics: map[string]float64{"util": 0.5, "queue": 2}, MetricSamples: 8},
 		{Address: "127.0.0.1:2", Zone: "b", Attempts: 7, Failures: 7}}}}
-	got, interval, read, err := ParseLoadReport(NewLoadReport(node, 2*time.Second, kinds))
-	if err != nil || got != node || interval != 2*time.Second || !reflect.DeepEqual(read, kinds) {
+	got, interval, read, err := ParseLoadReport(NewLoadReport(node, 2*time.Second, classes))
+	if err != nil || got != node || interval != 2*time.Second || !reflect.DeepEqual(read, classes) {
 		t.Errorf("%+v %v %+v %v", got, interval, read, err)
 	}
-	// A plain proxy names no arrivals and no loads.
-	text := `{"node": {"id": "envoy-1", "locality": {"zone": "a"}}, "cluster_stats": [{"cluster_name": "view", "load_report_interval": "1s",
-		"total_dropped_requests": "2", "upstream_locality_stats": [{"locality": {"zone": "a"}, "upstream_endpoint_stats": [
-		{"address": {"socket_address": {"address": "127.0.0.1", "port_value": 1}}, "total_successful_requests": "5", "total_error_requests": "1"}]}]}]}`
+}
+
+// plainReport is the report of a proxy that names neither arrivals nor load metrics.
+const plainReport = `{"node": {"id": "envoy-1", "locality": {"zone": "a"}}, "cluster_stats": [{"cluster_name": "view", "load_report_interval": "1s",
+	"total_dropped_requests": "2", "upstream_locality_stats": [{"locality": {"zone": "a"}, "upstream_endpoint_stats": [
+	{"address": {"socket_address": {"address": "127.0.0.1", "port_value": 1}}, "total_successful_requests": "5", "total_error_requests": "1"}]}]}]}`
+
+func parseReport(text string) ([]ClassReport, error) {
 	m := &loadv3.LoadStatsRequest{}
 	if err := Decode([]byte(text), m); err != nil {
-		t.Fatal(err)
+		return nil, err
 	}
-	if _, _, read, err := ParseLoadReport(m); err != nil || read[0].Arrived != 8 || read[0].Endpoints[0].Attempts != 6 {
-		t.Errorf("%+v %v", read, err)
+	_, _, classes, err := ParseLoadReport(m)
+	return classes, err
+}
+
+func TestParseLoadReportOfPlainProxy(t *testing.T) {
+	classes, err := parseReport(plainReport)
+	if err != nil || classes[0].Arrived != 8 || classes[0].Endpoints[0].Attempts != 6 {
+		t.Errorf("%+v %v", classes, err)
 	}
-	for _, invalid := range []string{`"5"`, `"1s"`, `"envoy-1"`} {
-		m := &loadv3.LoadStatsRequest{}
-		bad := strings.Replace(text, invalid, map[string]string{`"5"`: `"99999999999"`, `"1s"`: `"1 s"`, `"envoy-1"`: `"a/b"`}[invalid], 1)
-		err := Decode([]byte(bad), m)
-		if err == nil {
-			_, _, _, err = ParseLoadReport(m)
-		}
-		if !errors.Is(err, ErrInvalidMessage) {
-			t.Errorf("with an invalid value for %s: %v", invalid, err)
-		}
+}
+
+func TestParseLoadReportRejectsInvalidValues(t *testing.T) {
+	for name, c := range map[string]struct{ valid, invalid string }{
+		"count":    {`"5"`, `"99999999999"`},
+		"duration": {`"1s"`, `"1 s"`},
+		"node ID":  {`"envoy-1"`, `"a/b"`},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := parseReport(strings.Replace(plainReport, c.valid, c.invalid, 1)); !errors.Is(err, ErrInvalidMessage) {
+				t.Errorf("%v, want ErrInvalidMessage", err)
+			}
+		})
 	}
 }
 
