--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -37,6 +37,9 @@
 	token policyapi.TimerToken
 }
 
+// hostClasses is the number of request classes in the settings of newHost.
+const hostClasses policyapi.RequestClass = 2
+
 // newHost returns a host of an instance in a fleet of three zones. Change adapts the settings; nil leaves them.
 func newHost(t *testing.T, change func(*policyapi.Start)) *host {
 	t.Helper()
@@ -61,55 +64,83 @@
 		highest: map[string]int{}, sentAt: map[policyapi.ProxyID][]micros{}}
 }
 
-// step delivers events at the present time and carries out the orders.
+// step delivers events at the present time, carries out the orders and acknowledges what they send.
 func (h *host) step(events ...policyapi.Event) {
 	h.orders = h.instance.Step(h.now, events)
 	reached := map[policyapi.ProxyID]float64{}
 	for _, o := range h.orders {
-		switch o := o.(type) {
-		case policyapi.SetTimer:
-			h.timers = append(h.timers, timer{h.now + o.After, o.Token})
-		case policyapi.SetWeight:
-			if h.tables[o.Table] == nil {
-				h.tables[o.Table] = map[policyapi.EndpointID]float64{}
-			}
-			if h.tables[o.Table][o.Endpoint] = o.Weight; o.Weight == 0 {
-				delete(h.tables[o.Table], o.Endpoint)
-			}
-			for p, tables := range h.binds {
-				if slices.Contains(tables, o.Table) {
-					reached[p]++
-				}
-			}
-		case policyapi.BindProxy:
-			reached[o.Proxy] += float64(len(h.tables[o.Table])) + 1
-			if h.binds[o.Proxy] == nil {
-				h.binds[o.Proxy] = make([]policyapi.TableID, 2)
-			}
-			for k := range 2 {
-				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
-					h.binds[o.Proxy][k] = o.Table
-				}
-			}
-		case policyapi.SetAdmission:
-			if o.Classes&1 != 0 {
-				h.highest["level"] = max(h.highest["level"], int(o.Level))
-			}
-			h.highest["retry policy"] = max(h.highest["retry policy"], int(o.RetryPolicy))
-			for p := range h.binds {
+		h.apply(o, reached)
+	}
+	h.acknowledge(reached)
+}
+
+// apply carries out an order and adds the lines that it costs to those of the proxies that it reaches.
+func (h *host) apply(order policyapi.Order, reached map[policyapi.ProxyID]float64) {
+	switch o := order.(type) {
+	case policyapi.SetTimer:
+		h.timers = append(h.timers, timer{h.now + o.After, o.Token})
+	case policyapi.SetWeight:
+		h.setWeight(o)
+		for p, tables := range h.binds {
+			if slices.Contains(tables, o.Table) {
 				reached[p]++
 			}
-			for k := range policyapi.RequestClass(2) {
-				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
-					h.admissions[k] = o
-				}
-			}
-		case policyapi.WatchEndpoints:
-			h.count["watch"]++
-		case policyapi.CheckHealth:
-			h.count["health check"]++
 		}
+	case policyapi.BindProxy:
+		reached[o.Proxy] += float64(len(h.tables[o.Table])) + 1
+		h.bind(o)
+	case policyapi.SetAdmission:
+		h.setAdmission(o)
+		for p := range h.binds {
+			reached[p]++
+		}
+	case policyapi.WatchEndpoints:
+		h.count["watch"]++
+	case policyapi.CheckHealth:
+		h.count["health check"]++
 	}
+}
+
+func (h *host) setWeight(o policyapi.SetWeight) {
+	if h.tables[o.Table] == nil {
+		h.tables[o.Table] = map[policyapi.EndpointID]float64{}
+	}
+	h.tables[o.Table][o.Endpoint] = o.Weight
+	if o.Weight == 0 {
+		delete(h.tables[o.Table], o.Endpoint)
+	}
+}
+
+func (h *host) bind(o policyapi.BindProxy) {
+	if h.binds[o.Proxy] == nil {
+		h.binds[o.Proxy] = make([]policyapi.TableID, hostClasses)
+	}
+	for class := range hostClasses {
+		if concerns(o.Classes, class) {
+			h.binds[o.Proxy][class] = o.Table
+		}
+	}
+}
+
+func (h *host) setAdmission(o policyapi.SetAdmission) {
+	if o.Classes&1 != 0 {
+		h.highest["level"] = max(h.highest["level"], int(o.Level))
+	}
+	h.highest["retry policy"] = max(h.highest["retry policy"], int(o.RetryPolicy))
+	for class := range hostClasses {
+		if concerns(o.Classes, class) {
+			h.admissions[class] = o
+		}
+	}
+}
+
+// concerns reports whether a set of classes, of which the empty one is all classes, includes a class.
+func concerns(set policyapi.ClassSet, class policyapi.RequestClass) bool {
+	return set == 0 || set&(1<<class) != 0
+}
+
+// acknowledge counts the messages of a step and their lines, and acknowledges them if it was requested.
+func (h *host) acknowledge(reached map[policyapi.ProxyID]float64) {
 	var acknowledged []policyapi.Event
 	for _, p := range slices.Sorted(maps.Keys(reached)) {
 		h.unacknowledgedLines += reached[p] + 7
@@ -181,7 +212,7 @@
 			if p == 0 {
 				rate += h.extraRate
 			}
-			for k := range policyapi.RequestClass(2) {
+			for k := range hostClasses {
 				events = append(events, policyapi.ProxyLoad{Proxy: id, Class: k, Requests: rate / 2, Period: second})
 			}
 			if len(h.binds[id]) == 0 {
