--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// admissionStep is the relative change of the admitted rate that is worth a message. It also trims capacity, so that
-	// what is not sent is safe.
+	// admissionStep is the relative change of the admitted rate above which it is published. Capacity is reduced by the
+	// same fraction, so that a change that is not published cannot overload the fleet.
 	admissionStep = 0.05
 	// unlimitedLevel is an admission level that rejects nothing.
 	unlimitedLevel = 1e6
 	// admissionUtilization is the fraction of the capacity above which admission is limited.
 	admissionUtilization = 0.9
-	// minLimitedCapacity is the fraction of an endpoint's available capacity that counts even if it says that it is
-	// full, falsely or alone: one endpoint must not reduce admission at all proxies.
+	// minLimitedCapacity is the fraction of an endpoint's available capacity that counts whatever its capacity limit: one
+	// endpoint that is full, or reports so falsely, must not reduce admission at all proxies.
 	minLimitedCapacity = 0.5
 	// queueLatency is the fraction of the latency objective above which latency shows a queue.
 	queueLatency = 0.45
-	// drainReports are the reports in which a queue shall drain.
+	// drainReports is the number of report periods in which a queue should drain.
 	drainReports = 4
-	// maxLatencyCut and minQueuedCapacity bound what a queue takes off the capacity.
+	// maxLatencyCut and minQueuedCapacity bound the reduction of the capacity for a queue, as fractions of it.
 	maxLatencyCut, minQueuedCapacity = 0.5, 0.5
 	// priceStep is the paper's gamma, the fraction of a Newton step that the price moves by.
 	priceStep = 0.4
-	// priceSteps is how often the price moves with each plan: the paper's allocator steps all the time, this one between
-	// reports.
+	// priceSteps is the number of price steps in each plan: the paper's allocator steps continuously, this one only when
+	// reports arrive.
 	priceSteps = 30
 	// maxPriceFloor bounds the floor of the prices: it is where they start.
 	maxPriceFloor = 1.0
@@ -46,7 +46,7 @@
 	for i := range p.groups.list {
 		admitted += p.groups.list[i].admit(capacities[i])
 	}
-	// More demand than all learned speeds together is slow to be: it need not wait for slow answers.
+	// Demand above the sum of all learned speeds is going to be slow: admission need not wait for slow responses.
 	limited = limited || p.fleet.speedsLearned && demand > capacity
 	if !limited || p.settings.admissionMode == policyapi.AdmissionOff || demand <= admissionUtilization*capacity {
 		admitted = 0
@@ -74,13 +74,14 @@
 	return capacities, limited
 }
 
-// ownCapacity is what an endpoint can do for this instance's proxies, whose load on it is ownLoad.
+// ownCapacity is the part of an endpoint's capacity, in requests per second, that is available to this instance's
+// proxies, whose load on it is ownLoad.
 func (p *planner) ownCapacity(e fleetEndpoint, ownLoad float64) float64 {
 	capacity := e.available
 	if e.learned.limit > 0 {
 		capacity = max(min(e.learned.limit, capacity), capacity*minLimitedCapacity)
 	}
-	// Late answers and queued requests show a queue: less is admitted than can be done until it has drained.
+	// Late responses and queued requests show a queue: less than the capacity is admitted until it has drained.
 	drainTime := float64(drainReports * p.settings.reportPeriod)
 	late := max(0, e.load.latency-queueLatency*float64(p.settings.latencyObjective))
 	capacity *= 1 - min(maxLatencyCut, late/drainTime)
@@ -88,7 +89,8 @@
 	// With several instances each uses its own proxies' share.
 	capacity *= ownLoad / max(e.load.externalLoad+ownLoad, epsilon)
 	if !p.isLocal(e) {
-		// The busy share never shows more than full: ours is what it did for us and what it has to spare.
+		// The busy share does not show by how much a full endpoint is overloaded: count what it served for this instance
+		// and its idle capacity.
 		capacity = min(capacity, e.load.served+max(0, 1-e.load.busyShare)*e.available)
 	}
 	return capacity
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -8,19 +8,20 @@
 const (
 	// ackIDs is the number of acknowledgement IDs: the protocols carry them in 16 bits.
 	ackIDs = 65536
-	// messageExpiry is the age at which an unacknowledged message counts as delivered or lost, if nobody ever answers.
+	// messageExpiry is the age at which an unacknowledged message counts as delivered or lost where no proxy has ever
+	// acknowledged anything.
 	messageExpiry = 60 * second
 	// ackLatencyPeriods are the report periods for which an acknowledgement's latency counts, at least.
 	ackLatencyPeriods = 5
-	// overduePeriods are the report periods, beside one and a half times the longest latency seen, after which a message
-	// does not count as waiting any more.
+	// overduePeriods are the report periods, in addition to one and a half times the longest latency seen, after which a
+	// message no longer counts as queued.
 	overduePeriods = 2
-	// overdueLatencyDivisor is the part of the longest latency seen that is added to it then.
+	// overdueLatencyDivisor makes the half of "one and a half times".
 	overdueLatencyDivisor = 2
 	// ackLines is the cost of the request to acknowledge a message, in lines.
 	ackLines = 1
-	// bindLines is what a binding is charged besides the lines and levels of its table: the line that the protocol says,
-	// and one to spare.
+	// bindLines is the cost of a binding besides the lines and levels of its table: one line by the protocol, and one in
+	// reserve.
 	bindLines = 2
 	// ownLevelLines is the cost of a table's own level.
 	ownLevelLines = 1
@@ -49,10 +50,10 @@
 	a.any = true
 }
 
-// queuedLines estimates the lines that wait in the channel, by what has been acknowledged, and forgets overdue messages
-// to disconnected proxies. Messages to different proxies may overtake each other, by seconds; but one that has been on
-// its way for much longer than any that was acknowledged lately waits no more: its proxy has stopped answering, or has
-// disconnected, and never acknowledges it. Nor does a message that is a minute old, if nobody ever answers.
+// queuedLines estimates the lines in the channel from the acknowledgements, and drops overdue messages to disconnected
+// proxies. Messages to different proxies can overtake each other by seconds; but one that has been in flight for much
+// longer than any that was acknowledged lately no longer counts: its proxy has stopped responding, or has disconnected,
+// and will never acknowledge it. Where nothing was ever acknowledged, a message counts for messageExpiry.
 func (c *channel) queuedLines(now micros) (lines float64) {
 	longest := c.acks.longest()
 	overdue := func(m pendingMessage) bool {
@@ -84,7 +85,7 @@
 	return messages
 }
 
-// messageLines is what a message costs besides its own lines; the levels for all tables go with each.
+// messageLines is the cost of a message besides its own lines; it includes the levels for all tables.
 func (c *channel) messageLines() float64 {
 	return c.messageOverhead + float64(len(c.admissions)) + ackLines
 }
@@ -112,7 +113,7 @@
 	}
 }
 
-// linesThatFit returns how many lines to each of some proxies leave no more than a share of the queue taken.
+// linesThatFit returns how many lines can be sent to each of some proxies without using more than a share of the queue.
 func (c *channel) linesThatFit(streams []*stream, share float64) int {
 	if len(streams) == 0 {
 		return math.MaxInt
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// minLearnBusy is the busy fraction below which a round says nothing about an endpoint's speed.
+	// minLearnBusy is the busy fraction up to which a round is too idle to measure an endpoint's speed.
 	minLearnBusy = 0.05
 	// minFullBusy is the busy fraction above which an endpoint may be full.
 	minFullBusy = 0.85
@@ -80,11 +80,11 @@
 	slowReports int     // in a row
 }
 
-// updateCapacityLimit keeps the design's rule: an endpoint has no capacity limit until it is slow for three reports;
-// the limit is then what it served, raised as it serves more. Beyond the design, a report counts as slow only if
+// updateCapacityLimit follows the design's rule: an endpoint has no capacity limit until it is slow for three reports;
+// the limit is then the rate that it served, raised as it serves more. Beyond the design, a report counts as slow only if
 // latencies or failures and the endpoint's own figures agree, so that neither a few expensive requests nor a false
 // report of being full reduce admission; and the limit grows with each report that is not slow and ends above the
-// learned speed, so that neither passing slowness nor a warm-up leaves a lasting low capacity.
+// learned speed, so that neither temporary slowness nor a warm-up leaves a lasting low capacity.
 func (a *endpointActor) updateCapacityLimit(totals roundTotals, rounds float64, mayBeFull bool) {
 	learned := &a.learned
 	late := totals.latencySum > slowLatency*(totals.attempts-totals.failures)*float64(a.settings.latencyObjective)
@@ -117,8 +117,8 @@
 }
 
 // slowStartFactor is the fraction of its usual load that an endpoint may get now. One whose ejection has ended may be a
-// new process that the list does not show yet: its load ramps up from twice that of a new one, while the list may still
-// come.
+// new process that the list does not show yet: until an update can have arrived, its load ramps up from twice that of a
+// new process.
 func (a *endpointActor) slowStartFactor(now micros) float64 {
 	progress := a.warmUpProgress(now)
 	if a.recoveredAt == 0 {
--- a/policy/channel.go
+++ b/policy/channel.go
@@ -23,7 +23,7 @@
 	mailbox
 	deliverySettings
 	out               *outbox
-	reportBoundGroups func(message) // tells the planner which groups proxies are bound to
+	reportBoundGroups func(message) // sends the planner the groups that proxies are bound to
 
 	target     targetState // the last one
 	replicas   []*replica  // by the number of their first table
@@ -33,8 +33,8 @@
 	turns          turnState
 	acks           ackLatencies
 	lastAckID      policyapi.AckID
-	departed       []pendingMessage               // to proxies that have disconnected since: they wait in the channel all the same
-	inheritedSends map[policyapi.ProxyID][]micros // to streams that persist, by an instance that has failed
+	departed       []pendingMessage               // to proxies that have disconnected since: they still take up the queue
+	inheritedSends map[policyapi.ProxyID][]micros // times of a failed instance's messages to streams that persist
 }
 
 // turnState is what the channel remembers from turn to turn.
@@ -42,9 +42,9 @@
 	deliveredAt micros            // when the last turn was
 	linesSentAt micros            // when lines of tables or levels last went out
 	retryAt     micros            // when pending removals are sent again; 0: there are none
-	queued      float64           // lines that wait, while a turn goes on
-	tablesFirst bool              // a table change had to wait for others, or for admission
-	nextTable   policyapi.TableID // whose turn it is
+	queued      float64           // lines in the queue, counted during a turn
+	tablesFirst bool              // a table change had to wait: the next turn sends tables before levels
+	nextTable   policyapi.TableID // where the next turn starts, so that all tables are served
 }
 
 func newChannel(out *outbox, s deliverySettings) *channel {
@@ -88,7 +88,7 @@
 	}
 }
 
-// disconnect forgets a stream, but not what still waits for it in the channel.
+// disconnect drops a stream, but not the messages to it that are still in the channel.
 func (c *channel) disconnect(id policyapi.ProxyID) {
 	s := c.streams[id]
 	if s == nil {
@@ -109,8 +109,8 @@
 	s.unacknowledged = slices.Delete(s.unacknowledged, 0, i+1)
 }
 
-// takeOver takes over what a failed instance had sent: it waits in the channel all the same, and counts for the streams
-// that persist.
+// takeOver takes over the record of what a failed instance had sent: those messages still take up the queue, and count
+// against the message limits of the streams that persist.
 func (c *channel) takeOver(failed *channel) {
 	c.departed = slices.Clone(failed.departed)
 	c.inheritedSends = map[policyapi.ProxyID][]micros{}
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -16,8 +16,8 @@
 	maxRejectedShare = 0.9
 	// bucketSeconds is the number of seconds of its rate that a proxy's token bucket holds; it holds one request at least.
 	bucketSeconds = 2
-	// evenRate is the difference from 1 of the ratio of rate and demand at which both count as equal: the formula for
-	// others is 0/0 there.
+	// evenRate is the difference from 1 of the ratio of rate and demand below which both count as equal: the general
+	// formula is 0/0 there.
 	evenRate = 1e-3
 	// levelSteps is the number of bisections that find a level.
 	levelSteps = 20
@@ -100,8 +100,8 @@
 	return policyapi.RetryIfNotExecuted
 }
 
-// admissionLevel turns the fraction of a class to be rejected into a level. One rate holds at all proxies, however
-// unequal: it is set so that what it admits at all of them together, by their demand, is right.
+// admissionLevel turns the fraction of a class to be rejected into a level. A rate is the same at all proxies, however
+// unequal their demand: it is chosen so that all of them together admit the wanted sum.
 func (p *planner) admissionLevel(class int, rejected, demand float64) float64 {
 	if rejected <= 0 {
 		return unlimitedLevel
@@ -125,9 +125,9 @@
 	return high
 }
 
-// admittedByTokenBucket returns how much of a demand that arrives at random a rate limit admits. It is less than the
-// lower of the two: what a moment of low demand leaves over is lost but for the bucket's content. (The tokens are the
-// queue of a server with as many places.) Where a proxy has few requests per second it is a third less.
+// admittedByTokenBucket returns how much of a demand with random arrivals a rate limit admits. It is less than the
+// smaller of the two, by up to a third at few requests per second: tokens that a moment of low demand leaves unused are
+// lost beyond the bucket's size. (The model is an M/M/1 queue with as many places as the bucket has tokens.)
 func admittedByTokenBucket(demand, rate float64) float64 {
 	if demand <= 0 || rate <= 0 {
 		return 0
--- a/policy/delivery.go
+++ b/policy/delivery.go
@@ -7,9 +7,9 @@
 	"porthub/policyapi"
 )
 
-// Shares of the queue that may be taken when something goes out. Routine leaves most of the queue to what the rules
-// want: endpoints that are withdrawn have to be out of all tables within the grace period, also of those that no proxy
-// shall use any more but one still is bound to.
+// Shares of the queue up to which a change may fill it. Routine changes leave most of the queue to those that the rules
+// require: withdrawn endpoints have to be out of all tables within the grace period, including tables that are no longer
+// planned but that a proxy is still bound to.
 const (
 	routineShare     = 0.25  // routine changes
 	fullChangeShare  = 0.5   // the whole change of a table that loses lines
@@ -21,7 +21,7 @@
 const (
 	// routineMessageDivisor leaves half of the messages to urgent changes.
 	routineMessageDivisor = 2
-	// urgentMessages of urgentMessagesOf messages are the limit for urgent changes.
+	// urgentMessages of every urgentMessagesOf messages are the limit for urgent changes.
 	urgentMessages, urgentMessagesOf = 3, 4
 	// urgentMessageReserve is the number of messages to a proxy that urgent changes leave in the window.
 	urgentMessageReserve = 2
@@ -45,15 +45,15 @@
 	removalDelay micros  // how long removals wait after another message
 }
 
-// deliver brings the proxies nearer to the target state, as far as queue and messages allow. Lines count as queued until
-// acknowledged, whatever the stated throughput, so that a slow channel limits itself.
+// deliver brings the proxies nearer to the target state, as far as the limits on queue and messages allow. Lines count as
+// queued until they are acknowledged, whatever the configured throughput, so that a slow channel limits itself.
 func (c *channel) deliver(now micros) {
 	c.turns.deliveredAt = now
 	c.turns.queued = c.queuedLines(now)
 	t := c.newTurn(now)
 	c.reconcileReplicas()
 	pending := c.sendWithdrawals(t)
-	// Levels that move with each report would leave nothing to the tables: they take turns as well.
+	// Levels that change with each report would leave the tables no share of the queue: tables and levels alternate.
 	if c.turns.tablesFirst {
 		c.turns.tablesFirst = c.sendTableChanges(t)
 		c.sendAdmission(t)
@@ -74,8 +74,8 @@
 	}
 }
 
-// newTurn decides what may go out now. A removal that comes soon after another change must not wait for the next routine
-// turn, and finds messages left.
+// newTurn decides which changes may be sent now. Removals do not wait for the next routine turn, and have messages
+// reserved for them.
 func (c *channel) newTurn(now micros) turn {
 	sent := c.maxMessagesSent(now)
 	interval := c.reportPeriod
@@ -97,8 +97,8 @@
 	return t
 }
 
-// sendTableChanges sends the other lines that differ by enough, and the tables' own levels, within the routine limit.
-// What does not fit, as when half of the fleet changed at once, waits for its turn: it reports whether any does.
+// sendTableChanges sends the tables' changes besides removals, and the tables' own levels, within the routine limit. It
+// reports whether any change does not fit and has to wait, as when half of the fleet changes at once.
 func (c *channel) sendTableChanges(t turn) (waiting bool) {
 	start, sets := c.turns.nextTable, len(c.classSets)
 	first := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.firstTable+policyapi.TableID(sets) > start })
@@ -112,15 +112,15 @@
 	return waiting
 }
 
-// sendTableChange sends the change of one table, unless it loses lines: sendWithdrawals does those. It reports whether
-// nothing has to wait.
+// sendTableChange sends the change of one table, unless the table loses lines, which sendWithdrawals handles. It returns
+// false if the change has to wait.
 func (c *channel) sendTableChange(t turn, r *replica, set int) (done bool) {
 	change := r.tables[set].pending
 	if len(change.withdrawn)+len(change.removed) > 0 || change.size() == 0 || len(r.streams) == 0 {
 		return true
 	}
 	share := withdrawalShare
-	if r.removedAt == t.now { // leave room for the next removal
+	if r.removedAt == t.now { // leave a part of the queue for the next removal
 		share = fullChangeShare
 	}
 	if c.turns.queued >= t.routineLimit || c.linesThatFit(r.streams, share) < change.size() {
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -11,7 +11,7 @@
 	// disconnectedDecay is the factor by which a disconnected proxy's demand shrinks each round, until it is forgotten.
 	disconnectedDecay = 0.97
 	// maxDisconnectedShare is the fraction of the demand that may belong to disconnected proxies while the reports still
-	// count as covering all of it: of hundreds of proxies some always are disconnected.
+	// count as covering all of it: of hundreds of proxies some are always disconnected.
 	maxDisconnectedShare = 0.05
 )
 
@@ -102,7 +102,8 @@
 	}
 }
 
-// connect registers a proxy. Its demand is that of before, or else its weight, the same for each class.
+// connect registers a proxy. Its demand is that of its previous stream if measured, or else its weight, divided evenly
+// among the classes.
 func (r *proxyRegistry) connect(now micros, event policyapi.ProxyConnected) {
 	p := r.proxies[event.Proxy]
 	if p == nil {
--- a/policy/diff.go
+++ b/policy/diff.go
@@ -7,26 +7,26 @@
 	"porthub/policyapi"
 )
 
-// minRelativeChange and maxRelativeChange bound the ratio of a figure to the one that was sent within which it is not
-// worth a line. They are each other's inverse, nearly.
+// minRelativeChange and maxRelativeChange bound the ratio of a new figure to the figure that was sent: within them the
+// change is too small to spend a line on. Each is nearly the inverse of the other.
 const minRelativeChange, maxRelativeChange = 0.85, 1.18
 
-// withinThreshold reports whether a figure is so close to what was sent that it is not worth a line.
+// withinThreshold reports whether a figure is so close to what was sent that the change is not sent.
 func withinThreshold(wanted, sent float64) bool {
 	return wanted >= minRelativeChange*sent && wanted <= maxRelativeChange*sent
 }
 
-// tableChange is what a table has to change by to be as planned.
+// tableChange is the difference between a table and its plan.
 type tableChange struct {
-	withdrawn        []tableLine // what the rules want: withdrawn endpoints, after the first line of a table that would be empty
-	removed          []tableLine // other lines that go
-	updated          []tableLine // lines that come, or have another weight
+	withdrawn        []tableLine // of endpoints no longer ready; a line that keeps the table from being empty goes first
+	removed          []tableLine // other removals
+	updated          []tableLine // new lines, and lines with a new weight
 	admission        policyapi.SetAdmission
 	admissionChanged bool
 	replaces         bool // no line of the table stays
 }
 
-// size is the number of lines of the whole change.
+// size is the number of lines of the complete change.
 func (t tableChange) size() int {
 	n := len(t.withdrawn) + len(t.removed) + len(t.updated)
 	if t.admissionChanged {
@@ -35,8 +35,8 @@
 	return n
 }
 
-// diffTable returns what one of a replica's tables has to change by to be as planned: lines that differ by enough. A
-// table of a group that is not planned stays as it is.
+// diffTable returns the difference between one of a replica's tables and its plan, without weights that are within the
+// threshold. A table of a group that is not planned stays as it is.
 func (c *channel) diffTable(r *replica, set int) (change tableChange) {
 	plans, planned := c.target.tables[r.group]
 	if !planned {
@@ -58,7 +58,7 @@
 	}
 	stays := c.diffRemovals(&change, table, wanted)
 	change.replaces = !stays
-	if !stays && heaviestNew.weight > 0 { // the first rule: first something to choose, then the removals
+	if !stays && heaviestNew.weight > 0 { // no proxy may ever have an empty table: a new line goes before the removals
 		change.updated = slices.DeleteFunc(change.updated, func(line tableLine) bool { return line == heaviestNew })
 		change.withdrawn = slices.Insert(change.withdrawn, 0, heaviestNew)
 	}
@@ -66,7 +66,7 @@
 	return change
 }
 
-// diffRemovals adds the lines that go to a change, and reports whether any line of the table stays.
+// diffRemovals adds the removals to a change, and reports whether any line of the table stays.
 func (c *channel) diffRemovals(change *tableChange, table tableState, wanted map[policyapi.EndpointID]bool) (stays bool) {
 	for _, id := range slices.Sorted(maps.Keys(table.lines)) {
 		switch {
@@ -81,8 +81,8 @@
 	return stays
 }
 
-// diffAdmission adds a table's own level to a change. It goes out with the table's lines, so that it is there no later
-// than what it limits.
+// diffAdmission adds a table's own level to a change. The level is sent with the table's lines, so that it arrives no
+// later than the lines that it protects.
 func (c *channel) diffAdmission(change *tableChange, r *replica, set int, level float64) {
 	retryPolicy := policyapi.RetryIfNotExecuted
 	if n := len(c.target.admissions); n > 0 {
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -3,8 +3,8 @@
 //
 // A host creates an [Instance] with [New], passes each batch of events to [Instance.Step] with the batch's time and
 // carries out the orders that Step returns. The types of events and orders are those of package policyapi. An Instance
-// shares nothing, does no I/O, reads no clock but that argument and draws random numbers from its start seed only, so
-// that the same events always give the same orders.
+// shares no state, starts no goroutines, does no I/O, knows the time only from Step's argument and draws random numbers
+// only from its start seed: the same events always give the same orders. Its methods must not be called concurrently.
 //
 // # Structure
 //
@@ -20,7 +20,7 @@
 //     order of what goes out (delivery.go, removal.go), the tables and their differences (replica.go, diff.go), the
 //     proxies' streams (streams.go) and the queue (budget.go).
 //
-// instance.go has the loop that delivers the messages. A reader starts best with planner.plan and channel.deliver.
+// instance.go has the loop that delivers the messages. Start reading with planner.plan and channel.deliver.
 //
 // All times are in microseconds, all rates in requests per second, unless a comment says otherwise.
 package policy
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -6,7 +6,7 @@
 	"porthub/policyapi"
 )
 
-// recentReportWindow is how long a report stands for the present state of an endpoint.
+// recentReportWindow is how long a report counts as the present state of an endpoint.
 const recentReportWindow = 5 * second
 
 // endpointActor evaluates one endpoint from its list entries, load reports and health checks.
@@ -87,8 +87,8 @@
 	if entry.StartedAt > a.entry.StartedAt {
 		a.resetAfterRestart()
 	}
-	// Where removal alone does not bind, a list that drops endpoints it never listed as draining may be wrong, and about
-	// half of the fleet: such an endpoint keeps its lines as long as it answers.
+	// With SoftRemoval, a list that drops endpoints without having listed them as draining may be wrong, even about half
+	// of the fleet: such an endpoint stays in the tables as long as it responds.
 	unannounced := entry.Status == policyapi.Removed && a.entry.Status == policyapi.Ready
 	a.unconfirmedRemoval = a.settings.rules.SoftRemoval && unannounced
 	if !a.unconfirmedRemoval {
@@ -96,7 +96,7 @@
 	}
 }
 
-// resetAfterRestart forgets the health of the process before, and what was learned while it failed.
+// resetAfterRestart drops the health of the previous process and the capacity limit learned from it.
 func (a *endpointActor) resetAfterRestart() {
 	a.learned.limit = 0
 	a.learned.slowReports = 0
@@ -118,7 +118,7 @@
 	}
 	a.load.lastRate = 0
 	a.load.lastBusy = 0
-	// Learned only at full capacity and with all of its load known: otherwise it would pass for slow for long.
+	// Learn only at full capacity and with all of the load known: otherwise the endpoint would count as slow for long.
 	if metrics.busy > minLearnBusy && a.warmUpProgress(now) == 1 && hasRate {
 		a.load.lastRate = rate
 		a.load.lastBusy = metrics.busy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -129,8 +129,9 @@
 	}
 }
 
-// forgetRemoved drops the actors of endpoints that were removed long ago: under ever new IDs they would accumulate.
-// An endpoint whose removal is unconfirmed may still be in tables and keeps its actor.
+// forgetRemoved drops the actors of endpoints that were removed more than endpointRetention ago; in a fleet whose
+// endpoints get new IDs they would accumulate. An endpoint whose removal is unconfirmed may still be in tables and keeps
+// its actor.
 func (l *endpointList) forgetRemoved(now micros) {
 	for _, a := range slices.Clone(l.order) {
 		at, removed := l.removedAt[a.id]
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -22,8 +22,8 @@
 	*figure += smoothing * (value - *figure)
 }
 
-// decayStep returns the seconds that a count stands for that arrives now, the one before having arrived at last (0: there
-// was none), and how far a mean moves toward the new value for that time: half way each round.
+// decayStep returns the seconds that a count covers which arrives now, where the previous one arrived at last (0: there
+// was none), and the step by which a mean moves toward the new value in that time: half way each round.
 func decayStep(now, last micros, roundSeconds float64) (seconds, step float64) {
 	seconds = roundSeconds
 	if last != 0 {
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -13,20 +13,21 @@
 	minListedWeight = 1e-3
 	// priorBusySeconds are the busy seconds that the listed weight counts for beside those learned of an endpoint.
 	priorBusySeconds = 2
-	// assumedBusySeconds and assumedHeadroom stand for a fleet of which nothing is learned: it is taken to be able to
-	// serve one and a half times its demand, which weighs like 0.3 busy seconds of each endpoint.
+	// assumedBusySeconds and assumedHeadroom are the prior for a fleet of which nothing has been learned: it is assumed
+	// to serve one and a half times its demand, with the weight of 0.3 busy seconds of each endpoint.
 	assumedBusySeconds, assumedHeadroom = 0.3, 1.5
-	// minFleetSpeed and maxFleetSpeed bound what one round may say of the fleet's speed.
+	// minFleetSpeed and maxFleetSpeed bound the fleet's speed as measured in one round.
 	minFleetSpeed, maxFleetSpeed = 0.4, 1.5
-	// assumedUtilization is the busy share of an endpoint in a zone of other instances of which nothing was reported,
-	// were it loaded as those of this instance's zones. What is unreported is not idle.
+	// assumedUtilization is the busy share assumed of an unreported endpoint in another instance's zone while demand
+	// equals capacity in this instance's zones: an endpoint without reports is not idle.
 	assumedUtilization = 0.7
 	// slowEndpointLatency is the multiple of its machine type's mean latency from which an endpoint gets less load.
 	slowEndpointLatency = 1.5
-	// minSlowCapacity is the fraction of its capacity that a slow endpoint keeps: its latency alone never proves more.
+	// minSlowCapacity is the fraction of its capacity that a slow endpoint keeps: latency alone is no evidence for a
+	// larger cut.
 	minSlowCapacity = 0.5
-	// slowStartMargin is the fraction of its part that an endpoint in slow start gets; the rest is for retries and
-	// chance.
+	// slowStartMargin is the fraction of its slow-start capacity that an endpoint gets load for; the rest is for retries
+	// and random variation.
 	slowStartMargin = 0.7
 	// maxSlowStartPressure is the pressure above which endpoints in slow start get no load: what full endpoints reject
 	// comes on top of their weights.
@@ -34,12 +35,12 @@
 	// pressureCeiling minus the failure rate divides the utilization; the quotient is the pressure on the fleet. It is
 	// above 1 to keep the divisor positive.
 	pressureCeiling = 1.01
-	// panicThreshold is the fraction of a zone's ready capacity that must not look ejected: below it the fault is
-	// likelier on the way or in the reports.
+	// panicThreshold is the fraction of a zone's ready capacity below which the capacity that is not ejected must not
+	// fall: below it the fault is more likely in the network or in the reports than in the endpoints.
 	panicThreshold = 0.2
 )
 
-// fleetEstimate is what the planner knows of the fleet as a whole.
+// fleetEstimate is the planner's estimate of the fleet as a whole.
 type fleetEstimate struct {
 	meanCapacity        float64 // of an endpoint, requests per second
 	speed               float64 // present speed relative to the speeds learned one by one
@@ -53,7 +54,7 @@
 type fleetEndpoint struct {
 	endpointState
 	capacity  float64 // at full speed
-	available float64 // now: in slow start, or slow, less
+	available float64 // now: less than capacity in slow start or while slow
 }
 
 // learnedTotals are sums over the endpoints of local zones.
@@ -64,9 +65,9 @@
 	requests            float64
 }
 
-// estimateFleet lists the endpoints with their capacities: what they did in a busy second and, while little is known,
-// what their listed weights say. What slows all endpoints at once, or makes all requests more expensive, shows in the
-// fleet's speed within a round, long before each endpoint has learned it, and passes as fast.
+// estimateFleet lists the endpoints with their capacities: the requests that they completed in a busy second and, while
+// little is known, an estimate from their listed weights. A cause that slows all endpoints at once, or makes all requests
+// more expensive, changes the fleet's speed within a round, long before the figures of each endpoint follow.
 func (p *planner) estimateFleet() []fleetEndpoint {
 	fleet := p.listFleet()
 	totals := p.learnedTotals(fleet)
@@ -139,8 +140,8 @@
 			e.available *= min(1, max(minSlowCapacity, threshold/e.load.latency))
 		}
 		if e.slowStartFactor < 1 {
-			// All proxies together must not overload a warming endpoint. Where the others are full, retries and what
-			// avoids them come on top of its weight; just after a restart nothing is known of that.
+			// All proxies together must not overload a warming endpoint. Where the others are full, retries and requests
+			// that avoid those come on top of its weight; just after a restart it is unknown whether they are.
 			e.available *= slowStartMargin / pressure
 			if pressure > maxSlowStartPressure || !p.fleet.speedsLearned {
 				e.available = 0
@@ -175,7 +176,7 @@
 	}
 }
 
-// updatePanicThreshold ignores ejections where they would nearly empty a zone's tables: all lines stay then.
+// updatePanicThreshold makes the planner ignore ejections where they would nearly empty a zone's tables.
 func (p *planner) updatePanicThreshold(fleet []fleetEndpoint) {
 	for z, name := range p.settings.zones {
 		healthy, ready := 0.0, 0.0
--- a/policy/groups.go
+++ b/policy/groups.go
@@ -12,9 +12,10 @@
 	// minGroupSize is the least number of endpoints in a group.
 	minGroupSize = 2
 	// groupReportSeconds is the number of endpoints in a group for each second that the reports of all pairs of proxy
-	// and endpoint take: what is not reported yet must even out within a group.
+	// and endpoint take: the load that is not reported yet must even out within a group.
 	groupReportSeconds = 2
-	// undividedZoneConnections is the divisor of an endpoint's connection limit below which a zone is not divided.
+	// undividedZoneConnections is the divisor of an endpoint's connection limit: zones are not divided while there are
+	// fewer proxies than the quotient.
 	undividedZoneConnections = 4
 	// divisionGrowth is the growth of the endpoint list from which the zones are divided again, as after a start with a
 	// short list.
@@ -64,16 +65,17 @@
 	}
 }
 
-// isZoneWide reports whether a group stands for its whole zone.
+// isZoneWide reports whether a group spans its whole zone.
 func (s *groupSet) isZoneWide(g group) bool { return g.index == s.perZone }
 
-// zoneWide returns the position of the group that stands for a whole zone.
+// zoneWide returns the position of the group that spans a whole zone.
 func (s *groupSet) zoneWide(zone int) int { return (zone+1)*(s.perZone+1) - 1 }
 
-// zoneGroup returns the group that stands for a whole zone.
+// zoneGroup returns the group that spans a whole zone.
 func (s *groupSet) zoneGroup(zone int) *group { return &s.list[s.zoneWide(zone)] }
 
-// extremes returns the positions of the zone's groups, beside the whole zone, of which a figure is least and greatest.
+// extremes returns the positions of the zone's groups, without the zone-wide one, of which a figure is least and
+// greatest.
 func (s *groupSet) extremes(zone int, figure func(*group) float64) (least, greatest int) {
 	first := zone * (s.perZone + 1)
 	least, greatest = first, first
@@ -92,7 +94,7 @@
 
 func groupUtilization(g *group) float64 { return g.load / max(g.available, epsilon) }
 
-// divide makes groups anew and retires those there are.
+// divide creates new groups and retires the present ones.
 func (s *groupSet) divide(zones, perZone int) {
 	s.retired = append(s.retired, s.list...)
 	s.list = nil
@@ -107,7 +109,7 @@
 	}
 }
 
-// resetTotals clears what the groups add up anew with each plan.
+// resetTotals clears the sums of the groups, which each plan computes from scratch.
 func (s *groupSet) resetTotals() {
 	for i, g := range s.list {
 		s.list[i] = group{id: g.id, zone: g.zone, index: g.index, price: g.price}
@@ -120,10 +122,10 @@
 }
 
 // divideZones divides the zones into groups: one table for all of a large zone costs lines, delay and connections. A
-// zone stays whole where all proxies together take under a quarter of an endpoint's connections; else groups are small,
-// the larger the longer the reports of all pairs take. A zone's last group stands for all of it, for the few proxies far
-// above the mean: were it for all that are too large for a group, a shift or retries would bring them all there when
-// connections are scarcest.
+// zone is not divided where all proxies together use less than a quarter of an endpoint's connections; otherwise groups
+// are small, and larger the longer the reports of all pairs take. A zone's last group spans all of it and is for the few
+// proxies far above the mean demand. It is not for all that are too large for a group: a traffic shift or retries would
+// move them all there when connections are scarcest.
 func (p *planner) divideZones(fleet []fleetEndpoint) {
 	s := p.settings
 	pairs := float64(s.proxyCount*len(s.classes)/s.instanceCount + len(fleet)/len(s.zones))
@@ -163,8 +165,8 @@
 	}
 }
 
-// assignEndpoints adds the endpoints to their groups. New ones are dealt out by pod, so that what strikes a pod strikes
-// few endpoints of a group.
+// assignEndpoints adds the endpoints to their groups. New ones are distributed by pod, so that the failure of a pod
+// affects few endpoints of a group.
 func (p *planner) assignEndpoints(fleet []fleetEndpoint) {
 	byPod := slices.Clone(fleet)
 	slices.SortStableFunc(byPod, func(a, b fleetEndpoint) int { return cmp.Compare(a.entry.Pod, b.entry.Pod) })
@@ -225,8 +227,8 @@
 }
 
 // isMember reports whether an endpoint serves a group: one of its own, or of the group with its index in another zone. A
-// group left with far less capacity for its load than its zone has, all endpoints but one failed or warming up, borrows
-// from the zone: that one would be overloaded.
+// group left with far less capacity for its load than its zone has, say with all endpoints but one failed or warming up,
+// borrows from the zone, since the remaining one would be overloaded.
 func (p *planner) isMember(e fleetEndpoint, g group) bool {
 	if p.groups.isZoneWide(g) || p.groups.list[p.groups.ofEndpoint[e.id]].index == g.index {
 		return true
--- a/policy/health.go
+++ b/policy/health.go
@@ -5,9 +5,9 @@
 	"porthub/policylog"
 )
 
-// Outlier detection: an endpoint that answers the proxies of a zone nothing at all, by failures or by silence, is
-// ejected from their tables. One that is merely full answers some requests and stays: without it the others would be
-// overloaded.
+// Outlier detection: an endpoint of which the proxies of a zone see no success at all, only failures or no reports, is
+// ejected from their tables. One that is merely overloaded still completes some requests and stays: without it the others
+// would be overloaded.
 const (
 	// ejectionFailures is the number of consecutive failed or missing attempts that ejects an endpoint of an otherwise
 	// healthy fleet. Even a busy endpoint hardly ever reaches it by chance.
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Step reports to the instance what has happened by now, in microseconds, and returns what it wants done. Now must not
-// decrease from call to call.
+// Step delivers the events of a batch at the time now and returns the orders for the host. Now must not decrease from
+// call to call.
 func (in *Instance) Step(now micros, events []policyapi.Event) []policyapi.Order {
 	in.out.orders = nil
 	if !in.started {
@@ -74,7 +74,7 @@
 	return in.out.orders
 }
 
-// onTimer returns the message that a timer stands for.
+// onTimer returns the message for a timer that has expired.
 func (in *Instance) onTimer(now micros, token policyapi.TimerToken) message {
 	switch token {
 	case roundToken:
@@ -140,8 +140,8 @@
 	r.longestPeriod = max(r.longestPeriod, period)
 }
 
-// close ends a round. Report lines are capped and the oldest come first: where as many came as may, a missing line is no
-// sign of silence unless it is older than all that came.
+// close ends a round. Report lines are capped and the oldest are delivered first: in a round that reached the cap, a
+// missing line means that there were no attempts only if it is older than all lines that were delivered.
 func (r *roundTracker) close(now micros) (round reportRound) {
 	if r.lines == 0 {
 		return round
--- a/policy/mailbox.go
+++ b/policy/mailbox.go
@@ -2,7 +2,7 @@
 
 import "porthub/policyapi"
 
-// mailbox is the queue of messages that an actor has not received yet.
+// mailbox queues the messages to an actor until it receives them.
 type mailbox struct{ messages []message }
 
 func (b *mailbox) send(m message) { b.messages = append(b.messages, m) }
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -2,7 +2,7 @@
 
 import "porthub/policyapi"
 
-// message is what a mailbox holds. The set is closed: the types of this file.
+// message is what actors send each other. The set is closed: the types of this file.
 type message interface{ isMessage() }
 
 type (
@@ -12,31 +12,31 @@
 	// pollList requests that the endpoint list is polled.
 	pollList struct{}
 
-	// reportRound says that a round of load reports is over.
+	// reportRound ends a round of load reports.
 	reportRound struct {
 		seconds      float64 // since the last round with reports; 0: no report came
-		silenceLimit micros  // what was not reported for longer than this had no attempts
+		silenceLimit micros  // an endpoint or proxy not reported for longer than this had no attempts
 	}
 
-	// batchEnd says that all events of a batch have been received: the registry publishes, then the planner plans.
+	// batchEnd follows the last event of a batch: the registry publishes, then the planner plans.
 	batchEnd struct{}
 
 	// entryUpdate is an endpoint's new entry in the list, for its actor.
 	entryUpdate struct{ entry policyapi.Endpoint }
 
-	// endpointForgotten says that an endpoint was removed so long ago that nothing about it is retained.
+	// endpointForgotten drops all state of an endpoint that was removed longer than endpointRetention ago.
 	endpointForgotten struct{ id policyapi.EndpointID }
 
-	// listConfirmed says that a list newer than the cached one has arrived.
+	// listConfirmed reports that a list newer than the cached one has arrived.
 	listConfirmed struct{}
 
-	// roundClosed asks an endpointActor to evaluate its reports, and carries what it cannot know by itself.
+	// roundClosed makes an endpointActor evaluate its reports, and carries the figures of the fleet that this needs.
 	roundClosed struct {
 		expectedAttempts []float64 // that its weights should have brought, by zone of the proxies
 		failureRate      float64   // fraction of all attempts of the fleet that failed
 		seconds          float64   // as in reportRound
 		silenceLimit     micros    // as in reportRound
-		allReported      bool      // every known proxy is connected: the reports cover the whole load
+		allReported      bool      // every known proxy is connected: the reports cover all of the load
 	}
 
 	// endpointState is an endpointActor's state, for the planner.
@@ -73,7 +73,7 @@
 	// boundGroups is the groups whose tables proxies are bound to, for the planner.
 	boundGroups struct{ groups map[groupID]bool }
 
-	// retryDelivery says that the time has come to send again what was pending.
+	// retryDelivery makes the channel attempt pending removals again.
 	retryDelivery struct{}
 )
 
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// closeRound ends a round of reports for the endpoints, with what they cannot know alone.
+// closeRound ends a round of reports for the endpoint actors and sends them the figures of the fleet that they need.
 func (p *planner) closeRound(round reportRound) {
 	p.round.clock += round.seconds
 	failureRate := p.round.failures / max(sum(p.round.attempts), 1)
@@ -142,7 +142,7 @@
 	}
 }
 
-// plan decides the target state anew; the channel sends what differs from what the proxies have.
+// plan computes the target state from scratch; the channel sends what differs from what the proxies have.
 func (p *planner) plan() {
 	clear(p.zoneDemand)
 	for _, proxy := range p.proxies {
@@ -168,24 +168,24 @@
 	}
 	p.planTables(fleet, &target)
 	p.updateAdmittedRate(fleet)
-	// A restart forgets how full the fleet is; the levels that proxies still have stay until that is known again.
+	// After a restart the fleet's utilization is unknown; the levels that proxies still have stay until it is known again.
 	if p.fleet.speedsLearned || p.admittedRate > 0 {
 		target.admissions = p.admitByClass()
 	}
 	p.channel.send(target)
 }
 
-// cachedDelayDivisor divides the drain grace period: what a cached list shows as draining counts as known, so the list
-// may be held back for a part of that period only.
+// cachedDelayDivisor divides the drain grace period. The grace period of an endpoint that a cached list shows as
+// draining has begun, so the delay of the list must be only a part of it.
 const cachedDelayDivisor = 4
 
-// cachedListDelay returns how long the proxies keep their tables while only a cached list is known. It may contain
-// endpoints that have died, and lack those that have started.
+// cachedListDelay returns how long the proxies keep their tables while only a cached list is known. A cached list may
+// contain endpoints that have failed, and lack those that have started.
 func cachedListDelay(reportPeriod, drainGracePeriod micros) micros {
 	return min(reportPeriod, drainGracePeriod/cachedDelayDivisor)
 }
 
-// listStatus says whether the endpoint list is one to plan by.
+// listStatus is the state from which acceptsList decides whether the planner uses the endpoint list.
 type listStatus struct {
 	cachedDelay micros // how long a cached list waits for a newer one
 	started     bool
@@ -193,8 +193,8 @@
 	confirmed   bool   // a list newer than the cached one has arrived
 }
 
-// startList starts the delay of a cached list with the first message. Where it ends sooner than the report period, a
-// timer ends it.
+// startList starts the delay of a cached list with the first message. A delay that ends before the first report round
+// needs a timer of its own.
 func (p *planner) startList(now micros) {
 	if p.list.started {
 		return
@@ -206,8 +206,8 @@
 	}
 }
 
-// acceptsList reports whether the list at hand is one to plan by: a new one, even an empty one, or a cached one that no
-// newer one has followed for long enough.
+// acceptsList reports whether the planner uses the present list: a new one, even an empty one, or a cached one once
+// cachedDelay has passed without a newer one.
 func (p *planner) acceptsList(now micros) bool {
 	return p.list.confirmed || len(p.endpoints) > 0 && now-p.list.startedAt >= p.list.cachedDelay
 }
--- a/policy/removal.go
+++ b/policy/removal.go
@@ -9,13 +9,13 @@
 // removalMessageReserve is the number of messages in the window that are left to removals.
 const removalMessageReserve = 2
 
-// lastMessageGraceDivisor is the part of the drain grace period for which removals wait that would take a proxy's last
-// message.
+// lastMessageGraceDivisor divides the drain grace period: removals that would use a proxy's last message wait for the
+// quotient.
 const lastMessageGraceDivisor = 2
 
-// sendWithdrawals sends what the rules want, with most of the queue: first withdrawn endpoints leave the tables, those
-// first where that has been pending for longest; then new proxies get tables in place of the default ones, which takes
-// three times the lines. What else the tables lose follows. It reports whether some of it has to wait.
+// sendWithdrawals sends the changes that the rules require, for which most of the queue may be used: first the removals
+// of withdrawn endpoints, starting with the tables where they have been pending for longest; then the bindings of new
+// proxies, which cost three times the lines. Other removals follow. It reports whether any required change has to wait.
 func (c *channel) sendWithdrawals(t turn) (pending bool) {
 	losing := c.replicasWithRemovals(t.now)
 	for _, r := range losing {
@@ -36,8 +36,8 @@
 	return pending
 }
 
-// replicasWithRemovals returns the replicas of which a table loses a line, those first in which withdrawn endpoints have
-// been for longest.
+// replicasWithRemovals returns the replicas that have a table that loses a line, ordered by the time since when they
+// contain a withdrawn endpoint; those without one come last.
 func (c *channel) replicasWithRemovals(now micros) (replicas []*replica) {
 	for _, r := range c.replicas {
 		removed, withdrawn := false, false
@@ -60,7 +60,7 @@
 	return replicas
 }
 
-// sendRemovals sends what the tables of a replica lose. It reports whether all withdrawn endpoints are out.
+// sendRemovals sends the removals of a replica's tables. It reports whether all withdrawn endpoints have been removed.
 func (c *channel) sendRemovals(t turn, r *replica) (done bool) {
 	if !t.removals || c.reservesLastMessage(t.now, r) {
 		return false
@@ -78,8 +78,8 @@
 	return done
 }
 
-// sendTableRemovals sends what one table loses: the whole change where that takes little, else as many lines as fit. It
-// reports whether the withdrawn endpoints are out.
+// sendTableRemovals sends the removals of one table: the complete change if it fits into a part of the queue, otherwise
+// as many removals as fit. It reports whether all withdrawn endpoints have been removed.
 func (c *channel) sendTableRemovals(now micros, r *replica, set int) (done bool) {
 	change := r.tables[set].pending
 	losses := slices.Concat(change.withdrawn, change.removed)
@@ -87,7 +87,7 @@
 		return true
 	}
 	r.removedAt = now
-	share := fullChangeShare // what need not go at once leaves room for the next removal
+	share := fullChangeShare // updates are not urgent: they leave a part of the queue for the next removal
 	if change.replaces {
 		share = withdrawalShare
 	}
@@ -106,9 +106,9 @@
 	return fit >= len(change.withdrawn)
 }
 
-// reservesLastMessage reports whether a replica's removals wait for others that may follow, because they would take the
-// last message that one of its proxies may get: as long as half of the drain grace period is left to the channel, beside
-// the time that acknowledgements were seen to take.
+// reservesLastMessage reports whether a replica's removals wait for others that may follow, because they would use the
+// last message that one of its proxies may get. They wait for half of the drain grace period at most, less the longest
+// latency of acknowledgements.
 func (c *channel) reservesLastMessage(now micros, r *replica) bool {
 	if r.withdrawalSince == 0 || now >= r.withdrawalSince+c.drainGracePeriod/lastMessageGraceDivisor-c.acks.longest() {
 		return false
@@ -118,8 +118,8 @@
 	})
 }
 
-// messageLimitReached reports whether a stream may get no more messages now. Some are left to removals and to the first
-// binding.
+// messageLimitReached reports whether a stream may get no more messages now. Reserved messages, for removals and for the
+// first binding, may use the full limit; others leave removalMessageReserve of it.
 func (c *channel) messageLimitReached(s *stream, reserved bool) bool {
 	limit := c.messageLimit
 	if !reserved {
@@ -133,8 +133,8 @@
 	return slices.ContainsFunc(r.streams, func(s *stream) bool { return c.messageLimitReached(s, r.withdrawalSince > 0) })
 }
 
-// reassign binds the streams that may still get a message to another replica of their tables: those that may not would
-// delay the removals of all of them.
+// reassign binds the streams that may still get a message to another replica of their tables: the streams at their
+// message limit would otherwise delay the removals of all.
 func (c *channel) reassign(r *replica) {
 	var fresh *replica
 	for _, s := range slices.Clone(r.streams) {
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -8,8 +8,8 @@
 	"porthub/policyapi"
 )
 
-// firstExtraTable is the first table number of a group's further replicas. The first replica has the tables that the
-// group's ID says, as long as those are below: they keep their numbers over restarts.
+// firstExtraTable is the first table number of a group's further replicas. The table numbers of the first replica follow
+// from the group's ID while they are below firstExtraTable, so that they are the same after a restart.
 const firstExtraTable policyapi.TableID = 1 << 15
 
 // replica is one copy of a group's tables. The proxies of a large group are spread over several, so that a line to all
@@ -18,9 +18,9 @@
 	group           groupID
 	firstTable      policyapi.TableID
 	tables          []tableState // by placement
-	streams         []*stream    // that are bound to it, in that order
+	streams         []*stream    // bound to it, in the order of binding
 	withdrawalSince micros       // since when a withdrawn endpoint is in one of the tables; 0: none is
-	removedAt       micros       // when removals were last sent, or tried
+	removedAt       micros       // when removals were last sent or attempted
 }
 
 // table returns the number of a placement's table.
@@ -34,7 +34,7 @@
 	pending      tableChange            // by which the table differs from the target state
 }
 
-// addReplica makes a replica of a group's tables; it costs nothing until a proxy is bound to it.
+// addReplica creates a replica of a group's tables. Its lines cost nothing until a proxy is bound to it.
 func (c *channel) addReplica(group groupID) *replica {
 	sets := len(c.classSets)
 	r := &replica{group: group, firstTable: policyapi.TableID(int(group) * sets), tables: make([]tableState, sets)}
--- a/policy/streams.go
+++ b/policy/streams.go
@@ -11,7 +11,7 @@
 // stopped answering has more.
 const maxUnacknowledged = 64
 
-// stream is what the channel knows of one connected proxy.
+// stream is the channel's state of one connected proxy.
 type stream struct {
 	proxy          policyapi.ProxyID
 	connectedAt    micros
@@ -46,7 +46,7 @@
 	s.replica = nil
 }
 
-// bind orders a proxy onto a replica and counts what that costs.
+// bind orders a proxy to use a replica's tables and charges the lines that this costs.
 func (c *channel) bind(s *stream, r *replica) {
 	cost := c.bindCost(r)
 	if s.turnLines == 0 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// bindPlanned binds a proxy to the tables that it is to have, if they fit. It reports whether nothing has to wait: a
-// proxy that may get no message now delays nobody.
+// bindPlanned binds a proxy to its planned tables if they fit into the queue. It returns false if the binding has to wait
+// for the queue. A proxy that has reached its message limit returns true: others need not wait for it.
 func (c *channel) bindPlanned(s *stream) bool {
 	r := c.replicaFor(c.target.proxyGroups[s.proxy])
 	if c.messageLimitReached(s, s.replica == nil) {
@@ -76,13 +76,13 @@
 	return true
 }
 
-// bindingFits reports whether the queue has room to bind a proxy to a replica's tables.
+// bindingFits reports whether binding a proxy to a replica's tables keeps the queue below a share of its limit.
 func (c *channel) bindingFits(r *replica, share float64) bool {
 	return c.turns.queued+c.messageLines()+c.bindCost(r) < share*c.queueLimit
 }
 
-// replicaFor returns the replica of a group that a proxy is bound to: the one with the fewest, or a new one if all have
-// as many as a line may reach.
+// replicaFor returns the replica of a group that a further proxy is to be bound to: the one with the fewest proxies, or a
+// new one if a line to one proxy more would exceed replicaLineShare of the queue.
 func (c *channel) replicaFor(group groupID) *replica {
 	var least *replica
 	for _, r := range c.replicas {
@@ -107,7 +107,7 @@
 	return slices.DeleteFunc(c.streamsToBind(), func(s *stream) bool { return s.replica == nil })
 }
 
-// streamsToBind returns the streams that are not bound as planned, those that connected first in front.
+// streamsToBind returns the streams that are not bound as planned, in the order in which they connected.
 func (c *channel) streamsToBind() (streams []*stream) {
 	for _, s := range c.streams {
 		group, planned := c.target.proxyGroups[s.proxy]
--- a/policy/weights.go
+++ b/policy/weights.go
@@ -10,15 +10,15 @@
 
 const (
 	// lowUtilization and fullUtilization are the fleet's utilization at which zones begin to spill over, and at which
-	// they are one.
+	// the fleet is treated as one zone.
 	lowUtilization, fullUtilization = 0.6, 0.9
-	// maxSpillover bounds the weight of endpoints in other zones beside local ones.
+	// maxSpillover bounds the weight factor of endpoints in other zones relative to local ones.
 	maxSpillover = 2
 	// minLocalShare bounds the fraction of a zone's load that its own endpoints can take from below, for the division.
 	minLocalShare = 1e-3
 	// minTableWeight is the least weight of an endpoint that must stay in a table.
 	minTableWeight = 0.01
-	// minLineWeight is the weight below which a line is left out where others remain.
+	// minLineWeight is the weight up to which a line is left out where others remain.
 	minLineWeight = 0.02
 	// minSharedWeight is the fraction of its weight that an endpoint keeps for classes that may go anywhere, however
 	// much restricted classes take.
@@ -43,7 +43,7 @@
 	}
 	for _, placement := range p.settings.placements {
 		for i, g := range p.groups.list {
-			if len(g.proxies) > 0 || p.groups.bound[g.id] { // also where all of them are to move
+			if len(g.proxies) > 0 || p.groups.bound[g.id] { // a bound group without proxies: all of them are about to move
 				lines := add(g.id, placement, g)
 				p.addLoad(in, i, placement, lines)
 			}
@@ -54,10 +54,10 @@
 	}
 }
 
-// zoneSpillover returns, by zone, the weight factor of endpoints elsewhere beside local ones: 0 keeps all requests in
-// their zone, 1 treats the fleet as one. A zone with low utilization keeps its requests; as the fleet fills up, or the
-// zone more than the fleet, it spills over: proxies change faster than orders travel, and what is too much for one zone
-// another can take.
+// zoneSpillover returns, by zone, the weight factor of endpoints in other zones relative to local ones: 0 keeps all
+// requests in their zone, 1 treats the fleet as one zone. A zone with low utilization keeps its requests. It spills over
+// as the utilization of the fleet rises, or its own above the fleet's: demand changes faster than orders travel, and
+// another zone can take the load that is too much for one.
 func (p *planner) zoneSpillover(fleet []fleetEndpoint) []float64 {
 	available := make([]float64, len(p.settings.zones))
 	load := slices.Clone(p.zoneDemand)
@@ -75,7 +75,7 @@
 	spillover := make([]float64, len(p.settings.zones))
 	for z := range spillover {
 		spillover[z] = min(1, max(0, (utilization-lowUtilization)/(fullUtilization-lowUtilization)))
-		// And enough to leave the zone utilized no more than the fleet, or than a zone of low utilization.
+		// At least enough spills over that the zone's utilization falls to the fleet's, or to lowUtilization if higher.
 		local := max(lowUtilization, utilization) * available[z] / max(load[z], epsilon)
 		elsewhere := sum(available) - available[z]
 		if local < 1 && elsewhere > 0 {
@@ -86,8 +86,8 @@
 	return spillover
 }
 
-// updateUtilization computes the fleet's utilization, with and without what admission rejects: that strains nobody, but
-// it comes again and again.
+// updateUtilization computes the fleet's utilization, with and without the requests that admission rejects: those load no
+// endpoint, but clients repeat them.
 func (p *planner) updateUtilization(load, available float64) {
 	p.fleet.utilization = load / max(available, epsilon)
 	p.fleet.admittedUtilization = p.fleet.utilization
@@ -97,8 +97,8 @@
 	}
 }
 
-// buildTable makes the lines of a placement's table for a group. Weights are what endpoints can do relative to the mean
-// of the fleet, so that a line changes only when its endpoint, or the spillover, does.
+// buildTable returns the lines of a placement's table for a group. Weights are the endpoints' available capacities
+// relative to the fleet's mean, so that a line changes only when its endpoint, or the spillover, does.
 func (p *planner) buildTable(in *tableInputs, placement classPlacement, g group) []tableLine {
 	zones := p.settings.zones
 	servedLocally := g.capacity > 0 && placement.allows(zones[g.zone])
@@ -112,7 +112,7 @@
 		if !p.isMember(e, g) {
 			continue
 		}
-		if !placement.restricted() { // what serves restricted classes too gets less of the others
+		if !placement.restricted() { // an endpoint that serves restricted classes too gets less of the others
 			taken := in.restrictedLoad[e.id] / max(e.available*p.fleet.utilization, epsilon)
 			line.weight *= max(minSharedWeight, 1-taken)
 		}
@@ -124,7 +124,7 @@
 		}
 	}
 	if len(lines) == 0 {
-		lines = all // the first rule: whatever is listed ready beats an empty table
+		lines = all // no proxy may have an empty table: any endpoint that is listed ready is better
 	}
 	return heaviest(lines, p.maxTableLines)
 }
@@ -135,7 +135,7 @@
 		placement.allows(p.settings.zones[e.zone])
 }
 
-// addLoad adds what a group's proxies send by the lines of a placement's table to the endpoints' expected load.
+// addLoad adds the requests that a group's proxies will send by a placement's table to the endpoints' expected load.
 func (p *planner) addLoad(in *tableInputs, at int, placement classPlacement, lines []tableLine) {
 	weight, demand := 0.0, 0.0
 	for _, line := range lines {
@@ -156,11 +156,12 @@
 	}
 }
 
-// warmUpAdmission is what each proxy of a group may admit of each class while a warming endpoint is in the group's
-// table. A proxy can bring a hundred times its demand before the first report of it has come; on the few endpoints of a
-// group that overloads the warming ones, the more so the larger the fleet is beside its groups. With all classes at this
-// level one proxy, on top of the present load, brings a warming endpoint to slowStartMargin of what it can bear; the rest
-// is for chance and for what still travels. Whole zones need no such limit.
+// warmUpAdmission returns the requests per second that each proxy of a group may admit of each class while a warming
+// endpoint is in the group's table. A proxy's demand can rise a hundredfold before the first report of it arrives; on the
+// few endpoints of a group that overloads the warming ones, the more so the larger the fleet is relative to its groups.
+// With all classes at this level one proxy, on top of the present load, brings a warming endpoint to slowStartMargin of
+// the load at which it fails; the rest is for random variation and for requests in flight. Zone-wide groups need no such
+// limit.
 func (p *planner) warmUpAdmission(g group, placement classPlacement, lines []tableLine) float64 {
 	warming, carried := false, 0.0
 	for _, line := range lines {
@@ -175,7 +176,7 @@
 	return carried * (overload - min(1, p.fleet.utilization)) / float64(classes)
 }
 
-// heaviest returns the lines of the most weight, as many as a table may have.
+// heaviest returns the lines of the greatest weight, at most limit but at least one.
 func heaviest(lines []tableLine, limit int) []tableLine {
 	if len(lines) <= max(1, limit) {
 		return lines
--- a/policyapi/doc.go
+++ b/policyapi/doc.go
@@ -5,6 +5,8 @@
 // package, and host types that embed one of them, implement them. Hosts and the module switch on the concrete type.
 //
 // Times and durations are whole microseconds, rates are per second and weights are relative to each other, unless a
-// comment says otherwise. The cbor and json keys are those of captures and saved lists, so a field may be renamed but
-// its keys never change.
+// comment says otherwise. The cbor and json keys are part of the format of captures and saved lists: a field can be
+// renamed, its keys must never change.
+//
+// Start with [Start] and the other events in events.go, then the orders in orders.go.
 package policyapi
--- a/policyapi/events.go
+++ b/policyapi/events.go
@@ -9,7 +9,7 @@
 type Start struct {
 	// Seed makes the random draws of instances differ.
 	Seed uint64 `cbor:"Seed" json:"Seed"`
-	// Self is this instance among its InstanceCount peers.
+	// Self is the position of this instance among all InstanceCount instances.
 	Self          PeerID `cbor:"Me" json:"Me"`
 	InstanceCount int    `cbor:"Instances" json:"Instances"`
 	// Zone is where the instance runs; Zones lists all zones.
@@ -24,8 +24,8 @@
 	ProxyCount int `cbor:"Proxies" json:"Proxies"`
 	// PollsList says that the endpoint list comes only after WatchEndpoints or Resync.
 	PollsList bool `cbor:"MustAsk" json:"MustAsk"`
-	// EjectionThreshold is the number of consecutive failures after which a proxy avoids an endpoint by itself; 0 is
-	// never.
+	// EjectionThreshold is the number of consecutive failures after which a proxy stops using an endpoint without an
+	// order to do so; 0 means never.
 	EjectionThreshold int `cbor:"EjectAfter" json:"EjectAfter"`
 	// WeightsListed says that Endpoint.Weight is meaningful.
 	WeightsListed bool `cbor:"ListedWeight" json:"ListedWeight"`
@@ -89,7 +89,7 @@
 	// Weight is the listed size relative to other endpoints. See Start.WeightsListed.
 	Weight float64 `cbor:"Weight" json:"Weight"`
 	Pod    PodID   `cbor:"Pod" json:"Pod"`
-	// StartedAt is when the process started; 0 is long ago.
+	// StartedAt is when the process started; 0 means long ago: the endpoint has warmed up.
 	StartedAt   Microseconds   `cbor:"Launched" json:"Launched"`
 	MachineType MachineType    `cbor:"Machine" json:"Machine"`
 	Status      EndpointStatus `cbor:"Status" json:"Status"`
@@ -101,7 +101,7 @@
 
 // The events beside Start.
 type (
-	// EndpointUpdate is a change of the endpoint list, or the whole of it.
+	// EndpointUpdate is a change of the endpoint list, or the complete list.
 	EndpointUpdate struct {
 		Version   ListVersion `cbor:"Version" json:"Version"`
 		Kind      UpdateKind  `cbor:"How" json:"How"`
@@ -148,8 +148,8 @@
 		Period      Microseconds `cbor:"Period" json:"Period"`
 		Metrics     LoadMetrics  `cbor:"Loads" json:"Loads"`
 	}
-	// EndpointClassLoad is the part of an EndpointLoad that belongs to one class. Hosts that cannot tell classes apart
-	// deliver none.
+	// EndpointClassLoad is the part of an EndpointLoad that belongs to one class. Hosts whose proxies do not report by
+	// class deliver none.
 	EndpointClassLoad struct {
 		Zone        Zone         `cbor:"Zone" json:"Zone"`
 		Endpoint    EndpointID   `cbor:"Backend" json:"Backend"`
--- a/policyapi/ids.go
+++ b/policyapi/ids.go
@@ -12,7 +12,7 @@
 	EndpointID string
 	// Zone names a failure domain.
 	Zone string
-	// MachineType names a kind of hardware; endpoints of one type are expected to answer equally fast.
+	// MachineType names a type of hardware; endpoints of one type are expected to respond equally fast.
 	MachineType string
 	// ProxyID names a proxy (sidecar or gateway).
 	ProxyID int
@@ -22,7 +22,7 @@
 	PodID int
 	// PeerID is an instance's position among its peers, counted from 0.
 	PeerID int
-	// TimerToken is returned unchanged with TimerFired, so that an instance can tell its timers apart.
+	// TimerToken identifies a timer of an instance: TimerFired returns the token of its SetTimer unchanged.
 	TimerToken int64
 	// AckID names the messages of one reply that are to be acknowledged.
 	AckID int
@@ -32,11 +32,11 @@
 	RequestClass int
 )
 
-// AllTables stands in SetAdmission for every connected proxy, whatever table it is bound to.
+// AllTables makes a SetAdmission apply to every connected proxy, whatever table it is bound to.
 const AllTables TableID = 65535
 
 // UnknownClass is the class of requests that the settings do not name.
 const UnknownClass RequestClass = -1
 
-// ClassSet is a set of request classes: bit k stands for class k. The empty set stands for all classes.
+// ClassSet is a set of request classes: bit k is set if class k is in the set. The empty set means all classes.
 type ClassSet uint64
--- a/policyapi/orders.go
+++ b/policyapi/orders.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Order is something that an instance wants its host to do. The set is closed. The orders of a reply are carried out in
-// their order.
+// Order is an action that an instance requests from its host. The set is closed. The host carries out the orders of a
+// reply in sequence.
 type Order interface{ isOrder() }
 
 // RetryPolicy says when a proxy may send a request again after a failed attempt, always to another endpoint. The values
@@ -75,13 +75,13 @@
 		Table   TableID  `cbor:"Table" json:"Table"`
 		Classes ClassSet `cbor:"Kinds" json:"Kinds"`
 	}
-	// EjectEndpoint keeps all connected proxies from using an endpoint, whatever their tables say, or ends that.
+	// EjectEndpoint makes all connected proxies stop using an endpoint although it is in their tables, or ends that.
 	EjectEndpoint struct {
 		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
 		Ejected  bool       `cbor:"On" json:"On"`
 	}
-	// SetAdmission sets how much of some classes the proxies of a table admit, and when they retry. Where a level is set
-	// for AllTables and for a proxy's own table, the lower level holds, and the table's own retry policy.
+	// SetAdmission sets how much of some classes the proxies of a table admit, and when they retry. Where both AllTables
+	// and a proxy's own table have a level, the lower level and the own table's retry policy apply.
 	SetAdmission struct {
 		Table   TableID  `cbor:"Table" json:"Table"`
 		Classes ClassSet `cbor:"Kinds" json:"Kinds"`
--- a/policyapi/settings.go
+++ b/policyapi/settings.go
@@ -37,7 +37,8 @@
 	LatencyObjective Microseconds `cbor:"ResponseTarget" json:"ResponseTarget"`
 	// ClientTimeout is how long a client waits in all, retries included.
 	ClientTimeout Microseconds `cbor:"ClientTimeout" json:"ClientTimeout"`
-	// PriorityWeight is the value of one request; under overload the classes with the least are shed first.
+	// PriorityWeight is the value of one request, relative to other classes; under overload the classes with the lowest
+	// weight are shed first.
 	PriorityWeight float64 `cbor:"Payoff" json:"Payoff"`
 	// AllowedZones are the zones whose endpoints may serve the class; empty allows all.
 	AllowedZones []Zone `cbor:"OnlyZones" json:"OnlyZones"`
@@ -57,7 +58,7 @@
 	InitialCapacity float64 `cbor:"ColdFrom" json:"ColdFrom"`
 	// OverloadFactor is the multiple of its present capacity at which a warming endpoint fails.
 	OverloadFactor float64 `cbor:"TipMultiple" json:"TipMultiple"`
-	// OverloadWindow is how long that overload has to last.
+	// OverloadWindow is how long the overload has to last until the endpoint fails.
 	OverloadWindow Microseconds `cbor:"Fall" json:"Fall"`
 	// SoftRemoval says that DrainGracePeriod binds only for endpoints that were listed as draining.
 	SoftRemoval bool `cbor:"SoftRemoval" json:"SoftRemoval"`
@@ -83,7 +84,7 @@
 	MessageOverhead float64 `cbor:"Envelope" json:"Envelope"`
 	// Latency is the mean time from the channel to the proxy.
 	Latency Microseconds `cbor:"Transit" json:"Transit"`
-	// MaxLatency is the longest such time.
+	// MaxLatency is the longest time from the channel to the proxy.
 	MaxLatency Microseconds `cbor:"WorstTransit" json:"WorstTransit"`
 	// EndpointConnections is the number of connections that the smallest endpoints accept.
 	EndpointConnections int `cbor:"Sockets" json:"Sockets"`
