--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
 // Command adapter hosts instances of the decision module for the simulator: it reads batches of events from standard
 // input and writes replies with the instances' orders to standard output, until the input ends. It exits with status 1
-// and a message on standard error if the input is not as the protocol says, or output fails.
+// and a message on standard error if the input violates the protocol, or output fails.
 package main
 
 import (
@@ -23,7 +23,8 @@
 
 // serve answers batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r, w := simwire.NewReader(in), simwire.NewWriter(out)
+	r := simwire.NewReader(in)
+	w := simwire.NewWriter(out)
 	h := host{instances: map[policyapi.InstanceID]*policy.Instance{}}
 	for {
 		batch, err := r.Read()
@@ -68,8 +69,8 @@
 	}
 }
 
-// step runs one instance and turns its panic into an error. Events up to a crash or a start are dropped: their orders
-// would die with the instance that they were for.
+// step runs one instance and turns its panic into an error. Events before a crash or a start are dropped: they were for
+// the instance that ends there, whose orders would have no effect.
 func (h *host) step(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.Addressed) (orders []policyapi.Order, err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/policylog/policylog.go
+++ b/policylog/policylog.go
@@ -40,14 +40,14 @@
 	Value any
 }
 
-// Entry is a log line in the terms of the field.
+// Entry is a log line in standard terms.
 type Entry struct {
 	Event  string // one of the events above
 	Text   string // a sentence
 	Fields []Field
 }
 
-// form is how a line is read: the keys of its parts, and the sentence for people.
+// form is how lines of one event are parsed: the keys of their parts, and the sentence for people.
 type form struct {
 	event    string
 	line     *regexp.Regexp
@@ -88,7 +88,7 @@
 	},
 }
 
-// Parse reads a line. One of no known form is an EventOther with the line as its text.
+// Parse parses a line of the decision module. A line of no known form becomes an EventOther with the line as its text.
 func Parse(line string) Entry {
 	for _, f := range forms {
 		match := f.line.FindStringSubmatch(line)
@@ -105,7 +105,7 @@
 	return Entry{Event: EventOther, Text: line}
 }
 
-// value is a number or a truth value if the text is one, or else the text.
+// value returns a number as a float64, true and false as a bool, and any other text unchanged.
 func value(text string) any {
 	if number, err := strconv.ParseFloat(text, 64); err == nil {
 		return number
--- a/simwire/doc.go
+++ b/simwire/doc.go
@@ -2,5 +2,7 @@
 //
 // A [Reader] returns the batches of events, a [Writer] writes the orders of a reply. Lines consist of parts separated by
 // tabs; the names of messages and parts are those of the simulator's protocol page. [Settings] reads the settings object
-// that starts an instance, which a live coordinator finds in its configuration too.
+// that starts an instance, which is also part of a live coordinator's configuration.
+//
+// Readers and Writers are not safe for concurrent use.
 package simwire
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -9,10 +9,10 @@
 )
 
 // parsers read the parts of each message after the instance. Go evaluates the calls of a composite literal from left to
-// right, so the fields of each literal stand in the order of the parts.
+// right, so the fields of each literal must be in the order of the message's parts.
 var parsers = map[string]func(*Reader, policyapi.InstanceID, *fields) (policyapi.Event, error){
 	"UP":          (*Reader).start,
-	"DISCOVERY":   (*Reader).list,
+	"DISCOVERY":   (*Reader).endpointUpdate,
 	"PROXY_STATS": (*Reader).proxyLoad,
 	"HEAT":        (*Reader).sliceLoad,
 	"RING":        parser(timerFired),
@@ -160,8 +160,8 @@
 	"FAILED":      policyapi.Failed,
 }
 
-// list reads an endpoint list: its header and one line for each entry.
-func (r *Reader) list(_ policyapi.InstanceID, f *fields) (policyapi.Event, error) {
+// endpointUpdate reads an endpoint list: its header and one line for each entry.
+func (r *Reader) endpointUpdate(_ policyapi.InstanceID, f *fields) (policyapi.Event, error) {
 	update := policyapi.EndpointUpdate{Version: policyapi.ListVersion(f.integer("epoch"))}
 	name := f.text("how")
 	kind, found := updateKinds[name]
@@ -202,7 +202,7 @@
 		return policyapi.Endpoint{}, err
 	}
 	if f.message != "ROW" {
-		return policyapi.Endpoint{}, r.syntaxError(f.message, "message", "expected ROW, the list has fewer than it says")
+		return policyapi.Endpoint{}, r.syntaxError(f.message, "message", "expected ROW: the list has fewer rows than its header states")
 	}
 	entry := policyapi.Endpoint{
 		Zone:        f.zone(),
--- a/simwire/fields.go
+++ b/simwire/fields.go
@@ -9,7 +9,7 @@
 	"porthub/policyapi"
 )
 
-// SyntaxError is a line that is not as the protocol says.
+// SyntaxError reports a line that violates the protocol.
 type SyntaxError struct {
 	Line    int    // counted from 1
 	Message string // name of the message, or the text of a line that does not end
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("line %d: %s: %s: %s", e.Line, e.Message, e.Part, e.Reason)
 }
 
-// absent stands for a part without a value.
+// absent is the text of a part without a value.
 const absent = "-"
 
-// fields is the parts of one line, read from left to right. The first error is retained, and close returns it; values
-// after it are of no use.
+// fields reads the parts of one line from left to right. It retains the first error, which close returns; values read
+// after it are meaningless.
 type fields struct {
 	line    int
 	message string // the first part, the name of the message
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -17,7 +17,7 @@
 type Addressed struct {
 	To    policyapi.InstanceID
 	Event policyapi.Event // nil if Crash
-	// Crash says that the instance is killed. It is the host's business, not the module's.
+	// Crash orders the host to drop the instance; the module is not involved.
 	Crash bool
 }
 
@@ -44,8 +44,8 @@
 }
 
 // Read returns the next batch. The error is io.EOF at the end of the input between batches, a *SyntaxError for a batch
-// that is not as the protocol says, or that of the underlying reader. After an error other than io.EOF the Reader is of
-// no use.
+// that violates the protocol, or that of the underlying reader, wrapped. After an error other than io.EOF the Reader must
+// not be used.
 func (r *Reader) Read() (Batch, error) {
 	f, err := r.next()
 	if err != nil {
@@ -97,7 +97,7 @@
 	return &SyntaxError{r.line, message, part, reason}
 }
 
-// endError is a syntax error on the line after the last: the message that is missing there.
+// endError returns a syntax error on the line after the last, where a message is missing.
 func (r *Reader) endError(message, reason string) error {
 	r.line++
 	return r.syntaxError(message, "message", reason)
--- a/simwire/settings.go
+++ b/simwire/settings.go
@@ -26,7 +26,7 @@
 	HealthChecks bool `json:"probes"`
 }
 
-// siteSettings are the facts about a kind of service.
+// siteSettings describe a deployment. QueueLimit and MessageOverhead are in lines, the rates per second.
 type siteSettings struct {
 	LocalZoneOnly       []bool                 `json:"classOwnZone"` // by class
 	ProxyCount          int                    `json:"dataPlaneSize"`
@@ -70,8 +70,8 @@
 	AllowedZones       []policyapi.Zone       `json:"onlyZones"`
 }
 
-// Settings reads the settings object that UP carries. Keys that it does not know are ignored. The seed is not part of
-// the object.
+// Settings decodes the settings object of an UP message. Unknown keys are ignored. The seed is not part of the object:
+// Start.Seed is 0. The error is that of package json.
 func Settings(text []byte) (policyapi.Start, error) {
 	var in settings
 	if err := json.Unmarshal(text, &in); err != nil {
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -11,7 +11,7 @@
 	"porthub/policyapi"
 )
 
-// Writer writes replies. It buffers them; the first error of the underlying writer is retained, and End returns it.
+// Writer writes replies. It buffers them and retains the first error of the underlying writer, which End returns.
 type Writer struct{ out *bufio.Writer }
 
 // NewWriter returns a Writer to out.
