--- a/coordinator/acks.go
+++ b/coordinator/acks.go
@@ -8,30 +8,31 @@
 
 // ackMonitor observes how long acknowledgements take, as a sign of a slow disk.
 type ackMonitor struct {
-	delay         microseconds // from a message to its acknowledgement, smoothed over eight
+	delay         microseconds // from a message to its acknowledgement, smoothed over delaySmoothing messages
 	syncSuspended bool         // files go out without a sync
 }
 
 // delaySmoothing is how many acknowledgements ackMonitor.delay is smoothed over.
 const delaySmoothing = 8
 
-// Parts of the drain grace period: beyond its tenth an acknowledgement is late, below its fortieth the disk is fast again.
+// Fractions of the drain grace period, as divisors: above a tenth an acknowledgement is late, below a fortieth the disk is
+// fast again.
 const (
 	lateAckDivisor = 10
 	fastAckDivisor = 40
 )
 
-// ackTimeoutFactor is how many times the longest latency there and back an acknowledgement may take.
+// ackTimeoutFactor is the multiple of the channel's longest latency that an acknowledgement may take.
 const ackTimeoutFactor = 10
 
-// ackTimeout is how long an acknowledgement may take, and no less than the time after which a gateway counts as silent.
+// ackTimeout is how long an acknowledgement may take. It is at least the time after which a gateway counts as silent.
 func (c *Core) ackTimeout() microseconds {
 	return max(ackTimeoutFactor*c.settings.Start.Channel.MaxLatency, c.settings.SilenceTimeout)
 }
 
 // handleAck applies an acknowledgement. Only a version that this process has published to this gateway and that is still in
-// flight counts. Anything else (an earlier start's version on connecting, a duplicate) is ignored, with a warning if this
-// start could have given that version out.
+// flight counts. Anything else (a version of an earlier process on connecting, a duplicate) is ignored, with a warning if
+// this process may have published the version.
 func (c *Core) handleAck(in DocumentAck) []policyapi.Event {
 	g := c.sender(in.Gateway, in.Conn)
 	if g == nil || in.Document < 0 || in.Document >= documentCount {
@@ -70,10 +71,10 @@
 	}
 }
 
-// syncAllowed tells whether documents are synced to disk before they are moved into place: never, unless the settings ask for
-// it. A sync takes a second on a disk that others keep busy and can't be called off once it has begun: on such a machine
-// drains came eleven seconds late. So it is suspended while acknowledgements are late or half of the gateways wait for one,
-// until they are fast again.
+// syncAllowed reports whether documents are synced to disk before they are moved into place: never, unless the settings
+// enable it. On a disk that other processes keep busy a sync takes a second and can't be cancelled once it has begun; drains
+// came up to eleven seconds late. Syncs are therefore suspended while acknowledgements are late or half of the gateways wait
+// for one, until acknowledgements are fast again.
 func (c *Core) syncAllowed() bool {
 	if !c.settings.SyncDocuments {
 		return false
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -34,11 +34,11 @@
 	reports     reportState
 	solver      *solverState      // nil: the solver is off
 	degradation *degradationState // nil: there are no levels of service
-	recovered   *recovery.State   // of the time before this start; nil: none
+	recovered   *recovery.State   // of an earlier process; nil: none
 }
 
-// New returns a core that has not taken a step. State of the time before goes in by Restore, a saved endpoint list as the
-// first input.
+// New returns a core that has not taken a step. The state of an earlier process is passed to Restore, its saved endpoint
+// list to Step as the first input.
 func New(settings Settings) *Core {
 	c := &Core{
 		settings:    settings,
@@ -59,8 +59,9 @@
 	return c
 }
 
-// Step gives the core the inputs that have arrived by now, in microseconds, and returns what it wants done, in order. Time
-// never goes back: a now before the last one counts as the last one, so a clock that is set back can't undo a decision.
+// Step applies the inputs that have arrived by now, in microseconds, and returns the outputs for the caller to carry out, in
+// order. Time never goes back: a now before the last one counts as the last one, so a clock that is set back can't undo a
+// decision.
 func (c *Core) Step(now policyapi.Microseconds, inputs []Input) []Output {
 	c.now = max(c.now, now)
 	c.steps++
@@ -83,7 +84,7 @@
 	return c.outbox.outputs
 }
 
-// stepPolicy steps the decision module until it has neither an event nor a timer left.
+// stepPolicy steps the decision module until it has neither events nor expired timers left.
 func (c *Core) stepPolicy(events []policyapi.Event) {
 	for {
 		if fired := c.timers.fire(c.now); len(fired) > 0 {
@@ -102,7 +103,7 @@
 	}
 }
 
-// handleInput applies an input and returns the events that the decision module is to be given.
+// handleInput applies an input and returns the events that follow from it for the decision module.
 func (c *Core) handleInput(in Input) []policyapi.Event {
 	switch in := in.(type) {
 	case EndpointUpdate:
@@ -141,7 +142,7 @@
 // Now is the time of the last step.
 func (c *Core) Now() policyapi.Microseconds { return c.now }
 
-// Steps is the number of steps taken; with it the log says where the input stood when something went wrong.
+// Steps is the number of steps taken; in the log it identifies the inputs of the step that failed.
 func (c *Core) Steps() uint64 { return c.steps }
 
 // Orders returns the decision module's orders of the last step, for callers that compare or record them.
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -4,9 +4,9 @@
 // so a replay of recorded inputs gives the recorded outputs.
 //
 // A Core owns one instance of the decision module (package policy). It turns inputs into the module's events, keeps the
-// tables, bindings and admission levels that the module orders, and derives from them the snapshot that each gateway is to
-// hold (package routing). A snapshot that has changed goes out as a Publish; it is in flight until the gateway has
-// acknowledged both of its documents.
+// tables, bindings and admission levels that the module orders, and derives from them the snapshot that each gateway should
+// have (package routing). A snapshot that has changed is sent as a Publish; it is in flight until the gateway has
+// acknowledged all documents of it that changed.
 //
 // The files by concern:
 //
@@ -22,6 +22,8 @@
 //   - versions.go, recovery.go: pinned tables, and state carried over a restart
 //   - status.go, overview.go, logtail.go: documents for operators
 //
-// Whatever the module, the solver, a pin or a level says: no snapshot offers an endpoint that drains, is ejected or is
-// gone (snapshot.go).
+// One rule overrides the module, the solver, pins and levels: no snapshot offers an endpoint that is draining, ejected or
+// removed (snapshot.go).
+//
+// Start reading with Core.Step. A Core is not safe for concurrent use: package daemon owns it from one goroutine.
 package coordinator
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -10,7 +10,7 @@
 // endpointStore is the endpoint list as it was last accepted.
 type endpointStore struct {
 	entries     map[policyapi.EndpointID]policyapi.Endpoint // removed ones too: their zone is still needed
-	initialized bool                                        // a fresh list has come
+	initialized bool                                        // a fresh list has arrived
 	fileVersion policyapi.ListVersion                       // of the file's last list
 	changed     bool                                        // since gateways' documents were last checked against the list
 }
@@ -24,8 +24,8 @@
 	return entry.Zone, ok
 }
 
-// closed tells whether nothing new may go to an endpoint. With softRemoval, one that left the list without a drain is the
-// decision module's to judge: it may keep its weights while it answers.
+// closed reports whether an endpoint must not get new requests. With softRemoval, the decision module decides about one
+// that left the list without a drain: the endpoint may keep its weights while it responds.
 func (s *endpointStore) closed(endpoint policyapi.EndpointID, softRemoval bool) bool {
 	status := s.entries[endpoint].Status
 	return status == policyapi.Draining || status == policyapi.Removed && !softRemoval
@@ -50,8 +50,8 @@
 	return entries
 }
 
-// handleEndpointUpdate applies an endpoint list. One that names no endpoint after one that did comes from a broken source
-// far more often than from an empty fleet: it is not accepted unless the settings allow it, and the last list stays.
+// handleEndpointUpdate applies an endpoint list. An empty list after one that was not comes from a broken source far more
+// often than from an empty fleet: it is rejected unless the settings allow it, and the last list stays in force.
 func (c *Core) handleEndpointUpdate(in EndpointUpdate) []policyapi.Event {
 	if in.Kind == policyapi.Failed {
 		c.warn(eventEndpointListFailed, "", "%s", in.Error)
@@ -99,7 +99,7 @@
 	return entries
 }
 
-// removeUnnamed marks as removed what a complete list does not name.
+// removeUnnamed sets the endpoints that a complete list does not name to Removed.
 func (c *Core) removeUnnamed(named map[policyapi.EndpointID]bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
 		entry := c.endpoints.entries[id]
@@ -112,10 +112,11 @@
 	}
 }
 
-// withStartTime gives an entry its start time. A source that states none still implies it by naming an endpoint that it did
-// not name before, or that was removed: it has just started. What the first list names has run for long. A start ahead of
-// our clock is now: another machine's clock must not keep an endpoint warming up for ever.
-func (c *Core) withStartTime(entry policyapi.Endpoint, class policyapi.UpdateKind) policyapi.Endpoint {
+// withStartTime returns an entry with its start time. A source that states no start time still implies one by naming an
+// endpoint that it did not name before, or that was removed: the endpoint has just started. Endpoints of the first list
+// have run for long. A start time in the future becomes now: another machine's clock must not keep an endpoint warming up
+// forever.
+func (c *Core) withStartTime(entry policyapi.Endpoint, kind policyapi.UpdateKind) policyapi.Endpoint {
 	last, ok := c.endpoints.entries[entry.ID]
 	switch {
 	case entry.StartedAt > c.now:
@@ -124,10 +125,10 @@
 			entry.StartedAt = last.StartedAt
 		}
 	case entry.StartedAt > 0:
-	case class == policyapi.Cached:
+	case kind == policyapi.Cached:
 		entry.StartedAt = last.StartedAt
 	case !c.endpoints.initialized:
-		// The first fresh list of a start: what was not listed before the restart has started since.
+		// The first fresh list after a restart: endpoints that were not listed before it have started since.
 		entry.StartedAt = last.StartedAt
 		if !ok {
 			entry.StartedAt, _ = c.recovered.StartTime(entry.ID, c.now)
@@ -140,7 +141,7 @@
 	return entry
 }
 
-// warmUpProgress is the part of its capacity that an endpoint has by the slowest course the rules allow, up to 1.
+// warmUpProgress is the fraction of its capacity, up to 1, that an endpoint has by the slowest warm-up the rules allow.
 func (c *Core) warmUpProgress(endpoint policyapi.Endpoint) float64 {
 	rules := c.settings.Start.Rules
 	if endpoint.StartedAt <= 0 || c.now-endpoint.StartedAt >= rules.WarmUp {
@@ -149,7 +150,7 @@
 	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(c.now-endpoint.StartedAt)/float64(rules.WarmUp)
 }
 
-// isClosed tells whether no snapshot may offer an endpoint, whatever the tables say.
+// isClosed reports whether an endpoint must be withheld in all snapshots, even if tables have a weight for it.
 func (c *Core) isClosed(endpoint policyapi.EndpointID) bool {
 	return c.tables.ejected[endpoint] || c.endpoints.closed(endpoint, c.settings.Start.Rules.SoftRemoval)
 }
--- a/coordinator/inputs.go
+++ b/coordinator/inputs.go
@@ -26,7 +26,7 @@
 func (PublishFailed) input()       {}
 
 type (
-	// EndpointUpdate is the content of the endpoint list's file, or its failure (Kind Failed; Error says what went wrong).
+	// EndpointUpdate is the content of the endpoint list's file, or the failure to read it (Kind Failed, with Error).
 	EndpointUpdate struct {
 		policyapi.EndpointUpdate
 		Error string `cbor:"Why" json:"Why"`
@@ -40,7 +40,7 @@
 		Gateway             Gateway        `cbor:"Gateway" json:"Gateway"`
 		Conn                ConnID         `cbor:"Conn" json:"Conn"`
 		Zone                policyapi.Zone `cbor:"Zone" json:"Zone"`
-		HasDefaultTableOnly bool           `cbor:"Standing" json:"Standing"` // it holds only its default table
+		HasDefaultTableOnly bool           `cbor:"Standing" json:"Standing"` // it has only its default table
 		Weight              float64        `cbor:"Weight" json:"Weight"`     // usual requests per second; 0: not known
 	}
 	// GatewayDisconnected reports that a connection has ended.
@@ -48,8 +48,8 @@
 		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
 		Conn    ConnID  `cbor:"Conn" json:"Conn"`
 	}
-	// DocumentAck is a gateway's answer to a document: it holds Version now, or it rejected the one with Nonce and Error says
-	// why.
+	// DocumentAck is a gateway's response to a document: it has applied Version, or, if Error is not empty, it has rejected
+	// the document with Nonce for that reason.
 	DocumentAck struct {
 		Gateway  Gateway  `cbor:"Gateway" json:"Gateway"`
 		Conn     ConnID   `cbor:"Conn" json:"Conn"`
@@ -57,7 +57,7 @@
 		Version  string   `cbor:"Version" json:"Version"`
 		Nonce    string   `cbor:"Nonce" json:"Nonce"`
 		Error    string   `cbor:"Error" json:"Error"`
-		// Checksum is routing.Checksum of all that the gateway holds; 0: not stated.
+		// Checksum is routing.Checksum of the snapshot that the gateway has; 0: not stated.
 		Checksum uint64 `cbor:"Checksum" json:"Checksum"`
 		// ChecksumVersions are the versions that the checksum is of; empty: not stated.
 		ChecksumVersions [documentCount]string `cbor:"Held" json:"Held"`
@@ -78,7 +78,7 @@
 		Reason string `cbor:"Why" json:"Why"`
 		Count  int    `cbor:"Count" json:"Count"`
 	}
-	// PublishFailed reports that a document could not be delivered; the delivery retries by itself.
+	// PublishFailed reports that a document could not be delivered; the sender retries without an output of the core.
 	PublishFailed struct {
 		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
 		Reason  string  `cbor:"Why" json:"Why"`
@@ -104,7 +104,7 @@
 	Metrics     policyapi.LoadMetrics  `cbor:"Loads" json:"Loads"` // by the names of the report settings
 }
 
-// Document is one of the documents that a gateway holds.
+// Document is one of the documents that a gateway gets.
 type Document int
 
 const (
--- a/coordinator/orders.go
+++ b/coordinator/orders.go
@@ -8,7 +8,7 @@
 	"porthub/routing"
 )
 
-// policyTables is what the decision module has ordered and not taken back.
+// policyTables is the state that the decision module's orders have set up: weights, admission and ejections.
 type policyTables struct {
 	weights    map[policyapi.TableID]map[policyapi.EndpointID]float64
 	admissions map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission
@@ -50,7 +50,7 @@
 	}
 }
 
-// inClassSet tells whether an order for a set of classes concerns a class; the empty set is all classes.
+// inClassSet reports whether an order for a set of classes concerns a class; the empty set is all classes.
 func inClassSet(set policyapi.ClassSet, class int) bool {
 	return set == 0 || set&(1<<class) != 0
 }
@@ -63,7 +63,7 @@
 	ackID       policyapi.AckID
 }
 
-// reach tells whether the orders concern a gateway.
+// reach reports whether the orders concern a gateway.
 func (e *orderEffects) reach(g *gateway) bool {
 	if e.allGateways || e.bound[g.proxy] {
 		return true
@@ -71,8 +71,8 @@
 	return slices.ContainsFunc(g.tables, func(t policyapi.TableID) bool { return e.tables[t] })
 }
 
-// applyOrders carries out the decision module's orders and publishes to each gateway what has changed. It returns what the
-// module must get at once: acknowledgements of messages that hold nothing new.
+// applyOrders carries out the decision module's orders and publishes to each gateway what has changed. It returns events for
+// the module's next step: acknowledgements for gateways that already had what was ordered.
 func (c *Core) applyOrders(orders []policyapi.Order) []policyapi.Event {
 	effects := orderEffects{tables: map[policyapi.TableID]bool{}, bound: map[policyapi.ProxyID]bool{}, ackID: routing.NoAckID}
 	for _, order := range orders {
@@ -149,7 +149,7 @@
 	}
 }
 
-// publishChanges publishes to the gateways that something has changed for: by an order, by the solver, in the list.
+// publishChanges publishes to the gateways for which orders, the solver or the endpoint list have changed something.
 func (c *Core) publishChanges(effects *orderEffects, solved map[policyapi.TableID]bool) (events []policyapi.Event) {
 	everyone := effects.allGateways || c.endpoints.changed || len(effects.tables)+len(solved) > 0
 	for _, g := range c.gateways.affected(everyone, effects.bound) {
@@ -157,7 +157,7 @@
 			g.publishPending = g.publishPending || solved[table]
 		}
 		if c.endpoints.changed && g.listCheckAt == 0 {
-			// Nearly always the decision module has withheld what drains by then.
+			// By then the decision module has nearly always removed the draining endpoints itself.
 			g.listCheckAt = c.now + c.settings.Start.Rules.DrainGracePeriod/listCheckDivisor
 		}
 		if c.publishDue(g, effects) {
@@ -169,13 +169,13 @@
 	return events
 }
 
-// listCheckDivisor gives the part of the drain grace period after which gateways' documents are checked against a list.
+// listCheckDivisor divides the drain grace period: gateways' documents are checked against a new list after the quotient.
 const listCheckDivisor = 4
 
-// publishDue tells whether a gateway's snapshot is to be compared with what it holds, after orders.
+// publishDue reports whether a gateway's snapshot has to be offered to it again after orders.
 func (c *Core) publishDue(g *gateway, effects *orderEffects) bool {
 	due := effects.reach(g) || g.publishPending && c.mayPublishUnordered(g) || c.listCheckDue(g) || g.delivery.Invalidated()
-	// An expelled gateway may well read its documents: drains still go to it.
+	// An expelled gateway may still read its documents: drains are published to it.
 	reachable := g.joined || g.connected && c.listCheckDue(g)
 	return due && reachable && g.bound()
 }
--- a/coordinator/publish.go
+++ b/coordinator/publish.go
@@ -7,20 +7,21 @@
 	"porthub/routing"
 )
 
-// queueTarget is the part of the queue limit that is used; what closes an endpoint goes beyond it.
+// queueTarget is the fraction of the queue limit that routine changes may fill; changes that close an endpoint may exceed it.
 const queueTarget = 0.85
 
-// messageWindowSlack is added to the window of the message limit: a file is written a little later than it was published.
+// messageWindowSlack is added to the window of the message limit: files are written a little after they are published, so
+// two of them may be closer together at the gateway.
 const messageWindowSlack = second / 2
 
-// messageBudget is what the rules allow of messages to one gateway.
+// messageBudget is the number of messages to one gateway that the rules allow.
 func (c *Core) messageBudget() routing.Budget {
 	rules := c.settings.Start.Rules
 	return routing.Budget{MaxMessages: rules.MessageLimit, Window: rules.MessageWindow + messageWindowSlack}
 }
 
-// availableLines is how many lines a message may have now, so that no more are in flight than the queue holds. A message that
-// alone is larger goes when nothing else is in flight.
+// availableLines is how many lines a message may have now without exceeding the queue limit. A message that exceeds the limit
+// alone is sent when nothing else is in flight.
 func (c *Core) availableLines() int {
 	limit := c.settings.Start.Rules.QueueLimit
 	if limit <= 0 || c.gateways.linesInFlight < 1 {
@@ -29,8 +30,8 @@
 	return int(queueTarget*limit - c.gateways.linesInFlight - c.settings.Start.Channel.MessageOverhead)
 }
 
-// publish offers a gateway its snapshot; what goes out now depends on what it holds and on its message budget. ackID is the
-// module's request for an acknowledgement once the gateway holds it, or routing.NoAckID.
+// publish offers a gateway its snapshot; whether a message is sent now depends on what the gateway has and on its message
+// budget. ackID is the module's request for an acknowledgement of the snapshot, or routing.NoAckID.
 func (c *Core) publish(g *gateway, ackID policyapi.AckID) []policyapi.Event {
 	defer c.updateGateway(g)
 	snapshot := c.snapshot(g)
@@ -57,8 +58,8 @@
 	return nil
 }
 
-// mayPublishUnordered tells whether a message that the decision module does not know of may go to a gateway now: half of its
-// messages and three quarters of the queue are left to the module, which counts on them.
+// mayPublishUnordered reports whether a message that the decision module has not ordered may be sent to a gateway now: half of
+// the gateway's messages and three quarters of the queue are reserved for the module, which relies on them.
 func (c *Core) mayPublishUnordered(g *gateway) bool {
 	rules := c.settings.Start.Rules
 	if rules.MessageLimit > 0 && g.delivery.UsedMessages(c.now) >= rules.MessageLimit/2 {
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -7,14 +7,14 @@
 	"porthub/routing"
 )
 
-// How many versions of a table are kept, and for how long.
+// How many versions of a table are stored, and for how long.
 const (
 	maxVersions   = 64
 	maxVersionAge = 3600 * second
 )
 
-// Pin holds tables at an earlier version; it takes effect with the next step. A pin without a version or time holds what is in
-// effect now. It fails with routing's error if there is no such version.
+// Pin fixes tables at an earlier version; it takes effect with the next step. A pin without a version or time fixes what is
+// in effect now. Its error wraps routing.ErrReasonRequired or routing.ErrUnknownVersion.
 func (c *Core) Pin(pin routing.Pin) (routing.Pin, error) {
 	if pin.Version == 0 && pin.At == 0 {
 		pin.At = c.now
@@ -27,7 +27,7 @@
 	return set, nil
 }
 
-// Unpin removes a pin. It fails with routing's error if there is none of that ID.
+// Unpin removes a pin. Its error wraps routing.ErrUnknownPin if there is none of that ID.
 func (c *Core) Unpin(id int, reason string) (routing.Pin, error) {
 	pin, err := c.versions.Unpin(id)
 	if err != nil {
@@ -53,7 +53,7 @@
 	c.markPending(func(*gateway) bool { return true })
 }
 
-// effectiveWeights is what a gateway is to hold of a table for a class, with the pins over it.
+// effectiveWeights returns the weights of a table for a class that a gateway should have, after pins are applied.
 func (c *Core) effectiveWeights(g *gateway, table policyapi.TableID, class int, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	if len(c.versions.Pins()) == 0 {
 		return weights
@@ -68,7 +68,7 @@
 	return effective
 }
 
-// eligibility is what the rules say of an endpoint now, whatever pinned weights say.
+// eligibility returns what the rules allow an endpoint now, independent of pinned weights.
 func (c *Core) eligibility(endpoint policyapi.EndpointID, class int, weights map[policyapi.EndpointID]float64) routing.EndpointEligibility {
 	entry, ok := c.endpoints.entries[endpoint]
 	closed := !ok || entry.Status != policyapi.Ready || c.tables.ejected[endpoint] || !c.classHealthy(endpoint, class)
--- a/routing/changes.go
+++ b/routing/changes.go
@@ -58,8 +58,8 @@
 	return lines + len(c.Endpoints) - i + len(other.Endpoints) - j
 }
 
-// IsUrgentChange reports whether rules wait for a change: an endpoint that gets requests in from gets none in to because it
-// is closed, or a class that had no open endpoint gets one.
+// IsUrgentChange reports whether the rules limit the delay of a change: an endpoint that gets requests by from gets none by
+// to because it is closed, or a class that had no open endpoint gets one.
 func IsUrgentChange(from, to Snapshot, closed func(policyapi.EndpointID) bool) bool {
 	if len(from.Clusters) == 0 {
 		return true
--- a/routing/checksum.go
+++ b/routing/checksum.go
@@ -13,8 +13,8 @@
 // maxPublishedWeight is the largest weight in published documents.
 const maxPublishedWeight = 1 << 31
 
-// shareScale is the resolution of shares in checksums, and microsecondsPerMillisecond that of a fallback's times: gateways
-// get them in these units.
+// Gateways get shares in units of 1/shareScale and the times of a fallback in milliseconds: checksums are computed from
+// the same units.
 const (
 	shareScale                 = 1e4
 	microsecondsPerMillisecond = 1000
--- a/routing/delivery.go
+++ b/routing/delivery.go
@@ -7,18 +7,18 @@
 // capacityRetry is when a change that found no capacity in flight is offered again: acknowledgements take about so long.
 const capacityRetry = second / 8
 
-// A full resync after a rejection or a wrong checksum waits firstResync, doubled with each one in a row up to
-// maxResyncDoublings times and maxResync.
+// A full resync after a rejection or a wrong checksum waits firstResync, doubled for each further failure in a row, at
+// most maxResyncDoublings times and up to maxResync.
 const (
 	firstResync        = 2 * second
 	maxResyncDoublings = 4
 	maxResync          = 30 * second
 )
 
-// DocumentCount is the number of documents that a gateway is given: 0 is the endpoints, 1 the routes.
+// DocumentCount is the number of documents that a gateway gets: document 0 is the endpoints, 1 the routes.
 const DocumentCount = 2
 
-// NoAckID is the AckID of a message of which nobody awaits the acknowledgement.
+// NoAckID is the AckID of a message whose acknowledgement need not be reported.
 const NoAckID policyapi.AckID = -1
 
 // Message is a publication to a gateway.
@@ -29,7 +29,7 @@
 	AckID        policyapi.AckID        `json:"mark"`  // to be reported once it is acknowledged, or NoAckID
 	SentAt       policyapi.Microseconds `json:"at_us"` // in Delivery.Confirmed: when it was acknowledged
 	Lines        int                    `json:"lines"` // changed endpoints and routes
-	Level        int                    `json:"level"` // degradation level that it was made at
+	Level        int                    `json:"level"` // degradation level at which it was built
 }
 
 // complete reports whether all documents of the message are acknowledged.
@@ -45,11 +45,11 @@
 // Delivery tracks the delivery of snapshots to one gateway: what it has acknowledged, what is in flight, and what may be
 // sent when. It is pure and not safe for concurrent use.
 type Delivery struct {
-	epoch   string // of this process: versions of two processes never look alike
+	epoch   string // of this process: makes its versions differ from those of any other process
 	limiter messageLimiter
 
 	sent         Snapshot // by the last message
-	invalidated  bool     // what the gateway has is unknown: the next snapshot is sent whole
+	invalidated  bool     // what the gateway has is unknown: the next snapshot is sent completely
 	inFlight     []Message
 	acknowledged [DocumentCount]Message
 	lastVersions [DocumentCount]string // of the last message with each document
@@ -61,7 +61,7 @@
 	checksumMismatches int                    // in a row
 }
 
-// deferral is a change that could not be sent yet. The snapshot itself is offered again when the time comes.
+// deferral is a change that could not be sent yet. The snapshot is not stored: the caller offers one again when it is due.
 type deferral struct {
 	pending bool
 	until   policyapi.Microseconds
@@ -89,10 +89,10 @@
 // Disconnect ends the connection: what is in flight will not be acknowledged.
 func (d *Delivery) Disconnect() { d.inFlight = nil }
 
-// Invalidate records that what the gateway has is unknown: the next snapshot is sent whole.
+// Invalidate records that what the gateway has is unknown: the next snapshot is sent completely.
 func (d *Delivery) Invalidate() { d.invalidated = true }
 
-// Invalidated reports whether the next snapshot is sent whole.
+// Invalidated reports whether the next snapshot is sent completely.
 func (d *Delivery) Invalidated() bool { return d.invalidated }
 
 // Sent returns the last snapshot that was sent.
--- a/routing/doc.go
+++ b/routing/doc.go
@@ -5,6 +5,7 @@
 // what may be sent within its message budget. A VersionStore holds the versions of all routing tables and the pins that
 // operators set on them.
 //
-// The package is pure: times and values are passed in, and nothing is sent or stored. docs/versions.md gives the reasons
-// for the rules and the measured costs.
+// The package is pure: times and values are passed in, and nothing is sent or stored. Neither a Delivery nor a
+// VersionStore is safe for concurrent use. Start reading with Delivery.Offer and VersionStore.Effective. docs/versions.md
+// gives the reasons for the rules and the measured costs.
 package routing
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -11,12 +11,12 @@
 type EndpointEligibility struct {
 	Closed    bool    // draining, removed or ejected for the class: no weight
 	Weight    float64 // in the table by the decision module; 0: it has none there
-	WarmingUp bool    // its part must not exceed that of Weight; without Weight it gets none
+	WarmingUp bool    // its share must not exceed the share by Weight; with Weight 0 it gets none
 }
 
-// Mask restricts pinned weights to what the rules allow: closed endpoints get none, and the part of one that is warming up
-// beside the warmed-up ones is no larger than by the current weights. It returns the number of endpoints that were
-// masked, and ok false if no warmed-up endpoint is left.
+// Mask restricts pinned weights to what the rules allow: closed endpoints get none, and the share of one that is warming
+// up, relative to the warmed-up ones, is no larger than by the current weights. It returns the number of endpoints that
+// were masked, and ok false if no warmed-up endpoint is left.
 func Mask(pinned Weights, eligibility func(policyapi.EndpointID) EndpointEligibility) (weights Weights, masked int, ok bool) {
 	weights = Weights{}
 	warmPinned, warmCurrent := 0.0, 0.0 // sums of the warmed-up endpoints' weights
--- a/routing/offer.go
+++ b/routing/offer.go
@@ -6,7 +6,7 @@
 	"porthub/policyapi"
 )
 
-// OfferResult is what becomes of a snapshot offered to a Delivery.
+// OfferResult is the decision about a snapshot offered to a Delivery.
 type OfferResult int
 
 // The results of Offer.
@@ -14,11 +14,11 @@
 	OfferUnchanged    OfferResult = iota // it was sent last
 	OfferAcknowledged                    // it is acknowledged already, and so is its AckID
 	OfferPiggybacked                     // it is in flight, and its AckID goes with the last message in flight
-	OfferDeferred                        // it must wait; what is offered at DueAt replaces it
+	OfferDeferred                        // it must wait; the caller offers the then current snapshot at DueAt
 	OfferSend                            // send it now
 )
 
-// Offer decides what becomes of the snapshot that a gateway should have from now on, and returns the message to send or
+// Offer decides whether the snapshot that a gateway should have from now on is sent, and returns the message to send or
 // acknowledge. ackID is to be reported once the snapshot is acknowledged; the message returned has the newest one that
 // was offered, which may be an earlier, deferred one. capacity is the number of lines that may be added to those in
 // flight to all gateways. urgent reports whether rules wait for the change, see IsUrgentChange; it is called only if
@@ -50,7 +50,7 @@
 	}
 }
 
-// offerUnchanged ends a deferral. AckIDs only grow, so the newest of the offered and the deferred one stands for both.
+// offerUnchanged ends a deferral. AckIDs only grow, so the newer of the offered and the deferred one covers both.
 func (d *Delivery) offerUnchanged(m Message, snapshot Snapshot) (OfferResult, Message) {
 	m.AckID = max(m.AckID, d.deferred.ackID)
 	d.endDeferral()
--- a/routing/pins.go
+++ b/routing/pins.go
@@ -65,8 +65,8 @@
 	At       policyapi.Microseconds `json:"at_us,omitempty"`   // the state that was in force then
 	PinnedAt policyapi.Microseconds `json:"since_us"`
 	Reason   string                 `json:"reason"`
-	// versions are those that the pin fixes, found when it was made: a version that came into being at the same time
-	// but later is not among them.
+	// versions are those that the pin fixes, determined when it was set: a version created later, even with the same
+	// time, is not among them.
 	versions map[policyapi.TableID]Version
 }
 
@@ -161,7 +161,7 @@
 
 // Effective returns the weights of a table for a class at gateways of a zone: current, or those of the narrowest pin
 // restricted to what eligibility allows. Where the pin leaves no endpoint that is allowed and not warming up, current
-// applies. pin is nil without a pin. overruled says how the rules overruled the pin; it is empty if they did not.
+// applies. pin is nil without a pin. overruled describes how the rules overruled the pin; it is empty if they did not.
 func (s *VersionStore) Effective(table policyapi.TableID, class policyapi.RequestClass, zone policyapi.Zone, current Weights,
 	eligibility func(policyapi.EndpointID) EndpointEligibility) (weights Weights, pin *Pin, overruled string) {
 	pin = s.pinFor(table, zone)
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -66,11 +66,11 @@
 	return r
 }
 
-// Snapshot is everything that one gateway is given. Clusters and routes are in the order of the request classes.
+// Snapshot is the complete configuration of one gateway. Clusters and routes are in the order of the request classes.
 type Snapshot struct {
 	Clusters []Cluster `json:"clusters"`
 	Routes   []Route   `json:"routes"`
-	Level    int       `json:"-"` // degradation level that it was made at; not published
+	Level    int       `json:"-"` // degradation level at which it was built; not published
 }
 
 // BuildCluster returns the cluster of a table's weights. Endpoints for which withheld is true are withheld; those of
--- a/routing/state.go
+++ b/routing/state.go
@@ -9,8 +9,8 @@
 // Weights are the weights of a table by endpoint, each above 0.
 type Weights map[policyapi.EndpointID]float64
 
-// State is the immutable state of a table, a persistent radix tree: a state that is made from another one shares with it
-// whatever is the same. The zero State is empty.
+// State is the immutable state of a table, a persistent radix tree: a state that is derived from another one shares the
+// unchanged parts with it. The zero State is empty.
 type State struct{ tree *iradix.Tree[float64] }
 
 // treeOrEmpty returns the tree of the state, an empty one for the zero State.
@@ -21,7 +21,8 @@
 	return s.tree
 }
 
-// With returns the state with the weights given, sharing what it can with s. Weights that are not above 0 are left out.
+// With returns a state that has exactly the weights given and shares unchanged parts with s. Weights that are not above 0
+// are left out.
 func (s State) With(w Weights) State {
 	tree := s.treeOrEmpty()
 	txn := tree.Txn()
