--- a/proxyproto/publisher_test.go
+++ b/proxyproto/publisher_test.go
@@ -24,143 +24,151 @@
 	return texts
 }
 
+// publisherStep is a batch of orders and the messages that it must result in, by proxy.
+type publisherStep struct {
+	name   string
+	orders []policyapi.Order
+	want   map[policyapi.ProxyID]string // the parts of the message, separated by |
+}
+
+// everyClass is the empty set, which means all classes.
+const everyClass policyapi.ClassSet = 0
+
+// encodingSteps follow each other on one Publisher with two connected proxies: each builds on the state that those before it leave.
+var encodingSteps = []publisherStep{
+	{
+		name: "weights of a table without proxies",
+		orders: []policyapi.Order{
+			policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 0.75},
+			policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1.23456789},
+		},
+	},
+	{
+		name: "bind",
+		orders: []policyapi.Order{
+			policyapi.BindProxy{Proxy: 1, Table: 1},
+			policyapi.RequestAck{AckID: 4},
+		},
+		want: map[policyapi.ProxyID]string{
+			1: "CONFIG replace 1 rows s-1:1.23457,s-2:0.75 stamp 4",
+		},
+	},
+	{
+		name: "weight",
+		orders: []policyapi.Order{
+			policyapi.SetWeight{Table: 1, Endpoint: "s-2"},
+			policyapi.RequestAck{AckID: 5},
+		},
+		want: map[policyapi.ProxyID]string{
+			1: "CONFIG rows s-2:0 stamp 5",
+		},
+	},
+	{
+		name: "admission for all tables",
+		orders: []policyapi.Order{
+			policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1},
+		},
+		want: map[policyapi.ProxyID]string{
+			0: "CONFIG for save gate 1000000 again 1",
+			1: "CONFIG for save gate 1000000 again 1",
+		},
+	},
+	{
+		name: "admission of a table",
+		orders: []policyapi.Order{
+			policyapi.SetAdmission{Table: 1, Level: 2.5, RetryPolicy: 0},
+		},
+		want: map[policyapi.ProxyID]string{
+			1: "CONFIG gate 2.5 again 0",
+		},
+	},
+	{
+		name: "lower level with the table's own retry policy",
+		orders: []policyapi.Order{
+			policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 0.5, RetryPolicy: 1},
+		},
+		want: map[policyapi.ProxyID]string{
+			0: "CONFIG for save gate 0.5 again 1",
+			1: "CONFIG for save gate 0.5 again 0",
+		},
+	},
+	{
+		name: "another table for two classes",
+		orders: []policyapi.Order{
+			policyapi.SetWeight{Table: 2, Endpoint: "s-1", Weight: 1},
+			policyapi.BindProxy{Proxy: 1, Table: 2, Classes: 3},
+			policyapi.RequestAck{AckID: 6},
+		},
+		want: map[policyapi.ProxyID]string{
+			1: "CONFIG for view+save replace 1 rows s-1:1 part 1|CONFIG for save gate 0.5 again 1 stamp 6",
+		},
+	},
+	{
+		name: "ejection",
+		orders: []policyapi.Order{
+			policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true},
+		},
+		want: map[policyapi.ProxyID]string{
+			0: "CONFIG drop s-1",
+			1: "CONFIG drop s-1",
+		},
+	},
+	{
+		name: "ejection lifted",
+		orders: []policyapi.Order{
+			policyapi.EjectEndpoint{Endpoint: "s-1"},
+			policyapi.RequestAck{AckID: 7},
+		},
+		want: map[policyapi.ProxyID]string{
+			0: "CONFIG undrop s-1 stamp 7",
+			1: "CONFIG undrop s-1 stamp 7",
+		},
+	},
+	{
+		name: "ack id alone",
+		orders: []policyapi.Order{
+			policyapi.RequestAck{AckID: 8},
+		},
+	},
+	{
+		name: "ack id for all proxies",
+		orders: []policyapi.Order{
+			policyapi.RequestAck{AckID: 9, AllProxies: true},
+		},
+		want: map[policyapi.ProxyID]string{
+			0: "CONFIG stamp 9",
+			1: "CONFIG stamp 9",
+		},
+	},
+	{
+		name: "cleared table",
+		orders: []policyapi.Order{
+			policyapi.ClearTable{Table: 2},
+		},
+		want: map[policyapi.ProxyID]string{
+			1: "CONFIG for view+save replace 1 part 1|CONFIG for save gate 0.5 again 1",
+		},
+	},
+	{
+		name: "bind of a disconnected proxy",
+		orders: []policyapi.Order{
+			policyapi.BindProxy{Proxy: 7, Table: 1, Classes: everyClass},
+		},
+	},
+	{
+		name: "order without a message",
+		orders: []policyapi.Order{
+			policyapi.Log{Text: "x"},
+		},
+	},
+}
+
 func TestPublisherEncodesOrders(t *testing.T) {
 	publisher := NewPublisher(testSettings.Classes)
 	for proxy := range policyapi.ProxyID(2) {
 		publisher.Connect(policyapi.ProxyConnected{Proxy: proxy})
 	}
-	everyClass := policyapi.ClassSet(0)
-	for _, step := range []struct {
-		name   string
-		orders []policyapi.Order
-		want   map[policyapi.ProxyID]string
-	}{
-		{
-			name: "weights of a table without proxies",
-			orders: []policyapi.Order{
-				policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 0.75},
-				policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1.23456789},
-			},
-		},
-		{
-			name: "bind",
-			orders: []policyapi.Order{
-				policyapi.BindProxy{Proxy: 1, Table: 1},
-				policyapi.RequestAck{AckID: 4},
-			},
-			want: map[policyapi.ProxyID]string{
-				1: "CONFIG replace 1 rows s-1:1.23457,s-2:0.75 stamp 4",
-			},
-		},
-		{
-			name: "weight",
-			orders: []policyapi.Order{
-				policyapi.SetWeight{Table: 1, Endpoint: "s-2"},
-				policyapi.RequestAck{AckID: 5},
-			},
-			want: map[policyapi.ProxyID]string{
-				1: "CONFIG rows s-2:0 stamp 5",
-			},
-		},
-		{
-			name: "admission for all tables",
-			orders: []policyapi.Order{
-				policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1},
-			},
-			want: map[policyapi.ProxyID]string{
-				0: "CONFIG for save gate 1000000 again 1",
-				1: "CONFIG for save gate 1000000 again 1",
-			},
-		},
-		{
-			name: "admission of a table",
-			orders: []policyapi.Order{
-				policyapi.SetAdmission{Table: 1, Level: 2.5, RetryPolicy: 0},
-			},
-			want: map[policyapi.ProxyID]string{
-				1: "CONFIG gate 2.5 again 0",
-			},
-		},
-		{
-			name: "lower level with the table's own retry policy",
-			orders: []policyapi.Order{
-				policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 0.5, RetryPolicy: 1},
-			},
-			want: map[policyapi.ProxyID]string{
-				0: "CONFIG for save gate 0.5 again 1",
-				1: "CONFIG for save gate 0.5 again 0",
-			},
-		},
-		{
-			name: "another table for two classes",
-			orders: []policyapi.Order{
-				policyapi.SetWeight{Table: 2, Endpoint: "s-1", Weight: 1},
-				policyapi.BindProxy{Proxy: 1, Table: 2, Classes: 3},
-				policyapi.RequestAck{AckID: 6},
-			},
-			want: map[policyapi.ProxyID]string{
-				1: "CONFIG for view+save replace 1 rows s-1:1 part 1|CONFIG for save gate 0.5 again 1 stamp 6",
-			},
-		},
-		{
-			name: "ejection",
-			orders: []policyapi.Order{
-				policyapi.EjectEndpoint{Endpoint: "s-1", Ejected: true},
-			},
-			want: map[policyapi.ProxyID]string{
-				0: "CONFIG drop s-1",
-				1: "CONFIG drop s-1",
-			},
-		},
-		{
-			name: "ejection lifted",
-			orders: []policyapi.Order{
-				policyapi.EjectEndpoint{Endpoint: "s-1"},
-				policyapi.RequestAck{AckID: 7},
-			},
-			want: map[policyapi.ProxyID]string{
-				0: "CONFIG undrop s-1 stamp 7",
-				1: "CONFIG undrop s-1 stamp 7",
-			},
-		},
-		{
-			name: "ack id alone",
-			orders: []policyapi.Order{
-				policyapi.RequestAck{AckID: 8},
-			},
-		},
-		{
-			name: "ack id for all proxies",
-			orders: []policyapi.Order{
-				policyapi.RequestAck{AckID: 9, AllProxies: true},
-			},
-			want: map[policyapi.ProxyID]string{
-				0: "CONFIG stamp 9",
-				1: "CONFIG stamp 9",
-			},
-		},
-		{
-			name: "cleared table",
-			orders: []policyapi.Order{
-				policyapi.ClearTable{Table: 2},
-			},
-			want: map[policyapi.ProxyID]string{
-				1: "CONFIG for view+save replace 1 part 1|CONFIG for save gate 0.5 again 1",
-			},
-		},
-		{
-			name: "bind of a disconnected proxy",
-			orders: []policyapi.Order{
-				policyapi.BindProxy{Proxy: 7, Table: 1, Classes: everyClass},
-			},
-		},
-		{
-			name: "order without a message",
-			orders: []policyapi.Order{
-				policyapi.Log{Text: "x"},
-			},
-		},
-	} {
+	for _, step := range encodingSteps {
 		t.Run(step.name, func(t *testing.T) {
 			got := map[policyapi.ProxyID]string{}
 			for _, message := range publisher.Apply(step.orders) {
--- a/routing/delivery_test.go
+++ b/routing/delivery_test.go
@@ -57,95 +57,123 @@
 	}
 }
 
+// deliveryModel drives a Delivery and checks its invariants after each result.
+type deliveryModel struct {
+	t        *rapid.T
+	delivery *Delivery
+	now      policyapi.Microseconds
+
+	sentAt       []policyapi.Microseconds
+	urgentSentAt []policyapi.Microseconds // of the urgent ones among them
+	requested    policyapi.AckID          // the last one offered
+	reported     policyapi.AckID          // the newest one acknowledged
+}
+
+// The budget of a deliveryModel, and the part of it that is reserved for urgent changes.
+const (
+	modelMaxMessages   = 10
+	modelWindow        = 10 * second
+	modelUrgentReserve = modelMaxMessages / 5
+)
+
+func newDeliveryModel(t *rapid.T) *deliveryModel {
+	m := &deliveryModel{
+		t:         t,
+		delivery:  NewDelivery("e", Budget{MaxMessages: modelMaxMessages, Window: modelWindow}),
+		now:       second,
+		requested: NoAckID,
+		reported:  NoAckID,
+	}
+	m.delivery.Connect()
+	return m
+}
+
+// inWindow counts the times that are in the window that ends now.
+func (m *deliveryModel) inWindow(times []policyapi.Microseconds) (n int) {
+	for _, at := range times {
+		if m.now-at <= modelWindow {
+			n++
+		}
+	}
+	return n
+}
+
+// offer offers a snapshot and checks that no window has too many messages and that an urgent change waits only for urgent ones.
+func (m *deliveryModel) offer(snapshot Snapshot, ackID policyapi.AckID, urgent bool) {
+	result, message := m.delivery.Offer(m.now, snapshot, ackID, unlimitedCapacity, func() bool { return urgent })
+	switch result {
+	case OfferAcknowledged:
+		m.reported = max(m.reported, message.AckID)
+	case OfferSend:
+		m.sentAt = append(m.sentAt, m.now)
+		if urgent {
+			m.urgentSentAt = append(m.urgentSentAt, m.now)
+		}
+	case OfferDeferred:
+		if urgentSent := m.inWindow(m.urgentSentAt); urgent && urgentSent < modelUrgentReserve {
+			m.t.Fatalf("an urgent change is deferred after %d urgent ones, %d in all", urgentSent, m.inWindow(m.sentAt))
+		}
+	}
+	if n := m.inWindow(m.sentAt); n > modelMaxMessages {
+		m.t.Fatalf("%d messages in a window", n)
+	}
+}
+
+// acknowledgeLast acknowledges all documents of the last message in flight, if there is one.
+func (m *deliveryModel) acknowledgeLast() {
+	for document := range DocumentCount {
+		inFlight := m.delivery.Unacknowledged()
+		if len(inFlight) == 0 {
+			return
+		}
+		complete, known := m.delivery.Ack(m.now, document, inFlight[len(inFlight)-1].Version)
+		if !known {
+			m.t.Fatal("a message in flight is not known")
+		}
+		for _, message := range complete {
+			m.reported = max(m.reported, message.AckID)
+		}
+	}
+}
+
+// drawnStep lets some time pass and offers, acknowledges or rejects something; number becomes the AckID of an offer.
+func (m *deliveryModel) drawnStep(number int) {
+	m.now += policyapi.Microseconds(rapid.Int64Range(0, int64(second)).Draw(m.t, "gap"))
+	urgent := rapid.IntRange(0, 9).Draw(m.t, "urgent") == 0
+	switch rapid.IntRange(0, 5).Draw(m.t, "what") {
+	case 0, 1, 2:
+		m.requested = policyapi.AckID(number)
+		m.offer(snapshotWith(float64(rapid.IntRange(1, 4).Draw(m.t, "weight"))), m.requested, urgent)
+	case 3:
+		m.acknowledgeLast()
+	case 4:
+		if inFlight := m.delivery.Unacknowledged(); len(inFlight) > 0 {
+			m.delivery.Reject(m.now, inFlight[0].Version)
+		}
+	case 5:
+		m.delivery.Ack(m.now, 0, "e.9999")
+	}
+	if m.delivery.StartRetry(m.now) && !m.delivery.Invalidated() {
+		m.t.Fatal("a retry that does not invalidate")
+	}
+}
+
 // However snapshots are offered, acknowledged and rejected, no window has more messages than its budget, no AckID is lost,
 // and an urgent change waits only if urgent ones have used up the window.
 func TestDeliveryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const maxMessages, window = 10, 10 * second
-		delivery := NewDelivery("e", Budget{MaxMessages: maxMessages, Window: window})
-		delivery.Connect()
-		now := second
-		var times, urgentTimes []policyapi.Microseconds
-		requested, reported := NoAckID, NoAckID
-		inWindow := func(at []policyapi.Microseconds) (n int) {
-			for _, x := range at {
-				if now-x <= window {
-					n++
-				}
-			}
-			return n
-		}
-		record := func(result OfferResult, m Message, urgent bool) {
-			switch result {
-			case OfferAcknowledged:
-				reported = max(reported, m.AckID)
-			case OfferSend:
-				times = append(times, now)
-				if urgent {
-					urgentTimes = append(urgentTimes, now)
-				}
-			case OfferDeferred:
-				if urgent && inWindow(urgentTimes) < maxMessages/5 {
-					t.Fatalf("an urgent change is deferred after %d urgent ones, %d in all", inWindow(urgentTimes), inWindow(times))
-				}
-			}
-			if n := inWindow(times); n > maxMessages {
-				t.Fatalf("%d messages in a window", n)
-			}
-		}
-		for i := range rapid.IntRange(1, 120).Draw(t, "steps") {
-			now += policyapi.Microseconds(rapid.Int64Range(0, int64(second)).Draw(t, "gap"))
-			urgent := rapid.IntRange(0, 9).Draw(t, "urgent") == 0
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
-			case 0, 1, 2:
-				requested = policyapi.AckID(i)
-				result, m := delivery.Offer(now, snapshotWith(float64(rapid.IntRange(1, 4).Draw(t, "weight"))), requested, unlimitedCapacity, func() bool { return urgent })
-				record(result, m, urgent)
-			case 3:
-				if inFlight := delivery.Unacknowledged(); len(inFlight) > 0 {
-					for document := range DocumentCount {
-						complete, known := delivery.Ack(now, document, inFlight[len(inFlight)-1].Version)
-						if !known {
-							t.Fatal("a message in flight is not known")
-						}
-						for _, m := range complete {
-							reported = max(reported, m.AckID)
-						}
-						if len(delivery.Unacknowledged()) == 0 {
-							break
-						}
-					}
-				}
-			case 4:
-				if inFlight := delivery.Unacknowledged(); len(inFlight) > 0 {
-					delivery.Reject(now, inFlight[0].Version)
-				}
-			case 5:
-				delivery.Ack(now, 0, "e.9999")
-			}
-			if delivery.StartRetry(now) && !delivery.Invalidated() {
-				t.Fatal("a retry that does not invalidate")
-			}
+		m := newDeliveryModel(t)
+		for number := range rapid.IntRange(1, 120).Draw(t, "steps") {
+			m.drawnStep(number)
 		}
 		// In the end time passes and everything is acknowledged: the last AckID has been reported.
 		for range 4 {
-			now += window + second
-			result, m := delivery.Offer(now, delivery.Sent(), NoAckID, unlimitedCapacity, notUrgent)
-			record(result, m, false)
-			if inFlight := delivery.Unacknowledged(); len(inFlight) > 0 {
-				for document := range DocumentCount {
-					complete, _ := delivery.Ack(now, document, inFlight[len(inFlight)-1].Version)
-					for _, m := range complete {
-						reported = max(reported, m.AckID)
-					}
-					if len(delivery.Unacknowledged()) == 0 {
-						break
-					}
-				}
-			}
+			m.now += modelWindow + second
+			m.offer(m.delivery.Sent(), NoAckID, false)
+			m.acknowledgeLast()
 		}
-		if reported != requested {
-			t.Fatalf("AckID %d was requested, %d reported", requested, reported)
+		if m.reported != m.requested {
+			t.Fatalf("AckID %d was requested, %d reported", m.requested, m.reported)
 		}
 	})
 }
