--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -6,23 +6,22 @@
 	"porthub/routing"
 )
 
-// unlimitedAdmission is a rate in requests per second that no gateway comes near; the decision module orders it to reject
-// nothing.
+// unlimitedAdmission is the rate in requests per second from which a level means no limit: no gateway comes near it.
 const unlimitedAdmission = 1e6
 
-// minAdmittedRate is the least rate, in requests per second, that the solver or a level sets for a gateway: it is computed
-// from a demand that may have been near zero and must let enough through to measure it again.
+// minAdmittedRate is the least rate, in requests per second, that the solver or a level sets for a gateway: the demand that it
+// is computed from may have been near zero, and enough requests must be admitted to measure it again.
 const minAdmittedRate = 0.1
 
-// A published rate stays while it is within these factors of the rate computed anew: a change costs a message.
+// A published rate stays while it is within these factors of the newly computed one: a change costs a message.
 const (
 	minRateRatio = 0.8
 	maxRateRatio = 1.25
 )
 
-// classAdmission is what a gateway admits of a class: the rate of all tables, which levels divide, and the one of its own
-// table, which protects endpoints that warm up and which no level lifts. Rates are in requests per second;
-// routing.UnlimitedRate: no limit.
+// classAdmission is what a gateway admits of a class: the rate for all tables, which levels of service divide among the classes,
+// and the rate of its own table, which protects endpoints that are warming up and which no level of service raises. Rates are
+// in requests per second; routing.UnlimitedRate: no limit.
 type classAdmission struct {
 	rate, warmUpRate, share float64
 	retryPolicy             int
@@ -45,7 +44,7 @@
 	return admitted
 }
 
-// policyAdmission is what the decision module orders of a class at a gateway.
+// policyAdmission is the admission of a class at a gateway as the decision module ordered it.
 func (c *Core) policyAdmission(g *gateway, class policyapi.RequestClass) classAdmission {
 	a := classAdmission{rate: routing.UnlimitedRate, warmUpRate: routing.UnlimitedRate, share: 1}
 	for _, table := range []policyapi.TableID{policyapi.AllTables, g.tables[class]} {
@@ -67,8 +66,8 @@
 	return a
 }
 
-// applyLevelBounds puts the bounds of a gateway's level of service over what the module orders. The module's prices have set
-// how much is admitted in all; the level divides it otherwise among the classes, and bounds retries.
+// applyLevelBounds applies the bounds of a gateway's level of service to what the module orders. The module has determined how
+// much is admitted in all; the level divides it differently among the classes, and bounds retries.
 func (c *Core) applyLevelBounds(g *gateway, class policyapi.RequestClass, a classAdmission) classAdmission {
 	if c.degradation == nil {
 		return a
@@ -100,7 +99,7 @@
 	return a
 }
 
-// solverRate is the rate that the solver's admitted share of a class comes to at a gateway, no higher than the base rate.
+// solverRate converts the solver's admitted share of a class to a rate at a gateway, no higher than the base rate.
 func (g *gateway) solverRate(class int, admittedShare, base float64) float64 {
 	key := rateKey{class, rateOfSolver}
 	if admittedShare >= 1 {
@@ -114,7 +113,7 @@
 	return rate
 }
 
-// rateKey names a rate that a gateway was given, by class and by what set it.
+// rateKey identifies a rate that was published to a gateway, by class and by what set it.
 type rateKey struct {
 	class  int
 	source rateSource
@@ -127,7 +126,7 @@
 	rateOfLevel
 )
 
-// stableRate returns the rate that was published last while it is near the one computed now, or else the latter.
+// stableRate returns the last published rate if the rate computed now is near it, or else the rate computed now.
 func (g *gateway) stableRate(key rateKey, rate float64) float64 {
 	if g.publishedRates == nil {
 		g.publishedRates = map[rateKey]float64{}
@@ -141,7 +140,7 @@
 
 func (g *gateway) forgetRate(key rateKey) { delete(g.publishedRates, key) }
 
-// admittedRate is the requests per second that a gateway admits of a class by what it holds.
+// admittedRate is the requests per second that a gateway admits of a class by the snapshot last sent to it.
 func (g *gateway) admittedRate(class int) float64 {
 	admitted := g.demandOf(class)
 	routes := g.delivery.Sent().Routes
--- a/coordinator/aggregate.go
+++ b/coordinator/aggregate.go
@@ -62,7 +62,7 @@
 	sum.failures += r.Failures
 	sum.period = max(sum.period, interval)
 	sum.latencySum += float64(succeeded) * float64(r.MeanLatency)
-	// The endpoint states its metrics with each answer: of several, those that most answers bear out count.
+	// The endpoint states its metrics with each response: of several values, the one of the report with most responses counts.
 	if r.Metrics != nil && succeeded >= sum.metricsAnswers {
 		sum.metrics = r.Metrics
 		sum.metricsAnswers = succeeded
--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -7,13 +7,13 @@
 	"porthub/policyapi"
 )
 
-// degradationState joins package degradation, which decides the level of reduced service in force, to the core.
+// degradationState connects package degradation, which decides the level of reduced service in force, to the core.
 type degradationState struct {
 	controller   *degradation.Controller
 	roundAt      microseconds
 	peakCapacity map[policyapi.Zone]float64      // ready capacity of the last minutes, by scope
 	allocations  map[policyapi.Zone][]allocation // by class; of zones at a level
-	// fallbackShares are, by class, the shares of demand that the level admits which gateways fall back to without a coordinator.
+	// fallbackShares are, by class, the shares of demand admitted by the level that gateways fall back to without a coordinator.
 	fallbackShares map[policyapi.Zone][]float64
 	healthChecks   healthCheckQueue
 }
@@ -25,14 +25,14 @@
 	allocated float64 // by the level
 }
 
-// peakCapacityHalfLife is how long it takes until half of a capacity that is gone is forgotten: a fleet that was made smaller
-// on purpose is complete again within minutes.
+// peakCapacityHalfLife is the time in which the peak capacity falls half way to the present one: a fleet that was made smaller
+// on purpose counts as complete again within minutes.
 const peakCapacityHalfLife = 120 * second
 
 // gatewayMemory is how long a disconnected gateway counts as missing.
 const gatewayMemory = 300 * second
 
-// fallbackTolerance is how far a fallback share may be from the one computed anew: each change is a message to every gateway of
+// fallbackTolerance is the difference up to which a fallback share is not updated: each change is a message to every gateway of
 // the zone.
 const fallbackTolerance = 0.1
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// bounds are those of the level that a zone is at; reduced tells whether it is at any.
+// bounds returns the bounds of a zone's level; reduced reports whether it is at any level of reduced service.
 func (d *degradationState) bounds(zone policyapi.Zone) (bounds degradation.Bounds, reduced bool) {
 	level := d.controller.Level(zone)
 	return d.controller.Settings().Bounds(level), level > 0
@@ -80,7 +80,8 @@
 	c.markPending(func(g *gateway) bool { return g.joined && d.controller.Level(g.zone) > 0 })
 }
 
-// stepDegradation steps the levels, has the gateways whose level has changed published to, and returns the changes for the log.
+// stepDegradation steps the levels, marks the gateways whose level has changed for publication, and returns the changes for the
+// log.
 func (c *Core) stepDegradation(signals map[policyapi.Zone]degradation.Signals) (entries []LogEntry) {
 	controller := c.degradation.controller
 	before := map[policyapi.Zone]int{}
@@ -113,7 +114,7 @@
 	Scopes       []degradation.ScopeStatus `json:"standings"`
 	Overrides    []degradation.Override    `json:"words"`
 	Gateways     map[string]map[int]int    `json:"gateways"` // by zone and level: how many are known to hold it
-	Disconnected int                       `json:"away"`     // gateways that have not joined: they go on by what they hold
+	Disconnected int                       `json:"away"`     // gateways that have not joined: they use their last documents
 }
 
 // Degradation returns the state of the levels; without levels it is the normal service everywhere.
--- a/coordinator/gatewaychecks.go
+++ b/coordinator/gatewaychecks.go
@@ -11,21 +11,21 @@
 	minCheckInterval = second / 1000
 )
 
-// never is a time that does not come.
+// never is a time that is never reached.
 const never microseconds = 1 << 62
 
-// A gateway that does not acknowledge is expelled for twice as long each time, from expulsionBase times two up to
-// maxExpulsion.
+// A gateway that does not acknowledge is expelled for 2*expulsionBase the first time, and for twice as long each further time,
+// up to maxExpulsion.
 const (
 	expulsionBase         = second
 	maxExpulsionDoublings = 6
 	maxExpulsion          = 60 * second
 )
 
-// checkGateways finds gateways that are silent, that do not acknowledge, that may join again, and that a document has to go
-// to again.
+// checkGateways handles gateways that are silent, that do not acknowledge, that can join again, or that a document must be
+// sent to again.
 //
-// With thousands of gateways a check of each took most of a step: none is checked before the first of them is due.
+// No gateway is checked before the first of them is due: with thousands of gateways the checks would take most of a step.
 func (c *Core) checkGateways() []policyapi.Event {
 	if c.now < c.gateways.nextCheckAt {
 		return nil
@@ -44,7 +44,7 @@
 	return events
 }
 
-// checkGateway does what is due about a connected gateway.
+// checkGateway carries out the check of one connected gateway.
 func (c *Core) checkGateway(g *gateway) []policyapi.Event {
 	if silence := c.now - g.lastMessageAt; silence > c.settings.SilenceTimeout {
 		c.warn(eventGatewaySilent, g.name, "no message for %.1f s: it is disconnected", seconds(silence))
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// republishDue tells whether a joined gateway is to be published to though no order concerns it: its documents are to be sent
-// again, the list has changed, or a message had to wait for its turn.
+// republishDue reports whether a joined gateway's snapshot must be offered again without an order: its documents are due to be
+// sent again, the list has changed, or a message was deferred.
 func (c *Core) republishDue(g *gateway) bool {
 	if g.delivery.StartRetry(c.now) || c.listCheckDue(g) {
 		return true
@@ -77,9 +77,8 @@
 	return waiting && c.now >= dueAt
 }
 
-// expelGateway disconnects a gateway from the decision module, though its connection stays open: it reports but acknowledges
-// nothing, and its unacknowledged lines would hold everyone's orders back. It joins again later each time, so that it costs
-// only itself.
+// expelGateway disconnects a gateway from the decision module while its connection stays open: the gateway acknowledges nothing,
+// and its unacknowledged lines would delay the orders to all others. It joins again after a longer time with each expulsion.
 func (c *Core) expelGateway(g *gateway, oldest routing.Message) []policyapi.Event {
 	g.expulsions++
 	pause := min(expulsionBase<<min(g.expulsions, maxExpulsionDoublings), maxExpulsion)
@@ -91,7 +90,7 @@
 	return events
 }
 
-// nextGatewayCheck is when checkGateway next has something to do about a gateway as it is now.
+// nextGatewayCheck is the time from which checkGateway has something to do for a gateway in its present state.
 func (c *Core) nextGatewayCheck(g *gateway) microseconds {
 	if !g.connected {
 		return never
@@ -118,8 +117,8 @@
 	return next
 }
 
-// updateGateway brings what is kept about a gateway beside its state up to date. Whatever changes when it needs a check, or
-// whether it is dirty, calls it.
+// updateGateway updates what gatewaySet derives from a gateway's state: lines in flight, the next check and dirty. Call it after
+// any change of that state.
 func (c *Core) updateGateway(g *gateway) {
 	c.updateLinesInFlight(g)
 	c.gateways.nextCheckAt = min(c.gateways.nextCheckAt, c.nextGatewayCheck(g))
@@ -130,7 +129,7 @@
 	}
 }
 
-// updateLinesInFlight keeps the sums of lines in flight, each message with its overhead.
+// updateLinesInFlight updates the sums of lines in flight, each message with its overhead.
 func (c *Core) updateLinesInFlight(g *gateway) {
 	lines := 0.0
 	for _, m := range g.delivery.Unacknowledged() {
@@ -140,7 +139,7 @@
 	g.linesInFlight = lines
 }
 
-// markPending has the snapshots of some gateways compared with what they hold.
+// markPending makes the next step offer some gateways their snapshots again.
 func (c *Core) markPending(which func(*gateway) bool) {
 	for _, g := range c.gateways.inOrder {
 		if which(g) {
@@ -150,6 +149,6 @@
 	}
 }
 
-// listCheckDue tells whether it is time to check a gateway's documents against the list. The decision module takes drained
-// endpoints out by itself; what it has not reached by then, an old table or an expelled gateway, is withheld here.
+// listCheckDue reports whether it is time to check a gateway's documents against the list. The decision module removes drained
+// endpoints from its tables; those that are still in an old table, or at an expelled gateway, by then are withheld here.
 func (c *Core) listCheckDue(g *gateway) bool { return g.listCheckAt > 0 && c.now >= g.listCheckAt }
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -22,11 +22,11 @@
 	joinedAt         microseconds
 	lastMessageAt    microseconds // of any message
 	expulsions       int          // since its last acknowledgement, for not acknowledging
-	joinAfter        microseconds // it does not join again before
+	joinAfter        microseconds // earliest time at which it can join again
 
 	tables   []policyapi.TableID // by request class; unboundTable: none yet
-	delivery *routing.Delivery   // what it holds, and what it may be sent
-	// publishPending is set when its snapshot may have changed and has not gone out.
+	delivery *routing.Delivery   // what it was sent and has acknowledged
+	// publishPending is set when its snapshot may have changed and has not been offered to it since.
 	publishPending bool
 	linesInFlight  float64
 	// listCheckAt is when its documents are checked against the endpoint list; 0: the list has not changed.
@@ -36,7 +36,7 @@
 	// demand is the requests per second that it receives, by class, smoothed with a factor of a half for each report;
 	// empty: not known.
 	demand []float64
-	// publishedRates are the admission rates that it was last given, so that small changes need no message.
+	// publishedRates are the admission rates last published to it: small changes of them need no message.
 	publishedRates map[rateKey]float64
 }
 
@@ -63,16 +63,16 @@
 	return g.demand[class]
 }
 
-// maxGateways bounds what names alone can cost in memory.
+// maxGateways bounds the memory that connections under ever new names can take.
 const maxGateways = 60000
 
 // gatewaySet is all gateways that have ever connected.
 type gatewaySet struct {
 	byName  map[Gateway]*gateway
 	inOrder []*gateway // in the order of their first connections, indexed by ProxyID
-	// dirty are the gateways that something is still to be done about, though no order concerns them.
+	// dirty are the gateways that have a publication or check pending without an order.
 	dirty map[policyapi.ProxyID]bool
-	// nextCheckAt is when the first of them needs a check; before, no time is spent on any.
+	// nextCheckAt is when the first gateway needs a check.
 	nextCheckAt microseconds
 	// linesInFlight is the sum over all gateways.
 	linesInFlight float64
@@ -106,9 +106,9 @@
 	return all
 }
 
-// affected returns the gateways that a change may reach, in the order of their first connections: all, or those that were
+// affected returns the gateways that a change can concern, in the order of their first connections: all, or those that were
 // bound to another table and the dirty ones. Between rounds orders concern one gateway or none, and visiting each of
-// thousands would be most of the step.
+// thousands would take most of the step.
 func (s *gatewaySet) affected(all bool, bound map[policyapi.ProxyID]bool) []*gateway {
 	if all {
 		return s.inOrder
@@ -132,8 +132,8 @@
 	return all
 }
 
-// handleConnect admits a connection. A gateway that connects twice under one name is one gateway: the later connection
-// replaces the earlier, since the gateway knows best that the earlier is dead.
+// handleConnect accepts a connection. A second connection under a gateway's name replaces the first one, which the gateway
+// itself has given up.
 func (c *Core) handleConnect(in GatewayConnected) []policyapi.Event {
 	g := c.gateways.byName[in.Gateway]
 	if g == nil {
@@ -165,14 +165,14 @@
 	g.reportSequence = 0
 	events = append(events, c.joinGateway(g)...)
 	if !g.joined && g.bound() {
-		// It has to wait before it joins, and its files may still offer what has drained since it disconnected.
+		// It has to wait before it joins, and its documents may still offer endpoints that have drained since it disconnected.
 		g.delivery.Invalidate()
 		events = append(events, c.publish(g, routing.NoAckID)...)
 	}
 	return events
 }
 
-// joinGateway has a connected gateway join unless it has to wait.
+// joinGateway lets a connected gateway join, that is, reports it to the decision module, unless it has to wait.
 func (c *Core) joinGateway(g *gateway) []policyapi.Event {
 	if !g.connected || g.joined || c.now < g.joinAfter {
 		return nil
@@ -196,8 +196,7 @@
 	return c.disconnectGateway(g)
 }
 
-// disconnectGateway ends a gateway's connection as far as the decision module goes; the gateway keeps its files and goes on
-// by them.
+// disconnectGateway reports a gateway as disconnected to the decision module; the gateway continues to use its documents.
 func (c *Core) disconnectGateway(g *gateway) []policyapi.Event {
 	wasJoined := g.joined
 	g.connected = false
@@ -211,7 +210,7 @@
 	return []policyapi.Event{policyapi.ProxyDisconnected{Proxy: g.proxy}}
 }
 
-// sender is the gateway that a message comes from; nil if it did not come on the gateway's present connection.
+// sender returns the gateway that a message comes from; nil if it did not come on the gateway's present connection.
 func (c *Core) sender(name Gateway, conn ConnID) *gateway {
 	g := c.gateways.byName[name]
 	if g == nil || !g.connected || g.conn != conn {
--- a/coordinator/healthchecks.go
+++ b/coordinator/healthchecks.go
@@ -7,10 +7,10 @@
 	"porthub/policyapi"
 )
 
-// healthCheckQueue holds the health checks back that the fleet's level of service leaves no rate for.
+// healthCheckQueue delays health checks beyond the rate that the fleet's level of service allows.
 type healthCheckQueue struct {
 	pending []policyapi.EndpointID
-	nextAt  microseconds // when the next one may go
+	nextAt  microseconds // earliest time of the next one
 }
 
 // healthCheckRate is how many health checks per second the fleet's level allows; 0: no bound.
--- a/coordinator/levelbounds.go
+++ b/coordinator/levelbounds.go
@@ -10,7 +10,7 @@
 	"porthub/routing"
 )
 
-// limitCrossZone puts a level's bound on traffic between zones over a table's weights, as the gateways of a zone get them.
+// limitCrossZone applies a level's bound on traffic between zones to a table's weights for the gateways of a zone.
 func (c *Core) limitCrossZone(zone policyapi.Zone, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	if c.degradation == nil {
 		return weights
@@ -22,7 +22,7 @@
 	return openWeights(bounds.LimitCrossZone(c.tableEndpoints(zone, weights)))
 }
 
-// hasOwnTable tells whether a gateway's level bounds its number of endpoints, so that it shares its cluster with no other.
+// hasOwnTable reports whether a gateway's level bounds its number of endpoints, so that it shares its cluster with no other.
 func (c *Core) hasOwnTable(g *gateway) bool {
 	if c.degradation == nil {
 		return false
@@ -31,7 +31,7 @@
 	return bounds.MaxEndpoints > 0
 }
 
-// limitOwnEndpoints puts a level's bound on the number of endpoints over the weights of a gateway.
+// limitOwnEndpoints applies a level's bound on the number of endpoints to the weights of a gateway.
 func (c *Core) limitOwnEndpoints(g *gateway, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	bounds, reduced := c.degradation.bounds(g.zone)
 	if !reduced {
@@ -89,7 +89,7 @@
 	}
 }
 
-// fallback is what a gateway's route has for the time when it reaches no coordinator.
+// fallback is the part of a gateway's route that applies while it reaches no coordinator.
 func (c *Core) fallback(g *gateway, class policyapi.RequestClass) routing.Fallback {
 	fallback := c.settings.Fallback
 	if c.degradation == nil || fallback.Level == 0 || len(c.degradation.fallbackShares[g.zone]) == 0 {
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -18,7 +18,7 @@
 // scopeCounts is what degradation signals of a zone, or of the fleet, are computed from.
 type scopeCounts struct {
 	readyCapacity float64 // of ready endpoints, by weight and warm-up
-	gateways      float64 // connected or not long gone
+	gateways      float64 // connected, or disconnected for less than gatewayMemory
 	disconnected  float64 // of them
 }
 
@@ -99,7 +99,7 @@
 	return lag
 }
 
-// capacities are what endpoints can do now, in mean requests per second; one whose capacity is not known is left out.
+// capacities returns the endpoints' present capacities in mean requests per second; those of unknown capacity are left out.
 func (c *Core) capacities() map[policyapi.EndpointID]float64 {
 	capacities := map[policyapi.EndpointID]float64{}
 	for _, e := range c.endpoints.listed() {
@@ -124,7 +124,7 @@
 	if !ok || estimate.Utilization <= minLearningUtilization {
 		return 0, false
 	}
-	return (estimate.Attempts - estimate.Failures) / estimate.Utilization, true // what it does in a busy second
+	return (estimate.Attempts - estimate.Failures) / estimate.Utilization, true // completed in a busy second
 }
 
 // zoneAllocations sums up for each zone and class the demand, and what the decision module admits of it.
@@ -146,7 +146,7 @@
 	return zones
 }
 
-// offeredLoad is the work that is demanded over what the endpoints can do which serve a zone, or all for the fleet's scope.
+// offeredLoad is the demanded work divided by the capacity of the endpoints that serve a zone, or of all for the fleet's scope.
 func (c *Core) offeredLoad(scope policyapi.Zone, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) (load float64, ok bool) {
 	demand, admitted := 0.0, 0.0
 	for zone, byClass := range allocations {
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -7,14 +7,15 @@
 	"porthub/policyapi"
 )
 
-// FileSource is the name of the endpoint list's file among the sources. It is authoritative: whoever writes it means it.
+// FileSource is the name of the endpoint list's file among the sources. It is authoritative: drops of any number of endpoints
+// are followed.
 const FileSource = "file"
 
-// membershipInterval is how often membership is stepped though no source has answered: quarantines end, endpoints are
-// readmitted.
+// membershipInterval is how often membership is stepped even without a source's update, since quarantines end and endpoints are
+// readmitted by time alone.
 const membershipInterval = second / 4
 
-// membershipState joins package membership, which decides who belongs to the fleet, to the core.
+// membershipState connects package membership, which decides which endpoints belong to the fleet, to the core.
 type membershipState struct {
 	*membership.Membership
 	steppedAt microseconds // 0: step it next time, whatever the interval
@@ -61,8 +62,8 @@
 	return c.stepMembership(true)
 }
 
-// stepMembership steps membership and applies its list. After a source has answered, the decision module gets a list even
-// if nothing has changed, since it may have asked for one.
+// stepMembership steps membership and applies its list. After a source's update the decision module gets a list even if nothing
+// has changed, since it may have requested one.
 func (c *Core) stepMembership(answered bool) []policyapi.Event {
 	if !answered && c.now-c.membership.steppedAt < membershipInterval {
 		return nil
--- a/coordinator/outputs.go
+++ b/coordinator/outputs.go
@@ -5,7 +5,7 @@
 	"porthub/routing"
 )
 
-// Output is an action that a Core asks its caller for. The set is closed, as for Input, and all are passed by value.
+// Output is an action that a Core requests from its caller. The set is closed, as for Input, and all are passed by value.
 type Output interface{ output() }
 
 func (Publish) output()         {}
@@ -28,13 +28,13 @@
 		// a power cut an unsynced one may be empty, is rejected and sent again. Not set while the disk is too slow for drains.
 		Sync bool
 	}
-	// CheckHealth asks for a health check of an endpoint.
+	// CheckHealth requests a health check of an endpoint.
 	CheckHealth struct{ Endpoint policyapi.EndpointID }
 	// WatchEndpoints starts or ends the watch of the endpoint list; an EndpointUpdate answers, also when it fails.
 	WatchEndpoints struct{ Enabled bool }
-	// Resync asks for the complete endpoint list once.
+	// Resync requests the complete endpoint list once.
 	Resync struct{}
-	// SaveList asks to save the endpoint list for the next start.
+	// SaveList requests that the endpoint list is saved for the next start.
 	SaveList struct{ List policyapi.EndpointUpdate }
 	// CloseConnection closes a connection.
 	CloseConnection struct {
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -83,7 +83,7 @@
 		Pins:          len(c.versions.Pins()),
 	}
 	if o.Solver != nil {
-		o.Solver.Explanations = nil
+		o.Solver.Endpoints = nil
 	}
 	reach := newReachability()
 	for _, g := range c.gateways.sorted() {
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -43,21 +43,21 @@
 		return s
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.recovered.Gateways)) {
-		if c.gateways.byName[Gateway(name)] == nil { // not back yet: it stays as it was
+		if c.gateways.byName[Gateway(name)] == nil { // not connected yet: its earlier state stays
 			s.Gateways = append(s.Gateways, c.recovered.Gateways[name])
 		}
 	}
 	return s
 }
 
-// Restore applies the state of the time before this start; it goes before the first step. The endpoint list of that state comes
-// as an input of its own.
+// Restore applies the state of an earlier process. It must be called before the first step. The endpoint list of that state is
+// an input of its own.
 func (c *Core) Restore(now policyapi.Microseconds, state recovery.State) {
 	c.now = max(c.now, now)
 	c.recovered = &state
 	if c.solver != nil {
 		c.solver.health.Restore(now, state.Ejections)
-		for _, e := range state.Endpoints { // what was learned is of these processes
+		for _, e := range state.Endpoints { // the restored ejections belong to these processes
 			c.solver.startTimes[e.ID] = e.StartedAt
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 }
 
-// restoreDemand takes over what was known of the demand of a gateway that connects again.
+// restoreDemand restores the demand of a gateway that connects again after a restart.
 func (c *Core) restoreDemand(g *gateway) {
 	if c.recovered == nil {
 		return
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -7,14 +7,14 @@
 	"porthub/policyapi"
 )
 
-// reportState is what load reports go through on their way to the decision module.
+// reportState validates, samples and sums load reports before they go to the decision module.
 type reportState struct {
 	aggregate loadAggregate
 	sampler   *loadreport.Sampler
-	// The metrics by which endpoints state their utilization, a share of busy time, and the requests that wait there;
-	// empty: they state none.
+	// The names of the metrics in which endpoints report their utilization, a fraction of busy time, and their queued
+	// requests; empty: they report none.
 	utilizationMetric, queueMetric string
-	delivered                      bool // the decision module has got a report
+	delivered                      bool // the decision module has received a report
 }
 
 func newReportState(settings Settings) reportState {
@@ -30,7 +30,7 @@
 	}
 }
 
-// demandSmoothing is the part of a new measurement in a gateway's demand.
+// demandSmoothing is the weight of a new measurement in a gateway's smoothed demand, 0 to 1.
 const demandSmoothing = 0.5
 
 // handleReport applies a load report: completely, or not at all.
@@ -53,8 +53,8 @@
 		return
 	}
 	if period := c.settings.Start.Reports.Period; first && r.Interval > period {
-		// The first report on a connection covers the time without one as well. The decision module counts by its rounds:
-		// what came in four seconds would look like four times the traffic.
+		// The first report on a connection also covers the time without one. The decision module counts by its rounds: the
+		// requests of four seconds would look like four times the traffic.
 		r = r.scaled(float64(period) / float64(r.Interval))
 		r.Interval = period
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-// decideSampling has the sampler decide how much of a report is used.
+// decideSampling lets the sampler decide how much of a report is used.
 func (c *Core) decideSampling(g *gateway, r LoadReport) loadreport.SamplingDecision {
 	lines := 0
 	arrivals := 0
@@ -122,9 +122,9 @@
 	return int(math.Round(float64(count) * weight))
 }
 
-// scaled is a report with a part of its counts, each rounded up so that small ones don't vanish.
-func (r LoadReport) scaled(part float64) LoadReport {
-	scale := func(n int) int { return int(math.Ceil(float64(n) * part)) }
+// scaled returns a report with its counts multiplied by a fraction, each rounded up so that small ones don't vanish.
+func (r LoadReport) scaled(fraction float64) LoadReport {
+	scale := func(n int) int { return int(math.Ceil(float64(n) * fraction)) }
 	var classes []ClassReport
 	for _, class := range r.Classes {
 		class.Arrivals = scale(class.Arrivals)
@@ -143,16 +143,15 @@
 	return r
 }
 
-// A core has started so recently that many gateways may not have connected yet for gatewayArrivalTime (a gateway connects
-// again within two seconds; those that don't are disconnected), or until gatewayArrivalShare of them have, the share by
-// which the decision module takes a fleet for complete.
+// After a start, gateways are awaited for gatewayArrivalTime (a gateway connects again within two seconds; those that don't are
+// disconnected), or until gatewayArrivalShare of them report. The decision module considers a fleet complete by the same share.
 const (
 	gatewayArrivalTime  = 10 * second
 	gatewayArrivalShare = 0.95
 )
 
-// awaitingGateways tells whether many gateways have still to connect. Until then endpoints' own metrics are kept from the
-// decision module: they show the load from all gateways while the counts are only of those connected, so every endpoint
+// awaitingGateways reports whether many gateways have yet to connect. Until they have, endpoints' own metrics are withheld from
+// the decision module: they show the load from all gateways while the counts cover only those connected, so every endpoint
 // would look slow, and levels of service would be entered by mistake.
 func (c *Core) awaitingGateways() bool {
 	if c.now-c.startedAt > gatewayArrivalTime {
@@ -170,7 +169,7 @@
 // noProxy is a proxy that never connects.
 const noProxy policyapi.ProxyID = -1
 
-// flushReports ends a round of reports: it returns what was reported since the last one, for the decision module, and closes
+// flushReports ends a round of reports: it returns the sums since the last one as events for the decision module, and closes
 // the rounds of the sampler, the levels of service and the solver.
 func (c *Core) flushReports() []policyapi.Event {
 	for _, name := range c.reports.sampler.EndRound(c.now) {
@@ -190,8 +189,8 @@
 	if c.reports.delivered {
 		return nil
 	}
-	// Until the first report, an empty load of no proxy says that there was nothing to report. Without it the module takes its
-	// first round for a gap of four periods, and every speed learned in it is a quarter of the true one: on a calm start a
-	// tenth of all requests was rejected for ten seconds.
+	// Until the first report, an empty load of no proxy shows the module that there was nothing to report. Without it the module
+	// takes its first round for a gap of four periods and learns a quarter of each true speed from it: at a start under low load
+	// a tenth of all requests was rejected for ten seconds.
 	return []policyapi.Event{policyapi.ProxyLoad{Proxy: noProxy, Period: c.settings.Start.Reports.Period}}
 }
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -12,7 +12,7 @@
 // seconds is a duration in seconds, for log texts.
 func seconds(d microseconds) float64 { return float64(d) / float64(second) }
 
-// Settings are what a core is made from. They do not change while it runs.
+// Settings configure a Core. They do not change while it runs.
 type Settings struct {
 	Start          policyapi.Start        `cbor:"Up" json:"Up"`
 	Epoch          string                 `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
--- a/coordinator/snapshot.go
+++ b/coordinator/snapshot.go
@@ -5,8 +5,8 @@
 	"porthub/routing"
 )
 
-// clusterCache holds the clusters of the tables. Gateways of a zone on one table share them within a step: with thousands of
-// gateways most of a step went into building the same again.
+// clusterCache contains the clusters of the tables. Gateways of a zone with the same table share them within a step: with
+// thousands of gateways, building each cluster again would take most of a step.
 type clusterCache map[clusterKey]tableCluster
 
 type clusterKey struct {
@@ -22,7 +22,7 @@
 	admittedShare float64 // by the solver; 1: all
 }
 
-// snapshot is what a gateway is to hold by the module's orders and all that goes over them.
+// snapshot returns what a gateway should have: the module's orders with the solver, pins and levels applied.
 func (c *Core) snapshot(g *gateway) routing.Snapshot {
 	var s routing.Snapshot
 	if c.degradation != nil {
@@ -58,8 +58,8 @@
 	return built
 }
 
-// buildCluster makes a cluster in which every closed endpoint is withheld. Whatever the module's tables say: a table that it
-// has stopped laying out may still be some gateway's.
+// buildCluster returns a cluster in which every closed endpoint is withheld, even if the module's table has a weight for it: a
+// table that the module no longer updates may still be bound to some gateway.
 func (c *Core) buildCluster(class policyapi.RequestClass, weights map[policyapi.EndpointID]float64) routing.Cluster {
 	return routing.BuildCluster(c.ClassName(class), weights, c.endpoints.zoneOf, c.isClosed)
 }
--- a/coordinator/solver.go
+++ b/coordinator/solver.go
@@ -9,8 +9,8 @@
 	"porthub/solver"
 )
 
-// solverState joins package solver to the core. The decision module's tables pass unchanged while they keep every limit;
-// package solver decides when they don't and what replaces them. Here is only what it is given and what becomes of its answer.
+// solverState connects package solver to the core. The decision module's tables apply unchanged while they keep every limit;
+// package solver decides when they don't and what replaces them. This package only collects its inputs and applies its tables.
 type solverState struct {
 	health     *solver.ClassHealth
 	estimate   *solver.CapacityEstimator
@@ -19,9 +19,9 @@
 
 	classLoads  map[classLoadKey]*policyapi.EndpointClassLoad // since the last round
 	utilization map[policyapi.EndpointID]float64              // as endpoints state it, the last of this round
-	startTimes  map[policyapi.EndpointID]microseconds         // of the processes that health knows
+	startTimes  map[policyapi.EndpointID]microseconds         // of the processes that health refers to
 	roundAt     microseconds
-	pending     bool // a round of reports has ended and the solver has not been asked since
+	pending     bool // a round of reports has ended and the solver has not run since
 
 	round  solver.Round
 	tables map[solver.TableKey]solver.Table // that replace the module's
@@ -82,8 +82,8 @@
 	return loads
 }
 
-// closeSolverRound has the solver evaluate health and learn capacities from the reports of the round. While gateways have
-// still to connect, nothing is learned: the reports are of a part of the load.
+// closeSolverRound makes the solver evaluate health and learn capacities from the reports of the round. While awaitingGateways,
+// nothing is learned: the reports cover only a part of the load.
 func (c *Core) closeSolverRound(awaitingGateways bool) {
 	s := c.solver
 	duration := seconds(c.now - s.roundAt)
@@ -96,7 +96,7 @@
 	}
 	var ready []policyapi.EndpointID
 	for _, e := range c.endpoints.listed() {
-		if s.startTimes[e.ID] != e.StartedAt { // another process under its name
+		if s.startTimes[e.ID] != e.StartedAt { // a new process under the same ID
 			s.startTimes[e.ID] = e.StartedAt
 			s.health.Forget(e.ID)
 		}
@@ -119,9 +119,9 @@
 	Active           bool                `json:"acting"`
 	WorstUtilization float64             `json:"worst"` // largest load over a limit that the module's tables would bring
 	WorstEndpoint    string              `json:"at"`
-	Tables           int                 `json:"tables"` // that replace the module's
-	Moved            int                 `json:"moved"`  // in the last round
-	Explanations     []string            `json:"nodes,omitempty"`
+	Tables           int                 `json:"tables"`          // that replace the module's
+	Moved            int                 `json:"moved"`           // in the last round
+	Endpoints        []string            `json:"nodes,omitempty"` // the listed ones
 	Certificate      *solver.Certificate `json:"certificate,omitempty"`
 	Failing          []string            `json:"failing,omitempty"` // endpoint and class
 }
@@ -141,7 +141,7 @@
 		Certificate:      round.Certificate,
 	}
 	for _, e := range c.endpoints.listed() {
-		status.Explanations = append(status.Explanations, string(e.ID))
+		status.Endpoints = append(status.Endpoints, string(e.ID))
 		for k, class := range c.settings.Start.Classes {
 			if c.solver.health.Status(e.ID, k) == solver.ClassFailing {
 				status.Failing = append(status.Failing, string(e.ID)+" "+class.Name)
@@ -151,7 +151,7 @@
 	return status
 }
 
-// classHealthy tells whether the solver takes an endpoint for healthy for a class; without a solver all are.
+// classHealthy reports whether the solver considers an endpoint healthy for a class; without a solver all are.
 func (c *Core) classHealthy(endpoint policyapi.EndpointID, class int) bool {
 	return c.solver == nil || c.solver.health.Status(endpoint, class) == solver.ClassHealthy
 }
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -10,10 +10,10 @@
 	"porthub/solver"
 )
 
-// warmUpLoadLimit is the part of its capacity that an endpoint which is warming up may be offered, as in the module's tables.
+// warmUpLoadLimit is the fraction of its capacity that an endpoint gets load for while warming up, as in the module's tables.
 const warmUpLoadLimit = 0.7
 
-// trialWeightFactor is the part of its weight that an endpoint gets of a class that it is on trial for.
+// trialWeightFactor is the fraction of its weight that an endpoint gets for a class that it is on trial for.
 const trialWeightFactor = 0.1
 
 // solverFleet is what the solver is asked about: the listed endpoints, and as consumers the tables that gateways are bound to,
--- a/coordinator/solvertables.go
+++ b/coordinator/solvertables.go
@@ -36,8 +36,8 @@
 	return changed
 }
 
-// solverWeights is what the solver has in place of a table's weights for a class, with the share of the demand that it admits;
-// active tells whether there is any.
+// solverWeights returns the weights that the solver sets in place of a table's for a class, with the share of the demand that it
+// admits; active is false if it sets none.
 func (c *Core) solverWeights(table policyapi.TableID, class int) (weights map[policyapi.EndpointID]float64, admittedShare float64, active bool) {
 	if c.solver == nil {
 		return nil, 1, false
@@ -53,7 +53,7 @@
 	return weights, solved.Admit, true
 }
 
-// solverWeightsByClass is what the solver has in place of a table's weights, by class; nil: nothing.
+// solverWeightsByClass returns the weights that the solver sets in place of a table's, by class; nil if it sets none.
 func (c *Core) solverWeightsByClass(table policyapi.TableID) (byClass map[policyapi.RequestClass]routing.Weights) {
 	for class := range c.settings.Start.Classes {
 		weights, _, active := c.solverWeights(table, class)
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// timerQueue holds the timers that the decision module has set.
+// timerQueue contains the timers that the decision module has set.
 type timerQueue struct{ pending []timer }
 
 type timer struct {
--- a/coordinator/warnings.go
+++ b/coordinator/warnings.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// warningInterval is the least time between two warnings of one event name: an input that is wrong may come in
-// thousands, and one entry that counts them is enough.
+// warningInterval is the least time between two warnings of one event name: invalid inputs can arrive by the thousand, and one
+// entry that counts them is enough.
 const warningInterval = 10 * second
 
-// warningLog limits the rate of warnings by event name: the first goes out with the step that it arose in, then one in an
-// interval, with how many there were since the last.
+// warningLog limits the rate of warnings by event name: the first is emitted by the step in which it occurs, then one in each
+// interval, with the number since the last.
 type warningLog map[string]*warningCount
 
 type warningCount struct {
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -19,7 +19,7 @@
 // were masked, and ok false if no warmed-up endpoint is left.
 func Mask(pinned Weights, eligibility func(policyapi.EndpointID) EndpointEligibility) (weights Weights, masked int, ok bool) {
 	weights = Weights{}
-	warmPinned, warmCurrent := 0.0, 0.0 // sums of the warmed-up endpoints' weights
+	pinnedSum, currentSum := 0.0, 0.0 // sums of the warmed-up endpoints' weights
 	var warmingUp []policyapi.EndpointID
 	for _, id := range slices.Sorted(maps.Keys(pinned)) {
 		switch e := eligibility(id); {
@@ -29,22 +29,22 @@
 			warmingUp = append(warmingUp, id)
 		case e.Weight > 0:
 			weights[id] = pinned[id]
-			warmPinned += pinned[id]
-			warmCurrent += e.Weight
+			pinnedSum += pinned[id]
+			currentSum += e.Weight
 		default:
 			weights[id] = pinned[id]
-			warmPinned += pinned[id]
-			warmCurrent += pinned[id]
+			pinnedSum += pinned[id]
+			currentSum += pinned[id]
 		}
 	}
 	for _, id := range warmingUp {
 		e := eligibility(id)
-		if e.Weight <= 0 || warmCurrent <= 0 {
+		if e.Weight <= 0 || currentSum <= 0 {
 			masked++
 			continue
 		}
 		// Its current weight, scaled as the weights of the warmed-up endpoints are.
-		weights[id] = min(e.Weight, e.Weight*warmPinned/warmCurrent)
+		weights[id] = min(e.Weight, e.Weight*pinnedSum/currentSum)
 	}
-	return weights, masked, warmPinned > 0
+	return weights, masked, pinnedSum > 0
 }
