--- a/http1/http1.go
+++ b/http1/http1.go
@@ -1,5 +1,3 @@
-// Package http1 parses HTTP/1.1 requests at the front of a buffer, within limits, and encodes responses. It keeps no state: the same bytes
-// give the same requests however they were split on the way.
 package http1
 
 import (
@@ -15,8 +13,7 @@
 	Body int
 }
 
-// Error is a request that can't be parsed, with the status to respond with. Requests after it on the connection can't be told apart any
-// more.
+// Error is a request that can't be parsed, with the status to respond with. The boundaries of later requests on the connection are unknown.
 type Error struct {
 	Code   int    // HTTP status
 	Reason string // for the response's body
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -204,13 +204,13 @@
 	return nil
 }
 
-// checkHash finds a snapshot of the whole registry that lacks instances.
+// checkHash detects a snapshot of the complete registry that lacks instances.
 func (c *Client) checkHash(snapshot Applications) error {
 	if snapshot.Hash == "" || c.options.VIP != "" || c.options.App != "" {
 		return nil
 	}
 	if hash := StatusHash(snapshot.Instances); hash != snapshot.Hash {
-		return fmt.Errorf("%w: the whole has hash %s, its instances %s: half of an answer?", ErrInvalidResponse, snapshot.Hash, hash)
+		return fmt.Errorf("%w: the snapshot has hash %s, its instances %s: the response is incomplete", ErrInvalidResponse, snapshot.Hash, hash)
 	}
 	return nil
 }
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -1,6 +1,3 @@
-// Package resp parses and encodes RESP2 arrays of bulk strings, within limits. It keeps no state: the same bytes give the same messages
-// however they were split on the way. No other part of RESP2 is used on the platform: no inline commands, no nested arrays, no other
-// types.
 package resp
 
 import (
@@ -15,7 +12,7 @@
 	Words int
 }
 
-// Error is a message that can't be parsed. Messages after it on the connection can't be told apart any more.
+// Error is a message that can't be parsed. The boundaries of later messages on the connection are unknown.
 type Error struct{ Reason string }
 
 func (e *Error) Error() string { return e.Reason }
