--- a/audit/log.go
+++ b/audit/log.go
@@ -12,7 +12,7 @@
 	"porthub/routing"
 )
 
-// EndpointState is what the endpoint list says of an endpoint.
+// EndpointState is an endpoint's entry in the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
--- a/audit/rules.go
+++ b/audit/rules.go
@@ -27,7 +27,7 @@
 	OverloadFactor        float64       // work that may come to an endpoint that warms up, as a multiple of its capacity
 	OverloadWindow        time.Duration // over which that is measured
 	QueueLimit            float64       // lines on their way to all gateways
-	MessageOverhead       float64       // lines that a message counts for beside its own
+	MessageOverhead       float64       // lines that a message counts for in addition to its own
 	MessageLimit          int           // messages to one gateway in a window; 0: no limit
 	MessageWindow         time.Duration
 	Classes               []Class
--- a/audit/warm_up.go
+++ b/audit/warm_up.go
@@ -105,7 +105,7 @@
 	return 0, false
 }
 
-// knowsOf reports whether what a gateway sends at a time is sent with knowledge of what the list said since listedAt.
+// knowsOf reports whether a gateway, when it sends at a time, could know what the list has had since listedAt.
 func (l *Log) knowsOf(g *gatewayLog, listedAt, at, end time.Duration) bool {
 	if g == nil {
 		return false
--- a/chaos/fault_endpoints.go
+++ b/chaos/fault_endpoints.go
@@ -21,12 +21,12 @@
 	}
 }
 
-// withFault gives endpoints a fault, and takes it back when its time is over.
+// withFault injects a fault into endpoints and ends it after its duration.
 func (in injection) withFault(endpoints []*emulator.Endpoint, set, reset func(*emulator.Fault)) {
 	in.during(endpoints, func(e *emulator.Endpoint) { e.SetFault(set) }, func(e *emulator.Endpoint) { e.SetFault(reset) })
 }
 
-// chooseEndpoints draws the endpoints that the fault strikes: running and listed ones, of its zone if it names one.
+// chooseEndpoints draws the endpoints that the fault affects: running and listed ones, of its zone if it names one.
 func (in injection) chooseEndpoints() []*emulator.Endpoint {
 	var eligible []*emulator.Endpoint
 	for _, e := range in.fleet.endpoints {
--- a/chaos/fault_gateways.go
+++ b/chaos/fault_gateways.go
@@ -13,7 +13,7 @@
 	"porthub/policyapi"
 )
 
-// chooseGateways draws the gateways that a fault strikes, of its zone if it names one.
+// chooseGateways draws the gateways that a fault affects, of its zone if it names one.
 func (f *fleet) chooseGateways(fault Fault, rng *rand.Rand) []int {
 	var eligible []int
 	for i, g := range f.gateways {
--- a/chaos/fault_registry.go
+++ b/chaos/fault_registry.go
@@ -31,7 +31,7 @@
 	"registry_failover": {"one peer answers 503, the other is 1.5 s behind", eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, &eureka.Faults{Lag: 1500 * time.Millisecond}},
 }
 
-// inject gives the peers their faults for a while. A fleet whose list is a file is not struck.
+// inject injects the faults into the peers for their duration. A fleet whose list is a file is not affected.
 func (r registryFault) inject(in injection) {
 	registry := in.fleet.registry
 	if registry == nil {
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -11,17 +11,17 @@
 type faultType struct {
 	about    string
 	defaults Fault
-	// inject lets the fault strike and returns when it is over. Nil: it only changes the traffic, see trafficFactor and
+	// inject injects the fault and returns when it is over. Nil: it only changes the traffic, see trafficFactor and
 	// workFactor.
 	inject func(injection)
 }
 
-// injection is a fault that strikes a fleet.
+// injection is a fault that is injected into a fleet.
 type injection struct {
 	Fault
 	fleet    *fleet
 	rng      *rand.Rand // of this fault alone
-	gateways []int      // that it strikes, if it strikes some
+	gateways []int      // that it affects, if it affects any
 }
 
 // FaultNames lists the names of the faults.
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -36,7 +36,7 @@
 	gateways    []*emulator.Gateway
 	weights     []float64 // of the gateways, mean 1
 	clients     []*emulator.Client
-	affected    [][]int // gateways that fault i strikes, if it strikes some
+	affected    [][]int // gateways that fault i affects, if it affects any
 	coordinator *coordinatorProcess
 	registry    *eurekaRegistry // in place of the list's file; nil: the file
 
@@ -234,7 +234,7 @@
 	return options
 }
 
-// run lets clients send and faults strike until the end of the scenario. It returns when all goroutines have ended.
+// run has clients send and faults injected until the end of the scenario. It returns when all goroutines have ended.
 func (f *fleet) run() {
 	var faults sync.WaitGroup
 	for i, fault := range f.scenario.Faults {
@@ -267,7 +267,7 @@
 	}
 }
 
-// sleep waits for a length of time or the end of the run; it reports whether the run goes on.
+// sleep waits for a length of time or the end of the run; it reports whether the run continues.
 func (f *fleet) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -8,7 +8,7 @@
 	"porthub/emulator"
 )
 
-// measure asks the coordinator each second for its estimates until the end, and fills in the rates and latencies.
+// measure requests the coordinator's estimates each second until the end, and fills in the rates and latencies.
 func (f *lightFleet) measure(start time.Duration, result *LoadReportResult) {
 	var last daemon.SamplingStatus
 	_ = f.readEstimates(&last) // an unanswered first question leaves zeros
@@ -42,7 +42,7 @@
 	result.Throttled = f.tally.Throttled.Load()
 }
 
-// readEstimates asks the coordinator for its estimates. They stay as they were if it does not answer.
+// readEstimates requests the coordinator's estimates. They stay as they were if it does not respond.
 func (f *lightFleet) readEstimates(into *daemon.SamplingStatus) error {
 	var fresh daemon.SamplingStatus
 	if err := getJSON("http://"+f.coordinator.address()+"/intake", &fresh); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// isSteady reports whether nothing has struck the fleet for some seconds.
+// isSteady reports whether no fault has affected the fleet for some seconds.
 func (f *lightFleet) isSteady(now time.Duration) bool {
 	const settling = 6 * time.Second
 	f.mu.Lock()
--- a/chaos/load_report_faults.go
+++ b/chaos/load_report_faults.go
@@ -21,7 +21,7 @@
 	inject func()
 }
 
-// injectFaults lets the faults strike one after the other until the context ends.
+// injectFaults injects the faults one after the other until the context ends.
 func (f *lightFleet) injectFaults(ctx context.Context, start time.Duration, result *LoadReportResult) {
 	failing := f.readyEndpoints(0, max(1, f.options.Endpoints/33))
 	length := float64(f.options.Seconds) * float64(time.Second)
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -18,7 +18,7 @@
 	MaxLinesPerSecond int // lines of reports that the coordinator accepts per second; 0: all
 	Seconds           int
 	CoordinatorCores  int             // cores of the coordinator; 0: all
-	NoFaults          bool            // nothing strikes the fleet
+	NoFaults          bool            // no faults are injected
 	BreakRule         string          // bare, drain, repeat or cold, to violate on purpose; empty: none
 	Profile           string          // file for the coordinator's CPU profile; empty: none
 	Dir               string          // kept if given
@@ -43,11 +43,11 @@
 	Reports          float64   `json:"reports_per_s"`
 	Lines            float64   `json:"lines_per_s"`
 	LinesAccepted    float64   `json:"lines_taken_per_s"`
-	AnswerTime       Latency   `json:"answer_ms"` // from sending a report to its answer
+	AnswerTime       Latency   `json:"answer_ms"` // from sending a report to its response
 	DrainTime        Latency   `json:"drain_ms"`  // from an endpoint's draining in the list to a gateway's table without it
 	LateAnswers      int64     `json:"late"`      // to reports, after more than a period
-	Deferred         int64     `json:"deferred"`  // reports that were answered 429 and 503
-	Throttled        int64     `json:"longer"`    // reports after a longer interval that the coordinator asked for
+	Deferred         int64     `json:"deferred"`  // reports that were rejected with 429 and 503
+	Throttled        int64     `json:"longer"`    // reports after a longer interval that the coordinator requested
 	Disconnects      int64     `json:"broke"`
 	// Steady and Overall compare the coordinator's estimates with the endpoints' load: while nothing had changed for some
 	// seconds, and at all times.
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -33,12 +33,12 @@
 	mu         sync.Mutex // guards all below
 	states     map[string]audit.EndpointState
 	startedAt  map[string]time.Duration // below 0: long ago
-	changes    []time.Duration          // when something struck the fleet
+	changes    []time.Duration          // when something affected the fleet
 	drainedAt  time.Duration            // 0: not yet
 	hasDrained []bool                   // by gateway: whether its table has the drained endpoint
 }
 
-// RunLoadReports starts a coordinator and has light gateways report to it while faults strike: endpoints that fail
+// RunLoadReports starts a coordinator and has light gateways report to it while faults are injected: endpoints that fail
 // everywhere at once, drains, a mass restart, the coordinator's own restart, gateways that stop reporting, and peers that
 // send garbage or a byte per second. An error is one of the machine; violated rules and failed checks are in the result.
 func RunLoadReports(o LoadReportOptions) (LoadReportResult, error) {
@@ -170,7 +170,7 @@
 	return table
 }
 
-// observeTable notes when a gateway's table has the drained endpoint no more.
+// observeTable records when a gateway's table no longer has the drained endpoint.
 func (f *lightFleet) observeTable(gateway int, s routing.Snapshot) {
 	has := false
 	for _, cluster := range s.Clusters {
--- a/chaos/observe.go
+++ b/chaos/observe.go
@@ -45,7 +45,7 @@
 	return true
 }
 
-// writtenBy asks the coordinator what it has written since its last start; the zero value if it does not answer.
+// writtenBy requests what the coordinator has written since its last start; the zero value if it does not respond.
 func writtenBy(f *fleet) Written {
 	var status daemon.Status
 	if err := getJSON("http://"+f.address()+"/tables", &status); err != nil {
--- a/chaos/poll_watch.go
+++ b/chaos/poll_watch.go
@@ -47,7 +47,7 @@
 	return holders
 }
 
-// observe takes in a gateway's endpoints: whether the first one is among them, and how many there are.
+// observe records a gateway's endpoints: whether the first one is among them, and how many there are.
 func (w *pollWatch) observe(gateway int, hasFirst bool, endpoints int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/chaos/registry.go
+++ b/chaos/registry.go
@@ -19,7 +19,7 @@
 
 // eurekaRegistry is an emulated Eureka registry with two peers that the coordinator reads in place of the list's file.
 // The audit takes an endpoint to be draining or removed from the moment when a peer has first said so without a fault
-// that hides it: nobody can know it sooner. It is safe for concurrent use.
+// that hides it: no coordinator can know it sooner. It is safe for concurrent use.
 type eurekaRegistry struct {
 	registry *eureka.Registry
 	peers    []*eureka.Peer
--- a/chaos/result.go
+++ b/chaos/result.go
@@ -20,7 +20,7 @@
 	Worst10s         float64                  `json:"worst_10s"`
 	Rules            map[string]audit.Verdict `json:"rules"`
 	DeliveryTime     Latency                  `json:"latency_ms"` // from the writing of a file to its use
-	ResponseTime     Latency                  `json:"answers_ms"` // of what was answered, retries included
+	ResponseTime     Latency                  `json:"answers_ms"` // of responses, retries included
 	DocumentsRead    int                      `json:"reads"`
 	IncompleteReads  int                      `json:"partial_reads"`
 	Written          Written                  `json:"written"`
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -13,7 +13,7 @@
 	"porthub/config"
 )
 
-// Scenario is a fleet and the faults that strike it.
+// Scenario is a fleet and the faults that are injected into it.
 type Scenario struct {
 	Name           string             `json:"name"`
 	About          string             `json:"about"`
@@ -52,7 +52,7 @@
 // idempotent reports whether requests may be executed again.
 func (c Class) idempotent() bool { return c.Repeat == "replayable" }
 
-// Fault is a fault that strikes at a time. What Share, Size and Extra mean depends on the fault: see [About].
+// Fault is a fault that is injected at a time. What Share, Size and Extra mean depends on the fault: see [About].
 type Fault struct {
 	Name     string          `json:"what"`
 	At       config.Duration `json:"at"`
@@ -67,7 +67,7 @@
 // end is when the fault ends.
 func (f Fault) end() time.Duration { return duration(f.At + f.Duration) }
 
-// active reports whether the fault strikes at a time.
+// active reports whether the fault is active at a time.
 func (f Fault) active(at time.Duration) bool { return at >= duration(f.At) && at < f.end() }
 
 // Check is a figure that a scenario has to reach.
--- a/client/link.go
+++ b/client/link.go
@@ -95,7 +95,7 @@
 	return response.GetLoadReportingInterval().AsDuration(), nil
 }
 
-// LastResponse returns when the coordinator last answered, or the zero time. A gateway without a response for long
+// LastResponse returns when the coordinator last responded, or the zero time. A gateway without a response for long
 // applies its routes' fallback: see routing.Fallback.
 func (l *Link) LastResponse() time.Time {
 	if at := l.lastResponse.Load(); at > 0 {
--- a/client/poller.go
+++ b/client/poller.go
@@ -21,7 +21,7 @@
 	maxPollBackoff = 2 * time.Second
 )
 
-// Poller gets a gateway's tables by long polls, which the coordinator answers when there is something new. Endpoints and
+// Poller gets a gateway's tables by long polls, to which the coordinator responds when there is something new. Endpoints and
 // routes are polled on a connection each; load reports go over a Link. Each document is for one goroutine.
 type Poller struct {
 	// Deltas requests the changes of single endpoints and routes; otherwise complete documents are sent. It is true for a
--- a/client/reader.go
+++ b/client/reader.go
@@ -19,7 +19,7 @@
 // Reader reads a gateway's tables from its directory. It is not safe for concurrent use.
 type Reader struct {
 	dir string
-	// ChunkSize is the number of bytes read at once, and ChunkDelay the wait after each chunk; 0 reads a file in one go.
+	// ChunkSize is the number of bytes read at once, and ChunkDelay the wait after each chunk; 0 reads a file at once.
 	// A slow reader still gets one complete document: it reads the file that it opened, whatever is renamed over it.
 	ChunkSize  int
 	ChunkDelay time.Duration
--- a/client/tables.go
+++ b/client/tables.go
@@ -22,7 +22,7 @@
 	Source   string // path of the file, or of the poll
 	Document xds.Document
 	Err      error         // why the document is invalid; the tables stay as they are
-	Written  time.Time     // modification time of the file, or when the poll was answered
+	Written  time.Time     // modification time of the file, or when the response to the poll came
 	Size     int           // bytes
 	Elapsed  time.Duration // for reading and decoding
 }
--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -33,7 +33,7 @@
 
 	gateway    coordinator.Gateway // empty until it has named itself
 	polls      bool
-	announced  bool               // the core knows that it is its gateway's link
+	announced  bool               // the core has been informed that it is its gateway's link
 	linkID     coordinator.ConnID // of the gateway's link; its own if it is that
 	reportedAt time.Time          // when its last report was accepted
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -117,7 +117,7 @@
 	return encodeResponse(response)
 }
 
-// pin is the pin that a request asks for; its time is still missing.
+// pin is the pin that a request names; its time is still missing.
 func (r PinRequest) pin() (routing.Pin, error) {
 	pin := routing.Pin{Scope: routing.Scope{Table: routing.AnyTable, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
 	scopes := 0
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -48,7 +48,7 @@
 	healthChecks *healthcheck.Checker
 	server       *server
 	state        *stateStore
-	// reportIntervalFactor is how many report periods gateways are asked to wait between two reports.
+	// reportIntervalFactor is how many report periods gateways are requested to wait between two reports.
 	reportIntervalFactor atomic.Int64
 
 	// What follows is of the goroutine that runs Run.
@@ -113,7 +113,7 @@
 	return mailbox.New(urgentCapacity, max(normalCapacity, c.Limits.Connections), stamp)
 }
 
-// connectSources makes what the core's inputs come from beside the gateways.
+// connectSources creates the sources of inputs other than the gateways.
 func (d *Daemon) connectSources() {
 	if path := d.config.Registry.File.Path; path != "" {
 		version := policyapi.ListVersion(0)
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -11,7 +11,7 @@
 	"porthub/xds"
 )
 
-// submit gives the core what a gateway sent, after GatewayConnected if it is the first message of its link, and calls done
+// submit queues what a gateway sent for the core, after GatewayConnected if it is the first message of its link, and calls done
 // once the core has taken it. input makes the core's input, given the gateway's link. A connection keeps the gateway that it
 // began with. A gateway that polls may have several connections: the first that is open is its link.
 func (x *exchange) submit(node xds.Node, input func(link coordinator.ConnID) coordinator.Input, done func()) {
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// step gives the core its inputs and carries out its outputs.
+// step passes the inputs to the core and carries out its outputs.
 func (d *Daemon) step(inputs []coordinator.Input) {
 	now := d.clock.Now()
 	began := time.Now()
@@ -185,7 +185,7 @@
 	}
 }
 
-// resync asks all sources for their complete lists.
+// resync requests the complete lists of all sources.
 func (d *Daemon) resync() {
 	if d.fileSource != nil {
 		d.fileSource.Fetch()
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -46,7 +46,7 @@
 	// links has each gateway's connection that counts as its link. One that polls may have more: they carry polls alone.
 	links *xsync.Map[coordinator.Gateway, *connection]
 
-	deferredReports      atomic.Int64 // reports that were asked to come later
+	deferredReports      atomic.Int64 // reports that were deferred with 429
 	rejected             atomic.Int64 // since the last PeerRejected
 	rejectionsReportedAt atomic.Int64 // nanoseconds since 1970
 }
@@ -161,7 +161,7 @@
 	}
 }
 
-// offerInput gives the core an input that may be lost when the mailbox is full.
+// offerInput queues an input for the core that may be lost when the mailbox is full.
 func (s *server) offerInput(in coordinator.Input) {
 	s.daemon.mailbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
 }
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -142,7 +142,7 @@
 }
 
 // inputName is the name of an input in the step's span: its attribute "told.NAME" counts the inputs of that type. Names are
-// written out because they leave the program: whoever reads the spans must not notice that a Go type was renamed.
+// written out because they leave the program: readers of the spans must not notice that a Go type was renamed.
 func inputName(in coordinator.Input) string {
 	switch in.(type) {
 	case coordinator.EndpointUpdate:
@@ -197,7 +197,7 @@
 	}
 }
 
-// abandon ends what a gateway will not acknowledge any more.
+// abandon ends the spans that a gateway will no longer acknowledge.
 func (t *tracer) abandon(gateway coordinator.Gateway, reason string) {
 	for _, p := range t.inFlight[gateway] {
 		p.span.SetStatus(codes.Error, reason)
--- a/degradation/settings.go
+++ b/degradation/settings.go
@@ -20,7 +20,7 @@
 	Bounds     Bounds                 `cbor:"Bounds" json:"Bounds"`
 }
 
-// Bounds limit service at a level. None of them gives requests to an endpoint that the rules close.
+// Bounds limit service at a level. None of them sends requests to an endpoint that the rules exclude.
 type Bounds struct {
 	Share                []float64 `cbor:"Share" json:"Share"`         // by class: the most of the admitted work that it may use, 0 to 1
 	RetryPolicy          []int     `cbor:"SecondTry" json:"SecondTry"` // by class: the most permissive retry policy, 0 to 3; 3: no limit
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -34,7 +34,7 @@
 	Gateway             *Gateway
 	RequestRate         float64 // usual requests per second
 	Retries             int
-	AttemptTimeoutShare float64 // an attempt is given up after this part of the client timeout
+	AttemptTimeoutShare float64 // an attempt times out after this part of the client timeout
 	Backoff             time.Duration
 	// TrafficFactor is the traffic at a time as a multiple of the usual, and MaxTrafficFactor the most that it ever is.
 	TrafficFactor    func(at time.Duration) float64
@@ -43,7 +43,7 @@
 	WorkFactor func(at time.Duration, class string, draw float64) float64
 }
 
-// Client sends requests at random times, whether or not earlier ones have been answered.
+// Client sends requests at random times, whether or not earlier ones have a response.
 type Client struct {
 	ClientOptions
 	world    *World
--- a/emulator/endpoint_handler.go
+++ b/emulator/endpoint_handler.go
@@ -13,9 +13,9 @@
 
 const (
 	queueRequest  reception = iota
-	rejectRequest           // answered before it runs
-	ignoreRequest           // never answered
-	failRequest             // answered by an error
+	rejectRequest           // with a response before it runs
+	ignoreRequest           // without a response
+	failRequest             // with an error response
 )
 
 // handleWork executes a request on a core. The process ends the handler with it.
@@ -152,7 +152,7 @@
 	_, _ = w.Write([]byte("well\n"))
 }
 
-// waitWhilePaused reports whether the request goes on.
+// waitWhilePaused waits out a pause and reports whether the request may continue.
 func (e *Endpoint) waitWhilePaused(process context.Context, r *http.Request) bool {
 	e.mu.Lock()
 	resumed := e.resumed
--- a/emulator/fault.go
+++ b/emulator/fault.go
@@ -4,7 +4,7 @@
 
 // Fault is what is wrong with an endpoint. The zero value is a healthy one.
 type Fault struct {
-	Hang            bool    // it accepts requests and answers none
+	Hang            bool    // it accepts requests and responds to none
 	ResponseLoss    float64 // part of the responses that never arrive
 	FailClass       string  // requests of this class fail ...
 	FailureRate     float64 // ... by this part, and the others don't
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -63,7 +63,7 @@
 	stop     context.CancelFunc
 
 	tables      client.Tables
-	lastContact time.Time // when the coordinator last answered
+	lastContact time.Time // when the coordinator last responded
 	balancer    balancer
 	buckets     map[string]*tokenBucket // by class
 	stats       reportStats
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -50,7 +50,7 @@
 	gateway    *Gateway
 	acks       *ackQueue
 	link       *client.Link // nil while there is none
-	connected  bool         // the audit knows that it is connected
+	connected  bool         // the audit has been informed that it is connected
 	stopPolls  func()
 	backoff    time.Duration
 	nextDial   time.Time
--- a/emulator/gateway_proxy.go
+++ b/emulator/gateway_proxy.go
@@ -134,7 +134,7 @@
 	return bucket.take(route.Rate, now)
 }
 
-// route returns the route of a class, by its fallback if the coordinator has not been heard for long.
+// route returns the route of a class, by its fallback if there was no contact with the coordinator for long.
 func (g *Gateway) route(class string) routing.Route {
 	for _, route := range g.tables.Snapshot.Routes {
 		if route.Class != class {
--- a/emulator/gateway_tables.go
+++ b/emulator/gateway_tables.go
@@ -58,7 +58,7 @@
 	return routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(entry.Addr), Zone: policyapi.Zone(entry.Zone), Weight: max(entry.Weight, minWeight)}
 }
 
-// RefreshEndpoints gives a gateway that uses all endpoints the present list.
+// RefreshEndpoints passes the present list to a gateway that uses all endpoints.
 func (g *Gateway) RefreshEndpoints() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -38,7 +38,7 @@
 	Reports                      atomic.Int64 // that were accepted
 	Deferred                     atomic.Int64 // reports that were rejected
 	LateAnswers                  atomic.Int64 // to reports, after more than a period
-	Throttled                    atomic.Int64 // reports after a longer interval that the coordinator asked for
+	Throttled                    atomic.Int64 // reports after a longer interval that the coordinator requested
 	Disconnects                  atomic.Int64
 
 	answerTimes *Tally
@@ -47,7 +47,7 @@
 // NewLightTally returns an empty tally.
 func NewLightTally() *LightTally { return &LightTally{answerTimes: NewTally()} }
 
-// AnswerTimes are the times from sending a report to its answer.
+// AnswerTimes are the times from sending a report to its response.
 func (t *LightTally) AnswerTimes() *Tally { return t.answerTimes }
 
 // LightGateway polls for its tables each period, acknowledges, reports, and counts at light endpoints what it would send.
@@ -65,7 +65,7 @@
 	versions    [routing.DocumentCount]string
 	traffic     []lightTraffic // by class
 	sentUntil   time.Duration  // up to when requests have been counted
-	lastContact time.Duration  // when the coordinator last answered
+	lastContact time.Duration  // when the coordinator last responded
 	reports     lightReports
 }
 
@@ -76,7 +76,7 @@
 	fraction                  float64 // of a request that has arrived
 }
 
-// lightReports numbers reports and knows where the next one begins.
+// lightReports numbers reports and records where the next one begins.
 type lightReports struct {
 	since  time.Duration
 	number uint64
@@ -98,7 +98,7 @@
 	return g
 }
 
-// StopReporting makes it send no more reports, while it stays connected.
+// StopReporting stops its reports; it stays connected.
 func (g *LightGateway) StopReporting() { g.muted.Store(true) }
 
 // Connected reports whether it is connected to the coordinator.
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -26,7 +26,7 @@
 
 	nextReport        time.Time
 	interval          time.Duration // until the report after the next
-	requestedInterval time.Duration // interval that the coordinator asked for
+	requestedInterval time.Duration // interval that the coordinator requested
 }
 
 // runConnection dials the coordinator, then polls, reports and sends until the connection or the context ends.
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// reportAccepted counts an accepted report and takes the interval that the coordinator asks for.
+// reportAccepted counts an accepted report and takes the interval that the coordinator requests.
 func (l *lightLink) reportAccepted(answerTime time.Duration, body []byte) {
 	g := l.gateway
 	g.Tally.Reports.Add(1)
@@ -144,9 +144,9 @@
 	}
 }
 
-// poll asks for a document until the gateway has the last version. Asking acknowledges the version before.
+// poll requests a document until the gateway has the last version. A request acknowledges the version before.
 func (l *lightLink) poll(document int) error {
-	const maxVersions = 10 // in one go; the rest with the next period
+	const maxVersions = 10 // at once; the rest with the next period
 	at := l.gateway.world.Now()
 	for range maxVersions {
 		more, err := l.pollOnce(document, at)
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// pollOnce asks for a document once; more reports whether it was a new version. At is when the connection is taken to
+// pollOnce requests a document once; more reports whether it was a new version. At is when the connection is taken to
 // have been made.
 func (l *lightLink) pollOnce(document int, at time.Duration) (more bool, err error) {
 	g := l.gateway
--- a/emulator/request.go
+++ b/emulator/request.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// reject answers that a request was rejected before it ran.
+// reject responds that a request was rejected before it ran.
 func reject(w http.ResponseWriter) {
 	w.Header().Set(headerDenied, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
--- a/emulator/tally.go
+++ b/emulator/tally.go
@@ -11,7 +11,7 @@
 // Cell is a request class in a zone.
 type Cell struct{ Class, Zone string }
 
-// Sum is what was asked of a fleet and what it achieved.
+// Sum is the demand on a fleet and what it served.
 type Sum struct {
 	Requests, OnTime, Late int
 	Demanded, Earned       float64 // priority weight
@@ -82,7 +82,7 @@
 	}
 }
 
-// RecordLatency adds the latency of an answer alone.
+// RecordLatency adds the latency of a response alone.
 func (t *Tally) RecordLatency(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,7 +141,7 @@
 	return total.Service()
 }
 
-// Latencies returns the latencies of what was answered, in microseconds, retries included.
+// Latencies returns the latencies of responses, in microseconds, retries included.
 func (t *Tally) Latencies() *hdrhistogram.Histogram {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/loadreport/pacing.go
+++ b/loadreport/pacing.go
@@ -15,7 +15,7 @@
 )
 
 // ShouldDefer reports whether a gateway should send its report later: while more than half of capacity is used by waiting
-// requests, a gateway whose last report is younger than a period lets the others go first.
+// requests, a gateway whose last report is younger than a period is deferred in favour of the others.
 func ShouldDefer(waiting, capacity int, sinceLast, period policyapi.Microseconds) bool {
 	return waiting > capacity/2 && sinceLast < period
 }
--- a/loadreport/round.go
+++ b/loadreport/round.go
@@ -71,7 +71,7 @@
 // count as the mean of the others, and in the error.
 func (s *Sampler) connectedGateways() float64 { return float64(s.stats.Reporting + s.stats.Silent) }
 
-// planFraction sets the fraction of routine lines so that they fit into the limit beside the health signals.
+// planFraction sets the fraction of routine lines so that they fit into the limit together with the health signals.
 func (s *Sampler) planFraction(seconds float64) {
 	capacity := max(0, plannedLoad*s.settings.MaxLinesPerSecond*seconds-s.round.healthSignals)
 	fraction := 1.0
--- a/loadreport/sampler.go
+++ b/loadreport/sampler.go
@@ -18,7 +18,7 @@
 	Seed              uint64                 // of the rotation
 }
 
-// EndpointLine is what a gateway met at an endpoint for one request class.
+// EndpointLine is what a gateway observed at an endpoint for one request class.
 type EndpointLine struct {
 	Endpoint policyapi.EndpointID
 	Attempts int
--- a/registry/eureka/doc.go
+++ b/registry/eureka/doc.go
@@ -1,5 +1,5 @@
 // Package eureka reads the endpoint list from a Eureka registry by its REST operations, and can keep an instance of its
-// own registered there. Bodies are JSON or XML, as the registry answers. What follows from an instance's state is
+// own registered there. Bodies are JSON or XML, as the registry is configured to respond. What follows from an instance's state is
 // decided by package membership.
 //
 // A [Client] polls one registry: Run works in the caller's goroutine until the context ends and delivers each result, or
--- a/registry/eureka/options.go
+++ b/registry/eureka/options.go
@@ -12,7 +12,7 @@
 // Options configure a Client.
 type Options struct {
 	Name             string   // of the source
-	Addresses        []string // base URLs of the peers, such as http://127.0.0.1:8761/eureka; one that answers is kept
+	Addresses        []string // base URLs of the peers, such as http://127.0.0.1:8761/eureka; the client stays with one that responds
 	App              string   // one application only; empty: all, or VIP
 	VIP              string   // the instances of one vip address only
 	Deltas           bool     // request deltas between snapshots; not with App or VIP
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -13,20 +13,20 @@
 	minBusySeconds = 3.0
 	// maxCostResponses is the number of responses from which on a class's cost is halved.
 	maxCostResponses = 400.0
-	// priorAnswers is the number of answers for which the mean cost of all classes counts in each class's.
+	// priorAnswers is the number of responses for which the mean cost of all classes counts in each class's.
 	priorAnswers = 30
-	// queueingUtilization is the utilization below which answers are taken not to have waited.
+	// queueingUtilization is the utilization below which answers are assumed not to have waited.
 	queueingUtilization = 0.6
 	// minUtilization is the utilization up to which nothing is learned.
 	minUtilization = 0.08
 )
 
 // CapacityEstimator learns what endpoints can do, from requests done per busy second in a histogram by utilization, and
-// what a request of each class costs beside the others, from how long it takes where requests do not wait.
+// what a request of each class costs relative to the others, from how long it takes where requests do not wait.
 type CapacityEstimator struct {
 	classes   int
 	endpoints map[policyapi.EndpointID]*throughput
-	latencies []weightedSum // by class: answers, and their latency in microseconds
+	latencies []weightedSum // by class: responses, and their latency in microseconds
 }
 
 // weightedSum sums values and their weight.
@@ -62,7 +62,7 @@
 	}
 }
 
-// NewCapacityEstimator returns an estimator for a number of request classes that knows nothing yet.
+// NewCapacityEstimator returns an estimator for a number of request classes without observations.
 func NewCapacityEstimator(classes int) *CapacityEstimator {
 	return &CapacityEstimator{
 		classes:   classes,
@@ -71,8 +71,8 @@
 	}
 }
 
-// Observe takes in what all gateways met at an endpoint in a time: its utilization, below 0 if it reports none, and its
-// load by class. Nothing is learned from an endpoint that is warming up: it would count as slow for long.
+// Observe records what all gateways observed at an endpoint in a time: its utilization, below 0 if it reports none, and its
+// load by class. Nothing is learned from an endpoint that is warming up: it would count as slow for a long time.
 func (e *CapacityEstimator) Observe(endpoint policyapi.EndpointID, seconds, utilization float64, warm bool, loads []policyapi.EndpointClassLoad) {
 	if !(utilization > minUtilization) || !warm || seconds <= 0 {
 		return
@@ -122,7 +122,7 @@
 	return all.sum / all.weight
 }
 
-// Costs returns what requests of each class cost beside the mean of all, which is 1.
+// Costs returns what requests of each class cost relative to the mean of all, which is 1.
 func (e *CapacityEstimator) Costs() []float64 {
 	costs := make([]float64, e.classes)
 	for class := range costs {
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -44,7 +44,7 @@
 	ClassFailing             // ejected for the class: no weight
 )
 
-// ClassHealth decides which endpoint fails which request class while it serves others, from what gateways met at it in
+// ClassHealth decides which endpoint fails which request class while it serves others, from what gateways observed at it in
 // each round. It stores two counts for each pair of them, halved each round.
 //
 // A pair is compared with what its peers make of the same class (the lower quartile of their failures, which stays low
@@ -81,7 +81,7 @@
 	backoff        policyapi.Microseconds
 }
 
-// NewClassHealth returns a ClassHealth for a number of request classes that knows nothing yet.
+// NewClassHealth returns a ClassHealth for a number of request classes without observations.
 func NewClassHealth(classes int) *ClassHealth {
 	return &ClassHealth{classes: classes, pairs: map[pair]*record{}, panics: make([]bool, classes)}
 }
--- a/solver/overshoot.go
+++ b/solver/overshoot.go
@@ -20,7 +20,7 @@
 // EndpointOutcome is what was planned for an endpoint and what came to it, in attempts per second of one round.
 type EndpointOutcome struct{ Planned, Actual float64 }
 
-// Observe takes in the outcomes of endpoints that serve.
+// Observe records the outcomes of endpoints that serve.
 func (e *OvershootEstimator) Observe(outcomes []EndpointOutcome) {
 	var ratios []float64
 	for _, o := range outcomes {
--- a/xds/node.go
+++ b/xds/node.go
@@ -34,7 +34,7 @@
 	// Versions are those of endpoints and routes that the checksum covers; empty: not given.
 	Versions [routing.DocumentCount]string
 	Polls    bool          // it polls for its tables; otherwise it reads files
-	MaxWait  time.Duration // longest wait of a poll; 0: it is answered at once
+	MaxWait  time.Duration // longest wait of a poll; 0: the response is sent at once
 }
 
 func (n Node) message() *corev3.Node {
--- a/xds/report.go
+++ b/xds/report.go
@@ -20,7 +20,7 @@
 	Endpoints []EndpointReport
 }
 
-// EndpointReport is what a gateway met at one endpoint in an interval, in attempts.
+// EndpointReport is what a gateway observed at one endpoint in an interval, in attempts.
 type EndpointReport struct {
 	Address       string
 	Zone          string
@@ -131,7 +131,7 @@
 	return stats
 }
 
-// NewLoadReportResponse returns the answer to a report: all clusters are wanted, once a period.
+// NewLoadReportResponse returns the response to a report: all clusters are wanted, once a period.
 func NewLoadReportResponse(period policyapi.Microseconds) *loadv3.LoadStatsResponse {
 	return &loadv3.LoadStatsResponse{
 		SendAllClusters:           true,
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -9,7 +9,7 @@
 	"porthub/coordinator"
 )
 
-// Hub answers polls. It is safe for concurrent use.
+// Hub responds to polls. It is safe for concurrent use.
 type Hub struct {
 	deltaBases int // earlier publications of a gateway that deltas may start from
 	maxPending int
@@ -73,7 +73,7 @@
 	return g
 }
 
-// Publish records a publication and answers the polls that wait for it, each by a goroutine of its own that ends with its
+// Publish records a publication and responds to the polls that wait for it, each by a goroutine of its own that ends with its
 // response: building and encoding is spread over all cores and does not hold up the caller.
 func (h *Hub) Publish(p coordinator.Publish) {
 	for _, w := range h.publish(p) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// publish returns the polls that are to be answered.
+// publish returns the polls that are due a response.
 func (h *Hub) publish(p coordinator.Publish) (due []*waiter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,7 +118,7 @@
 	pollRejected // too many wait
 )
 
-// Poll answers at once if there is something new. Otherwise the poll waits for it, until its time is up or cancel is called;
+// Poll responds at once if there is something new. Otherwise the poll waits for it, until MaxWait has passed or cancel is called;
 // after that it gets no response. Poll reports false, and does not respond, if too many polls wait already.
 func (h *Hub) Poll(r Request) (cancel func(), ok bool) {
 	result, cancel := h.admit(r)
@@ -156,7 +156,7 @@
 	}
 }
 
-// expire answers a poll whose time is up.
+// expire responds to a poll whose MaxWait has passed.
 func (h *Hub) expire(gateway *gatewayState, w *waiter) {
 	h.mu.Lock()
 	removed := h.remove(gateway, w)
--- a/xdspoll/request.go
+++ b/xdspoll/request.go
@@ -19,7 +19,7 @@
 	Gateway  coordinator.Gateway
 	Document coordinator.Document
 	Version  string        // that the gateway has applied; empty: none
-	MaxWait  time.Duration // for something new; 0: the poll is answered at once
+	MaxWait  time.Duration // for something new; 0: the response is sent at once
 	// Delta requests single endpoints or routes in place of a complete document: those that differ from the publication
 	// with this Nonce or, if it is not known, from these resource Versions by name.
 	Delta    bool
@@ -29,7 +29,7 @@
 	Respond func(response *Response, err error)
 }
 
-// Response answers a poll. Gateways that need the same share its resources.
+// Response is the response to a poll. Gateways that need the same share its resources.
 type Response struct {
 	Version string
 	Nonce   string
