--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -34,7 +34,7 @@
 	result.Lines = float64(offered) / elapsed
 	result.LinesAccepted = float64(accepted) / elapsed
 	result.Steps = last.StepTimes
-	result.AnswerTime = latencyOf(f.tally.AnswerTimes().Latencies())
+	result.ResponseTime = latencyOf(f.tally.ResponseTimes().Latencies())
 	result.DrainTime = latencyOf(f.drainTimes.Latencies())
 	result.LateAnswers = f.tally.LateAnswers.Load()
 	result.Deferred = f.tally.Deferred.Load()
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -43,7 +43,7 @@
 	Reports          float64   `json:"reports_per_s"`
 	Lines            float64   `json:"lines_per_s"`
 	LinesAccepted    float64   `json:"lines_taken_per_s"`
-	AnswerTime       Latency   `json:"answer_ms"` // from sending a report to its response
+	ResponseTime     Latency   `json:"answer_ms"` // from sending a report to its response
 	DrainTime        Latency   `json:"drain_ms"`  // from an endpoint's draining in the list to a gateway's table without it
 	LateAnswers      int64     `json:"late"`      // to reports, after more than a period
 	Deferred         int64     `json:"deferred"`  // reports that were rejected with 429 and 503
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -41,14 +41,14 @@
 	Throttled                    atomic.Int64 // reports after a longer interval that the coordinator requested
 	Disconnects                  atomic.Int64
 
-	answerTimes *Tally
+	responseTimes *Tally
 }
 
 // NewLightTally returns an empty tally.
-func NewLightTally() *LightTally { return &LightTally{answerTimes: NewTally()} }
+func NewLightTally() *LightTally { return &LightTally{responseTimes: NewTally()} }
 
-// AnswerTimes are the times from sending a report to its response.
-func (t *LightTally) AnswerTimes() *Tally { return t.answerTimes }
+// ResponseTimes are the times from sending a report to its response.
+func (t *LightTally) ResponseTimes() *Tally { return t.responseTimes }
 
 // LightGateway polls for its tables each period, acknowledges, reports, and counts at light endpoints what it would send.
 type LightGateway struct {
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -98,11 +98,11 @@
 }
 
 // reportAccepted counts an accepted report and takes the interval that the coordinator requests.
-func (l *lightLink) reportAccepted(answerTime time.Duration, body []byte) {
+func (l *lightLink) reportAccepted(responseTime time.Duration, body []byte) {
 	g := l.gateway
 	g.Tally.Reports.Add(1)
-	g.Tally.answerTimes.RecordLatency(answerTime)
-	if answerTime > g.ReportPeriod {
+	g.Tally.responseTimes.RecordLatency(responseTime)
+	if responseTime > g.ReportPeriod {
 		g.Tally.LateAnswers.Add(1)
 	}
 	if l.requestedInterval > g.ReportPeriod {
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -13,8 +13,8 @@
 	minBusySeconds = 3.0
 	// maxCostResponses is the number of responses from which on a class's cost is halved.
 	maxCostResponses = 400.0
-	// priorAnswers is the number of responses for which the mean cost of all classes counts in each class's.
-	priorAnswers = 30
+	// priorResponses is the number of responses for which the mean cost of all classes counts in each class's.
+	priorResponses = 30
 	// queueingUtilization is the utilization below which answers are assumed not to have waited.
 	queueingUtilization = 0.6
 	// minUtilization is the utilization up to which nothing is learned.
@@ -138,5 +138,5 @@
 	}
 	mean := all.sum / all.weight
 	latency := e.latencies[class]
-	return (latency.sum + priorAnswers*mean) / (latency.weight + priorAnswers) / mean
+	return (latency.sum + priorResponses*mean) / (latency.weight + priorResponses) / mean
 }
--- a/xdspoll/respond.go
+++ b/xdspoll/respond.go
@@ -6,7 +6,7 @@
 	"porthub/xds"
 )
 
-// respond responds to a poll with the last publication.
+// respond completes a poll with the last publication.
 func (h *Hub) respond(r Request) {
 	h.mu.Lock()
 	g := h.gateway(r.Gateway)
