--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -21,17 +21,17 @@
 		Classes: []Class{{Name: "view", Idempotent: true}, {Name: "save"}}}
 }
 
-// longAgo is an endpoint that is warm.
+// longAgo is an endpoint that is warmed up.
 func longAgo(state EndpointState) ListedEndpoint {
 	return ListedEndpoint{State: state, StartedAt: -time.Hour, Zone: "a"}
 }
 
-// unknownStart is an endpoint whose start the list does not say.
+// unknownStart is an endpoint whose start is not in the list.
 func unknownStart(state EndpointState) ListedEndpoint { return ListedEndpoint{State: state} }
 
 func startedAt(at time.Duration) ListedEndpoint { return ListedEndpoint{State: Ready, StartedAt: at} }
 
-// calmDay has one gateway connected from the start, one warm endpoint and one that starts at 20 s.
+// calmDay has one gateway connected from the start, one warmed-up endpoint and one that starts at 20 s.
 func calmDay() *Log {
 	l := NewLog(testLimits())
 	l.CoordinatorRunning(0, true)
@@ -190,7 +190,7 @@
 		{"too many messages", Queue, true, 1.05, func(l *Log) { sendMessages(l, 22) }},
 		{"as many messages as allowed", Queue, false, 0.9, func(l *Log) { sendMessages(l, 18) }},
 		{"overtaken messages count", Queue, true, 1.05, func(l *Log) { l.TableApplied(23*s, 23*s, "gw", "e.40", tableOf("n1")) }},
-		{"too many lines on their way", Queue, true, 1.1, func(l *Log) { publishWideTable(l, 60) }},
+		{"too many lines in flight", Queue, true, 1.1, func(l *Log) { publishWideTable(l, 60) }},
 		{"lines that fit", Queue, false, 0.5, func(l *Log) { publishWideTable(l, 30) }},
 	}
 }
--- a/audit/drain.go
+++ b/audit/drain.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// evaluateDrains: nothing is sent to a draining or removed endpoint after the grace period. It runs from the list's
+// evaluateDrains checks that nothing is sent to a draining or removed endpoint after the grace period. The period begins with the list's
 // change, the coordinator's start or the gateway's connection, whichever is latest.
 func (l *Log) evaluateDrains(end time.Duration) Verdict {
 	worst := &peak{}
@@ -44,7 +44,7 @@
 	})
 }
 
-// drainChange is an endpoint that begins or ceases to drain.
+// drainChange is an endpoint that begins or stops draining.
 type drainChange struct {
 	at       time.Duration
 	endpoint string
@@ -59,7 +59,7 @@
 	}
 }
 
-// drainChanges follows the lists. An endpoint that was never listed is no removed one.
+// drainChanges follows the lists. An endpoint that was never listed does not count as removed.
 func (l *Log) drainChanges() []drainChange {
 	var changes []drainChange
 	known := map[string]ListedEndpoint{}
--- a/audit/empty_table.go
+++ b/audit/empty_table.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// evaluateEmptyTables: a connected gateway must not stay without an endpoint for a class while the list has a ready one
-// that is warm.
+// evaluateEmptyTables checks that no connected gateway stays without an endpoint for a class while the list has a ready
+// one that is warmed up.
 func (l *Log) evaluateEmptyTables(end time.Duration) Verdict {
 	worst := &peak{}
 	for _, name := range slices.Sorted(maps.Keys(l.gateways)) {
@@ -82,7 +82,7 @@
 	return count, known
 }
 
-// canBeServed reports whether the list has a warm ready endpoint for a class.
+// canBeServed reports whether the list has a warmed-up ready endpoint for a class.
 func (l *Log) canBeServed(class Class, at time.Duration) bool {
 	list := l.listAt(at)
 	if list == nil {
--- a/audit/log.go
+++ b/audit/log.go
@@ -163,8 +163,8 @@
 	e.arrivals = append(e.arrivals, arrival{at: at, work: work, gateway: gateway})
 }
 
-// RequestExecuted records that a request took effect at an endpoint. The number of the client's attempt tells the
-// client's retries from those of the gateway.
+// RequestExecuted records that a request took effect at an endpoint. The number of the client's attempt distinguishes
+// the client's retries from those of the gateway.
 func (l *Log) RequestExecuted(class string, request uint64, clientAttempt int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +197,7 @@
 	l.coordinator = setState(l.coordinator, at, running)
 }
 
-// TableApplied records that a gateway uses a table from now on. Written is when its file was written; the version is
+// TableApplied records that a gateway uses a table from a time on. Written is when its file was written; the version is
 // empty for a table that comes from elsewhere than the coordinator.
 func (l *Log) TableApplied(at, written time.Duration, gateway, versionText string, snapshot routing.Snapshot) {
 	l.mu.Lock()
@@ -215,7 +215,7 @@
 	l.completeDocs++
 	g.current = snapshot
 	g.tables = append(g.tables, table)
-	// Answers to polls have no time of writing: for them both times are about the same.
+	// Responses to polls have no time of writing: for them both times are about the same.
 	if versionText != "" && at > written+100*time.Microsecond {
 		_ = l.delivery.RecordValue(max(1, (at - written).Microseconds()))
 	}
@@ -236,7 +236,7 @@
 	g.acks = append(g.acks, acknowledgement{at: at, version: parseVersion(versionText)})
 }
 
-// EndpointList records what the endpoint list says from now on. The map must not be changed afterwards.
+// EndpointList records the endpoint list that is valid from a time on. The map must not be changed afterwards.
 func (l *Log) EndpointList(at time.Duration, endpoints map[string]ListedEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/audit/queue.go
+++ b/audit/queue.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// evaluateQueue: the messages to one gateway in a window, and the lines on their way to all, stay within their limits.
+// evaluateQueue checks that the messages to one gateway in a window, and the lines in flight to all, stay within their
+// limits.
 func (l *Log) evaluateQueue() Verdict {
 	worst := &peak{}
 	var events []queueEvent
@@ -25,7 +26,7 @@
 			continue
 		}
 		worst.raise(queue.lines/l.limits.QueueLimit, func() string {
-			return strconv.FormatFloat(queue.lines, 'f', 0, 64) + " lines on their way at " + milliseconds(event.at)
+			return strconv.FormatFloat(queue.lines, 'f', 0, 64) + " lines in flight at " + milliseconds(event.at)
 		})
 	}
 	return worst.verdict()
@@ -72,7 +73,7 @@
 	gatewayDisconnected
 )
 
-// queueEvent is what changes the lines on their way to a gateway.
+// queueEvent is what changes the lines in flight to a gateway.
 type queueEvent struct {
 	at      time.Duration
 	kind    queueEventKind
@@ -107,7 +108,7 @@
 	return events
 }
 
-// lineQueue holds the messages that have not been acknowledged.
+// lineQueue is the messages that have not been acknowledged.
 type lineQueue struct {
 	byGateway map[string][]queuedMessage
 	lines     float64 // of all
@@ -133,7 +134,7 @@
 	})
 }
 
-// removes reports whether a message is no longer on its way after the event. An acknowledgement covers the messages
+// removes reports whether a message is no longer in flight after the event. An acknowledgement covers the messages
 // before it too, and those of earlier starts.
 func (e queueEvent) removes(m queuedMessage) bool {
 	return e.kind == gatewayDisconnected || m.version.epoch != e.version.epoch || m.version.number <= e.version.number
--- a/audit/rules.go
+++ b/audit/rules.go
@@ -26,12 +26,12 @@
 	InitialCapacity       float64       // capacity at the beginning of the warm-up, as a part of the full one
 	OverloadFactor        float64       // work that may come to an endpoint that warms up, as a multiple of its capacity
 	OverloadWindow        time.Duration // over which that is measured
-	QueueLimit            float64       // lines on their way to all gateways
+	QueueLimit            float64       // lines in flight to all gateways
 	MessageOverhead       float64       // lines that a message counts for in addition to its own
 	MessageLimit          int           // messages to one gateway in a window; 0: no limit
 	MessageWindow         time.Duration
 	Classes               []Class
-	// WithoutCoordinator: gateways have their tables from elsewhere, and are taken to know what is in them.
+	// WithoutCoordinator is set for baselines: gateways have their tables from elsewhere, and count as informed by them.
 	WithoutCoordinator bool
 }
 
@@ -42,7 +42,7 @@
 	Zones      []string // where it can be served; empty: everywhere
 }
 
-// Verdict says whether a rule was satisfied.
+// Verdict is whether a rule was satisfied, and how nearly it was not.
 type Verdict struct {
 	Satisfied bool `json:"kept"`
 	// PeakUsage is the part of the limit that was used at the worst moment.
@@ -50,7 +50,7 @@
 	Detail    string  `json:"where,omitempty"` // of the worst moment
 }
 
-// Evaluate judges each rule by what was observed up to the given time.
+// Evaluate returns the verdict on each rule, by name, from what was observed up to the given time.
 func (l *Log) Evaluate(end time.Duration) map[string]Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,7 +69,7 @@
 	detail string
 }
 
-// raise takes a moment in if it is worse than those before. Only then detail is called.
+// raise records a moment if it is worse than those before. Only then detail is called.
 func (p *peak) raise(usage float64, detail func() string) {
 	if usage > p.usage {
 		p.usage = usage
@@ -84,7 +84,7 @@
 // milliseconds shows a time to the millisecond.
 func milliseconds(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// evaluateDuplicateEffects: what gateways retry by themselves must not be executed twice unless it is idempotent.
+// evaluateDuplicateEffects checks that no request is executed twice by a gateway's own retry unless it is idempotent.
 func (l *Log) evaluateDuplicateEffects() Verdict {
 	idempotent := map[string]bool{}
 	for _, class := range l.limits.Classes {
--- a/audit/warm_up.go
+++ b/audit/warm_up.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// evaluateWarmUps: within any window the work that arrives at an endpoint that warms up stays below a multiple of its
-// capacity; the work of two requests is left to chance. All work counts if two thirds of it came from gateways that knew
+// evaluateWarmUps checks that within any window the work that arrives at an endpoint that warms up stays below a multiple
+// of its capacity; the work of two requests is allowed on top, as requests arrive at random. All work counts if two thirds of it came from gateways that knew
 // of the start: whose last file was written after the list had named it, or whose coordinator had known of it for the
 // grace period. The others could not have known; what the knowing ones send must stay below the limit by itself too.
 func (l *Log) evaluateWarmUps(end time.Duration) Verdict {
@@ -69,7 +69,7 @@
 	knowing bool
 }
 
-// add takes an arrival in and drops those that are too old by then.
+// add adds an arrival and drops those that have left the window by then.
 func (w *overloadWindow) add(a arrival, knowing bool) {
 	w.arrivals = append(w.arrivals, windowArrival{arrival: a, knowing: knowing})
 	w.work += a.work
--- a/capture/explain.go
+++ b/capture/explain.go
@@ -22,7 +22,7 @@
 	Version string              `json:"version"`
 	Classes []string            `json:"request_kinds"`
 	Weights []float64           `json:"weights"` // by class, as a part of the sum of its cluster
-	// Confirmed: the gateway has acknowledged this version; otherwise it is on its way.
+	// Confirmed: the gateway has acknowledged this version; otherwise it is in flight.
 	Confirmed    bool                   `json:"confirmed"`
 	Since        policyapi.Microseconds `json:"since_us"` // when the weight was first sent to it
 	Attempts     int                    `json:"tries"`    // in its last report before that time
--- a/capture/explanation.go
+++ b/capture/explanation.go
@@ -19,7 +19,7 @@
 }
 
 // gatewayTables lists the gateways that had the endpoint in their tables: by the version that they acknowledged or, if
-// that is without it, by the one on its way.
+// that is without it, by the one in flight.
 func (h *endpointHistory) gatewayTables() []GatewayTable {
 	var out []GatewayTable
 	for _, name := range slices.Sorted(maps.Keys(h.gateways)) {
--- a/client/link.go
+++ b/client/link.go
@@ -81,7 +81,7 @@
 	return l.post(ctx, path, xds.NewAcknowledgement(l.node, typeURL, version, u.Document.Nonce, rejection), nil)
 }
 
-// Report sends what the gateway met in an interval and returns how long the next interval should be.
+// Report sends what the gateway observed in an interval and returns how long the next interval should be.
 func (l *Link) Report(ctx context.Context, interval time.Duration, classes []xds.ClassReport) (time.Duration, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/registry/eureka/cache.go
+++ b/registry/eureka/cache.go
@@ -52,7 +52,7 @@
 	c.recordRemovals(before)
 }
 
-// ApplyDelta applies a delta. It reports false, and keeps the state as it was, if the result does not have the registry's
+// ApplyDelta applies a delta. It reports false, and leaves the state unchanged, if the result does not have the registry's
 // hash or there is no snapshot: then a snapshot has to be fetched.
 func (c *Cache) ApplyDelta(delta Applications) bool {
 	if !c.complete {
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -96,7 +96,7 @@
 	return due
 }
 
-// remove takes a waiting poll off, and reports whether it still waited. The caller holds the mutex.
+// remove removes a waiting poll, and reports whether it was still waiting. The caller holds the mutex.
 func (h *Hub) remove(gateway *gatewayState, w *waiter) bool {
 	if w.answered {
 		return false
--- a/xdspoll/shared.go
+++ b/xdspoll/shared.go
@@ -22,8 +22,8 @@
 	err      error
 }
 
-// sharedResponse builds a response once for all gateways that go from the same clusters to the same. The core gives the
-// very same slices to gateways of one zone with one table, so the address of a slice is its identity.
+// sharedResponse builds a response once for all gateways that go from the same clusters to the same. The core passes the
+// same slices to all gateways of one zone with one table, so the address of a slice is its identity.
 func (h *Hub) sharedResponse(from, to []routing.Cluster, build func() (*xds.SharedResponse, error)) (*xds.SharedResponse, error) {
 	entry := &sharedEntry{from: from, to: to}
 	if cached, ok, _ := h.responses.PeekOrAdd(sharedKey(from, to), entry); ok {
