--- a/chaos/endpoint_list.go
+++ b/chaos/endpoint_list.go
@@ -80,7 +80,7 @@
 	return out
 }
 
-// setListed changes what the list says of an endpoint, after a delay.
+// setListed changes an endpoint's entry in the list, after a delay.
 func (f *fleet) setListed(e *emulator.Endpoint, state audit.EndpointState, delay time.Duration) {
 	_, startedAt := e.Running()
 	f.pending.Add(1)
@@ -99,7 +99,7 @@
 	})
 }
 
-// writeList writes the endpoint list to its file or registry, and tells the audit.
+// writeList writes the endpoint list to its file or registry, and records it in the audit.
 func (f *fleet) writeList() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/chaos/fault_gateways.go
+++ b/chaos/fault_gateways.go
@@ -50,7 +50,7 @@
 	}
 	f.coordinator.kill()
 	f.sleep(duration(in.Duration))
-	_ = f.coordinator.start() // the process keeps its failures
+	_ = f.coordinator.start() // failures to start are recorded by the process
 }
 
 func (in injection) isolateGateways() {
@@ -113,7 +113,7 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// breakList spoils the list's file in three ways, for a third of the time each.
+// breakList makes the list's file invalid in three ways, for a third of the time each.
 func (in injection) breakList() {
 	f := in.fleet
 	path := listPath(f.dir)
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -48,7 +48,7 @@
 	listFrozen bool // a fault spoils the list's file
 }
 
-// listedEndpoint is what the list says of an endpoint.
+// listedEndpoint is an endpoint's entry in the endpoint list.
 type listedEndpoint struct {
 	state     audit.EndpointState
 	startedAt time.Duration // below 0: long ago
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -40,7 +40,8 @@
 
 // RunLoadReports starts a coordinator and has light gateways report to it while faults are injected: endpoints that fail
 // everywhere at once, drains, a mass restart, the coordinator's own restart, gateways that stop reporting, and peers that
-// send garbage or a byte per second. An error is one of the machine; violated rules and failed checks are in the result.
+// send garbage or a byte per second. An error means that the run could not be carried out (files, processes); violated rules
+// and failed checks are in the result.
 func RunLoadReports(o LoadReportOptions) (LoadReportResult, error) {
 	result := LoadReportResult{Scenario: "intake", Seed: o.Seed, Gateways: o.Gateways, Endpoints: o.Endpoints,
 		MaxLinesPerSecond: o.MaxLinesPerSecond, CoordinatorCores: o.CoordinatorCores}
@@ -186,7 +187,7 @@
 	f.hasDrained[gateway] = has
 }
 
-// writeList writes the endpoint list and tells the audit and the endpoints.
+// writeList writes the endpoint list, and records it in the audit and at the endpoints.
 func (f *lightFleet) writeList() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/chaos/poll_watch.go
+++ b/chaos/poll_watch.go
@@ -22,7 +22,7 @@
 // errNoPollAnswered is returned if a drain reached no gateway.
 var errNoPollAnswered = errors.New("no poll was answered with the drain")
 
-// noteDisconnect notes why a connection ended.
+// noteDisconnect records why a connection ended.
 func (w *pollWatch) noteDisconnect(err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -32,7 +32,7 @@
 	Polls     int `json:"polls"` // two for each gateway, a connection each
 	// ConnectSeconds is how long it took until every gateway had its tables.
 	ConnectSeconds float64 `json:"joined_s"`
-	// KiBPerPoll is the coordinator's memory for each held poll, from before the first until all are held.
+	// KiBPerPoll is the coordinator's memory for each waiting poll, in KiB: its growth from before the first until all wait.
 	KiBPerPoll float64 `json:"kib_per_poll"`
 	// Holders are the gateways with the endpoint that is drained in their tables, and Wake the times from its draining in
 	// the list to their tables without it.
@@ -43,8 +43,8 @@
 	Disconnects int     `json:"broke"` // connections that broke and were dialled again
 }
 
-// RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains an endpoint once all polls are
-// held.
+// RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains an endpoint once all polls
+// wait.
 func RunPolls(command []string, gateways, endpoints int) (PollResult, error) {
 	result := PollResult{Gateways: gateways, Endpoints: endpoints, Polls: 2 * gateways}
 	dir, output, remove, err := workDirWithLog("", "porthub-polls-")
@@ -124,7 +124,7 @@
 		return err
 	}
 	result.ConnectSeconds = time.Since(start).Seconds()
-	const settling = 3 * time.Second // what follows the connections has arrived
+	const settling = 3 * time.Second // until the updates that follow the connections have arrived
 	time.Sleep(settling)
 	result.KiBPerPoll = float64(currentResident(m.coordinator.pid())-memoryBefore) / float64(result.Polls)
 	result.Holders = m.watch.begin(time.Now())
--- a/chaos/registry.go
+++ b/chaos/registry.go
@@ -18,7 +18,7 @@
 const registryApp = "CALC"
 
 // eurekaRegistry is an emulated Eureka registry with two peers that the coordinator reads in place of the list's file.
-// The audit takes an endpoint to be draining or removed from the moment when a peer has first said so without a fault
+// The audit takes an endpoint to be draining or removed from the moment when a peer has first published it without a fault
 // that hides it: no coordinator can know it sooner. It is safe for concurrent use.
 type eurekaRegistry struct {
 	registry *eureka.Registry
@@ -27,10 +27,10 @@
 	mu          sync.Mutex // guards all below
 	pending     []pendingList
 	registered  map[string]eureka.Instance // by address
-	propagation *hdrhistogram.Histogram    // from a change until a peer has said it, microseconds
+	propagation *hdrhistogram.Histogram    // from a change until a peer has published it, microseconds
 }
 
-// pendingList is a state of the list that no peer has said yet.
+// pendingList is a state of the list that no peer has published yet.
 type pendingList struct {
 	revision int
 	at       time.Time
@@ -42,7 +42,7 @@
 	Calls   int   `json:"calls"`
 	Bytes   int64 `json:"bytes"`
 	Changes int64 `json:"changes"`
-	// PropagationTime is from a change at the registry until a peer has said it; from there on see latency_ms.
+	// PropagationTime is from a change at the registry until a peer has published it; from there on see latency_ms.
 	PropagationTime Latency `json:"told_ms"`
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// recordRevision records the lists that a peer has said by saying a revision.
+// recordRevision records the lists that a peer has published with a revision.
 func (r *eurekaRegistry) recordRevision(revision int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// update brings the registry to the list; record is called once a peer has said it.
+// update brings the registry to the list; record is called once a peer has published it.
 func (r *eurekaRegistry) update(worldStart time.Time, endpoints []*emulator.Endpoint, listed map[string]*listedEndpoint, record func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -27,7 +27,8 @@
 	Dir        string // kept if given; otherwise a directory of its own, removed at the end
 }
 
-// Run runs a scenario. An error is one of the machine; violated rules and failed checks are in the result.
+// Run runs a scenario. An error means that the run could not be carried out (files, processes); violated rules
+// and failed checks are in the result.
 func Run(s Scenario, o Options) (Result, error) {
 	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, Cells: map[string]float64{}, Classes: map[string]float64{}}
 	dir, remove, err := workDir(o.Dir, "porthub-drill-")
--- a/emulator/balancer.go
+++ b/emulator/balancer.go
@@ -13,7 +13,7 @@
 	ejections map[string]*ejection          // by endpoint
 }
 
-// ejection is how an endpoint has fared with this gateway.
+// ejection is the record of an endpoint's recent failures with this gateway.
 type ejection struct {
 	consecutiveFailures int
 	until               time.Duration // it is passed over until then
@@ -79,7 +79,7 @@
 	return e != nil && e.until > now
 }
 
-// record notes the outcome of an attempt. After so many consecutive failures the endpoint is ejected for a while; 0: never.
+// record records the outcome of an attempt. After so many consecutive failures the endpoint is ejected for a while; 0: never.
 func (b *balancer) record(endpoint string, failed bool, ejectAfter int, until time.Duration) {
 	e := b.ejections[endpoint]
 	if e == nil {
@@ -97,7 +97,7 @@
 	}
 }
 
-// tokenBucket holds the tokens of a rate, up to those of a quarter of a second and at least one.
+// tokenBucket is a token bucket that holds the tokens of a quarter of a second, and at least one.
 type tokenBucket struct {
 	tokens  float64
 	updated time.Duration
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -64,7 +64,7 @@
 	work float64 // core seconds
 }
 
-// add takes work in and drops what is older than the window.
+// add adds work and drops what is older than the window.
 func (r *recentWork) add(at time.Duration, work float64, window time.Duration) {
 	r.arrivals = append(r.arrivals, workArrival{at: at, work: work})
 	r.total += work
@@ -91,7 +91,7 @@
 	u.updated = at
 }
 
-// NewEndpoint starts an endpoint that is warm.
+// NewEndpoint starts an endpoint that is warmed up.
 func NewEndpoint(w *World, o EndpointOptions) (*Endpoint, error) {
 	e := &Endpoint{EndpointOptions: o, world: w, rng: w.Rand("node " + o.Name), startedAt: -time.Hour, resumed: make(chan struct{})}
 	close(e.resumed)
@@ -231,7 +231,7 @@
 	}
 }
 
-// updateUtilization takes the time since the last change of executing in. It must be called before each change.
+// updateUtilization accounts for the time since the last change of executing. It must be called before each change.
 func (e *Endpoint) updateUtilization(at time.Duration) {
 	e.utilization.update(at, float64(e.executing)/float64(e.Cores))
 }
--- a/emulator/endpoint_handler.go
+++ b/emulator/endpoint_handler.go
@@ -8,7 +8,7 @@
 	"porthub/xds"
 )
 
-// reception is what becomes of a request that arrives.
+// reception is how an endpoint treats a request that arrives.
 type reception int
 
 const (
@@ -56,7 +56,7 @@
 	_, _ = w.Write([]byte("done\n"))
 }
 
-// receive decides what becomes of a request. The draw decides its later faults too.
+// receive decides how a request is treated. The draw decides its later faults too.
 func (e *Endpoint) receive(request workRequest, now time.Duration) (decision reception, draw float64, cores chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -25,7 +25,7 @@
 	// List returns the endpoint list. It is read only for the initial table.
 	List             func() []ListEntry
 	InitialTableSize int  // endpoints of the initial table at most
-	UseAllEndpoints  bool // a baseline: one table of all listed endpoints, immediately and for ever
+	UseAllEndpoints  bool // a baseline: one table of all listed endpoints, immediately and permanently
 	EjectAfter       int  // consecutive failures after which an endpoint is passed over; 0: never
 	EjectionTime     time.Duration
 	Polls            bool          // it polls for its tables, by deltas; otherwise it reads files
@@ -49,14 +49,14 @@
 	http  *http.Client
 
 	// Corrupt changes each table before it is used, and AlwaysRetry makes the gateway retry what must not be retried:
-	// so that the audit can be seen to find it. Both must be set before Start.
+	// so that tests can check that the audit detects it. Both must be set before Start.
 	Corrupt     func(*routing.Snapshot)
 	AlwaysRetry bool
 
 	mu       sync.Mutex // guards all below
 	rng      *rand.Rand
 	running  bool
-	isolated bool // no way to a coordinator
+	isolated bool // it can't reach a coordinator
 	ackFault ackFault
 	server   *http.Server
 	conns    map[net.Conn]bool // to the coordinator
@@ -71,7 +71,7 @@
 	goroutines sync.WaitGroup // of the running process; Kill waits for them
 }
 
-// ackFault is what is wrong with a gateway's acknowledgements.
+// ackFault is a fault of a gateway's acknowledgements.
 type ackFault struct {
 	withhold bool
 	delay    time.Duration
--- a/emulator/light_endpoint.go
+++ b/emulator/light_endpoint.go
@@ -41,7 +41,7 @@
 	queue       float64 // requests
 }
 
-// NewLightEndpoint returns a warm endpoint whose requests take so many core seconds each.
+// NewLightEndpoint returns a warmed-up endpoint whose requests take so many core seconds each.
 func NewLightEndpoint(w *World, name, zone string, cores, work float64) *LightEndpoint {
 	e := &LightEndpoint{Name: name, Zone: zone, Cores: cores, world: w, work: work, startedAt: -time.Hour}
 	e.listed.Store(int32(audit.Ready))
@@ -49,7 +49,7 @@
 	return e
 }
 
-// SetListed says what the endpoint list has of it.
+// SetListed sets its state in the endpoint list.
 func (e *LightEndpoint) SetListed(s audit.EndpointState) { e.listed.Store(int32(s)) }
 
 // SetFailing makes it fail all attempts, or serve again.
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -104,7 +104,7 @@
 // Connected reports whether it is connected to the coordinator.
 func (g *LightGateway) Connected() bool { return g.connected.Load() }
 
-// Reported tells whether a report of it has been accepted.
+// Reported reports whether a load report of it has been accepted.
 func (g *LightGateway) Reported() bool { return g.reported.Load() }
 
 // Run goes on until the context ends; a broken connection is dialled again after a pause.
--- a/testutil/golden.go
+++ b/testutil/golden.go
@@ -34,7 +34,7 @@
 
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Updating tells whether golden files are being written. A test that needs an old file to read may not write one then.
+// Updating reports whether golden files are being written. A test that needs an old file to read may not write one then.
 func Updating() bool { return *update }
 
 // ReadGolden reads a golden file.
