--- a/config/degradation.go
+++ b/config/degradation.go
@@ -74,7 +74,7 @@
 	b.RetryPolicy = inheritRetryPolicy
 }
 
-// Fallback is what a gateway does by its last table while it reaches no coordinator.
+// Fallback is the level at which a gateway serves while it reaches no coordinator. It is part of its tables.
 type Fallback struct {
 	Level    string   `json:"level"` // empty: the table applies unchanged
 	After    Duration `json:"after"` // since the last message of a coordinator
--- a/loadreport/gateway.go
+++ b/loadreport/gateway.go
@@ -21,7 +21,7 @@
 	silentPeriods = 5
 )
 
-// gateway is what the sampler knows of one gateway.
+// gateway is the sampler's state of one gateway.
 type gateway struct {
 	phase        float64 // its place in the rotation, 0 to 1
 	demand       float64 // usual requests per second, smoothed
--- a/loadreport/sampler.go
+++ b/loadreport/sampler.go
@@ -25,7 +25,7 @@
 	Failures int
 }
 
-// SamplingDecision is what becomes of the lines of one report.
+// SamplingDecision is how the lines of one report are taken.
 type SamplingDecision struct {
 	// IncludeRoutine reports whether routine lines are taken; each counts for Weight of them.
 	IncludeRoutine bool
--- a/registry/eureka/registration.go
+++ b/registry/eureka/registration.go
@@ -22,7 +22,7 @@
 	maxIgnoredBytes = 1 << 20
 )
 
-// registrationState is what the registration's goroutine knows.
+// registrationState is the state of the registration's goroutine.
 type registrationState struct {
 	path       string // of the application
 	peer       int    // index of the address in use
--- a/solver/activation.go
+++ b/solver/activation.go
@@ -3,23 +3,23 @@
 import "fmt"
 
 const (
-	// enterOverload is the part of an endpoint's limit above which the weights wanted break it, for enterRounds rounds in
-	// a row.
+	// enterOverload is the fraction of an endpoint's limit above which the wanted weights count as exceeding it. Solutions
+	// apply after enterRounds such rounds in a row.
 	enterOverload = 1.15
 	enterRounds   = 2
-	// leaveOverload is the part of every endpoint's limit below which the weights wanted keep it, for leaveRounds rounds
-	// in a row.
+	// leaveOverload is the fraction of every endpoint's limit below which the wanted weights count as within it. Solutions
+	// stop applying after leaveRounds such rounds in a row.
 	leaveOverload = 0.95
 	leaveRounds   = 3
 )
 
-// Activation decides when solutions replace the weights wanted. These pass unchanged while they keep the limits. Solutions
-// apply from when the limits are clearly broken until they have clearly been kept for some rounds, and change a bounded
-// number of tables in each round.
+// Activation decides when solutions replace the wanted weights. These pass unchanged while they are within the limits.
+// Solutions apply from when the limits are clearly exceeded until they have clearly been met for some rounds, and change a
+// bounded number of tables in each round. It is not safe for concurrent use.
 type Activation struct {
 	active            bool
-	overLimitRounds   int                // in a row in which limits were broken
-	withinLimitRounds int                // in a row in which limits were kept
+	overLimitRounds   int                // in a row in which limits were exceeded
+	withinLimitRounds int                // in a row in which limits were met
 	prices            map[string]float64 // of the last solution, by endpoint name
 	tables            map[TableKey]Table // that replace the wanted ones
 }
@@ -30,7 +30,7 @@
 	// Tables replace the wanted ones; a table that is not among them is as wanted. They are valid until the next Step.
 	Tables map[TableKey]Table
 	Moved  int // tables that changed in this round
-	// WorstUtilization is the largest load that the weights wanted bring an endpoint, as a part of its limit.
+	// WorstUtilization is the largest load of an endpoint by the wanted weights, as a fraction of its limit.
 	WorstUtilization float64
 	WorstEndpoint    string
 	Certificate      *Certificate // nil unless active
@@ -42,7 +42,7 @@
 	return &Activation{prices: map[string]float64{}, tables: map[TableKey]Table{}}
 }
 
-// Step takes the fleet of one round with the weights wanted in it. A table that gives weight to an endpoint which fails the
+// Step takes the fleet of one round with the wanted weights in it. A table that gives weight to an endpoint which fails the
 // class, and an overloaded endpoint that is warming up, activate at once. While keepActive is set an active solution stays
 // active: an endpoint is on trial.
 func (a *Activation) Step(f Fleet, keepActive bool) Round {
@@ -104,11 +104,11 @@
 	return solution
 }
 
-// wantedLoads is what the weights wanted bring.
+// wantedLoads is the load of the endpoints by the wanted weights.
 type wantedLoads struct {
 	worst         float64 // largest load, as a part of the endpoint's limit
 	worstEndpoint string
-	urgent        string // what must not wait, as text; empty: nothing
+	urgent        string // why solutions must apply at once, as text; empty: they need not
 }
 
 func loadWanted(f Fleet) (wanted wantedLoads) {
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Forget drops what is known of an endpoint: another process has its address.
+// Forget drops the records of an endpoint, because another process has its address.
 func (e *CapacityEstimator) Forget(endpoint policyapi.EndpointID) { delete(e.endpoints, endpoint) }
 
 // Capacity returns what an endpoint can do when warmed up, in requests of mean cost per second, or NaN while too little is
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -47,10 +47,11 @@
 // ClassHealth decides which endpoint fails which request class while it serves others, from what gateways observed at it in
 // each round. It stores two counts for each pair of them, halved each round.
 //
-// A pair is compared with what its peers make of the same class (the lower quartile of their failures, which stays low
-// while up to three quarters of them fail) and with what the endpoint makes of other classes (one that fails everything is
-// the decision module's to eject). It is ejected once its counts are a thousand times likelier from a failing endpoint
-// than from one that does as its peers. Where a class is down everywhere its peers are down, too, and none is ejected.
+// A pair is compared with its peers' failures of the same class (the lower quartile, which stays low while up to three
+// quarters of them fail) and with the endpoint's failures of other classes (one that fails everything is ejected by the
+// decision module). It is ejected once its counts are a thousand times likelier from a failing endpoint
+// than from one that fails as its peers do. Where a class is down everywhere its peers are down, too, and none is ejected.
+// It is not safe for concurrent use. Times are microseconds.
 type ClassHealth struct {
 	classes int
 	pairs   map[pair]*record
@@ -86,8 +87,8 @@
 	return &ClassHealth{classes: classes, pairs: map[pair]*record{}, panics: make([]bool, classes)}
 }
 
-// EndRound ends a round. loads is what gateways met since the last one, ready the endpoints that are ready. It returns a
-// line for the log for each change, with its reason.
+// EndRound ends a round. loads is what gateways observed since the last one, ready the endpoints that are ready. It
+// returns a line for the log for each change, with its reason.
 func (h *ClassHealth) EndRound(now policyapi.Microseconds, loads []policyapi.EndpointClassLoad, ready []policyapi.EndpointID) (notes []string) {
 	h.count(loads)
 	h.forgetUnlisted(ready)
@@ -235,8 +236,8 @@
 	r.retryAt = now + r.backoff
 }
 
-// updatePanic ignores the ejections of a class where too few endpoints are left for it: the fault is likelier one that all
-// share.
+// updatePanic ignores the ejections of a class where too few endpoints are left for it: the fault is then more likely a common
+// one than one of the endpoints.
 func (h *ClassHealth) updatePanic(class int, ready []policyapi.EndpointID) (note string) {
 	left := 0
 	for _, endpoint := range ready {
@@ -252,7 +253,7 @@
 	return fmt.Sprintf("ejections for class %d ignored: %t, %d of %d endpoints healthy", class, panics, left, len(ready))
 }
 
-// Forget drops what is known of an endpoint: another process has its address.
+// Forget drops the records of an endpoint, because another process has its address.
 func (h *ClassHealth) Forget(endpoint policyapi.EndpointID) {
 	for class := range h.classes {
 		delete(h.pairs, pair{endpoint, class})
@@ -287,7 +288,7 @@
 }
 
 // Restore puts the endpoints of earlier ejections on trial: a few requests soon show whether they still fail. The backoff
-// goes on if one does.
+// of one that does continues.
 func (h *ClassHealth) Restore(now policyapi.Microseconds, ejections []Ejection) {
 	for _, e := range ejections {
 		if e.Class < 0 || e.Class >= h.classes {
--- a/solver/overshoot.go
+++ b/solver/overshoot.go
@@ -7,14 +7,14 @@
 	minPlanned = 2.0
 	// maxOvershoot bounds the factor.
 	maxOvershoot = 3.0
-	// overshootDecay is the part of the factor that stays with each round that shows less.
+	// overshootDecay multiplies the factor in each round, so that it falls once less comes.
 	overshootDecay = 0.9
 )
 
 // OvershootEstimator learns by how much more requests come to endpoints than their tables plan. Gateways avoid endpoints
 // that have failed them for a while, and send their part to the others; they and their clients retry. When much of a fleet
 // fails or is full that doubles what an endpoint gets, and one that is warming up is overloaded by a part that was meant
-// for it. The zero value has a factor of 1.
+// for it. The zero value has a factor of 1. It is not safe for concurrent use.
 type OvershootEstimator struct{ factor float64 }
 
 // EndpointOutcome is what was planned for an endpoint and what came to it, in attempts per second of one round.
--- a/solver/untouched.go
+++ b/solver/untouched.go
@@ -1,6 +1,6 @@
 package solver
 
-// untouched returns the weights wanted if they keep every limit as they are.
+// untouched returns the wanted weights if they keep every limit as they are.
 func (p *problem) untouched() (solution Solution, ok bool) {
 	load, ok := p.wantedLoad()
 	if !ok {
@@ -23,7 +23,7 @@
 	return s, true
 }
 
-// wantedLoad returns the work per second that the weights wanted bring each endpoint; ok is false if a demand has no
+// wantedLoad returns the work per second that the wanted weights bring each endpoint; ok is false if a demand has no
 // weights, or has some on endpoints that it may not go to.
 func (p *problem) wantedLoad() (load []float64, ok bool) {
 	load = make([]float64, len(p.limit))
--- a/xds/report.go
+++ b/xds/report.go
@@ -11,7 +11,7 @@
 	"porthub/policyapi"
 )
 
-// ClassReport is what a gateway met of one request class in an interval, in requests.
+// ClassReport is what a gateway observed of one request class in an interval, in requests.
 type ClassReport struct {
 	Class     string
 	Arrived   int
