--- a/policyapi/events.go
+++ b/policyapi/events.go
@@ -22,16 +22,16 @@
 	Admission AdmissionMode   `cbor:"Levels" json:"Levels"`
 	// ProxyCount is the number of proxies of all instances together.
 	ProxyCount int `cbor:"Proxies" json:"Proxies"`
-	// PollsList says that the endpoint list comes only after WatchEndpoints or Resync.
+	// PollsList means that the endpoint list comes only after WatchEndpoints or Resync.
 	PollsList bool `cbor:"MustAsk" json:"MustAsk"`
 	// EjectionThreshold is the number of consecutive failures after which a proxy stops using an endpoint without an
 	// order to do so; 0 means never.
 	EjectionThreshold int `cbor:"EjectAfter" json:"EjectAfter"`
-	// WeightsListed says that Endpoint.Weight is meaningful.
+	// WeightsListed means that Endpoint.Weight is meaningful.
 	WeightsListed bool `cbor:"ListedWeight" json:"ListedWeight"`
 }
 
-// UpdateKind says how an EndpointUpdate relates to the list known before.
+// UpdateKind specifies how an EndpointUpdate relates to the list known before.
 type UpdateKind int
 
 // The values of UpdateKind.
@@ -128,7 +128,7 @@
 	ProxyConnected struct {
 		Proxy ProxyID `cbor:"Proxy" json:"Proxy"`
 		Zone  Zone    `cbor:"Zone" json:"Zone"`
-		// HasDefaultTableOnly says that the proxy has only the table it started with.
+		// HasDefaultTableOnly means that the proxy has only the table it started with.
 		HasDefaultTableOnly bool `cbor:"Fresh" json:"Fresh"`
 		// Weight is the proxy's expected demand in requests per second, until its reports replace it.
 		Weight float64 `cbor:"Weight" json:"Weight"`
@@ -174,7 +174,7 @@
 		Delay Microseconds `cbor:"Took" json:"Took"`
 	}
 	// SliceLoad sums the requests of one class that arrived for a slice of the keys. Like SliceAssigned and
-	// SliceWeight it occurs only at sites with slices.
+	// SliceWeight it occurs only in deployments with slices.
 	SliceLoad struct {
 		Table    TableID      `cbor:"Table" json:"Table"`
 		Class    RequestClass `cbor:"Kind" json:"Kind"`
--- a/policyapi/orders.go
+++ b/policyapi/orders.go
@@ -6,7 +6,7 @@
 // reply in sequence.
 type Order interface{ isOrder() }
 
-// RetryPolicy says when a proxy may send a request again after a failed attempt, always to another endpoint. The values
+// RetryPolicy specifies when a proxy may send a request again after a failed attempt, always to another endpoint. The values
 // are those of the protocols, and grow with what they permit.
 type RetryPolicy int
 
@@ -85,7 +85,7 @@
 	SetAdmission struct {
 		Table   TableID  `cbor:"Table" json:"Table"`
 		Classes ClassSet `cbor:"Kinds" json:"Kinds"`
-		// Level is a share or a rate, as AdmissionMode says.
+		// Level is a share or a rate, depending on the AdmissionMode.
 		Level       float64     `cbor:"Level" json:"Level"`
 		RetryPolicy RetryPolicy `cbor:"SecondTry" json:"SecondTry"`
 	}
--- a/policyapi/settings.go
+++ b/policyapi/settings.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Idempotency says whether a request that may have been executed may be sent again.
+// Idempotency specifies whether a request that may have been executed may be sent again.
 type Idempotency int
 
 // The values of Idempotency. The zero value is the safe one.
@@ -60,7 +60,7 @@
 	OverloadFactor float64 `cbor:"TipMultiple" json:"TipMultiple"`
 	// OverloadWindow is how long the overload has to last until the endpoint fails.
 	OverloadWindow Microseconds `cbor:"Fall" json:"Fall"`
-	// SoftRemoval says that DrainGracePeriod binds only for endpoints that were listed as draining.
+	// SoftRemoval restricts DrainGracePeriod to endpoints that were listed as draining.
 	SoftRemoval bool `cbor:"SoftRemoval" json:"SoftRemoval"`
 	// PollInterval is how often an instance without a watch must poll the endpoint list.
 	PollInterval Microseconds `cbor:"AskWithin" json:"AskWithin"`
@@ -96,13 +96,13 @@
 	Period Microseconds `cbor:"Period" json:"Period"`
 	// MaxLinesPerSecond is the most report lines delivered per second; the oldest come first.
 	MaxLinesPerSecond float64 `cbor:"Intake" json:"Intake"`
-	// MetricsInReports says that EndpointLoad carries LoadMetrics.
+	// MetricsInReports means that EndpointLoad carries LoadMetrics.
 	MetricsInReports bool `cbor:"InReport" json:"InReport"`
 	// MetricNames are the names that may occur in LoadMetrics.
 	MetricNames []string `cbor:"Fields" json:"Fields"`
 }
 
-// AdmissionMode says what SetAdmission.Level means at this site.
+// AdmissionMode specifies the meaning of SetAdmission.Level in a deployment.
 type AdmissionMode int
 
 // The values of AdmissionMode.
