--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The adapter answers every batch, drops events for instances that do not run, forgets a crashed one, and stops with an
-// error on input that ends in mid-batch.
+// The adapter replies to every batch, ignores events for instances that do not run, drops a crashed one, and returns an error
+// for input that ends in mid-batch.
 func TestServe(t *testing.T) {
 	start := "UP\tcoordinator-0\t7\t{\"localities\":[\"a\"],\"discovery\":\"ask\"," +
 		"\"profiles\":[{\"name\":\"view\",\"points\":1,\"slo\":750000}]}\n"
--- a/coordinator/acks_test.go
+++ b/coordinator/acks_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A gateway that holds something else than it should, by its own checksum, is sent all documents again, later each time.
+// A gateway whose checksum differs from the expected one is sent all documents again, after a longer time with each mismatch.
 func TestWrongChecksum(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -81,7 +81,7 @@
 	}
 }
 
-// A checksum of versions that have been replaced meanwhile says nothing about what the gateway holds now.
+// A checksum of versions that have been replaced since is ignored.
 func TestChecksumOfEarlierVersionsIsIgnored(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -99,7 +99,7 @@
 	}
 }
 
-// However fast the list changes, no gateway gets more messages than the limit, and in the end it holds what it should.
+// However fast the list changes, no gateway gets more messages than the limit, and in the end it has the expected documents.
 func TestMessagesStayUnderTheLimit(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -132,8 +132,8 @@
 	}
 }
 
-// Documents go out unsynced. Where the settings ask for a sync it is suspended while acknowledgements are late, as on a busy
-// disk, and resumes after.
+// By default documents are not synced to disk. With SyncDocuments, syncs are suspended while acknowledgements are late, as on a
+// busy disk, and resume after.
 func TestSyncIsSuspendedWhileAcksAreLate(t *testing.T) {
 	h := newHarness(t, nil)
 	if h.startFleet(); h.published["g1"].Sync {
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// The same inputs at the same times give the same outputs, to the letter.
+// The same inputs at the same times give identical outputs.
 func TestSameInputsSameOutputs(t *testing.T) {
 	run := func() []Output {
 		h := newHarness(t, nil)
--- a/coordinator/degradation_test.go
+++ b/coordinator/degradation_test.go
@@ -8,8 +8,8 @@
 	"porthub/routing"
 )
 
-// At a level its class gets its share of what is admitted, the other class is not touched, and gateways are known to hold the
-// level; without it all is as before.
+// At a level a class gets its share of what is admitted, the other class is unaffected, and the status shows which gateways have
+// the level; after it everything is as before.
 func TestLevelDividesAdmission(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
@@ -71,8 +71,8 @@
 	}
 }
 
-// Traffic between zones is limited only where the own zone has most of the warm weight; a gateway whose zone is lost keeps its
-// endpoints.
+// Traffic between zones is limited only where the own zone has most of the warmed-up weight; a gateway whose zone has failed keeps
+// its endpoints.
 func TestLevelLimitsCrossZoneTraffic(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
@@ -85,7 +85,7 @@
 	}
 }
 
-// With fewer endpoints each gateway has others, and what drains is withheld all the same.
+// With a bound on the number of endpoints gateways differ in theirs, and draining endpoints are still withheld.
 func TestLevelLimitsEndpoints(t *testing.T) {
 	h := newHarness(t, func(s *Settings) {
 		withLevels(s)
@@ -130,8 +130,8 @@
 	}
 }
 
-// A gateway that reaches no coordinator falls back as its routes say; a restart stays at the level; a gateway that connects
-// again with an old level is given the present one.
+// A gateway that reaches no coordinator applies the fallback of its routes; the level survives a restart; a gateway that connects
+// again with an old level gets the present one.
 func TestLevelFallbackAndRestart(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
--- a/coordinator/endpoints_test.go
+++ b/coordinator/endpoints_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// A drain withholds an endpoint at once, also in documents whose table the module does not lay out any more.
+// A drain withholds an endpoint at once, even in documents whose table the module no longer updates.
 func TestDrainingEndpointIsWithheldInEveryDocument(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
--- a/coordinator/example_test.go
+++ b/coordinator/example_test.go
@@ -9,7 +9,7 @@
 
 const second policyapi.Microseconds = 1_000_000
 
-// settings are those of a site with one zone, one request class and one gateway.
+// settings returns the settings of a deployment with one zone, one request class and one gateway.
 func settings() coordinator.Settings {
 	return coordinator.Settings{
 		Epoch:          "start-1",
@@ -25,7 +25,7 @@
 	}
 }
 
-// A caller hands inputs in with their time, carries the outputs out, and steps again at the next deadline at the latest.
+// A caller passes inputs with their time, carries out the outputs, and steps again at the next deadline at the latest.
 func ExampleCore_Step() {
 	core := coordinator.New(settings())
 	now := 1000 * second
--- a/coordinator/gateways_test.go
+++ b/coordinator/gateways_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// A gateway that reports but acknowledges nothing is expelled, longer each time, and the other one is served meanwhile.
+// A gateway that reports but does not acknowledge is expelled, longer each time, and the other gateway is unaffected.
 func TestUnacknowledgingGatewayIsExpelledWithBackoff(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -10,7 +10,7 @@
 	"porthub/solver"
 )
 
-// What drained before a restart stays drained until a fresh list says otherwise; what has started meanwhile warms up.
+// Endpoints that drained before a restart keep draining until a fresh list shows otherwise; those started since warm up.
 func TestRestartKeepsDrainsAndWarmUp(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -40,7 +40,7 @@
 	}
 }
 
-// Three restarts in a row, the later ones before a gateway has connected again: it is still known, and the pin holds.
+// Three restarts in a row, the later ones before a gateway has connected again: its state and the pin survive all of them.
 func TestThreeRestartsInARow(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Start.ProxyCount = 2 })
 	h.startFleet()
@@ -75,7 +75,7 @@
 	}
 }
 
-// An endpoint that failed a class before a restart is still kept from it, and is on trial soon.
+// An endpoint ejected for a class before a restart stays ejected after it, and is soon on trial.
 func TestRestartKeepsEjections(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Start.ProxyCount = 2 })
 	h.startFleet()
--- a/coordinator/versions_test.go
+++ b/coordinator/versions_test.go
@@ -8,8 +8,8 @@
 	"porthub/routing"
 )
 
-// A pinned table stays as it is while the module changes it; a drain withholds its endpoint all the same, and after the pin
-// the table is as the module has it.
+// A pinned table stays unchanged while the module changes it; a drain still withholds its endpoint, and after the pin the
+// module's table applies.
 func TestPinnedTables(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -45,7 +45,8 @@
 	}
 }
 
-// What the solver has in place of the module's tables has versions too: a pin that is set while it is active holds its weights.
+// Versions include the solver's replacements of the module's tables: a pin that is set while the solver is active fixes its
+// weights.
 func TestPinHoldsSolverTables(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.Start.ProxyCount = 2 })
 	h.startFleet()
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -127,8 +127,8 @@
 	) > 0
 }
 
-// markExpiredLeases marks leases that have expired by the registry's own clock, for which the latest renewal stands: a
-// registry in self-preservation goes on listing endpoints that have died.
+// markExpiredLeases sets LeaseExpired of leases that have expired by the registry's own clock, which the latest renewal
+// shows: a registry in self-preservation continues to list endpoints that have failed.
 func markExpiredLeases(observations map[policyapi.EndpointID]Observation) {
 	latest := policyapi.Microseconds(0)
 	for _, o := range observations {
@@ -215,8 +215,8 @@
 	return count >= massDropMinimum && float64(count) >= massDropFraction*float64(total)
 }
 
-// endMassDrop ends a mass drop once the source names most of the endpoints again: those that it still does not name left
-// meanwhile. Without it an endpoint that drained and left during the mass drop would stay as long as it answers.
+// endMassDrop ends a mass drop once the source names most of the endpoints again: those that it still does not name have
+// left. Without it an endpoint that drained and left during the mass drop would stay listed as long as it answers.
 func (m *Membership) endMassDrop(name string, reported map[policyapi.EndpointID]Observation, returned int) {
 	var missing []*endpoint
 	for _, id := range m.endpointIDs() {
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// answerLifetime is how long an answer to a gateway shows that an endpoint serves, whatever a registry has lost.
+	// answerLifetime is how long an answer to a gateway counts as evidence that an endpoint serves, even if a registry has
+	// dropped it.
 	answerLifetime = 6 * second
 	// maxRetention bounds how long an endpoint that its registry has mass-dropped is retained, answering or not.
 	maxRetention = 120 * second
@@ -27,7 +28,7 @@
 	flapHalfLife = 60 * second
 )
 
-// decide decides about one endpoint by what is known of it now.
+// decide decides about one endpoint from the present evidence.
 func (m *Membership) decide(e *endpoint) {
 	state, reason := m.evaluate(e)
 	if state.serving() || state == Draining {
@@ -207,7 +208,7 @@
 // have started unreported.
 func (m *Membership) startTime(e *endpoint, instance string, reported policyapi.Microseconds) policyapi.Microseconds {
 	newProcess := instance != "" && e.instance != "" && instance != e.instance
-	// New since the first list, or back: no source reports that it ran meanwhile.
+	// It is new since the first list, or listed again: no source reports that it ran in between.
 	appeared := m.hasList && (e.state == Removed || e.state == Waiting && e.startedAt == 0)
 	switch {
 	case newProcess && reported <= e.startedAt:
--- a/membership/fixture_test.go
+++ b/membership/fixture_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// requireList checks the whole list: ids followed by + (ready) or o (draining).
+// requireList checks the complete list: ids followed by + (ready) or o (draining).
 func (s *fixture) requireList(want ...string) {
 	s.t.Helper()
 	var got []string
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// After a registry's restart re-registered endpoints do not warm up anew; one that has really restarted does.
+// After a registry's restart re-registered endpoints do not warm up again; one that has really restarted does.
 func TestRegistryRestartKeepsStartTimes(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// The levels that proxies still have stay until a restarted coordinator knows how full the fleet is: in the midst of an
-// overload it never lifts them.
+// A restarted coordinator does not lift the levels that proxies still have until it knows the fleet's utilization: not
+// during an overload.
 func TestRestartKeepsAdmissionLevels(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -19,8 +19,8 @@
 	}
 }
 
-// Overload rejects the least priority weight first; when it has passed, everything is admitted again before long, and at no
-// time may a class be retried on less than proof.
+// Overload rejects the class of the least priority weight first; soon after it everything is admitted again, and retries are
+// never allowed without proof that the first attempt was not executed.
 func TestOverloadShedsLowestPriorityAndRecovers(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -61,8 +61,8 @@
 	}
 }
 
-// What a rate admits of requests that arrive at random is what a simulated limiter with two seconds' worth of tokens, one at
-// least, admits; it never is more than the lower of the two, and a rate that is far above admits all.
+// The estimate for random arrivals agrees with a simulated limiter whose bucket has the tokens of two seconds, one at least;
+// it is never above demand or rate, and a rate far above the demand admits all.
 func TestAdmittedByTokenBucket(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for _, c := range []struct{ demand, rate float64 }{{0.8, 0.45}, {0.8, 0.8}, {0.5, 5}, {3, 1}, {3, 3}, {10, 6}, {40, 35}} {
--- a/policy/delivery_test.go
+++ b/policy/delivery_test.go
@@ -6,8 +6,8 @@
 	"porthub/policyapi"
 )
 
-// The queue is nearly full, and a drain comes that changes all other lines as well: the removal goes out alone, at once,
-// though the whole change would not fit. The rest follows when the queue has room.
+// The queue is nearly full when a drain changes all other lines as well: the removal alone is sent at once, although the
+// complete change would not fit. The rest follows when it fits into the queue.
 func TestRemovalGoesOutThroughFullQueue(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
@@ -29,8 +29,8 @@
 	}
 }
 
-// Levels that move with each report go out as long as little waits, and no faster than proxies acknowledge them: the queue
-// stays open for what must not wait.
+// Levels that change with each report are sent only while the queue is short, and no faster than proxies acknowledge them:
+// most of the queue stays free for urgent changes.
 func TestAdmissionLeavesQueueOpen(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 500)
 	plan.urgent = true // lists change all the time
@@ -43,8 +43,8 @@
 	}
 }
 
-// Proxies disconnect with messages on the way to them: those lines wait in the channel all the same, though messages to
-// others have overtaken them, until they have been on their way for much longer than any that is acknowledged.
+// Proxies disconnect with messages in flight: their lines still count as queued, even if messages to others have overtaken
+// them, until they have been in flight for much longer than any that is acknowledged.
 func TestLinesOfDisconnectedProxiesStayQueued(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 100)
 	for i := range plan.lines(0) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// No proxy ever acknowledges: what went out does not wait for ever, and proxies that connect later are bound.
+// No proxy ever acknowledges: sent lines do not count as queued forever, and proxies that connect later are bound.
 func TestNoAcknowledgements(t *testing.T) {
 	c, _ := newTestChannel(deliverySettings{queueLimit: 1000, drainGracePeriod: testGrace})
 	plan := newPlan(1, 100)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Tables whose change has to wait take turns: none waits for ever behind another that changes all the time.
+// Tables whose change has to wait take turns: none is starved by another that changes all the time.
 func TestTableChangesTakeTurns(t *testing.T) {
 	c, out := newTestChannel(deliverySettings{queueLimit: 60000, drainGracePeriod: testGrace})
 	const tables = 4
@@ -143,8 +143,7 @@
 	}
 }
 
-// Levels that move with each report to all proxies, and tables that change meanwhile: neither keeps the other from going
-// out.
+// Levels change with each report to all proxies while tables change, too: neither starves the other.
 func TestAdmissionAndTablesTakeTurns(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 800)
 	levels, lines := 0, 0
@@ -155,7 +154,7 @@
 		}
 		out.orders = nil
 		now := micros(300+round) * second
-		c.departed = []pendingMessage{{sentAt: now, lines: 0.2 * c.queueLimit}} // there is room for one of the two
+		c.departed = []pendingMessage{{sentAt: now, lines: 0.2 * c.queueLimit}} // only one of the two fits
 		c.deliverPlan(now, plan)
 		for _, order := range out.orders {
 			switch order.(type) {
@@ -172,8 +171,8 @@
 	}
 }
 
-// A drain that changes all other lines as well takes no more than half of the queue: the next drain finds room, and what is
-// before it goes out within the grace period.
+// A drain that changes all other lines as well takes no more than half of the queue: the next drain fits into it, and both
+// are sent within the grace period.
 func TestRemovalLeavesQueueForNext(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	for drain := range 2 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// An instance is given the endpoint list and a proxy, and answers with the orders that bring the proxy its table.
+// An instance gets the endpoint list and a proxy, and returns the orders that set up the proxy's table.
 func Example() {
 	const second policyapi.Microseconds = 1_000_000
 	instance := policy.New(policyapi.Start{
--- a/policy/groups_test.go
+++ b/policy/groups_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// A group of which all but a warming endpoint are gone borrows from its zone: the warming one must not get all its load.
+// A group left with only a warming endpoint borrows from its zone: the warming one must not get all of the load.
 func TestWarmingEndpointIsNeverAlone(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.ProxyCount, start.Channel.EndpointConnections = 12, 20 })
 	var events []policyapi.Event
@@ -63,7 +63,7 @@
 	}
 }
 
-// A coordinator that starts with a short, wrong list divides its zones again once the true one is there.
+// A coordinator that starts with a short, wrong list divides its zones again once the true one has arrived.
 func TestGroupsAfterShortFirstList(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.ProxyCount, start.Channel.EndpointConnections = 12, 20 })
 	h.startFleet()
@@ -77,8 +77,8 @@
 	}
 }
 
-// One proxy's traffic grows a hundredfold before any report of it: what its narrow table admits of all classes leaves the
-// warming endpoint in it under the overload factor that it can bear, until it is warm.
+// One proxy's traffic grows a hundredfold before any report of it: the admission of its narrow table keeps the warming
+// endpoint in it below the overload factor until the endpoint has warmed up.
 func TestOneProxyCannotOverloadWarmingEndpoint(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.ProxyCount, start.Channel.EndpointConnections = 12, 20 })
 	h.startFleet()
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// An endpoint that answers nothing while its lines should bring attempts loses its lines, and gets them back step by step
+// An endpoint without reports, of which its lines lead to expect attempts, loses its lines, and gets them back step by step
 // once a health check passes.
 func TestUnresponsiveEndpointIsEjectedAndRecovers(t *testing.T) {
 	h := newHost(t, nil)
@@ -34,7 +34,7 @@
 	}
 }
 
-// Most endpoints stop answering one zone at once: the way there is at fault, and the zone's tables must not be emptied.
+// Most endpoints stop responding to one zone at once: the network is at fault, and the zone's tables must not be emptied.
 func TestPanicThresholdKeepsLines(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -98,7 +98,7 @@
 	}
 }
 
-// Reports are capped: an endpoint without a report is not silent while older lines still come, and is once they are through.
+// Reports are capped: an endpoint without a report does not count as silent while older lines still arrive, but does after.
 func TestUnreportedEndpointIsNotSilent(t *testing.T) {
 	for _, lineLimit := range []float64{8, 200} {
 		t.Run(fmt.Sprintf("%.0f lines per second", lineLimit), func(t *testing.T) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// When reports stop, nothing is concluded from that: lines and levels stay.
+// When all reports stop, lines and levels stay as they are.
 func TestMissingReportsChangeNothing(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -6,7 +6,7 @@
 	"porthub/policyapi"
 )
 
-// A drain that comes too soon after other changes goes out with the next report round, not when routine changes may.
+// A drain soon after other changes is sent with the next report round, without waiting for the routine interval.
 func TestDrainDoesNotWaitForRoutineTurn(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -47,7 +47,7 @@
 	}
 }
 
-// A proxy that has stopped answering acknowledges nothing: what went to it does not delay the others' orders.
+// A proxy has stopped responding: its unacknowledged messages do not delay the orders to others.
 func TestUnresponsiveProxyDelaysNobody(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.Rules.QueueLimit = 150 })
 	h.startFleet()
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -8,8 +8,8 @@
 	"porthub/policyapi"
 )
 
-// A coordinator that restarts binds no proxy by its cached list, which may contain endpoints that have died, until a newer
-// one comes; if none does it uses the cached one before long.
+// A restarted coordinator binds no proxy by its cached list, which may contain endpoints that have failed, until a newer one
+// arrives; if none does it uses the cached one after a short delay.
 func TestRestartWaitsForNewerList(t *testing.T) {
 	h := newHost(t, nil)
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: readyEndpoints("a", "a1", "a2")})
@@ -46,7 +46,7 @@
 	}
 }
 
-// Where removal alone does not bind, a list that removes a serving endpoint takes no line from it; where it binds, it does.
+// With soft removal a list that removes a serving endpoint does not remove its lines; without, it does.
 func TestListRemovesServingEndpoint(t *testing.T) {
 	for _, softRemoval := range []bool{true, false} {
 		t.Run(fmt.Sprintf("soft removal %t", softRemoval), func(t *testing.T) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Endpoints under ever new IDs: of those removed long ago nothing is retained, and one that comes back in time is known.
+// Endpoints get ever new IDs: those removed long ago leave no state behind, and one that is listed again in time keeps its own.
 func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
--- a/policy/removal_test.go
+++ b/policy/removal_test.go
@@ -51,9 +51,9 @@
 	h.channel().departed = []pendingMessage{{sentAt: h.now, lines: share * h.channel().queueLimit}}
 }
 
-// A proxy is to move to another group and cannot yet: the queue has no room for routine changes. Its old group has no
-// proxies any more by the plan, and loses an endpoint all the same. (Regression: a group that no proxy was meant to use was
-// not planned, and its tables were not compared.)
+// A proxy is to move to another group but cannot yet, since the queue is too full for routine changes. Its old group, which
+// has no proxies any more by the plan, still loses an endpoint that drains. (Regression: a group that no proxy was meant to
+// use was not planned, and its tables were not compared.)
 func TestTableToBeLeftLosesEndpoints(t *testing.T) {
 	h, ids := newZoneHost(t, 8, 1, nil)
 	groups, old := &h.instance.planner.groups, h.instance.planner.groups.ofProxy[0]
@@ -81,8 +81,8 @@
 	}
 }
 
-// The last endpoint that a class may go to drains: its table is planned, and empty. (Regression: that passed for a table that
-// is not planned, and the proxies kept the endpoint for good.)
+// The last endpoint that a class may go to drains: its table is planned as empty. (Regression: it was mistaken for a table
+// that is not planned, and the proxies never lost the endpoint.)
 func TestTableWithoutEndpointIsEmptied(t *testing.T) {
 	for name, limit := range map[string]func(*policyapi.ClassSettings){
 		"local zone": func(c *policyapi.ClassSettings) { c.LocalZoneOnly = true },
@@ -143,8 +143,8 @@
 	}
 }
 
-// So many proxies share a group's tables that a line to all of them does not fit into the queue at once: it goes out in
-// pieces, as acknowledgements come. (Regression: all or nothing.)
+// So many proxies share a group's tables that a line to all of them does not fit into the queue at once: it is sent to some
+// at a time, as acknowledgements arrive. (Regression: it was sent to all or none.)
 func TestRemovalToMoreProxiesThanQueueHolds(t *testing.T) {
 	for _, c := range []struct{ proxies, removed int }{{3000, 1}, {3000, 3}, {400, 60}} {
 		t.Run(fmt.Sprintf("%d proxies, %d endpoints", c.proxies, c.removed), func(t *testing.T) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// What drains does not wait behind what is ejected: where both do not fit, the drain goes.
+// A drain does not wait behind an ejection: if only one of them fits, the drain is sent.
 func TestDrainGoesBeforeEjection(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
@@ -200,7 +200,7 @@
 	}
 }
 
-// A proxy's tables take most of the queue, or more than all of it: it is bound all the same once nothing waits.
+// A proxy's tables take most of the queue, or more than all of it: it is still bound once the queue is empty.
 func TestTablesAsLargeAsQueue(t *testing.T) {
 	for _, limit := range []float64{1000, 300, 120, 50} {
 		t.Run(fmt.Sprintf("queue limit %.0f", limit), func(t *testing.T) {
@@ -219,7 +219,7 @@
 	}
 }
 
-// Few messages may go to a proxy: a removal takes the last of them.
+// A proxy's message limit is low: a removal may use the last message.
 func TestRemovalWithFewMessages(t *testing.T) {
 	for _, limit := range []int{1, 2, 3, 4} {
 		t.Run(fmt.Sprintf("limit %d", limit), func(t *testing.T) {
@@ -243,7 +243,7 @@
 	}
 }
 
-// One proxy was sent all the messages that it may get: the others on its tables do not wait for it.
+// One proxy has reached its message limit: the others on its tables do not wait for it.
 func TestRemovalDoesNotWaitForLimitedProxy(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 10)
 	now := 200 * second
@@ -262,9 +262,8 @@
 	}
 }
 
-// After a start only a cached list is at hand, and no newer one comes: what it lists as draining is out of all tables within
-// the grace period, also where the report period is longer than that. An empty list that has arrived is used, a missing one
-// is not.
+// After a start only a cached list is available: endpoints that it lists as draining are out of all tables within the grace
+// period, even if the report period is longer. An empty list that has arrived is used, a missing one is not.
 func TestCachedListAfterStart(t *testing.T) {
 	cached := readyEndpoints("a", "a1", "a2")
 	cached[1].Status = policyapi.Draining
@@ -299,8 +298,8 @@
 	}
 }
 
-// The queue is full when a drain comes, and is free soon after: the removal does not wait for the next report, which is long
-// in coming.
+// The queue is full at the time of a drain, and free soon after: the removal does not wait for the next report, which is far
+// off.
 func TestRemovalIsRetriedBetweenReports(t *testing.T) {
 	h, ids := newZoneHost(t, 4, 2, func(start *policyapi.Start) { start.Reports.Period = 5 * second })
 	h.advance(10*second, nil)
@@ -316,8 +315,8 @@
 	}
 }
 
-// An instance whose code has failed had filled the queue, and sent one proxy most of its messages: its successor observes the
-// limits with that.
+// A failed instance had filled the queue and used up most of one proxy's messages: its successor counts both against the
+// limits.
 func TestLimitsHoldAcrossTakeOver(t *testing.T) {
 	h, _ := newZoneHost(t, 8, 2, nil)
 	failed := h.instance
@@ -336,8 +335,8 @@
 	}
 }
 
-// Messages are few, and one has just gone out: a removal waits for a quarter of the grace period at most, however far apart
-// messages should be.
+// The message limit is low, and a message has just been sent: a removal waits for a quarter of the grace period at most,
+// whatever the routine interval.
 func TestRemovalIsNotDelayedForLong(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 10)
 	c.messageLimit = 2 // in ten seconds
@@ -350,8 +349,8 @@
 	}
 }
 
-// A proxy may get one more message: the removal that would take it waits for those that may follow, and goes while there is
-// time.
+// A proxy may get one more message: the removal that would use it waits for others that may follow, but not beyond half of the
+// grace period.
 func TestLastMessageCarriesAllRemovals(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 10)
 	now := 200 * second
@@ -372,7 +371,7 @@
 	}
 }
 
-// Many proxies connect at once and wait for room in the queue: withdrawals at others go first, they take less of it.
+// Many proxies connect at once and have to wait for the queue: withdrawals at others go first, since they take less of it.
 func TestDrainGoesBeforeNewProxies(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// When all that is left has just started, it still gets lines.
+// If all ready endpoints have just started, they still get lines.
 func TestOnlyWarmingEndpointsLeft(t *testing.T) {
 	h := newHost(t, nil)
 	warming := readyEndpoints("a", "a1", "a2")
@@ -71,7 +71,7 @@
 }
 
 // An endpoint that has just started gets a small weight that grows, and none while all others are overloaded: retries and
-// what avoids the full ones would overload it whatever its weight.
+// requests that avoid the full ones would overload it at any weight.
 func TestSlowStartOfNewEndpoint(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -98,7 +98,7 @@
 	}
 }
 
-// A few proxies that suddenly carry much of the traffic make their zone spill over: its own endpoints would not hold them.
+// A few proxies that suddenly carry much of the traffic make their zone spill over: its own endpoints would be overloaded.
 func TestBusyZoneSpillsOver(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
--- a/simwire/reader_test.go
+++ b/simwire/reader_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// What is malformed is named by line, message and part.
+// Syntax errors name the line, the message and the part.
 func TestMalformedLinesAreNamed(t *testing.T) {
 	for text, want := range map[string]string{
 		"HELLO\t1\n":                                           "line 1: HELLO: message",
@@ -73,7 +73,7 @@
 	}
 }
 
-// Each message becomes the event that it stands for, with each part in its field.
+// Each message becomes its event, with each part in its field.
 func TestEventsAreRead(t *testing.T) {
 	for text, want := range map[string]Addressed{
 		"CRASH_NOW\ti":                           {Crash: true},
