--- a/proxyproto/endpointlist_test.go
+++ b/proxyproto/endpointlist_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// An entry that can't be used is dropped alone, and its endpoint is named as far as it can be.
+// An invalid entry is dropped without the others, and its endpoint is reported if its name can be read.
 func TestReadEndpointListDropsInvalidEntries(t *testing.T) {
 	const valid = `{"host":"s-0","dial":"h:1","site":"a","health":"Ready","share":1}`
 	for _, c := range []struct {
--- a/proxyproto/fleetmodel_test.go
+++ b/proxyproto/fleetmodel_test.go
@@ -166,11 +166,11 @@
 	m.enqueue(list)
 }
 
-// connect connects a proxy's stream. One that has been connected before keeps its tables; a new one has its default table, or what it
-// brings along.
-func (m *fleetModel) connect(id policyapi.ProxyID, zone policyapi.Zone, load float64, broughtAlong ...policyapi.EndpointID) {
+// connect connects a proxy's stream. One that has been connected before keeps its tables; a new one has its default table, or the
+// table earlierTable of another coordinator.
+func (m *fleetModel) connect(id policyapi.ProxyID, zone policyapi.Zone, load float64, earlierTable ...policyapi.EndpointID) {
 	p := m.everSeen[id]
-	isNew := p == nil && len(broughtAlong) == 0
+	isNew := p == nil && len(earlierTable) == 0
 	if p == nil {
 		p = newModelProxy(id, zone, m.classes())
 		m.everSeen[id] = p
@@ -178,8 +178,8 @@
 	if isNew {
 		p.setTables(m.defaultTable(zone)...)
 	}
-	if len(broughtAlong) > 0 {
-		p.setTables(broughtAlong...)
+	if len(earlierTable) > 0 {
+		p.setTables(earlierTable...)
 	}
 	if old := m.proxies[id]; old != nil {
 		old.disconnected = true
@@ -243,7 +243,7 @@
 	}
 }
 
-// step gives the module its events and carries out its orders.
+// step passes the module its events and carries out its orders.
 func (m *fleetModel) step() {
 	batch := m.batch
 	m.batch = nil
@@ -284,7 +284,7 @@
 	}
 }
 
-// describeOrders says which table a proxy is bound to, and what that was ordered to have.
+// describeOrders describes which table a proxy is bound to, and the weights that were ordered for the table.
 func (m *fleetModel) describeOrders(id policyapi.ProxyID, class int) string {
 	tables := m.bound[id]
 	if tables == nil {
@@ -293,7 +293,7 @@
 	return fmt.Sprintf("bound to table %d, ordered to hold %v", tables[class], slices.Sorted(maps.Keys(m.tables[tables[class]])))
 }
 
-// send puts a message into the channel: it leaves once all before it have, and is then delivered, applied and acknowledged.
+// send queues a message in the channel: it leaves after all earlier ones, and is then delivered, applied and acknowledged.
 func (m *fleetModel) send(message proxyproto.OutboundMessage) {
 	p := m.proxies[message.Proxy]
 	if p == nil {
--- a/proxyproto/modelproxy_test.go
+++ b/proxyproto/modelproxy_test.go
@@ -31,7 +31,7 @@
 	return p
 }
 
-// setTables replaces all tables, by a proxy's default table or by what it brings along from another coordinator.
+// setTables replaces all tables by a proxy's default table, or by the table of another coordinator.
 func (p *modelProxy) setTables(endpoints ...policyapi.EndpointID) {
 	for class := range p.tables {
 		p.tables[class] = map[policyapi.EndpointID]float64{}
--- a/proxyproto/oracle_test.go
+++ b/proxyproto/oracle_test.go
@@ -13,7 +13,7 @@
 	slack                         = 300_000 * policyapi.Microseconds(1) // the protocol's slack on the time limits of the rules
 )
 
-// finding is one breach of a rule.
+// finding is one violation of a rule.
 type finding struct {
 	rule   string
 	at     policyapi.Microseconds
@@ -205,7 +205,7 @@
 	}
 }
 
-// With soft removal only a drain withdraws an endpoint, not its removal from the list, also after a drain that was taken back.
+// With soft removal only a drain withdraws an endpoint, not its removal from the list, even after an earlier drain has ended.
 func TestOracleSoftRemoval(t *testing.T) {
 	o := newOracle(policyapi.RuleSettings{DrainGracePeriod: second, SoftRemoval: true}, []policyapi.ClassSettings{{Name: "view"}})
 	for i, step := range []struct {
--- a/proxyproto/publisher_test.go
+++ b/proxyproto/publisher_test.go
@@ -181,7 +181,7 @@
 	}
 }
 
-// A proxy keeps its ejections when its stream is replaced: those lifted meanwhile are lifted on the new one.
+// A proxy keeps its ejections when its stream is replaced: those lifted in between are lifted on the new one.
 func TestEjectionsSurviveReconnect(t *testing.T) {
 	publisher := NewPublisher(testSettings.Classes)
 	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
@@ -217,8 +217,8 @@
 	}
 }
 
-// A stream is bound in the batch that changes its table, before or after the change, or is bound to another one: its message is what
-// holds at the end of the batch.
+// A stream is bound in the batch that changes its table, before or after the change, or is bound to another table: its message has the
+// state at the end of the batch.
 func TestBindAndWeightInOneBatch(t *testing.T) {
 	setUp := []policyapi.Order{
 		policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1},
--- a/proxyproto/publishermodel_test.go
+++ b/proxyproto/publishermodel_test.go
@@ -19,7 +19,7 @@
 	allTables    = modelTables // where the levels for all tables are kept
 )
 
-// proxyState is what a proxy holds after the messages that it has applied, as the protocol's page describes it; by request class.
+// proxyState is the state of a proxy after the messages that it has applied, as the protocol's page describes it, by request class.
 type proxyState struct {
 	weights    []map[string]float64
 	admissions []string
@@ -82,14 +82,14 @@
 	}
 }
 
-// modelStream is a proxy's stream: what was ordered for it, and what the proxy holds.
+// modelStream is a proxy's stream: what was ordered for it, and the state of the proxy.
 type modelStream struct {
 	proxyState
 	bound         []int  // table by request class; -1: none
 	globalOrdered []bool // by request class: a level for all tables was ordered since the stream connected
 }
 
-// publisherModel draws batches of orders and follows what they mean, apart from the Publisher.
+// publisherModel draws batches of orders and tracks their effect independently of the Publisher.
 type publisherModel struct {
 	publisher *Publisher
 	streams   map[policyapi.ProxyID]*modelStream
@@ -207,7 +207,7 @@
 	}
 }
 
-// checkStream checks that a proxy holds the weights and the admission that were ordered for a class.
+// checkStream checks that a proxy has the weights and the admission that were ordered for a class.
 func (m *publisherModel) checkStream(t *rapid.T, proxy policyapi.ProxyID, class int) {
 	s := m.streams[proxy]
 	table := s.bound[class]
@@ -235,8 +235,8 @@
 	}
 }
 
-// Over drawn courses of orders and streams, a proxy that has applied all its messages holds what was ordered for it, and no message
-// has more lines than the bench's wire counts for it.
+// For random orders and streams, a proxy that has applied all its messages has the state that was ordered for it, and no message has
+// more lines than the simulator's protocol counts for it.
 func TestStreamsConvergeToOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPublisherModel()
--- a/proxyproto/sequences_test.go
+++ b/proxyproto/sequences_test.go
@@ -79,7 +79,7 @@
 	return classes
 }
 
-// maxTableLines is how many lines all tables of a proxy have, also after the list has doubled.
+// maxTableLines is the number of lines that all tables of a proxy can have, even after the list has doubled.
 func (d *deployment) maxTableLines() int {
 	zoneRules := map[string]bool{}
 	for _, class := range d.initialSettings.Classes {
@@ -194,17 +194,17 @@
 	if s.random.IntN(8) == 0 {
 		load *= 20
 	}
-	var broughtAlong []policyapi.EndpointID
+	var earlierTable []policyapi.EndpointID
 	if s.random.IntN(3) == 0 {
 		for range 1 + s.random.IntN(4) {
 			if s.endpointCount == 0 || s.random.IntN(4) == 0 {
-				broughtAlong = append(broughtAlong, policyapi.EndpointID(fmt.Sprintf("x-%d", s.random.IntN(4)))) // not in any list of this coordinator
+				earlierTable = append(earlierTable, policyapi.EndpointID(fmt.Sprintf("x-%d", s.random.IntN(4)))) // not in any list of this coordinator
 			} else {
-				broughtAlong = append(broughtAlong, policyapi.EndpointID(fmt.Sprintf("s-%03d", 1+s.random.IntN(s.endpointCount))))
+				earlierTable = append(earlierTable, policyapi.EndpointID(fmt.Sprintf("s-%03d", 1+s.random.IntN(s.endpointCount))))
 			}
 		}
 	}
-	s.connect(id, zone, load, broughtAlong...)
+	s.connect(id, zone, load, earlierTable...)
 }
 
 // randomEndpoints draws endpoints of the list, of one zone or of all, with a status.
@@ -350,7 +350,7 @@
 	}
 }
 
-// runScenario runs the whole sequence, until a rule is broken.
+// runScenario runs the complete sequence, or until a rule is violated.
 func (s *sequence) runScenario() {
 	s.start()
 	for range 10 + s.random.IntN(20) {
--- a/proxyproto/session_test.go
+++ b/proxyproto/session_test.go
@@ -127,8 +127,8 @@
 	return variants
 }
 
-// A report or acknowledgement with an invalid field is passed over alone, and the next valid one counts; a connection whose
-// identification has one is rejected.
+// A report or acknowledgement with an invalid field is ignored, and the next valid one counts; a connection whose identification has
+// an invalid field is rejected.
 func TestSessionRejectsInvalidFields(t *testing.T) {
 	for _, c := range []struct {
 		name, identification, text string
@@ -159,7 +159,7 @@
 	}
 }
 
-// A message that does not fit the connection's role: an unidentified one is rejected, of others the message alone is passed over.
+// A message does not fit the connection's role: an unidentified connection is rejected, on others only the message is ignored.
 func TestSessionRejectsUnexpectedMessages(t *testing.T) {
 	for _, text := range []string{loadMessage, rateMessage, ackMessage, "CONFIG drop s-1", "GET / HTTP/1.1", "PONG", ""} {
 		if _, _, err := newTestSession(t, "").Receive(splitWords(text), newTestValidator()); !errors.Is(err, ErrRejected) {
@@ -198,7 +198,7 @@
 	}
 }
 
-// Removed endpoints may be named for a while, and what is stored of them is bounded.
+// Messages can still name removed endpoints for a while, and the number of those is bounded.
 func TestValidatorForgetsRemovedEndpoints(t *testing.T) {
 	validator := newTestValidator()
 	validator.Apply(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: policyapi.Removed}}})
--- a/proxyproto/surge_test.go
+++ b/proxyproto/surge_test.go
@@ -51,12 +51,12 @@
 	}
 }
 
-// Most coordinators are killed while a release replaces half of the endpoints: all proxies connect to the one that is left, with the
-// tables of the others, while endpoints drain every half second. Their tables are replaced within the grace period.
+// Most coordinators are killed while a release replaces half of the endpoints: all proxies connect to the remaining one, with the tables
+// of the others, while endpoints drain every half second. Their tables are replaced within the grace period.
 func TestSurgeOfProxiesDuringARelease(t *testing.T) { runSurge(t, 1000) }
 
-// The same with as many proxies as five coordinators of the standing test's days have: all their tables do not pass the channel within
-// the grace period.
+// The same with as many proxies as five coordinators of the simulated days have: the channel cannot deliver all their tables within the
+// grace period.
 func TestLargeSurgeOfProxiesDuringARelease(t *testing.T) { runSurge(t, 1800) }
 
 func runSurge(t *testing.T, proxies int) {
--- a/proxyserver/coordinator_test.go
+++ b/proxyserver/coordinator_test.go
@@ -22,7 +22,7 @@
 	"porthub/resp"
 )
 
-// A proxy connects, receives its table, and a drain; a stream that is replaced before it is seen to end is no disconnect.
+// A proxy connects and receives its table, then a drain; a stream that is replaced before its end is detected is no disconnect.
 func TestStreamReceivesTableAndDrain(t *testing.T) {
 	srv := startServer(t, 256)
 	if from := receive(t, "watch", srv.discovery.calls); from != "41" {
@@ -52,8 +52,8 @@
 	}
 }
 
-// A proxy connects again before its old stream is seen to end: the old stream's acknowledgements are ignored, and its end is no
-// disconnect. Its load reports count: they are true on either stream.
+// A proxy connects again before the end of its old stream is detected: the old stream's acknowledgements are ignored, and its end is
+// no disconnect. Load reports count on either stream.
 func TestReplacedStreamIsNotADisconnect(t *testing.T) {
 	coordinator, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
 	srv := &testServer{t: t, coordinator: coordinator}
@@ -63,7 +63,7 @@
 	coordinator.server.send(coordinator.streams[7], proxyproto.OutboundMessage{Proxy: 7, Bytes: proxyproto.PongReply, AckID: 5, RequestsAck: true})
 	old.expectPong()
 	replacement := srv.subscribe(7)
-	for coordinator.mailbox.Len() == 0 { // the new stream waits for the owner, and the old one goes on
+	for coordinator.mailbox.Len() == 0 { // the new stream waits for the owner, and the old one is still in use
 		old.send("RATE sidecar 7 kind view n 3 bad 0 window 200")
 		time.Sleep(time.Millisecond)
 	}
@@ -87,7 +87,8 @@
 	}
 }
 
-// Health checks go to the address in the endpoint list, load figures come by the decision module's names, and each outcome has its code.
+// Health checks use the address in the endpoint list, load metrics are reported by the decision module's names, and each outcome has
+// its code.
 func TestHealthChecks(t *testing.T) {
 	answers := map[string]int{"/metrics/load": http.StatusOK}
 	var mu sync.Mutex
@@ -140,7 +141,7 @@
 	}
 }
 
-// Proxies dial while the coordinator starts, again and again: each connection is answered, none is accepted and then reset.
+// Proxies dial repeatedly while the coordinator starts: each connection is served, none is accepted and then reset.
 func TestDialDuringStartIsNotReset(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -191,7 +192,7 @@
 	}
 }
 
-// On shutdown a peer that takes nothing causes a delay of half a second at most, and the others receive complete messages.
+// On shutdown a peer that does not read causes a delay of half a second at most, and the others receive complete messages.
 func TestShutdownWithUnsentBytes(t *testing.T) {
 	srv := startServer(t, 256)
 	receive(t, "watch", srv.discovery.calls)
--- a/proxyserver/fakediscovery_test.go
+++ b/proxyserver/fakediscovery_test.go
@@ -88,7 +88,7 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, complete, strings.Join(hosts, ","))
 }
 
-// discoveryCall is a call to manualDiscovery, which responds when the test says so, or never.
+// discoveryCall is a call to manualDiscovery, which responds when the test makes it, or never.
 type discoveryCall struct {
 	uri     string
 	respond chan int    // the status
@@ -124,7 +124,7 @@
 	}()
 }
 
-// manualDiscovery is a discovery that hands each call to the test.
+// manualDiscovery is a discovery whose calls the test answers one by one.
 type manualDiscovery struct {
 	*httptest.Server
 	calls chan *discoveryCall
--- a/proxyserver/fleet_test.go
+++ b/proxyserver/fleet_test.go
@@ -66,7 +66,7 @@
 	return false
 }
 
-// startFleet starts many coordinators that follow one discovery, each with a few proxies that bring an old table along.
+// startFleet starts many coordinators that follow one discovery, each with a few proxies that have an old table.
 func startFleet(t *testing.T, discovery *fakeDiscovery) (proxies []*tableClient) {
 	for i := range coordinatorCount {
 		cfg := testConfig(t, discovery.address(), 64)
@@ -92,8 +92,8 @@
 	return proxies
 }
 
-// Forty coordinators with three proxies each follow one discovery: the tables brought along are replaced, a drain reaches every proxy
-// within the grace period; then all watches end at once, the next calls are refused, and endpoints drain and are removed meanwhile.
+// Forty coordinators with three proxies each follow one discovery: the proxies' old tables are replaced, and a drain reaches every proxy
+// within the grace period. Then all watches end at once, the next calls are refused, and endpoints drain and are removed.
 func TestDrainReachesAllProxiesOfManyCoordinators(t *testing.T) {
 	discovery := newFakeDiscovery(t)
 	discovery.calls = make(chan string, 100*coordinatorCount)
@@ -137,7 +137,7 @@
 	}
 }
 
-// The last endpoints of a zone drain, and the class is local to the zone: its table is emptied, on the socket too.
+// The last endpoints of a zone drain, and the class is local to the zone: the proxies are sent its empty table.
 func TestLastEndpointsOfAZoneDrain(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	srv := startServerAt(t, discovery.address(), 256, func(n *Coordinator) {
@@ -152,7 +152,7 @@
 	proxy.waitForTable("the drain", func(table map[string]bool) bool { return !hasEndpoint(table) })
 }
 
-// A drain in an entry with unusable fields: the endpoint is withdrawn from the tables all the same.
+// A drain in an entry with otherwise invalid fields: the endpoint is still withdrawn from the tables.
 func TestDrainWithUnusableFields(t *testing.T) {
 	for name, entry := range map[string]string{
 		"site": `{"host":"s-1","dial":"h:1","site":"nowhere","health":"Terminating","share":1,"born_ms":0}`,
--- a/proxyserver/harness_test.go
+++ b/proxyserver/harness_test.go
@@ -18,7 +18,7 @@
 	"porthub/resp"
 )
 
-// testTimeout bounds the wait for what must come; no test waits for it to pass.
+// testTimeout bounds the wait for expected events; no test waits for it to expire.
 const testTimeout = 10 * time.Second
 
 func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
--- a/proxyserver/module_test.go
+++ b/proxyserver/module_test.go
@@ -11,8 +11,8 @@
 	"porthub/policyapi"
 )
 
-// A panic of the decision module costs no stream: a new instance takes over and sends the tables again. A second panic at once ends the
-// program.
+// A panic of the decision module ends no stream: a new instance takes over and sends the tables again. A second panic soon after ends
+// the program.
 func TestModuleFailureKeepsStreams(t *testing.T) {
 	srv := startServer(t, 256, func(n *Coordinator) { n.module.instance = nil })
 	proxy := srv.subscribe(1)
@@ -73,7 +73,7 @@
 	}
 }
 
-// The decision module panics with the very batch that brings a drain: its successor sends tables without the endpoint.
+// The decision module panics with the batch that reports a drain: its successor sends tables without the endpoint.
 func TestDrainSurvivesModuleFailure(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
--- a/proxyserver/server_test.go
+++ b/proxyserver/server_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// A proxy can connect while hundreds open connections and send nothing, and the limit on connections holds.
+// A proxy can connect while hundreds of clients open connections and send nothing, and the limit on connections is kept.
 func TestConnectionLimitLetsProxiesIn(t *testing.T) {
 	const maxConnections = 8
 	srv := startServer(t, reservedDescriptors+maxConnections)
@@ -98,7 +98,7 @@
 	}
 }
 
-// A message is the same however its bytes are split.
+// Messages are parsed correctly however their bytes are split.
 func TestMessageInPieces(t *testing.T) {
 	srv := startServer(t, 256)
 	proxy := srv.dial()
@@ -109,7 +109,7 @@
 	proxy.receiveUntil(9, "replace 1")
 }
 
-// A peer that takes nothing is closed once maxUnsentBytes wait for it, and others receive their messages meanwhile.
+// A peer that does not read is closed once maxUnsentBytes are queued for it, and others still receive their messages.
 func TestStalledPeerIsClosed(t *testing.T) {
 	srv := startServer(t, 256)
 	receive(t, "watch", srv.discovery.calls)
@@ -158,7 +158,7 @@
 	}
 }
 
-// With all connections identified, a stream that is silent while it owes an acknowledgement is closed for a new one; others are not.
+// With all connections identified, a stream that is silent while an acknowledgement is pending is closed for a new one; others are not.
 func TestSilentStreamIsEvicted(t *testing.T) {
 	const maxConnections = 2
 	srv := startServer(t, reservedDescriptors+maxConnections)
--- a/proxyserver/snapshot_test.go
+++ b/proxyserver/snapshot_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// A snapshot that was requested before the watch brought a drain, and comes after it, is ignored.
+// A snapshot that was requested before the watch reported a drain, and arrives after it, is ignored.
 func TestSnapshotOlderThanWatchIsIgnored(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -37,7 +37,7 @@
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Equal(versions(b), []policyapi.ListVersion{52}) })
 }
 
-// Discovery's address changes while a snapshot is requested at the old one: its response is ignored, the new address is asked.
+// Discovery's address changes while a snapshot is requested at the old one: its response is ignored, and the new address is called.
 func TestSnapshotOfOldAddressIsIgnored(t *testing.T) {
 	discovery, second := newManualDiscovery(t), newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -58,7 +58,7 @@
 	}
 }
 
-// A change has an unusable entry: a snapshot is requested. There the entry can't be read either and the endpoint stays as it was; one
+// A change has an invalid entry: a snapshot is requested. The entry is invalid there, too, and its endpoint stays unchanged; an endpoint
 // that is missing is removed.
 func TestUnreadableEntryRequestsSnapshot(t *testing.T) {
 	const unreadable = `{"host":"s-2","site":"nowhere","health":"Ready"}`
--- a/proxyserver/watcher_test.go
+++ b/proxyserver/watcher_test.go
@@ -10,8 +10,7 @@
 	"porthub/proxyproto"
 )
 
-// Discovery ends a watch, refuses a call and sends a line that can't be read: each time the watch is started again from the version at
-// hand.
+// Discovery ends a watch, refuses a call and sends an invalid line: each time the watch is started again from the version last applied.
 func TestWatchIsRetriedAfterFailures(t *testing.T) {
 	srv := startServer(t, 256)
 	if from := receive(t, "watch", srv.discovery.calls); from != "41" {
@@ -38,8 +37,8 @@
 	proxy.receiveUntil(1, "s-3:0")
 }
 
-// Where the decision module does not poll, the watcher watches by itself: again after a delay when that fails, and through a panic of
-// the module.
+// If the decision module does not poll, the watcher starts the watch itself, retries after a delay when it fails, and continues through
+// a panic of the module.
 func TestWatchWithoutPolling(t *testing.T) {
 	srv := startServer(t, 256, func(n *Coordinator) { n.cfg.Start.PollsList, n.module.instance = false, nil })
 	receive(t, "watch", srv.discovery.calls)
@@ -161,7 +160,7 @@
 	}
 }
 
-// Discovery's address changes: the watch there takes over from the version at hand, and no failure is reported.
+// Discovery's address changes: the watch there takes over from the version last applied, and no failure is reported.
 func TestDiscoveryAddressChanges(t *testing.T) {
 	srv := startServer(t, 256)
 	receive(t, "watch", srv.discovery.calls)
