--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -76,7 +76,7 @@
 		events = append(events, c.handleInput(in)...)
 	}
 	clear(c.clusters) // an input may have closed endpoints
-	events = append(events, c.stepMembership(false)...)
+	events = append(events, c.stepMembershipIfDue()...)
 	c.releaseHealthChecks()
 	events = append(events, c.checkGateways()...)
 	c.stepPolicy(events)
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -116,7 +116,8 @@
 // learnedCapacity is an endpoint's capacity by the solver's estimate or else by its utilization.
 func (c *Core) learnedCapacity(endpoint policyapi.EndpointID) (capacity float64, ok bool) {
 	if c.solver != nil {
-		if capacity = c.solver.estimate.Capacity(endpoint); !math.IsNaN(capacity) {
+		capacity = c.solver.estimate.Capacity(endpoint)
+		if !math.IsNaN(capacity) {
 			return capacity, true
 		}
 	}
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -30,11 +30,10 @@
 }
 
 func (c *Core) handleRegistryUpdate(in RegistryUpdate) []policyapi.Event {
-	c.membership.Apply(c.now, in.SourceUpdate)
-	return c.stepMembership(true)
+	return c.applySourceUpdate(in.SourceUpdate)
 }
 
-// handleFileUpdate hands a complete list of the file to membership.
+// handleFileUpdate applies a complete list of the file to membership.
 func (c *Core) handleFileUpdate(in EndpointUpdate) []policyapi.Event {
 	update := membership.SourceUpdate{Source: FileSource}
 	named := map[policyapi.EndpointID]bool{}
@@ -58,22 +57,42 @@
 		update.Observations = append(update.Observations, observation)
 	}
 	c.endpoints.fileVersion = in.Version
+	return c.applySourceUpdate(update)
+}
+
+// applySourceUpdate applies a source's update to membership. The decision module gets the list that follows even if nothing has
+// changed, since it may have requested one.
+func (c *Core) applySourceUpdate(update membership.SourceUpdate) []policyapi.Event {
 	c.membership.Apply(c.now, update)
-	return c.stepMembership(true)
+	entries, _ := c.stepMembership()
+	return c.applyMembershipList(entries)
 }
 
-// stepMembership steps membership and applies its list. After a source's update the decision module gets a list even if nothing
-// has changed, since it may have requested one.
-func (c *Core) stepMembership(answered bool) []policyapi.Event {
-	if !answered && c.now-c.membership.steppedAt < membershipInterval {
+// stepMembershipIfDue steps membership once in membershipInterval and applies its list if that has changed.
+func (c *Core) stepMembershipIfDue() []policyapi.Event {
+	if c.now-c.membership.steppedAt < membershipInterval {
+		return nil
+	}
+	entries, changed := c.stepMembership()
+	if !changed {
 		return nil
 	}
+	return c.applyMembershipList(entries)
+}
+
+// stepMembership steps membership, logs its notes and returns its list, and whether that has changed.
+func (c *Core) stepMembership() (entries []policyapi.Endpoint, changed bool) {
 	c.membership.steppedAt = c.now
 	entries, changed, notes := c.membership.Step(c.now)
 	for _, text := range notes {
 		c.outbox.emit(LogEntry{Level: LogInfo, Event: eventMembership, Text: text})
 	}
-	if !changed && !answered || !c.membership.Initialized() {
+	return entries, changed
+}
+
+// applyMembershipList applies a list of membership, once any source has reported successfully.
+func (c *Core) applyMembershipList(entries []policyapi.Endpoint) []policyapi.Event {
+	if !c.membership.Initialized() {
 		return nil
 	}
 	version := max(c.endpoints.fileVersion, c.membership.Version())
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -43,8 +43,9 @@
 func (a *endpointActor) receive(now micros, m message) {
 	switch m := m.(type) {
 	case entryUpdate:
+		const urgent = true // a change of the list, such as a drain, must not wait
 		a.updateEntry(m.entry)
-		a.publish(now, true)
+		a.publish(now, urgent)
 	case hostEvent:
 		a.handleEvent(now, m.event)
 	case endpointForgotten:
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -99,7 +99,11 @@
 		l.order = append(l.order, a)
 	}
 	l.forward(e.ID, entryUpdate{e})
-	l.trackRemoval(now, e.ID, e.Status == policyapi.Removed)
+	if e.Status == policyapi.Removed {
+		l.recordRemoval(now, e.ID)
+	} else {
+		delete(l.removedAt, e.ID)
+	}
 }
 
 // removeUnlisted treats endpoints that a complete list does not contain as removed.
@@ -108,7 +112,7 @@
 		if listed[a.id] {
 			continue
 		}
-		l.trackRemoval(now, a.id, true)
+		l.recordRemoval(now, a.id)
 		a.send(entryUpdate{policyapi.Endpoint{
 			ID:     a.id,
 			Zone:   a.entry.Zone,
@@ -118,12 +122,8 @@
 	}
 }
 
-// trackRemoval records when an endpoint was removed, or that it is listed.
-func (l *endpointList) trackRemoval(now micros, id policyapi.EndpointID, removed bool) {
-	if !removed {
-		delete(l.removedAt, id)
-		return
-	}
+// recordRemoval records when an endpoint was first found removed.
+func (l *endpointList) recordRemoval(now micros, id policyapi.EndpointID) {
 	if _, tracked := l.removedAt[id]; !tracked && l.actors[id] != nil {
 		l.removedAt[id] = now
 	}
--- a/policy/removal.go
+++ b/policy/removal.go
@@ -136,9 +136,10 @@
 // reassign binds the streams that may still get a message to another replica of their tables: the streams at their
 // message limit would otherwise delay the removals of all.
 func (c *channel) reassign(r *replica) {
+	const reserved = true // the binding takes the place of removals
 	var fresh *replica
 	for _, s := range slices.Clone(r.streams) {
-		if r.withdrawalSince == 0 || c.messageLimitReached(s, true) || !c.bindingFits(r, withdrawalShare) {
+		if r.withdrawalSince == 0 || c.messageLimitReached(s, reserved) || !c.bindingFits(r, withdrawalShare) {
 			continue
 		}
 		if fresh == nil {
--- a/proxyproto/messagereader.go
+++ b/proxyproto/messagereader.go
@@ -77,9 +77,10 @@
 func (m *messageReader) number(field string, minimum, maximum float64) float64 {
 	text := m.text(field)
 	v, ok := parseDecimal(text)
-	if !ok {
+	switch {
+	case !ok:
 		m.fail(field, fmt.Sprintf("%q is not a number", shorten(text)))
-	} else if v < minimum || v > maximum {
+	case v < minimum || v > maximum:
 		m.fail(field, fmt.Sprintf("%g is not within %g to %g", v, minimum, maximum))
 	}
 	return v
@@ -89,9 +90,10 @@
 func (m *messageReader) integer(field string, maximum int) int {
 	text := m.text(field)
 	v, err := strconv.ParseUint(text, 10, 31)
-	if err != nil {
+	switch {
+	case err != nil:
 		m.fail(field, fmt.Sprintf("%q is not a whole number from 0 on", shorten(text)))
-	} else if int(v) > maximum {
+	case int(v) > maximum:
 		m.fail(field, fmt.Sprintf("%d is over %d", v, maximum))
 	}
 	return int(v)
