--- a/coordinator/aggregate.go
+++ b/coordinator/aggregate.go
@@ -36,7 +36,7 @@
 	return loadAggregate{endpoints: map[endpointKey]*endpointSum{}, proxies: map[proxyKey]*policyapi.ProxyLoad{}}
 }
 
-// addRequests adds what came to a gateway of a class.
+// addRequests adds the requests of a class that arrived at a gateway.
 func (a *loadAggregate) addRequests(proxy policyapi.ProxyID, class policyapi.RequestClass, r ClassReport, interval microseconds) {
 	key := proxyKey{proxy, class}
 	load := a.proxies[key]
--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -113,7 +113,7 @@
 	Levels       []string                  `json:"levels"` // by severity, the normal service first
 	Scopes       []degradation.ScopeStatus `json:"standings"`
 	Overrides    []degradation.Override    `json:"words"`
-	Gateways     map[string]map[int]int    `json:"gateways"` // by zone and level: how many are known to hold it
+	Gateways     map[string]map[int]int    `json:"gateways"` // by zone and level: number of gateways that have confirmed it
 	Disconnected int                       `json:"away"`     // gateways that have not joined: they use their last documents
 }
 
--- a/coordinator/doc.go
+++ b/coordinator/doc.go
@@ -11,10 +11,10 @@
 // The files by concern:
 //
 //   - core.go: Core, its step and deadline; settings.go, timers.go, outbox.go and warnings.go: its parts
-//   - inputs.go, outputs.go: the closed sets of what goes in and out; logevents.go: the names of log entries
+//   - inputs.go, outputs.go: the closed sets of inputs and outputs; logevents.go: the names of log entries
 //   - endpoints.go, membership.go: which endpoint lists are accepted and when an endpoint has started
-//   - gateways.go, gatewaychecks.go: connections, and what has to be done about a gateway when
-//   - publish.go, acks.go: what goes out to a gateway and what it acknowledges
+//   - gateways.go, gatewaychecks.go: connections, and the periodic checks of gateways
+//   - publish.go, acks.go: publications to gateways and their acknowledgements
 //   - orders.go, snapshot.go, admission.go: the module's orders, and the snapshot of a gateway that follows from them
 //   - reports.go, reportcheck.go, aggregate.go: load reports on their way to the module
 //   - solver.go, solverfleet.go, solvertables.go: what package solver is given and what becomes of its answer
--- a/coordinator/levelbounds.go
+++ b/coordinator/levelbounds.go
@@ -65,7 +65,7 @@
 	return weights
 }
 
-// updateFallbackShares computes what the level that gateways fall back to would admit of each class now.
+// updateFallbackShares computes the share of each class that the gateways' fallback level would admit now.
 func (c *Core) updateFallbackShares(allocations map[policyapi.Zone][]allocation) {
 	d := c.degradation
 	level := c.settings.Fallback.Level
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -15,7 +15,7 @@
 // minLearningUtilization is the utilization below which an endpoint's capacity can't be estimated from it.
 const minLearningUtilization = 0.1
 
-// scopeCounts is what degradation signals of a zone, or of the fleet, are computed from.
+// scopeCounts are the counts from which the degradation signals of a zone, or of the fleet, are computed.
 type scopeCounts struct {
 	readyCapacity float64 // of ready endpoints, by weight and warm-up
 	gateways      float64 // connected, or disconnected for less than gatewayMemory
--- a/coordinator/outbox.go
+++ b/coordinator/outbox.go
@@ -5,7 +5,7 @@
 // outbox collects the outputs of a step.
 type outbox struct {
 	outputs  []Output
-	deferred []Output // made between steps, by an operator's command: the next step returns them first
+	deferred []Output // emitted between steps, by an operator's command: the next step returns them first
 }
 
 // begin starts a step.
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -8,8 +8,8 @@
 	"porthub/recovery"
 )
 
-// Snapshot is the state that the next start needs; package recovery decides what of it is still valid then. It shares what does
-// not change with the core.
+// Snapshot returns the state that the next start needs; package recovery decides which part of it is still valid then. The result
+// shares immutable state with the core.
 func (c *Core) Snapshot() recovery.Snapshot {
 	s := recovery.Snapshot{
 		Format:    recovery.Format,
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -16,7 +16,7 @@
 // trialWeightFactor is the fraction of its weight that an endpoint gets for a class that it is on trial for.
 const trialWeightFactor = 0.1
 
-// solverFleet is what the solver is asked about: the listed endpoints, and as consumers the tables that gateways are bound to,
+// solverFleet returns the solver's input: the listed endpoints, and as consumers the tables that gateways are bound to,
 // with the demand that their gateways admit. keepActive: an endpoint is on trial for a class or failing it.
 func (c *Core) solverFleet() (fleet solver.Fleet, keepActive bool) {
 	fleet.Classes = c.solverClasses()
@@ -133,7 +133,7 @@
 	return shares
 }
 
-// measureOvershoot compares what came to endpoints in the last round with what the tables that gateways hold plan for them.
+// measureOvershoot compares the requests that endpoints got in the last round with those planned by the tables of the gateways.
 func (c *Core) measureOvershoot() {
 	planned := map[policyapi.EndpointID]float64{}
 	for _, g := range c.gateways.inOrder {
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("as at %d us", pin.At)
 }
 
-// pinsChanged logs a change of the pins and has the snapshots of all gateways compared with what they hold.
+// pinsChanged logs a change of the pins and makes the next step offer all gateways their snapshots again.
 func (c *Core) pinsChanged(event, text string) {
 	c.outbox.logLater(LogEntry{Level: LogWarn, Event: event, Text: text})
 	c.markPending(func(*gateway) bool { return true })
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -222,7 +222,7 @@
 	}
 }
 
-// retainLastOfZones keeps the list from running empty in a zone while endpoints there answer gateways: those that any
+// retainLastOfZones prevents that the list has no endpoint in a zone while some there answer gateways: those that any
 // number of sources dropped, none of them authoritative, stay until others are ready.
 func (m *Membership) retainLastOfZones() {
 	for _, zone := range m.settings.Zones {
--- a/membership/observation.go
+++ b/membership/observation.go
@@ -42,7 +42,7 @@
 	Error        string        `json:"failed"` // not empty: the poll failed, and earlier observations stay in force
 }
 
-// source is what a Membership knows of one source.
+// source is the state of one source.
 type source struct {
 	lastError string // of the last poll; empty if it succeeded
 	// reported holds the valid observations of the last successful poll.
--- a/policy/channel.go
+++ b/policy/channel.go
@@ -37,7 +37,7 @@
 	inheritedSends map[policyapi.ProxyID][]micros // times of a failed instance's messages to streams that persist
 }
 
-// turnState is what the channel remembers from turn to turn.
+// turnState is the channel's state that persists from turn to turn.
 type turnState struct {
 	deliveredAt micros            // when the last turn was
 	linesSentAt micros            // when lines of tables or levels last went out
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -17,7 +17,7 @@
 //   - planner turns their states into a target state (planner.go): the fleet's capacity (fleet.go), groups of endpoints
 //     and proxies (groups.go, rebalance.go), weights (weights.go) and admission (admission.go, classes.go).
 //   - channel brings the proxies nearer to the target state within the limits on lines and messages (channel.go): the
-//     order of what goes out (delivery.go, removal.go), the tables and their differences (replica.go, diff.go), the
+//     order of changes (delivery.go, removal.go), the tables and their differences (replica.go, diff.go), the
 //     proxies' streams (streams.go) and the queue (budget.go).
 //
 // instance.go has the loop that delivers the messages. Start reading with planner.plan and channel.deliver.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -18,7 +18,7 @@
 	channel  *channel
 	settings *settings
 
-	// What the other actors sent last.
+	// The latest messages of the other actors.
 	endpoints    map[policyapi.EndpointID]endpointState
 	proxies      []*proxyDemand
 	allConnected bool // the reports cover nearly all of the demand
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -13,7 +13,7 @@
 // bufferSize holds most batches and replies at once, in bytes.
 const bufferSize = 1 << 20
 
-// Addressed is what one instance receives.
+// Addressed is an event, or a crash, of one instance.
 type Addressed struct {
 	To    policyapi.InstanceID
 	Event policyapi.Event // nil if Crash
@@ -21,7 +21,7 @@
 	Crash bool
 }
 
-// Batch is what arrives at one time.
+// Batch contains the events that arrive at one time.
 type Batch struct {
 	Now    policyapi.Microseconds
 	Events []Addressed
