--- a/policy/budget.go
+++ b/policy/budget.go
@@ -8,8 +8,8 @@
 const (
 	// ackIDs is the number of acknowledgement IDs: the protocols carry them in 16 bits.
 	ackIDs = 65536
-	// messageExpiry is the age at which an unacknowledged message counts as delivered or lost where no proxy has ever
-	// acknowledged anything.
+	// messageExpiry is the age at which an unacknowledged message counts as delivered or lost at the latest, even if no
+	// proxy has ever acknowledged anything.
 	messageExpiry = 60 * second
 	// ackLatencyPeriods are the report periods for which an acknowledgement's latency counts, at least.
 	ackLatencyPeriods = 5
@@ -53,7 +53,8 @@
 // queuedLines estimates the lines in the channel from the acknowledgements, and drops overdue messages to disconnected
 // proxies. Messages to different proxies can overtake each other by seconds; but one that has been in flight for much
 // longer than any that was acknowledged lately no longer counts: its proxy has stopped responding, or has disconnected,
-// and will never acknowledge it. Where nothing was ever acknowledged, a message counts for messageExpiry.
+// and will never acknowledge it. Whatever the latencies, and where nothing was ever acknowledged, a message counts for
+// messageExpiry at most.
 func (c *channel) queuedLines(now micros) (lines float64) {
 	longest := c.acks.longest()
 	overdue := func(m pendingMessage) bool {
