--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -25,8 +25,8 @@
 	allocated float64 // by the level
 }
 
-// peakCapacityHalfLife is the time in which the peak capacity falls half way to the present one: a fleet that was made smaller
-// on purpose counts as complete again within minutes.
+// peakCapacityHalfLife is the time in which the recorded peak decays by half, down to the present capacity: a fleet that was made
+// smaller on purpose counts as complete again within minutes.
 const peakCapacityHalfLife = 120 * second
 
 // gatewayMemory is how long a disconnected gateway counts as missing.
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -18,7 +18,7 @@
 // scopeCounts are the counts from which the degradation signals of a zone, or of the fleet, are computed.
 type scopeCounts struct {
 	readyCapacity float64 // of ready endpoints, by weight and warm-up
-	gateways      float64 // connected, or disconnected for less than gatewayMemory
+	gateways      float64 // connected, or with a last message younger than gatewayMemory
 	disconnected  float64 // of them
 }
 
