--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -25,8 +25,8 @@
 	allocated float64 // by the level
 }
 
-// peakCapacityHalfLife is the time in which the peak capacity falls half way to the present one: a fleet that was made smaller
-// on purpose counts as complete again within minutes.
+// peakCapacityHalfLife is the time in which the recorded peak decays by half, down to the present capacity: a fleet that was made
+// smaller on purpose counts as complete again within minutes.
 const peakCapacityHalfLife = 120 * second
 
 // gatewayMemory is how long a disconnected gateway counts as missing.
@@ -113,7 +113,7 @@
 	Levels       []string                  `json:"levels"` // by severity, the normal service first
 	Scopes       []degradation.ScopeStatus `json:"standings"`
 	Overrides    []degradation.Override    `json:"words"`
-	Gateways     map[string]map[int]int    `json:"gateways"` // by zone and level: how many are known to hold it
+	Gateways     map[string]map[int]int    `json:"gateways"` // by zone and level: number of gateways that have confirmed it
 	Disconnected int                       `json:"away"`     // gateways that have not joined: they use their last documents
 }
 
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -15,10 +15,10 @@
 // minLearningUtilization is the utilization below which an endpoint's capacity can't be estimated from it.
 const minLearningUtilization = 0.1
 
-// scopeCounts is what degradation signals of a zone, or of the fleet, are computed from.
+// scopeCounts are the counts from which the degradation signals of a zone, or of the fleet, are computed.
 type scopeCounts struct {
 	readyCapacity float64 // of ready endpoints, by weight and warm-up
-	gateways      float64 // connected, or disconnected for less than gatewayMemory
+	gateways      float64 // connected, or with a last message younger than gatewayMemory
 	disconnected  float64 // of them
 }
 
@@ -116,7 +116,8 @@
 // learnedCapacity is an endpoint's capacity by the solver's estimate or else by its utilization.
 func (c *Core) learnedCapacity(endpoint policyapi.EndpointID) (capacity float64, ok bool) {
 	if c.solver != nil {
-		if capacity = c.solver.estimate.Capacity(endpoint); !math.IsNaN(capacity) {
+		capacity = c.solver.estimate.Capacity(endpoint)
+		if !math.IsNaN(capacity) {
 			return capacity, true
 		}
 	}
