--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -17,7 +17,7 @@
 )
 
 func captureCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "capture", Short: "The inputs and orders of a coordinator, as recorded on disk"}
+	cmd := &cobra.Command{Use: "capture", Short: "Inspect the recorded inputs and orders of a coordinator"}
 	cmd.AddCommand(captureStatusCommand(), captureExportCommand(), captureVerifyCommand())
 	return cmd
 }
@@ -36,7 +36,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "status DIR",
-		Short: "Segments, their sizes and the time they cover",
+		Short: "Show the segments, their sizes and the time they cover",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			status, err := readCaptureStatus(args[0])
@@ -79,7 +79,7 @@
 func captureExportCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "export DIR",
-		Short: "Every record as a line of JSON",
+		Short: "Print every record as a line of JSON",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			encoder := json.NewEncoder(cmd.OutOrStdout())
@@ -92,7 +92,7 @@
 func captureVerifyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "verify DIR",
-		Short: "Check every checksum; exit 1 if anything that was written completely is lost",
+		Short: "Verify every checksum; exit 1 if a completely written record is lost",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
@@ -152,11 +152,12 @@
 func replayCommand() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use:   "replay FILE",
+		Use:   "replay DIR",
 		Short: "Run a capture through this build and compare the orders one by one",
-		Long: `replay hands the core the recorded inputs, in order and at the recorded times, and compares the module's orders and what
-was published with the record. Exit 1: they differ though the same build wrote it, or records that were written are damaged. Another build
-may decide differently: then the first difference and the number of steps that differ are printed, and the exit code is 0.`,
+		Long: `replay feeds the recorded inputs to the core, in order and at the recorded times, and compares the decision module's orders and the
+published tables with the record. DIR is a capture directory or one of its segments. The exit code is 1 if they differ although the same
+build wrote the capture, or if records are damaged. Another build may decide differently: the first difference and the number of steps
+that differ are printed, and the exit code is 0.`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			r, err := capture.Open(args[0])
@@ -212,8 +213,8 @@
 	var endpoint, at string
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use:   "explain FILE --node ADDRESS --at TIME",
-		Short: "Why an endpoint received traffic at a time: the chain from the inputs to the gateways' tables",
+		Use:   "explain DIR --node ADDRESS --at TIME",
+		Short: "Explain why an endpoint received traffic at a time, from the inputs to the gateways' tables",
 		Example: `  porthub explain var/state/capture --node 127.0.0.1:9001 --at 2026-12-01T21:14:05Z
   porthub explain var/state/capture --node 127.0.0.1:9001 --at +62.5s    # after the first record
   porthub explain var/state/capture --node 127.0.0.1:9001 --at -10s      # before the last`,
@@ -238,8 +239,8 @@
 			return printExplanation(cmd.OutOrStdout(), explanation)
 		},
 	}
-	cmd.Flags().StringVar(&endpoint, "node", "", "address of the endpoint, as the list has it")
-	cmd.Flags().StringVar(&at, "at", "-0s", "RFC 3339, microseconds since 1970, +SECONDS after the first record or -SECONDS before the last")
+	cmd.Flags().StringVar(&endpoint, "node", "", "address of the endpoint, as in the endpoint list")
+	cmd.Flags().StringVar(&at, "at", "-0s", "time: RFC 3339, microseconds since 1970, +SECONDS after the first record or -SECONDS before the last")
 	outputFlag(cmd, &asJSON)
 	_ = cmd.MarkFlagRequired("node")
 	return cmd
--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -38,10 +38,10 @@
 	cmd := &cobra.Command{
 		Use:     "chaos [SCENARIO]",
 		Aliases: []string{"drill"},
-		Short:   "Inject faults into an emulated fleet on loopback and judge the five rules from the sockets",
-		Long: `chaos runs emulated endpoints, gateways and clients in this process and a coordinator in a process of its own, lets
-the scenario's faults strike, and judges the rules from what passed over the sockets. SCENARIO is a built-in one
-(--list), only:FAULT for a single fault, or a file. Without one it is the bad day.`,
+		Short:   "Inject faults into an emulated fleet on loopback and audit the five rules at the sockets",
+		Long: `chaos runs emulated endpoints, gateways and clients in this process and a coordinator in a process of its own, injects
+the scenario's faults, and audits the rules from the traffic on the sockets. SCENARIO is a built-in one (--list),
+only:FAULT for a single fault, or a file. The default is bad-day, which has all faults.`,
 		Example: `  porthub chaos
   porthub chaos --seed 7 --json
   porthub chaos only:zone_loss
@@ -55,25 +55,25 @@
 
 func (f *chaosFlags) register(cmd *cobra.Command) {
 	set := cmd.Flags()
-	set.Uint64Var(&f.options.Seed, "seed", 1, "of all random draws")
-	set.IntVar(&f.seconds, "seconds", 0, "length; 0: the scenario's own")
-	set.StringVar(&f.options.Front, "front", "files", "how tables reach gateways: files, poll (long polls, by deltas) or both (gateways take turns)")
-	set.StringVar(&f.options.BreakRule, "break-rule", "", "spoil one thing on the way so that this rule must be found broken")
+	set.Uint64Var(&f.options.Seed, "seed", 1, "seed of all random draws")
+	set.IntVar(&f.seconds, "seconds", 0, "duration in seconds; 0: the scenario's own")
+	set.StringVar(&f.options.Front, "front", "files", "delivery of tables to gateways: files, poll (long polls with deltas) or both (gateways alternate)")
+	set.StringVar(&f.options.BreakRule, "break-rule", "", "inject a violation of this rule, which the audit must report")
 	outputFlag(cmd, &f.asJSON)
 	set.BoolVar(&f.list, "list", false, "list scenarios and faults")
-	set.BoolVar(&f.options.Baselines, "baselines", true, "run the baselines beside it, same seed")
-	set.StringVar(&f.registry, "source", "", "where the endpoint list comes from: file or eureka; empty: as the scenario has it")
-	set.BoolVar(&f.options.NoRecovery, "no-recovery", false, "a restarted coordinator restores nothing of the time before but the list")
-	set.BoolVar(&f.options.NoSolver, "no-solver", false, "let the module's tables pass as they are")
-	set.IntVar(&f.loadReports.Gateways, "gateways", 1000, "with intake: light gateways")
-	set.IntVar(&f.loadReports.MaxLinesPerSecond, "bound", 300000, "with intake: lines of reports that are accepted per second; 0: all")
-	set.IntVar(&f.loadReports.CoordinatorCores, "procs", 0, "with intake: cores that the coordinator may use; 0: all")
+	set.BoolVar(&f.options.Baselines, "baselines", true, "also run the baselines, with the same seed")
+	set.StringVar(&f.registry, "source", "", "source of the endpoint list: file or eureka; empty: the scenario's own")
+	set.BoolVar(&f.options.NoRecovery, "no-recovery", false, "a restarted coordinator restores only the endpoint list")
+	set.BoolVar(&f.options.NoSolver, "no-solver", false, "publish the decision module's tables without the weight solver")
+	set.IntVar(&f.loadReports.Gateways, "gateways", 1000, "with intake: number of lightweight gateways")
+	set.IntVar(&f.loadReports.MaxLinesPerSecond, "bound", 300000, "with intake: load report lines accepted per second; 0: unlimited")
+	set.IntVar(&f.loadReports.CoordinatorCores, "procs", 0, "with intake: number of cores the coordinator may use; 0: all")
 	set.BoolVar(&f.loadReports.NoFaults, "calm", false, "with intake: no faults")
 	set.StringVar(&f.loadReports.Profile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
-	set.IntVar(&f.endpoints, "nodes", 100, "with intake and --held-polls: endpoints")
-	set.IntVar(&f.openPolls, "held-polls", 0, "measure instead: so many gateways with two held polls each are woken at once")
-	set.StringVar(&f.options.Levels, "levels", "named", "levels of service: named (as the scenario has them), plain (the module's admission alone) or off")
-	set.StringVar(&f.options.Dir, "keep", "", "use this folder and leave files and logs there")
+	set.IntVar(&f.endpoints, "nodes", 100, "with intake and --held-polls: number of endpoints")
+	set.IntVar(&f.openPolls, "held-polls", 0, "measure long polls instead: number of gateways, with two open polls each, that are answered at once")
+	set.StringVar(&f.options.Levels, "levels", "named", "service levels: named (as in the scenario), plain (the decision module's admission control only) or off")
+	set.StringVar(&f.options.Dir, "keep", "", "use this directory and keep files and logs in it")
 }
 
 func (f *chaosFlags) run(cmd *cobra.Command, args []string) error {
@@ -102,7 +102,7 @@
 	for _, fault := range chaos.FaultNames() {
 		fmt.Fprintf(table, "only:%s\t%s\n", fault, chaos.About(fault))
 	}
-	fmt.Fprintf(table, "%s\tlight gateways by the thousand report while faults strike: --gateways, --bound, --procs, --calm\n", loadReportsScenario)
+	fmt.Fprintf(table, "%s\tload reports of thousands of lightweight gateways while faults are injected: --gateways, --bound, --procs, --calm\n", loadReportsScenario)
 	return table.Flush()
 }
 
--- a/cmd/porthub/chaos_report.go
+++ b/cmd/porthub/chaos_report.go
@@ -18,17 +18,17 @@
 	printCells(table, s, r)
 	printRules(table, r.Rules)
 	printBaselines(table, r.Baselines)
-	fmt.Fprintln(table, "\ncheck\tok\tfigure")
+	fmt.Fprintln(table, "\ncheck\tok\tvalue")
 	for _, check := range r.Checks {
 		fmt.Fprintf(table, "%s\t%v\t%.3f\n", check.Name, check.OK, check.Figure)
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "\nfile to effect p50 %.1f ms, p99 %.1f ms; answers p50 %.0f ms, p99 %.0f ms; %d files read whole, %d not; ",
+	fmt.Fprintf(out, "\ndelivery time p50 %.1f ms, p99 %.1f ms; response time p50 %.0f ms, p99 %.0f ms; %d files read completely, %d incompletely; ",
 		r.DeliveryTime.P50, r.DeliveryTime.P99, r.ResponseTime.P50, r.ResponseTime.P99, r.DocumentsRead, r.IncompleteReads)
 	fmt.Fprintf(out, "coordinator CPU %.2f s, peak %d MiB, stopped in %.0f ms; ", r.CPU, r.PeakKiB/1024, r.StopMilliseconds)
-	fmt.Fprintf(out, "since its last start %d messages, %d files, %d bytes, step p50 %d us, p99 %d us, most %d us\n",
+	fmt.Fprintf(out, "since its last start %d messages, %d files, %d bytes, step p50 %d us, p99 %d us, max %d us\n",
 		r.Written.Messages, r.Written.Files, r.Written.Bytes, r.Written.Steps.P50, r.Written.Steps.P99, r.Written.Steps.Max)
 	return nil
 }
@@ -50,7 +50,7 @@
 }
 
 func printRules(out io.Writer, verdicts map[string]audit.Verdict) {
-	fmt.Fprintln(out, "\nrule\tkept\tnearest\twhere")
+	fmt.Fprintln(out, "\nrule\tsatisfied\tpeak usage\tdetail")
 	for _, rule := range audit.Rules {
 		verdict := verdicts[rule]
 		fmt.Fprintf(out, "%s\t%v\t%.0f%%\t%s\n", rule, verdict.Satisfied, 100*verdict.PeakUsage, verdict.Detail)
@@ -61,7 +61,7 @@
 	if len(baselines) == 0 {
 		return
 	}
-	fmt.Fprintln(out, "\nbaseline\tservice\tworst 10 s\tbroke")
+	fmt.Fprintln(out, "\nbaseline\tservice\tworst 10 s\tviolated")
 	for _, name := range slices.Sorted(maps.Keys(baselines)) {
 		baseline := baselines[name]
 		var broken []string
--- a/cmd/porthub/check.go
+++ b/cmd/porthub/check.go
@@ -14,7 +14,7 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:     "check -c FILE",
-		Short:   "Check a configuration, and what is expected of it in the files *.expect.json beside it",
+		Short:   "Check a configuration and the expectations in the *.expect.json files beside it",
 		Example: "  porthub check -c porthub.json",
 		Args:    cobra.NoArgs,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return check(cmd.OutOrStdout(), path) },
@@ -43,7 +43,7 @@
 	if anyFailed(results) {
 		return errCheckFailed
 	}
-	fmt.Fprintf(out, "%s: all well\n", path)
+	fmt.Fprintf(out, "%s: valid\n", path)
 	return nil
 }
 
--- a/cmd/porthub/exit.go
+++ b/cmd/porthub/exit.go
@@ -10,13 +10,13 @@
 // Exit codes, for scripts.
 const (
 	exitOK          = 0
-	exitCheckFailed = 1 // it ran, and something asked for does not hold
+	exitCheckFailed = 1 // the command ran and a check failed
 	exitUsage       = 2 // bad usage or unreadable input
 	exitEnvironment = 3 // the machine failed: a port taken, a disk full
 )
 
 // errCheckFailed ends a command that has printed its findings already.
-var errCheckFailed = errors.New("something asked for does not hold")
+var errCheckFailed = errors.New("a check failed")
 
 // exitCode returns the exit code that follows from an error's type.
 func exitCode(err error) int {
--- a/cmd/porthub/expect.go
+++ b/cmd/porthub/expect.go
@@ -34,18 +34,18 @@
 	flags := &expectFlags{}
 	cmd := &cobra.Command{
 		Use:   "expect -c CONFIG [FILES]",
-		Short: "Prove expectations of routing without traffic",
-		Long: `expect runs what is written in FILES through the coordinator's core with fed time: no sockets, no traffic. Without FILES it takes
-those that end in .expect.json beside the configuration. It exits with 1 if an expectation does not hold, and names it by file and
-line, the gateway, the request kind and the moment. docs/expectations.md says what can be expected.`,
+		Short: "Verify routing expectations without traffic",
+		Long: `expect runs the expectations in FILES through the coordinator's core with simulated time: no sockets, no traffic. Without FILES it
+uses the files beside the configuration that end in .expect.json. It exits with 1 if an expectation fails, and reports the file and
+line, the gateway, the request class and the time. docs/expectations.md describes what can be expected.`,
 		Example: `  porthub expect -c porthub.json
   porthub expect -c porthub.json night.expect.json --case 17 --seed 4
   porthub expect -c porthub.json --junit report.xml`,
 		RunE: func(cmd *cobra.Command, files []string) error { return flags.run(cmd, files) },
 	}
 	cmd.Flags().StringVarP(&flags.config, "config", "c", "", "configuration, JSON with comments")
-	cmd.Flags().IntVar(&flags.number, "case", allCases, "only this case; -1: all")
-	cmd.Flags().IntVar(&flags.seed, "seed", 0, "in place of the files' own")
+	cmd.Flags().IntVar(&flags.number, "case", allCases, "run only this case; -1: all")
+	cmd.Flags().IntVar(&flags.seed, "seed", 0, "seed that replaces the one in the files")
 	cmd.Flags().StringVar(&flags.junit, "junit", "", "write a JUnit report to this file")
 	outputFlag(cmd, &flags.asJSON)
 	_ = cmd.MarkFlagRequired("config")
@@ -63,7 +63,7 @@
 			return err
 		}
 		if len(files) == 0 {
-			return fmt.Errorf("no file beside %s ends in %s: name one", f.config, suiteSuffix)
+			return fmt.Errorf("no file beside %s ends in %s: specify one", f.config, suiteSuffix)
 		}
 	}
 	results, err := f.runFiles(cmd, cfg, files)
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -17,7 +17,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "levels",
-		Short: "Show levels of service: now, since when, why, what would end them, who has them",
+		Short: "Show the service level of each scope: since when, why, its end conditions and the gateways that have it",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var status coordinator.DegradationStatus
@@ -30,7 +30,7 @@
 			return printLevels(cmd.OutOrStdout(), status)
 		},
 	}
-	cmd.PersistentFlags().StringVar(&addr, "addr", defaultAddr, "the coordinator's address")
+	cmd.PersistentFlags().StringVar(&addr, "addr", defaultAddr, "address of the coordinator")
 	outputFlag(cmd, &asJSON)
 	cmd.AddCommand(levelSetCommand(&addr), levelClearCommand(&addr), levelSimulateCommand())
 	return cmd
@@ -38,7 +38,7 @@
 
 func printLevels(out io.Writer, status coordinator.DegradationStatus) error {
 	if len(status.Scopes) == 0 {
-		fmt.Fprintln(out, "no levels are named: service.levels in the configuration")
+		fmt.Fprintln(out, "no service levels are configured: set service.levels in the configuration")
 		return nil
 	}
 	table := newTable(out)
@@ -49,7 +49,7 @@
 		return err
 	}
 	if status.Disconnected > 0 {
-		fmt.Fprintf(out, "%d gateways are away and go on by what they hold\n", status.Disconnected)
+		fmt.Fprintf(out, "%d gateways are disconnected and keep using their cached tables\n", status.Disconnected)
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 }
 
 func printScopes(table io.Writer, status coordinator.DegradationStatus) {
-	fmt.Fprintln(table, "SCOPE\tLEVEL\tFOR\tWHY\tENDS\tGATEWAYS")
+	fmt.Fprintln(table, "SCOPE\tLEVEL\tFOR\tREASON\tEND CONDITIONS\tGATEWAYS")
 	for _, scope := range status.Scopes {
 		since := "-"
 		if scope.Since > 0 {
@@ -80,7 +80,7 @@
 
 // printSignals prints a row for each trigger, with a column for each scope.
 func printSignals(table io.Writer, status coordinator.DegradationStatus) {
-	fmt.Fprint(table, "\nFIGURE")
+	fmt.Fprint(table, "\nSIGNAL")
 	for _, scope := range status.Scopes {
 		fmt.Fprintf(table, "\t%s", scopeName(scope.Zone))
 	}
@@ -99,7 +99,7 @@
 }
 
 func printOverrides(table io.Writer, status coordinator.DegradationStatus) {
-	fmt.Fprintln(table, "\nWORD\tDO\tSCOPE\tLEVEL\tENDS IN\tREASON")
+	fmt.Fprintln(table, "\nOVERRIDE\tACTION\tSCOPE\tLEVEL\tENDS IN\tREASON")
 	for _, override := range status.Overrides {
 		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", override.ID, override.Action, orDash(string(override.Zone)),
 			status.Levels[override.Level], age(override.Until, status.Now), override.Reason)
--- a/cmd/porthub/levels_set.go
+++ b/cmd/porthub/levels_set.go
@@ -25,11 +25,11 @@
 	flags := &levelSetFlags{}
 	cmd := &cobra.Command{
 		Use:   "set [LEVEL]",
-		Short: "Force, forbid or hold a level until a time",
+		Short: "Force, forbid or hold a service level for a limited time",
 		Args:  cobra.MaximumNArgs(1),
 		Example: `  porthub levels set tight --for 30m --reason "rate decision at noon"
   porthub levels set hard --forbid --for 2h --reason "it has cost too much"
-  porthub levels set --hold --zone hala-a --for 10m --reason "being looked at"`,
+  porthub levels set --hold --zone hala-a --for 10m --reason "under investigation"`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			request, err := flags.request(args)
 			if err != nil {
@@ -38,10 +38,10 @@
 			return sendLevel(cmd, *addr, "/levels/say", request)
 		},
 	}
-	cmd.Flags().StringVar(&flags.zone, "zone", "", "one zone; empty: the fleet")
-	cmd.Flags().DurationVar(&flags.duration, "for", 0, "it ends by itself after so long, a day at most")
-	cmd.Flags().BoolVar(&flags.forbid, "forbid", false, "this level and severer ones are not entered")
-	cmd.Flags().BoolVar(&flags.hold, "hold", false, "the level of now stays")
+	cmd.Flags().StringVar(&flags.zone, "zone", "", "limit the override to this zone; empty: the fleet")
+	cmd.Flags().DurationVar(&flags.duration, "for", 0, "duration of the override, at most 24h")
+	cmd.Flags().BoolVar(&flags.forbid, "forbid", false, "do not enter this level or a more severe one")
+	cmd.Flags().BoolVar(&flags.hold, "hold", false, "stay at the current level")
 	reasonFlag(cmd, &flags.reason)
 	_ = cmd.MarkFlagRequired("for")
 	return cmd
@@ -56,14 +56,14 @@
 	}
 	switch {
 	case f.forbid && f.hold:
-		return request, errors.New("--forbid or --hold, not both")
+		return request, errors.New("--forbid and --hold exclude each other: use one of them")
 	case f.forbid:
 		request.Action = degradation.ForbidLevel
 	case f.hold:
 		request.Action = degradation.HoldLevel
 	}
 	if f.hold != (len(args) == 0) {
-		return request, errors.New("name a level to force or forbid it; --hold takes none")
+		return request, errors.New("a level is required to force or forbid it; --hold takes none")
 	}
 	if len(args) > 0 {
 		request.Level = args[0]
@@ -74,12 +74,12 @@
 func levelClearCommand(addr *string) *cobra.Command {
 	var request daemon.ClearLevelRequest
 	cmd := &cobra.Command{
-		Use:   "clear WORD",
-		Short: "Take a word back",
+		Use:   "clear OVERRIDE",
+		Short: "Clear an override",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, err := fmt.Sscan(args[0], &request.ID); err != nil {
-				return fmt.Errorf("%q is no word's number: porthub levels lists them", args[0])
+				return fmt.Errorf("%q is not the number of an override: porthub levels lists them", args[0])
 			}
 			return sendLevel(cmd, *addr, "/levels/unsay", request)
 		},
@@ -97,6 +97,6 @@
 		return errors.New(answer.Error)
 	}
 	override := answer.Override
-	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", override.ID, override.Action, override.Zone, override.Reason)
+	fmt.Fprintf(cmd.OutOrStdout(), "override %d: %s in %q: %s\n", override.ID, override.Action, override.Zone, override.Reason)
 	return nil
 }
--- a/cmd/porthub/levels_simulate.go
+++ b/cmd/porthub/levels_simulate.go
@@ -22,11 +22,11 @@
 	var path string
 	cmd := &cobra.Command{
 		Use:   "simulate -c CONFIG FILE",
-		Short: "Say which levels a recorded course of figures would have given",
+		Short: "Show which service levels a recorded series of signals would have led to",
 		Args:  cobra.ExactArgs(1),
-		Long: `simulate plays a course through the levels of a configuration, without a coordinator. FILE has one JSON object a line, in the
-order of time: {"at_s": 12, "zone": "hala-a", "load": 1.1, "lost": 0}. A figure that is left out is not known; without a zone it
-is the fleet's.`,
+		Long: `simulate applies the service levels of a configuration to a series of signals, without a coordinator. FILE has one JSON object per
+line, ordered by time: {"at_s": 12, "zone": "hala-a", "load": 1.1, "lost": 0}. A signal that is left out is unknown; without a zone
+the signals are the fleet's.`,
 		RunE: func(cmd *cobra.Command, args []string) error {
 			cfg, err := config.Load(path)
 			if err != nil {
@@ -34,7 +34,7 @@
 			}
 			settings, _ := cfg.DegradationSettings()
 			if len(settings.Levels) == 0 {
-				return fmt.Errorf("%s names no levels: service.levels", path)
+				return fmt.Errorf("%s configures no service levels: set service.levels", path)
 			}
 			file, err := os.Open(args[0])
 			if err != nil {
@@ -93,7 +93,7 @@
 
 func simulateLevels(out io.Writer, settings degradation.Settings, name string, in io.Reader) error {
 	table := newTable(out)
-	fmt.Fprintln(table, "AT\tSCOPE\tFROM\tTO\tWHY")
+	fmt.Fprintln(table, "AT\tSCOPE\tFROM\tTO\tREASON")
 	s := &levelSimulation{
 		settings:   settings,
 		controller: degradation.NewController(settings),
@@ -151,7 +151,7 @@
 		last = -1
 	}
 	if line.At < last || line.At < 0 {
-		return fmt.Errorf("at_s is %v after %v: the lines must be in the order of time", line.At, last)
+		return fmt.Errorf("at_s is %v after %v: the lines must be ordered by time", line.At, last)
 	}
 	zone := policyapi.Zone(line.Zone)
 	if zone != "" && !slices.Contains(s.settings.Zones, zone) {
--- a/cmd/porthub/main.go
+++ b/cmd/porthub/main.go
@@ -21,11 +21,11 @@
 	cmd := &cobra.Command{
 		Use:   "porthub",
 		Short: "A traffic director for sidecar fleets",
-		Long: `porthub hands plain gateways their weights: it follows a node list and the gateways' reports, decides tables,
-admission levels and second tries, and writes them as xDS files that are swapped whole.
+		Long: `porthub publishes weights to plain gateways: it follows an endpoint list and the gateways' load reports, decides routing tables,
+admission rates and the retry policy, and writes them as xDS files that are replaced atomically.
 
-Exit codes: 0 all well; 1 it ran and something asked for does not hold; 2 bad usage or unreadable input;
-3 the machine failed (a port taken, a disk full).`,
+Exit codes: 0 success; 1 the command ran and a check failed; 2 bad usage or unreadable input;
+3 failure of the environment (a port in use, a full disk).`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/porthub/man.go
+++ b/cmd/porthub/man.go
@@ -14,7 +14,7 @@
 func manCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "man DIR",
-		Short:   "Write man pages of all commands into a folder",
+		Short:   "Write the man pages of all commands to a directory",
 		Args:    cobra.ExactArgs(1),
 		Example: "  porthub man /usr/local/share/man/man1",
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/porthub/node.go
+++ b/cmd/porthub/node.go
@@ -24,8 +24,8 @@
 	return &cobra.Command{
 		Use:   "node",
 		Short: "Run a coordinator on the operators' platform until SIGTERM or SIGINT",
-		Long: `node starts as the platform starts a coordinator: NODE_CONFIG names a file with its configuration, in JSON; what that
-does not say of name and addresses is taken from NODE_NAME, NODE_LISTEN and NODE_DISCOVERY. SIGHUP reads the file again.`,
+		Long: `node runs a coordinator the way the platform starts one: NODE_CONFIG names its configuration file, in JSON; a name or an address
+that is missing there is taken from NODE_NAME, NODE_LISTEN and NODE_DISCOVERY. SIGHUP reloads the file.`,
 		Example: "  NODE_CONFIG=/run/balancer/config.json porthub node",
 		Args:    cobra.NoArgs,
 		RunE:    func(*cobra.Command, []string) error { return runNode() },
@@ -114,7 +114,7 @@
 }
 
 // errNoConfig is a start without NODE_CONFIG.
-var errNoConfig = errors.New("NODE_CONFIG is not set: it names the configuration")
+var errNoConfig = errors.New("NODE_CONFIG is not set: it must name the configuration file")
 
 // readNodeConfig reads the file that NODE_CONFIG names.
 func readNodeConfig() (proxyproto.Config, error) {
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -17,7 +17,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "nodes",
-		Short: "Each node: what every source says, what was decided and why, since when",
+		Short: "Show each endpoint: the state in every source, the decision, its reason and since when",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var endpoints daemon.Endpoints
@@ -31,7 +31,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&addr, "addr", defaultAddr, "address of the coordinator")
-	cmd.Flags().StringVar(&endpoint, "node", "", "this one alone")
+	cmd.Flags().StringVar(&endpoint, "node", "", "show only this endpoint")
 	outputFlag(cmd, &asJSON)
 	return cmd
 }
@@ -39,7 +39,7 @@
 // printEndpoints prints the decisions about endpoints, or about the one named.
 func printEndpoints(out io.Writer, endpoints daemon.Endpoints, only string) error {
 	table := newTable(out)
-	fmt.Fprintln(table, "NODE\tZONE\tSTATE\tSINCE\tSOURCES\tWHY")
+	fmt.Fprintln(table, "ENDPOINT\tZONE\tSTATE\tSINCE\tSOURCES\tREASON")
 	for _, decision := range endpoints.Decisions {
 		if only != "" && string(decision.Endpoint) != only {
 			continue
@@ -55,13 +55,13 @@
 }
 
 func drainCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "drain NODE", Short: "Take a node out until it is let in again, whatever sources say; survives restarts"}
+	cmd := &cobra.Command{Use: "drain NODE", Short: "Drain an endpoint until undrain, whatever the sources report; survives restarts"}
 	return endpointCommand(cmd, "/nodes/drain", "drained")
 }
 
 func undrainCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "undrain NODE", Short: "Let a node in again"}
-	return endpointCommand(cmd, "/nodes/undrain", "let in again, as far as the sources have it")
+	cmd := &cobra.Command{Use: "undrain NODE", Short: "End the drain of an endpoint"}
+	return endpointCommand(cmd, "/nodes/undrain", "no longer drained; its state follows the sources again")
 }
 
 // endpointCommand makes a command post a request about one endpoint and print what was done.
--- a/cmd/porthub/output.go
+++ b/cmd/porthub/output.go
@@ -34,7 +34,7 @@
 
 // outputFlag gives a command --output, and --json as its short form.
 func outputFlag(cmd *cobra.Command, asJSON *bool) {
-	cmd.Flags().VarP(outputFormat{asJSON}, "output", "o", "table, or one JSON object")
+	cmd.Flags().VarP(outputFormat{asJSON}, "output", "o", "output format: table, or json for one JSON object")
 	cmd.Flags().BoolVar(asJSON, "json", false, "the same as --output json")
 	_ = cmd.RegisterFlagCompletionFunc("output", cobra.FixedCompletions([]string{"table", "json"}, cobra.ShellCompDirectiveNoFileComp))
 }
--- a/cmd/porthub/serve.go
+++ b/cmd/porthub/serve.go
@@ -34,8 +34,8 @@
 		RunE: func(*cobra.Command, []string) error { return flags.run() },
 	}
 	cmd.Flags().StringVarP(&flags.config, "config", "c", "", "configuration, JSON with comments")
-	cmd.Flags().StringVar(&flags.profile, "cpu-profile", "", "write a CPU profile to this file at the end")
-	cmd.Flags().StringVar(&flags.addrFile, "addr-file", "", "write the address that was bound to this file")
+	cmd.Flags().StringVar(&flags.profile, "cpu-profile", "", "write a CPU profile to this file at exit")
+	cmd.Flags().StringVar(&flags.addrFile, "addr-file", "", "write the bound address to this file")
 	_ = cmd.MarkFlagRequired("config")
 	return cmd
 }
--- a/cmd/porthub/solve.go
+++ b/cmd/porthub/solve.go
@@ -39,25 +39,25 @@
 	flags := &solveFlags{}
 	cmd := &cobra.Command{
 		Use:   "solve [FLEET.json]",
-		Short: "Turn capacities, costs and demand into weights that nobody is crushed by",
-		Long: `solve reads a fleet (nodes with capacity and cost by kind, kinds with payoff, users with demand and the weights wanted)
-and prints the nearest weights that keep every limit, what is let in, and a certificate. With --random it draws that
-many fleets, every hard case among them, and sums what came of them; --oracle adds the exact optimum of each by a
-linear program, --compare other ways of filling tables on the same fleets, --scale how time grows with size.
+		Short: "Compute weights that overload no endpoint from capacities, costs and demand",
+		Long: `solve reads a fleet (endpoints with capacity and cost by request class, classes with priority weight, consumers with demand and
+desired weights) and prints the nearest weights that respect every limit, the admitted share, and a certificate. With --random it draws
+that many fleets, all hard cases included, and summarizes the results; --oracle adds the exact optimum of each by a linear program,
+--compare other ways of weighting on the same fleets, --scale the growth of time with size.
 
-Exit 1: a node is offered more than 1.05 of its limit, or something that fits is not placed.`,
+The exit code is 1 if an endpoint is offered more than 1.05 of its limit, or if demand that fits is not placed.`,
 		Example: `  porthub solve examples/fleet.json --explain
   porthub solve --random 1000 --seed 7 --json
   porthub solve --random 1000 --oracle --compare`,
 		Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return flags.run(cmd.OutOrStdout(), args) },
 	}
-	cmd.Flags().IntVar(&flags.random, "random", 0, "draw so many fleets")
-	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "of the draws")
+	cmd.Flags().IntVar(&flags.random, "random", 0, "number of fleets to draw")
+	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the random draws")
 	outputFlag(cmd, &flags.asJSON)
-	cmd.Flags().BoolVar(&flags.explain, "explain", false, "say for each node and kind what was done and why")
-	cmd.Flags().BoolVar(&flags.oracle, "oracle", false, "find the exact optimum of each drawn fleet as well")
-	cmd.Flags().BoolVar(&flags.compare, "compare", false, "fill the same fleets by even weights, by capacity and as wanted")
+	cmd.Flags().BoolVar(&flags.explain, "explain", false, "print the weights of each consumer and request class, and the reasons")
+	cmd.Flags().BoolVar(&flags.oracle, "oracle", false, "also compute the exact optimum of each drawn fleet")
+	cmd.Flags().BoolVar(&flags.compare, "compare", false, "also weight the same fleets evenly, by capacity and as desired")
 	cmd.Flags().BoolVar(&flags.scale, "scale", false, "measure how time and steps grow with the fleet")
 	return cmd
 }
@@ -69,7 +69,7 @@
 	case f.random > 0 && len(args) == 0:
 		return f.solveRandom(out)
 	case f.random < 0 || len(args) == 0:
-		return errors.New("name a fleet's file, or --random N")
+		return errors.New("specify a fleet file, or --random N")
 	default:
 		return f.solveFile(out, args[0])
 	}
@@ -129,7 +129,7 @@
 
 func printSolution(out io.Writer, fleet solver.Fleet, solution solver.Solution, explain bool) error {
 	c := solution.Certificate
-	fmt.Fprintf(out, "%s\npayoff %.4g a second, at most %.4g is possible; %d steps, prices left %.2f%% too much before F-NORM\n\n", c.Reason, c.PlacedPriority,
+	fmt.Fprintf(out, "%s\npriority placed %.4g per second, upper bound %.4g; %d steps, prices left %.2f%% overload before F-NORM\n\n", c.Reason, c.PlacedPriority,
 		c.Bound, c.Steps, 100*c.Residual)
 	table := newTable(out)
 	printSolvedEndpoints(table, fleet, c)
@@ -138,7 +138,7 @@
 }
 
 func printSolvedEndpoints(table io.Writer, fleet solver.Fleet, c solver.Certificate) {
-	fmt.Fprintln(table, "NODE\tZONE\tLIMIT\tLOAD\tUSED\tPRICE\tNOTE")
+	fmt.Fprintln(table, "ENDPOINT\tZONE\tLIMIT\tLOAD\tUTILIZATION\tPRICE\tNOTE")
 	for i, endpoint := range fleet.Endpoints {
 		note := endpointNote(fleet, endpoint, slices.Contains(c.GuessedCapacities, i))
 		fmt.Fprintf(table, "%s\t%s\t%.4g\t%.4g\t%.0f%%\t%.3g\t%s\n", endpoint.Name, endpoint.Zone, c.Limit[i], c.Load[i],
@@ -150,11 +150,11 @@
 func endpointNote(fleet solver.Fleet, endpoint solver.Endpoint, guessedCapacity bool) (note string) {
 	switch {
 	case guessedCapacity:
-		note = "its stated capacity makes no sense: taken as the median"
+		note = "its stated capacity is implausible: the median is used"
 	case endpoint.Closed:
 		note = "closed"
 	case endpoint.Limit > 0 && endpoint.Limit < 1:
-		note = fmt.Sprintf("cold: %.2f of its capacity", endpoint.Limit)
+		note = fmt.Sprintf("warming up: %.2f of its capacity", endpoint.Limit)
 	}
 	for class, settings := range fleet.Classes {
 		if len(endpoint.Failing) > 0 && endpoint.Failing[class] {
@@ -165,7 +165,7 @@
 }
 
 func printConsumers(table io.Writer, fleet solver.Fleet, solution solver.Solution, explain bool) {
-	fmt.Fprintln(table, "\nUSER\tKIND\tDEMAND\tLET IN\tLINES")
+	fmt.Fprintln(table, "\nCONSUMER\tCLASS\tDEMAND\tADMITTED\tENDPOINTS")
 	for u, consumer := range fleet.Consumers {
 		for k, class := range fleet.Classes {
 			if consumer.Demand[k] <= 0 {
--- a/cmd/porthub/tables.go
+++ b/cmd/porthub/tables.go
@@ -26,7 +26,7 @@
 	flags := &tablesFlags{}
 	cmd := &cobra.Command{
 		Use:   "tables",
-		Short: "Show what each gateway was given, what it has confirmed, and since when",
+		Short: "Show the published and the confirmed version of each gateway, and since when",
 		Example: `  porthub tables --addr 127.0.0.1:7070
   porthub tables --addr 127.0.0.1:7070 --gateway gw-3 --output json`,
 		Args: cobra.NoArgs,
@@ -42,7 +42,7 @@
 		unpinCommand(&flags.addr),
 	)
 	outputFlag(cmd, &flags.asJSON)
-	cmd.Flags().StringVar(&flags.gateway, "gateway", "", "only this gateway")
+	cmd.Flags().StringVar(&flags.gateway, "gateway", "", "show only this gateway")
 	return cmd
 }
 
@@ -60,7 +60,7 @@
 		}
 	}
 	if f.gateway != "" && len(gateways) == 0 {
-		return fmt.Errorf("no gateway %q has ever joined: it may be misspelt, or be another coordinator's", f.gateway)
+		return fmt.Errorf("no gateway %q has ever connected: check its name, and whether another coordinator serves it", f.gateway)
 	}
 	if f.asJSON {
 		return printJSON(cmd.OutOrStdout(), gateways)
@@ -70,7 +70,7 @@
 
 func printGateways(out io.Writer, now policyapi.Microseconds, gateways []coordinator.GatewayStatus) error {
 	table := newTable(out)
-	fmt.Fprintln(table, "GATEWAY\tZONE\tJOINED\tGIVEN\tCONFIRMED\tAGE\tWAITING\tOPEN LINES")
+	fmt.Fprintln(table, "GATEWAY\tZONE\tCONNECTED\tPUBLISHED\tCONFIRMED\tAGE\tUNACKNOWLEDGED\tOPEN ENDPOINTS")
 	for _, g := range gateways {
 		fmt.Fprintf(table, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%s\n", g.Gateway, g.Zone, g.Connected, orDash(g.Version),
 			orDash(g.Confirmed[coordinator.EndpointsDocument]), confirmationAge(now, g), g.Unacknowledged, openEndpoints(g))
--- a/cmd/porthub/tables_pins.go
+++ b/cmd/porthub/tables_pins.go
@@ -21,7 +21,7 @@
 }
 
 func (s *pinScope) register(cmd *cobra.Command) {
-	cmd.Flags().IntVar(&s.table, "table", 0, "one table")
+	cmd.Flags().IntVar(&s.table, "table", 0, "this table")
 	cmd.Flags().StringVar(&s.zone, "zone", "", "all tables of a zone's gateways")
 	cmd.Flags().BoolVar(&s.fleet, "fleet", false, "all tables")
 	reasonFlag(cmd, &s.reason)
@@ -41,14 +41,14 @@
 		}
 	}
 	if given != 1 {
-		return request, errors.New("say what, one of: --table N, --zone ZONE, --fleet")
+		return request, errors.New("specify the scope, one of: --table N, --zone ZONE, --fleet")
 	}
 	return request, nil
 }
 
 // reasonFlag gives a command the required flag --reason.
 func reasonFlag(cmd *cobra.Command, reason *string) {
-	cmd.Flags().StringVar(reason, "reason", "", "goes into the log")
+	cmd.Flags().StringVar(reason, "reason", "", "reason, written to the log")
 	_ = cmd.MarkFlagRequired("reason")
 }
 
@@ -68,7 +68,7 @@
 	scope := &pinScope{}
 	cmd := &cobra.Command{
 		Use:     "pin",
-		Short:   "Hold a table, a zone's tables or the fleet's at what is in force now",
+		Short:   "Pin a table, a zone's tables or all tables to the current version",
 		Args:    cobra.NoArgs,
 		Example: `  porthub tables pin --fleet --reason "rate decision at noon"`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -89,7 +89,7 @@
 	var ago time.Duration
 	cmd := &cobra.Command{
 		Use:   "rollback",
-		Short: "Hold them at an earlier state; the rules mask it",
+		Short: "Pin tables to an earlier version; the rules still apply to it",
 		Args:  cobra.NoArgs,
 		Example: `  porthub tables rollback --table 4 --version 17 --reason "worse since"
   porthub tables rollback --fleet --ago 10m --reason "worse since"`,
@@ -99,7 +99,7 @@
 				return err
 			}
 			if (version == 0) == (ago == 0) {
-				return errors.New("say to when: --version N of a table, or --ago TIME")
+				return errors.New("specify one of: --version N of a table, --ago DURATION")
 			}
 			request.Version = routing.Version(version)
 			request.Ago = policyapi.Microseconds(ago.Microseconds())
@@ -108,7 +108,7 @@
 	}
 	scope.register(cmd)
 	cmd.Flags().Uint64Var(&version, "version", 0, "version of the table")
-	cmd.Flags().DurationVar(&ago, "ago", 0, "as it was so long ago")
+	cmd.Flags().DurationVar(&ago, "ago", 0, "the state of this long ago")
 	return cmd
 }
 
@@ -116,12 +116,12 @@
 	var reason string
 	cmd := &cobra.Command{
 		Use:   "unpin PIN",
-		Short: "Let a pin go",
+		Short: "Remove a pin",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var id int
 			if _, err := fmt.Sscan(args[0], &id); err != nil {
-				return fmt.Errorf("%q is no pin's number: porthub tables list names them", args[0])
+				return fmt.Errorf("%q is not the number of a pin: porthub tables list shows them", args[0])
 			}
 			return sendPin(cmd, *addr, "/tables/unpin", daemon.UnpinRequest{ID: id, Reason: reason})
 		},
--- a/cmd/porthub/tables_versions.go
+++ b/cmd/porthub/tables_versions.go
@@ -29,13 +29,13 @@
 
 func printVersions(out io.Writer, versions daemon.Versions) error {
 	table := newTable(out)
-	fmt.Fprintln(table, "TABLE\tZONE\tGATEWAYS\tVERSIONS\tLAST\tAGE\tLINES")
+	fmt.Fprintln(table, "TABLE\tZONE\tGATEWAYS\tVERSIONS\tLAST\tAGE\tENDPOINTS")
 	for _, t := range versions.Tables {
 		last := t.Versions[len(t.Versions)-1]
 		fmt.Fprintf(table, "%d\t%s\t%d\t%d\t%d\t%s\t%d\n", t.Table, orDash(string(t.Zone)), t.Gateways, len(t.Versions), last.Version,
 			age(versions.Now, last.At), len(last.Endpoints))
 	}
-	fmt.Fprintln(table, "\nPIN\tOF\tHOLDS\tSINCE\tREASON")
+	fmt.Fprintln(table, "\nPIN\tSCOPE\tPINNED TO\tSINCE\tREASON")
 	for _, pin := range versions.Pins {
 		pinned := fmt.Sprintf("version %d", pin.Version)
 		if pin.Version == 0 {
@@ -57,7 +57,7 @@
 			return versions, t, nil
 		}
 	}
-	return versions, daemon.TableVersions{}, fmt.Errorf("there is no table %d: porthub tables list names those that are in use", table)
+	return versions, daemon.TableVersions{}, fmt.Errorf("there is no table %d: porthub tables list shows the tables in use", table)
 }
 
 // findVersion returns a version of a table; 0 is the last.
@@ -70,7 +70,7 @@
 			return v, nil
 		}
 	}
-	return daemon.TableVersion{}, fmt.Errorf("table %d keeps no version %d", table.Table, version)
+	return daemon.TableVersion{}, fmt.Errorf("table %d has no version %d in its history", table.Table, version)
 }
 
 func tablesShowCommand(addr *string) *cobra.Command {
@@ -78,7 +78,7 @@
 	var version uint64
 	cmd := &cobra.Command{
 		Use:     "show",
-		Short:   "Show the lines of a version of a table",
+		Short:   "Show the weights of a version of a table",
 		Args:    cobra.NoArgs,
 		Example: "  porthub tables show --table 4 --version 17",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -93,8 +93,8 @@
 			return printVersion(cmd.OutOrStdout(), versions, t, v)
 		},
 	}
-	cmd.Flags().IntVar(&table, "table", 0, "which table")
-	cmd.Flags().Uint64Var(&version, "version", 0, "which version; 0: the last")
+	cmd.Flags().IntVar(&table, "table", 0, "number of the table")
+	cmd.Flags().Uint64Var(&version, "version", 0, "version to show; 0: the last")
 	return cmd
 }
 
@@ -103,7 +103,7 @@
 	fmt.Fprintf(table, "table %d, version %d, from %s ago\n", t.Table, v.Version, age(versions.Now, v.At))
 	printWeights(table, v.Endpoints)
 	for _, class := range slices.Sorted(maps.Keys(v.Overrides)) {
-		fmt.Fprintf(table, "for %s the weight solver had in its place\n", class)
+		fmt.Fprintf(table, "for %s the weight solver replaced it by\n", class)
 		printWeights(table, v.Overrides[class])
 	}
 	return table.Flush()
@@ -140,9 +140,9 @@
 			return nil
 		},
 	}
-	cmd.Flags().IntVar(&table, "table", 0, "which table")
-	cmd.Flags().Uint64Var(&from, "from", 0, "version; 0: the last")
-	cmd.Flags().Uint64Var(&to, "to", 0, "version; 0: the last")
+	cmd.Flags().IntVar(&table, "table", 0, "number of the table")
+	cmd.Flags().Uint64Var(&from, "from", 0, "version to compare from; 0: the last")
+	cmd.Flags().Uint64Var(&to, "to", 0, "version to compare to; 0: the last")
 	return cmd
 }
 
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
-		fmt.Fprintf(out, "for %s, what gateways were to hold by the weight solver\n", class)
+		fmt.Fprintf(out, "for %s, the weights with the weight solver's overrides\n", class)
 		printDiff(out, classWeights(before, class), classWeights(after, class))
 	}
 }
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -40,18 +40,18 @@
 		Use:   "top",
 		Short: "Watch a coordinator, or a capture, in the terminal",
 		Args:  cobra.NoArgs,
-		Long: `top shows the fleet by hall and kind, nodes, gateways, levels and the log of a running coordinator; enter on a node or gateway says
-what is known of it. With --capture it replays a folder of captures and goes through its seconds with left and right. The
-coordinator spends a hundredth of its time on overviews at most, however many look.`,
+		Long: `top shows the fleet by zone and request class, the endpoints, gateways, service levels and the log of a running coordinator; enter on
+an endpoint or gateway shows its details. With --capture it replays a capture directory; left and right step through its seconds. The
+coordinator spends at most a hundredth of its time on overviews, however many terminals watch.`,
 		Example: `  porthub top --addr 127.0.0.1:7070
   porthub top --capture var/capture
   porthub top --once   # one screen as text, for scripts`,
 		RunE: func(cmd *cobra.Command, _ []string) error { return flags.run(cmd.OutOrStdout()) },
 	}
-	cmd.Flags().StringVar(&flags.addr, "addr", defaultAddr, "the coordinator's address")
-	cmd.Flags().StringVar(&flags.capture, "capture", "", "a folder of captures in place of a coordinator")
-	cmd.Flags().DurationVar(&flags.interval, "every", time.Second, "how often it looks")
-	cmd.Flags().BoolVar(&flags.once, "once", false, "print the first screen as text and end")
+	cmd.Flags().StringVar(&flags.addr, "addr", defaultAddr, "address of the coordinator")
+	cmd.Flags().StringVar(&flags.capture, "capture", "", "show this capture directory instead of a coordinator")
+	cmd.Flags().DurationVar(&flags.interval, "every", time.Second, "refresh interval, 200ms at least")
+	cmd.Flags().BoolVar(&flags.once, "once", false, "print the first screen as text and exit")
 	return cmd
 }
 
@@ -89,7 +89,7 @@
 	next, _ := model.Update(model.Init()())
 	fetched, ok := next.(tui.Model)
 	if !ok {
-		return errors.New("the screen has gone")
+		return errors.New("the terminal view returned no screen")
 	}
 	_, err := fmt.Fprintln(out, ansi.Strip(fetched.Draw(time.Now())))
 	return err
--- a/cmd/porthub/version.go
+++ b/cmd/porthub/version.go
@@ -10,7 +10,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Print which build this is",
+		Short: "Print the version and revision of this build",
 		Args:  cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
 			version, revision := buildVersion()
