--- a/tui/detail.go
+++ b/tui/detail.go
@@ -29,26 +29,26 @@
 }
 
 func (m Model) addEndpoint(block *textBlock, e coordinator.EndpointOverview) {
-	block.addf("node %s in %s", e.Endpoint, e.Zone)
+	block.addf("endpoint %s in %s", e.Endpoint, e.Zone)
 	block.addf("%s for %s: %s", e.State, age(m.frame.Now-e.Since), e.Reason)
-	block.addf("warmth %.2f, can do about %.1f reqs a second", e.WarmUpProgress, e.Capacity)
+	block.addf("warm-up %.2f, capacity about %.1f requests/s", e.WarmUpProgress, e.Capacity)
 	if e.LastReport > 0 {
-		block.addf("%.1f tries a second (give or take %.1f), %.1f errored, util %.2f, queue %.1f, heard %s ago",
+		block.addf("%.1f attempts/s (±%.1f), %.1f failures/s, util %.2f, queue %.1f, reported %s ago",
 			e.Attempts, e.AttemptsError, e.Failures, e.Utilization, e.Queue, age(m.frame.Now-e.LastReport))
 	} else {
-		block.addf("nothing was heard of it")
+		block.addf("no load report yet")
 	}
 	block.addf("%d gateways may send to it", e.Senders)
 	if len(e.FailingClasses) > 0 {
-		block.addf("it is kept from %s", strings.Join(e.FailingClasses, ", "))
+		block.addf("excluded from classes: %s", strings.Join(e.FailingClasses, ", "))
 	}
 	if e.Withheld {
-		block.addf("the decision module keeps all from it: sick")
+		block.addf("ejected by the decision module")
 	}
 }
 
 func (m Model) addGateway(block *textBlock, g coordinator.GatewayOverview) {
-	block.addf("gateway %s in %s, joined %t, last word %s ago", g.Gateway, g.Zone, g.Connected, age(m.frame.Now-g.LastReport))
-	block.addf("holds %s, %d messages on their way, the first for %s", g.Version, g.Unacknowledged, age(g.OldestUnacknowledged))
-	block.addf("%.1f reqs a second come to it, %d open lines, level %s", g.Demand, g.OpenEndpoints, g.Level)
+	block.addf("gateway %s in %s, connected %t, last report %s ago", g.Gateway, g.Zone, g.Connected, age(m.frame.Now-g.LastReport))
+	block.addf("confirmed %s, %d unacknowledged messages, the oldest for %s", g.Version, g.Unacknowledged, age(g.OldestUnacknowledged))
+	block.addf("demand %.1f requests/s, %d open endpoints, level %s", g.Demand, g.OpenEndpoints, g.Level)
 }
--- a/tui/fleet.go
+++ b/tui/fleet.go
@@ -75,7 +75,7 @@
 
 func (m Model) drawZones() []string {
 	widths := []int{14, 6, 8, 8, 7, 7, 7}
-	lines := []string{bold.Render(m.row(widths, "ZONE", "NODES", "COLD", "CLOSED", "UTIL", "GATEWS", "AWAY"))}
+	lines := []string{bold.Render(m.row(widths, "ZONE", "ENDPTS", "WARMING", "CLOSED", "UTIL", "GATEWS", "DISCON"))}
 	for _, zone := range m.zones() {
 		summary := m.summarize(zone)
 		lines = append(lines, m.row(widths,
@@ -92,7 +92,7 @@
 
 func (m Model) drawTraffic() []string {
 	widths := []int{14, 14, 10, 10, 8, 6}
-	lines := []string{bold.Render(m.row(widths, "ZONE", "KIND", "ASKED/S", "LET IN/S", "PART", "NODES"))}
+	lines := []string{bold.Render(m.row(widths, "ZONE", "CLASS", "DEMAND/S", "ADMITTED/S", "RATIO", "ENDPTS"))}
 	for _, t := range m.frame.Traffic {
 		ratio := "-"
 		if t.Demand > 0 {
--- a/tui/levels.go
+++ b/tui/levels.go
@@ -8,15 +8,15 @@
 	block.addf("")
 	m.addSolver(block)
 	sampling := m.frame.Sampling
-	block.addf("intake: %d reports, part %.2f of calm lines, %d gateways report, %d have stopped, %.2f heard",
+	block.addf("load reports: %d, sampled %.2f, %d gateways reporting, %d silent, %.2f per gateway",
 		sampling.Reports, sampling.SampledFraction, sampling.Reporting, sampling.Silent, sampling.ReportsPerGateway)
-	block.addf("channel: %.0f lines on their way of %.0f; %d pins", m.frame.LinesInFlight, m.frame.LineLimit, m.frame.Pins)
+	block.addf("channel: %.0f of %.0f lines in flight; %d pins", m.frame.LinesInFlight, m.frame.LineLimit, m.frame.Pins)
 	return block.lines
 }
 
 func (m Model) addScopes(block *textBlock) {
 	if len(m.frame.Levels.Scopes) == 0 {
-		block.addf("no levels of service are named")
+		block.addf("no service levels are configured")
 	}
 	for _, scope := range m.frame.Levels.Scopes {
 		name := string(scope.Zone)
@@ -38,7 +38,7 @@
 	levels := m.frame.Levels.Levels
 	for _, override := range m.frame.Levels.Overrides {
 		level := levels[min(override.Level, len(levels)-1)]
-		block.addf("word %d: %s %s in %q for another %s: %s",
+		block.addf("override %d: %s %s in %q for another %s: %s",
 			override.ID, override.Action, level, override.Zone, age(override.Until-m.frame.Now), override.Reason)
 	}
 }
@@ -48,7 +48,7 @@
 	if solver == nil {
 		return
 	}
-	block.addf("solver: acting %t, %d tables, largest load over a limit %.2f %s",
+	block.addf("solver: active %t, %d tables, highest utilization %.2f %s",
 		solver.Active, solver.Tables, solver.WorstUtilization, solver.WorstEndpoint)
 	for _, failing := range solver.Failing {
 		block.addf("    fails: %s", failing)
--- a/tui/lists.go
+++ b/tui/lists.go
@@ -10,7 +10,7 @@
 
 var (
 	endpointOrders = []string{"name", "util", "errors", "state"}
-	gatewayOrders  = []string{"name", "usage", "lag", "away"}
+	gatewayOrders  = []string{"name", "usage", "lag", "down"}
 )
 
 func (m Model) endpointOrder() string {
@@ -114,7 +114,7 @@
 		return cmp.Compare(b.Demand, a.Demand)
 	case order == "lag":
 		return cmp.Compare(b.OldestUnacknowledged, a.OldestUnacknowledged)
-	case order == "away" && a.Connected != b.Connected:
+	case order == "down" && a.Connected != b.Connected:
 		if b.Connected {
 			return -1
 		}
@@ -126,9 +126,9 @@
 
 func linkState(g coordinator.GatewayOverview) string {
 	if g.Connected {
-		return "joined"
+		return "up"
 	}
-	return "away"
+	return "down"
 }
 
 // log returns the log records that match the filter, the newest first.
--- a/tui/model.go
+++ b/tui/model.go
@@ -37,7 +37,7 @@
 	screenCount
 )
 
-var screenNames = [screenCount]string{"fleet", "nodes", "gateways", "levels", "log"}
+var screenNames = [screenCount]string{"fleet", "endpoints", "gateways", "levels", "log"}
 
 // listState is the state of a screen's list.
 type listState struct {
--- a/tui/recorded.go
+++ b/tui/recorded.go
@@ -28,7 +28,7 @@
 // Fetch returns the frame at the position.
 func (r *Recorded) Fetch() (Frame, error) {
 	if len(r.frames) == 0 {
-		return Frame{}, fmt.Errorf("%s holds no second", r.name)
+		return Frame{}, fmt.Errorf("%s has no recorded second", r.name)
 	}
 	return r.frames[r.position], nil
 }
--- a/tui/tables.go
+++ b/tui/tables.go
@@ -9,7 +9,7 @@
 
 func (m Model) drawEndpoints() []string {
 	widths := []int{0, 10, 10, -4, -4, -5, -7, -6, -5}
-	head := m.row(widths, "NODE by "+m.endpointOrder(), "ZONE", "STATE", "WARM", "UTIL", "QUEUE", "TRIES/S", "ERR/S", "SEND")
+	head := m.row(widths, "ENDPOINT by "+m.endpointOrder(), "ZONE", "STATE", "WARM", "UTIL", "QUEUE", "ATT/S", "FAIL/S", "SEND")
 	endpoints := m.endpoints()
 	return m.list(" "+head, len(endpoints), func(i int) string {
 		e := endpoints[i]
@@ -31,7 +31,7 @@
 	case len(e.FailingClasses) > 0:
 		return "fails " + strings.Join(e.FailingClasses, ",")
 	case e.Withheld:
-		return "sick"
+		return "ejected"
 	default:
 		return e.State
 	}
@@ -39,7 +39,7 @@
 
 func (m Model) drawGateways() []string {
 	widths := []int{0, 10, 6, 14, -4, -5, -7, -5, 8}
-	head := m.row(widths, "GATEWAY by "+m.gatewayOrder(), "ZONE", "LINK", "CONFIRMED", "WAIT", "LAG", "REQS/S", "LINES", "LEVEL")
+	head := m.row(widths, "GATEWAY by "+m.gatewayOrder(), "ZONE", "LINK", "CONFIRMED", "PEND", "LAG", "REQ/S", "OPEN", "LEVEL")
 	gateways := m.gateways()
 	return m.list(" "+head, len(gateways), func(i int) string {
 		g := gateways[i]
--- a/tui/tui_test.go
+++ b/tui/tui_test.go
@@ -99,7 +99,7 @@
 func TestScreens(t *testing.T) {
 	for name, keys := range map[string][]string{
 		"fleet": nil, "nodes": {"2", "s"}, "node": {"2", "/", "0", ".", "3", ":", "enter", "enter"}, "gateways": {"3", "s", "s", "down"},
-		"levels": {"4"}, "log": {"5"}, "filter": {"3", "/", "a", "w", "a", "y"}, "back": {"2", "enter", "tab"}, "scrolled": {"2", "pgdown", "pgdown", "down"},
+		"levels": {"4"}, "log": {"5"}, "filter": {"3", "/", "d", "o", "w", "n"}, "back": {"2", "enter", "tab"}, "scrolled": {"2", "pgdown", "pgdown", "down"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := ansi.Strip(pressKeys(&fixedSource{frame: incidentFrame(60)}, keys...).Draw(time.Time{}))
@@ -167,10 +167,10 @@
 func TestRecordedSeek(t *testing.T) {
 	r := NewRecorded("capture", []Frame{incidentFrame(3), incidentFrame(6), incidentFrame(9)})
 	m := pressKeys(r, "right", "right", "right", "left")
-	if text := ansi.Strip(m.Draw(time.Time{})); !strings.Contains(text, "second 2 of 3") || !strings.Contains(text, "6 nodes") {
+	if text := ansi.Strip(m.Draw(time.Time{})); !strings.Contains(text, "second 2 of 3") || !strings.Contains(text, "6 endpoints") {
 		t.Errorf("%s", text)
 	}
-	if text := pressKeys(NewRecorded("empty", nil)).Draw(time.Time{}); !strings.Contains(text, "holds no second") {
+	if text := pressKeys(NewRecorded("empty", nil)).Draw(time.Time{}); !strings.Contains(text, "has no recorded second") {
 		t.Errorf("%s", text)
 	}
 }
--- a/tui/view.go
+++ b/tui/view.go
@@ -38,7 +38,7 @@
 func (m Model) title() string {
 	title := "porthub  " + m.source.Name()
 	if m.hasFrame {
-		title += fmt.Sprintf("  up %s  %d nodes  %d gateways", age(m.frame.Now-m.frame.StartedAt), len(m.frame.Endpoints), len(m.frame.Gateways))
+		title += fmt.Sprintf("  up %s  %d endpoints  %d gateways", age(m.frame.Now-m.frame.StartedAt), len(m.frame.Endpoints), len(m.frame.Gateways))
 	}
 	return title
 }
@@ -67,18 +67,18 @@
 	case m.err != nil:
 		return fmt.Sprintf("NO ANSWER: %v", m.err)
 	case !m.hasFrame:
-		return "looking"
+		return "connecting"
 	case m.paused:
-		return "paused: space goes on"
+		return "paused: space resumes"
 	default:
 		return ""
 	}
 }
 
 func (m Model) help() string {
-	help := "1-5 screen  / filter  s sort  enter why  space pause  q quit"
+	help := "1-5 screen  / filter  s sort  enter details  space pause  q quit"
 	if m.source.Seek(0) {
-		return "left right a second, with shift ten  " + help
+		return "left/right 1 s  shift 10 s  " + help
 	}
 	return help
 }
