--- a/expectation/case.go
+++ b/expectation/case.go
@@ -18,7 +18,7 @@
 }
 
 func (c Case) String() string {
-	return fmt.Sprintf("%d nodes, %d gateways, load %.2f and %d events", c.Endpoints, c.Gateways, c.Load, len(c.Events))
+	return fmt.Sprintf("%d endpoints, %d gateways, load %.2f and %d events", c.Endpoints, c.Gateways, c.Load, len(c.Events))
 }
 
 // seedStep separates the seeds of cases: 2^64 over the golden ratio.
--- a/expectation/evaluator.go
+++ b/expectation/evaluator.go
@@ -142,7 +142,7 @@
 	limit := v.sim.settings.Start.Rules.QueueLimit
 	queued := v.sim.network.queuedLines
 	if t.MaxQueued > 0 && limit > 0 && queued > t.MaxQueued*limit {
-		v.fail(c, subject{}, "%.0f lines on their way, %.2f of %.0f", queued, queued/limit, limit)
+		v.fail(c, subject{}, "%.0f lines in flight, %.2f of %.0f", queued, queued/limit, limit)
 	}
 	for _, g := range v.sim.gateways {
 		if g.link.disconnected || !t.appliesTo(g.zone) {
@@ -164,15 +164,15 @@
 	empty := v.sim.now - g.emptySince[class]
 	switch {
 	case t.MaxEmptyTable > 0 && g.emptySince[class] > 0 && empty > t.MaxEmptyTable:
-		v.fail(c, about, "no line for %.2f s", seconds(empty))
+		v.fail(c, about, "empty table for %.2f s", seconds(empty))
 	case t.MinEndpoints > 0 && open < t.MinEndpoints:
-		v.fail(c, about, "%d nodes", open)
+		v.fail(c, about, "%d open endpoints", open)
 	case t.MaxEndpoints > 0 && open > t.MaxEndpoints:
-		v.fail(c, about, "%d nodes", open)
+		v.fail(c, about, "%d open endpoints", open)
 	case t.MinZones > 0 && g.tables.zoneCounts[class] < t.MinZones:
-		v.fail(c, about, "%d halls", g.tables.zoneCounts[class])
+		v.fail(c, about, "%d zones", g.tables.zoneCounts[class])
 	case t.MaxRetryPolicy > 0 && g.retryPolicy(class) > t.MaxRetryPolicy:
-		v.fail(c, about, "second tries by order %d", g.retryPolicy(class))
+		v.fail(c, about, "retry policy %d", g.retryPolicy(class))
 	case t.MaxDrainDelay > 0:
 		v.evaluateDrains(c, g, class)
 	}
@@ -193,7 +193,7 @@
 		delay := v.sim.now - max(e.listed.closedSince, g.link.connectedAt)
 		if e.listed.closedSince > 0 && delay > c.assertion.MaxDrainDelay {
 			about := subject{gateway: g, endpoint: e, class: v.sim.settings.Start.Classes[class].Name}
-			v.fail(c, about, "still open %.2f s after the list told", seconds(delay))
+			v.fail(c, about, "still open %.2f s after the endpoint list changed", seconds(delay))
 		}
 	}
 }
@@ -215,9 +215,9 @@
 		capacity := warmCapacity * factor * tickSeconds * float64(len(e.traffic.window))
 		switch {
 		case t.MaxUtilization > 0 && factor == 1 && offered > t.MaxUtilization*capacity:
-			v.fail(c, subject{endpoint: e}, "offered %.2f of what it can do", offered/capacity)
+			v.fail(c, subject{endpoint: e}, "offered %.2f of its capacity", offered/capacity)
 		case t.MaxWarmUpLoad > 0 && factor < 1 && v.startIsListed(e) && offered > t.MaxWarmUpLoad*overload*capacity:
-			v.fail(c, subject{endpoint: e}, "offered %.2f of what pushes it over, %.1f s after its start",
+			v.fail(c, subject{endpoint: e}, "offered %.2f of its overload limit, %.1f s after its start",
 				offered/capacity/overload, seconds(s.now-e.startedAt))
 		}
 	}
@@ -290,9 +290,9 @@
 		t := c.assertion
 		switch {
 		case t.MinSuccessRatio > 0 && c.requests > 0 && c.successes < t.MinSuccessRatio*c.requests:
-			v.fail(c, subject{class: t.Class}, "%.3f served", c.successes/c.requests)
+			v.fail(c, subject{class: t.Class}, "success ratio %.3f", c.successes/c.requests)
 		case t.EnteredLevel != "" && !c.level.entered:
-			v.fail(c, subject{}, "it was not")
+			v.fail(c, subject{}, "the level was not entered")
 		case t.AvoidedLevel != "" && c.level.entered:
 			v.fail(c, subject{}, "%s at %.2f s", c.level.text, seconds(c.level.at))
 		}
--- a/expectation/expectation_test.go
+++ b/expectation/expectation_test.go
@@ -61,7 +61,7 @@
 	rules.Assertions[4].MaxMessages = 4
 	for i := range 3 {
 		for _, f := range rules.Run(tight, rules.Draw(i)) {
-			if strings.Contains(f.What, "lines on their way") || strings.Contains(f.What, "messages") {
+			if strings.Contains(f.What, "lines in flight") || strings.Contains(f.What, "messages") {
 				t.Errorf("the core must keep its limits: %v", f)
 			}
 		}
@@ -71,8 +71,8 @@
 		tables   func(*routing.Snapshot)
 		settings func(*coordinator.Settings)
 	}{
-		"never without a node": {tables: func(s *routing.Snapshot) { s.Clusters[0].Endpoints = nil }},
-		"second tries":         {tables: func(s *routing.Snapshot) { s.Routes[2].RetryPolicy = 3 }},
+		"no empty table": {tables: func(s *routing.Snapshot) { s.Clusters[0].Endpoints = nil }},
+		"retry policy":   {tables: func(s *routing.Snapshot) { s.Routes[2].RetryPolicy = 3 }},
 		"drained within": {tables: func(s *routing.Snapshot) { // all endpoints that any gateway ever had stay
 			c := &s.Clusters[0]
 			for _, l := range c.Endpoints {
@@ -84,7 +84,7 @@
 				c.Endpoints = append(c.Endpoints, l)
 			}
 		}},
-		"a cold node's load": {tables: func(s *routing.Snapshot) {
+		"load of a warming endpoint": {tables: func(s *routing.Snapshot) {
 			for k := range s.Clusters { // all get the same
 				s.Clusters[k].Endpoints = slices.Clone(s.Clusters[k].Endpoints)
 				for i := range s.Clusters[k].Endpoints {
@@ -95,8 +95,8 @@
 				}
 			}
 		}},
-		"messages at most": {settings: func(s *coordinator.Settings) { s.Start.Rules.MessageLimit = 0 }},
-		"lines on their way": {settings: func(s *coordinator.Settings) {
+		"at most 4 messages": {settings: func(s *coordinator.Settings) { s.Start.Rules.MessageLimit = 0 }},
+		"lines in flight": {settings: func(s *coordinator.Settings) {
 			s.Start.Rules.QueueLimit = 1e9
 		}},
 	} {
@@ -140,7 +140,7 @@
 	e.Events, e.Assertions = nil, []expectation.Assertion{{MinZones: 2, Line: 4}}
 	for i := range 5 {
 		found := e.Run(settings(cfg), e.Draw(i))
-		if len(found) == 1 && found[0].Gateway != "" && found[0].Figure == "1 halls" {
+		if len(found) == 1 && found[0].Gateway != "" && found[0].Figure == "1 zones" {
 			return
 		}
 		if len(found) > 0 {
@@ -175,7 +175,7 @@
 		t.Errorf("%v", f)
 	}
 	e.Events = nil
-	if f := e.Run(set, e.Draw(0)); len(f) != 1 || f[0].Figure != "it was not" {
+	if f := e.Run(set, e.Draw(0)); len(f) != 1 || f[0].Figure != "the level was not entered" {
 		t.Errorf("in normal operation: %v", f)
 	}
 	// Half the fleet is lost when the load doubles: the level is entered, and the rules hold then and after the recovery.
--- a/expectation/failure.go
+++ b/expectation/failure.go
@@ -29,14 +29,14 @@
 		fmt.Fprintf(&b, ": gateway %s", f.Gateway)
 	}
 	if f.Node != "" {
-		fmt.Fprintf(&b, ", node %s", f.Node)
+		fmt.Fprintf(&b, ", endpoint %s", f.Node)
 	}
 	if f.Kind != "" {
-		fmt.Fprintf(&b, ", kind %s", f.Kind)
+		fmt.Fprintf(&b, ", class %s", f.Kind)
 	}
 	fmt.Fprintf(&b, " at %.2f s: %s (case %d, seed %d)", seconds(f.At), f.Figure, f.Case, f.Seed)
 	if f.Small != "" {
-		fmt.Fprintf(&b, "; also with %s", f.Small)
+		fmt.Fprintf(&b, "; also fails with %s", f.Small)
 	}
 	return b.String()
 }
--- a/expectation/suite.go
+++ b/expectation/suite.go
@@ -96,21 +96,21 @@
 	AvoidedLevel    string // a degradation level that is not entered
 }
 
-// describe returns the assertion's figure in operators' words.
+// describe returns the condition in words.
 func (t Assertion) describe() string {
 	switch {
 	case t.MaxEmptyTable > 0:
-		return fmt.Sprintf("never without a node for %.1f s", seconds(t.MaxEmptyTable))
+		return fmt.Sprintf("no empty table for %.1f s", seconds(t.MaxEmptyTable))
 	case t.MinEndpoints > 0:
-		return fmt.Sprintf("%d nodes at least", t.MinEndpoints)
+		return fmt.Sprintf("at least %d endpoints", t.MinEndpoints)
 	case t.MaxEndpoints > 0:
-		return fmt.Sprintf("%d nodes at most", t.MaxEndpoints)
+		return fmt.Sprintf("at most %d endpoints", t.MaxEndpoints)
 	case t.MinZones > 0:
-		return fmt.Sprintf("%d halls at least", t.MinZones)
+		return fmt.Sprintf("at least %d zones", t.MinZones)
 	case t.MaxUtilization > 0:
-		return fmt.Sprintf("a node's load %.2f at most", t.MaxUtilization)
+		return fmt.Sprintf("endpoint utilization at most %.2f", t.MaxUtilization)
 	case t.MaxWarmUpLoad > 0:
-		return fmt.Sprintf("a cold node's load %.2f of its limit at most", t.MaxWarmUpLoad)
+		return fmt.Sprintf("load of a warming endpoint at most %.2f of its limit", t.MaxWarmUpLoad)
 	default:
 		return t.describeDelivery()
 	}
@@ -121,13 +121,13 @@
 	case t.MaxDrainDelay > 0:
 		return fmt.Sprintf("drained within %.1f s", seconds(t.MaxDrainDelay))
 	case t.MaxMessages > 0:
-		return fmt.Sprintf("%d messages at most", t.MaxMessages)
+		return fmt.Sprintf("at most %d messages", t.MaxMessages)
 	case t.MaxQueued > 0:
-		return fmt.Sprintf("lines on their way %.2f of the limit at most", t.MaxQueued)
+		return fmt.Sprintf("lines in flight at most %.2f of the limit", t.MaxQueued)
 	case t.MinSuccessRatio > 0:
-		return fmt.Sprintf("%.2f served at least", t.MinSuccessRatio)
+		return fmt.Sprintf("success ratio at least %.2f", t.MinSuccessRatio)
 	case t.MaxRetryPolicy > 0:
-		return fmt.Sprintf("second tries by order %d at most", t.MaxRetryPolicy)
+		return fmt.Sprintf("retry policy at most %d", t.MaxRetryPolicy)
 	case t.EnteredLevel != "":
 		return "level " + t.EnteredLevel + " entered"
 	case t.AvoidedLevel != "":
--- a/expectation/validate.go
+++ b/expectation/validate.go
@@ -48,7 +48,7 @@
 	for _, e := range s.Expectations {
 		first, duplicate := lines[e.Name]
 		if e.Name == "" || duplicate {
-			c.report(e.Line, "give each a name of its own", "the name %q is empty or stands at line %d as well", e.Name, first)
+			c.report(e.Line, "give each a unique name", "the name %q is empty or also used at line %d", e.Name, first)
 		}
 		lines[e.Name] = e.Line
 		c.checkExpectation(e)
@@ -65,10 +65,10 @@
 		c.report(e.Line, "3 s to 1 h", "%s lasts %.0f s", e.Name, seconds(e.Length))
 	}
 	if !e.Fleet.valid() {
-		c.report(e.Line, "1 to 5000 nodes, 1 to 20000 gateways, a load above 0 and to 10, each from less to more", "%s: its fleet is %v", e.Name, e.Fleet)
+		c.report(e.Line, "1 to 5000 endpoints, 1 to 20000 gateways, a load above 0 and at most 10, each range from low to high", "%s: its fleet is %v", e.Name, e.Fleet)
 	}
 	if len(e.Assertions) == 0 {
-		c.report(e.Line, "say what must hold", "%s expects nothing", e.Name)
+		c.report(e.Line, "state what must hold", "%s expects nothing", e.Name)
 	}
 	for _, event := range e.Events {
 		c.checkEvent(e, event)
@@ -94,7 +94,7 @@
 	case !c.hasZone(event.Zone):
 		c.report(event.Line, fmt.Sprintf("one of %v", c.site.Zones), "there is no zone %q", event.Zone)
 	case !c.hasClass(event.Class):
-		c.report(event.Line, fmt.Sprintf("one of %v", c.site.Classes), "there is no request kind %q", event.Class)
+		c.report(event.Line, fmt.Sprintf("one of %v", c.site.Classes), "there is no request class %q", event.Class)
 	case event.Fraction < 0 || event.Fraction > 1:
 		c.report(event.Line, "0 to 1", "part is %v", event.Fraction)
 	case event.Action == ScaleLoad && !(event.LoadFactor > 0):
@@ -106,13 +106,13 @@
 	level := t.EnteredLevel + t.AvoidedLevel // one is empty
 	switch {
 	case t.figureCount() != 1:
-		c.report(t.Line, "one figure in each", "it has %d figures", t.figureCount())
+		c.report(t.Line, "exactly one condition in each", "it has %d conditions", t.figureCount())
 	case !c.hasClass(t.Class):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Classes), "there is no request kind %q", t.Class)
+		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Classes), "there is no request class %q", t.Class)
 	case !c.hasZone(t.Zone):
 		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Zones), "there is no zone %q", t.Zone)
 	case t.MinZones > len(c.site.Zones):
-		c.report(t.Line, fmt.Sprintf("%d at most", len(c.site.Zones)), "it expects %d halls", t.MinZones)
+		c.report(t.Line, fmt.Sprintf("at most %d", len(c.site.Zones)), "it expects %d zones", t.MinZones)
 	case level != "" && !slices.Contains(c.site.Levels, level):
 		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Levels), "there is no level %q", level)
 	case t.To > 0 && t.To <= t.From:
