--- a/config/config_test.go
+++ b/config/config_test.go
@@ -41,12 +41,12 @@
 		"not loopback":    {`"zones"`, `"listen": "0.0.0.0:1", "zones"`, `x:3: listen: "0.0.0.0" is not on loopback`},
 		"missing":         {`"path": "n.json"`, ``, "x:4: registry.file.path: is missing"},
 		"grace too short": {`"zones"`, `"rules": {"drain_grace": "100ms"}, "zones"`, "x:3: rules.drain_grace: is not longer than channel.worst_transit"},
-		"queue too short": {`"zones"`, `"gateways": {"expected": 900}, "zones"`, "under two envelopes for each of 900 gateways"},
+		"queue too short": {`"zones"`, `"gateways": {"expected": 900}, "zones"`, "below two message overheads (channel.envelope) for each of 900 gateways"},
 		"bad repeat":      {`"replayable"`, `"sometimes"`, `repeat: is "sometimes", it must be replayable, uniqued or non-replayable`},
 		"a list":          {`["a", "b"]`, `"a"`, `x:3: zones: is "a", it must be a list`},
 		"an object":       {`{"files": {"dir": "t"}}`, `[]`, "x:4: front: is [], it must be an object"},
 		"cut short":       {`"payoff": 1},],`, `"payoff": 1`, "the file must be JSON"},
-		"an array":        {validConfig, `[]`, "holds no object"},
+		"an array":        {validConfig, `[]`, "the file has no JSON object"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(validConfig, c.from, c.to, 1)
--- a/config/decode.go
+++ b/config/decode.go
@@ -78,7 +78,7 @@
 		return
 	}
 	if _, ok := tree.Value.(*hujson.Object); !ok {
-		d.report(1, "-", "the file holds no object", "it must begin with {")
+		d.report(1, "-", "the file has no JSON object", "it must begin with {")
 		return
 	}
 	d.value("", tree, reflect.ValueOf(into).Elem())
@@ -130,7 +130,7 @@
 		case !ok:
 			d.report(line, join(key, name), "is not known", "did you mean "+nearest(name, names)+"?")
 		case seen[name]:
-			d.report(line, join(key, name), "appears twice", "leave one of them out")
+			d.report(line, join(key, name), "appears twice", "remove one of them")
 		default:
 			d.value(join(key, name), member.Value, into.Field(field))
 		}
--- a/config/suite_test.go
+++ b/config/suite_test.go
@@ -79,7 +79,7 @@
 	for level, want := range map[string]string{
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0}}`:                                              `c.json:5: service.levels[0].leave.load: 0 is never reached in calm`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 1}}`:                                              `would swing`,
-		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "x"}]}`:                  `"x" is no request kind`,
+		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "x"}]}`:                  `"x" is not a request class`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "view", "share": 0.5}]}`: `part of what can be served would be rejected`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "leave_held": "1s"}`:                        `under two reports`,
 	} {
--- a/config/validate.go
+++ b/config/validate.go
@@ -23,7 +23,7 @@
 // validate runs all checks. Findings on one line come in the order of the checks.
 func (v validator) validate() {
 	v.listen()
-	v.require(v.cfg.Delivery.Files.Dir != "", "front.files.dir", "is missing", "name the folder that gateways read")
+	v.require(v.cfg.Delivery.Files.Dir != "", "front.files.dir", "is missing", "specify the directory that gateways read")
 	v.registries()
 	v.zones()
 	v.coordinator()
@@ -62,7 +62,7 @@
 func (v validator) listen() {
 	host, _, err := net.SplitHostPort(v.cfg.Listen)
 	if err != nil {
-		v.require(false, "listen", fmt.Sprintf("%q is no address and port", v.cfg.Listen), `such as "127.0.0.1:7070"`)
+		v.require(false, "listen", fmt.Sprintf("%q is not an address with a port", v.cfg.Listen), `such as "127.0.0.1:7070"`)
 		return
 	}
 	v.require(isLoopback(host), "listen", fmt.Sprintf("%q is not on loopback", host),
@@ -88,17 +88,17 @@
 	v.oneOf("coordinator.zone", c.Zone, v.cfg.Zones, fmt.Sprintf("%q is not one of zones", c.Zone),
 		"name the zone of this coordinator")
 	v.require(c.Index >= 0 && c.Index < max(1, c.Instances), "coordinator.index",
-		fmt.Sprintf("is %d of %d", c.Index, c.Instances), "it counts from 0 and stays under instances")
+		fmt.Sprintf("is %d of %d", c.Index, c.Instances), "it must be 0 or more and below instances")
 }
 
 func (v validator) classes() {
 	classes := v.cfg.Classes
-	v.require(len(classes) > 0 && len(classes) <= maxClasses, "request_kinds", fmt.Sprintf("has %d", len(classes)), "name 1 to 64")
+	v.require(len(classes) > 0 && len(classes) <= maxClasses, "request_kinds", fmt.Sprintf("has %d", len(classes)), "there must be 1 to 64")
 	names := map[string]bool{}
 	for i, class := range classes {
 		key := fmt.Sprintf("request_kinds[%d].", i)
 		v.require(class.Name != "" && !names[class.Name], key+"name",
-			fmt.Sprintf("%q is empty or appears twice", class.Name), "name each kind once")
+			fmt.Sprintf("%q is empty or appears twice", class.Name), "specify each class once, with a name")
 		names[class.Name] = true
 		v.class(key, class)
 	}
@@ -109,16 +109,16 @@
 		fmt.Sprintf("is %q", class.Idempotency), "it must be replayable, uniqued or non-replayable")
 	if class.Idempotency == "uniqued" {
 		v.oneOf(key+"repeat_scope", class.DeduplicationScope, []string{"all", "zone", "pod"},
-			fmt.Sprintf("is %q", class.DeduplicationScope), "of a uniqued kind it must be all, zone or pod")
+			fmt.Sprintf("is %q", class.DeduplicationScope), "for a uniqued class it must be all, zone or pod")
 	} else {
-		v.require(class.DeduplicationScope == "", key+"repeat_scope", "is set", "only uniqued kinds have one")
+		v.require(class.DeduplicationScope == "", key+"repeat_scope", "is set", "only uniqued classes may have one")
 	}
 	v.positive(key+"response_target", float64(class.LatencyObjective))
 	v.require(class.ClientTimeout >= class.LatencyObjective, key+"client_timeout", "is shorter than the response target",
-		"clients wait at least as long as the target")
+		"it must be at least response_target")
 	v.positive(key+"payoff", class.PriorityWeight)
 	for _, zone := range class.AllowedZones {
-		v.oneOf(key+"only_zones", zone, v.cfg.Zones, fmt.Sprintf("%q is not one of zones", zone), "name zones that exist")
+		v.oneOf(key+"only_zones", zone, v.cfg.Zones, fmt.Sprintf("%q is not one of zones", zone), "it must be one of zones")
 	}
 }
 
@@ -135,7 +135,7 @@
 		fmt.Sprintf("is %d", r.MessageLimit), "it must be 4 or more, or 0 for no limit")
 	expected := v.cfg.Gateways.ExpectedCount
 	v.require(r.QueueLimit >= 2*v.cfg.Channel.MessageOverhead*float64(expected), "rules.waiting_lines",
-		fmt.Sprintf("%v is under two envelopes for each of %d gateways", r.QueueLimit, expected), "a change to all gateways must fit")
+		fmt.Sprintf("%v is below two message overheads (channel.envelope) for each of %d gateways", r.QueueLimit, expected), "a message to each gateway must fit")
 }
 
 func (v validator) channel() {
@@ -144,7 +144,7 @@
 	v.require(c.MessageOverhead >= 0, "channel.envelope", "is below 0", "it must be 0 or more")
 	v.require(c.MaxLatency >= c.Latency, "channel.worst_transit", "is shorter than transit", "it must be as long or longer")
 	v.require(v.cfg.Rules.DrainGracePeriod > c.MaxLatency, "rules.drain_grace", "is not longer than channel.worst_transit",
-		"an order must be able to arrive within the grace")
+		"an order must be able to arrive within the grace period")
 }
 
 func (v validator) reports() {
@@ -155,8 +155,8 @@
 func (v validator) gateways() {
 	g := v.cfg.Gateways
 	v.require(g.ExpectedCount > 0, "gateways.expected", fmt.Sprintf("is %d", g.ExpectedCount), "it must be 1 or more")
-	v.require(g.SilenceTimeout >= 2*v.cfg.Reports.Period, "gateways.silent_after", "is under two report periods",
-		"one late report must not cut a gateway off")
+	v.require(g.SilenceTimeout >= 2*v.cfg.Reports.Period, "gateways.silent_after", "is below two report periods",
+		"one late report must not count a gateway as disconnected")
 }
 
 func (v validator) healthChecks() {
@@ -175,7 +175,7 @@
 
 func (v validator) storage() {
 	limit := v.cfg.Reports.SamplingLimit
-	v.require(limit >= 0, "reports.intake", fmt.Sprintf("is %d", limit), "lines a second, or 0 for all")
+	v.require(limit >= 0, "reports.intake", fmt.Sprintf("is %d", limit), "it must be lines per second, or 0 for no limit")
 	c := v.cfg.Capture
 	v.require(c.SegmentBytes >= minSegmentBytes && c.MaxBytes >= 2*c.SegmentBytes && c.MaxAge > 0, "capture",
 		fmt.Sprintf("budget is %d, segment %d, age %d us", c.MaxBytes, c.SegmentBytes, c.MaxAge),
@@ -191,13 +191,13 @@
 
 func (v validator) trace() {
 	t := v.cfg.Trace
-	v.require(t.SampleRatio >= 0 && t.SampleRatio <= 1, "trace.part", fmt.Sprintf("is %v", t.SampleRatio), "0 to 1")
+	v.require(t.SampleRatio >= 0 && t.SampleRatio <= 1, "trace.part", fmt.Sprintf("is %v", t.SampleRatio), "it must be 0 to 1")
 	if t.Endpoint == "" {
 		return
 	}
 	host, _, err := net.SplitHostPort(t.Endpoint)
-	v.require(err == nil && isLoopback(host), "trace.endpoint", fmt.Sprintf("%q is no loopback address and port", t.Endpoint),
-		`such as "127.0.0.1:4318": spans go out without authentication`)
+	v.require(err == nil && isLoopback(host), "trace.endpoint", fmt.Sprintf("%q is not a loopback address with a port", t.Endpoint),
+		`such as "127.0.0.1:4318": spans are sent without authentication`)
 }
 
 func (v validator) enumerations() {
--- a/config/validate_degradation.go
+++ b/config/validate_degradation.go
@@ -22,7 +22,7 @@
 	if f.Level == "" {
 		return
 	}
-	v.require(fallback.Level > 0, "service.fallback.level", fmt.Sprintf("%q is no level", f.Level), "name one of service.levels")
+	v.require(fallback.Level > 0, "service.fallback.level", fmt.Sprintf("%q is not a level", f.Level), "name one of service.levels")
 	v.require(f.Duration > 0 && f.After >= v.cfg.Gateways.SilenceTimeout, "service.fallback",
 		fmt.Sprintf("begins after %d ms and lasts %d ms", f.After/millisecond, f.Duration/millisecond),
 		"it must not begin before gateways.silent_after, and must end")
@@ -32,14 +32,14 @@
 	seen := map[string]bool{}
 	for j, bounds := range level.Classes {
 		key := fmt.Sprintf("service.levels[%d].kinds[%d].name", index, j)
-		problem := fmt.Sprintf("%q is no request kind or appears twice", bounds.Name)
+		problem := fmt.Sprintf("%q is not a request class or appears twice", bounds.Name)
 		if seen[bounds.Name] {
-			v.require(false, key, problem, "name each of request_kinds once at most")
+			v.require(false, key, problem, "list each of request_kinds at most once")
 		} else {
-			v.oneOf(key, bounds.Name, classes, problem, "name each of request_kinds once at most")
+			v.oneOf(key, bounds.Name, classes, problem, "list each of request_kinds at most once")
 		}
 		seen[bounds.Name] = true
 	}
 	v.require(v.cfg.Admission != "off" || len(level.Classes) == 0, fmt.Sprintf("service.levels[%d].kinds", index),
-		"bounds shares, and levels is off", "gateways turn nothing away with levels off: leave kinds out")
+		"limits shares while levels is off", "gateways reject nothing with levels off: remove kinds")
 }
