--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -48,7 +48,7 @@
 		return explanation
 	}
 	before := explain(first + 3*second)
-	if len(before.Gateways) == 0 || !strings.Contains(before.Answer, "the list has it as ready") || !before.Gateways[0].Confirmed {
+	if len(before.Gateways) == 0 || !strings.Contains(before.Answer, "the endpoint list has it as ready") || !before.Gateways[0].Confirmed {
 		t.Errorf("before: %q, %+v", before.Answer, before.Gateways)
 	}
 	after := explain(removedAt + 2*second)
--- a/capture/errors.go
+++ b/capture/errors.go
@@ -8,9 +8,9 @@
 // Errors of reading a capture. They are wrapped; test for them with [errors.Is].
 var (
 	// ErrFormat is a record that was written with a valid checksum but can't be decoded by this build.
-	ErrFormat = errors.New("no record of a capture")
+	ErrFormat = errors.New("not a capture record")
 	// ErrNoSegments is a directory without segments.
-	ErrNoSegments = errors.New("no segments of a capture")
+	ErrNoSegments = errors.New("no capture segments")
 	// ErrNothingRecorded is a time before the first step of a capture.
 	ErrNothingRecorded = errors.New("nothing was recorded up to that time")
 )
--- a/capture/explanation.go
+++ b/capture/explanation.go
@@ -50,15 +50,15 @@
 	case !h.known:
 		return "records are missing before that time: the state at that time is unknown"
 	case len(gateways) == 0 && len(h.events) == 0:
-		return "nothing that was recorded names it"
+		return "no record names the endpoint"
 	case len(gateways) == 0:
-		return fmt.Sprintf("no gateway had it in a table: %s; tables of the module with it: %s", h.listedText(), h.tablesText())
+		return fmt.Sprintf("no gateway had it in a table: %s; the decision module's tables with it: %s", h.listedText(), h.tablesText())
 	case h.listed != nil && h.listed.Status != policyapi.Ready:
 		disconnected, unconfirmed := h.countOutdated(gateways)
-		return fmt.Sprintf("%s since %.1f s, but %d gateways still had it in a table: %d were disconnected, %d had been sent the table without it and not confirmed it",
+		return fmt.Sprintf("%s since %.1f s, but %d gateways still had it in a table: %d were disconnected, %d had been sent the table without it and had not confirmed it",
 			h.listedText(), seconds(at-h.listedAt()), len(gateways), disconnected, unconfirmed)
 	default:
-		return fmt.Sprintf("%d gateways had it in a table: %s; tables of the module with it: %s", len(gateways), h.listedText(), h.tablesText())
+		return fmt.Sprintf("%d gateways had it in a table: %s; the decision module's tables with it: %s", len(gateways), h.listedText(), h.tablesText())
 	}
 }
 
@@ -77,9 +77,9 @@
 
 func (h *endpointHistory) listedText() string {
 	if h.listed == nil {
-		return "it is in no list"
+		return "it is not in the endpoint list"
 	}
-	return "the list has it as " + statusText(h.listed.Status)
+	return "the endpoint list has it as " + statusText(h.listed.Status)
 }
 
 // listedAt is when the list last changed for the endpoint; 0 if it never did.
--- a/capture/history.go
+++ b/capture/history.go
@@ -120,7 +120,7 @@
 	case c.Drain == h.endpoint:
 		h.add(at, CommandEvent, "an operator drained it: %s", c.Reason)
 	case c.Undrain == h.endpoint:
-		h.add(at, CommandEvent, "an operator ended its draining: %s", c.Reason)
+		h.add(at, CommandEvent, "an operator ended its drain: %s", c.Reason)
 	case c.Unpin > 0:
 		h.add(at, CommandEvent, "an operator removed pin %d: %s", c.Unpin, c.Reason)
 	}
@@ -147,7 +147,7 @@
 		h.observeRegistry(at, in)
 	case coordinator.HealthCheckResult:
 		if in.Endpoint == h.endpoint {
-			h.add(at, HealthEvent, "a health check of it: ok %t %s", in.Healthy, in.Code)
+			h.add(at, HealthEvent, "health check: ok %t %s", in.Healthy, in.Code)
 		}
 	case coordinator.LoadReport:
 		h.observeReport(at, in)
@@ -159,7 +159,7 @@
 		g := h.gateway(in.Gateway)
 		g.disconnected = true
 		if g.sent != nil {
-			h.add(at, DisconnectEvent, "%s disconnected; it goes on with the table it has", in.Gateway)
+			h.add(at, DisconnectEvent, "%s disconnected; it keeps using its cached table", in.Gateway)
 		}
 	}
 }
@@ -229,7 +229,7 @@
 	}
 	complete := update.Kind == policyapi.Snapshot && update.Error == ""
 	if complete && h.listed != nil && h.listed.Status != policyapi.Removed {
-		h.add(at, ListEvent, "the endpoint list (version %d) does not name it any more", update.Version)
+		h.add(at, ListEvent, "the endpoint list (version %d) no longer has it", update.Version)
 		removed := *h.listed
 		removed.Status = policyapi.Removed
 		h.listed = &removed
@@ -252,14 +252,14 @@
 
 // observeRegistry records the endpoint's state by a registry, if that has changed.
 func (h *endpointHistory) observeRegistry(at instant, update coordinator.RegistryUpdate) {
-	text := "does not name it"
+	text := "does not list it"
 	for _, observation := range update.Observations {
 		if observation.Endpoint == h.endpoint {
-			text = fmt.Sprintf("has it %s in %s", observation.Status, observation.Zone)
+			text = fmt.Sprintf("lists it as %s in %s", observation.Status, observation.Zone)
 		}
 	}
 	if update.Error != "" {
-		text = "gives no answer: " + update.Error
+		text = "does not respond: " + update.Error
 	}
 	if h.observations[update.Source] != text {
 		h.observations[update.Source] = text
@@ -288,7 +288,7 @@
 	ended := attempts == 0 && g.attempts > 0
 	firstFailures := failures > 0 && g.failures == 0
 	if began || ended || firstFailures {
-		h.add(at, ReportEvent, "%s reports %d attempts at it, %d failed, in %.1f s", report.Gateway, attempts, failures, seconds(report.Interval))
+		h.add(at, ReportEvent, "%s reports %d attempts, %d failed, in %.1f s", report.Gateway, attempts, failures, seconds(report.Interval))
 	}
 	g.attempts = attempts
 	g.failures = failures
--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -81,7 +81,7 @@
 	p.requestBeganAt = time.Time{}
 	p.requests++
 	if limit := s.daemon.config.Limits.Requests; limit > 0 && p.requests > limit {
-		return s.rejectAndClose(c, http.StatusTooManyRequests, fmt.Sprintf("a connection has %d requests: open another", limit)), false
+		return s.rejectAndClose(c, http.StatusTooManyRequests, fmt.Sprintf("the limit is %d requests per connection: open another", limit)), false
 	}
 	s.serve(p, request, body)
 	return gnet.None, true
@@ -99,7 +99,7 @@
 // checkRequestTimeout closes a connection whose request has not become complete in time.
 func (s *server) checkRequestTimeout(p *connection) gnet.Action {
 	if time.Since(p.requestBeganAt) > requestTimeout {
-		s.countRejection("a request that does not end", p.conn.RemoteAddr().String())
+		s.countRejection("incomplete request", p.conn.RemoteAddr().String())
 		return gnet.Close
 	}
 	return gnet.None
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -49,7 +49,7 @@
 	case "POST /nodes/undrain":
 		return d.undrainOperation(body)
 	}
-	return nil, &requestError{http.StatusNotFound, fmt.Errorf("nothing answers %s %s", request.Method, request.URL.Path)}
+	return nil, &requestError{http.StatusNotFound, fmt.Errorf("no handler for %s %s", request.Method, request.URL.Path)}
 }
 
 // readBody reads a request's JSON; it rejects fields that are not known.
@@ -132,7 +132,7 @@
 		scopes++
 	}
 	if scopes != 1 || r.Version > 0 && r.Ago > 0 || r.Ago < 0 {
-		return pin, badRequest(fmt.Errorf("name one of table, zone and fleet, and at most one of version and ago_us"))
+		return pin, badRequest(fmt.Errorf("specify one of table, zone and fleet, and at most one of version and ago_us"))
 	}
 	return pin, nil
 }
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -147,7 +147,7 @@
 		node, err = xds.ParseNode(m.Node)
 	}
 	if err == nil && m.TypeUrl != typeURL {
-		err = fmt.Errorf("%w: type_url %q: this path takes %s", xds.ErrInvalidMessage, m.TypeUrl, typeURL)
+		err = fmt.Errorf("%w: type_url %q: this path accepts %s", xds.ErrInvalidMessage, m.TypeUrl, typeURL)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
@@ -179,7 +179,7 @@
 	r.Respond = x.answerPoll
 	cancel, ok := hub.Poll(r)
 	if !ok {
-		x.answer(http.StatusServiceUnavailable, textType, []byte("too many polls are held\n"))
+		x.answer(http.StatusServiceUnavailable, textType, []byte("too many pending polls: retry later\n"))
 		return
 	}
 	x.connection.cancelPoll.Store(&cancel)
@@ -230,7 +230,7 @@
 	period := policyapi.Microseconds(s.daemon.config.Reports.Period)
 	if loadreport.ShouldDefer(s.daemon.inbox.Len(), normalCapacity, microsecondsSince(p.reportedAt), period) {
 		s.deferredReports.Add(1)
-		x.answer(http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
+		x.answer(http.StatusTooManyRequests, textType, []byte("the core is overloaded: report later\n"))
 		return
 	}
 	p.reportedAt = time.Now()
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -18,11 +18,11 @@
 	s, p := x.server, x.connection
 	name := coordinator.Gateway(node.Name)
 	if p.gateway != "" && p.gateway != name {
-		x.fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", p.gateway))
+		x.fail(http.StatusConflict, fmt.Sprintf("this connection belongs to gateway %s", p.gateway))
 		return
 	}
 	if node.Polls && !s.daemon.config.Delivery.Poll.Enabled {
-		x.fail(http.StatusNotImplemented, "polling is off: front.poll.enabled")
+		x.fail(http.StatusNotImplemented, "polling is disabled: set front.poll.enabled")
 		return
 	}
 	if p.gateway == "" {
@@ -30,7 +30,7 @@
 	}
 	link, ok := s.claimLink(name, p)
 	if !ok {
-		x.fail(http.StatusConflict, fmt.Sprintf("%s is already connected by the other way of delivery: give each gateway a name of its own", name))
+		x.fail(http.StatusConflict, fmt.Sprintf("%s is already connected with the other delivery method: give each gateway a unique name", name))
 		return
 	}
 	var inputs []coordinator.Input
--- a/daemon/restore.go
+++ b/daemon/restore.go
@@ -30,7 +30,7 @@
 		return inputs
 	}
 	if err != nil {
-		d.log.Warn("snapshot", zap.String("text", "started without it"), zap.Error(err))
+		d.log.Warn("snapshot", zap.String("text", "unreadable: started without it"), zap.Error(err))
 		return inputs
 	}
 	var classes []string
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -69,7 +69,7 @@
 	case err := <-s.stopped:
 		return nil, fmt.Errorf("listen on %s: %w", addr, err)
 	case <-time.After(listenTimeout):
-		return nil, fmt.Errorf("listen on %s: not up after %s", addr, listenTimeout)
+		return nil, fmt.Errorf("listen on %s: not listening after %s", addr, listenTimeout)
 	}
 	if s.addr == "" {
 		return nil, fmt.Errorf("listen on %s: %w", addr, errAddressUnknown)
@@ -77,7 +77,7 @@
 	return s, nil
 }
 
-var errAddressUnknown = errors.New("the bound address is not known")
+var errAddressUnknown = errors.New("the bound address is unknown")
 
 func (s *server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
--- a/daemon/snapshotfile.go
+++ b/daemon/snapshotfile.go
@@ -51,7 +51,7 @@
 		return s, err
 	}
 	if len(file) < snapshotHeadLength || string(file[:len(snapshotMagic)]) != snapshotMagic {
-		return s, fmt.Errorf("%w: %s is no snapshot, or was cut off", ErrSnapshot, snapshotName)
+		return s, fmt.Errorf("%w: %s is not a snapshot, or is truncated", ErrSnapshot, snapshotName)
 	}
 	format := binary.LittleEndian.Uint32(file[len(snapshotMagic):])
 	sum := binary.LittleEndian.Uint32(file[len(snapshotMagic)+4:])
@@ -60,7 +60,7 @@
 		return s, fmt.Errorf("%w: it has format %d, this build (%s) reads %d", ErrSnapshot, format, Build(), recovery.Format)
 	}
 	if snapshotChecksum(body) != sum {
-		return s, fmt.Errorf("%w: its checksum is wrong", ErrSnapshot)
+		return s, fmt.Errorf("%w: checksum mismatch", ErrSnapshot)
 	}
 	if err := cbor.Unmarshal(body, &s); err != nil {
 		return s, fmt.Errorf("%w: %w", ErrSnapshot, err)
--- a/daemon/statestore.go
+++ b/daemon/statestore.go
@@ -70,7 +70,7 @@
 	}
 	s.failing = failing
 	if failing {
-		s.log.Warn("state", zap.String("text", "can't be saved: the next start goes without it"), zap.Error(err))
+		s.log.Warn("state", zap.String("text", "can't be saved: the next start will be without it"), zap.Error(err))
 		return
 	}
 	s.log.Info("state", zap.String("text", "is saved again"))
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -87,7 +87,7 @@
 		case coordinator.DocumentAck:
 			t.acknowledge(in)
 		case coordinator.GatewayDisconnected:
-			t.abandon(in.Gateway, "the link has ended")
+			t.abandon(in.Gateway, "the gateway disconnected")
 		}
 	}
 	var publications []coordinator.Publish
@@ -210,7 +210,7 @@
 // close exports what is left, within the timeout.
 func (t *tracer) close(timeout time.Duration) {
 	for gateway := range t.inFlight {
-		t.abandon(gateway, "the coordinator ends")
+		t.abandon(gateway, "the coordinator stopped")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/xdsfile/publisher.go
+++ b/xdsfile/publisher.go
@@ -28,7 +28,7 @@
 	maxBackoffDouble = 6 // doublings after which maxBackoff is reached for certain
 )
 
-var errGatewayName = errors.New("can't name a folder")
+var errGatewayName = errors.New("is not valid as a directory name")
 
 // Publisher writes documents. A gateway's later publication replaces an earlier one that still waits, so a slow disk
 // costs at most one waiting publication for each gateway. It is safe for concurrent use.
--- a/xdsfile/publisher_test.go
+++ b/xdsfile/publisher_test.go
@@ -173,7 +173,7 @@
 	f.Publish(bad)
 	within(t, "a name that is no directory", func() bool {
 		for _, err := range errs() {
-			if strings.Contains(err.Error(), "can't name a folder") {
+			if strings.Contains(err.Error(), "is not valid as a directory name") {
 				return true
 			}
 		}
