--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -41,7 +41,7 @@
 		Short:   "Inject faults into an emulated fleet on loopback and audit the five rules at the sockets",
 		Long: `chaos runs emulated endpoints, gateways and clients in this process and a coordinator in a process of its own, injects
 the scenario's faults, and audits the rules from the traffic on the sockets. SCENARIO is a built-in one (--list),
-only:FAULT for a single fault, or a file. The default is bad-day, which has all faults.`,
+only:FAULT for a single fault, or a file. The default is bad-day.`,
 		Example: `  porthub chaos
   porthub chaos --seed 7 --json
   porthub chaos only:zone_loss
