--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -81,7 +81,7 @@
 	conn.requestBeganAt = time.Time{}
 	conn.requests++
 	if limit := s.daemon.config.Limits.Requests; limit > 0 && conn.requests > limit {
-		return s.rejectAndClose(c, http.StatusTooManyRequests, fmt.Sprintf("a connection has %d requests: open another", limit)), false
+		return s.rejectAndClose(c, http.StatusTooManyRequests, fmt.Sprintf("the limit is %d requests per connection: open another", limit)), false
 	}
 	s.serve(conn, request, body)
 	return gnet.None, true
@@ -99,7 +99,7 @@
 // checkRequestTimeout closes a connection whose request has not become complete in time.
 func (s *server) checkRequestTimeout(conn *connection) gnet.Action {
 	if time.Since(conn.requestBeganAt) > requestTimeout {
-		s.countRejection("a request that does not end", conn.gnetConn.RemoteAddr().String())
+		s.countRejection("incomplete request", conn.gnetConn.RemoteAddr().String())
 		return gnet.Close
 	}
 	return gnet.None
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -147,7 +147,7 @@
 		node, err = xds.ParseNode(message.Node)
 	}
 	if err == nil && message.TypeUrl != typeURL {
-		err = fmt.Errorf("%w: type_url %q: this path takes %s", xds.ErrInvalidMessage, message.TypeUrl, typeURL)
+		err = fmt.Errorf("%w: type_url %q: this path accepts %s", xds.ErrInvalidMessage, message.TypeUrl, typeURL)
 	}
 	if err != nil {
 		x.fail(http.StatusBadRequest, err.Error())
@@ -179,7 +179,7 @@
 	request.Respond = x.respondToPoll
 	cancel, ok := hub.Poll(request)
 	if !ok {
-		x.respond(http.StatusServiceUnavailable, textType, []byte("too many polls are waiting\n"))
+		x.respond(http.StatusServiceUnavailable, textType, []byte("too many pending polls: retry later\n"))
 		return
 	}
 	x.connection.cancelPoll.Store(&cancel)
@@ -230,7 +230,7 @@
 	period := policyapi.Microseconds(server.daemon.config.Reports.Period)
 	if loadreport.ShouldDefer(server.daemon.mailbox.Len(), normalCapacity, microsecondsSince(conn.reportedAt), period) {
 		server.deferredReports.Add(1)
-		x.respond(http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
+		x.respond(http.StatusTooManyRequests, textType, []byte("the core is overloaded: report later\n"))
 		return
 	}
 	conn.reportedAt = time.Now()
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -19,11 +19,11 @@
 	conn := x.connection
 	name := coordinator.Gateway(node.Name)
 	if conn.gateway != "" && conn.gateway != name {
-		x.fail(http.StatusConflict, fmt.Sprintf("this connection is %s's", conn.gateway))
+		x.fail(http.StatusConflict, fmt.Sprintf("this connection belongs to gateway %s", conn.gateway))
 		return
 	}
 	if node.Polls && !server.daemon.config.Delivery.Poll.Enabled {
-		x.fail(http.StatusNotImplemented, "polling is off: front.poll.enabled")
+		x.fail(http.StatusNotImplemented, "polling is disabled: set front.poll.enabled")
 		return
 	}
 	if conn.gateway == "" {
@@ -31,7 +31,7 @@
 	}
 	link, ok := server.claimLink(name, conn)
 	if !ok {
-		x.fail(http.StatusConflict, fmt.Sprintf("%s is already connected by the other way of delivery: give each gateway a name of its own", name))
+		x.fail(http.StatusConflict, fmt.Sprintf("%s is already connected with the other delivery method: give each gateway a unique name", name))
 		return
 	}
 	var inputs []coordinator.Input
