--- a/config/suite_test.go
+++ b/config/suite_test.go
@@ -77,11 +77,11 @@
 		t.Fatal(err)
 	}
 	for level, want := range map[string]string{
-		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0}}`:                                              `c.json:5: service.levels[0].leave.load: 0 is never reached in calm`,
-		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 1}}`:                                              `would swing`,
+		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0}}`:                                              `c.json:5: service.levels[0].leave.load: 0 is never reached in normal operation`,
+		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 1}}`:                                              `would oscillate`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "x"}]}`:                  `"x" is not a request class`,
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "kinds": [{"name": "view", "share": 0.5}]}`: `part of what can be served would be rejected`,
-		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "leave_held": "1s"}`:                        `under two reports`,
+		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "leave_held": "1s"}`:                        `below two report periods`,
 	} {
 		if _, err := Parse("c.json", text(level)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", level, err, want)
--- a/degradation/check.go
+++ b/degradation/check.go
@@ -50,12 +50,12 @@
 func (s Settings) Check() []Finding {
 	var found findings
 	if len(s.Levels) > maxLevels {
-		found.add(allLevels, "", fmt.Sprintf("has %d levels", len(s.Levels)), fmt.Sprintf("%d at most", maxLevels))
+		found.add(allLevels, "", fmt.Sprintf("has %d levels", len(s.Levels)), fmt.Sprintf("at most %d", maxLevels))
 	}
 	names := map[string]bool{"": true, NormalLevel: true}
 	for i, l := range s.Levels {
 		if names[l.Name] {
-			found.add(i, "name", fmt.Sprintf("%q is empty, %q or appears twice", l.Name, NormalLevel), "give each level a name of its own")
+			found.add(i, "name", fmt.Sprintf("%q is empty, %q or appears twice", l.Name, NormalLevel), "give each level a unique name")
 		}
 		names[l.Name] = true
 		s.checkTriggers(i, &found)
@@ -76,11 +76,11 @@
 			triggers++
 			s.checkTrigger(i, t, found)
 		case leave > 0:
-			found.add(i, "leave."+t.String(), "is set without enter."+t.String(), "give both or none")
+			found.add(i, "leave."+t.String(), "is set without enter."+t.String(), "set both or none")
 		}
 	}
 	if triggers == 0 {
-		found.add(i, "enter", "has no trigger", "name one of load, lost, unreachable, shed, behind; a level that only operators use takes enter.load 1000")
+		found.add(i, "enter", "has no trigger", "set one of load, lost, unreachable, shed, behind; use enter.load 1000 for a level that only operators set")
 	}
 }
 
@@ -90,20 +90,20 @@
 func (s Settings) checkTrigger(i int, t Trigger, found *findings) {
 	enter, leave := s.Levels[i].Enter[t], s.Levels[i].Leave[t]
 	if leave >= enter {
-		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is not under enter, %v: the level would swing", leave, enter), "leave a gap")
+		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is not below enter, %v: the level would oscillate", leave, enter), "set it below enter")
 	}
 	if leave < minLeave[t] {
-		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is never reached in calm: the level can't be left", leave), fmt.Sprintf("%v or more", minLeave[t]))
+		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is never reached in normal operation: the level can't be left", leave), fmt.Sprintf("%v or more", minLeave[t]))
 	}
 	if t != TriggerLoad && enter > 1 {
-		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is never reached", enter), "1 at most")
+		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is never reached", enter), "at most 1")
 	}
 	if i == 0 {
 		return
 	}
 	if milder := s.Levels[i-1]; milder.Enter[t] > enter {
-		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is under that of %q, %v, which is less severe", enter, milder.Name, milder.Enter[t]),
-			"severer levels are entered later")
+		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is below that of %q, %v, which is less severe", enter, milder.Name, milder.Enter[t]),
+			"more severe levels must not be entered earlier")
 	}
 }
 
@@ -113,8 +113,8 @@
 		found.add(i, "enter_held", "is below 0", "0 or more")
 	}
 	if evidence := s.reportTime(i); l.LeaveDelay < evidence {
-		found.add(i, "leave_held", fmt.Sprintf("%v s is under two reports at this level", float64(l.LeaveDelay)/float64(second)),
-			fmt.Sprintf("%v s or more: it could be left without evidence", float64(evidence)/float64(second)))
+		found.add(i, "leave_held", fmt.Sprintf("%v s is below two report periods at this level", float64(l.LeaveDelay)/float64(second)),
+			fmt.Sprintf("%v s or more: the level could be left without evidence", float64(evidence)/float64(second)))
 	}
 }
 
@@ -126,7 +126,7 @@
 func (s Settings) checkBounds(i int, found *findings) {
 	b := s.Levels[i].Bounds
 	if len(b.Share) != len(s.Classes) || len(b.RetryPolicy) != len(s.Classes) {
-		found.add(i, "kinds", fmt.Sprintf("has bounds for %d of %d request kinds", len(b.Share), len(s.Classes)), "one for each")
+		found.add(i, "kinds", fmt.Sprintf("has bounds for %d of %d request classes", len(b.Share), len(s.Classes)), "one for each")
 		return
 	}
 	s.checkClassBounds(i, found)
@@ -146,7 +146,7 @@
 		return
 	}
 	if milder := s.Levels[i-1]; b.ReportIntervalFactor < milder.Bounds.ReportIntervalFactor {
-		found.add(i, "report_stretch", fmt.Sprintf("%d is under that of %q", b.ReportIntervalFactor, milder.Name), "severer levels bound as much or more")
+		found.add(i, "report_stretch", fmt.Sprintf("%d is below that of %q", b.ReportIntervalFactor, milder.Name), "more severe levels must limit as much or more")
 	}
 }
 
--- a/degradation/check_test.go
+++ b/degradation/check_test.go
@@ -8,22 +8,22 @@
 
 func TestCheckFindings(t *testing.T) {
 	for text, spoil := range map[string]func(*Settings){
-		"would swing":      func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 1 },
+		"would oscillate":  func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 1 },
 		"can't be left":    func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 0 },
 		"is never reached": func(s *Settings) { s.Levels[0].Enter[TriggerLostCapacity] = 1.2 },
 		"less severe":      func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = 1.5 },
 		"no trigger": func(s *Settings) {
 			s.Levels[0].Enter, s.Levels[0].Leave = [TriggerCount]float64{}, [TriggerCount]float64{}
 		},
-		"under two reports":     func(s *Settings) { s.Levels[1].Bounds.ReportIntervalFactor = 8 },
-		"would be rejected":     func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
-		"appears twice":         func(s *Settings) { s.Levels[1].Name = "tight" },
-		"is set without enter.": func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
-		"0 to 3":                func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []int{4, 0} },
-		"of 2 request kinds":    func(s *Settings) { s.Levels[0].Bounds.Share = nil },
-		"or 0 for no bound":     func(s *Settings) { s.Levels[0].Bounds.MaxEndpoints = 1 },
-		"bound as much":         func(s *Settings) { s.Levels[0].Bounds.ReportIntervalFactor = 2 },
-		"both must be":          func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = math.NaN() },
+		"below two report periods": func(s *Settings) { s.Levels[1].Bounds.ReportIntervalFactor = 8 },
+		"would be rejected":        func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
+		"appears twice":            func(s *Settings) { s.Levels[1].Name = "tight" },
+		"is set without enter.":    func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
+		"0 to 3":                   func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []int{4, 0} },
+		"of 2 request classes":     func(s *Settings) { s.Levels[0].Bounds.Share = nil },
+		"or 0 for no bound":        func(s *Settings) { s.Levels[0].Bounds.MaxEndpoints = 1 },
+		"limit as much":            func(s *Settings) { s.Levels[0].Bounds.ReportIntervalFactor = 2 },
+		"both must be":             func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = math.NaN() },
 	} {
 		s := twoLevels()
 		spoil(&s)
