--- a/degradation/check.go
+++ b/degradation/check.go
@@ -146,7 +146,7 @@
 		return
 	}
 	if milder := s.Levels[i-1]; bounds.ReportIntervalFactor < milder.Bounds.ReportIntervalFactor {
-		found.add(i, "report_stretch", fmt.Sprintf("%d is under that of %q", bounds.ReportIntervalFactor, milder.Name), "severer levels bound as much or more")
+		found.add(i, "report_stretch", fmt.Sprintf("%d is below that of %q", bounds.ReportIntervalFactor, milder.Name), "more severe levels must limit as much or more")
 	}
 }
 
