--- a/chaos/load_report_faults.go
+++ b/chaos/load_report_faults.go
@@ -203,7 +203,7 @@
 func retryEverything(s *routing.Snapshot) {
 	s.Routes = slices.Clone(s.Routes)
 	for i := range s.Routes {
-		s.Routes[i].RetryPolicy = int(policyapi.RetryTwice)
+		s.Routes[i].RetryPolicy = policyapi.RetryTwice
 	}
 }
 
--- a/config/degradation.go
+++ b/config/degradation.go
@@ -118,14 +118,14 @@
 	level.Bounds.MaxHealthChecks = l.MaxHealthChecks
 	level.Bounds.ReportIntervalFactor = l.ReportIntervalFactor
 	for class, name := range classes {
-		level.Bounds.RetryPolicy[class] = l.RetryPolicy
+		level.Bounds.RetryPolicy[class] = policyapi.RetryPolicy(l.RetryPolicy)
 		for _, bounds := range l.Classes {
 			if bounds.Name != name {
 				continue
 			}
 			level.Bounds.Share[class] = bounds.Share
 			if bounds.RetryPolicy >= 0 {
-				level.Bounds.RetryPolicy[class] = bounds.RetryPolicy
+				level.Bounds.RetryPolicy[class] = policyapi.RetryPolicy(bounds.RetryPolicy)
 			}
 		}
 	}
--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -24,7 +24,7 @@
 // in requests per second; routing.UnlimitedRate: no limit.
 type classAdmission struct {
 	rate, warmUpRate, share float64
-	retryPolicy             int
+	retryPolicy             policyapi.RetryPolicy
 }
 
 // effectiveRate is the lower of both rates.
@@ -61,7 +61,7 @@
 		default:
 			a.warmUpRate = order.Level
 		}
-		a.retryPolicy = int(order.RetryPolicy)
+		a.retryPolicy = order.RetryPolicy
 	}
 	return a
 }
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -194,7 +194,7 @@
 		l.Enter[degradation.TriggerLostCapacity], l.Leave[degradation.TriggerLostCapacity] = 0.4+0.3*float64(i), 0.1+0.3*float64(i)
 		l.Bounds.Share[0] = 0.3
 		if i > 0 {
-			l.Bounds.RetryPolicy, l.Bounds.CrossZoneFactor, l.Bounds.ReportIntervalFactor, l.Bounds.MaxHealthChecks = []int{0, 0}, 0, 2, 1
+			l.Bounds.RetryPolicy, l.Bounds.CrossZoneFactor, l.Bounds.ReportIntervalFactor, l.Bounds.MaxHealthChecks = []policyapi.RetryPolicy{0, 0}, 0, 2, 1
 		}
 		s.Degradation.Levels = append(s.Degradation.Levels, l)
 	}
--- a/degradation/check_test.go
+++ b/degradation/check_test.go
@@ -4,6 +4,8 @@
 	"math"
 	"strings"
 	"testing"
+
+	"porthub/policyapi"
 )
 
 func TestCheckFindings(t *testing.T) {
@@ -19,7 +21,7 @@
 		"would be rejected":        func(s *Settings) { s.Levels[0].Bounds.Share = []float64{0.5, 0.4} },
 		"appears twice":            func(s *Settings) { s.Levels[1].Name = "tight" },
 		"is set without enter.":    func(s *Settings) { s.Levels[0].Leave[TriggerShedReports] = 0.4 },
-		"0 to 3":                   func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []int{4, 0} },
+		"0 to 3":                   func(s *Settings) { s.Levels[0].Bounds.RetryPolicy = []policyapi.RetryPolicy{4, 0} },
 		"of 2 request classes":     func(s *Settings) { s.Levels[0].Bounds.Share = nil },
 		"or 0 for no bound":        func(s *Settings) { s.Levels[0].Bounds.MaxEndpoints = 1 },
 		"limit as much":            func(s *Settings) { s.Levels[0].Bounds.ReportIntervalFactor = 2 },
--- a/degradation/settings.go
+++ b/degradation/settings.go
@@ -8,7 +8,7 @@
 const NormalLevel = "usual"
 
 // maxRetryPolicy is the retry policy that leaves retries as they are, see Bounds.RetryPolicy.
-const maxRetryPolicy = 3
+const maxRetryPolicy = policyapi.RetryTwice
 
 // Level is the settings of one level.
 type Level struct {
@@ -22,12 +22,12 @@
 
 // Bounds limit service at a level. None of them sends requests to an endpoint that the rules exclude.
 type Bounds struct {
-	Share                []float64 `cbor:"Share" json:"Share"`         // by class: the most of the admitted work that it may use, 0 to 1
-	RetryPolicy          []int     `cbor:"SecondTry" json:"SecondTry"` // by class: the most permissive retry policy, 0 to 3; 3: no limit
-	CrossZoneFactor      float64   `cbor:"Cross" json:"Cross"`         // factor on weights in other zones where the own one has capacity; 1: none
-	MaxEndpoints         int       `cbor:"Lines" json:"Lines"`         // of a class in one gateway's table; 0: no limit
-	MaxHealthChecks      float64   `cbor:"Probes" json:"Probes"`       // per second; 0: no limit
-	ReportIntervalFactor int       `cbor:"Stretch" json:"Stretch"`     // on the report period; 1: none
+	Share                []float64               `cbor:"Share" json:"Share"`         // by class: the most of the admitted work that it may use, 0 to 1
+	RetryPolicy          []policyapi.RetryPolicy `cbor:"SecondTry" json:"SecondTry"` // by class: the most permissive retry policy, 0 to 3; 3: no limit
+	CrossZoneFactor      float64                 `cbor:"Cross" json:"Cross"`         // factor on weights in other zones where the own one has capacity; 1: none
+	MaxEndpoints         int                     `cbor:"Lines" json:"Lines"`         // of a class in one gateway's table; 0: no limit
+	MaxHealthChecks      float64                 `cbor:"Probes" json:"Probes"`       // per second; 0: no limit
+	ReportIntervalFactor int                     `cbor:"Stretch" json:"Stretch"`     // on the report period; 1: none
 }
 
 // Unbounded returns the bounds of normal service for a number of classes: none.
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -204,7 +204,7 @@
 				test.fault(e)
 			}
 			g.mu.Lock()
-			g.tables.Snapshot.Routes[0].RetryPolicy = int(test.policy)
+			g.tables.Snapshot.Routes[0].RetryPolicy = test.policy
 			g.mu.Unlock()
 			if status := request(t, g); status != test.status {
 				t.Errorf("status %d, want %d", status, test.status)
--- a/emulator/gateway_proxy.go
+++ b/emulator/gateway_proxy.go
@@ -78,7 +78,7 @@
 
 // attempts is how often a request may be attempted by its route.
 func (g *Gateway) attempts(route routing.Route) int {
-	policy := policyapi.RetryPolicy(route.RetryPolicy)
+	policy := route.RetryPolicy
 	switch {
 	case g.AlwaysRetry || policy == policyapi.RetryTwice:
 		return 3
@@ -91,7 +91,7 @@
 
 // timeoutFor is how long an attempt may take; 0: as long as the client waits.
 func (g *Gateway) timeoutFor(route routing.Route, last bool) time.Duration {
-	retriesAnyFailure := g.AlwaysRetry || policyapi.RetryPolicy(route.RetryPolicy) >= policyapi.RetryOnce
+	retriesAnyFailure := g.AlwaysRetry || route.RetryPolicy >= policyapi.RetryOnce
 	if last || !retriesAnyFailure {
 		return 0
 	}
@@ -100,7 +100,7 @@
 
 // mayRetry reports whether a failed attempt may be followed by another one.
 func (g *Gateway) mayRetry(route routing.Route, err error) bool {
-	onlyIfRejected := policyapi.RetryPolicy(route.RetryPolicy) == policyapi.RetryIfNotExecuted && !g.AlwaysRetry
+	onlyIfRejected := route.RetryPolicy == policyapi.RetryIfNotExecuted && !g.AlwaysRetry
 	return !onlyIfRejected || errors.Is(err, errRejected)
 }
 
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -223,7 +223,7 @@
 // auditRetries counts an order to retry what must not be executed twice as a request that was.
 func (g *LightGateway) auditRetries(routes []routing.Route) {
 	for i, route := range routes {
-		if policyapi.RetryPolicy(route.RetryPolicy) < policyapi.RetryOnce || g.Classes[i].Idempotent {
+		if route.RetryPolicy < policyapi.RetryOnce || g.Classes[i].Idempotent {
 			continue
 		}
 		request := g.rng.Uint64()
--- a/expectation/evaluator.go
+++ b/expectation/evaluator.go
@@ -182,7 +182,7 @@
 	if class >= len(g.tables.snapshot.Routes) {
 		return 0
 	}
-	return g.tables.snapshot.Routes[class].RetryPolicy
+	return int(g.tables.snapshot.Routes[class].RetryPolicy)
 }
 
 // evaluateDrains finds draining or removed endpoints to which a gateway still sends. A gateway's time begins with its
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -33,7 +33,7 @@
 	// Share is the admitted part of requests, 0 to 1. A deployment uses either Rate or Share.
 	Share float64 `json:"share"`
 	// RetryPolicy is the retry policy of policyapi.SetAdmission, 0 to 3.
-	RetryPolicy int                    `json:"second_try"`
+	RetryPolicy policyapi.RetryPolicy  `json:"second_try"`
 	Timeout     policyapi.Microseconds `json:"timeout_us"` // of all attempts together
 	// Fallback applies while the gateway reaches no coordinator.
 	Fallback Fallback `json:"fallback,omitzero"`
@@ -45,7 +45,7 @@
 	After       policyapi.Microseconds `json:"after_us"`
 	Duration    policyapi.Microseconds `json:"for_us"`
 	Share       float64                `json:"share"` // admitted part of what the route admits
-	RetryPolicy int                    `json:"second_try"`
+	RetryPolicy policyapi.RetryPolicy  `json:"second_try"`
 }
 
 // activeAt reports whether the fallback applies after a time without contact to a coordinator.
--- a/xds/parse_routes.go
+++ b/xds/parse_routes.go
@@ -13,7 +13,7 @@
 	"porthub/routing"
 )
 
-const maxRetryPolicy = 3
+const maxRetryPolicy = policyapi.RetryTwice
 
 func parseRoutes(configuration *routev3.RouteConfiguration) (routes []routing.Route, err error) {
 	for _, host := range configuration.VirtualHosts {
@@ -56,11 +56,11 @@
 	return parsed, nil
 }
 
-func parseRetryPolicy(retry *routev3.RetryPolicy) int {
+func parseRetryPolicy(retry *routev3.RetryPolicy) policyapi.RetryPolicy {
 	if retry == nil {
-		return 0
+		return policyapi.NoRetry
 	}
-	policy := int(retry.GetNumRetries().GetValue())
+	policy := policyapi.RetryPolicy(retry.GetNumRetries().GetValue())
 	if strings.Contains(retry.RetryOn, "5xx") {
 		policy++
 	}
@@ -73,7 +73,7 @@
 		After:       milliseconds(number(fallbackAfter)),
 		Duration:    milliseconds(number(fallbackDuration)),
 		Share:       number(fallbackShare),
-		RetryPolicy: int(number(fallbackRetryPolicy)),
+		RetryPolicy: policyapi.RetryPolicy(number(fallbackRetryPolicy)),
 	}
 	shareValid := fallback.Share >= 0 && fallback.Share <= 1 // not for NaN
 	retryValid := fallback.RetryPolicy >= 0 && fallback.RetryPolicy <= maxRetryPolicy
--- a/xds/routes.go
+++ b/xds/routes.go
@@ -16,6 +16,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
+	"porthub/policyapi"
 	"porthub/routing"
 )
 
@@ -111,11 +112,11 @@
 
 func newRetryPolicy(r routing.Route) (*routev3.RetryPolicy, error) {
 	switch r.RetryPolicy {
-	case 0:
+	case policyapi.NoRetry:
 		return nil, nil
-	case 1:
+	case policyapi.RetryIfNotExecuted:
 		return &routev3.RetryPolicy{RetryOn: retryUnsent, NumRetries: wrapperspb.UInt32(1)}, nil
-	case 2, 3:
+	case policyapi.RetryOnce, policyapi.RetryTwice:
 		return &routev3.RetryPolicy{RetryOn: retryAny, NumRetries: wrapperspb.UInt32(uint32(r.RetryPolicy - 1))}, nil
 	default:
 		return nil, fmt.Errorf("route %s: no such retry policy: %d", r.Class, r.RetryPolicy)
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -12,6 +12,7 @@
 	loadv3 "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
 	"google.golang.org/protobuf/proto"
 
+	"porthub/policyapi"
 	"porthub/routing"
 )
 
@@ -46,7 +47,7 @@
 
 func TestRouteDocumentRoundTrip(t *testing.T) {
 	for _, rate := range []float64{routing.UnlimitedRate, 0, 0.37, 1, 7.5, 333, 12345} {
-		for retryPolicy := range 4 {
+		for retryPolicy := range policyapi.RetryTwice + 1 {
 			t.Run(fmt.Sprintf("rate %v, retry policy %d", rate, retryPolicy), func(t *testing.T) {
 				routes := []routing.Route{
 					{Class: "view", Rate: rate, Share: 1, RetryPolicy: retryPolicy, Timeout: 2_500_000},
