--- a/imports_test.go
+++ b/imports_test.go
@@ -30,3 +30,44 @@
 		})
 	}
 }
+
+// layers are the rows of the diagram in docs/architecture.md, the lowest first.
+var layers = [][]string{
+	{"policyapi", "policylog", "resp", "http1", "mailbox", "httpclient", "clock", "testutil"},
+	{"policy", "routing", "membership", "recovery", "loadreport", "degradation", "solver", "simwire"},
+	{"coordinator", "xds", "solver/fleets", "proxyproto"},
+	{"client", "xdsfile", "xdspoll", "registry/file", "registry/eureka", "healthcheck", "config", "capture", "expectation"},
+	{"daemon", "emulator", "emulator/eureka", "audit", "proxyserver"},
+	{"chaos", "tui"},
+	{"cmd/porthub", "cmd/adapter"},
+}
+
+// An import of this module points to a lower layer or to a neighbour in its own.
+func TestImportsPointDown(t *testing.T) {
+	layerOf := map[string]int{}
+	for layer, packages := range layers {
+		for _, name := range packages {
+			layerOf[name] = layer
+		}
+	}
+	out, err := exec.Command("go", "list", "-f", "{{.ImportPath}} {{join .Imports \" \"}}", "./...").Output()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, line := range strings.Split(strings.TrimSpace(string(out)), "\n") {
+		words := strings.Fields(line)
+		name, isOwn := strings.CutPrefix(words[0], "porthub/")
+		if !isOwn {
+			continue // the module's root has tests only
+		}
+		layer, known := layerOf[name]
+		if !known {
+			t.Errorf("%s is in no layer", name)
+		}
+		for _, path := range words[1:] {
+			if imported, own := strings.CutPrefix(path, "porthub/"); own && layerOf[imported] > layer {
+				t.Errorf("%s imports %s of a higher layer", name, imported)
+			}
+		}
+	}
+}
