--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -33,9 +33,8 @@
 
 	gateway    coordinator.Gateway // empty until it has named itself
 	polls      bool
-	announced  bool               // the core knows that it is its gateway's link
-	linkID     coordinator.ConnID // of the gateway's link; its own if it is that
-	reportedAt time.Time          // when its last report was accepted
+	announced  bool      // the core knows that it is its gateway's link
+	reportedAt time.Time // when its last report was accepted
 }
 
 // OnTraffic reads complete requests from a connection, one at a time: the next one is read once the last is answered.
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -48,7 +48,6 @@
 	}
 	p.announced = p.announced || link == p
 	p.gateway = name
-	p.linkID = link.id
 }
 
 // claimLink returns the connection that is a gateway's link, p itself if there is none yet. It is settled in one go: two polls
