--- a/daemon/links.go
+++ b/daemon/links.go
@@ -49,7 +49,6 @@
 	}
 	conn.announced = conn.announced || link == conn
 	conn.gateway = name
-	conn.linkID = link.id
 }
 
 // claimLink returns the connection that is a gateway's link, conn itself if there is none yet. It is one atomic step: two polls
