--- a/capture/explain.go
+++ b/capture/explain.go
@@ -13,19 +13,19 @@
 
 // Event is something that bore on a node, in words.
 type Event struct {
-	At   control.Micros `json:"at_us"`
-	Seq  uint64         `json:"record"`
-	What string         `json:"what"` // list, probe, report, order, sent, confirmed, note, start or gap
-	Text string         `json:"text"`
+	At   control.Microseconds `json:"at_us"`
+	Seq  uint64               `json:"record"`
+	What string               `json:"what"` // list, probe, report, order, sent, confirmed, note, start or gap
+	Text string               `json:"text"`
 }
 
 // Explanation says why a node got traffic at a time, or why not.
 type Explanation struct {
-	Node   control.Backend `json:"node"`
-	At     control.Micros  `json:"at_us"`
-	Chain  []Event         `json:"chain"` // the last of each sort before that time, and what led to it
-	Holds  []Holder        `json:"holds"` // gateways that held an open line of it then
-	Answer string          `json:"answer"`
+	Node   control.EndpointID   `json:"node"`
+	At     control.Microseconds `json:"at_us"`
+	Chain  []Event              `json:"chain"` // the last of each sort before that time, and what led to it
+	Holds  []Holder             `json:"holds"` // gateways that held an open line of it then
+	Answer string               `json:"answer"`
 }
 
 // Holder is a gateway that held an open line of the node.
@@ -35,19 +35,19 @@
 	Kinds   []string            `json:"request_kinds"`
 	Weights []float64           `json:"weights"` // by request kind, of its cluster's sum
 	// Confirmed: it has said that it holds this; else it is on its way.
-	Confirmed bool           `json:"confirmed"`
-	Since     control.Micros `json:"since_us"` // when the line was first sent to it
-	Tries     int            `json:"tries"`    // in its last report before that time
-	Away      bool           `json:"away"`     // its link had ended: nothing could be told it
+	Confirmed bool                 `json:"confirmed"`
+	Since     control.Microseconds `json:"since_us"` // when the line was first sent to it
+	Tries     int                  `json:"tries"`    // in its last report before that time
+	Away      bool                 `json:"away"`     // its link had ended: nothing could be told it
 }
 
 // follow keeps what bears on one node while a capture is replayed.
 type follow struct {
-	node    control.Backend
-	at      control.Micros
+	node    control.EndpointID
+	at      control.Microseconds
 	chain   []Event
-	entry   *control.Entry
-	weights map[control.Table]float64
+	entry   *control.Endpoint
+	weights map[control.TableID]float64
 	opens   map[coordinator.Gateway]*line // as sent
 	holds   map[coordinator.Gateway]*line // as confirmed
 	tries   map[coordinator.Gateway]int
@@ -59,13 +59,13 @@
 
 type line struct {
 	version string
-	since   control.Micros
+	since   control.Microseconds
 	kinds   []string
 	weights []float64
 }
 
 // Times finds the time of the first and last record of a capture that have one.
-func Times(r *Reader) (first, last control.Micros, err error) {
+func Times(r *Reader) (first, last control.Microseconds, err error) {
 	for {
 		rec, err := r.Next()
 		if err == io.EOF {
@@ -83,8 +83,8 @@
 }
 
 // Explain replays a capture up to a time and says what led to the node's lines as they were then.
-func Explain(r *Reader, node control.Backend, at control.Micros) (Explanation, error) {
-	f := &follow{node: node, at: at, weights: map[control.Table]float64{}}
+func Explain(r *Reader, node control.EndpointID, at control.Microseconds) (Explanation, error) {
+	f := &follow{node: node, at: at, weights: map[control.TableID]float64{}}
 	f.begin()
 	seen := false
 	_, err := Replay(r, "", func(rec *Record, core *coordinator.Core, outputs []coordinator.Output) bool {
@@ -112,7 +112,7 @@
 	f.known = true
 }
 
-func (f *follow) say(at control.Micros, seq uint64, what, format string, args ...any) {
+func (f *follow) say(at control.Microseconds, seq uint64, what, format string, args ...any) {
 	f.chain = append(f.chain, Event{at, seq, what, fmt.Sprintf(format, args...)})
 }
 
@@ -120,7 +120,7 @@
 	switch {
 	case rec.Start != nil:
 		f.begin()
-		f.say(control.Micros(rec.Start.Wall), rec.Seq, "start", "the coordinator started (%s)%s", rec.Start.Build, recalled(rec.Start))
+		f.say(control.Microseconds(rec.Start.Wall), rec.Seq, "start", "the coordinator started (%s)%s", rec.Start.Build, recalled(rec.Start))
 	case rec.Gap != nil:
 		f.begin()
 		f.known = false
@@ -154,8 +154,8 @@
 		case coordinator.Told:
 			f.told(now, seq, in)
 		case coordinator.Probed:
-			if in.Backend == f.node {
-				f.say(now, seq, "probe", "a probe of it: ok %t %s", in.OK, in.Code)
+			if in.Endpoint == f.node {
+				f.say(now, seq, "probe", "a probe of it: ok %t %s", in.Healthy, in.Code)
 			}
 		case coordinator.Report:
 			f.report(now, seq, in)
@@ -179,19 +179,19 @@
 	}
 	for _, o := range rec.Step.Orders {
 		switch o := o.(type) {
-		case control.Line:
-			if o.Backend == f.node && f.weights[o.Table] != o.Weight {
+		case control.SetWeight:
+			if o.Endpoint == f.node && f.weights[o.Table] != o.Weight {
 				f.say(now, seq, "order", "table %d: weight %.3f to %.3f", o.Table, f.weights[o.Table], o.Weight)
 				f.weights[o.Table] = o.Weight
 			}
-		case control.Clear:
+		case control.ClearTable:
 			if f.weights[o.Table] > 0 {
 				f.say(now, seq, "order", "table %d was cleared", o.Table)
 				f.weights[o.Table] = 0
 			}
-		case control.Withdraw:
-			if o.Backend == f.node {
-				f.say(now, seq, "order", "withdrawn from all tables: %t", o.On)
+		case control.EjectEndpoint:
+			if o.Endpoint == f.node {
+				f.say(now, seq, "order", "withdrawn from all tables: %t", o.Ejected)
 			}
 		case control.Log:
 			if strings.Contains(o.Text, string(f.node)) {
@@ -211,31 +211,31 @@
 	}
 }
 
-func (f *follow) list(now control.Micros, seq uint64, l coordinator.List) {
-	for _, e := range l.Entries {
-		if e.Backend != f.node {
+func (f *follow) list(now control.Microseconds, seq uint64, l coordinator.List) {
+	for _, e := range l.Endpoints {
+		if e.ID != f.node {
 			continue
 		}
-		if f.entry == nil || f.entry.Status != e.Status || f.entry.Launched != e.Launched && e.Launched > 0 {
+		if f.entry == nil || f.entry.Status != e.Status || f.entry.StartedAt != e.StartedAt && e.StartedAt > 0 {
 			started := ""
-			if e.Launched > 0 {
-				started = fmt.Sprintf(", started %.1f s before", float64(now-e.Launched)/1e6)
+			if e.StartedAt > 0 {
+				started = fmt.Sprintf(", started %.1f s before", float64(now-e.StartedAt)/1e6)
 			}
 			f.say(now, seq, "list", "the node list (version %d): %s in %s%s", l.Version, status(e.Status), e.Zone, started)
 		}
 		f.entry = &e
 		return
 	}
-	if l.How == control.ListFull && f.entry != nil && f.entry.Status != control.Gone && l.Why == "" {
+	if l.Kind == control.Snapshot && f.entry != nil && f.entry.Status != control.Removed && l.Why == "" {
 		f.say(now, seq, "list", "the node list (version %d) does not name it any more", l.Version)
 		gone := *f.entry
-		gone.Status = control.Gone
+		gone.Status = control.Removed
 		f.entry = &gone
 	}
 }
 
 // told follows what a registry says of the node.
-func (f *follow) told(now control.Micros, seq uint64, a coordinator.Told) {
+func (f *follow) told(now control.Microseconds, seq uint64, a coordinator.Told) {
 	text := "does not name it"
 	for _, c := range a.Claims {
 		if c.Node == f.node {
@@ -251,11 +251,11 @@
 	}
 }
 
-func status(s control.Status) string {
+func status(s control.EndpointStatus) string {
 	return [...]string{"ready", "draining", "gone"}[min(max(s, 0), 2)]
 }
 
-func (f *follow) report(now control.Micros, seq uint64, r coordinator.Report) {
+func (f *follow) report(now control.Microseconds, seq uint64, r coordinator.Report) {
 	tries, errored := 0, 0
 	for _, k := range r.Kinds {
 		for _, e := range k.Endpoints {
@@ -272,7 +272,7 @@
 	f.tries[r.Gateway], f.errs[r.Gateway] = tries, errored
 }
 
-func (f *follow) publish(now control.Micros, seq uint64, p coordinator.Publish) {
+func (f *follow) publish(now control.Microseconds, seq uint64, p coordinator.Publish) {
 	if !p.Changed[coordinator.Endpoints] {
 		return
 	}
@@ -329,7 +329,7 @@
 	}
 	x.Chain = f.short()
 	listed := "it is in no list"
-	closedAt := control.Micros(0)
+	closedAt := control.Microseconds(0)
 	if f.entry != nil {
 		listed = "the list has it as " + status(f.entry.Status)
 		for _, e := range f.chain {
--- a/capture/record.go
+++ b/capture/record.go
@@ -45,7 +45,7 @@
 
 // Step is one step of the core: what it was told, what the module ordered, and a digest of what went out.
 type Step struct {
-	Now    control.Micros
+	Now    control.Microseconds
 	Inputs []coordinator.Input
 	Orders []control.Order
 	Digest uint64
@@ -58,9 +58,9 @@
 	Pin   *tables.Pin `cbor:"pin,omitempty" json:"Pin"`
 	Unpin int         `cbor:"unpin,omitempty" json:"Unpin"`
 	// Drain or Undrain names a node.
-	Drain   control.Backend `cbor:"drain,omitempty" json:"Drain"`
-	Undrain control.Backend `cbor:"undrain,omitempty" json:"Undrain"`
-	Reason  string          `cbor:"reason,omitempty" json:"Reason"`
+	Drain   control.EndpointID `cbor:"drain,omitempty" json:"Drain"`
+	Undrain control.EndpointID `cbor:"undrain,omitempty" json:"Undrain"`
+	Reason  string             `cbor:"reason,omitempty" json:"Reason"`
 	// Say is an operator's word about levels of service, Unsay the number of one that is taken back.
 	Say   *service.Word `cbor:"say,omitempty" json:"Say"`
 	Unsay int           `cbor:"unsay,omitempty" json:"Unsay"`
@@ -86,9 +86,9 @@
 	"list": coordinator.List{}, "told": coordinator.Told{}, "join": coordinator.Join{}, "leave": coordinator.Leave{}, "ack": coordinator.Ack{},
 	"report": coordinator.Report{}, "probed": coordinator.Probed{}, "refused": coordinator.Refused{}, "failed": coordinator.Failed{},
 
-	"log": control.Log{}, "watch": control.Watch{}, "fetch": control.Fetch{}, "sleep": control.Sleep{}, "probe": control.Probe{},
-	"tell": control.Tell{}, "line": control.Line{}, "clear": control.Clear{}, "bind": control.Bind{}, "withdraw": control.Withdraw{},
-	"admit": control.Admit{}, "marked": control.Marked{},
+	"log": control.Log{}, "watch": control.WatchEndpoints{}, "fetch": control.Resync{}, "sleep": control.SetTimer{}, "probe": control.CheckHealth{},
+	"tell": control.Broadcast{}, "line": control.SetWeight{}, "clear": control.ClearTable{}, "bind": control.BindProxy{}, "withdraw": control.EjectEndpoint{},
+	"admit": control.SetAdmission{}, "marked": control.RequestAck{},
 })
 
 func naming(all map[string]any) (map[reflect.Type]string, map[string]reflect.Type) {
@@ -107,11 +107,11 @@
 }
 
 type stepRecord struct {
-	Now    control.Micros     `cbor:"now_us"`
-	Inputs []tagged           `cbor:"in,omitempty"`
-	Orders []tagged           `cbor:"out,omitempty"`
-	Digest uint64             `cbor:"digest,omitempty"`
-	Notes  []coordinator.Note `cbor:"notes,omitempty"`
+	Now    control.Microseconds `cbor:"now_us"`
+	Inputs []tagged             `cbor:"in,omitempty"`
+	Orders []tagged             `cbor:"out,omitempty"`
+	Digest uint64               `cbor:"digest,omitempty"`
+	Notes  []coordinator.Note   `cbor:"notes,omitempty"`
 }
 
 // What is written has its inputs as they are: encoded in one pass, not each by itself and then all together.
@@ -122,11 +122,11 @@
 		Value any
 	}
 	stepOut struct {
-		Now    control.Micros     `cbor:"now_us"`
-		Inputs []taggedOut        `cbor:"in,omitempty"`
-		Orders []taggedOut        `cbor:"out,omitempty"`
-		Digest uint64             `cbor:"digest,omitempty"`
-		Notes  []coordinator.Note `cbor:"notes,omitempty"`
+		Now    control.Microseconds `cbor:"now_us"`
+		Inputs []taggedOut          `cbor:"in,omitempty"`
+		Orders []taggedOut          `cbor:"out,omitempty"`
+		Digest uint64               `cbor:"digest,omitempty"`
+		Notes  []coordinator.Note   `cbor:"notes,omitempty"`
 	}
 	recordOut struct {
 		Seq     uint64   `cbor:"seq"`
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -30,13 +30,13 @@
 
 // First is where a replay departs from the record.
 type First struct {
-	Start    string         `json:"start"` // epoch
-	Seq      uint64         `json:"record"`
-	Now      control.Micros `json:"now_us"`
-	Order    int            `json:"order"` // position; -1: the orders agree and what was published does not
-	Recorded string         `json:"recorded"`
-	Replayed string         `json:"replayed"`
-	Inputs   []string       `json:"inputs"`
+	Start    string               `json:"start"` // epoch
+	Seq      uint64               `json:"record"`
+	Now      control.Microseconds `json:"now_us"`
+	Order    int                  `json:"order"` // position; -1: the orders agree and what was published does not
+	Recorded string               `json:"recorded"`
+	Replayed string               `json:"replayed"`
+	Inputs   []string             `json:"inputs"`
 }
 
 // SameBuild tells whether all of it was written by the build that replays it.
@@ -80,7 +80,7 @@
 			}
 			core = coordinator.New(s.Settings)
 			if s.Recalled != nil {
-				core.Recall(control.Micros(s.Wall), *s.Recalled)
+				core.Recall(control.Microseconds(s.Wall), *s.Recalled)
 			}
 		case rec.Gap != nil:
 			v.Gaps = append(v.Gaps, *rec.Gap)
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -54,17 +54,17 @@
 func (r *endpointList) again() {
 	r.fails = min(r.fails+1, 4)
 	after := float64(second) * float64(r.fails) * (0.25 + 0.5*r.chance())
-	r.out.add(control.Sleep{After: micros(after), Token: listToken})
+	r.out.add(control.SetTimer{After: micros(after), Token: listToken})
 }
 
-func (b *backend) listed(e control.Entry) {
-	if e.Launched > b.entry.Launched {
+func (b *backend) listed(e control.Endpoint) {
+	if e.StartedAt > b.entry.StartedAt {
 		// A new process: what was held against the old one, or learned while it failed, is void.
 		b.limit, b.slow, b.backAt, b.byZone = 0, 0, 0, make([]zoneHealth, len(b.zones))
 	}
 	// Where gone does not bind, a list that drops what it never called draining may be wrong, and half the
 	// fleet with it: such a backend keeps its lines as long as it answers.
-	if b.stray = b.soft && e.Status == control.Gone && b.entry.Status == control.Ready; !b.stray {
+	if b.stray = b.soft && e.Status == control.Removed && b.entry.Status == control.Ready; !b.stray {
 		b.entry = e
 	}
 }
@@ -147,7 +147,7 @@
 	case b.entry.Status != control.Ready || s.sick && now < s.retryAt:
 	case s.sick && b.stray: // not tried again before it is listed
 	case s.sick && b.probes && b.wellAt < s.retryAt:
-		b.out.add(control.Probe{Backend: b.id})
+		b.out.add(control.CheckHealth{Endpoint: b.id})
 		s.retryAt = now
 	case s.sick:
 		s.sick, s.against, b.backAt = false, 4, now
@@ -168,10 +168,10 @@
 
 // warmth is the part of its capacity that a backend has by the slowest course the rules allow.
 func (b *backend) warmth(now micros) float64 {
-	if b.entry.Launched <= 0 || now-b.entry.Launched >= b.cold {
+	if b.entry.StartedAt <= 0 || now-b.entry.StartedAt >= b.cold {
 		return 1
 	}
-	return b.coldFrom + (1-b.coldFrom)*max(0, float64(now-b.entry.Launched)/float64(b.cold))
+	return b.coldFrom + (1-b.coldFrom)*max(0, float64(now-b.entry.StartedAt)/float64(b.cold))
 }
 
 // share is the part of its usual work that it may get now. One back from trouble may be a new process that
@@ -207,13 +207,13 @@
 	var fleet []view
 	const prior = 2 // busy seconds that the listed weight counts for
 	worked, served, learned, near, did, meant, asked, home := 1e-9, 0.0, 0.0, 0.0, 0.0, 0.0, sum(p.asked), 1e-9
-	kinds := map[control.Machine][]float64{} // mean answer times by machine kind
+	kinds := map[control.MachineType][]float64{} // mean answer times by machine kind
 	for _, id := range slices.Sorted(maps.Keys(p.views)) {
 		v := p.views[id]
 		v.entry.Weight = max(v.entry.Weight, 1e-3)
 		fleet = append(fleet, v)
 		if v.answer > 0 {
-			kinds[v.entry.Machine] = append(kinds[v.entry.Machine], v.answer)
+			kinds[v.entry.MachineType] = append(kinds[v.entry.MachineType], v.answer)
 		}
 		if n, s := v.speed.total(); p.home(v) {
 			// a fleet of which nothing is known is taken to be used by two thirds
@@ -253,7 +253,7 @@
 			}
 		}
 		v.room = v.worth * v.share
-		if answers := kinds[v.entry.Machine]; v.answer > 0 {
+		if answers := kinds[v.entry.MachineType]; v.answer > 0 {
 			// Judged by its answer times against its kind's: one that stalls or is overrun gets less at once.
 			v.room *= min(1, max(0.5, 1.5*sum(answers)/float64(len(answers))/v.answer))
 		}
@@ -321,7 +321,7 @@
 	}
 	p.retired = append(p.retired, p.groups...)
 	p.founded, p.perZone, p.groups = len(fleet), len(fleet), nil
-	p.member, p.homes = map[control.Backend]int{}, map[control.Proxy]int{}
+	p.member, p.homes = map[control.EndpointID]int{}, map[control.ProxyID]int{}
 	for _, n := range count {
 		if n > 0 {
 			p.perZone = max(1, min(p.perZone, n/size))
@@ -440,17 +440,17 @@
 	fleet := p.fleet()
 	p.look(fleet)
 	p.assignGroups(fleet, round)
-	w := targetState{tables: map[groupID][]tablePlan{}, homes: map[control.Proxy]groupID{},
-		ready: map[control.Backend]bool{}, urgent: p.urgent}
+	w := targetState{tables: map[groupID][]tablePlan{}, homes: map[control.ProxyID]groupID{},
+		ready: map[control.EndpointID]bool{}, urgent: p.urgent}
 	for _, f := range p.flows {
 		w.homes[f.proxy] = p.groups[p.homes[f.proxy]].id
 	}
-	p.loads = map[control.Backend][]float64{}
+	p.loads = map[control.EndpointID][]float64{}
 	for _, v := range fleet {
 		p.loads[v.id], w.ready[v.id] = make([]float64, len(p.groups)), v.ready
 	}
 	openness := p.openness(fleet)
-	taken := map[control.Backend]float64{} // by the kinds that may not go everywhere, whose sets come first
+	taken := map[control.EndpointID]float64{} // by the kinds that may not go everywhere, whose sets come first
 	for _, set := range p.sets {
 		for i, c := range p.groups {
 			if len(c.flows) > 0 || p.held[c.id] { // what proxies still hold is kept up, though they are to move
@@ -516,7 +516,7 @@
 // table makes the lines of a set's table for a zone's proxies. Weights say what backends can do beside the
 // fleet's mean, so that a line changes only when its backend, or the openness, does.
 func (p *planner) table(fleet []view, set kindSet, c group, openness float64,
-	taken map[control.Backend]float64) []line {
+	taken map[control.EndpointID]float64) []line {
 	z, home := c.zone, c.worth > 0 && set.serves(p.zones[c.zone])
 	var lines, last []line
 	for _, v := range fleet {
@@ -552,7 +552,7 @@
 	for _, l := range lines {
 		cold, carry = cold || p.views[l.backend].share < 1, carry+l.weight*p.mean
 	}
-	if !cold || c.group == p.perZone || p.levels != control.LevelRate || p.tip <= 1 {
+	if !cold || c.group == p.perZone || p.levels != control.AdmissionByRate || p.tip <= 1 {
 		return everything
 	}
 	return carry * (p.tip - min(1, p.use)) / float64(bits.OnesCount64(uint64(set.mask)))
@@ -591,7 +591,7 @@
 	}
 	// More usage than all speeds learned together is slow to be: it need not wait for slow answers.
 	limited = limited || p.known && total > can
-	if !limited || p.levels == control.LevelOff || total <= 0.9*can {
+	if !limited || p.levels == control.AdmissionOff || total <= 0.9*can {
 		letIn = 0
 	}
 	if (letIn > 0) != (p.letIn > 0) {
@@ -628,12 +628,12 @@
 }
 
 // admitByKind deals what is let in out to the request kinds; those of the least payoff are turned away first.
-func (p *planner) admitByKind() []control.Admit {
+func (p *planner) admitByKind() []control.SetAdmission {
 	drop, usage, payoffs := 0.0, make([]float64, len(p.kinds)), map[float64]float64{} // usage by kind, by payoff
 	for _, f := range p.flows {
 		for k, u := range f.usage {
 			usage[k] += u
-			payoffs[p.kinds[k].Payoff] += u
+			payoffs[p.kinds[k].PriorityWeight] += u
 		}
 	}
 	second := 1 // on proof that the first never ran: suits every kind
@@ -643,13 +643,13 @@
 	if p.letIn > 0 {
 		drop = max(0, sum(usage)-p.letIn)
 	}
-	admits := make([]control.Admit, len(p.kinds))
+	admits := make([]control.SetAdmission, len(p.kinds))
 	for _, payoff := range slices.Sorted(maps.Keys(payoffs)) {
 		away := min(0.9, drop/max(payoffs[payoff], 1e-9)) // a tenth of each kind still comes: none starves
 		drop -= away * payoffs[payoff]
 		for k, kind := range p.kinds {
-			if kind.Payoff == payoff {
-				admits[k] = control.Admit{Table: control.AllTables, Kinds: 1 << k, SecondTry: second,
+			if kind.PriorityWeight == payoff {
+				admits[k] = control.SetAdmission{Table: control.AllTables, Classes: 1 << k, RetryPolicy: second,
 					Level: p.level(k, away, usage[k])}
 			}
 		}
@@ -676,7 +676,7 @@
 func (p *planner) level(k int, away, usage float64) float64 {
 	if away <= 0 {
 		return everything
-	} else if p.levels == control.LevelShare {
+	} else if p.levels == control.AdmissionByShare {
 		return 1 - away
 	}
 	low, high := 0.0, usage
@@ -742,7 +742,7 @@
 	if pending && now >= c.retryAt {
 		wait := max(shortest, min(hold, c.grace/16))
 		c.retryAt = now + wait
-		c.out.add(control.Sleep{After: wait, Token: retryToken})
+		c.out.add(control.SetTimer{After: wait, Token: retryToken})
 	}
 }
 
@@ -871,7 +871,7 @@
 // any does.
 func (c *channel) sendTables(now micros, most float64) (held bool) {
 	start, sets := c.turn, len(c.masks)
-	from := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.first+control.Table(sets) > start })
+	from := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.first+control.TableID(sets) > start })
 	for i := range len(c.replicas) * sets {
 		i = (i + max(0, from)*sets + int(start)%sets) % (len(c.replicas) * sets)
 		r, set := c.replicas[i/sets], i%sets
@@ -899,8 +899,8 @@
 func (c *channel) sendLevels(now micros, most float64) {
 	streams := slices.Collect(maps.Values(c.streams))
 	for _, a := range c.plan.admits {
-		if c.queued < most && c.admits[a.Kinds] != a && c.fits(streams, owedPart) > 0 {
-			c.admits[a.Kinds] = a
+		if c.queued < most && c.admits[a.Classes] != a && c.fits(streams, owedPart) > 0 {
+			c.admits[a.Classes] = a
 			c.out.add(a)
 			c.charge(now, streams, 1)
 		}
@@ -916,7 +916,7 @@
 	if !has {
 		return change
 	}
-	held, wanted := r.tables[set].lines, map[control.Backend]bool{}
+	held, wanted := r.tables[set].lines, map[control.EndpointID]bool{}
 	var best line // of those that come
 	for _, l := range planned[set].lines {
 		wanted[l.backend] = true
@@ -946,12 +946,12 @@
 	// A table's own level goes with its lines, so that it is there no later than what it guards.
 	second := 1
 	for _, a := range c.plan.admits {
-		second = a.SecondTry
+		second = a.RetryPolicy
 	}
 	t := r.tables[set]
 	level := planned[set].guard
-	change.guard = control.Admit{Table: r.table(set), Kinds: c.masks[set], Level: level, SecondTry: second}
-	moves := !near(level, t.guard.Level) || second != t.guard.SecondTry
+	change.guard = control.SetAdmission{Table: r.table(set), Classes: c.masks[set], Level: level, RetryPolicy: second}
+	moves := !near(level, t.guard.Level) || second != t.guard.RetryPolicy
 	change.guardMoves = moves && (t.guarded || level < everything)
 	return change
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,14 +21,14 @@
 
 // host keeps the instances of this process; they share nothing.
 type host struct {
-	instances map[control.Instance]*choice.Instance
-	order     []control.Instance // of the batch, in the order in which they first occur
-	events    map[control.Instance][]control.Event
+	instances map[control.InstanceID]*choice.Instance
+	order     []control.InstanceID // of the batch, in the order in which they first occur
+	events    map[control.InstanceID][]control.Event
 }
 
 func serve(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), wire.NewWriter(out)
-	h := host{instances: map[control.Instance]*choice.Instance{}, events: map[control.Instance][]control.Event{}}
+	h := host{instances: map[control.InstanceID]*choice.Instance{}, events: map[control.InstanceID][]control.Event{}}
 	for {
 		batch, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -68,7 +68,7 @@
 }
 
 // act runs one instance; its panic becomes a text. Events up to a crash are moot: their orders would die with it.
-func (h *host) act(id control.Instance, now control.Micros, events []control.Event) (orders []control.Order, failed string) {
+func (h *host) act(id control.InstanceID, now control.Microseconds, events []control.Event) (orders []control.Order, failed string) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, failed = nil, fmt.Sprint(p)
@@ -80,7 +80,7 @@
 		case wire.Crash:
 			delete(h.instances, id)
 			from = i + 1
-		case control.Up:
+		case control.Start:
 			h.instances[id] = choice.New(e)
 			from = i + 1
 		}
--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -196,7 +196,7 @@
 				return err
 			}
 			defer r.Close()
-			x, err := capture.Explain(r, control.Backend(node), when)
+			x, err := capture.Explain(r, control.EndpointID(node), when)
 			if err != nil {
 				return err
 			}
@@ -234,12 +234,12 @@
 }
 
 // moment reads a time as explain takes it.
-func moment(open func() (*capture.Reader, error), at string) (control.Micros, error) {
+func moment(open func() (*capture.Reader, error), at string) (control.Microseconds, error) {
 	if t, err := time.Parse(time.RFC3339Nano, at); err == nil {
-		return control.Micros(t.UnixMicro()), nil
+		return control.Microseconds(t.UnixMicro()), nil
 	}
 	if n, err := strconv.ParseInt(at, 10, 64); err == nil && n > 0 {
-		return control.Micros(n), nil
+		return control.Microseconds(n), nil
 	}
 	if d, err := time.ParseDuration(at); err == nil {
 		r, err := open()
@@ -251,13 +251,13 @@
 		if strings.HasPrefix(at, "-") {
 			first = last
 		}
-		return first + control.Micros(d.Microseconds()), err
+		return first + control.Microseconds(d.Microseconds()), err
 	}
 	return 0, fmt.Errorf("--at %q: it must be a time such as 2026-12-01T21:14:05Z, microseconds, +62.5s or -10s", at)
 }
 
 // clock shows a time of the core.
-func clock(at control.Micros) string {
+func clock(at control.Microseconds) string {
 	if at == 0 {
 		return "-"
 	}
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -102,7 +102,7 @@
   porthub levels set hard --forbid --for 2h --reason "it has cost too much"
   porthub levels set --hold --zone hala-a --for 10m --reason "being looked at"`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r.Do, r.Zone, r.For = service.Force, control.Zone(zone), control.Micros(length.Microseconds())
+			r.Do, r.Zone, r.For = service.Force, control.Zone(zone), control.Microseconds(length.Microseconds())
 			switch {
 			case forbid && hold:
 				return errors.New("--forbid or --hold, not both")
@@ -201,7 +201,7 @@
 	last, changes := -1.0, 0
 	figures := map[control.Zone]service.Figures{}
 	step := func() {
-		for _, c := range m.Step(control.Micros(last*1e6), figures) {
+		for _, c := range m.Step(control.Microseconds(last*1e6), figures) {
 			changes++
 			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == service.Fleet], set.Name(c.From), set.Name(c.To), c.Why)
 		}
@@ -247,7 +247,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d changes in %.0f s; the settings allow %d in each scope\n", changes, max(0, last-first), set.Most(control.Micros((last-first)*1e6)))
+	fmt.Fprintf(out, "%d changes in %.0f s; the settings allow %d in each scope\n", changes, max(0, last-first), set.Most(control.Microseconds((last-first)*1e6)))
 	return nil
 }
 
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -82,7 +82,7 @@
 	}
 	defer r.Close()
 	var tail []coordinator.Record
-	last := control.Micros(0)
+	last := control.Microseconds(0)
 	_, err = capture.Replay(r, "", func(rec *capture.Record, core *coordinator.Core, outputs []coordinator.Output) bool {
 		if rec.Step == nil || core == nil {
 			return true
--- a/cmd/porthub/versions.go
+++ b/cmd/porthub/versions.go
@@ -163,7 +163,7 @@
 	scoped := func(cmd *cobra.Command) (daemon.PinRequest, error) {
 		r := daemon.PinRequest{Zone: control.Zone(zone), Fleet: fleet, Reason: reason}
 		if cmd.Flags().Changed("table") {
-			t := control.Table(table)
+			t := control.TableID(table)
 			r.Table = &t
 		}
 		said := 0
@@ -208,7 +208,7 @@
 			if (version == 0) == (ago == 0) {
 				return errors.New("say to when: --version N of a table, or --ago TIME")
 			}
-			r.Version, r.Ago = tables.Version(version), control.Micros(ago.Microseconds())
+			r.Version, r.Ago = tables.Version(version), control.Microseconds(ago.Microseconds())
 			return send(cmd, "/tables/pin", r)
 		}}
 	unpin := &cobra.Command{Use: "unpin PIN", Short: "Let a pin go", Args: cobra.ExactArgs(1),
@@ -270,6 +270,6 @@
 	return w
 }
 
-func age(now, at control.Micros) string {
+func age(now, at control.Microseconds) string {
 	return (time.Duration(now-at) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
--- a/config/config.go
+++ b/config/config.go
@@ -17,7 +17,7 @@
 )
 
 // Duration is a length of time; in the file it is a string with a unit, such as "750ms", "2.5s" or "1m".
-type Duration control.Micros
+type Duration control.Microseconds
 
 // Config is the whole file. Defaults stand in Default.
 type Config struct {
@@ -258,7 +258,7 @@
 
 // ServiceLevels are the levels of service as package service has them, and the fallback.
 func (c Config) ServiceLevels() (service.Settings, service.Fallback) {
-	s := service.Settings{Period: control.Micros(c.Reports.Period)}
+	s := service.Settings{Period: control.Microseconds(c.Reports.Period)}
 	for _, z := range c.Zones {
 		s.Zones = append(s.Zones, control.Zone(z))
 	}
@@ -266,8 +266,8 @@
 		s.Kinds = append(s.Kinds, k.Name)
 	}
 	for _, l := range c.Service.Levels {
-		one := service.Level{Name: l.Name, Enter: l.Enter.all(), Leave: l.Leave.all(), EnterHeld: control.Micros(l.EnterHeld),
-			LeaveHeld: control.Micros(l.LeaveHeld), Bounds: service.None(len(c.Kinds))}
+		one := service.Level{Name: l.Name, Enter: l.Enter.all(), Leave: l.Leave.all(), EnterHeld: control.Microseconds(l.EnterHeld),
+			LeaveHeld: control.Microseconds(l.LeaveHeld), Bounds: service.None(len(c.Kinds))}
 		b := &one.Bounds
 		b.Cross, b.Lines, b.Probes, b.Stretch = l.Cross, l.Lines, l.Probes, l.Stretch
 		for k := range c.Kinds {
@@ -282,7 +282,7 @@
 		}
 		s.Levels = append(s.Levels, one)
 	}
-	f := service.Fallback{After: control.Micros(c.Service.Fallback.After), For: control.Micros(c.Service.Fallback.For)}
+	f := service.Fallback{After: control.Microseconds(c.Service.Fallback.After), For: control.Microseconds(c.Service.Fallback.For)}
 	if c.Service.Fallback.Level != "" {
 		f.Level, _ = s.Find(c.Service.Fallback.Level)
 	}
@@ -529,43 +529,43 @@
 		"it must not begin before gateways.silent_after, and must end")
 }
 
-// Up is what the decision module is handed at its start.
-func (c Config) Up() control.Up {
-	up := control.Up{Seed: uint64(c.Coordinator.Seed), Me: control.Peer(c.Coordinator.Index), Instances: max(1, c.Coordinator.Instances),
-		Zone: control.Zone(c.Coordinator.Zone), Proxies: c.Gateways.Expected, MustAsk: true, EjectAfter: c.Gateways.ShunAfter,
-		ListedWeight: true}
+// Start is what the decision module is handed at its start.
+func (c Config) Up() control.Start {
+	up := control.Start{Seed: uint64(c.Coordinator.Seed), Self: control.PeerID(c.Coordinator.Index), InstanceCount: max(1, c.Coordinator.Instances),
+		Zone: control.Zone(c.Coordinator.Zone), ProxyCount: c.Gateways.Expected, PollsList: true, EjectionThreshold: c.Gateways.ShunAfter,
+		WeightsListed: true}
 	for _, z := range c.Zones {
 		up.Zones = append(up.Zones, control.Zone(z))
 	}
 	for _, k := range c.Kinds {
-		kind := control.KindSettings{Name: k.Name, ResponseTarget: control.Micros(k.ResponseTarget),
-			ClientTimeout: control.Micros(k.ClientTimeout), Payoff: k.Payoff, OwnZone: k.OwnZone}
+		kind := control.ClassSettings{Name: k.Name, LatencyObjective: control.Microseconds(k.ResponseTarget),
+			ClientTimeout: control.Microseconds(k.ClientTimeout), PriorityWeight: k.Payoff, LocalZoneOnly: k.OwnZone}
 		switch k.Repeat {
 		case "replayable":
-			kind.Repeat = control.Replayable
+			kind.Idempotency = control.Idempotent
 		case "uniqued":
-			kind.Repeat = control.Uniqued
-			if kind.RepeatScope = k.RepeatScope; k.RepeatScope == "pod" {
-				kind.RepeatScope = "cell"
+			kind.Idempotency = control.IdempotentWithKey
+			if kind.DeduplicationScope = k.RepeatScope; k.RepeatScope == "pod" {
+				kind.DeduplicationScope = "cell"
 			}
 		}
 		for _, z := range k.OnlyZones {
-			kind.OnlyZones = append(kind.OnlyZones, control.Zone(z))
+			kind.AllowedZones = append(kind.AllowedZones, control.Zone(z))
 		}
-		up.Kinds = append(up.Kinds, kind)
+		up.Classes = append(up.Classes, kind)
 	}
 	r := c.Rules
-	up.Rules = control.RuleSettings{EmptyFor: control.Micros(r.EmptyFor), DrainGrace: control.Micros(r.DrainGrace),
-		Cold: control.Micros(r.Cold), ColdFrom: r.ColdFrom, TipMultiple: r.ColdMultiple, Fall: control.Micros(r.ColdWindow),
-		SoftRemoval: !r.GoneBinds, QueueCap: r.WaitingLines, MessageCap: r.Messages, MessageSpan: control.Micros(r.MessagesIn),
-		ProbeAllowed: c.Probes.Allowed}
-	up.Channel = control.ChannelSettings{LinesPerS: c.Channel.LinesPerS, Envelope: c.Channel.Envelope,
-		Transit: control.Micros(c.Channel.Transit), WorstTransit: control.Micros(c.Channel.WorstTransit), Sockets: c.Channel.Connections}
-	up.Reports = control.ReportSettings{Period: control.Micros(c.Reports.Period), Intake: c.Reports.LinesPer, InReport: true}
+	up.Rules = control.RuleSettings{EmptyTableLimit: control.Microseconds(r.EmptyFor), DrainGracePeriod: control.Microseconds(r.DrainGrace),
+		WarmUp: control.Microseconds(r.Cold), InitialCapacity: r.ColdFrom, OverloadFactor: r.ColdMultiple, OverloadWindow: control.Microseconds(r.ColdWindow),
+		SoftRemoval: !r.GoneBinds, QueueLimit: r.WaitingLines, MessageLimit: r.Messages, MessageWindow: control.Microseconds(r.MessagesIn),
+		HealthChecksAllowed: c.Probes.Allowed}
+	up.Channel = control.ChannelSettings{LinesPerSecond: c.Channel.LinesPerS, MessageOverhead: c.Channel.Envelope,
+		Latency: control.Microseconds(c.Channel.Transit), MaxLatency: control.Microseconds(c.Channel.WorstTransit), EndpointConnections: c.Channel.Connections}
+	up.Reports = control.ReportSettings{Period: control.Microseconds(c.Reports.Period), MaxLinesPerSecond: c.Reports.LinesPer, MetricsInReports: true}
 	for _, l := range c.Reports.Loads {
-		up.Reports.Fields = append(up.Reports.Fields, LoadNames[l])
+		up.Reports.MetricNames = append(up.Reports.MetricNames, LoadNames[l])
 	}
-	up.Levels = map[string]control.LevelKind{"off": control.LevelOff, "share": control.LevelShare, "rate": control.LevelRate}[c.Levels]
+	up.Admission = map[string]control.AdmissionMode{"off": control.AdmissionOff, "share": control.AdmissionByShare, "rate": control.AdmissionByRate}[c.Levels]
 	return up
 }
 
--- a/config/suite.go
+++ b/config/suite.go
@@ -80,7 +80,7 @@
 		}
 		return expect.Range{From: v[0], To: v[len(v)-1]}
 	}
-	us := func(d Duration) control.Micros { return control.Micros(d) }
+	us := func(d Duration) control.Microseconds { return control.Microseconds(d) }
 	for i, e := range s.Expect {
 		key := fmt.Sprintf("expect[%d]", i)
 		one := expect.Expectation{Name: e.Name, Cases: e.Cases, Seed: uint64(e.Seed), Length: us(e.Length), Line: line(key), Fleet: expect.Fleet{Nodes: span(e.Fleet.Nodes),
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -15,13 +15,13 @@
 	"porthub/tables"
 )
 
-type micros = control.Micros
+type micros = control.Microseconds
 
 const second micros = 1_000_000
 
 // Settings are what a core is handed at its start.
 type Settings struct {
-	Up          control.Up       `cbor:"Up" json:"Up"`
+	Up          control.Start    `cbor:"Up" json:"Up"`
 	Epoch       string           `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
 	SilentAfter micros           `cbor:"SilentAfter" json:"SilentAfter"` // without a word for so long a gateway counts as away
 	AllowEmpty  bool             `cbor:"AllowEmpty" json:"AllowEmpty"`   // an empty list after one that was not is believed
@@ -43,9 +43,9 @@
 	steps   uint64
 	timers  []timer
 	watchAt micros // before it no gateway needs a look
-	proxies []control.Proxy
+	proxies []control.ProxyID
 	// restless are the gateways that something is still to be done about.
-	restless map[control.Proxy]bool
+	restless map[control.ProxyID]bool
 	orders   []control.Order // of the last step
 	outputs  []Output
 
@@ -54,13 +54,13 @@
 	settled  micros // when membership was asked last
 	relisted bool   // the list has changed: documents are checked against it whether the module reaches them or not
 	gateways map[Gateway]*gateway
-	byProxy  map[control.Proxy]*gateway
-	kinds    map[string]control.ReqKind
+	byProxy  map[control.ProxyID]*gateway
+	kinds    map[string]control.RequestClass
 
 	// What the module has ordered and not taken back.
-	lines     map[control.Table]map[control.Backend]float64
-	levels    map[control.Table]map[control.ReqKind]control.Admit
-	withdrawn map[control.Backend]bool
+	lines     map[control.TableID]map[control.EndpointID]float64
+	levels    map[control.TableID]map[control.RequestClass]control.SetAdmission
+	withdrawn map[control.EndpointID]bool
 
 	made     map[madeKey]made // in this step
 	book     *tables.Book
@@ -81,45 +81,45 @@
 
 type timer struct {
 	at    micros
-	token control.Token
+	token control.TimerToken
 }
 
 // New starts a core. The saved list, if there is one, is the first input.
 func New(set Settings) *Core {
-	c := &Core{set: set, module: choice.New(moduleUp(set.Up)), gateways: map[Gateway]*gateway{}, byProxy: map[control.Proxy]*gateway{},
-		kinds: map[string]control.ReqKind{}, lines: map[control.Table]map[control.Backend]float64{},
-		levels:    map[control.Table]map[control.ReqKind]control.Admit{},
-		restless:  map[control.Proxy]bool{},
-		withdrawn: map[control.Backend]bool{}, counts: map[string]*count{}}
-	for k, kind := range set.Up.Kinds {
-		c.kinds[kind.Name] = control.ReqKind(k)
+	c := &Core{set: set, module: choice.New(moduleUp(set.Up)), gateways: map[Gateway]*gateway{}, byProxy: map[control.ProxyID]*gateway{},
+		kinds: map[string]control.RequestClass{}, lines: map[control.TableID]map[control.EndpointID]float64{},
+		levels:    map[control.TableID]map[control.RequestClass]control.SetAdmission{},
+		restless:  map[control.ProxyID]bool{},
+		withdrawn: map[control.EndpointID]bool{}, counts: map[string]*count{}}
+	for k, kind := range set.Up.Classes {
+		c.kinds[kind.Name] = control.RequestClass(k)
 	}
-	c.list.entries = map[control.Backend]control.Entry{}
-	c.list.firstSeen = map[control.Backend]micros{}
+	c.list.entries = map[control.EndpointID]control.Endpoint{}
+	c.list.firstSeen = map[control.EndpointID]micros{}
 	c.sums.reset()
 	c.made = map[madeKey]made{}
 	c.book = tables.NewBook(keepVersions, keepFor)
-	if len(set.Up.Reports.Fields) > 0 {
-		c.busy = set.Up.Reports.Fields[0]
+	if len(set.Up.Reports.MetricNames) > 0 {
+		c.busy = set.Up.Reports.MetricNames[0]
 	}
-	if len(set.Up.Reports.Fields) > 1 {
-		c.queued = set.Up.Reports.Fields[1]
+	if len(set.Up.Reports.MetricNames) > 1 {
+		c.queued = set.Up.Reports.MetricNames[1]
 	}
 	c.intake = intake.New(intake.Settings{Lines: set.Intake, Period: set.Up.Reports.Period, Seed: set.Up.Seed})
 	c.members = membership.New(membership.Settings{Zones: set.Up.Zones, Binding: map[string]bool{FileSource: true},
 		Sources: append([]string{FileSource}, set.Sources...)})
 	c.leveling = newLeveling(set.Service)
 	if set.Solver {
-		c.solving = newSolving(len(set.Up.Kinds))
+		c.solving = newSolving(len(set.Up.Classes))
 	}
 	return c
 }
 
 // moduleUp is what the module is told of the site. It counts a table's line once; to a gateway it travels once for each
 // request kind, so of the lines that may wait the module is given its part.
-func moduleUp(up control.Up) control.Up {
-	up.Rules.QueueCap /= float64(max(1, len(up.Kinds)))
-	up.Channel.Envelope /= float64(max(1, len(up.Kinds)))
+func moduleUp(up control.Start) control.Start {
+	up.Rules.QueueLimit /= float64(max(1, len(up.Classes)))
+	up.Channel.MessageOverhead /= float64(max(1, len(up.Classes)))
 	return up
 }
 
@@ -188,7 +188,7 @@
 	slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	n := 0
 	for n < len(c.timers) && c.timers[n].at <= c.now {
-		events = append(events, control.Ring{Token: c.timers[n].token})
+		events = append(events, control.TimerFired{Token: c.timers[n].token})
 		n++
 	}
 	c.timers = c.timers[n:]
@@ -211,8 +211,8 @@
 	case Report:
 		c.report(in)
 	case Probed:
-		if _, known := c.list.entries[in.Backend]; known {
-			return []control.Event{in.Probed}
+		if _, known := c.list.entries[in.Endpoint]; known {
+			return []control.Event{in.HealthCheckResult}
 		}
 	case Refused:
 		c.complain("bad_input", "", "%s: %s", in.From, in.Why)
@@ -228,67 +228,67 @@
 // carryOut keeps what the module ordered and publishes what has changed for each gateway. It returns what the module
 // must be told at once: acknowledgements of messages that hold nothing new.
 func (c *Core) carryOut(orders []control.Order) []control.Event {
-	touched := map[control.Table]bool{}
-	all, mark := false, control.Mark(-1)
-	bound := map[control.Proxy]bool{}
+	touched := map[control.TableID]bool{}
+	all, mark := false, control.AckID(-1)
+	bound := map[control.ProxyID]bool{}
 	for _, order := range orders {
 		switch o := order.(type) {
 		case control.Log:
 			c.out(mode(o.Text))
-		case control.Watch:
-			c.out(Watch{o.On})
-		case control.Fetch:
+		case control.WatchEndpoints:
+			c.out(Watch{o.Enabled})
+		case control.Resync:
 			c.out(Fetch{})
-		case control.Sleep:
+		case control.SetTimer:
 			c.timers = append(c.timers, timer{c.now + o.After, o.Token})
-		case control.Probe:
-			c.probe(o.Backend)
-		case control.Line:
+		case control.CheckHealth:
+			c.probe(o.Endpoint)
+		case control.SetWeight:
 			touched[o.Table] = true
 			if c.lines[o.Table] == nil {
-				c.lines[o.Table] = map[control.Backend]float64{}
+				c.lines[o.Table] = map[control.EndpointID]float64{}
 			}
-			if c.lines[o.Table][o.Backend] = o.Weight; o.Weight == 0 {
-				delete(c.lines[o.Table], o.Backend)
+			if c.lines[o.Table][o.Endpoint] = o.Weight; o.Weight == 0 {
+				delete(c.lines[o.Table], o.Endpoint)
 			}
-		case control.Clear:
+		case control.ClearTable:
 			touched[o.Table] = true
 			delete(c.lines, o.Table)
 			delete(c.levels, o.Table)
-		case control.Bind:
+		case control.BindProxy:
 			if g := c.byProxy[o.Proxy]; g != nil {
-				for k := range c.set.Up.Kinds {
-					if o.Kinds == 0 || o.Kinds&(1<<k) != 0 {
+				for k := range c.set.Up.Classes {
+					if o.Classes == 0 || o.Classes&(1<<k) != 0 {
 						g.binds[k], bound[o.Proxy] = o.Table, true
 					}
 				}
 			}
-		case control.Withdraw:
-			c.withdrawn[o.Backend] = o.On
+		case control.EjectEndpoint:
+			c.withdrawn[o.Endpoint] = o.Ejected
 			for t, lines := range c.lines {
-				if _, has := lines[o.Backend]; has {
+				if _, has := lines[o.Endpoint]; has {
 					touched[t] = true
 				}
 			}
-		case control.Admit:
+		case control.SetAdmission:
 			if all = all || o.Table == control.AllTables; o.Table != control.AllTables {
 				touched[o.Table] = true
 			}
 			if c.levels[o.Table] == nil {
-				c.levels[o.Table] = map[control.ReqKind]control.Admit{}
+				c.levels[o.Table] = map[control.RequestClass]control.SetAdmission{}
 			}
-			for k := range c.set.Up.Kinds {
-				if o.Kinds == 0 || o.Kinds&(1<<k) != 0 {
-					c.levels[o.Table][control.ReqKind(k)] = o
+			for k := range c.set.Up.Classes {
+				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
+					c.levels[o.Table][control.RequestClass(k)] = o
 				}
 			}
-		case control.Marked:
-			mark, all = o.Mark, all || o.All
+		case control.RequestAck:
+			mark, all = o.AckID, all || o.AllProxies
 		}
 	}
 	clear(c.made)
 	var events []control.Event
-	var solved map[control.Table]bool
+	var solved map[control.TableID]bool
 	if c.solving != nil && c.solving.due {
 		c.solving.due = false
 		solved = c.solve()
@@ -307,7 +307,7 @@
 			g.owed = g.owed || solved[t]
 		}
 		if c.relisted && g.checkAt == 0 {
-			g.checkAt = c.now + c.set.Up.Rules.DrainGrace/4 // the module sees to it, nearly always
+			g.checkAt = c.now + c.set.Up.Rules.DrainGracePeriod/4 // the module sees to it, nearly always
 		}
 		reached = reached || g.owed && c.mayPublish(g) || c.checkDue(g)
 		// One that is put out for not acknowledging may well read: drains still go to it.
@@ -323,12 +323,12 @@
 // concerned are the gateways that a change may reach, in the order of their joining: all, or those that were bound anew
 // and those that something is still to be done about. Between rounds orders concern one gateway or none, and a look at
 // each of thousands would be most of the step.
-func (c *Core) concerned(everyone bool, bound map[control.Proxy]bool) []control.Proxy {
+func (c *Core) concerned(everyone bool, bound map[control.ProxyID]bool) []control.ProxyID {
 	if !everyone {
 		return slices.Sorted(maps.Keys(union(bound, c.restless)))
 	}
 	for len(c.proxies) < len(c.gateways) {
-		c.proxies = append(c.proxies, control.Proxy(len(c.proxies)))
+		c.proxies = append(c.proxies, control.ProxyID(len(c.proxies)))
 	}
 	return c.proxies
 }
@@ -340,8 +340,8 @@
 	if c.leveling != nil {
 		s.Level = c.leveling.machine.At(g.zone)
 	}
-	for k, kind := range c.set.Up.Kinds {
-		table, k := g.binds[k], control.ReqKind(k)
+	for k, kind := range c.set.Up.Classes {
+		table, k := g.binds[k], control.RequestClass(k)
 		key := madeKey{table, k, g.zone}
 		made, has := c.made[key]
 		if !has {
@@ -356,7 +356,7 @@
 		}
 		to := c.bounded(g, k, c.moduleRoute(g, k))
 		r := tables.Route{Kind: kind.Name, Rate: to.most(), Share: to.share, SecondTry: to.secondTry, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
-		if c.set.Up.Levels == control.LevelRate {
+		if c.set.Up.Admission == control.AdmissionByRate {
 			r.Rate = g.cap(int(k), admit, r)
 		}
 		s.Routes = append(s.Routes, r)
@@ -368,13 +368,13 @@
 // most of a step went into making the same again.
 type made struct {
 	cluster tables.Cluster
-	weights map[control.Backend]float64
+	weights map[control.EndpointID]float64
 	admit   float64
 }
 
 type madeKey struct {
-	table control.Table
-	kind  control.ReqKind
+	table control.TableID
+	kind  control.RequestClass
 	zone  control.Zone
 }
 
@@ -389,8 +389,8 @@
 }
 
 // build makes a cluster, with nothing open that the rules close.
-func (c *Core) build(name string, weights map[control.Backend]float64) tables.Cluster {
-	return tables.Build(name, weights, c.list.zone, func(b control.Backend) bool {
+func (c *Core) build(name string, weights map[control.EndpointID]float64) tables.Cluster {
+	return tables.Build(name, weights, c.list.zone, func(b control.EndpointID) bool {
 		return c.withdrawn[b] || c.list.closed(b, c.set.Up.Rules.SoftRemoval)
 	})
 }
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -12,12 +12,12 @@
 // gateway is one that has ever joined.
 type gateway struct {
 	name   Gateway
-	proxy  control.Proxy
+	proxy  control.ProxyID
 	zone   control.Zone
 	conn   Conn
 	linked bool // a connection stands
 	joined bool // the module counts it as joined
-	binds  []control.Table
+	binds  []control.TableID
 
 	seq      uint64 // of its last report
 	heardAt  micros // last word of any kind
@@ -37,7 +37,7 @@
 	weight   float64
 }
 
-const unbound control.Table = -1
+const unbound control.TableID = -1
 
 func (g *gateway) bound() bool { return len(g.binds) > 0 && !slices.Contains(g.binds, unbound) }
 
@@ -57,7 +57,7 @@
 			c.out(Drop{in.Conn, "too many gateways"})
 			return nil
 		}
-		g = &gateway{name: in.Gateway, proxy: control.Proxy(len(c.gateways)), ledger: tables.NewLedger(c.set.Epoch, c.budget())}
+		g = &gateway{name: in.Gateway, proxy: control.ProxyID(len(c.gateways)), ledger: tables.NewLedger(c.set.Epoch, c.budget())}
 		c.gateways[in.Gateway], c.byProxy[g.proxy] = g, g
 	}
 	if !slices.Contains(c.set.Up.Zones, in.Zone) {
@@ -82,7 +82,7 @@
 
 // budget is what the rules allow of messages to one gateway; a file is written a little later than it was published.
 func (c *Core) budget() tables.Budget {
-	return tables.Budget{Most: c.set.Up.Rules.MessageCap, Span: c.set.Up.Rules.MessageSpan + spanSlack}
+	return tables.Budget{Most: c.set.Up.Rules.MessageLimit, Span: c.set.Up.Rules.MessageWindow + spanSlack}
 }
 
 // mostGateways bounds what names alone can cost.
@@ -94,12 +94,12 @@
 		return nil
 	}
 	g.joined, g.joinedAt = true, c.now
-	g.binds = slices.Repeat([]control.Table{unbound}, len(c.set.Up.Kinds))
+	g.binds = slices.Repeat([]control.TableID{unbound}, len(c.set.Up.Classes))
 	g.ledger.Join()
 	c.recalled(g)
 	g.checkAt = 0
 	defer c.watch(g)
-	return []control.Event{control.Joined{Proxy: g.proxy, Zone: g.zone, Fresh: g.fresh, Weight: g.weight}}
+	return []control.Event{control.ProxyConnected{Proxy: g.proxy, Zone: g.zone, HasDefaultTableOnly: g.fresh, Weight: g.weight}}
 }
 
 // part ends a gateway's connection as far as the module goes; it keeps its files and goes on by them.
@@ -110,7 +110,7 @@
 	g.ledger.Part()
 	c.weigh(g)
 	if was {
-		return []control.Event{control.Left{Proxy: g.proxy}}
+		return []control.Event{control.ProxyDisconnected{Proxy: g.proxy}}
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 		return nil
 	}
 	var events []control.Event
-	for p := range control.Proxy(len(c.gateways)) {
+	for p := range control.ProxyID(len(c.gateways)) {
 		g := c.byProxy[p]
 		waiting := g.ledger.Waiting()
 		laterAt, later := g.ledger.DueAt()
@@ -170,7 +170,7 @@
 		}
 	}
 	c.watchAt = c.now + watchMost
-	for p := range control.Proxy(len(c.gateways)) {
+	for p := range control.ProxyID(len(c.gateways)) {
 		c.watchAt = min(c.watchAt, c.attention(c.byProxy[p]))
 	}
 	c.watchAt = max(c.watchAt, c.now+watchLeast)
@@ -231,7 +231,7 @@
 func (c *Core) weigh(g *gateway) {
 	lines := 0.0
 	for _, m := range g.ledger.Waiting() {
-		lines += float64(m.Lines) + c.set.Up.Channel.Envelope
+		lines += float64(m.Lines) + c.set.Up.Channel.MessageOverhead
 	}
 	c.onWay += lines - g.onWay
 	g.onWay = lines
@@ -240,11 +240,11 @@
 // room is how many lines a message may have now: a coordinator counts what it has sent and sends no more than has been
 // acknowledged. One that alone is more than all the room goes when nothing else is on its way.
 func (c *Core) room() int {
-	most := c.set.Up.Rules.QueueCap
+	most := c.set.Up.Rules.QueueLimit
 	if most <= 0 || c.onWay < 1 {
 		return math.MaxInt
 	}
-	return int(fullPart*most - c.onWay - c.set.Up.Channel.Envelope)
+	return int(fullPart*most - c.onWay - c.set.Up.Channel.MessageOverhead)
 }
 
 // fullPart of the lines that may wait is used; what closes a line goes beyond it.
@@ -252,7 +252,7 @@
 
 // ackWithin is how long an acknowledgement may take: ten times the longest way there and back, and no less than the
 // time after which a gateway counts as silent.
-func (c *Core) ackWithin() micros { return max(10*c.set.Up.Channel.WorstTransit, c.set.SilentAfter) }
+func (c *Core) ackWithin() micros { return max(10*c.set.Up.Channel.MaxLatency, c.set.SilentAfter) }
 
 // checkDue tells whether it is time to hold a gateway's tables against the list. The module takes drained lines out by
 // itself; what it has not reached by then, an old table or a gateway that is put out, is masked here.
@@ -262,12 +262,12 @@
 const spanSlack = second / 2
 
 // publish brings a gateway to what it should hold, as its ledger says.
-func (c *Core) publish(g *gateway, mark control.Mark) []control.Event {
+func (c *Core) publish(g *gateway, mark control.AckID) []control.Event {
 	defer c.watch(g)
 	s := c.snapshot(g)
 	g.checkAt = 0
 	verdict, m := g.ledger.Offer(c.now, s, mark, c.room(), func() bool {
-		return tables.Closes(g.ledger.Sent(), s, func(b control.Backend) bool {
+		return tables.Closes(g.ledger.Sent(), s, func(b control.EndpointID) bool {
 			return c.withdrawn[b] || c.list.closed(b, c.set.Up.Rules.SoftRemoval)
 		})
 	})
@@ -276,7 +276,7 @@
 	}
 	switch verdict {
 	case tables.Applied:
-		return []control.Event{control.Applied{Proxy: g.proxy, Mark: m.Mark}}
+		return []control.Event{control.Acknowledged{Proxy: g.proxy, AckID: m.Mark}}
 	case tables.Send:
 		c.out(Publish{Gateway: g.name, Version: m.Version, Nonce: m.Version, Snapshot: s, Changed: m.Changed, Sync: c.synced()})
 	}
@@ -304,7 +304,7 @@
 		g.expelled = 0
 		c.lag += (c.now - m.At - c.lag) / 8
 		if m.Mark >= 0 {
-			events = append(events, control.Applied{Proxy: g.proxy, Mark: m.Mark, Took: c.now - m.At})
+			events = append(events, control.Acknowledged{Proxy: g.proxy, AckID: m.Mark, Delay: c.now - m.At})
 		}
 	}
 	if known && g.joined {
@@ -324,7 +324,7 @@
 	if !c.set.Sync {
 		return false
 	}
-	grace, waiting, joined := c.set.Up.Rules.DrainGrace, 0, 0
+	grace, waiting, joined := c.set.Up.Rules.DrainGracePeriod, 0, 0
 	for _, g := range c.gateways {
 		if g.joined {
 			if joined++; len(g.ledger.Waiting()) > 0 && c.now-g.ledger.Waiting()[0].At > grace/10 {
--- a/coordinator/io.go
+++ b/coordinator/io.go
@@ -16,9 +16,9 @@
 type Input any
 
 type (
-	// List is an answer of the node list, or its failure (How ListFailed, Why says what went wrong).
+	// EndpointUpdate is an answer of the node list, or its failure (How ListFailed, Why says what went wrong).
 	List struct {
-		control.List
+		control.EndpointUpdate
 		Why string `cbor:"Why" json:"Why"`
 
 		decided bool // by membership
@@ -53,14 +53,14 @@
 	}
 	// Report sums what a gateway did in the last interval.
 	Report struct {
-		Gateway  Gateway        `cbor:"Gateway" json:"Gateway"`
-		Conn     Conn           `cbor:"Conn" json:"Conn"`
-		Seq      uint64         `cbor:"Seq" json:"Seq"` // counts a gateway's reports; what is not above the last is a repeat or late
-		Interval control.Micros `cbor:"Interval" json:"Interval"`
-		Kinds    []KindReport   `cbor:"Kinds" json:"Kinds"`
+		Gateway  Gateway              `cbor:"Gateway" json:"Gateway"`
+		Conn     Conn                 `cbor:"Conn" json:"Conn"`
+		Seq      uint64               `cbor:"Seq" json:"Seq"` // counts a gateway's reports; what is not above the last is a repeat or late
+		Interval control.Microseconds `cbor:"Interval" json:"Interval"`
+		Kinds    []KindReport         `cbor:"Kinds" json:"Kinds"`
 	}
-	// Probed is the finding of a probe.
-	Probed struct{ control.Probed }
+	// HealthCheckResult is the finding of a probe.
+	Probed struct{ control.HealthCheckResult }
 	// Refused says that peers were answered with an error, Count times since the last one of these.
 	Refused struct {
 		From  string `cbor:"From" json:"From"`
@@ -85,12 +85,12 @@
 
 // EndpointReport is what a gateway met at one backend.
 type EndpointReport struct {
-	Backend control.Backend `cbor:"Backend" json:"Backend"`
-	Tries   int             `cbor:"Tries" json:"Tries"`     // that ended
-	Errored int             `cbor:"Errored" json:"Errored"` // of them: errors, refusals, time-outs, failed connects
-	Active  int             `cbor:"Active" json:"Active"`   // not ended yet
-	Answer  control.Micros  `cbor:"Answer" json:"Answer"`
-	Loads   control.Loads   `cbor:"Loads" json:"Loads"` // by the module's names
+	Backend control.EndpointID   `cbor:"Backend" json:"Backend"`
+	Tries   int                  `cbor:"Tries" json:"Tries"`     // that ended
+	Errored int                  `cbor:"Errored" json:"Errored"` // of them: errors, refusals, time-outs, failed connects
+	Active  int                  `cbor:"Active" json:"Active"`   // not ended yet
+	Answer  control.Microseconds `cbor:"Answer" json:"Answer"`
+	Loads   control.LoadMetrics  `cbor:"Loads" json:"Loads"` // by the module's names
 }
 
 // Doc is one of the documents that a gateway is given.
@@ -120,13 +120,13 @@
 		Sync bool
 	}
 	// Probe examines a backend.
-	Probe struct{ Backend control.Backend }
+	Probe struct{ Backend control.EndpointID }
 	// Watch asks the node list for its changes from now on; a List answers, also when it fails.
 	Watch struct{ On bool }
 	// Fetch asks for the whole list once.
 	Fetch struct{}
 	// Save asks to keep the list for the next start.
-	Save struct{ List control.List }
+	Save struct{ List control.EndpointUpdate }
 	// Drop closes a connection.
 	Drop struct {
 		Conn Conn
@@ -134,13 +134,13 @@
 	}
 	// Note is a record for staff. Event is a short fixed name, Text what happened with its figures.
 	Note struct {
-		Level   NoteLevel       `cbor:"Level" json:"Level"`
-		Event   string          `cbor:"Event" json:"Event"`
-		Text    string          `cbor:"Text" json:"Text"`
-		Gateway Gateway         `cbor:"Gateway" json:"Gateway"`
-		Backend control.Backend `cbor:"Backend" json:"Backend"`
-		Count   int             `cbor:"Count" json:"Count"` // of the same since the last such record
-		Fields  []Field         `cbor:"Fields" json:"Fields"`
+		Level   NoteLevel          `cbor:"Level" json:"Level"`
+		Event   string             `cbor:"Event" json:"Event"`
+		Text    string             `cbor:"Text" json:"Text"`
+		Gateway Gateway            `cbor:"Gateway" json:"Gateway"`
+		Backend control.EndpointID `cbor:"Backend" json:"Backend"`
+		Count   int                `cbor:"Count" json:"Count"` // of the same since the last such record
+		Fields  []Field            `cbor:"Fields" json:"Fields"`
 	}
 )
 
--- a/coordinator/levels.go
+++ b/coordinator/levels.go
@@ -20,7 +20,7 @@
 	peak    map[control.Zone]float64   // capacity that stood open lately
 	deals   map[control.Zone][]deal    // by kind; of zones at a level
 	falls   map[control.Zone][]float64 // by kind: the part let in by the level that gateways fall back to
-	probes  []control.Backend          // that wait for their turn
+	probes  []control.EndpointID       // that wait for their turn
 	probeAt micros                     // when the next one may go
 }
 
@@ -52,7 +52,7 @@
 	capacity := c.capacities()
 	open, away, known := map[control.Zone]float64{}, map[control.Zone]float64{}, map[control.Zone]float64{}
 	for _, e := range c.present() {
-		if e.Status == control.Ready && !c.withdrawn[e.Backend] {
+		if e.Status == control.Ready && !c.withdrawn[e.ID] {
 			w := max(e.Weight, 1e-9) * c.warmth(e)
 			open[e.Zone], open[service.Fleet] = open[e.Zone]+w, open[service.Fleet]+w
 		}
@@ -80,8 +80,8 @@
 		}
 		if z == service.Fleet {
 			f.Set(service.Shed, 1-c.intake.Stats().Part)
-			behind := float64(c.lag) / float64(c.set.Up.Rules.DrainGrace)
-			if most := c.set.Up.Rules.QueueCap; most > 0 {
+			behind := float64(c.lag) / float64(c.set.Up.Rules.DrainGracePeriod)
+			if most := c.set.Up.Rules.QueueLimit; most > 0 {
 				behind = max(behind, c.onWay/most)
 			}
 			f.Set(service.Behind, behind)
@@ -112,7 +112,7 @@
 		return
 	}
 	for _, z := range c.set.Up.Zones {
-		parts := make([]float64, len(c.set.Up.Kinds))
+		parts := make([]float64, len(c.set.Up.Classes))
 		moved := len(lv.falls[z]) == 0
 		for k, d := range c.divide(deals[z], lv.machine.Settings().Bounds(c.set.Fallback.Level)) {
 			if parts[k] = service.Part(d.given, d.asked); !moved {
@@ -161,21 +161,21 @@
 }
 
 // capacities are what nodes can do now, in mean reqs a second; what is not known is left out.
-func (c *Core) capacities() map[control.Backend]float64 {
-	out := map[control.Backend]float64{}
+func (c *Core) capacities() map[control.EndpointID]float64 {
+	out := map[control.EndpointID]float64{}
 	for _, e := range c.present() {
-		if e.Status != control.Ready || c.withdrawn[e.Backend] {
+		if e.Status != control.Ready || c.withdrawn[e.ID] {
 			continue
 		}
 		can := math.NaN()
 		if c.solving != nil {
-			can = c.solving.estimate.Capacity(e.Backend)
+			can = c.solving.estimate.Capacity(e.ID)
 		}
-		if f, known := c.intake.View(c.now, e.Backend); math.IsNaN(can) && known && f.Util > 0.1 {
+		if f, known := c.intake.View(c.now, e.ID); math.IsNaN(can) && known && f.Util > 0.1 {
 			can = (f.Tries - f.Errored) / f.Util // what it does in a busy second
 		}
 		if !math.IsNaN(can) && can > 0 {
-			out[e.Backend] = can * c.warmth(e)
+			out[e.ID] = can * c.warmth(e)
 		}
 	}
 	return out
@@ -185,23 +185,23 @@
 func (c *Core) deals() map[control.Zone][]deal {
 	out := map[control.Zone][]deal{}
 	for _, z := range c.set.Up.Zones {
-		out[z] = make([]deal, len(c.set.Up.Kinds))
+		out[z] = make([]deal, len(c.set.Up.Classes))
 	}
-	for proxy := range control.Proxy(len(c.gateways)) {
+	for proxy := range control.ProxyID(len(c.gateways)) {
 		g := c.byProxy[proxy]
 		if !g.joined || !g.bound() || len(out[g.zone]) == 0 {
 			continue
 		}
 		for k := range g.usage {
 			d := &out[g.zone][k]
-			d.asked, d.let = d.asked+g.usage[k], d.let+c.moduleRoute(g, control.ReqKind(k)).lets(g.usage[k])
+			d.asked, d.let = d.asked+g.usage[k], d.let+c.moduleRoute(g, control.RequestClass(k)).lets(g.usage[k])
 		}
 	}
 	return out
 }
 
 // load is the work that is asked for over what the nodes can do that serve a zone, or all.
-func (c *Core) load(zone control.Zone, deals map[control.Zone][]deal, capacity map[control.Backend]float64) (load float64, known bool) {
+func (c *Core) load(zone control.Zone, deals map[control.Zone][]deal, capacity map[control.EndpointID]float64) (load float64, known bool) {
 	asked, let := 0.0, 0.0
 	for z, by := range deals {
 		for _, d := range by {
@@ -242,7 +242,7 @@
 		if costs[k] = 1; c.solving != nil {
 			costs[k] = c.solving.estimate.Costs()[k]
 		}
-		payoff[k], asked[k] = c.set.Up.Kinds[k].Payoff, of[k].asked*costs[k]
+		payoff[k], asked[k] = c.set.Up.Classes[k].PriorityWeight, of[k].asked*costs[k]
 		total += of[k].let * costs[k]
 	}
 	out := slices.Clone(of)
@@ -253,23 +253,23 @@
 }
 
 // moduleRoute is what the module's levels say of a kind at a gateway.
-func (c *Core) moduleRoute(g *gateway, k control.ReqKind) route {
+func (c *Core) moduleRoute(g *gateway, k control.RequestClass) route {
 	r := route{rate: tables.Unlimited, guard: tables.Unlimited, share: 1}
-	for _, t := range []control.Table{control.AllTables, g.binds[k]} {
+	for _, t := range []control.TableID{control.AllTables, g.binds[k]} {
 		a, has := c.levels[t][k]
 		if !has {
 			continue
 		}
 		switch {
-		case c.set.Up.Levels == control.LevelShare:
+		case c.set.Up.Admission == control.AdmissionByShare:
 			r.share = min(r.share, a.Level)
-		case c.set.Up.Levels != control.LevelRate || a.Level >= everything:
+		case c.set.Up.Admission != control.AdmissionByRate || a.Level >= everything:
 		case t == control.AllTables:
 			r.rate = a.Level
 		default:
 			r.guard = a.Level
 		}
-		r.secondTry = a.SecondTry
+		r.secondTry = a.RetryPolicy
 	}
 	return r
 }
@@ -299,14 +299,14 @@
 
 // bounded puts a level's bounds over what the module's levels say. The price loop has set how much is let in; the level
 // divides it otherwise, and takes second tries away.
-func (c *Core) bounded(g *gateway, k control.ReqKind, r route) route {
+func (c *Core) bounded(g *gateway, k control.RequestClass, r route) route {
 	lv := c.leveling
 	if lv == nil {
 		return r
 	}
 	at := lv.machine.At(g.zone)
 	if at == 0 {
-		g.settled(int(k)+len(c.set.Up.Kinds), -1)
+		g.settled(int(k)+len(c.set.Up.Classes), -1)
 		return r
 	}
 	r.secondTry = min(r.secondTry, lv.machine.Settings().Bounds(at).SecondTry[k])
@@ -317,15 +317,15 @@
 	d := by[k]
 	part := service.Part(d.given, d.asked)
 	switch {
-	case c.set.Up.Levels == control.LevelShare:
+	case c.set.Up.Admission == control.AdmissionByShare:
 		r.share = part
-	case c.set.Up.Levels != control.LevelRate:
+	case c.set.Up.Admission != control.AdmissionByRate:
 	case part == 1: // it gets all that it asks for
 		r.rate = tables.Unlimited
 	case r.rate >= 0 && d.let > 0 && d.let < d.asked:
-		r.rate = g.settled(int(k)+len(c.set.Up.Kinds), r.rate*d.given/d.let)
+		r.rate = g.settled(int(k)+len(c.set.Up.Classes), r.rate*d.given/d.let)
 	case int(k) < len(g.usage):
-		r.rate = g.settled(int(k)+len(c.set.Up.Kinds), max(0.1, part*g.usage[k]))
+		r.rate = g.settled(int(k)+len(c.set.Up.Classes), max(0.1, part*g.usage[k]))
 	}
 	return r
 }
@@ -347,7 +347,7 @@
 }
 
 // narrowed puts a level's bounds on crossing and on lines over a table's weights, as the gateways of a zone get it, or as one does.
-func (c *Core) narrowed(zone control.Zone, gateway string, w map[control.Backend]float64) map[control.Backend]float64 {
+func (c *Core) narrowed(zone control.Zone, gateway string, w map[control.EndpointID]float64) map[control.EndpointID]float64 {
 	lv := c.leveling
 	if lv == nil || lv.machine.At(zone) == 0 {
 		return w
@@ -367,7 +367,7 @@
 	} else {
 		lines = b.Fewer(gateway, lines)
 	}
-	out := map[control.Backend]float64{}
+	out := map[control.EndpointID]float64{}
 	for _, l := range lines {
 		if l.Weight > 0 {
 			out[l.Backend] = l.Weight
@@ -382,7 +382,7 @@
 }
 
 // fallback is what a gateway's route carries for the time when it reaches no coordinator.
-func (c *Core) fallback(g *gateway, k control.ReqKind) (f tables.Fallback) {
+func (c *Core) fallback(g *gateway, k control.RequestClass) (f tables.Fallback) {
 	set := c.set.Fallback
 	if c.leveling == nil || set.Level == 0 || len(c.leveling.falls[g.zone]) == 0 {
 		return f
@@ -392,7 +392,7 @@
 }
 
 // probe lets a probe go, or keeps it for its turn while a level bounds them. None is lost, and none waits twice.
-func (c *Core) probe(b control.Backend) {
+func (c *Core) probe(b control.EndpointID) {
 	lv := c.leveling
 	if lv == nil || lv.pace() == 0 && len(lv.probes) == 0 {
 		c.out(Probe{b})
@@ -459,9 +459,9 @@
 	c.later, c.outputs = append(c.later, c.outputs...), held
 }
 
-// Levels is how the levels of service stand.
+// Admission is how the levels of service stand.
 type Levels struct {
-	Now       control.Micros         `json:"now_us"`
+	Now       control.Microseconds   `json:"now_us"`
 	Levels    []string               `json:"levels"` // by severity, the usual service first
 	Standings []service.Standing     `json:"standings"`
 	Words     []service.Word         `json:"words"`
@@ -469,7 +469,7 @@
 	Away      int                    `json:"away"`     // gateways that are not joined: they go on by what they hold
 }
 
-// Levels tells it; without levels it is the usual service everywhere.
+// Admission tells it; without levels it is the usual service everywhere.
 func (c *Core) Levels() Levels {
 	out := Levels{Now: c.now, Levels: []string{service.Usual}, Gateways: map[string]map[int]int{}}
 	if c.leveling == nil {
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -9,24 +9,24 @@
 
 // roster is the node list as it is believed.
 type roster struct {
-	entries   map[control.Backend]control.Entry // gone ones too: their zone is still needed
-	firstSeen map[control.Backend]micros
+	entries   map[control.EndpointID]control.Endpoint // gone ones too: their zone is still needed
+	firstSeen map[control.EndpointID]micros
 	has       bool // a list has come
-	version   control.Version
+	version   control.ListVersion
 	// fileVersion is of the file's last list.
-	fileVersion control.Version
+	fileVersion control.ListVersion
 }
 
-func (r *roster) zone(b control.Backend) (control.Zone, bool) {
+func (r *roster) zone(b control.EndpointID) (control.Zone, bool) {
 	e, has := r.entries[b]
 	return e.Zone, has
 }
 
 // closed tells whether nothing new may go to a backend. Where gone alone does not bind (soft), one dropped from the
 // list without a drain is for the module to judge: it may keep its lines while it answers.
-func (r *roster) closed(b control.Backend, soft bool) bool {
+func (r *roster) closed(b control.EndpointID, soft bool) bool {
 	status := r.entries[b].Status
-	return status == control.Draining || status == control.Gone && !soft
+	return status == control.Draining || status == control.Removed && !soft
 }
 
 func (r *roster) ready() (n int) {
@@ -41,56 +41,56 @@
 // listed takes a list in. A list that names nobody after one that did is a broken source far likelier than an empty
 // fleet: it is refused, unless the settings allow it, and what was known stays.
 func (c *Core) listed(in List) []control.Event {
-	if in.How == control.ListFailed {
+	if in.Kind == control.Failed {
 		c.complain("list_failed", "", "%s", in.Why)
-		return []control.Event{in.List}
+		return []control.Event{in.EndpointUpdate}
 	}
-	if was := c.list.ready(); in.How != control.ListChanges && len(in.Entries) == 0 && was > 0 && !c.set.AllowEmpty {
+	if was := c.list.ready(); in.Kind != control.Delta && len(in.Endpoints) == 0 && was > 0 && !c.set.AllowEmpty {
 		c.complain("list_empty", "", "it names nobody, the last one %d: not believed", was)
-		return []control.Event{control.List{Version: in.Version, How: control.ListFailed}}
+		return []control.Event{control.EndpointUpdate{Version: in.Version, Kind: control.Failed}}
 	}
-	if in.How == control.ListFull && !in.decided {
+	if in.Kind == control.Snapshot && !in.decided {
 		return c.file(in)
 	}
-	seen := map[control.Backend]bool{}
-	var entries []control.Entry
-	for _, e := range in.Entries {
-		if seen[e.Backend] || !slices.Contains(c.set.Up.Zones, e.Zone) {
+	seen := map[control.EndpointID]bool{}
+	var entries []control.Endpoint
+	for _, e := range in.Endpoints {
+		if seen[e.ID] || !slices.Contains(c.set.Up.Zones, e.Zone) {
 			continue
 		}
-		seen[e.Backend] = true
-		entries = append(entries, c.dated(e, in.How))
+		seen[e.ID] = true
+		entries = append(entries, c.dated(e, in.Kind))
 	}
-	if in.How != control.ListChanges {
+	if in.Kind != control.Delta {
 		for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
-			if old := c.list.entries[b]; !seen[b] && old.Status != control.Gone {
-				old.Status = control.Gone
+			if old := c.list.entries[b]; !seen[b] && old.Status != control.Removed {
+				old.Status = control.Removed
 				c.list.entries[b] = old
 				c.intake.ForgetNode(b)
 			}
 		}
 	}
-	changed := in.How != control.ListChanges
+	changed := in.Kind != control.Delta
 	for _, e := range entries {
-		changed = changed || c.list.entries[e.Backend] != e
-		c.list.entries[e.Backend] = e
+		changed = changed || c.list.entries[e.ID] != e
+		c.list.entries[e.ID] = e
 	}
-	if in.How != control.ListSaved {
+	if in.Kind != control.Cached {
 		c.list.has = true
-		c.out(Save{control.List{Version: in.Version, How: control.ListSaved, Entries: c.present()}})
+		c.out(Save{control.EndpointUpdate{Version: in.Version, Kind: control.Cached, Endpoints: c.present()}})
 	}
 	clear(c.made)
 	if c.relisted = c.relisted || changed; changed {
 		c.note(Debug, "list", "version %d: %d entries, %d ready", in.Version, len(entries), c.list.ready())
 	}
-	in.Entries = entries
-	return []control.Event{in.List}
+	in.Endpoints = entries
+	return []control.Event{in.EndpointUpdate}
 }
 
 // present lists what is not gone, in the order of names.
-func (c *Core) present() (entries []control.Entry) {
+func (c *Core) present() (entries []control.Endpoint) {
 	for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
-		if e := c.list.entries[b]; e.Status != control.Gone {
+		if e := c.list.entries[b]; e.Status != control.Removed {
 			entries = append(entries, e)
 		}
 	}
@@ -100,25 +100,25 @@
 // dated gives an entry its start time. A source that states none still says something by naming a backend that it
 // did not name before, or that was gone: it has just started. What the first list names has been there for long. A
 // start that lies ahead of our clock is now: another machine's clock must not keep a backend cold for ever.
-func (c *Core) dated(e control.Entry, how control.ListHow) control.Entry {
-	old, known := c.list.entries[e.Backend]
+func (c *Core) dated(e control.Endpoint, how control.UpdateKind) control.Endpoint {
+	old, known := c.list.entries[e.ID]
 	switch {
-	case e.Launched > c.now:
-		if e.Launched = c.now; known && old.Launched > 0 && old.Status != control.Gone {
-			e.Launched = old.Launched
+	case e.StartedAt > c.now:
+		if e.StartedAt = c.now; known && old.StartedAt > 0 && old.Status != control.Removed {
+			e.StartedAt = old.StartedAt
 		}
-	case e.Launched > 0:
-	case how == control.ListSaved:
-		e.Launched = old.Launched
+	case e.StartedAt > 0:
+	case how == control.Cached:
+		e.StartedAt = old.StartedAt
 	case !c.list.has:
 		// The first fresh list of a start: what was not listed before the restart has started since.
-		if e.Launched = old.Launched; !known {
-			e.Launched, _ = c.belief.Started(e.Backend, c.now)
+		if e.StartedAt = old.StartedAt; !known {
+			e.StartedAt, _ = c.belief.Started(e.ID, c.now)
 		}
-	case !known || old.Status == control.Gone:
-		e.Launched = c.now
+	case !known || old.Status == control.Removed:
+		e.StartedAt = c.now
 	default:
-		e.Launched = old.Launched
+		e.StartedAt = old.StartedAt
 	}
 	return e
 }
--- a/coordinator/members.go
+++ b/coordinator/members.go
@@ -15,22 +15,22 @@
 // file hands a list of the file to membership.
 func (c *Core) file(in List) []control.Event {
 	a := membership.Answer{Source: FileSource}
-	seen := map[control.Backend]bool{}
-	for _, e := range in.Entries {
-		if seen[e.Backend] {
-			c.complain("list_twice", "", "%s stands twice: the first one counts", e.Backend)
+	seen := map[control.EndpointID]bool{}
+	for _, e := range in.Endpoints {
+		if seen[e.ID] {
+			c.complain("list_twice", "", "%s stands twice: the first one counts", e.ID)
 			continue
 		}
 		if !slices.Contains(c.set.Up.Zones, e.Zone) {
-			c.complain("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.Backend, e.Zone, c.set.Up.Zones)
+			c.complain("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.set.Up.Zones)
 			continue
 		}
-		seen[e.Backend] = true
-		claim := membership.Claim{Node: e.Backend, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, Machine: e.Machine, Launched: e.Launched}
+		seen[e.ID] = true
+		claim := membership.Claim{Node: e.ID, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, Machine: e.MachineType, Launched: e.StartedAt}
 		switch e.Status {
 		case control.Draining:
 			claim.Status = membership.OutOfService
-		case control.Gone:
+		case control.Removed:
 			continue
 		}
 		a.Claims = append(a.Claims, claim)
@@ -57,11 +57,11 @@
 	if !changed && !answered || !c.members.Answered() {
 		return nil
 	}
-	return c.listed(List{List: control.List{Version: max(c.list.fileVersion, c.members.Version()), How: control.ListFull, Entries: entries}, decided: true})
+	return c.listed(List{EndpointUpdate: control.EndpointUpdate{Version: max(c.list.fileVersion, c.members.Version()), Kind: control.Snapshot, Endpoints: entries}, decided: true})
 }
 
 // DrainNode takes a node out at an operator's word, until UndrainNode takes it back; it survives restarts.
-func (c *Core) DrainNode(b control.Backend, reason string) error {
+func (c *Core) DrainNode(b control.EndpointID, reason string) error {
 	if err := c.members.Drain(c.now, b, reason); err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 }
 
 // UndrainNode takes an operator's drain back.
-func (c *Core) UndrainNode(b control.Backend, reason string) error {
+func (c *Core) UndrainNode(b control.EndpointID, reason string) error {
 	if err := c.members.Undrain(c.now, b); err != nil {
 		return err
 	}
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -11,53 +11,53 @@
 
 // Overview is how a coordinator stands, without any table: small enough to be asked for each second.
 type Overview struct {
-	Now      control.Micros    `json:"now_us"`
-	Began    control.Micros    `json:"began_us"`
-	Build    string            `json:"build"`
-	Kinds    []string          `json:"kinds"`
-	Nodes    []NodeOverview    `json:"nodes"`
-	Gateways []GatewayOverview `json:"gateways"`
-	Traffic  []Traffic         `json:"traffic"`
-	Levels   Levels            `json:"levels"`
-	Solver   *SolverStatus     `json:"solver,omitempty"`
-	Intake   intake.Stats      `json:"intake"`
-	OnWay    float64           `json:"lines_on_way"`
-	Limit    float64           `json:"lines_limit"`
-	Pins     int               `json:"pins"`
+	Now      control.Microseconds `json:"now_us"`
+	Began    control.Microseconds `json:"began_us"`
+	Build    string               `json:"build"`
+	Kinds    []string             `json:"kinds"`
+	Nodes    []NodeOverview       `json:"nodes"`
+	Gateways []GatewayOverview    `json:"gateways"`
+	Traffic  []Traffic            `json:"traffic"`
+	Levels   Levels               `json:"levels"`
+	Solver   *SolverStatus        `json:"solver,omitempty"`
+	Intake   intake.Stats         `json:"intake"`
+	OnWay    float64              `json:"lines_on_way"`
+	Limit    float64              `json:"lines_limit"`
+	Pins     int                  `json:"pins"`
 }
 
 // NodeOverview is one node. Rates are a second, times the core's.
 type NodeOverview struct {
-	Node     control.Backend `json:"node"`
-	Zone     control.Zone    `json:"zone"`
-	State    string          `json:"state"` // membership's
-	Why      string          `json:"why"`
-	Since    control.Micros  `json:"since_us"`
-	Warmth   float64         `json:"warmth"`
-	Capacity float64         `json:"capacity"` // reqs; 0: not known
-	Tries    float64         `json:"tries"`
-	Errored  float64         `json:"errored"`
-	Util     float64         `json:"util"`
-	Queue    float64         `json:"queue"`
-	Error    float64         `json:"tries_error"`
-	Heard    control.Micros  `json:"heard_us"` // when; 0: never
-	Senders  int             `json:"senders"`  // gateways with an open line to it
-	Fails    []string        `json:"fails,omitempty"`
-	Withheld bool            `json:"withheld"` // by the module
+	Node     control.EndpointID   `json:"node"`
+	Zone     control.Zone         `json:"zone"`
+	State    string               `json:"state"` // membership's
+	Why      string               `json:"why"`
+	Since    control.Microseconds `json:"since_us"`
+	Warmth   float64              `json:"warmth"`
+	Capacity float64              `json:"capacity"` // reqs; 0: not known
+	Tries    float64              `json:"tries"`
+	Errored  float64              `json:"errored"`
+	Util     float64              `json:"util"`
+	Queue    float64              `json:"queue"`
+	Error    float64              `json:"tries_error"`
+	Heard    control.Microseconds `json:"heard_us"` // when; 0: never
+	Senders  int                  `json:"senders"`  // gateways with an open line to it
+	Fails    []string             `json:"fails,omitempty"`
+	Withheld bool                 `json:"withheld"` // by the module
 }
 
 // GatewayOverview is one gateway.
 type GatewayOverview struct {
-	Gateway Gateway        `json:"gateway"`
-	Zone    control.Zone   `json:"zone"`
-	Joined  bool           `json:"joined"`
-	Heard   control.Micros `json:"heard_us"`
-	Version string         `json:"version"` // confirmed, of endpoints
-	Waiting int            `json:"waiting"`
-	Oldest  control.Micros `json:"oldest_us"` // age of the first message on its way
-	Usage   float64        `json:"usage"`     // reqs a second
-	Lines   int            `json:"lines"`     // open, of all kinds
-	Level   string         `json:"level"`
+	Gateway Gateway              `json:"gateway"`
+	Zone    control.Zone         `json:"zone"`
+	Joined  bool                 `json:"joined"`
+	Heard   control.Microseconds `json:"heard_us"`
+	Version string               `json:"version"` // confirmed, of endpoints
+	Waiting int                  `json:"waiting"`
+	Oldest  control.Microseconds `json:"oldest_us"` // age of the first message on its way
+	Usage   float64              `json:"usage"`     // reqs a second
+	Lines   int                  `json:"lines"`     // open, of all kinds
+	Level   string               `json:"level"`
 }
 
 // Traffic is what comes to the gateways of a zone of a kind, and what is let in.
@@ -72,16 +72,16 @@
 // Overview tells it; it changes nothing. It looks at every line of every gateway's table once.
 func (c *Core) Overview() Overview {
 	o := Overview{Now: c.now, Began: c.began, Build: c.set.Build, Kinds: c.kindNames(), Levels: c.Levels(), Solver: c.solverStatus(), Intake: c.intake.Stats(),
-		OnWay: c.onWay, Limit: c.set.Up.Rules.QueueCap, Pins: len(c.book.Pins())}
+		OnWay: c.onWay, Limit: c.set.Up.Rules.QueueLimit, Pins: len(c.book.Pins())}
 	if o.Solver != nil {
 		o.Solver.Nodes = nil
 	}
-	senders := map[control.Backend]int{}
+	senders := map[control.EndpointID]int{}
 	type reach struct {
 		zone control.Zone
 		kind int
 	}
-	open := map[reach]map[control.Backend]bool{}
+	open := map[reach]map[control.EndpointID]bool{}
 	deals := c.deals()
 	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
 		g := c.gateways[name]
@@ -93,11 +93,11 @@
 		for _, u := range g.usage {
 			one.Usage += u
 		}
-		mine := map[control.Backend]bool{}
+		mine := map[control.EndpointID]bool{}
 		for k, cl := range g.ledger.Sent().Clusters {
 			at := reach{g.zone, k}
 			if open[at] == nil {
-				open[at] = map[control.Backend]bool{}
+				open[at] = map[control.EndpointID]bool{}
 			}
 			for _, l := range cl.Lines {
 				if !l.Withheld && l.Weight > 0 {
@@ -145,18 +145,18 @@
 
 // Record is one record of the log.
 type Record struct {
-	At    control.Micros `json:"at_us"`
-	Level string         `json:"level"`
-	Event string         `json:"event"`
-	Text  string         `json:"text"`
-	Of    string         `json:"of,omitempty"` // gateway or node
+	At    control.Microseconds `json:"at_us"`
+	Level string               `json:"level"`
+	Event string               `json:"event"`
+	Text  string               `json:"text"`
+	Of    string               `json:"of,omitempty"` // gateway or node
 }
 
 // tailMost records of the log are kept for overviews.
 const tailMost = 200
 
 // Tail adds a note to the log's last records. What was handed out before stays as it was.
-func Tail(tail []Record, now control.Micros, n Note) []Record {
+func Tail(tail []Record, now control.Microseconds, n Note) []Record {
 	r := Record{At: now, Level: "info", Event: n.Event, Text: n.Text, Of: string(n.Gateway)}
 	if n.Level == Warn {
 		r.Level = "warn"
--- a/coordinator/recall.go
+++ b/coordinator/recall.go
@@ -36,10 +36,10 @@
 }
 
 // KindName is what a request kind is called.
-func (c *Core) KindName(kind control.ReqKind) string { return c.set.Up.Kinds[kind].Name }
+func (c *Core) KindName(kind control.RequestClass) string { return c.set.Up.Classes[kind].Name }
 
 func (c *Core) kindNames() (names []string) {
-	for _, k := range c.set.Up.Kinds {
+	for _, k := range c.set.Up.Classes {
 		names = append(names, k.Name)
 	}
 	return names
@@ -47,13 +47,13 @@
 
 // Recall hands a core what is believed of the time before, before its first step; the list among it comes as an input of
 // its own.
-func (c *Core) Recall(now control.Micros, b recovery.Belief) {
+func (c *Core) Recall(now control.Microseconds, b recovery.Belief) {
 	c.now = max(c.now, now)
 	c.belief = &b
 	if c.solving != nil {
 		c.solving.judge.Recall(now, b.Marks)
 		for _, e := range b.Nodes { // what was learned is of these processes
-			c.solving.starts[e.Backend] = e.Launched
+			c.solving.starts[e.ID] = e.StartedAt
 		}
 	}
 	c.book.Recall(now, b.Pins)
@@ -74,7 +74,7 @@
 	if c.belief == nil {
 		return
 	}
-	if old, known := c.belief.Gateways[string(g.name)]; known && len(g.usage) == 0 && len(old.Usage) == len(c.set.Up.Kinds) {
+	if old, known := c.belief.Gateways[string(g.name)]; known && len(g.usage) == 0 && len(old.Usage) == len(c.set.Up.Classes) {
 		g.usage = slices.Clone(old.Usage)
 	}
 }
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -14,29 +14,29 @@
 // sums is what the gateways have reported since the module was last told.
 type sums struct {
 	heard map[heardKey]*heardSum
-	usage map[usageKey]*control.Usage
+	usage map[usageKey]*control.ProxyLoad
 }
 
 type heardKey struct {
 	zone    control.Zone
-	backend control.Backend
+	backend control.EndpointID
 }
 
 type usageKey struct {
-	proxy control.Proxy
-	kind  control.ReqKind
+	proxy control.ProxyID
+	kind  control.RequestClass
 }
 
 type heardSum struct {
 	tries, errored int
 	answer         float64 // sum over the done ones, microseconds
 	period         micros
-	loads          control.Loads
+	loads          control.LoadMetrics
 	loadsOf        int // tries of the report whose loads are kept
 }
 
 func (s *sums) reset() {
-	s.heard, s.usage = map[heardKey]*heardSum{}, map[usageKey]*control.Usage{}
+	s.heard, s.usage = map[heardKey]*heardSum{}, map[usageKey]*control.ProxyLoad{}
 }
 
 // most bounds on what one report may claim; a gateway is one process.
@@ -84,14 +84,14 @@
 		kind := c.kinds[k.Kind]
 		u := c.sums.usage[usageKey{g.proxy, kind}]
 		if u == nil {
-			u = &control.Usage{Proxy: g.proxy, Kind: kind}
+			u = &control.ProxyLoad{Proxy: g.proxy, Class: kind}
 			c.sums.usage[usageKey{g.proxy, kind}] = u
 		}
 		if len(g.usage) == 0 {
-			g.usage = make([]float64, len(c.set.Up.Kinds))
+			g.usage = make([]float64, len(c.set.Up.Classes))
 		}
 		g.usage[kind] += 0.5 * (float64(k.Arrived)*float64(second)/float64(r.Interval) - g.usage[kind])
-		u.Reqs, u.Errored, u.Period = u.Reqs+k.Arrived, u.Errored+k.Errored, u.Period+r.Interval
+		u.Requests, u.Failures, u.Period = u.Requests+k.Arrived, u.Failures+k.Errored, u.Period+r.Interval
 		for _, e := range k.Endpoints {
 			if _, known := c.list.entries[e.Backend]; !known || e.Tries == 0 {
 				continue // its standing table may name what we were never told of
@@ -158,7 +158,7 @@
 			joined++
 		}
 	}
-	return float64(joined) < gathered*float64(c.set.Up.Proxies)
+	return float64(joined) < gathered*float64(c.set.Up.ProxyCount)
 }
 
 const (
@@ -215,9 +215,9 @@
 		if gathering {
 			h.loads = nil
 		}
-		heard := control.Heard{Zone: k.zone, Backend: k.backend, Tries: h.tries, Errored: h.errored, Period: h.period, Loads: h.loads}
+		heard := control.EndpointLoad{Zone: k.zone, Endpoint: k.backend, Attempts: h.tries, Failures: h.errored, Period: h.period, Metrics: h.loads}
 		if done := h.tries - h.errored; done > 0 {
-			heard.Answer = micros(h.answer / float64(done))
+			heard.MeanLatency = micros(h.answer / float64(done))
 		}
 		events = append(events, heard)
 	}
@@ -234,13 +234,13 @@
 		// Until the first report comes, an empty line about nobody says that nothing was to be heard. Without it the
 		// module takes its first round for a gap of four periods, and every speed learned in it is a quarter of the true
 		// one: on a calm start a tenth of all reqs was turned away for ten seconds.
-		events = append(events, control.Usage{Proxy: nobody, Period: c.set.Up.Reports.Period})
+		events = append(events, control.ProxyLoad{Proxy: nobody, Period: c.set.Up.Reports.Period})
 	}
 	return events
 }
 
 // nobody is a proxy that never joins.
-const nobody control.Proxy = -1
+const nobody control.ProxyID = -1
 
 // count holds back complaints of one sort: one record a period says how many there were.
 type count struct {
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -12,40 +12,40 @@
 
 // GatewayStatus is how one gateway stands. Times are the core's, in microseconds.
 type GatewayStatus struct {
-	Gateway   Gateway         `json:"gateway"`
-	Zone      control.Zone    `json:"zone"`
-	Joined    bool            `json:"joined"`
-	Since     control.Micros  `json:"since_us"` // joined or, if it is away, last heard
-	Version   string          `json:"version"`  // last published
-	Confirmed [docs]string    `json:"confirmed"`
-	At        [docs]int64     `json:"confirmed_at_us"`
-	Waiting   int             `json:"waiting"` // messages not acknowledged
-	Lines     int             `json:"waiting_lines"`
-	Oldest    control.Micros  `json:"oldest_waiting_us"` // age of the first of them
-	Published int             `json:"published"`
-	Tables    []control.Table `json:"tables"` // by request kind
-	Snapshot  tables.Snapshot `json:"snapshot"`
+	Gateway   Gateway              `json:"gateway"`
+	Zone      control.Zone         `json:"zone"`
+	Joined    bool                 `json:"joined"`
+	Since     control.Microseconds `json:"since_us"` // joined or, if it is away, last heard
+	Version   string               `json:"version"`  // last published
+	Confirmed [docs]string         `json:"confirmed"`
+	At        [docs]int64          `json:"confirmed_at_us"`
+	Waiting   int                  `json:"waiting"` // messages not acknowledged
+	Lines     int                  `json:"waiting_lines"`
+	Oldest    control.Microseconds `json:"oldest_waiting_us"` // age of the first of them
+	Published int                  `json:"published"`
+	Tables    []control.TableID    `json:"tables"` // by request kind
+	Snapshot  tables.Snapshot      `json:"snapshot"`
 }
 
 // Status is how a coordinator stands.
 type Status struct {
-	Now      control.Micros  `json:"now_us"`
-	Steps    uint64          `json:"steps"`
-	Nodes    []control.Entry `json:"nodes"`
-	Gateways []GatewayStatus `json:"gateways"`
-	Solver   *SolverStatus   `json:"solver,omitempty"`
-	Intake   intake.Stats    `json:"intake"`
-	Heard    []NodeHeard     `json:"heard"`
+	Now      control.Microseconds `json:"now_us"`
+	Steps    uint64               `json:"steps"`
+	Nodes    []control.Endpoint   `json:"nodes"`
+	Gateways []GatewayStatus      `json:"gateways"`
+	Solver   *SolverStatus        `json:"solver,omitempty"`
+	Intake   intake.Stats         `json:"intake"`
+	Heard    []NodeHeard          `json:"heard"`
 }
 
 // NodeHeard is what reports say of a node now, with the error that each figure has in 19 of 20 cases.
 type NodeHeard struct {
-	Backend control.Backend `json:"node"`
+	Backend control.EndpointID `json:"node"`
 	intake.Figures
 }
 
 // Now is the time of the last step.
-func (c *Core) Now() control.Micros { return c.now }
+func (c *Core) Now() control.Microseconds { return c.now }
 
 // Heard tells what reports say of the nodes.
 func (c *Core) Heard() (intake.Stats, []NodeHeard) {
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -53,11 +53,11 @@
 }
 
 // inForce is what a gateway is to hold of a table for a kind, with the pins and the rules' mask over it.
-func (c *Core) inForce(g *gateway, table control.Table, kind int, w map[control.Backend]float64) map[control.Backend]float64 {
+func (c *Core) inForce(g *gateway, table control.TableID, kind int, w map[control.EndpointID]float64) map[control.EndpointID]float64 {
 	if len(c.book.Pins()) == 0 {
 		return w
 	}
-	held, pin, overruled := c.book.InForce(table, control.ReqKind(kind), g.zone, w, func(b control.Backend) tables.Standing {
+	held, pin, overruled := c.book.InForce(table, control.RequestClass(kind), g.zone, w, func(b control.EndpointID) tables.Standing {
 		return c.standing(b, kind, w)
 	})
 	if overruled != "" {
@@ -67,7 +67,7 @@
 }
 
 // standing is what the rules say of a backend now, whatever old weights say.
-func (c *Core) standing(b control.Backend, kind int, w map[control.Backend]float64) tables.Standing {
+func (c *Core) standing(b control.EndpointID, kind int, w map[control.EndpointID]float64) tables.Standing {
 	e, known := c.list.entries[b]
 	closed := !known || e.Status != control.Ready || c.withdrawn[b]
 	if c.solving != nil && c.solving.judge.Verdict(b, kind) != solver.Serves {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -37,7 +37,7 @@
 	Log    *zap.Logger
 	Clock  clock.Clock
 	// Tap is called after each step, by the goroutine that owns the core: with the time, the inputs and the core.
-	Tap func(now control.Micros, inputs []coordinator.Input, core *coordinator.Core)
+	Tap func(now control.Microseconds, inputs []coordinator.Input, core *coordinator.Core)
 }
 
 // Daemon is a running coordinator.
@@ -45,7 +45,7 @@
 	cfg   config.Config
 	log   *zap.Logger
 	clock clock.Clock
-	tap   func(control.Micros, []coordinator.Input, *coordinator.Core)
+	tap   func(control.Microseconds, []coordinator.Input, *coordinator.Core)
 
 	core   *coordinator.Core
 	inbox  *inbox.Inbox[event]
@@ -67,7 +67,7 @@
 	overview     []byte               // the last one that was made, and when the next may be
 	overviewAt   time.Time
 	came         time.Time // when the first input of this step came; zero: not known
-	rememberedAt control.Micros
+	rememberedAt control.Microseconds
 	cantSave     bool // of the goroutine that saves
 	cantCapture  bool
 	gaps         int64
@@ -155,7 +155,7 @@
 		names = append(names, e.Name)
 	}
 	d.set = coordinator.Settings{Build: Build(), Intake: float64(o.Config.Reports.Intake), Sources: names, Up: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
-		SilentAfter: control.Micros(o.Config.Gateways.SilentAfter), Solver: o.Config.Solver.Enabled,
+		SilentAfter: control.Microseconds(o.Config.Gateways.SilentAfter), Solver: o.Config.Solver.Enabled,
 		Sync: o.Config.Front.Files.Sync}
 	d.set.Service, d.set.Fallback = o.Config.ServiceLevels()
 	d.core = coordinator.New(d.set)
@@ -178,14 +178,14 @@
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 	}
-	version := control.Version(0)
+	version := control.ListVersion(0)
 	if o.Config.Registry.File.Path != "" {
 		d.source = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
-			func(entries []control.Entry, err error) {
+			func(entries []control.Endpoint, err error) {
 				version++
-				list := coordinator.List{List: control.List{Version: version, How: control.ListFull, Entries: entries}}
+				list := coordinator.List{EndpointUpdate: control.EndpointUpdate{Version: version, Kind: control.Snapshot, Endpoints: entries}}
 				if err != nil {
-					list.How, list.Why = control.ListFailed, err.Error()
+					list.Kind, list.Why = control.Failed, err.Error()
 				}
 				d.give(list)
 			})
@@ -193,7 +193,7 @@
 	for _, e := range o.Config.Registry.Eureka {
 		d.eureka = append(d.eureka, eureka.New(eurekaOptions(e), func(a membership.Answer) { d.give(coordinator.Told{Answer: a}) }))
 	}
-	d.probes = probe.New(probeOptions(o.Config.Probes), func(p control.Probed) { d.give(coordinator.Probed{Probed: p}) })
+	d.probes = probe.New(probeOptions(o.Config.Probes), func(p control.HealthCheckResult) { d.give(coordinator.Probed{HealthCheckResult: p}) })
 	if d.server, err = listen(d, o.Config.Listen); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -271,7 +271,7 @@
 				e.reply(answer)
 			}
 		}
-		if wait := intake.Gather(control.Micros(time.Since(began).Microseconds())); wait > 0 {
+		if wait := intake.Gather(control.Microseconds(time.Since(began).Microseconds())); wait > 0 {
 			time.Sleep(time.Duration(wait) * time.Microsecond)
 		}
 	}
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -12,11 +12,11 @@
 
 // LevelRequest is the body of POST /levels/say.
 type LevelRequest struct {
-	Do     service.Do     `json:"do"`    // force, forbid or hold
-	Zone   control.Zone   `json:"zone"`  // empty: the fleet
-	Level  string         `json:"level"` // of force and forbid: its name
-	For    control.Micros `json:"for_us"`
-	Reason string         `json:"reason"`
+	Do     service.Do           `json:"do"`    // force, forbid or hold
+	Zone   control.Zone         `json:"zone"`  // empty: the fleet
+	Level  string               `json:"level"` // of force and forbid: its name
+	For    control.Microseconds `json:"for_us"`
+	Reason string               `json:"reason"`
 }
 
 // UnsayRequest is the body of POST /levels/unsay.
--- a/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -15,15 +15,15 @@
 
 // Nodes is what GET /nodes answers.
 type Nodes struct {
-	Now        control.Micros          `json:"now_us"`
+	Now        control.Microseconds    `json:"now_us"`
 	Nodes      []membership.Verdict    `json:"nodes"`
 	Registries map[string]eureka.Stats `json:"registries,omitempty"`
 }
 
 // NodeRequest is the body of POST /nodes/drain and /nodes/undrain.
 type NodeRequest struct {
-	Node   control.Backend `json:"node"`
-	Reason string          `json:"reason"`
+	Node   control.EndpointID `json:"node"`
+	Reason string             `json:"reason"`
 }
 
 // NodeAnswer answers it.
@@ -85,7 +85,7 @@
 
 // Heard is what GET /intake answers.
 type Heard struct {
-	Now      control.Micros          `json:"now_us"`
+	Now      control.Microseconds    `json:"now_us"`
 	Intake   intake.Stats            `json:"intake"`
 	Deferred int64                   `json:"deferred"` // reports that were answered 429
 	Inbox    int                     `json:"inbox"`    // waiting for the core
@@ -106,6 +106,6 @@
 		return d.overview
 	}
 	d.overview = text(coordinator.Moment{Overview: c.Overview(), Log: d.tail})
-	d.overviewAt = began.Add(time.Duration(intake.LookAgain(control.Micros(time.Since(began).Microseconds()))) * time.Microsecond)
+	d.overviewAt = began.Add(time.Duration(intake.LookAgain(control.Microseconds(time.Since(began).Microseconds()))) * time.Microsecond)
 	return d.overview
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -14,36 +14,36 @@
 
 // Versions is what GET /tables/versions answers.
 type Versions struct {
-	Now    control.Micros  `json:"now_us"`
-	Pins   []tables.Pin    `json:"pins"`
-	Tables []TableVersions `json:"tables"`
+	Now    control.Microseconds `json:"now_us"`
+	Pins   []tables.Pin         `json:"pins"`
+	Tables []TableVersions      `json:"tables"`
 }
 
 // TableVersions is what is kept of one table.
 type TableVersions struct {
-	Table    control.Table `json:"table"`
-	Zone     control.Zone  `json:"zone,omitempty"` // of the gateways bound to it
-	Gateways int           `json:"gateways"`
-	Versions []VersionOf   `json:"versions"`
+	Table    control.TableID `json:"table"`
+	Zone     control.Zone    `json:"zone,omitempty"` // of the gateways bound to it
+	Gateways int             `json:"gateways"`
+	Versions []VersionOf     `json:"versions"`
 }
 
 // VersionOf is one version of a table.
 type VersionOf struct {
-	Version tables.Version   `json:"version"`
-	At      control.Micros   `json:"at_us"`
-	Lines   []tables.Weighed `json:"lines"`
+	Version tables.Version       `json:"version"`
+	At      control.Microseconds `json:"at_us"`
+	Lines   []tables.Weighed     `json:"lines"`
 	// Acting is what the weight solver had in their place, by request kind.
 	Acting map[string][]tables.Weighed `json:"acting,omitempty"`
 }
 
 // PinRequest is the body of POST /tables/pin. Of version and ago_us at most one is set; neither holds what is in force.
 type PinRequest struct {
-	Table   *control.Table `json:"table"`
-	Zone    control.Zone   `json:"zone"`
-	Fleet   bool           `json:"fleet"`
-	Version tables.Version `json:"version"`
-	Ago     control.Micros `json:"ago_us"`
-	Reason  string         `json:"reason"`
+	Table   *control.TableID     `json:"table"`
+	Zone    control.Zone         `json:"zone"`
+	Fleet   bool                 `json:"fleet"`
+	Version tables.Version       `json:"version"`
+	Ago     control.Microseconds `json:"ago_us"`
+	Reason  string               `json:"reason"`
 }
 
 // UnpinRequest is the body of POST /tables/unpin.
@@ -137,9 +137,9 @@
 func versions(c *coordinator.Core) Versions {
 	s := c.Status()
 	v := Versions{Now: s.Now, Pins: c.Book().Pins()}
-	zones, users := map[control.Table]control.Zone{}, map[control.Table]int{}
+	zones, users := map[control.TableID]control.Zone{}, map[control.TableID]int{}
 	for _, g := range s.Gateways {
-		seen := map[control.Table]bool{}
+		seen := map[control.TableID]bool{}
 		for _, t := range g.Tables {
 			if g.Joined && !seen[t] {
 				zones[t], seen[t] = g.Zone, true
--- a/daemon/probe.go
+++ b/daemon/probe.go
@@ -13,17 +13,19 @@
 // probeOptions are those of our own nodes: their names are where they answer, their figures ride on a header.
 func probeOptions(cfg config.Probes) probe.Options {
 	return probe.Options{Timeout: time.Duration(cfg.Timeout) * time.Microsecond, AtOnce: cfg.AtOnce,
-		URL:   func(b control.Backend) (string, bool) { return "http://" + string(b) + cfg.Path, true },
-		Loads: func(res *http.Response) control.Loads { return loads(xds.ReadOrca(res.Header.Get(xds.OrcaHeader))) }}
+		URL: func(b control.EndpointID) (string, bool) { return "http://" + string(b) + cfg.Path, true },
+		Loads: func(res *http.Response) control.LoadMetrics {
+			return loads(xds.ReadOrca(res.Header.Get(xds.OrcaHeader)))
+		}}
 }
 
 // loads turns figures by their ORCA names into the module's.
-func loads(by map[string]float64) control.Loads {
-	var out control.Loads
+func loads(by map[string]float64) control.LoadMetrics {
+	var out control.LoadMetrics
 	for name, v := range by {
 		if known, has := config.LoadNames[name]; has {
 			if out == nil {
-				out = control.Loads{}
+				out = control.LoadMetrics{}
 			}
 			out[known] = v
 		}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -294,13 +294,13 @@
 			return
 		}
 		// A gateway whose last report is young waits while the core is behind: the others' come first.
-		if intake.Defer(s.d.inbox.Len(), plainLength, control.Micros(time.Since(p.reported).Microseconds()), control.Micros(s.d.cfg.Reports.Period)) {
+		if intake.Defer(s.d.inbox.Len(), plainLength, control.Microseconds(time.Since(p.reported).Microseconds()), control.Microseconds(s.d.cfg.Reports.Period)) {
 			s.deferred.Add(1)
 			s.answer(p, http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
 			return
 		}
 		p.reported = time.Now()
-		text, err := xds.Encode(xds.Reporting(control.Micros(s.d.cfg.Reports.Period) * control.Micros(max(1, s.d.stretch.Load()))))
+		text, err := xds.Encode(xds.Reporting(control.Microseconds(s.d.cfg.Reports.Period) * control.Microseconds(max(1, s.d.stretch.Load()))))
 		if err != nil {
 			fail(http.StatusInternalServerError, err.Error())
 			return
@@ -477,12 +477,12 @@
 	if err != nil {
 		return node, coordinator.Report{}, err
 	}
-	r := coordinator.Report{Gateway: coordinator.Gateway(node.Name), Seq: node.Report, Interval: control.Micros(interval.Microseconds())}
+	r := coordinator.Report{Gateway: coordinator.Gateway(node.Name), Seq: node.Report, Interval: control.Microseconds(interval.Microseconds())}
 	for _, k := range kinds {
 		kind := coordinator.KindReport{Kind: k.Name, Arrived: k.Arrived, Denied: k.Denied, Errored: k.Errored}
 		for _, e := range k.Endpoints {
-			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Backend: control.Backend(e.Backend), Tries: e.Tries,
-				Errored: e.Errored, Active: e.Active, Answer: control.Micros(e.Answer.Microseconds()), Loads: loads(e.Loads)})
+			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Backend: control.EndpointID(e.Backend), Tries: e.Tries,
+				Errored: e.Errored, Active: e.Active, Answer: control.Microseconds(e.Answer.Microseconds()), Loads: loads(e.Loads)})
 		}
 		r.Kinds = append(r.Kinds, kind)
 	}
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -36,8 +36,8 @@
 )
 
 type savedList struct {
-	Version control.Version `json:"version"`
-	Entries []control.Entry `json:"entries"`
+	Version control.ListVersion `json:"version"`
+	Entries []control.Endpoint  `json:"entries"`
 }
 
 // Build names the running build.
@@ -97,7 +97,7 @@
 }
 
 // recall reads what an earlier start has left and hands the core what is believed of it. It returns the first inputs.
-func (d *Daemon) recall(now control.Micros, set coordinator.Settings) []coordinator.Input {
+func (d *Daemon) recall(now control.Microseconds, set coordinator.Settings) []coordinator.Input {
 	start := &capture.Start{Format: capture.Format, Build: set.Build, Wall: int64(now), Settings: set}
 	defer func() { d.capture(&capture.Record{Start: start}) }()
 	if d.cfg.StateDir == "" {
@@ -107,7 +107,7 @@
 	if l, err := readList(d.cfg.StateDir); err != nil {
 		d.log.Warn("saved_list", zap.String("text", "can't be read: started without it"), zap.Error(err))
 	} else if l != nil {
-		inputs = append(inputs, coordinator.List{List: control.List{Version: l.Version, How: control.ListSaved, Entries: l.Entries}})
+		inputs = append(inputs, coordinator.List{EndpointUpdate: control.EndpointUpdate{Version: l.Version, Kind: control.Cached, Endpoints: l.Entries}})
 	}
 	if !d.cfg.Recovery.Enabled {
 		return inputs
@@ -121,12 +121,12 @@
 		return inputs
 	}
 	var kinds []string
-	for _, k := range set.Up.Kinds {
+	for _, k := range set.Up.Classes {
 		kinds = append(kinds, k.Name)
 	}
 	b := recovery.Believe(s, now, kinds, set.Up.Zones)
 	if len(inputs) == 0 && len(b.Nodes) > 0 {
-		inputs = append(inputs, coordinator.List{List: control.List{Version: b.Version, How: control.ListSaved, Entries: b.Nodes}})
+		inputs = append(inputs, coordinator.List{EndpointUpdate: control.EndpointUpdate{Version: b.Version, Kind: control.Cached, Endpoints: b.Nodes}})
 	}
 	kept := b // the core ends belief as evidence comes; the record keeps it as it began
 	kept.Why = slices.Clone(b.Why)
@@ -153,7 +153,7 @@
 // save takes the place of what waits to be saved.
 func (d *Daemon) save(v any) {
 	for _, c := range []chan any{d.saves, d.snaps} {
-		if _, list := v.(control.List); list != (c == d.saves) {
+		if _, list := v.(control.EndpointUpdate); list != (c == d.saves) {
 			continue
 		}
 		for {
@@ -171,8 +171,8 @@
 }
 
 // remember has a snapshot written if the last one is old enough, or if there is a reason.
-func (d *Daemon) remember(now control.Micros, reason bool) {
-	if d.cfg.StateDir == "" || !reason && now-d.rememberedAt < control.Micros(snapshotEvery.Microseconds()) {
+func (d *Daemon) remember(now control.Microseconds, reason bool) {
+	if d.cfg.StateDir == "" || !reason && now-d.rememberedAt < control.Microseconds(snapshotEvery.Microseconds()) {
 		return
 	}
 	d.rememberedAt = now
@@ -191,12 +191,12 @@
 		}
 		var err error
 		switch v := v.(type) {
-		case control.List:
+		case control.EndpointUpdate:
 			if d.cfg.StateDir == "" {
 				continue
 			}
 			var text []byte
-			if text, err = json.Marshal(savedList{v.Version, v.Entries}); err == nil {
+			if text, err = json.Marshal(savedList{v.Version, v.Endpoints}); err == nil {
 				err = files.Replace(filepath.Join(d.cfg.StateDir, listName), text)
 			}
 		case recovery.Snapshot:
@@ -220,7 +220,7 @@
 }
 
 // captureStep records a step.
-func (d *Daemon) captureStep(now control.Micros, inputs []coordinator.Input, outputs []coordinator.Output) {
+func (d *Daemon) captureStep(now control.Microseconds, inputs []coordinator.Input, outputs []coordinator.Output) {
 	if d.writer == nil {
 		return
 	}
--- a/desk/draw.go
+++ b/desk/draw.go
@@ -331,7 +331,7 @@
 }
 
 // length is a length of time in few letters.
-func length(d control.Micros) string {
+func length(d control.Microseconds) string {
 	t := time.Duration(d) * time.Microsecond
 	switch {
 	case t < 0:
--- a/drill/intake.go
+++ b/drill/intake.go
@@ -265,7 +265,7 @@
 			for _, n := range t.nodes {
 				if t.launched[n.Name] > 0 {
 					for k := range s.Clusters {
-						s.Clusters[k].Lines = []tables.Line{{Backend: control.Backend(n.Name), Zone: control.Zone(n.Zone), Weight: 1}}
+						s.Clusters[k].Lines = []tables.Line{{Backend: control.EndpointID(n.Name), Zone: control.Zone(n.Zone), Weight: 1}}
 					}
 				}
 			}
--- a/drill/run.go
+++ b/drill/run.go
@@ -346,7 +346,7 @@
 		case c.Name == "level_changes": // of the scope that changed most; no more than the settings allow
 			o.Figure = float64(r.LevelChanges)
 			set, _ := s.Config("", "127.0.0.1:0", 1).ServiceLevels()
-			c.AtMost = float64(set.Most(control.Micros(s.Seconds+10) * 1_000_000))
+			c.AtMost = float64(set.Most(control.Microseconds(s.Seconds+10) * 1_000_000))
 		case c.Name == "over_standing":
 			b, has := r.Baselines[string(standingOnly)]
 			if !has {
--- a/drill/troubles.go
+++ b/drill/troubles.go
@@ -207,7 +207,7 @@
 				return
 			}
 			var o daemon.Operated
-			r := daemon.PinRequest{Fleet: true, Ago: control.Micros(t.Size * 1e6), Reason: "drill"}
+			r := daemon.PinRequest{Fleet: true, Ago: control.Microseconds(t.Size * 1e6), Reason: "drill"}
 			if f.operate("/tables/pin", r, &o) != nil || o.Error != "" {
 				return // no coordinator, or nothing so old: then there is nothing to roll back
 			}
--- a/expect/host.go
+++ b/expect/host.go
@@ -36,7 +36,7 @@
 		Load: e.Fleet.Load.From + rng.Float64()*(e.Fleet.Load.To-e.Fleet.Load.From), Course: e.Course}
 }
 
-// How time goes in a case.
+// Kind time goes in a case.
 const (
 	tick   = second / 4
 	settle = 9 * second // before the course begins: gateways have joined, the module has its rounds
@@ -46,17 +46,17 @@
 
 // node is one of a case's.
 type node struct {
-	name     control.Backend
+	name     control.EndpointID
 	zone     control.Zone
 	up       bool
 	draining bool
 	failing  []bool // by kind
-	launched control.Micros
+	launched control.Microseconds
 	// By the list as it was last told.
-	listed  control.Status
-	closed  control.Micros // since when the list closes it; 0: it does not
-	started control.Micros // the start that the list names, and since when it names that
-	named   control.Micros
+	listed  control.EndpointStatus
+	closed  control.Microseconds // since when the list closes it; 0: it does not
+	started control.Microseconds // the start that the list names, and since when it names that
+	named   control.Microseconds
 	offered float64   // reqs in this tick
 	window  []float64 // of the last ticks
 	util    float64
@@ -71,17 +71,17 @@
 	last     tables.Snapshot // that was sent on this link
 	open     [][]line        // by kind
 	halls    []int
-	joinedAt control.Micros
+	joinedAt control.Microseconds
 	away     bool
 	seq      uint64
 	sums     []map[int]*sum // by kind and node, since the last report
 	arrived  []float64
 	denied   []float64
 	errored  []float64
-	sent     []control.Micros
-	without  []control.Micros // by kind: since when it has no line; 0: it has
+	sent     []control.Microseconds
+	without  []control.Microseconds // by kind: since when it has no line; 0: it has
 	waiting  []posted
-	heard    control.Micros
+	heard    control.Microseconds
 }
 
 type line struct {
@@ -98,7 +98,7 @@
 
 // mail is a publication on its way to a gateway, or an acknowledgement on its way back.
 type mail struct {
-	at      control.Micros
+	at      control.Microseconds
 	gateway int
 	publish *coordinator.Publish
 	ack     coordinator.Input
@@ -110,15 +110,15 @@
 	c        Case
 	set      coordinator.Settings
 	core     *coordinator.Core
-	now      control.Micros
+	now      control.Microseconds
 	rng      *rand.Rand
 	nodes    []*node
-	byName   map[control.Backend]int
+	byName   map[control.EndpointID]int
 	gateways []*gateway
 	gwByName map[coordinator.Gateway]int
 	mails    []mail
-	version  control.Version
-	listAt   []control.Micros // when the list tells what it has not told yet
+	version  control.ListVersion
+	listAt   []control.Microseconds // when the list tells what it has not told yet
 	times    float64
 	conns    coordinator.Conn
 	inputs   []coordinator.Input
@@ -138,12 +138,12 @@
 }
 
 func (e Expectation) run(set coordinator.Settings, c Case, by spoilt) []Failure {
-	set.Epoch, set.Up.Seed, set.Up.Proxies = "x", c.Seed, c.Gateways
+	set.Epoch, set.Up.Seed, set.Up.ProxyCount = "x", c.Seed, c.Gateways
 	told := set
 	if by.told != nil {
 		by.told(&told)
 	}
-	h := &host{e: e, c: c, set: set, core: coordinator.New(told), now: base, rng: rand.New(rand.NewPCG(c.Seed, 2)), byName: map[control.Backend]int{},
+	h := &host{e: e, c: c, set: set, core: coordinator.New(told), now: base, rng: rand.New(rand.NewPCG(c.Seed, 2)), byName: map[control.EndpointID]int{},
 		gwByName: map[coordinator.Gateway]int{}, times: 1, spoil: by.held}
 	h.build()
 	h.judge = newJudge(h)
@@ -169,9 +169,9 @@
 }
 
 func (h *host) build() {
-	zones, kinds := h.set.Up.Zones, len(h.set.Up.Kinds)
+	zones, kinds := h.set.Up.Zones, len(h.set.Up.Classes)
 	for i := range h.c.Nodes {
-		n := &node{name: control.Backend(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], up: true, failing: make([]bool, kinds)}
+		n := &node{name: control.EndpointID(fmt.Sprintf("node-%d:80", i)), zone: zones[i%len(zones)], up: true, failing: make([]bool, kinds)}
 		h.byName[n.name] = i
 		h.nodes = append(h.nodes, n)
 	}
@@ -182,7 +182,7 @@
 	}
 	for i := range h.c.Gateways {
 		g := &gateway{name: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), zone: zones[i%len(zones)], arrived: make([]float64, kinds), denied: make([]float64, kinds),
-			errored: make([]float64, kinds), open: make([][]line, kinds), halls: make([]int, kinds), without: make([]control.Micros, kinds)}
+			errored: make([]float64, kinds), open: make([][]line, kinds), halls: make([]int, kinds), without: make([]control.Microseconds, kinds)}
 		for range kinds {
 			g.rates = append(g.rates, h.c.Load*mean*float64(h.c.Nodes)*sizes[i]/total/float64(kinds))
 			g.sums = append(g.sums, map[int]*sum{})
@@ -236,7 +236,7 @@
 		}
 	case Fail:
 		for _, n := range h.choose(ev, func(n *node) bool { return n.up }) {
-			for k, kind := range h.set.Up.Kinds {
+			for k, kind := range h.set.Up.Classes {
 				n.failing[k] = n.failing[k] || ev.Kind == "" || ev.Kind == kind.Name
 			}
 		}
@@ -294,12 +294,12 @@
 // list tells the node list as it is now.
 func (h *host) list() {
 	h.version++
-	l := control.List{Version: h.version, How: control.ListFull}
+	l := control.EndpointUpdate{Version: h.version, Kind: control.Snapshot}
 	for _, n := range h.nodes {
 		was := n.listed
 		switch {
 		case !n.up:
-			n.listed = control.Gone
+			n.listed = control.Removed
 		case n.draining:
 			n.listed = control.Draining
 		default:
@@ -313,11 +313,11 @@
 		} else if was == control.Ready {
 			n.closed = h.now
 		}
-		if n.listed != control.Gone {
-			l.Entries = append(l.Entries, control.Entry{Backend: n.name, Zone: n.zone, Weight: 1, Machine: "std", Launched: n.launched, Status: n.listed})
+		if n.listed != control.Removed {
+			l.Endpoints = append(l.Endpoints, control.Endpoint{ID: n.name, Zone: n.zone, Weight: 1, MachineType: "std", StartedAt: n.launched, Status: n.listed})
 		}
 	}
-	h.inputs = append(h.inputs, coordinator.List{List: l})
+	h.inputs = append(h.inputs, coordinator.List{EndpointUpdate: l})
 }
 
 // deliver brings publications and acknowledgements whose time has come.
@@ -397,7 +397,7 @@
 		case coordinator.Publish:
 			i := h.gwByName[o.Gateway]
 			g := h.gateways[i]
-			lines := float64(tables.Cost(g.last, o.Snapshot)) + h.set.Up.Channel.Envelope
+			lines := float64(tables.Cost(g.last, o.Snapshot)) + h.set.Up.Channel.MessageOverhead
 			g.waiting = append(g.waiting, posted{o.Version, lines})
 			h.waiting += lines
 			g.last = o.Snapshot
@@ -405,10 +405,10 @@
 			h.judge.sent(g)
 			h.mails = append(h.mails, mail{h.now + h.e.Fleet.Transit, i, &o, nil})
 		case coordinator.Fetch, coordinator.Watch:
-			h.listAt = append([]control.Micros{h.now}, h.listAt...)
+			h.listAt = append([]control.Microseconds{h.now}, h.listAt...)
 		case coordinator.Probe:
 			if i, known := h.byName[o.Backend]; known {
-				h.inputs = append(h.inputs, coordinator.Probed{Probed: control.Probed{Backend: o.Backend, OK: h.nodes[i].up, Code: "200", Took: 5000}})
+				h.inputs = append(h.inputs, coordinator.Probed{HealthCheckResult: control.HealthCheckResult{Endpoint: o.Backend, Healthy: h.nodes[i].up, Code: "200", Duration: 5000}})
 			}
 		case coordinator.Note:
 			h.judge.note(o)
@@ -427,15 +427,15 @@
 		}
 		g.seq++
 		r := coordinator.Report{Gateway: g.name, Conn: g.conn, Seq: g.seq, Interval: period}
-		for k, kind := range h.set.Up.Kinds {
+		for k, kind := range h.set.Up.Classes {
 			one := coordinator.KindReport{Kind: kind.Name, Arrived: int(math.Round(g.arrived[k])), Denied: int(math.Round(g.denied[k])), Errored: int(math.Round(g.errored[k]))}
 			for _, n := range slices.Sorted(maps.Keys(g.sums[k])) {
 				s := g.sums[k][n]
 				tries := int(math.Ceil(s.tries - 1e-9))
 				busy := min(1, h.nodes[n].util)
 				one.Endpoints = append(one.Endpoints, coordinator.EndpointReport{Backend: h.nodes[n].name, Tries: tries,
-					Errored: min(tries, int(math.Round(s.errored))), Answer: control.Micros(160_000 / max(0.2, 1.1-busy)),
-					Loads: control.Loads{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
+					Errored: min(tries, int(math.Round(s.errored))), Answer: control.Microseconds(160_000 / max(0.2, 1.1-busy)),
+					Loads: control.LoadMetrics{"busy": busy, "q": max(0, 10*(h.nodes[n].util-1))}})
 			}
 			r.Kinds = append(r.Kinds, one)
 			g.arrived[k], g.denied[k], g.errored[k] = 0, 0, 0
@@ -448,8 +448,8 @@
 // warmth is the part of its capacity that a node has.
 func (h *host) warmth(n *node) float64 {
 	r := h.set.Up.Rules
-	if since := h.now - n.launched; n.launched > 0 && since < r.Cold {
-		return r.ColdFrom + (1-r.ColdFrom)*float64(since)/float64(r.Cold)
+	if since := h.now - n.launched; n.launched > 0 && since < r.WarmUp {
+		return r.InitialCapacity + (1-r.InitialCapacity)*float64(since)/float64(r.WarmUp)
 	}
 	return 1
 }
@@ -487,7 +487,7 @@
 		can := mean * h.warmth(n) * seconds
 		n.util = 0.5*n.util + 0.5*n.offered/can
 		n.window = append(n.window, n.offered)
-		if most := max(1, int(h.set.Up.Rules.Fall/tick)); len(n.window) > most {
+		if most := max(1, int(h.set.Up.Rules.OverloadWindow/tick)); len(n.window) > most {
 			n.window = n.window[1:]
 		}
 	}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -20,14 +20,14 @@
 
 // Settings bound an intake.
 type Settings struct {
-	Lines  float64        // that may be taken in a second; 0: no bound
-	Period control.Micros // of reports
+	Lines  float64              // that may be taken in a second; 0: no bound
+	Period control.Microseconds // of reports
 	Seed   uint64
 }
 
 // Line is what a gateway met at a node for a kind.
 type Line struct {
-	Node    control.Backend
+	Node    control.EndpointID
 	Tries   int
 	Errored int
 }
@@ -64,11 +64,11 @@
 	set      Settings
 	part     float64 // p
 	round    uint64
-	began    control.Micros
+	began    control.Microseconds
 	offered  float64 // lines in this round
 	news     float64
 	gateways map[string]*gateway
-	nodes    map[control.Backend]*node
+	nodes    map[control.EndpointID]*node
 	stats    Stats
 	usual    float64 // reqs a second of a gateway, the fleet's mean
 	reports  int     // in this round
@@ -83,7 +83,7 @@
 	phase  float64
 	usage  float64 // reqs a second, half way to the new with each report
 	known  int     // reports
-	at     control.Micros
+	at     control.Microseconds
 	sudden int // reports in a row that claimed too much
 	round  uint64
 	times  float64 // reports in that round
@@ -119,15 +119,15 @@
 
 // Figures are what is known of a node from one round, each with the error that it has in 19 of 20 cases.
 type Figures struct {
-	Tries      float64        `json:"tries_per_s"`
-	TriesError float64        `json:"tries_error"`
-	Errored    float64        `json:"errored_per_s"`
-	Util       float64        `json:"util"`
-	UtilError  float64        `json:"util_error"`
-	Queue      float64        `json:"queue"`
-	QueueError float64        `json:"queue_error"`
-	Lines      int            `json:"lines"` // taken
-	At         control.Micros `json:"at_us"`
+	Tries      float64              `json:"tries_per_s"`
+	TriesError float64              `json:"tries_error"`
+	Errored    float64              `json:"errored_per_s"`
+	Util       float64              `json:"util"`
+	UtilError  float64              `json:"util_error"`
+	Queue      float64              `json:"queue"`
+	QueueError float64              `json:"queue_error"`
+	Lines      int                  `json:"lines"` // taken
+	At         control.Microseconds `json:"at_us"`
 }
 
 // What the rules go by.
@@ -143,7 +143,7 @@
 
 // New starts an intake that takes everything.
 func New(set Settings) *Intake {
-	return &Intake{set: set, part: 1, gateways: map[string]*gateway{}, nodes: map[control.Backend]*node{}, stats: Stats{Part: 1}, stretch: 1, round: 1}
+	return &Intake{set: set, part: 1, gateways: map[string]*gateway{}, nodes: map[control.EndpointID]*node{}, stats: Stats{Part: 1}, stretch: 1, round: 1}
 }
 
 func (in *Intake) gateway(name string) *gateway {
@@ -171,7 +171,7 @@
 }
 
 // Offer decides on a report: how many lines it has, what came to the gateway in the interval.
-func (in *Intake) Offer(now control.Micros, name string, lines, arrived int, interval control.Micros) Verdict {
+func (in *Intake) Offer(now control.Microseconds, name string, lines, arrived int, interval control.Microseconds) Verdict {
 	if in.began == 0 {
 		in.began = now
 	}
@@ -246,7 +246,7 @@
 }
 
 // Loaded adds a node's own figures as a line that was taken carries them.
-func (in *Intake) Loaded(b control.Backend, util, queue float64) {
+func (in *Intake) Loaded(b control.EndpointID, util, queue float64) {
 	if n := in.nodes[b]; n != nil {
 		n.util.add(util)
 		n.queue.add(queue)
@@ -255,7 +255,7 @@
 
 // Close ends a round: what was heard becomes the view, and the part for the next is planned from what came. It returns the
 // gateways that have stopped reporting since the last round, in the order of their names.
-func (in *Intake) Close(now control.Micros) (stopped []string) {
+func (in *Intake) Close(now control.Microseconds) (stopped []string) {
 	seconds := float64(now-in.began) / 1e6
 	if seconds <= 0 {
 		return nil
@@ -264,7 +264,7 @@
 	for name, g := range in.gateways {
 		switch {
 		case !g.live:
-		case now-g.at <= stops*in.set.Period*control.Micros(in.stretch):
+		case now-g.at <= stops*in.set.Period*control.Microseconds(in.stretch):
 			in.stats.Live++
 		default:
 			if in.stats.Stopped++; !g.quiet {
@@ -343,7 +343,7 @@
 }
 
 // View is what is known of a node, with the age of it: the error grows by what a second may change.
-func (in *Intake) View(now control.Micros, b control.Backend) (f Figures, known bool) {
+func (in *Intake) View(now control.Microseconds, b control.EndpointID) (f Figures, known bool) {
 	n := in.nodes[b]
 	if n == nil || n.last.At == 0 {
 		return f, false
@@ -368,18 +368,18 @@
 }
 
 // ForgetNode drops a node.
-func (in *Intake) ForgetNode(b control.Backend) { delete(in.nodes, b) }
+func (in *Intake) ForgetNode(b control.EndpointID) { delete(in.nodes, b) }
 
 // Defer tells whether a gateway's report should come later: while more than half of the room for what waits is used, one whose
 // last report is younger than a period lets the others go first.
-func Defer(waiting, room int, since, period control.Micros) bool {
+func Defer(waiting, room int, since, period control.Microseconds) bool {
 	return waiting > room/2 && since < period
 }
 
 // Gather is how long the core lets inputs gather after a step that took so long. The module looks at all proxies whenever it is
 // told anything: with ten thousand of them that is some milliseconds, for one acknowledgement as for a thousand. A step
 // that was quick is followed at once; after a long one as much time is left to the rest of the machine.
-func Gather(took control.Micros) control.Micros {
+func Gather(took control.Microseconds) control.Microseconds {
 	if took < gatherFrom {
 		return 0
 	}
@@ -393,7 +393,7 @@
 
 // LookAgain is how long after an overview that took so long the next may be made, whoever asks: a second at least, and a hundredth
 // of the core's time at most goes into them.
-func LookAgain(took control.Micros) control.Micros { return max(1_000_000, 100*took) }
+func LookAgain(took control.Microseconds) control.Microseconds { return max(1_000_000, 100*took) }
 
 // Stretch is how much longer than a period gateways may be asked to wait between reports: what comes then is what can be
 // taken.
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -13,7 +13,7 @@
 	"porthub/control"
 )
 
-const second control.Micros = 1_000_000
+const second control.Microseconds = 1_000_000
 
 // Status is what a source says of a node.
 type Status int
@@ -33,19 +33,19 @@
 
 // Claim is what a source says of one node.
 type Claim struct {
-	Node     control.Backend `json:"node"`
-	Instance string          `json:"instance"` // its id at the source; another one is another process
-	Zone     control.Zone    `json:"zone"`
-	Weight   float64         `json:"weight"`
-	Pod      control.Pod     `json:"pod"`
-	Machine  control.Machine `json:"machine"`
-	Status   Status          `json:"status"`
-	Launched control.Micros  `json:"launched_us"` // 0: not said
-	Changed  control.Micros  `json:"changed_us"`  // when the source last heard a change of it; 0: not said
+	Node     control.EndpointID   `json:"node"`
+	Instance string               `json:"instance"` // its id at the source; another one is another process
+	Zone     control.Zone         `json:"zone"`
+	Weight   float64              `json:"weight"`
+	Pod      control.PodID        `json:"pod"`
+	Machine  control.MachineType  `json:"machine"`
+	Status   Status               `json:"status"`
+	Launched control.Microseconds `json:"launched_us"` // 0: not said
+	Changed  control.Microseconds `json:"changed_us"`  // when the source last heard a change of it; 0: not said
 	// Renewed is when its lease was renewed last, by the source's clock, and Lease how long one lasts; 0: there are none.
-	Renewed control.Micros `json:"renewed_us"`
-	Lease   control.Micros `json:"lease_us"`
-	Overdue bool           `json:"overdue"` // found here: its lease has been over for long
+	Renewed control.Microseconds `json:"renewed_us"`
+	Lease   control.Microseconds `json:"lease_us"`
+	Overdue bool                 `json:"overdue"` // found here: its lease has been over for long
 }
 
 // Answer is a source's word at a time: all that it knows, or a failure.
@@ -81,23 +81,23 @@
 
 // Verdict is what was decided of a node, why, and since when.
 type Verdict struct {
-	Node  control.Backend `json:"node"`
-	State State           `json:"-"`
-	Is    string          `json:"state"`
-	Why   string          `json:"why"`
-	Since control.Micros  `json:"since_us"`
-	Entry control.Entry   `json:"entry"`
-	Says  []Said          `json:"says"` // by source
+	Node  control.EndpointID   `json:"node"`
+	State State                `json:"-"`
+	Is    string               `json:"state"`
+	Why   string               `json:"why"`
+	Since control.Microseconds `json:"since_us"`
+	Entry control.Endpoint     `json:"entry"`
+	Says  []Said               `json:"says"` // by source
 	// Flaps is how often it has gone down of late, halved each minute; OutUntil: it is kept out that long.
-	Flaps    float64        `json:"flaps"`
-	OutUntil control.Micros `json:"out_until_us,omitempty"`
+	Flaps    float64              `json:"flaps"`
+	OutUntil control.Microseconds `json:"out_until_us,omitempty"`
 }
 
 // Said is one source's last word of a node.
 type Said struct {
-	Source string         `json:"source"`
-	Text   string         `json:"text"`
-	At     control.Micros `json:"at_us"`
+	Source string               `json:"source"`
+	Text   string               `json:"text"`
+	At     control.Microseconds `json:"at_us"`
 }
 
 // What the rules go by.
@@ -121,58 +121,58 @@
 // Membership holds what every source said and what was decided of it.
 type Membership struct {
 	set     Settings
-	now     control.Micros
-	nodes   map[control.Backend]*node
+	now     control.Microseconds
+	nodes   map[control.EndpointID]*node
 	sources map[string]*source
 	notes   []string
 	moved   []move // in this step
-	version control.Version
-	last    []control.Entry // as listed last
+	version control.ListVersion
+	last    []control.Endpoint // as listed last
 	listed  bool
 }
 
 type source struct {
-	at     control.Micros // of its last answer
+	at     control.Microseconds // of its last answer
 	failed string
-	claims map[control.Backend]Claim
+	claims map[control.EndpointID]Claim
 	has    bool
 }
 
 type node struct {
-	name     control.Backend
+	name     control.EndpointID
 	said     map[string]Claim // last word, by source; of a source that has dropped it: gone from here
-	at       map[string]control.Micros
-	dropped  map[string]control.Micros // when the source dropped it
-	forgot   map[string]bool           // it dropped it with many others
-	notStart map[string]control.Micros // start times that are the registry's, not the node's
-	drain    string                    // an operator's reason; empty: none
-	drainAt  control.Micros
-	served   control.Micros // last answer to a gateway
-	failing  bool           // nothing but errors since
-	launched control.Micros
+	at       map[string]control.Microseconds
+	dropped  map[string]control.Microseconds // when the source dropped it
+	forgot   map[string]bool                 // it dropped it with many others
+	notStart map[string]control.Microseconds // start times that are the registry's, not the node's
+	drain    string                          // an operator's reason; empty: none
+	drainAt  control.Microseconds
+	served   control.Microseconds // last answer to a gateway
+	failing  bool                 // nothing but errors since
+	launched control.Microseconds
 	instance string
-	entry    control.Entry
+	entry    control.Endpoint
 
 	state State
 	why   string
-	since control.Micros
+	since control.Microseconds
 
 	flaps    float64
-	flapAt   control.Micros
-	outUntil control.Micros
+	flapAt   control.Microseconds
+	outUntil control.Microseconds
 	out      int
 }
 
 // New starts a membership.
 func New(set Settings) *Membership {
-	return &Membership{set: set, nodes: map[control.Backend]*node{}, sources: map[string]*source{}}
+	return &Membership{set: set, nodes: map[control.EndpointID]*node{}, sources: map[string]*source{}}
 }
 
-func (m *Membership) node(b control.Backend) *node {
+func (m *Membership) node(b control.EndpointID) *node {
 	n := m.nodes[b]
 	if n == nil {
-		n = &node{name: b, said: map[string]Claim{}, at: map[string]control.Micros{}, dropped: map[string]control.Micros{}, forgot: map[string]bool{},
-			notStart: map[string]control.Micros{}, state: Gone,
+		n = &node{name: b, said: map[string]Claim{}, at: map[string]control.Microseconds{}, dropped: map[string]control.Microseconds{}, forgot: map[string]bool{},
+			notStart: map[string]control.Microseconds{}, state: Gone,
 			since: m.now}
 		m.nodes[b] = n
 	}
@@ -184,7 +184,7 @@
 }
 
 // Served says that a node answered gateways, or met nothing but errors.
-func (m *Membership) Served(now control.Micros, b control.Backend, done, errored int) {
+func (m *Membership) Served(now control.Microseconds, b control.EndpointID, done, errored int) {
 	m.now = max(m.now, now)
 	n := m.nodes[b]
 	if n == nil {
@@ -198,7 +198,7 @@
 }
 
 // Drain is an operator's word: it holds until it is taken back, whatever sources say. A reason is needed.
-func (m *Membership) Drain(now control.Micros, b control.Backend, reason string) error {
+func (m *Membership) Drain(now control.Microseconds, b control.EndpointID, reason string) error {
 	m.now = max(m.now, now)
 	if reason == "" {
 		return fmt.Errorf("draining %s needs a reason", b)
@@ -215,7 +215,7 @@
 }
 
 // Undrain takes it back.
-func (m *Membership) Undrain(now control.Micros, b control.Backend) error {
+func (m *Membership) Undrain(now control.Microseconds, b control.EndpointID) error {
 	m.now = max(m.now, now)
 	n := m.nodes[b]
 	if n == nil || n.drain == "" {
@@ -226,11 +226,11 @@
 }
 
 // Take takes an answer in. Claims that make no sense are left out and said.
-func (m *Membership) Take(now control.Micros, a Answer) {
+func (m *Membership) Take(now control.Microseconds, a Answer) {
 	m.now = max(m.now, now)
 	s := m.sources[a.Source]
 	if s == nil {
-		s = &source{claims: map[control.Backend]Claim{}}
+		s = &source{claims: map[control.EndpointID]Claim{}}
 		m.sources[a.Source] = s
 	}
 	if a.Failed != "" {
@@ -273,8 +273,8 @@
 }
 
 // sound keeps the claims that make sense; of two that claim one address, the one that was started last.
-func (m *Membership) sound(a Answer) map[control.Backend]Claim {
-	out := map[control.Backend]Claim{}
+func (m *Membership) sound(a Answer) map[control.EndpointID]Claim {
+	out := map[control.EndpointID]Claim{}
 	for _, c := range a.Claims {
 		if !slices.Contains(m.set.Zones, c.Zone) {
 			m.note("%s names %s in zone %q, which is not one of %v: left out", a.Source, c.Node, c.Zone, m.set.Zones)
@@ -300,7 +300,7 @@
 	}
 	// A registry that preserves itself keeps what has died. By its own clock, the latest renewal that it has seen, a lease
 	// that is long overdue says nothing any more.
-	latest := control.Micros(0)
+	latest := control.Microseconds(0)
 	for _, c := range out {
 		latest = max(latest, c.Renewed)
 	}
@@ -315,7 +315,7 @@
 
 // restarted tells whether start times have moved for so many nodes at once that the source has started anew, and not they:
 // those that answered all the while have not.
-func (m *Membership) restarted(s *source, claims map[control.Backend]Claim) bool {
+func (m *Membership) restarted(s *source, claims map[control.EndpointID]Claim) bool {
 	moved, both := 0, 0
 	for b, c := range claims {
 		old, had := s.claims[b]
@@ -335,8 +335,8 @@
 
 // drop finds what a source names no longer. Few at a time have left; many at once, while they still serve, were forgotten,
 // unless the source binds.
-func (m *Membership) drop(name string, s *source, claims map[control.Backend]Claim) {
-	var missing []control.Backend
+func (m *Membership) drop(name string, s *source, claims map[control.EndpointID]Claim) {
+	var missing []control.EndpointID
 	serve := 0
 	for b := range s.claims {
 		if _, still := claims[b]; still {
@@ -378,7 +378,7 @@
 // remembered ends the holding of what a source has forgotten once it names most of it again: what it still does not name
 // left meanwhile. Without it a node that drained and went while its registry answered by halves kept its lines as long as
 // it answered.
-func (m *Membership) remembered(name string, claims map[control.Backend]Claim, back int) {
+func (m *Membership) remembered(name string, claims map[control.EndpointID]Claim, back int) {
 	var still []*node
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		if n := m.nodes[b]; n.forgot[name] {
@@ -401,7 +401,7 @@
 }
 
 // Step decides. It returns the list if anything of it has changed, and lines for staff.
-func (m *Membership) Step(now control.Micros) (list []control.Entry, changed bool, notes []string) {
+func (m *Membership) Step(now control.Microseconds) (list []control.Endpoint, changed bool, notes []string) {
 	m.now = max(m.now, now)
 	for _, b := range slices.Sorted(maps.Keys(m.nodes)) {
 		m.decide(m.nodes[b])
@@ -434,12 +434,12 @@
 // Answered tells whether any source has ever answered.
 func (m *Membership) Answered() bool { return m.answered() }
 
-// Version counts the lists that differed from the one before.
-func (m *Membership) Version() control.Version { return m.version }
+// ListVersion counts the lists that differed from the one before.
+func (m *Membership) Version() control.ListVersion { return m.version }
 
 // move is a node's going from one state to another.
 type move struct {
-	node     control.Backend
+	node     control.EndpointID
 	was, now State
 	why      string
 }
@@ -488,7 +488,7 @@
 	}
 	if state == Ready && !up(was) && n.outUntil > 0 && m.now >= n.outUntil && n.launched < n.outUntil {
 		n.launched = m.now // eased back, as one that has just started
-		n.entry.Launched = m.now
+		n.entry.StartedAt = m.now
 	}
 	if state != was || why != n.why {
 		if state != was {
@@ -580,9 +580,9 @@
 
 // entryOf is what the list says of a node that is up: by the most trusted source that has it up; cold since the latest
 // start that any source tells, or since it was first up if none tells one.
-func (m *Membership) entryOf(n *node) control.Entry {
-	e := control.Entry{Backend: n.name}
-	launched, instance, first := control.Micros(0), "", true
+func (m *Membership) entryOf(n *node) control.Endpoint {
+	e := control.Endpoint{ID: n.name}
+	launched, instance, first := control.Microseconds(0), "", true
 	anyUp := false
 	for _, c := range n.said {
 		anyUp = anyUp || c.Status == Up
@@ -593,7 +593,7 @@
 			continue
 		}
 		if first {
-			e.Zone, e.Weight, e.Pod, e.Machine, instance, first = c.Zone, c.Weight, c.Pod, c.Machine, c.Instance, false
+			e.Zone, e.Weight, e.Pod, e.MachineType, instance, first = c.Zone, c.Weight, c.Pod, c.Machine, c.Instance, false
 		}
 		launched = max(launched, c.Launched)
 	}
@@ -608,7 +608,7 @@
 		n.launched = m.now // new since the first list, or back: nobody says that it ran meanwhile
 	}
 	n.instance = instance
-	e.Launched = n.launched
+	e.StartedAt = n.launched
 	return e
 }
 
@@ -664,7 +664,7 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(m.sources)) {
 			c, said := n.said[name]
-			text, at := "nothing", control.Micros(0)
+			text, at := "nothing", control.Microseconds(0)
 			if said {
 				text, at = c.Status.String(), n.at[name]
 			}
@@ -689,8 +689,8 @@
 }
 
 // Drains lists what operators drain, for the next start.
-func (m *Membership) Drains() map[control.Backend]string {
-	out := map[control.Backend]string{}
+func (m *Membership) Drains() map[control.EndpointID]string {
+	out := map[control.EndpointID]string{}
 	for b, n := range m.nodes {
 		if n.drain != "" {
 			out[b] = n.drain
@@ -701,11 +701,11 @@
 
 // Recall takes over what was known before a start: operators' drains, and the nodes of the last list with their start
 // times, as said by nobody.
-func (m *Membership) Recall(now control.Micros, drains map[control.Backend]string, entries []control.Entry) {
+func (m *Membership) Recall(now control.Microseconds, drains map[control.EndpointID]string, entries []control.Endpoint) {
 	m.now = max(m.now, now)
 	for _, e := range entries {
-		n := m.node(e.Backend)
-		n.entry, n.launched = e, e.Launched
+		n := m.node(e.ID)
+		n.entry, n.launched = e, e.StartedAt
 	}
 	for _, b := range slices.Sorted(maps.Keys(drains)) {
 		n := m.node(b)
--- a/probe/probe.go
+++ b/probe/probe.go
@@ -19,8 +19,8 @@
 type Options struct {
 	Timeout time.Duration
 	AtOnce  int
-	URL     func(control.Backend) (string, bool)
-	Loads   func(*http.Response) control.Loads
+	URL     func(control.EndpointID) (string, bool)
+	Loads   func(*http.Response) control.LoadMetrics
 }
 
 // BodyMost is what is read of an answer's body: load reports have a hundred bytes or so.
@@ -29,16 +29,16 @@
 // Prober examines so many at once, with so many waiting.
 type Prober struct {
 	o     Options
-	told  func(control.Probed)
-	queue chan control.Backend
+	told  func(control.HealthCheckResult)
+	queue chan control.EndpointID
 	http  *http.Client
 	end   context.CancelFunc
 }
 
 // New starts a prober; it tells of each probe once.
-func New(o Options, told func(control.Probed)) *Prober {
+func New(o Options, told func(control.HealthCheckResult)) *Prober {
 	ctx, end := context.WithCancel(context.Background())
-	p := &Prober{o: o, told: told, queue: make(chan control.Backend, 1024), end: end,
+	p := &Prober{o: o, told: told, queue: make(chan control.EndpointID, 1024), end: end,
 		http: &http.Client{Timeout: o.Timeout, Transport: outbound.Transport()}}
 	for range o.AtOnce {
 		go p.work(ctx)
@@ -50,11 +50,11 @@
 func (p *Prober) Close() { p.end() }
 
 // Probe asks for one.
-func (p *Prober) Probe(b control.Backend) {
+func (p *Prober) Probe(b control.EndpointID) {
 	select {
 	case p.queue <- b:
 	default:
-		go p.told(control.Probed{Backend: b, Code: "QueueFull"})
+		go p.told(control.HealthCheckResult{Endpoint: b, Code: "QueueFull"})
 	}
 }
 
@@ -69,9 +69,9 @@
 	}
 }
 
-func (p *Prober) one(ctx context.Context, b control.Backend) control.Probed {
+func (p *Prober) one(ctx context.Context, b control.EndpointID) control.HealthCheckResult {
 	start := time.Now()
-	found := control.Probed{Backend: b}
+	found := control.HealthCheckResult{Endpoint: b}
 	url, has := p.o.URL(b)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil || !has {
@@ -79,7 +79,7 @@
 		return found
 	}
 	res, err := p.http.Do(req)
-	found.Took = control.Micros(time.Since(start).Microseconds())
+	found.Duration = control.Microseconds(time.Since(start).Microseconds())
 	if err != nil {
 		found.Code = probeCode(err)
 		return found
@@ -89,11 +89,11 @@
 		io.Reader
 		io.Closer
 	}{io.LimitReader(res.Body, BodyMost), res.Body}
-	found.Loads = p.o.Loads(res)
+	found.Metrics = p.o.Loads(res)
 	_, _ = io.Copy(io.Discard, res.Body)
 	switch {
 	case res.StatusCode < 300:
-		found.OK, found.Code = true, "Ok"
+		found.Healthy, found.Code = true, "Ok"
 	case res.StatusCode == http.StatusServiceUnavailable:
 		found.Code = "QueueFull"
 	default:
