--- a/audit/audit.go
+++ b/audit/audit.go
@@ -235,9 +235,9 @@
 	if n := len(g.reads); n == 0 || g.reads[n-1].epoch != r.epoch {
 		before = tables.Snapshot{} // a start's first message tells all lines, and none that go
 	}
-	r.lines = tables.Cost(before, s)
+	r.lines = tables.ChangeCost(before, s)
 	for _, k := range l.limits.Kinds {
-		r.open[k.Name] = s.Open(k.Name)
+		r.open[k.Name] = s.OpenEndpoints(k.Name)
 	}
 	l.reads++
 	g.held = s
--- a/capture/explain.go
+++ b/capture/explain.go
@@ -149,28 +149,28 @@
 	now, seq := rec.Step.Now, rec.Seq
 	for _, in := range rec.Step.Inputs {
 		switch in := in.(type) {
-		case coordinator.List:
+		case coordinator.EndpointUpdate:
 			f.list(now, seq, in)
-		case coordinator.Told:
+		case coordinator.RegistryUpdate:
 			f.told(now, seq, in)
-		case coordinator.Probed:
+		case coordinator.HealthCheckResult:
 			if in.Endpoint == f.node {
 				f.say(now, seq, "probe", "a probe of it: ok %t %s", in.Healthy, in.Code)
 			}
-		case coordinator.Report:
+		case coordinator.LoadReport:
 			f.report(now, seq, in)
-		case coordinator.Ack:
+		case coordinator.DocumentAck:
 			// A confirmation of what was sent, or of something newer.
-			if open, sent := f.opens[in.Gateway]; in.Error == "" && in.Doc == coordinator.Endpoints && sent && open.version == in.Version {
+			if open, sent := f.opens[in.Gateway]; in.Error == "" && in.Document == coordinator.EndpointsDocument && sent && open.version == in.Version {
 				if was := f.holds[in.Gateway]; was == nil || was.version != in.Version {
 					copied := *open
 					f.holds[in.Gateway] = &copied
 					f.say(now, seq, "confirmed", "%s confirmed %s, %s", in.Gateway, in.Version, open)
 				}
 			}
-		case coordinator.Join:
+		case coordinator.GatewayConnected:
 			delete(f.away, in.Gateway)
-		case coordinator.Leave:
+		case coordinator.GatewayDisconnected:
 			f.away[in.Gateway] = true
 			if f.opens[in.Gateway] != nil {
 				f.say(now, seq, "left", "%s's link ended; it goes on by what it holds", in.Gateway)
@@ -203,7 +203,7 @@
 		switch o := out.(type) {
 		case coordinator.Publish:
 			f.publish(now, seq, o)
-		case coordinator.Note:
+		case coordinator.LogEntry:
 			if (o.Event == "solver" || o.Event == "membership") && strings.Contains(o.Text, string(f.node)) {
 				f.say(now, seq, "note", "%s", o.Text)
 			}
@@ -211,7 +211,7 @@
 	}
 }
 
-func (f *follow) list(now control.Microseconds, seq uint64, l coordinator.List) {
+func (f *follow) list(now control.Microseconds, seq uint64, l coordinator.EndpointUpdate) {
 	for _, e := range l.Endpoints {
 		if e.ID != f.node {
 			continue
@@ -226,7 +226,7 @@
 		f.entry = &e
 		return
 	}
-	if l.Kind == control.Snapshot && f.entry != nil && f.entry.Status != control.Removed && l.Why == "" {
+	if l.Kind == control.Snapshot && f.entry != nil && f.entry.Status != control.Removed && l.Error == "" {
 		f.say(now, seq, "list", "the node list (version %d) does not name it any more", l.Version)
 		gone := *f.entry
 		gone.Status = control.Removed
@@ -235,15 +235,15 @@
 }
 
 // told follows what a registry says of the node.
-func (f *follow) told(now control.Microseconds, seq uint64, a coordinator.Told) {
+func (f *follow) told(now control.Microseconds, seq uint64, a coordinator.RegistryUpdate) {
 	text := "does not name it"
-	for _, c := range a.Claims {
-		if c.Node == f.node {
+	for _, c := range a.Observations {
+		if c.Endpoint == f.node {
 			text = fmt.Sprintf("has it %s in %s", c.Status, c.Zone)
 		}
 	}
-	if a.Failed != "" {
-		text = "gives no answer: " + a.Failed
+	if a.Error != "" {
+		text = "gives no answer: " + a.Error
 	}
 	if f.says[a.Source] != text {
 		f.says[a.Source] = text
@@ -255,12 +255,12 @@
 	return [...]string{"ready", "draining", "gone"}[min(max(s, 0), 2)]
 }
 
-func (f *follow) report(now control.Microseconds, seq uint64, r coordinator.Report) {
+func (f *follow) report(now control.Microseconds, seq uint64, r coordinator.LoadReport) {
 	tries, errored := 0, 0
-	for _, k := range r.Kinds {
+	for _, k := range r.Classes {
 		for _, e := range k.Endpoints {
-			if e.Backend == f.node {
-				tries, errored = tries+e.Tries, errored+e.Errored
+			if e.Endpoint == f.node {
+				tries, errored = tries+e.Attempts, errored+e.Failures
 			}
 		}
 	}
@@ -273,23 +273,23 @@
 }
 
 func (f *follow) publish(now control.Microseconds, seq uint64, p coordinator.Publish) {
-	if !p.Changed[coordinator.Endpoints] {
+	if !p.Changed[coordinator.EndpointsDocument] {
 		return
 	}
 	was := f.opens[p.Gateway]
 	open := &line{version: p.Version, since: now}
 	for _, c := range p.Snapshot.Clusters {
 		sum, own := 0.0, 0.0
-		for _, l := range c.Lines {
+		for _, l := range c.Endpoints {
 			if l.Withheld {
 				continue
 			}
-			if sum += l.Weight; l.Backend == f.node {
+			if sum += l.Weight; l.Endpoint == f.node {
 				own = l.Weight
 			}
 		}
 		if own > 0 {
-			open.kinds, open.weights = append(open.kinds, c.Kind), append(open.weights, own/sum)
+			open.kinds, open.weights = append(open.kinds, c.Class), append(open.weights, own/sum)
 		}
 	}
 	if was != nil && len(was.kinds) > 0 && len(open.kinds) > 0 {
--- a/capture/record.go
+++ b/capture/record.go
@@ -40,7 +40,7 @@
 	Build    string               `cbor:"build" json:"Build"` // decisions may differ in another one
 	Wall     int64                `cbor:"wall_us" json:"Wall"`
 	Settings coordinator.Settings `cbor:"settings" json:"Settings"`
-	Recalled *recovery.Belief     `cbor:"recalled,omitempty" json:"Recalled"` // what the core was handed of the time before
+	Recalled *recovery.State      `cbor:"recalled,omitempty" json:"Recalled"` // what the core was handed of the time before
 }
 
 // Step is one step of the core: what it was told, what the module ordered, and a digest of what went out.
@@ -50,7 +50,7 @@
 	Orders []control.Order
 	Digest uint64
 	// Brief notes for staff: event, node and text, as the log has them.
-	Notes []coordinator.Note
+	Notes []coordinator.LogEntry
 }
 
 // Command is an operator's word between two steps.
@@ -62,8 +62,8 @@
 	Undrain control.EndpointID `cbor:"undrain,omitempty" json:"Undrain"`
 	Reason  string             `cbor:"reason,omitempty" json:"Reason"`
 	// Say is an operator's word about levels of service, Unsay the number of one that is taken back.
-	Say   *service.Word `cbor:"say,omitempty" json:"Say"`
-	Unsay int           `cbor:"unsay,omitempty" json:"Unsay"`
+	Say   *service.Override `cbor:"say,omitempty" json:"Say"`
+	Unsay int               `cbor:"unsay,omitempty" json:"Unsay"`
 }
 
 // Gap says that records are missing: what was told then is not known.
@@ -83,8 +83,8 @@
 
 // The names of inputs and orders in records. A name once given stays.
 var names, types = naming(map[string]any{
-	"list": coordinator.List{}, "told": coordinator.Told{}, "join": coordinator.Join{}, "leave": coordinator.Leave{}, "ack": coordinator.Ack{},
-	"report": coordinator.Report{}, "probed": coordinator.Probed{}, "refused": coordinator.Refused{}, "failed": coordinator.Failed{},
+	"list": coordinator.EndpointUpdate{}, "told": coordinator.RegistryUpdate{}, "join": coordinator.GatewayConnected{}, "leave": coordinator.GatewayDisconnected{}, "ack": coordinator.DocumentAck{},
+	"report": coordinator.LoadReport{}, "probed": coordinator.HealthCheckResult{}, "refused": coordinator.PeerRejected{}, "failed": coordinator.PublishFailed{},
 
 	"log": control.Log{}, "watch": control.WatchEndpoints{}, "fetch": control.Resync{}, "sleep": control.SetTimer{}, "probe": control.CheckHealth{},
 	"tell": control.Broadcast{}, "line": control.SetWeight{}, "clear": control.ClearTable{}, "bind": control.BindProxy{}, "withdraw": control.EjectEndpoint{},
@@ -107,11 +107,11 @@
 }
 
 type stepRecord struct {
-	Now    control.Microseconds `cbor:"now_us"`
-	Inputs []tagged             `cbor:"in,omitempty"`
-	Orders []tagged             `cbor:"out,omitempty"`
-	Digest uint64               `cbor:"digest,omitempty"`
-	Notes  []coordinator.Note   `cbor:"notes,omitempty"`
+	Now    control.Microseconds   `cbor:"now_us"`
+	Inputs []tagged               `cbor:"in,omitempty"`
+	Orders []tagged               `cbor:"out,omitempty"`
+	Digest uint64                 `cbor:"digest,omitempty"`
+	Notes  []coordinator.LogEntry `cbor:"notes,omitempty"`
 }
 
 // What is written has its inputs as they are: encoded in one pass, not each by itself and then all together.
@@ -122,11 +122,11 @@
 		Value any
 	}
 	stepOut struct {
-		Now    control.Microseconds `cbor:"now_us"`
-		Inputs []taggedOut          `cbor:"in,omitempty"`
-		Orders []taggedOut          `cbor:"out,omitempty"`
-		Digest uint64               `cbor:"digest,omitempty"`
-		Notes  []coordinator.Note   `cbor:"notes,omitempty"`
+		Now    control.Microseconds   `cbor:"now_us"`
+		Inputs []taggedOut            `cbor:"in,omitempty"`
+		Orders []taggedOut            `cbor:"out,omitempty"`
+		Digest uint64                 `cbor:"digest,omitempty"`
+		Notes  []coordinator.LogEntry `cbor:"notes,omitempty"`
 	}
 	recordOut struct {
 		Seq     uint64   `cbor:"seq"`
@@ -218,12 +218,12 @@
 		_, _ = h.WriteString(p.Version)
 		for _, c := range p.Snapshot.Clusters {
 			weights, withheld := uint64(0), uint64(0)
-			for _, l := range c.Lines {
+			for _, l := range c.Endpoints {
 				if weights += math.Float64bits(l.Weight); l.Withheld {
 					withheld++
 				}
 			}
-			num(uint64(len(c.Lines)))
+			num(uint64(len(c.Endpoints)))
 			num(weights)
 			num(withheld)
 		}
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -80,7 +80,7 @@
 			}
 			core = coordinator.New(s.Settings)
 			if s.Recalled != nil {
-				core.Recall(control.Microseconds(s.Wall), *s.Recalled)
+				core.Restore(control.Microseconds(s.Wall), *s.Recalled)
 			}
 		case rec.Gap != nil:
 			v.Gaps = append(v.Gaps, *rec.Gap)
@@ -126,9 +126,9 @@
 	case c.Drain != "":
 		_ = core.DrainNode(c.Drain, c.Reason)
 	case c.Say != nil:
-		_, _ = core.SayLevel(*c.Say)
+		_, _ = core.SetLevelOverride(*c.Say)
 	case c.Unsay != 0:
-		_, _ = core.UnsayLevel(c.Unsay, c.Reason)
+		_, _ = core.ClearLevelOverride(c.Unsay, c.Reason)
 	case c.Undrain != "":
 		_ = core.UndrainNode(c.Undrain, c.Reason)
 	default:
--- a/cmd/porthub/commands.go
+++ b/cmd/porthub/commands.go
@@ -159,14 +159,14 @@
 			for _, g := range shown {
 				var open []string
 				for _, c := range g.Snapshot.Clusters {
-					open = append(open, fmt.Sprintf("%s %d", c.Kind, g.Snapshot.Open(c.Kind)))
+					open = append(open, fmt.Sprintf("%s %d", c.Class, g.Snapshot.OpenEndpoints(c.Class)))
 				}
 				age := "-"
-				if g.At[0] > 0 {
-					age = (time.Duration(int64(s.Now)-g.At[0]) * time.Microsecond).Round(100 * time.Millisecond).String()
+				if g.ConfirmedAt[0] > 0 {
+					age = (time.Duration(int64(s.Now)-g.ConfirmedAt[0]) * time.Microsecond).Round(100 * time.Millisecond).String()
 				}
-				fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%s\n", g.Gateway, g.Zone, g.Joined, dash(g.Version), dash(g.Confirmed[0]),
-					age, g.Waiting, strings.Join(open, ", "))
+				fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\t%s\t%d\t%s\n", g.Gateway, g.Zone, g.Connected, dash(g.Version), dash(g.Confirmed[0]),
+					age, g.Unacknowledged, strings.Join(open, ", "))
 			}
 			return w.Flush()
 		},
--- a/cmd/porthub/expect.go
+++ b/cmd/porthub/expect.go
@@ -144,8 +144,8 @@
 
 // prove runs all cases of a suite, side by side; what they find does not depend on how many run at a time.
 func prove(cfg config.Config, file string, suite expect.Suite, number int) (out []proven) {
-	set := coordinator.Settings{Up: cfg.Up(), SilentAfter: control.Microseconds(cfg.Gateways.SilentAfter), Solver: cfg.Solver.Enabled, Intake: float64(cfg.Reports.Intake)}
-	set.Service, set.Fallback = cfg.ServiceLevels()
+	set := coordinator.Settings{Start: cfg.Up(), SilenceTimeout: control.Microseconds(cfg.Gateways.SilentAfter), SolverEnabled: cfg.Solver.Enabled, MaxReportLines: float64(cfg.Reports.Intake)}
+	set.Degradation, set.Fallback = cfg.ServiceLevels()
 	// Cases live for a tenth of a second each: collecting their garbage less often is a third of the time.
 	defer debug.SetGCPercent(debug.SetGCPercent(400))
 	for _, e := range suite.Expect {
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -25,7 +25,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{Use: "levels", Short: "Show levels of service: now, since when, why, what would end them, who has them", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var l coordinator.Levels
+			var l coordinator.DegradationStatus
 			if err := ask(cmd, addr, "/levels", nil, &l); err != nil {
 				return err
 			}
@@ -40,16 +40,16 @@
 	return cmd
 }
 
-func printLevels(out io.Writer, l coordinator.Levels) error {
-	if len(l.Standings) == 0 {
+func printLevels(out io.Writer, l coordinator.DegradationStatus) error {
+	if len(l.Scopes) == 0 {
 		fmt.Fprintln(out, "no levels are named: service.levels in the configuration")
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SCOPE\tLEVEL\tFOR\tWHY\tENDS\tGATEWAYS")
-	for _, s := range l.Standings {
+	for _, s := range l.Scopes {
 		scope, since, held := string(s.Zone), "-", []string{}
-		if s.Zone == service.Fleet {
+		if s.Zone == service.FleetScope {
 			scope = "fleet"
 		}
 		if s.Since > 0 {
@@ -58,17 +58,17 @@
 		for level, n := range l.Gateways[string(s.Zone)] {
 			held = append(held, fmt.Sprintf("%d at %s", n, l.Levels[min(level, len(l.Levels)-1)]))
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", scope, s.Name, since, dash(s.Why), dash(strings.Join(s.Ends, "; ")), dash(strings.Join(held, ", ")))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", scope, s.Name, since, dash(s.Reason), dash(strings.Join(s.EndConditions, "; ")), dash(strings.Join(held, ", ")))
 	}
 	fmt.Fprint(w, "\nFIGURE")
-	for _, s := range l.Standings {
-		fmt.Fprintf(w, "\t%s", map[bool]string{true: "fleet", false: string(s.Zone)}[s.Zone == service.Fleet])
+	for _, s := range l.Scopes {
+		fmt.Fprintf(w, "\t%s", map[bool]string{true: "fleet", false: string(s.Zone)}[s.Zone == service.FleetScope])
 	}
 	fmt.Fprintln(w)
-	for i, f := range l.Standings[0].Figures {
-		fmt.Fprint(w, f.Reason)
-		for _, s := range l.Standings {
-			if f := s.Figures[i]; f.Known {
+	for i, f := range l.Scopes[0].Signals {
+		fmt.Fprint(w, f.Trigger)
+		for _, s := range l.Scopes {
+			if f := s.Signals[i]; f.Known {
 				fmt.Fprintf(w, "\t%.2f", f.Value)
 			} else {
 				fmt.Fprint(w, "\t-")
@@ -77,14 +77,14 @@
 		fmt.Fprintln(w)
 	}
 	fmt.Fprintln(w, "\nWORD\tDO\tSCOPE\tLEVEL\tENDS IN\tREASON")
-	for _, x := range l.Words {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", x.ID, x.Do, dash(string(x.Zone)), l.Levels[x.Level], age(x.Until, l.Now), x.Reason)
+	for _, x := range l.Overrides {
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\n", x.ID, x.Action, dash(string(x.Zone)), l.Levels[x.Level], age(x.Until, l.Now), x.Reason)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if l.Away > 0 {
-		fmt.Fprintf(out, "%d gateways are away and go on by what they hold\n", l.Away)
+	if l.Disconnected > 0 {
+		fmt.Fprintf(out, "%d gateways are away and go on by what they hold\n", l.Disconnected)
 	}
 	return nil
 }
@@ -102,14 +102,14 @@
   porthub levels set hard --forbid --for 2h --reason "it has cost too much"
   porthub levels set --hold --zone hala-a --for 10m --reason "being looked at"`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r.Do, r.Zone, r.For = service.Force, control.Zone(zone), control.Microseconds(length.Microseconds())
+			r.Do, r.Zone, r.For = service.ForceLevel, control.Zone(zone), control.Microseconds(length.Microseconds())
 			switch {
 			case forbid && hold:
 				return errors.New("--forbid or --hold, not both")
 			case forbid:
-				r.Do = service.Forbid
+				r.Do = service.ForbidLevel
 			case hold:
-				r.Do = service.Hold
+				r.Do = service.HoldLevel
 			}
 			if hold != (len(args) == 0) {
 				return errors.New("name a level to force or forbid it; --hold takes none")
@@ -151,7 +151,7 @@
 	if a.Error != "" {
 		return errors.New(a.Error)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", a.Word.ID, a.Word.Do, a.Word.Zone, a.Word.Reason)
+	fmt.Fprintf(cmd.OutOrStdout(), "word %d: %s in %q: %s\n", a.Word.ID, a.Word.Action, a.Word.Zone, a.Word.Reason)
 	return nil
 }
 
@@ -199,11 +199,11 @@
 	fmt.Fprintln(w, "AT\tSCOPE\tFROM\tTO\tWHY")
 	lines := bufio.NewScanner(in)
 	last, changes := -1.0, 0
-	figures := map[control.Zone]service.Figures{}
+	figures := map[control.Zone]service.Signals{}
 	step := func() {
 		for _, c := range m.Step(control.Microseconds(last*1e6), figures) {
 			changes++
-			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == service.Fleet], set.Name(c.From), set.Name(c.To), c.Why)
+			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == service.FleetScope], set.Name(c.From), set.Name(c.To), c.Reason)
 		}
 		clear(figures)
 	}
@@ -233,7 +233,7 @@
 		f := figures[control.Zone(c.Zone)]
 		for r, v := range []*float64{c.Load, c.Lost, c.Unreachable, c.Shed, c.Behind} {
 			if v != nil {
-				f.Set(service.Reason(r), *v)
+				f.Set(service.Trigger(r), *v)
 			}
 		}
 		figures[control.Zone(c.Zone)] = f
@@ -247,7 +247,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d changes in %.0f s; the settings allow %d in each scope\n", changes, max(0, last-first), set.Most(control.Microseconds((last-first)*1e6)))
+	fmt.Fprintf(out, "%d changes in %.0f s; the settings allow %d in each scope\n", changes, max(0, last-first), set.MaxChanges(control.Microseconds((last-first)*1e6)))
 	return nil
 }
 
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -30,14 +30,14 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "NODE\tZONE\tSTATE\tSINCE\tSOURCES\tWHY")
 			for _, v := range n.Nodes {
-				if node != "" && string(v.Node) != node {
+				if node != "" && string(v.Endpoint) != node {
 					continue
 				}
 				var says []string
-				for _, s := range v.Says {
+				for _, s := range v.Observations {
 					says = append(says, fmt.Sprintf("%s: %s (%s ago)", s.Source, s.Text, age(n.Now, s.At)))
 				}
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Node, v.Entry.Zone, v.Is, age(n.Now, v.Since), strings.Join(says, "; "), v.Why)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", v.Endpoint, v.Listed.Zone, v.StateName, age(n.Now, v.Since), strings.Join(says, "; "), v.Reason)
 			}
 			return w.Flush()
 		},
--- a/cmd/porthub/solve.go
+++ b/cmd/porthub/solve.go
@@ -110,11 +110,11 @@
 
 func printSolution(out io.Writer, f solver.Fleet, s solver.Solution, explain bool) error {
 	c := s.Certificate
-	fmt.Fprintf(out, "%s\npayoff %.4g a second, at most %.4g is possible; %d steps, prices left %.2f%% too much before F-NORM\n\n", c.Why, c.Payoff,
+	fmt.Fprintf(out, "%s\npayoff %.4g a second, at most %.4g is possible; %d steps, prices left %.2f%% too much before F-NORM\n\n", c.Reason, c.PriorityWeight,
 		c.Bound, c.Steps, 100*c.Residual)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NODE\tZONE\tLIMIT\tLOAD\tUSED\tPRICE\tNOTE")
-	for j, n := range f.Nodes {
+	for j, n := range f.Endpoints {
 		note := ""
 		switch {
 		case n.Closed:
@@ -127,24 +127,24 @@
 				note = "its stated capacity makes no sense: taken as the median"
 			}
 		}
-		for k := range f.Kinds {
+		for k := range f.Classes {
 			if len(n.Failing) > 0 && n.Failing[k] {
-				note += " fails " + f.Kinds[k].Name
+				note += " fails " + f.Classes[k].Name
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.0f%%\t%.3g\t%s\n", n.Name, n.Zone, c.Limit[j], c.Load[j], 100*c.Load[j]/max(c.Limit[j], 1e-12),
 			c.Prices[j], note)
 	}
 	fmt.Fprintln(w, "\nUSER\tKIND\tDEMAND\tLET IN\tLINES")
-	for u, user := range f.Users {
-		for k, kind := range f.Kinds {
+	for u, user := range f.Consumers {
+		for k, kind := range f.Classes {
 			if user.Demand[k] <= 0 {
 				continue
 			}
 			fmt.Fprintf(w, "%s\t%s\t%.4g\t%.1f%%\t", user.Name, kind.Name, user.Demand[k], 100*s.Admit[u][k])
 			if explain {
 				for _, l := range s.Weights[u][k] {
-					fmt.Fprintf(w, "%s %.3f  ", f.Nodes[l.Node].Name, l.Weight)
+					fmt.Fprintf(w, "%s %.3f  ", f.Endpoints[l.Endpoint].Name, l.Weight)
 				}
 			} else {
 				fmt.Fprint(w, len(s.Weights[u][k]))
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -81,15 +81,15 @@
 		return nil, err
 	}
 	defer r.Close()
-	var tail []coordinator.Record
+	var tail []coordinator.LogRecord
 	last := control.Microseconds(0)
 	_, err = capture.Replay(r, "", func(rec *capture.Record, core *coordinator.Core, outputs []coordinator.Output) bool {
 		if rec.Step == nil || core == nil {
 			return true
 		}
 		for _, o := range outputs {
-			if n, is := o.(coordinator.Note); is && n.Level > coordinator.Debug {
-				tail = coordinator.Tail(tail, rec.Step.Now, n)
+			if n, is := o.(coordinator.LogEntry); is && n.Level > coordinator.LogDebug {
+				tail = coordinator.AppendLog(tail, rec.Step.Now, n)
 			}
 		}
 		if rec.Step.Now-last >= 1_000_000 {
--- a/cmd/porthub/versions.go
+++ b/cmd/porthub/versions.go
@@ -104,7 +104,7 @@
 				if p.Version == 0 {
 					holds = "as " + age(v.Now, p.At) + " ago"
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s ago\t%s\n", p.ID, p.Scope, holds, age(v.Now, p.Since), p.Reason)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s ago\t%s\n", p.ID, p.Scope, holds, age(v.Now, p.PinnedAt), p.Reason)
 			}
 			return w.Flush()
 		}}
@@ -122,12 +122,12 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintf(w, "table %d, version %d, from %s ago\n", t.Table, of.Version, age(v.Now, of.At))
 			for _, l := range of.Lines {
-				fmt.Fprintf(w, "%s\t%.4g\n", l.Backend, l.Weight)
+				fmt.Fprintf(w, "%s\t%.4g\n", l.Endpoint, l.Weight)
 			}
 			for _, kind := range slices.Sorted(maps.Keys(of.Acting)) {
 				fmt.Fprintf(w, "for %s the weight solver had in its place\n", kind)
 				for _, l := range of.Acting[kind] {
-					fmt.Fprintf(w, "%s\t%.4g\n", l.Backend, l.Weight)
+					fmt.Fprintf(w, "%s\t%.4g\n", l.Endpoint, l.Weight)
 				}
 			}
 			return w.Flush()
@@ -151,7 +151,7 @@
 			printDiff(out, a.Lines, b.Lines)
 			kinds := maps.Clone(a.Acting)
 			if kinds == nil {
-				kinds = map[string][]tables.Weighed{}
+				kinds = map[string][]tables.EndpointWeight{}
 			}
 			maps.Copy(kinds, b.Acting)
 			for _, kind := range slices.Sorted(maps.Keys(kinds)) {
@@ -240,32 +240,32 @@
 }
 
 // of is what a version had for a kind.
-func of(v daemon.VersionOf, kind string) []tables.Weighed {
+func of(v daemon.VersionOf, kind string) []tables.EndpointWeight {
 	if lines, acts := v.Acting[kind]; acts {
 		return lines
 	}
 	return v.Lines
 }
 
-func printDiff(out io.Writer, from, to []tables.Weighed) {
+func printDiff(out io.Writer, from, to []tables.EndpointWeight) {
 	before := weights(from)
 	d := tables.Diff(tables.State{}.With(before), tables.State{}.With(weights(to)))
 	for _, l := range d.Set {
-		if old, had := before[l.Backend]; had {
-			fmt.Fprintf(out, "~ %s %.4g -> %.4g\n", l.Backend, old, l.Weight)
+		if old, had := before[l.Endpoint]; had {
+			fmt.Fprintf(out, "~ %s %.4g -> %.4g\n", l.Endpoint, old, l.Weight)
 		} else {
-			fmt.Fprintf(out, "+ %s %.4g\n", l.Backend, l.Weight)
+			fmt.Fprintf(out, "+ %s %.4g\n", l.Endpoint, l.Weight)
 		}
 	}
-	for _, be := range d.Gone {
+	for _, be := range d.Removed {
 		fmt.Fprintf(out, "- %s %.4g\n", be, before[be])
 	}
 }
 
-func weights(lines []tables.Weighed) tables.Weights {
+func weights(lines []tables.EndpointWeight) tables.Weights {
 	w := tables.Weights{}
 	for _, l := range lines {
-		w[l.Backend] = l.Weight
+		w[l.Endpoint] = l.Weight
 	}
 	return w
 }
--- a/config/config.go
+++ b/config/config.go
@@ -172,7 +172,7 @@
 	SilentAfter Duration `json:"silent_after"` // without a report or an acknowledgement it counts as away
 }
 
-// Probes tells whether calc nodes may be probed.
+// MaxHealthChecks tells whether calc nodes may be probed.
 type Probes struct {
 	Allowed bool     `json:"allowed"`
 	Path    string   `json:"path"`
@@ -226,7 +226,7 @@
 	l.EnterHeld, l.LeaveHeld, l.SecondTry, l.Cross, l.Stretch = 2_000_000, 15_000_000, 3, 1, 1
 }
 
-// Reasons are the figures that a level goes by; docs/levels.md says what each is.
+// TriggerCount are the figures that a level goes by; docs/levels.md says what each is.
 type Reasons struct {
 	Load        float64 `json:"load"`
 	Lost        float64 `json:"lost"`
@@ -235,9 +235,9 @@
 	Behind      float64 `json:"behind"`
 }
 
-func (r Reasons) all() [service.Reasons]float64 {
-	return [service.Reasons]float64{service.Load: r.Load, service.Lost: r.Lost, service.Unreachable: r.Unreachable, service.Shed: r.Shed,
-		service.Behind: r.Behind}
+func (r Reasons) all() [service.TriggerCount]float64 {
+	return [service.TriggerCount]float64{service.TriggerLoad: r.Load, service.TriggerLostCapacity: r.Lost, service.TriggerUnreachable: r.Unreachable, service.TriggerShedReports: r.Shed,
+		service.TriggerBehind: r.Behind}
 }
 
 // KindBounds are a level's for one request kind.
@@ -263,28 +263,28 @@
 		s.Zones = append(s.Zones, control.Zone(z))
 	}
 	for _, k := range c.Kinds {
-		s.Kinds = append(s.Kinds, k.Name)
+		s.Classes = append(s.Classes, k.Name)
 	}
 	for _, l := range c.Service.Levels {
-		one := service.Level{Name: l.Name, Enter: l.Enter.all(), Leave: l.Leave.all(), EnterHeld: control.Microseconds(l.EnterHeld),
-			LeaveHeld: control.Microseconds(l.LeaveHeld), Bounds: service.None(len(c.Kinds))}
+		one := service.Level{Name: l.Name, Enter: l.Enter.all(), Leave: l.Leave.all(), EnterDelay: control.Microseconds(l.EnterHeld),
+			LeaveDelay: control.Microseconds(l.LeaveHeld), Bounds: service.Unbounded(len(c.Kinds))}
 		b := &one.Bounds
-		b.Cross, b.Lines, b.Probes, b.Stretch = l.Cross, l.Lines, l.Probes, l.Stretch
+		b.CrossZoneFactor, b.MaxEndpoints, b.MaxHealthChecks, b.ReportIntervalFactor = l.Cross, l.Lines, l.Probes, l.Stretch
 		for k := range c.Kinds {
-			b.SecondTry[k] = l.SecondTry
+			b.RetryPolicy[k] = l.SecondTry
 			for _, kind := range l.Kinds {
 				if kind.Name == c.Kinds[k].Name {
 					if b.Share[k] = kind.Share; kind.SecondTry >= 0 {
-						b.SecondTry[k] = kind.SecondTry
+						b.RetryPolicy[k] = kind.SecondTry
 					}
 				}
 			}
 		}
 		s.Levels = append(s.Levels, one)
 	}
-	f := service.Fallback{After: control.Microseconds(c.Service.Fallback.After), For: control.Microseconds(c.Service.Fallback.For)}
+	f := service.Fallback{After: control.Microseconds(c.Service.Fallback.After), Duration: control.Microseconds(c.Service.Fallback.For)}
 	if c.Service.Fallback.Level != "" {
-		f.Level, _ = s.Find(c.Service.Fallback.Level)
+		f.Level, _ = s.LevelNamed(c.Service.Fallback.Level)
 	}
 	return s, f
 }
@@ -347,7 +347,7 @@
 // ErrUnreadable is a file that can't be opened.
 var ErrUnreadable = errors.New("can't be read")
 
-// Load reads and checks a file. The error is Findings, or wraps ErrUnreadable.
+// TriggerLoad reads and checks a file. The error is Findings, or wraps ErrUnreadable.
 func Load(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -506,7 +506,7 @@
 		seen := map[string]bool{}
 		for j, k := range l.Kinds {
 			key := fmt.Sprintf("service.levels[%d].kinds[%d].name", i, j)
-			need(slices.Contains(set.Kinds, k.Name) && !seen[k.Name], key, fmt.Sprintf("%q is no request kind or stands twice", k.Name),
+			need(slices.Contains(set.Classes, k.Name) && !seen[k.Name], key, fmt.Sprintf("%q is no request kind or stands twice", k.Name),
 				"name each of request_kinds once at most")
 			seen[k.Name] = true
 		}
@@ -521,7 +521,7 @@
 				key += "." + f.Key
 			}
 		}
-		d.finding(d.lineOf(key), key, f.Wrong, f.Right)
+		d.finding(d.lineOf(key), key, f.Problem, f.Remedy)
 	}
 	f := c.Service.Fallback
 	need(f.Level == "" || fallback.Level > 0, "service.fallback.level", fmt.Sprintf("%q is no level", f.Level), "name one of service.levels")
--- a/config/suite.go
+++ b/config/suite.go
@@ -120,7 +120,7 @@
 	}
 	out := s.expectations(d.lineOf)
 	levels, _ := c.ServiceLevels()
-	site := expect.Site{Zones: levels.Zones, Kinds: levels.Kinds}
+	site := expect.Site{Zones: levels.Zones, Kinds: levels.Classes}
 	for _, l := range levels.Levels {
 		site.Levels = append(site.Levels, l.Name)
 	}
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -21,17 +21,17 @@
 
 // Settings are what a core is handed at its start.
 type Settings struct {
-	Up          control.Start    `cbor:"Up" json:"Up"`
-	Epoch       string           `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
-	SilentAfter micros           `cbor:"SilentAfter" json:"SilentAfter"` // without a word for so long a gateway counts as away
-	AllowEmpty  bool             `cbor:"AllowEmpty" json:"AllowEmpty"`   // an empty list after one that was not is believed
-	Solver      bool             `cbor:"Solver" json:"Solver"`           // tables that break limits give way to the solver's
-	Intake      float64          `cbor:"Intake" json:"Intake"`           // lines of reports that are taken in a second; 0: all
-	Sources     []string         `cbor:"Sources" json:"Sources"`         // registries beside the file, the most trusted first
-	Build       string           `cbor:"Build" json:"Build"`             // names the build, for snapshots and captures
-	Sync        bool             `cbor:"Sync" json:"Sync"`               // documents are synced while the disk is quick enough for it
-	Service     service.Settings `cbor:"Service" json:"Service"`         // levels of reduced service; without any there are none
-	Fallback    service.Fallback `cbor:"Fallback" json:"Fallback"`
+	Start          control.Start    `cbor:"Up" json:"Up"`
+	Epoch          string           `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
+	SilenceTimeout micros           `cbor:"SilentAfter" json:"SilentAfter"` // without a word for so long a gateway counts as away
+	AllowEmptyList bool             `cbor:"AllowEmpty" json:"AllowEmpty"`   // an empty list after one that was not is believed
+	SolverEnabled  bool             `cbor:"Solver" json:"Solver"`           // tables that break limits give way to the solver's
+	MaxReportLines float64          `cbor:"Intake" json:"Intake"`           // lines of reports that are taken in a second; 0: all
+	Sources        []string         `cbor:"Sources" json:"Sources"`         // registries beside the file, the most trusted first
+	Build          string           `cbor:"Build" json:"Build"`             // names the build, for snapshots and captures
+	SyncDocuments  bool             `cbor:"Sync" json:"Sync"`               // documents are synced while the disk is quick enough for it
+	Degradation    service.Settings `cbor:"Service" json:"Service"`         // levels of reduced service; without any there are none
+	Fallback       service.Fallback `cbor:"Fallback" json:"Fallback"`
 }
 
 // Core is one coordinator's state. Its zero value does not work: use New.
@@ -63,15 +63,15 @@
 	withdrawn map[control.EndpointID]bool
 
 	made     map[madeKey]made // in this step
-	book     *tables.Book
-	later    []Output         // of what was done between steps
-	lag      micros           // of confirmations, smoothed over eight
-	unsynced bool             // files go out without a sync
-	solving  *solving         // nil: off
-	leveling *leveling        // nil: there are no levels of service
-	belief   *recovery.Belief // of the time before this start; nil: none
+	book     *tables.VersionStore
+	later    []Output        // of what was done between steps
+	lag      micros          // of confirmations, smoothed over eight
+	unsynced bool            // files go out without a sync
+	solving  *solving        // nil: off
+	leveling *leveling       // nil: there are no levels of service
+	belief   *recovery.State // of the time before this start; nil: none
 	sums     sums
-	intake   *intake.Intake
+	intake   *intake.Sampler
 	busy     string // the nodes' own figure that is their busy share
 	queued   string // and the one that counts what waits there; empty: none
 	reported bool   // a report has been told to the module
@@ -86,31 +86,31 @@
 
 // New starts a core. The saved list, if there is one, is the first input.
 func New(set Settings) *Core {
-	c := &Core{set: set, module: choice.New(moduleUp(set.Up)), gateways: map[Gateway]*gateway{}, byProxy: map[control.ProxyID]*gateway{},
+	c := &Core{set: set, module: choice.New(moduleUp(set.Start)), gateways: map[Gateway]*gateway{}, byProxy: map[control.ProxyID]*gateway{},
 		kinds: map[string]control.RequestClass{}, lines: map[control.TableID]map[control.EndpointID]float64{},
 		levels:    map[control.TableID]map[control.RequestClass]control.SetAdmission{},
 		restless:  map[control.ProxyID]bool{},
 		withdrawn: map[control.EndpointID]bool{}, counts: map[string]*count{}}
-	for k, kind := range set.Up.Classes {
+	for k, kind := range set.Start.Classes {
 		c.kinds[kind.Name] = control.RequestClass(k)
 	}
 	c.list.entries = map[control.EndpointID]control.Endpoint{}
 	c.list.firstSeen = map[control.EndpointID]micros{}
 	c.sums.reset()
 	c.made = map[madeKey]made{}
-	c.book = tables.NewBook(keepVersions, keepFor)
-	if len(set.Up.Reports.MetricNames) > 0 {
-		c.busy = set.Up.Reports.MetricNames[0]
+	c.book = tables.NewVersionStore(keepVersions, keepFor)
+	if len(set.Start.Reports.MetricNames) > 0 {
+		c.busy = set.Start.Reports.MetricNames[0]
 	}
-	if len(set.Up.Reports.MetricNames) > 1 {
-		c.queued = set.Up.Reports.MetricNames[1]
+	if len(set.Start.Reports.MetricNames) > 1 {
+		c.queued = set.Start.Reports.MetricNames[1]
 	}
-	c.intake = intake.New(intake.Settings{Lines: set.Intake, Period: set.Up.Reports.Period, Seed: set.Up.Seed})
-	c.members = membership.New(membership.Settings{Zones: set.Up.Zones, Binding: map[string]bool{FileSource: true},
+	c.intake = intake.New(intake.Settings{MaxLines: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
+	c.members = membership.New(membership.Settings{Zones: set.Start.Zones, Authoritative: map[string]bool{FileSource: true},
 		Sources: append([]string{FileSource}, set.Sources...)})
-	c.leveling = newLeveling(set.Service)
-	if set.Solver {
-		c.solving = newSolving(len(set.Up.Classes))
+	c.leveling = newLeveling(set.Degradation)
+	if set.SolverEnabled {
+		c.solving = newSolving(len(set.Start.Classes))
 	}
 	return c
 }
@@ -161,8 +161,8 @@
 	return c.outputs
 }
 
-// Next is when the core wants to be stepped again, even without an input.
-func (c *Core) Next() micros {
+// NextDeadline is when the core wants to be stepped again, even without an input.
+func (c *Core) NextDeadline() micros {
 	next := c.now + second
 	next = min(next, c.watchAt)
 	for _, t := range c.timers {
@@ -179,8 +179,8 @@
 
 func (c *Core) out(o Output) { c.outputs = append(c.outputs, o) }
 
-func (c *Core) note(level NoteLevel, event, format string, args ...any) {
-	c.out(Note{Level: level, Event: event, Text: fmt.Sprintf(format, args...)})
+func (c *Core) note(level LogLevel, event, format string, args ...any) {
+	c.out(LogEntry{Level: level, Event: event, Text: fmt.Sprintf(format, args...)})
 }
 
 // due takes the timers that are due, in the order of their times.
@@ -197,28 +197,28 @@
 
 func (c *Core) input(in Input) []control.Event {
 	switch in := in.(type) {
-	case List:
+	case EndpointUpdate:
 		return c.listed(in)
-	case Told:
-		c.members.Take(c.now, in.Answer)
+	case RegistryUpdate:
+		c.members.Apply(c.now, in.SourceUpdate)
 		return c.settle(true)
-	case Join:
+	case GatewayConnected:
 		return c.join(in)
-	case Leave:
+	case GatewayDisconnected:
 		return c.leave(in)
-	case Ack:
+	case DocumentAck:
 		return c.ack(in)
-	case Report:
+	case LoadReport:
 		c.report(in)
-	case Probed:
+	case HealthCheckResult:
 		if _, known := c.list.entries[in.Endpoint]; known {
 			return []control.Event{in.HealthCheckResult}
 		}
-	case Refused:
-		c.complain("bad_input", "", "%s: %s", in.From, in.Why)
+	case PeerRejected:
+		c.complain("bad_input", "", "%s: %s", in.From, in.Reason)
 		c.counts["bad_input"].n += in.Count - 1
-	case Failed:
-		c.complain("publish_failed", in.Gateway, "%s", in.Why)
+	case PublishFailed:
+		c.complain("publish_failed", in.Gateway, "%s", in.Reason)
 	default:
 		panic(fmt.Sprintf("coordinator: no such input: %T", in))
 	}
@@ -236,9 +236,9 @@
 		case control.Log:
 			c.out(mode(o.Text))
 		case control.WatchEndpoints:
-			c.out(Watch{o.Enabled})
+			c.out(WatchEndpoints{o.Enabled})
 		case control.Resync:
-			c.out(Fetch{})
+			c.out(Resync{})
 		case control.SetTimer:
 			c.timers = append(c.timers, timer{c.now + o.After, o.Token})
 		case control.CheckHealth:
@@ -257,7 +257,7 @@
 			delete(c.levels, o.Table)
 		case control.BindProxy:
 			if g := c.byProxy[o.Proxy]; g != nil {
-				for k := range c.set.Up.Classes {
+				for k := range c.set.Start.Classes {
 					if o.Classes == 0 || o.Classes&(1<<k) != 0 {
 						g.binds[k], bound[o.Proxy] = o.Table, true
 					}
@@ -277,7 +277,7 @@
 			if c.levels[o.Table] == nil {
 				c.levels[o.Table] = map[control.RequestClass]control.SetAdmission{}
 			}
-			for k := range c.set.Up.Classes {
+			for k := range c.set.Start.Classes {
 				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
 					c.levels[o.Table][control.RequestClass(k)] = o
 				}
@@ -307,11 +307,11 @@
 			g.owed = g.owed || solved[t]
 		}
 		if c.relisted && g.checkAt == 0 {
-			g.checkAt = c.now + c.set.Up.Rules.DrainGracePeriod/4 // the module sees to it, nearly always
+			g.checkAt = c.now + c.set.Start.Rules.DrainGracePeriod/4 // the module sees to it, nearly always
 		}
 		reached = reached || g.owed && c.mayPublish(g) || c.checkDue(g)
 		// One that is put out for not acknowledging may well read: drains still go to it.
-		if (g.joined || g.linked && c.checkDue(g)) && g.bound() && (reached || g.ledger.Voided()) {
+		if (g.joined || g.linked && c.checkDue(g)) && g.bound() && (reached || g.ledger.Invalidated()) {
 			events = append(events, c.publish(g, mark)...)
 		}
 		c.watch(g)
@@ -338,9 +338,9 @@
 func (c *Core) snapshot(g *gateway) tables.Snapshot {
 	var s tables.Snapshot
 	if c.leveling != nil {
-		s.Level = c.leveling.machine.At(g.zone)
+		s.Level = c.leveling.machine.Level(g.zone)
 	}
-	for k, kind := range c.set.Up.Classes {
+	for k, kind := range c.set.Start.Classes {
 		table, k := g.binds[k], control.RequestClass(k)
 		key := madeKey{table, k, g.zone}
 		made, has := c.made[key]
@@ -355,8 +355,8 @@
 			s.Clusters = append(s.Clusters, made.cluster)
 		}
 		to := c.bounded(g, k, c.moduleRoute(g, k))
-		r := tables.Route{Kind: kind.Name, Rate: to.most(), Share: to.share, SecondTry: to.secondTry, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
-		if c.set.Up.Admission == control.AdmissionByRate {
+		r := tables.Route{Class: kind.Name, Rate: to.most(), Share: to.share, RetryPolicy: to.secondTry, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
+		if c.set.Start.Admission == control.AdmissionByRate {
 			r.Rate = g.cap(int(k), admit, r)
 		}
 		s.Routes = append(s.Routes, r)
@@ -390,8 +390,8 @@
 
 // build makes a cluster, with nothing open that the rules close.
 func (c *Core) build(name string, weights map[control.EndpointID]float64) tables.Cluster {
-	return tables.Build(name, weights, c.list.zone, func(b control.EndpointID) bool {
-		return c.withdrawn[b] || c.list.closed(b, c.set.Up.Rules.SoftRemoval)
+	return tables.BuildCluster(name, weights, c.list.zone, func(b control.EndpointID) bool {
+		return c.withdrawn[b] || c.list.closed(b, c.set.Start.Rules.SoftRemoval)
 	})
 }
 
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -14,7 +14,7 @@
 	name   Gateway
 	proxy  control.ProxyID
 	zone   control.Zone
-	conn   Conn
+	conn   ConnID
 	linked bool // a connection stands
 	joined bool // the module counts it as joined
 	binds  []control.TableID
@@ -22,7 +22,7 @@
 	seq      uint64 // of its last report
 	heardAt  micros // last word of any kind
 	joinedAt micros
-	ledger   *tables.Ledger // what it holds, and what it may be sent
+	ledger   *tables.InFlight // what it holds, and what it may be sent
 
 	usage []float64       // by kind: reqs a second that came to it, half way to the new value with each report
 	caps  map[int]float64 // rates that were told lately: by kind what the solver's admission came to, then what a level's did
@@ -43,7 +43,7 @@
 
 // join takes a gateway in. One that connects twice under one name is one gateway: the later connection stands and
 // the earlier is closed, since the later one knows best that the earlier is dead.
-func (c *Core) join(in Join) []control.Event {
+func (c *Core) join(in GatewayConnected) []control.Event {
 	var events []control.Event
 	g := c.gateways[in.Gateway]
 	defer func() {
@@ -54,35 +54,35 @@
 	if g == nil {
 		if len(c.gateways) >= mostGateways {
 			c.complain("too_many_gateways", in.Gateway, "there are %d already", len(c.gateways))
-			c.out(Drop{in.Conn, "too many gateways"})
+			c.out(CloseConnection{in.Conn, "too many gateways"})
 			return nil
 		}
-		g = &gateway{name: in.Gateway, proxy: control.ProxyID(len(c.gateways)), ledger: tables.NewLedger(c.set.Epoch, c.budget())}
+		g = &gateway{name: in.Gateway, proxy: control.ProxyID(len(c.gateways)), ledger: tables.NewInFlight(c.set.Epoch, c.budget())}
 		c.gateways[in.Gateway], c.byProxy[g.proxy] = g, g
 	}
-	if !slices.Contains(c.set.Up.Zones, in.Zone) {
-		c.complain("bad_zone", in.Gateway, "zone %q is not one of %v", in.Zone, c.set.Up.Zones)
-		c.out(Drop{in.Conn, "unknown zone"})
+	if !slices.Contains(c.set.Start.Zones, in.Zone) {
+		c.complain("bad_zone", in.Gateway, "zone %q is not one of %v", in.Zone, c.set.Start.Zones)
+		c.out(CloseConnection{in.Conn, "unknown zone"})
 		return nil
 	}
 	if g.linked && g.conn != in.Conn {
 		c.complain("name_taken_over", in.Gateway, "a second connection under this name: the first one is closed")
-		c.out(Drop{g.conn, "another connection under this name"})
+		c.out(CloseConnection{g.conn, "another connection under this name"})
 		events = append(events, c.part(g)...)
 	}
-	g.conn, g.linked, g.zone, g.heardAt, g.fresh, g.weight = in.Conn, true, in.Zone, c.now, in.Standing, in.Weight
+	g.conn, g.linked, g.zone, g.heardAt, g.fresh, g.weight = in.Conn, true, in.Zone, c.now, in.HasDefaultTableOnly, in.Weight
 	g.seq = 0
 	if events = append(events, c.letIn(g)...); !g.joined && g.bound() {
 		// It has to wait for being let in, and what has drained while it was away still stands in its files.
-		g.ledger.Void()
-		events = append(events, c.publish(g, tables.NoMark)...)
+		g.ledger.Invalidate()
+		events = append(events, c.publish(g, tables.NoAckID)...)
 	}
 	return events
 }
 
 // budget is what the rules allow of messages to one gateway; a file is written a little later than it was published.
 func (c *Core) budget() tables.Budget {
-	return tables.Budget{Most: c.set.Up.Rules.MessageLimit, Span: c.set.Up.Rules.MessageWindow + spanSlack}
+	return tables.Budget{MaxMessages: c.set.Start.Rules.MessageLimit, Window: c.set.Start.Rules.MessageWindow + spanSlack}
 }
 
 // mostGateways bounds what names alone can cost.
@@ -94,8 +94,8 @@
 		return nil
 	}
 	g.joined, g.joinedAt = true, c.now
-	g.binds = slices.Repeat([]control.TableID{unbound}, len(c.set.Up.Classes))
-	g.ledger.Join()
+	g.binds = slices.Repeat([]control.TableID{unbound}, len(c.set.Start.Classes))
+	g.ledger.Connect()
 	c.recalled(g)
 	g.checkAt = 0
 	defer c.watch(g)
@@ -106,8 +106,8 @@
 func (c *Core) part(g *gateway) []control.Event {
 	was := g.joined
 	g.linked, g.joined = false, false
-	c.intake.Left(string(g.name))
-	g.ledger.Part()
+	c.intake.GatewayDisconnected(string(g.name))
+	g.ledger.Disconnect()
 	c.weigh(g)
 	if was {
 		return []control.Event{control.ProxyDisconnected{Proxy: g.proxy}}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (c *Core) leave(in Leave) []control.Event {
+func (c *Core) leave(in GatewayDisconnected) []control.Event {
 	g := c.gateways[in.Gateway]
 	if g == nil || g.conn != in.Conn || !g.linked {
 		return nil // a connection that another one had replaced
@@ -124,7 +124,7 @@
 }
 
 // speaker is the gateway that a message comes from, if its connection is the one that stands.
-func (c *Core) speaker(name Gateway, conn Conn) *gateway {
+func (c *Core) speaker(name Gateway, conn ConnID) *gateway {
 	g := c.gateways[name]
 	if g == nil || !g.linked || g.conn != conn {
 		return nil
@@ -145,28 +145,28 @@
 	var events []control.Event
 	for p := range control.ProxyID(len(c.gateways)) {
 		g := c.byProxy[p]
-		waiting := g.ledger.Waiting()
+		waiting := g.ledger.Unacknowledged()
 		laterAt, later := g.ledger.DueAt()
 		switch {
 		case !g.linked:
-		case c.now-g.heardAt > c.set.SilentAfter:
+		case c.now-g.heardAt > c.set.SilenceTimeout:
 			c.complain("silent", g.name, "no word for %.1f s: it counts as away", float64(c.now-g.heardAt)/float64(second))
-			c.out(Drop{g.conn, "silent"})
+			c.out(CloseConnection{g.conn, "silent"})
 			events = append(events, c.part(g)...)
-		case g.joined && len(waiting) > 0 && c.now-waiting[0].At > c.ackWithin():
+		case g.joined && len(waiting) > 0 && c.now-waiting[0].SentAt > c.ackWithin():
 			g.expelled++
 			g.letInAt = c.now + min(second<<min(g.expelled, 6), 60*second)
 			c.complain("no_acknowledgement", g.name, "version %s not acknowledged for %.1f s: it counts as away for %.0f s",
-				waiting[0].Version, float64(c.now-waiting[0].At)/float64(second), float64(g.letInAt-c.now)/float64(second))
+				waiting[0].Version, float64(c.now-waiting[0].SentAt)/float64(second), float64(g.letInAt-c.now)/float64(second))
 			was := g.linked
 			events = append(events, c.part(g)...)
 			g.linked = was
 		case !g.joined:
 			if events = append(events, c.letIn(g)...); !g.joined && g.bound() && c.checkDue(g) {
-				events = append(events, c.publish(g, tables.NoMark)...)
+				events = append(events, c.publish(g, tables.NoAckID)...)
 			}
 		case g.bound() && (g.ledger.Retry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
-			events = append(events, c.publish(g, tables.NoMark)...)
+			events = append(events, c.publish(g, tables.NoAckID)...)
 		}
 	}
 	c.watchAt = c.now + watchMost
@@ -191,8 +191,8 @@
 	if !g.linked {
 		return never
 	}
-	at := g.heardAt + c.set.SilentAfter + 1
-	waiting := g.ledger.Waiting()
+	at := g.heardAt + c.set.SilenceTimeout + 1
+	waiting := g.ledger.Unacknowledged()
 	switch {
 	case !g.joined:
 		if at = min(at, g.letInAt); g.bound() && g.checkAt > 0 {
@@ -200,7 +200,7 @@
 		}
 		return at
 	case len(waiting) > 0:
-		at = min(at, waiting[0].At+c.ackWithin()+1)
+		at = min(at, waiting[0].SentAt+c.ackWithin()+1)
 	}
 	if g.bound() {
 		if g.checkAt > 0 {
@@ -220,7 +220,7 @@
 func (c *Core) watch(g *gateway) {
 	c.weigh(g)
 	c.watchAt = min(c.watchAt, c.attention(g))
-	if g.owed || g.checkAt > 0 || g.ledger.Voided() {
+	if g.owed || g.checkAt > 0 || g.ledger.Invalidated() {
 		c.restless[g.proxy] = true
 	} else {
 		delete(c.restless, g.proxy)
@@ -230,8 +230,8 @@
 // weigh keeps the sum of lines on their way.
 func (c *Core) weigh(g *gateway) {
 	lines := 0.0
-	for _, m := range g.ledger.Waiting() {
-		lines += float64(m.Lines) + c.set.Up.Channel.MessageOverhead
+	for _, m := range g.ledger.Unacknowledged() {
+		lines += float64(m.Lines) + c.set.Start.Channel.MessageOverhead
 	}
 	c.onWay += lines - g.onWay
 	g.onWay = lines
@@ -240,11 +240,11 @@
 // room is how many lines a message may have now: a coordinator counts what it has sent and sends no more than has been
 // acknowledged. One that alone is more than all the room goes when nothing else is on its way.
 func (c *Core) room() int {
-	most := c.set.Up.Rules.QueueLimit
+	most := c.set.Start.Rules.QueueLimit
 	if most <= 0 || c.onWay < 1 {
 		return math.MaxInt
 	}
-	return int(fullPart*most - c.onWay - c.set.Up.Channel.MessageOverhead)
+	return int(fullPart*most - c.onWay - c.set.Start.Channel.MessageOverhead)
 }
 
 // fullPart of the lines that may wait is used; what closes a line goes beyond it.
@@ -252,7 +252,9 @@
 
 // ackWithin is how long an acknowledgement may take: ten times the longest way there and back, and no less than the
 // time after which a gateway counts as silent.
-func (c *Core) ackWithin() micros { return max(10*c.set.Up.Channel.MaxLatency, c.set.SilentAfter) }
+func (c *Core) ackWithin() micros {
+	return max(10*c.set.Start.Channel.MaxLatency, c.set.SilenceTimeout)
+}
 
 // checkDue tells whether it is time to hold a gateway's tables against the list. The module takes drained lines out by
 // itself; what it has not reached by then, an old table or a gateway that is put out, is masked here.
@@ -267,17 +269,17 @@
 	s := c.snapshot(g)
 	g.checkAt = 0
 	verdict, m := g.ledger.Offer(c.now, s, mark, c.room(), func() bool {
-		return tables.Closes(g.ledger.Sent(), s, func(b control.EndpointID) bool {
-			return c.withdrawn[b] || c.list.closed(b, c.set.Up.Rules.SoftRemoval)
+		return tables.ClosesEndpoint(g.ledger.Sent(), s, func(b control.EndpointID) bool {
+			return c.withdrawn[b] || c.list.closed(b, c.set.Start.Rules.SoftRemoval)
 		})
 	})
-	if verdict != tables.Later {
+	if verdict != tables.OfferDeferred {
 		g.owed = false
 	}
 	switch verdict {
-	case tables.Applied:
-		return []control.Event{control.Acknowledged{Proxy: g.proxy, AckID: m.Mark}}
-	case tables.Send:
+	case tables.OfferAcknowledged:
+		return []control.Event{control.Acknowledged{Proxy: g.proxy, AckID: m.AckID}}
+	case tables.OfferSend:
 		c.out(Publish{Gateway: g.name, Version: m.Version, Nonce: m.Version, Snapshot: s, Changed: m.Changed, Sync: c.synced()})
 	}
 	return nil
@@ -286,29 +288,29 @@
 // ack takes an acknowledgement in. Only what this process has published to this gateway and is still on its way
 // counts; anything else (an earlier start's version at joining, a repeat, an invention) is passed over, and noted
 // where it is no version a gateway could hold.
-func (c *Core) ack(in Ack) []control.Event {
+func (c *Core) ack(in DocumentAck) []control.Event {
 	g := c.speaker(in.Gateway, in.Conn)
-	if g == nil || in.Doc < 0 || in.Doc >= docs {
+	if g == nil || in.Document < 0 || in.Document >= documentCount {
 		return nil
 	}
 	defer c.watch(g)
 	if in.Error != "" {
 		return c.refused(g, in)
 	}
-	done, known := g.ledger.Ack(c.now, int(in.Doc), in.Version)
+	done, known := g.ledger.Ack(c.now, int(in.Document), in.Version)
 	if !known && strings.HasPrefix(in.Version, c.set.Epoch+".") {
-		c.complain("unknown_version", g.name, "acknowledged %s %s, which is not on its way to it", in.Doc, in.Version)
+		c.complain("unknown_version", g.name, "acknowledged %s %s, which is not on its way to it", in.Document, in.Version)
 	}
 	var events []control.Event
 	for _, m := range done {
 		g.expelled = 0
-		c.lag += (c.now - m.At - c.lag) / 8
-		if m.Mark >= 0 {
-			events = append(events, control.Acknowledged{Proxy: g.proxy, AckID: m.Mark, Delay: c.now - m.At})
+		c.lag += (c.now - m.SentAt - c.lag) / 8
+		if m.AckID >= 0 {
+			events = append(events, control.Acknowledged{Proxy: g.proxy, AckID: m.AckID, Delay: c.now - m.SentAt})
 		}
 	}
 	if known && g.joined {
-		if want, right := g.ledger.Check(c.now, in.Checksum, in.Held); !right {
+		if want, right := g.ledger.VerifyChecksum(c.now, in.Checksum, in.ChecksumVersions); !right {
 			c.complain("wrong_checksum", g.name, "it holds %x, not %x: the whole is sent again", in.Checksum, want)
 		}
 	}
@@ -321,13 +323,13 @@
 // a tenth of the grace, or half of the gateways wait for longer than that, documents are moved into place unsynced; once
 // they take less than a fortieth, synced again.
 func (c *Core) synced() bool {
-	if !c.set.Sync {
+	if !c.set.SyncDocuments {
 		return false
 	}
-	grace, waiting, joined := c.set.Up.Rules.DrainGracePeriod, 0, 0
+	grace, waiting, joined := c.set.Start.Rules.DrainGracePeriod, 0, 0
 	for _, g := range c.gateways {
 		if g.joined {
-			if joined++; len(g.ledger.Waiting()) > 0 && c.now-g.ledger.Waiting()[0].At > grace/10 {
+			if joined++; len(g.ledger.Unacknowledged()) > 0 && c.now-g.ledger.Unacknowledged()[0].SentAt > grace/10 {
 				waiting++
 			}
 		}
@@ -336,18 +338,18 @@
 	switch {
 	case !c.unsynced && late:
 		c.unsynced = true
-		c.note(Warn, "slow_disk", "confirmations take %d ms, %d of %d gateways wait: files are not synced", c.lag/1000, waiting, joined)
+		c.note(LogWarn, "slow_disk", "confirmations take %d ms, %d of %d gateways wait: files are not synced", c.lag/1000, waiting, joined)
 	case c.unsynced && !late && c.lag < grace/40:
 		c.unsynced = false
-		c.note(Info, "slow_disk", "confirmations take %d ms: files are synced again", c.lag/1000)
+		c.note(LogInfo, "slow_disk", "confirmations take %d ms: files are synced again", c.lag/1000)
 	}
 	return !c.unsynced
 }
 
 // refused notes a refusal; the ledger has the whole sent again.
-func (c *Core) refused(g *gateway, in Ack) []control.Event {
-	if again, known := g.ledger.Refuse(c.now, in.Nonce); known {
-		c.complain("refused", g.name, "%s %s: %.200s: sent again in %.0f s", in.Doc, in.Nonce, in.Error, float64(again)/float64(second))
+func (c *Core) refused(g *gateway, in DocumentAck) []control.Event {
+	if again, known := g.ledger.Reject(c.now, in.Nonce); known {
+		c.complain("refused", g.name, "%s %s: %.200s: sent again in %.0f s", in.Document, in.Nonce, in.Error, float64(again)/float64(second))
 	}
 	return nil
 }
--- a/coordinator/list.go
+++ b/coordinator/list.go
@@ -40,12 +40,12 @@
 
 // listed takes a list in. A list that names nobody after one that did is a broken source far likelier than an empty
 // fleet: it is refused, unless the settings allow it, and what was known stays.
-func (c *Core) listed(in List) []control.Event {
+func (c *Core) listed(in EndpointUpdate) []control.Event {
 	if in.Kind == control.Failed {
-		c.complain("list_failed", "", "%s", in.Why)
+		c.complain("list_failed", "", "%s", in.Error)
 		return []control.Event{in.EndpointUpdate}
 	}
-	if was := c.list.ready(); in.Kind != control.Delta && len(in.Endpoints) == 0 && was > 0 && !c.set.AllowEmpty {
+	if was := c.list.ready(); in.Kind != control.Delta && len(in.Endpoints) == 0 && was > 0 && !c.set.AllowEmptyList {
 		c.complain("list_empty", "", "it names nobody, the last one %d: not believed", was)
 		return []control.Event{control.EndpointUpdate{Version: in.Version, Kind: control.Failed}}
 	}
@@ -55,7 +55,7 @@
 	seen := map[control.EndpointID]bool{}
 	var entries []control.Endpoint
 	for _, e := range in.Endpoints {
-		if seen[e.ID] || !slices.Contains(c.set.Up.Zones, e.Zone) {
+		if seen[e.ID] || !slices.Contains(c.set.Start.Zones, e.Zone) {
 			continue
 		}
 		seen[e.ID] = true
@@ -66,7 +66,7 @@
 			if old := c.list.entries[b]; !seen[b] && old.Status != control.Removed {
 				old.Status = control.Removed
 				c.list.entries[b] = old
-				c.intake.ForgetNode(b)
+				c.intake.ForgetEndpoint(b)
 			}
 		}
 	}
@@ -77,11 +77,11 @@
 	}
 	if in.Kind != control.Cached {
 		c.list.has = true
-		c.out(Save{control.EndpointUpdate{Version: in.Version, Kind: control.Cached, Endpoints: c.present()}})
+		c.out(SaveList{control.EndpointUpdate{Version: in.Version, Kind: control.Cached, Endpoints: c.present()}})
 	}
 	clear(c.made)
 	if c.relisted = c.relisted || changed; changed {
-		c.note(Debug, "list", "version %d: %d entries, %d ready", in.Version, len(entries), c.list.ready())
+		c.note(LogDebug, "list", "version %d: %d entries, %d ready", in.Version, len(entries), c.list.ready())
 	}
 	in.Endpoints = entries
 	return []control.Event{in.EndpointUpdate}
@@ -113,7 +113,7 @@
 	case !c.list.has:
 		// The first fresh list of a start: what was not listed before the restart has started since.
 		if e.StartedAt = old.StartedAt; !known {
-			e.StartedAt, _ = c.belief.Started(e.ID, c.now)
+			e.StartedAt, _ = c.belief.StartTime(e.ID, c.now)
 		}
 	case !known || old.Status == control.Removed:
 		e.StartedAt = c.now
--- a/coordinator/members.go
+++ b/coordinator/members.go
@@ -13,30 +13,30 @@
 const FileSource = "file"
 
 // file hands a list of the file to membership.
-func (c *Core) file(in List) []control.Event {
-	a := membership.Answer{Source: FileSource}
+func (c *Core) file(in EndpointUpdate) []control.Event {
+	a := membership.SourceUpdate{Source: FileSource}
 	seen := map[control.EndpointID]bool{}
 	for _, e := range in.Endpoints {
 		if seen[e.ID] {
 			c.complain("list_twice", "", "%s stands twice: the first one counts", e.ID)
 			continue
 		}
-		if !slices.Contains(c.set.Up.Zones, e.Zone) {
-			c.complain("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.set.Up.Zones)
+		if !slices.Contains(c.set.Start.Zones, e.Zone) {
+			c.complain("list_zone", "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.set.Start.Zones)
 			continue
 		}
 		seen[e.ID] = true
-		claim := membership.Claim{Node: e.ID, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, Machine: e.MachineType, Launched: e.StartedAt}
+		claim := membership.Observation{Endpoint: e.ID, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, MachineType: e.MachineType, StartedAt: e.StartedAt}
 		switch e.Status {
 		case control.Draining:
 			claim.Status = membership.OutOfService
 		case control.Removed:
 			continue
 		}
-		a.Claims = append(a.Claims, claim)
+		a.Observations = append(a.Observations, claim)
 	}
 	c.list.fileVersion = in.Version
-	c.members.Take(c.now, a)
+	c.members.Apply(c.now, a)
 	return c.settle(true)
 }
 
@@ -52,12 +52,12 @@
 	c.settled = c.now
 	entries, changed, notes := c.members.Step(c.now)
 	for _, line := range notes {
-		c.out(Note{Level: Info, Event: "membership", Text: line})
+		c.out(LogEntry{Level: LogInfo, Event: "membership", Text: line})
 	}
-	if !changed && !answered || !c.members.Answered() {
+	if !changed && !answered || !c.members.Initialized() {
 		return nil
 	}
-	return c.listed(List{EndpointUpdate: control.EndpointUpdate{Version: max(c.list.fileVersion, c.members.Version()), Kind: control.Snapshot, Endpoints: entries}, decided: true})
+	return c.listed(EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: max(c.list.fileVersion, c.members.Version()), Kind: control.Snapshot, Endpoints: entries}, decided: true})
 }
 
 // DrainNode takes a node out at an operator's word, until UndrainNode takes it back; it survives restarts.
@@ -65,7 +65,7 @@
 	if err := c.members.Drain(c.now, b, reason); err != nil {
 		return err
 	}
-	c.later = append(c.later, Note{Level: Warn, Event: "drained", Backend: b, Text: "an operator drains it: " + reason})
+	c.later = append(c.later, LogEntry{Level: LogWarn, Event: "drained", Endpoint: b, Text: "an operator drains it: " + reason})
 	c.settled = 0
 	return nil
 }
@@ -75,10 +75,10 @@
 	if err := c.members.Undrain(c.now, b); err != nil {
 		return err
 	}
-	c.later = append(c.later, Note{Level: Warn, Event: "undrained", Backend: b, Text: "an operator lets it in again: " + reason})
+	c.later = append(c.later, LogEntry{Level: LogWarn, Event: "undrained", Endpoint: b, Text: "an operator lets it in again: " + reason})
 	c.settled = 0
 	return nil
 }
 
 // Members tells what was decided of every node and why.
-func (c *Core) Members() []membership.Verdict { return c.members.Verdicts() }
+func (c *Core) Members() []membership.Decision { return c.members.Decisions() }
--- a/coordinator/mode.go
+++ b/coordinator/mode.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// Field is one figure or name of a record.
-type Field struct {
+// LogField is one figure or name of a record.
+type LogField struct {
 	Key   string `cbor:"Key" json:"Key"`
 	Value any    `cbor:"Value" json:"Value"` // string, float64 or bool
 }
@@ -24,8 +24,8 @@
 }
 
 // mode reads a line of the module into a record. A line of another form is a record with its text alone.
-func mode(text string) Note {
-	n := Note{Level: Info, Event: "mode", Text: text}
+func mode(text string) LogEntry {
+	n := LogEntry{Level: LogInfo, Event: "mode", Text: text}
 	for _, m := range modes {
 		parts := m.form.FindStringSubmatch(text)
 		if parts == nil {
@@ -39,7 +39,7 @@
 			} else if b, err := strconv.ParseBool(parts[i+1]); err == nil {
 				v = b
 			}
-			n.Fields = append(n.Fields, Field{key, v})
+			n.Fields = append(n.Fields, LogField{key, v})
 		}
 	}
 	return n
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -11,70 +11,70 @@
 
 // Overview is how a coordinator stands, without any table: small enough to be asked for each second.
 type Overview struct {
-	Now      control.Microseconds `json:"now_us"`
-	Began    control.Microseconds `json:"began_us"`
-	Build    string               `json:"build"`
-	Kinds    []string             `json:"kinds"`
-	Nodes    []NodeOverview       `json:"nodes"`
-	Gateways []GatewayOverview    `json:"gateways"`
-	Traffic  []Traffic            `json:"traffic"`
-	Levels   Levels               `json:"levels"`
-	Solver   *SolverStatus        `json:"solver,omitempty"`
-	Intake   intake.Stats         `json:"intake"`
-	OnWay    float64              `json:"lines_on_way"`
-	Limit    float64              `json:"lines_limit"`
-	Pins     int                  `json:"pins"`
+	Now           control.Microseconds `json:"now_us"`
+	StartedAt     control.Microseconds `json:"began_us"`
+	Build         string               `json:"build"`
+	Classes       []string             `json:"kinds"`
+	Endpoints     []EndpointOverview   `json:"nodes"`
+	Gateways      []GatewayOverview    `json:"gateways"`
+	Traffic       []Traffic            `json:"traffic"`
+	Levels        DegradationStatus    `json:"levels"`
+	Solver        *SolverStatus        `json:"solver,omitempty"`
+	Sampling      intake.Stats         `json:"intake"`
+	LinesInFlight float64              `json:"lines_on_way"`
+	LineLimit     float64              `json:"lines_limit"`
+	Pins          int                  `json:"pins"`
 }
 
-// NodeOverview is one node. Rates are a second, times the core's.
-type NodeOverview struct {
-	Node     control.EndpointID   `json:"node"`
-	Zone     control.Zone         `json:"zone"`
-	State    string               `json:"state"` // membership's
-	Why      string               `json:"why"`
-	Since    control.Microseconds `json:"since_us"`
-	Warmth   float64              `json:"warmth"`
-	Capacity float64              `json:"capacity"` // reqs; 0: not known
-	Tries    float64              `json:"tries"`
-	Errored  float64              `json:"errored"`
-	Util     float64              `json:"util"`
-	Queue    float64              `json:"queue"`
-	Error    float64              `json:"tries_error"`
-	Heard    control.Microseconds `json:"heard_us"` // when; 0: never
-	Senders  int                  `json:"senders"`  // gateways with an open line to it
-	Fails    []string             `json:"fails,omitempty"`
-	Withheld bool                 `json:"withheld"` // by the module
+// EndpointOverview is one node. Rates are a second, times the core's.
+type EndpointOverview struct {
+	Endpoint       control.EndpointID   `json:"node"`
+	Zone           control.Zone         `json:"zone"`
+	State          string               `json:"state"` // membership's
+	Reason         string               `json:"why"`
+	Since          control.Microseconds `json:"since_us"`
+	WarmUpProgress float64              `json:"warmth"`
+	Capacity       float64              `json:"capacity"` // reqs; 0: not known
+	Attempts       float64              `json:"tries"`
+	Failures       float64              `json:"errored"`
+	Utilization    float64              `json:"util"`
+	Queue          float64              `json:"queue"`
+	AttemptsError  float64              `json:"tries_error"`
+	LastReport     control.Microseconds `json:"heard_us"` // when; 0: never
+	Senders        int                  `json:"senders"`  // gateways with an open line to it
+	FailingClasses []string             `json:"fails,omitempty"`
+	Withheld       bool                 `json:"withheld"` // by the module
 }
 
 // GatewayOverview is one gateway.
 type GatewayOverview struct {
-	Gateway Gateway              `json:"gateway"`
-	Zone    control.Zone         `json:"zone"`
-	Joined  bool                 `json:"joined"`
-	Heard   control.Microseconds `json:"heard_us"`
-	Version string               `json:"version"` // confirmed, of endpoints
-	Waiting int                  `json:"waiting"`
-	Oldest  control.Microseconds `json:"oldest_us"` // age of the first message on its way
-	Usage   float64              `json:"usage"`     // reqs a second
-	Lines   int                  `json:"lines"`     // open, of all kinds
-	Level   string               `json:"level"`
+	Gateway              Gateway              `json:"gateway"`
+	Zone                 control.Zone         `json:"zone"`
+	Connected            bool                 `json:"joined"`
+	LastReport           control.Microseconds `json:"heard_us"`
+	Version              string               `json:"version"` // confirmed, of endpoints
+	Unacknowledged       int                  `json:"waiting"`
+	OldestUnacknowledged control.Microseconds `json:"oldest_us"` // age of the first message on its way
+	Demand               float64              `json:"usage"`     // reqs a second
+	OpenEndpoints        int                  `json:"lines"`     // open, of all kinds
+	Level                string               `json:"level"`
 }
 
 // Traffic is what comes to the gateways of a zone of a kind, and what is let in.
 type Traffic struct {
-	Zone  control.Zone `json:"zone"`
-	Kind  string       `json:"kind"`
-	Asked float64      `json:"asked"`
-	Let   float64      `json:"let"`
-	Nodes int          `json:"nodes"` // that gateways of the zone may send to
+	Zone      control.Zone `json:"zone"`
+	Class     string       `json:"kind"`
+	Demand    float64      `json:"asked"`
+	Admitted  float64      `json:"let"`
+	Endpoints int          `json:"nodes"` // that gateways of the zone may send to
 }
 
 // Overview tells it; it changes nothing. It looks at every line of every gateway's table once.
 func (c *Core) Overview() Overview {
-	o := Overview{Now: c.now, Began: c.began, Build: c.set.Build, Kinds: c.kindNames(), Levels: c.Levels(), Solver: c.solverStatus(), Intake: c.intake.Stats(),
-		OnWay: c.onWay, Limit: c.set.Up.Rules.QueueLimit, Pins: len(c.book.Pins())}
+	o := Overview{Now: c.now, StartedAt: c.began, Build: c.set.Build, Classes: c.kindNames(), Levels: c.Degradation(), Solver: c.solverStatus(), Sampling: c.intake.Stats(),
+		LinesInFlight: c.onWay, LineLimit: c.set.Start.Rules.QueueLimit, Pins: len(c.book.Pins())}
 	if o.Solver != nil {
-		o.Solver.Nodes = nil
+		o.Solver.Explanations = nil
 	}
 	senders := map[control.EndpointID]int{}
 	type reach struct {
@@ -85,13 +85,13 @@
 	deals := c.deals()
 	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
 		g := c.gateways[name]
-		one := GatewayOverview{Gateway: name, Zone: g.zone, Joined: g.joined, Heard: g.heardAt, Version: g.ledger.Confirmed(int(Endpoints)).Version,
-			Waiting: len(g.ledger.Waiting()), Level: o.Levels.Levels[min(g.ledger.Level(), len(o.Levels.Levels)-1)]}
-		if one.Waiting > 0 {
-			one.Oldest = c.now - g.ledger.Waiting()[0].At
+		one := GatewayOverview{Gateway: name, Zone: g.zone, Connected: g.joined, LastReport: g.heardAt, Version: g.ledger.Confirmed(int(EndpointsDocument)).Version,
+			Unacknowledged: len(g.ledger.Unacknowledged()), Level: o.Levels.Levels[min(g.ledger.Level(), len(o.Levels.Levels)-1)]}
+		if one.Unacknowledged > 0 {
+			one.OldestUnacknowledged = c.now - g.ledger.Unacknowledged()[0].SentAt
 		}
 		for _, u := range g.usage {
-			one.Usage += u
+			one.Demand += u
 		}
 		mine := map[control.EndpointID]bool{}
 		for k, cl := range g.ledger.Sent().Clusters {
@@ -99,10 +99,10 @@
 			if open[at] == nil {
 				open[at] = map[control.EndpointID]bool{}
 			}
-			for _, l := range cl.Lines {
+			for _, l := range cl.Endpoints {
 				if !l.Withheld && l.Weight > 0 {
-					one.Lines++
-					mine[l.Backend], open[at][l.Backend] = true, true
+					one.OpenEndpoints++
+					mine[l.Endpoint], open[at][l.Endpoint] = true, true
 				}
 			}
 		}
@@ -111,58 +111,58 @@
 		}
 		o.Gateways = append(o.Gateways, one)
 	}
-	for _, z := range c.set.Up.Zones {
-		for k, kind := range o.Kinds {
+	for _, z := range c.set.Start.Zones {
+		for k, kind := range o.Classes {
 			o.Traffic = append(o.Traffic, Traffic{z, kind, deals[z][k].asked, deals[z][k].let, len(open[reach{z, k}])})
 		}
 	}
 	capacity := c.capacities()
-	for _, v := range c.members.Verdicts() {
-		e, known := c.list.entries[v.Node]
-		n := NodeOverview{Node: v.Node, Zone: v.Entry.Zone, State: v.Is, Why: v.Why, Since: v.Since, Senders: senders[v.Node], Capacity: capacity[v.Node],
-			Withheld: c.withdrawn[v.Node]}
+	for _, v := range c.members.Decisions() {
+		e, known := c.list.entries[v.Endpoint]
+		n := EndpointOverview{Endpoint: v.Endpoint, Zone: v.Listed.Zone, State: v.StateName, Reason: v.Reason, Since: v.Since, Senders: senders[v.Endpoint], Capacity: capacity[v.Endpoint],
+			Withheld: c.withdrawn[v.Endpoint]}
 		if known {
-			n.Warmth = c.warmth(e)
+			n.WarmUpProgress = c.warmth(e)
 		}
-		if f, heard := c.intake.View(c.now, v.Node); heard {
-			n.Tries, n.Errored, n.Util, n.Queue, n.Error, n.Heard = f.Tries, f.Errored, f.Util, f.Queue, f.TriesError, f.At
+		if f, heard := c.intake.Estimate(c.now, v.Endpoint); heard {
+			n.Attempts, n.Failures, n.Utilization, n.Queue, n.AttemptsError, n.LastReport = f.Attempts, f.Failures, f.Utilization, f.Queue, f.AttemptsError, f.At
 		}
-		for k, kind := range o.Kinds {
-			if c.solving != nil && c.solving.judge.Verdict(v.Node, k) != solver.Serves {
-				n.Fails = append(n.Fails, kind)
+		for k, kind := range o.Classes {
+			if c.solving != nil && c.solving.judge.Status(v.Endpoint, k) != solver.ClassHealthy {
+				n.FailingClasses = append(n.FailingClasses, kind)
 			}
 		}
-		o.Nodes = append(o.Nodes, n)
+		o.Endpoints = append(o.Endpoints, n)
 	}
 	return o
 }
 
-// Moment is an overview with the log's last records.
-type Moment struct {
+// LoggedOverview is an overview with the log's last records.
+type LoggedOverview struct {
 	Overview
-	Log []Record `json:"log"`
+	Log []LogRecord `json:"log"`
 }
 
-// Record is one record of the log.
-type Record struct {
-	At    control.Microseconds `json:"at_us"`
-	Level string               `json:"level"`
-	Event string               `json:"event"`
-	Text  string               `json:"text"`
-	Of    string               `json:"of,omitempty"` // gateway or node
+// LogRecord is one record of the log.
+type LogRecord struct {
+	At      control.Microseconds `json:"at_us"`
+	Level   string               `json:"level"`
+	Event   string               `json:"event"`
+	Text    string               `json:"text"`
+	Subject string               `json:"of,omitempty"` // gateway or node
 }
 
 // tailMost records of the log are kept for overviews.
 const tailMost = 200
 
-// Tail adds a note to the log's last records. What was handed out before stays as it was.
-func Tail(tail []Record, now control.Microseconds, n Note) []Record {
-	r := Record{At: now, Level: "info", Event: n.Event, Text: n.Text, Of: string(n.Gateway)}
-	if n.Level == Warn {
+// AppendLog adds a note to the log's last records. What was handed out before stays as it was.
+func AppendLog(tail []LogRecord, now control.Microseconds, n LogEntry) []LogRecord {
+	r := LogRecord{At: now, Level: "info", Event: n.Event, Text: n.Text, Subject: string(n.Gateway)}
+	if n.Level == LogWarn {
 		r.Level = "warn"
 	}
-	if n.Backend != "" {
-		r.Of = string(n.Backend)
+	if n.Endpoint != "" {
+		r.Subject = string(n.Endpoint)
 	}
 	if len(tail) >= tailMost {
 		tail = slices.Clone(tail[len(tail)-tailMost+1:])
--- a/coordinator/solving.go
+++ b/coordinator/solving.go
@@ -14,17 +14,17 @@
 // solving joins the solver to the core. The module's tables pass untouched while they keep every limit; package solver
 // decides when they don't and what acts instead. Here is only what it is told and what becomes of its answer.
 type solving struct {
-	judge    *solver.Judge
-	estimate *solver.Estimate
-	keeper   *solver.Keeper
+	judge    *solver.ClassHealth
+	estimate *solver.CapacityEstimator
+	keeper   *solver.Activation
 	heard    map[kindKey]*control.EndpointClassLoad // since the last round
 	busy     map[control.EndpointID]float64         // the nodes' own word, the last of this round
 	since    micros
-	acts     map[solver.Key]solver.Table
+	acts     map[solver.TableKey]solver.Table
 	round    solver.Round
 	due      bool // a round of reports has ended and the module has not been asked since
 	starts   map[control.EndpointID]micros
-	excess   solver.Excess
+	excess   solver.OvershootEstimator
 }
 
 type kindKey struct {
@@ -34,25 +34,25 @@
 }
 
 func newSolving(kinds int) *solving {
-	return &solving{judge: solver.NewJudge(kinds), estimate: solver.NewEstimate(kinds), keeper: solver.NewKeeper(),
+	return &solving{judge: solver.NewClassHealth(kinds), estimate: solver.NewCapacityEstimator(kinds), keeper: solver.NewActivation(),
 		heard: map[kindKey]*control.EndpointClassLoad{}, busy: map[control.EndpointID]float64{}, starts: map[control.EndpointID]micros{}}
 }
 
 // hear takes in what a report said of one node and kind.
 func (s *solving) hear(zone control.Zone, kind control.RequestClass, e EndpointReport, interval micros) {
-	key := kindKey{zone, e.Backend, kind}
+	key := kindKey{zone, e.Endpoint, kind}
 	h := s.heard[key]
 	if h == nil {
-		h = &control.EndpointClassLoad{Zone: zone, Endpoint: e.Backend, Class: kind}
+		h = &control.EndpointClassLoad{Zone: zone, Endpoint: e.Endpoint, Class: kind}
 		s.heard[key] = h
 	}
-	if done := e.Tries - e.Errored; done > 0 {
+	if done := e.Attempts - e.Failures; done > 0 {
 		before := h.Attempts - h.Failures
-		h.MeanLatency = (h.MeanLatency*micros(before) + e.Answer*micros(done)) / micros(before+done)
+		h.MeanLatency = (h.MeanLatency*micros(before) + e.MeanLatency*micros(done)) / micros(before+done)
 	}
-	h.Attempts, h.Failures, h.Period = h.Attempts+e.Tries, h.Failures+e.Errored, max(h.Period, interval)
-	if busy, told := e.Loads["busy"]; told {
-		s.busy[e.Backend] = busy
+	h.Attempts, h.Failures, h.Period = h.Attempts+e.Attempts, h.Failures+e.Failures, max(h.Period, interval)
+	if busy, told := e.Metrics["busy"]; told {
+		s.busy[e.Endpoint] = busy
 	}
 }
 
@@ -84,7 +84,7 @@
 		}
 	}
 	for _, line := range s.judge.Round(c.now, heard, ready) {
-		c.out(Note{Level: Info, Event: "solver", Text: line})
+		c.out(LogEntry{Level: LogInfo, Event: "solver", Text: line})
 	}
 	clear(s.heard)
 	clear(s.busy)
@@ -92,7 +92,7 @@
 
 // warmth is the part of its capacity that a node has by the slowest course the rules allow.
 func (c *Core) warmth(e control.Endpoint) float64 {
-	r := c.set.Up.Rules
+	r := c.set.Start.Rules
 	if e.StartedAt <= 0 || c.now-e.StartedAt >= r.WarmUp {
 		return 1
 	}
@@ -109,13 +109,13 @@
 func (c *Core) solve() map[control.TableID]bool {
 	s := c.solving
 	f, hold := c.fleet()
-	if len(f.Users) == 0 || len(f.Nodes) == 0 || f.Check() != nil {
+	if len(f.Consumers) == 0 || len(f.Endpoints) == 0 || f.Check() != nil {
 		return nil
 	}
 	before := maps.Clone(s.acts)
 	s.round = s.keeper.Step(f, hold)
-	for _, line := range s.round.Lines {
-		c.out(Note{Level: Info, Event: "solver", Text: line})
+	for _, line := range s.round.Log {
+		c.out(LogEntry{Level: LogInfo, Event: "solver", Text: line})
 	}
 	s.acts = maps.Clone(s.round.Tables)
 	changed := map[control.TableID]bool{}
@@ -123,7 +123,7 @@
 		old, was := before[key]
 		now, is := s.acts[key]
 		if was != is || !maps.Equal(old.Weights, now.Weights) || old.Admit != now.Admit {
-			if n, err := strconv.Atoi(key.User); err == nil {
+			if n, err := strconv.Atoi(key.Consumer); err == nil {
 				changed[control.TableID(n)] = true
 			}
 		}
@@ -145,13 +145,13 @@
 // fleet is what the solver is asked about: the listed nodes, and as users the tables that gateways are bound to, with
 // what their levels let in of what comes to them. hold: a node is on trial for a kind, or kept from one.
 func (c *Core) fleet() (f solver.Fleet, hold bool) {
-	s, kinds := c.solving, c.set.Up.Classes
+	s, kinds := c.solving, c.set.Start.Classes
 	for _, k := range kinds {
-		kind := solver.Kind{Name: k.Name, Payoff: k.PriorityWeight, OwnZone: k.LocalZoneOnly}
+		kind := solver.Class{Name: k.Name, PriorityWeight: k.PriorityWeight, LocalZoneOnly: k.LocalZoneOnly}
 		for _, z := range k.AllowedZones {
-			kind.OnlyZones = append(kind.OnlyZones, string(z))
+			kind.AllowedZones = append(kind.AllowedZones, string(z))
 		}
-		f.Kinds = append(f.Kinds, kind)
+		f.Classes = append(f.Classes, kind)
 	}
 	index := map[control.EndpointID]int{}
 	costs := s.estimate.Costs()
@@ -162,24 +162,24 @@
 	for _, e := range present {
 		warm := c.warmth(e)
 		if warm < 1 {
-			warm /= s.excess.Times()
+			warm /= s.excess.Factor()
 		}
-		n := solver.Node{Name: string(e.ID), Zone: string(e.Zone), Pod: int(e.Pod), Capacity: s.estimate.Capacity(e.ID) * warm,
+		n := solver.Endpoint{Name: string(e.ID), Zone: string(e.Zone), Pod: int(e.Pod), Capacity: s.estimate.Capacity(e.ID) * warm,
 			Cost: costs, Closed: e.Status != control.Ready || c.withdrawn[e.ID]}
 		if warm < 1 {
 			n.Limit = coldPart
 		}
 		for k := range kinds {
-			if v := s.judge.Verdict(e.ID, k); v != solver.Serves {
+			if v := s.judge.Status(e.ID, k); v != solver.ClassHealthy {
 				hold = true
 				if n.Failing == nil {
 					n.Failing = make([]bool, len(kinds))
 				}
-				n.Failing[k] = v == solver.Fails
+				n.Failing[k] = v == solver.ClassFailing
 			}
 		}
-		index[e.ID] = len(f.Nodes)
-		f.Nodes = append(f.Nodes, n)
+		index[e.ID] = len(f.Endpoints)
+		f.Endpoints = append(f.Endpoints, n)
 	}
 	users := map[control.TableID]int{}
 	for proxy := range control.ProxyID(len(c.gateways)) {
@@ -190,16 +190,16 @@
 		for k, table := range g.binds {
 			u, has := users[table]
 			if !has {
-				u = len(f.Users)
+				u = len(f.Consumers)
 				users[table] = u
-				user := solver.User{Name: strconv.Itoa(int(table)), Zone: string(g.zone), Demand: make([]float64, len(kinds)),
-					Want: make([][]solver.Share, len(kinds))}
+				user := solver.Consumer{Name: strconv.Itoa(int(table)), Zone: string(g.zone), Demand: make([]float64, len(kinds)),
+					Wanted: make([][]solver.Share, len(kinds))}
 				for kind := range kinds {
-					user.Want[kind] = c.want(table, kind, index, &f)
+					user.Wanted[kind] = c.want(table, kind, index, &f)
 				}
-				f.Users = append(f.Users, user)
+				f.Consumers = append(f.Consumers, user)
 			}
-			f.Users[u].Demand[k] += g.admitted(k)
+			f.Consumers[u].Demand[k] += g.admitted(k)
 		}
 	}
 	return f, hold
@@ -215,22 +215,22 @@
 		}
 		for k, cl := range g.ledger.Sent().Clusters {
 			total := 0.0
-			for _, l := range cl.Lines {
+			for _, l := range cl.Endpoints {
 				if !l.Withheld {
 					total += l.Weight
 				}
 			}
-			for _, l := range cl.Lines {
+			for _, l := range cl.Endpoints {
 				if !l.Withheld && total > 0 {
-					planned[l.Backend] += g.admitted(k) * l.Weight / total
+					planned[l.Endpoint] += g.admitted(k) * l.Weight / total
 				}
 			}
 		}
 	}
-	var nodes []solver.Planned
+	var nodes []solver.EndpointOutcome
 	for _, b := range slices.Sorted(maps.Keys(planned)) {
-		if f, known := c.intake.View(c.now, b); known && c.now-f.At < 2*c.set.Up.Reports.Period {
-			nodes = append(nodes, solver.Planned{Planned: planned[b], Met: f.Tries})
+		if f, known := c.intake.Estimate(c.now, b); known && c.now-f.At < 2*c.set.Start.Reports.Period {
+			nodes = append(nodes, solver.EndpointOutcome{Planned: planned[b], Actual: f.Attempts})
 		}
 	}
 	c.solving.excess.Round(nodes)
@@ -241,13 +241,13 @@
 	for _, b := range slices.Sorted(maps.Keys(c.lines[table])) {
 		j, listed := index[b]
 		w := c.lines[table][b]
-		if !listed || w <= 0 || f.Nodes[j].Closed {
+		if !listed || w <= 0 || f.Endpoints[j].Closed {
 			continue
 		}
-		if c.solving.judge.Verdict(b, kind) == solver.Trial {
+		if c.solving.judge.Status(b, kind) == solver.ClassOnTrial {
 			w *= trialPart
 		}
-		lines = append(lines, solver.Share{Node: j, Weight: w})
+		lines = append(lines, solver.Share{Endpoint: j, Weight: w})
 	}
 	return lines
 }
@@ -272,7 +272,7 @@
 	if c.solving == nil {
 		return nil, 1, false
 	}
-	t, acts := c.solving.acts[solver.Key{User: strconv.Itoa(int(table)), Kind: kind}]
+	t, acts := c.solving.acts[solver.TableKey{Consumer: strconv.Itoa(int(table)), Class: kind}]
 	if !acts {
 		return nil, 1, false
 	}
@@ -285,7 +285,7 @@
 
 // actingOf is what acts in the place of a table's weights, by kind; nil: nothing does.
 func (c *Core) actingOf(table control.TableID) (by map[control.RequestClass]tables.Weights) {
-	for k := range c.set.Up.Classes {
+	for k := range c.set.Start.Classes {
 		if w, _, acts := c.acting(table, k); acts {
 			if by == nil {
 				by = map[control.RequestClass]tables.Weights{}
@@ -316,8 +316,8 @@
 // mayPublish tells whether a message that the module does not know of may go to a gateway now: half of its messages
 // and a quarter of the queue are left to the module, which counts on them.
 func (c *Core) mayPublish(g *gateway) bool {
-	r := c.set.Up.Rules
-	if r.MessageLimit > 0 && g.ledger.Used(c.now) >= r.MessageLimit/2 {
+	r := c.set.Start.Rules
+	if r.MessageLimit > 0 && g.ledger.UsedMessages(c.now) >= r.MessageLimit/2 {
 		return false
 	}
 	return c.onWay < r.QueueLimit/4
@@ -325,14 +325,14 @@
 
 // SolverStatus is how the solver stands.
 type SolverStatus struct {
-	Acting      bool                `json:"acting"`
-	Worst       float64             `json:"worst"` // largest load over a limit that the module's tables would bring
-	At          string              `json:"at"`
-	Tables      int                 `json:"tables"` // that act in place of the module's
-	Moved       int                 `json:"moved"`  // in the last round
-	Nodes       []string            `json:"nodes,omitempty"`
-	Certificate *solver.Certificate `json:"certificate,omitempty"`
-	Failing     []string            `json:"failing,omitempty"` // node and kind
+	Active           bool                `json:"acting"`
+	WorstUtilization float64             `json:"worst"` // largest load over a limit that the module's tables would bring
+	WorstEndpoint    string              `json:"at"`
+	Tables           int                 `json:"tables"` // that act in place of the module's
+	Moved            int                 `json:"moved"`  // in the last round
+	Explanations     []string            `json:"nodes,omitempty"`
+	Certificate      *solver.Certificate `json:"certificate,omitempty"`
+	Failing          []string            `json:"failing,omitempty"` // node and kind
 }
 
 func (c *Core) solverStatus() *SolverStatus {
@@ -340,11 +340,11 @@
 		return nil
 	}
 	r := c.solving.round
-	st := &SolverStatus{Acting: r.Acting, Worst: r.Worst, At: r.At, Tables: len(c.solving.acts), Moved: r.Moved, Certificate: r.Certificate}
+	st := &SolverStatus{Active: r.Active, WorstUtilization: r.WorstUtilization, WorstEndpoint: r.WorstEndpoint, Tables: len(c.solving.acts), Moved: r.Moved, Certificate: r.Certificate}
 	for _, e := range c.present() {
-		st.Nodes = append(st.Nodes, string(e.ID))
-		for k, kind := range c.set.Up.Classes {
-			if c.solving.judge.Verdict(e.ID, k) == solver.Fails {
+		st.Explanations = append(st.Explanations, string(e.ID))
+		for k, kind := range c.set.Start.Classes {
+			if c.solving.judge.Status(e.ID, k) == solver.ClassFailing {
 				st.Failing = append(st.Failing, string(e.ID)+" "+kind.Name)
 			}
 		}
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -12,86 +12,86 @@
 
 // GatewayStatus is how one gateway stands. Times are the core's, in microseconds.
 type GatewayStatus struct {
-	Gateway   Gateway              `json:"gateway"`
-	Zone      control.Zone         `json:"zone"`
-	Joined    bool                 `json:"joined"`
-	Since     control.Microseconds `json:"since_us"` // joined or, if it is away, last heard
-	Version   string               `json:"version"`  // last published
-	Confirmed [docs]string         `json:"confirmed"`
-	At        [docs]int64          `json:"confirmed_at_us"`
-	Waiting   int                  `json:"waiting"` // messages not acknowledged
-	Lines     int                  `json:"waiting_lines"`
-	Oldest    control.Microseconds `json:"oldest_waiting_us"` // age of the first of them
-	Published int                  `json:"published"`
-	Tables    []control.TableID    `json:"tables"` // by request kind
-	Snapshot  tables.Snapshot      `json:"snapshot"`
+	Gateway              Gateway               `json:"gateway"`
+	Zone                 control.Zone          `json:"zone"`
+	Connected            bool                  `json:"joined"`
+	Since                control.Microseconds  `json:"since_us"` // joined or, if it is away, last heard
+	Version              string                `json:"version"`  // last published
+	Confirmed            [documentCount]string `json:"confirmed"`
+	ConfirmedAt          [documentCount]int64  `json:"confirmed_at_us"`
+	Unacknowledged       int                   `json:"waiting"` // messages not acknowledged
+	UnacknowledgedLines  int                   `json:"waiting_lines"`
+	OldestUnacknowledged control.Microseconds  `json:"oldest_waiting_us"` // age of the first of them
+	Published            int                   `json:"published"`
+	Tables               []control.TableID     `json:"tables"` // by request kind
+	Snapshot             tables.Snapshot       `json:"snapshot"`
 }
 
 // Status is how a coordinator stands.
 type Status struct {
-	Now      control.Microseconds `json:"now_us"`
-	Steps    uint64               `json:"steps"`
-	Nodes    []control.Endpoint   `json:"nodes"`
-	Gateways []GatewayStatus      `json:"gateways"`
-	Solver   *SolverStatus        `json:"solver,omitempty"`
-	Intake   intake.Stats         `json:"intake"`
-	Heard    []NodeHeard          `json:"heard"`
+	Now       control.Microseconds `json:"now_us"`
+	Steps     uint64               `json:"steps"`
+	Endpoints []control.Endpoint   `json:"nodes"`
+	Gateways  []GatewayStatus      `json:"gateways"`
+	Solver    *SolverStatus        `json:"solver,omitempty"`
+	Sampling  intake.Stats         `json:"intake"`
+	Estimates []EndpointEstimate   `json:"heard"`
 }
 
-// NodeHeard is what reports say of a node now, with the error that each figure has in 19 of 20 cases.
-type NodeHeard struct {
-	Backend control.EndpointID `json:"node"`
-	intake.Figures
+// EndpointEstimate is what reports say of a node now, with the error that each figure has in 19 of 20 cases.
+type EndpointEstimate struct {
+	Endpoint control.EndpointID `json:"node"`
+	intake.Estimate
 }
 
 // Now is the time of the last step.
 func (c *Core) Now() control.Microseconds { return c.now }
 
-// Heard tells what reports say of the nodes.
-func (c *Core) Heard() (intake.Stats, []NodeHeard) {
-	var out []NodeHeard
+// Estimates tells what reports say of the nodes.
+func (c *Core) Estimates() (intake.Stats, []EndpointEstimate) {
+	var out []EndpointEstimate
 	for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
-		if f, known := c.intake.View(c.now, b); known {
-			out = append(out, NodeHeard{b, f})
+		if f, known := c.intake.Estimate(c.now, b); known {
+			out = append(out, EndpointEstimate{b, f})
 		}
 	}
 	return c.intake.Stats(), out
 }
 
-// Stretch is how much longer than the period gateways are asked to wait between reports.
-func (c *Core) Stretch() int {
+// ReportIntervalFactor is how much longer than the period gateways are asked to wait between reports.
+func (c *Core) ReportIntervalFactor() int {
 	if c.leveling == nil {
-		return c.intake.Stretch()
+		return c.intake.IntervalFactor()
 	}
 	m := c.leveling.machine
-	return max(c.intake.Stretch(), m.Settings().Bounds(m.At(service.Fleet)).Stretch)
+	return max(c.intake.IntervalFactor(), m.Settings().Bounds(m.Level(service.FleetScope)).ReportIntervalFactor)
 }
 
 // Status tells how the core stands. It changes nothing.
 func (c *Core) Status() Status {
-	s := Status{Now: c.now, Steps: c.steps, Solver: c.solverStatus(), Intake: c.intake.Stats()}
-	_, s.Heard = c.Heard()
+	s := Status{Now: c.now, Steps: c.steps, Solver: c.solverStatus(), Sampling: c.intake.Stats()}
+	_, s.Estimates = c.Estimates()
 	for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
-		s.Nodes = append(s.Nodes, c.list.entries[b])
+		s.Endpoints = append(s.Endpoints, c.list.entries[b])
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
 		g := c.gateways[name]
-		one := GatewayStatus{Gateway: name, Zone: g.zone, Joined: g.joined, Since: g.heardAt, Waiting: len(g.ledger.Waiting()),
-			Published: g.ledger.Count(), Tables: slices.Clone(g.binds), Snapshot: g.ledger.Sent()}
+		one := GatewayStatus{Gateway: name, Zone: g.zone, Connected: g.joined, Since: g.heardAt, Unacknowledged: len(g.ledger.Unacknowledged()),
+			Published: g.ledger.MessageCount(), Tables: slices.Clone(g.binds), Snapshot: g.ledger.Sent()}
 		if g.joined {
 			one.Since = g.joinedAt
 		}
-		for d := range docs {
-			one.Confirmed[d], one.At[d] = g.ledger.Confirmed(int(d)).Version, int64(g.ledger.Confirmed(int(d)).At)
+		for d := range documentCount {
+			one.Confirmed[d], one.ConfirmedAt[d] = g.ledger.Confirmed(int(d)).Version, int64(g.ledger.Confirmed(int(d)).SentAt)
 		}
-		for i, m := range g.ledger.Waiting() {
-			if one.Lines += m.Lines; i == 0 {
-				one.Oldest = c.now - m.At
+		for i, m := range g.ledger.Unacknowledged() {
+			if one.UnacknowledgedLines += m.Lines; i == 0 {
+				one.OldestUnacknowledged = c.now - m.SentAt
 			}
 			one.Version = m.Version
 		}
 		if one.Version == "" {
-			one.Version = one.Confirmed[Endpoints]
+			one.Version = one.Confirmed[EndpointsDocument]
 		}
 		s.Gateways = append(s.Gateways, one)
 	}
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -22,7 +22,7 @@
 	}
 	held, err := c.book.Pin(c.now, p)
 	if err == nil {
-		c.repinned(Note{Level: Warn, Event: "pinned", Text: fmt.Sprintf("%s: %s (pin %d): %s", held.Scope, where(held), held.ID, held.Reason)})
+		c.repinned(LogEntry{Level: LogWarn, Event: "pinned", Text: fmt.Sprintf("%s: %s (pin %d): %s", held.Scope, where(held), held.ID, held.Reason)})
 	}
 	return held, err
 }
@@ -31,7 +31,7 @@
 func (c *Core) Unpin(id int, reason string) (tables.Pin, error) {
 	p, err := c.book.Unpin(id)
 	if err == nil {
-		c.repinned(Note{Level: Warn, Event: "unpinned", Text: fmt.Sprintf("%s (pin %d): %s", p.Scope, p.ID, reason)})
+		c.repinned(LogEntry{Level: LogWarn, Event: "unpinned", Text: fmt.Sprintf("%s (pin %d): %s", p.Scope, p.ID, reason)})
 	}
 	return p, err
 }
@@ -44,7 +44,7 @@
 }
 
 // repinned has all gateways' documents held against the pins.
-func (c *Core) repinned(n Note) {
+func (c *Core) repinned(n LogEntry) {
 	c.later = append(c.later, n)
 	for _, g := range c.gateways {
 		g.owed = true
@@ -57,7 +57,7 @@
 	if len(c.book.Pins()) == 0 {
 		return w
 	}
-	held, pin, overruled := c.book.InForce(table, control.RequestClass(kind), g.zone, w, func(b control.EndpointID) tables.Standing {
+	held, pin, overruled := c.book.Effective(table, control.RequestClass(kind), g.zone, w, func(b control.EndpointID) tables.EndpointEligibility {
 		return c.standing(b, kind, w)
 	})
 	if overruled != "" {
@@ -67,14 +67,14 @@
 }
 
 // standing is what the rules say of a backend now, whatever old weights say.
-func (c *Core) standing(b control.EndpointID, kind int, w map[control.EndpointID]float64) tables.Standing {
+func (c *Core) standing(b control.EndpointID, kind int, w map[control.EndpointID]float64) tables.EndpointEligibility {
 	e, known := c.list.entries[b]
 	closed := !known || e.Status != control.Ready || c.withdrawn[b]
-	if c.solving != nil && c.solving.judge.Verdict(b, kind) != solver.Serves {
+	if c.solving != nil && c.solving.judge.Status(b, kind) != solver.ClassHealthy {
 		closed = true
 	}
-	return tables.Standing{Closed: closed, Now: w[b], Cold: known && c.warmth(e) < 1}
+	return tables.EndpointEligibility{Closed: closed, Weight: w[b], WarmingUp: known && c.warmth(e) < 1}
 }
 
-// Book is the versions and pins of all tables; it must not be changed.
-func (c *Core) Book() *tables.Book { return c.book }
+// VersionStore is the versions and pins of all tables; it must not be changed.
+func (c *Core) Versions() *tables.VersionStore { return c.book }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -61,10 +61,10 @@
 	writer *capture.Writer         // nil: no capture
 	took   *hdrhistogram.Histogram // steps of the core, microseconds; of the loop's goroutine
 
-	stretch      atomic.Int64         // how much longer than a period reports may wait
-	tracer       *tracer              // nil: off
-	tail         []coordinator.Record // of the log; of the loop's goroutine
-	overview     []byte               // the last one that was made, and when the next may be
+	stretch      atomic.Int64            // how much longer than a period reports may wait
+	tracer       *tracer                 // nil: off
+	tail         []coordinator.LogRecord // of the log; of the loop's goroutine
+	overview     []byte                  // the last one that was made, and when the next may be
 	overviewAt   time.Time
 	came         time.Time // when the first input of this step came; zero: not known
 	rememberedAt control.Microseconds
@@ -154,10 +154,10 @@
 	for _, e := range o.Config.Registry.Eureka {
 		names = append(names, e.Name)
 	}
-	d.set = coordinator.Settings{Build: Build(), Intake: float64(o.Config.Reports.Intake), Sources: names, Up: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
-		SilentAfter: control.Microseconds(o.Config.Gateways.SilentAfter), Solver: o.Config.Solver.Enabled,
-		Sync: o.Config.Front.Files.Sync}
-	d.set.Service, d.set.Fallback = o.Config.ServiceLevels()
+	d.set = coordinator.Settings{Build: Build(), MaxReportLines: float64(o.Config.Reports.Intake), Sources: names, Start: o.Config.Up(), Epoch: strconv.FormatInt(int64(now), 36),
+		SilenceTimeout: control.Microseconds(o.Config.Gateways.SilentAfter), SolverEnabled: o.Config.Solver.Enabled,
+		SyncDocuments: o.Config.Front.Files.Sync}
+	d.set.Degradation, d.set.Fallback = o.Config.ServiceLevels()
 	d.core = coordinator.New(d.set)
 	if dir := o.Config.Capture.Dir; o.Config.Capture.Enabled && (dir != "" || d.cfg.StateDir != "") {
 		if dir == "" {
@@ -167,7 +167,7 @@
 			Age: time.Duration(o.Config.Capture.Age) * time.Microsecond})
 	}
 	front, err := files.Open(o.Config.Front.Files.Dir, o.Config.Front.Files.Writers, func(g coordinator.Gateway, err error) {
-		d.give(coordinator.Failed{Gateway: g, Why: err.Error()})
+		d.give(coordinator.PublishFailed{Gateway: g, Reason: err.Error()})
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -183,17 +183,17 @@
 		d.source = file.New(o.Config.Registry.File.Path, time.Duration(o.Config.Registry.File.Poll)*time.Microsecond,
 			func(entries []control.Endpoint, err error) {
 				version++
-				list := coordinator.List{EndpointUpdate: control.EndpointUpdate{Version: version, Kind: control.Snapshot, Endpoints: entries}}
+				list := coordinator.EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: version, Kind: control.Snapshot, Endpoints: entries}}
 				if err != nil {
-					list.Kind, list.Why = control.Failed, err.Error()
+					list.Kind, list.Error = control.Failed, err.Error()
 				}
 				d.give(list)
 			})
 	}
 	for _, e := range o.Config.Registry.Eureka {
-		d.eureka = append(d.eureka, eureka.New(eurekaOptions(e), func(a membership.Answer) { d.give(coordinator.Told{Answer: a}) }))
+		d.eureka = append(d.eureka, eureka.New(eurekaOptions(e), func(a membership.SourceUpdate) { d.give(coordinator.RegistryUpdate{SourceUpdate: a}) }))
 	}
-	d.probes = probe.New(probeOptions(o.Config.Probes), func(p control.HealthCheckResult) { d.give(coordinator.Probed{HealthCheckResult: p}) })
+	d.probes = probe.New(probeOptions(o.Config.Probes), func(p control.HealthCheckResult) { d.give(coordinator.HealthCheckResult{HealthCheckResult: p}) })
 	if d.server, err = listen(d, o.Config.Listen); err != nil {
 		front.Close()
 		return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
@@ -242,7 +242,7 @@
 	var events []event
 	for ctx.Err() == nil {
 		events = d.inbox.Next(ctx, events[:0], func() <-chan time.Time {
-			if wait := d.core.Next() - d.clock.Now(); wait > 0 {
+			if wait := d.core.NextDeadline() - d.clock.Now(); wait > 0 {
 				return d.clock.After(wait)
 			}
 			return nil
@@ -271,7 +271,7 @@
 				e.reply(answer)
 			}
 		}
-		if wait := intake.Gather(control.Microseconds(time.Since(began).Microseconds())); wait > 0 {
+		if wait := intake.BatchDelay(control.Microseconds(time.Since(began).Microseconds())); wait > 0 {
 			time.Sleep(time.Duration(wait) * time.Microsecond)
 		}
 	}
@@ -296,46 +296,46 @@
 			} else {
 				d.front.Publish(o)
 			}
-		case coordinator.Probe:
-			d.probes.Probe(o.Backend)
-		case coordinator.Watch:
+		case coordinator.CheckHealth:
+			d.probes.Probe(o.Endpoint)
+		case coordinator.WatchEndpoints:
 			if d.source != nil {
-				d.source.Watch(o.On)
+				d.source.Watch(o.Enabled)
 			}
-		case coordinator.Fetch:
+		case coordinator.Resync:
 			if d.source != nil {
 				d.source.Fetch()
 			}
 			for _, e := range d.eureka {
 				e.Fetch()
 			}
-		case coordinator.Save:
+		case coordinator.SaveList:
 			d.save(o.List)
 			urgent = true
-		case coordinator.Drop:
+		case coordinator.CloseConnection:
 			d.server.drop(o.Conn)
-		case coordinator.Note:
+		case coordinator.LogEntry:
 			d.record(o)
 		}
 	}
 	d.remember(now, urgent)
-	d.stretch.Store(int64(d.core.Stretch()))
+	d.stretch.Store(int64(d.core.ReportIntervalFactor()))
 	if d.tap != nil {
 		d.tap(now, inputs, d.core)
 	}
 }
 
 // record writes a note as one log record with its fields.
-func (d *Daemon) record(n coordinator.Note) {
-	if n.Level > coordinator.Debug {
-		d.tail = coordinator.Tail(d.tail, d.core.Now(), n)
+func (d *Daemon) record(n coordinator.LogEntry) {
+	if n.Level > coordinator.LogDebug {
+		d.tail = coordinator.AppendLog(d.tail, d.core.Now(), n)
 	}
 	fields := []zap.Field{zap.String("text", n.Text)}
 	if n.Gateway != "" {
 		fields = append(fields, zap.String("gateway", string(n.Gateway)))
 	}
-	if n.Backend != "" {
-		fields = append(fields, zap.String("node", string(n.Backend)))
+	if n.Endpoint != "" {
+		fields = append(fields, zap.String("node", string(n.Endpoint)))
 	}
 	if n.Count > 1 {
 		fields = append(fields, zap.Int("count", n.Count))
@@ -344,9 +344,9 @@
 		fields = append(fields, zap.Any(f.Key, f.Value))
 	}
 	switch n.Level {
-	case coordinator.Warn:
+	case coordinator.LogWarn:
 		d.log.Warn(n.Event, fields...)
-	case coordinator.Info:
+	case coordinator.LogInfo:
 		d.log.Info(n.Event, fields...)
 	default:
 		d.log.Debug(n.Event, fields...)
@@ -367,7 +367,7 @@
 			d.tracer.close(endWithin / 2)
 		}
 		if d.cfg.StateDir != "" {
-			_ = writeSnapshot(d.cfg.StateDir, d.core.Remember())
+			_ = writeSnapshot(d.cfg.StateDir, d.core.Snapshot())
 		}
 		d.front.Close()
 		close(closed)
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -12,7 +12,7 @@
 
 // LevelRequest is the body of POST /levels/say.
 type LevelRequest struct {
-	Do     service.Do           `json:"do"`    // force, forbid or hold
+	Do     service.Action       `json:"do"`    // force, forbid or hold
 	Zone   control.Zone         `json:"zone"`  // empty: the fleet
 	Level  string               `json:"level"` // of force and forbid: its name
 	For    control.Microseconds `json:"for_us"`
@@ -27,13 +27,13 @@
 
 // LevelAnswer answers both.
 type LevelAnswer struct {
-	Word  service.Word `json:"word"`
-	Error string       `json:"error,omitempty"`
+	Word  service.Override `json:"word"`
+	Error string           `json:"error,omitempty"`
 }
 
 // levelOperation reads an operator's request about levels; what it returns runs in the loop that owns the core.
 func (d *Daemon) levelOperation(req *http.Request, read func(any) error) (func(*coordinator.Core) []byte, int, error) {
-	answer := func(c *coordinator.Core, w service.Word, err error, record capture.Command) []byte {
+	answer := func(c *coordinator.Core, w service.Override, err error, record capture.Command) []byte {
 		if err != nil {
 			return text(LevelAnswer{w, err.Error()})
 		}
@@ -43,14 +43,14 @@
 	}
 	switch req.URL.Path {
 	case "/levels":
-		return func(c *coordinator.Core) []byte { return text(c.Levels()) }, 0, nil
+		return func(c *coordinator.Core) []byte { return text(c.Degradation()) }, 0, nil
 	case "/levels/unsay":
 		var r UnsayRequest
 		if err := read(&r); err != nil {
 			return nil, http.StatusBadRequest, err
 		}
 		return func(c *coordinator.Core) []byte {
-			w, err := c.UnsayLevel(r.ID, r.Reason)
+			w, err := c.ClearLevelOverride(r.ID, r.Reason)
 			return answer(c, w, err, capture.Command{Unsay: r.ID, Reason: r.Reason})
 		}, 0, nil
 	}
@@ -58,13 +58,13 @@
 	if err := read(&r); err != nil {
 		return nil, http.StatusBadRequest, err
 	}
-	level, known := d.set.Service.Find(r.Level)
-	if !known && r.Do != service.Hold {
+	level, known := d.set.Degradation.LevelNamed(r.Level)
+	if !known && r.Do != service.HoldLevel {
 		return nil, http.StatusBadRequest, fmt.Errorf("%w: %q", service.ErrNoLevel, r.Level)
 	}
 	return func(c *coordinator.Core) []byte {
-		w := service.Word{Do: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
-		said, err := c.SayLevel(w)
+		w := service.Override{Action: r.Do, Zone: r.Zone, Level: level, Until: c.Now() + r.For, Reason: r.Reason}
+		said, err := c.SetLevelOverride(w)
 		return answer(c, said, err, capture.Command{Say: &w})
 	}, 0, nil
 }
--- a/daemon/nodes.go
+++ b/daemon/nodes.go
@@ -16,7 +16,7 @@
 // Nodes is what GET /nodes answers.
 type Nodes struct {
 	Now        control.Microseconds    `json:"now_us"`
-	Nodes      []membership.Verdict    `json:"nodes"`
+	Nodes      []membership.Decision   `json:"nodes"`
 	Registries map[string]eureka.Stats `json:"registries,omitempty"`
 }
 
@@ -83,18 +83,18 @@
 	return o
 }
 
-// Heard is what GET /intake answers.
+// Estimates is what GET /intake answers.
 type Heard struct {
-	Now      control.Microseconds    `json:"now_us"`
-	Intake   intake.Stats            `json:"intake"`
-	Deferred int64                   `json:"deferred"` // reports that were answered 429
-	Inbox    int                     `json:"inbox"`    // waiting for the core
-	Steps    Times                   `json:"step_us"`
-	Nodes    []coordinator.NodeHeard `json:"nodes"`
+	Now      control.Microseconds           `json:"now_us"`
+	Intake   intake.Stats                   `json:"intake"`
+	Deferred int64                          `json:"deferred"` // reports that were answered 429
+	Inbox    int                            `json:"inbox"`    // waiting for the core
+	Steps    Times                          `json:"step_us"`
+	Nodes    []coordinator.EndpointEstimate `json:"nodes"`
 }
 
 func (d *Daemon) heard(c *coordinator.Core) []byte {
-	stats, nodes := c.Heard()
+	stats, nodes := c.Estimates()
 	return text(Heard{c.Now(), stats, d.server.deferred.Load(), d.inbox.Len(), Times{d.took.TotalCount(), d.took.ValueAtQuantile(50), d.took.ValueAtQuantile(99),
 		d.took.Max()}, nodes})
 }
@@ -105,7 +105,7 @@
 	if began.Before(d.overviewAt) {
 		return d.overview
 	}
-	d.overview = text(coordinator.Moment{Overview: c.Overview(), Log: d.tail})
-	d.overviewAt = began.Add(time.Duration(intake.LookAgain(control.Microseconds(time.Since(began).Microseconds()))) * time.Microsecond)
+	d.overview = text(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.tail})
+	d.overviewAt = began.Add(time.Duration(intake.OverviewInterval(control.Microseconds(time.Since(began).Microseconds()))) * time.Microsecond)
 	return d.overview
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -29,11 +29,11 @@
 
 // VersionOf is one version of a table.
 type VersionOf struct {
-	Version tables.Version       `json:"version"`
-	At      control.Microseconds `json:"at_us"`
-	Lines   []tables.Weighed     `json:"lines"`
-	// Acting is what the weight solver had in their place, by request kind.
-	Acting map[string][]tables.Weighed `json:"acting,omitempty"`
+	Version tables.Version          `json:"version"`
+	At      control.Microseconds    `json:"at_us"`
+	Lines   []tables.EndpointWeight `json:"lines"`
+	// Overrides is what the weight solver had in their place, by request kind.
+	Acting map[string][]tables.EndpointWeight `json:"acting,omitempty"`
 }
 
 // PinRequest is the body of POST /tables/pin. Of version and ago_us at most one is set; neither holds what is in force.
@@ -78,7 +78,7 @@
 			return nil, http.StatusBadRequest, err
 		}
 		scopes := 0
-		p := tables.Pin{Scope: tables.Scope{Table: tables.Anything, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
+		p := tables.Pin{Scope: tables.Scope{Table: tables.AnyTable, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
 		if r.Table != nil {
 			p.Scope.Table = *r.Table
 			scopes++
@@ -136,26 +136,26 @@
 
 func versions(c *coordinator.Core) Versions {
 	s := c.Status()
-	v := Versions{Now: s.Now, Pins: c.Book().Pins()}
+	v := Versions{Now: s.Now, Pins: c.Versions().Pins()}
 	zones, users := map[control.TableID]control.Zone{}, map[control.TableID]int{}
 	for _, g := range s.Gateways {
 		seen := map[control.TableID]bool{}
 		for _, t := range g.Tables {
-			if g.Joined && !seen[t] {
+			if g.Connected && !seen[t] {
 				zones[t], seen[t] = g.Zone, true
 				users[t]++
 			}
 		}
 	}
-	for _, t := range c.Book().Tables() {
+	for _, t := range c.Versions().Tables() {
 		one := TableVersions{Table: t, Zone: zones[t], Gateways: users[t]}
-		for _, e := range c.Book().Versions(t) {
-			of := VersionOf{Version: e.Version, At: e.At, Lines: e.State.Lines()}
-			for kind, s := range e.Acting {
+		for _, e := range c.Versions().Versions(t) {
+			of := VersionOf{Version: e.Version, At: e.CreatedAt, Lines: e.State.Endpoints()}
+			for kind, s := range e.Overrides {
 				if of.Acting == nil {
-					of.Acting = map[string][]tables.Weighed{}
+					of.Acting = map[string][]tables.EndpointWeight{}
 				}
-				of.Acting[c.KindName(kind)] = s.Lines()
+				of.Acting[c.ClassName(kind)] = s.Endpoints()
 			}
 			one.Versions = append(one.Versions, of)
 		}
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -42,7 +42,7 @@
 	engine gnet.Engine
 	booted chan struct{}
 	next   atomic.Uint64
-	peers  *xsync.Map[coordinator.Conn, *peer]
+	peers  *xsync.Map[coordinator.ConnID, *peer]
 	// main has each gateway's connection that counts as its link. One that polls may have more: they carry polls alone.
 	main     *xsync.Map[coordinator.Gateway, *peer]
 	ended    chan error
@@ -61,12 +61,12 @@
 		return
 	}
 	n := int(s.refused.Swap(0))
-	s.d.inbox.TryPut(event{inputs: []coordinator.Input{coordinator.Refused{From: from, Why: why, Count: n}}})
+	s.d.inbox.TryPut(event{inputs: []coordinator.Input{coordinator.PeerRejected{From: from, Reason: why, Count: n}}})
 }
 
 // peer is one connection. Only its event loop touches it, but for out.
 type peer struct {
-	id      coordinator.Conn
+	id      coordinator.ConnID
 	out     gnet.Conn
 	gateway coordinator.Gateway // empty until it has named itself
 	partAt  time.Time           // when the request that is not whole yet began
@@ -76,13 +76,13 @@
 	joined  bool // the core has been told that it is its gateway's link
 	// requests that came on it
 	requests int
-	reported time.Time        // when its last report was taken
-	link     coordinator.Conn // the gateway's main connection; its own if it is that
+	reported time.Time          // when its last report was taken
+	link     coordinator.ConnID // the gateway's main connection; its own if it is that
 	cancel   atomic.Pointer[func()]
 }
 
 func listen(d *Daemon, addr string) (*server, error) {
-	s := &server{d: d, booted: make(chan struct{}), peers: xsync.NewMap[coordinator.Conn, *peer](), from: xsync.NewMap[string, *atomic.Int64](),
+	s := &server{d: d, booted: make(chan struct{}), peers: xsync.NewMap[coordinator.ConnID, *peer](), from: xsync.NewMap[string, *atomic.Int64](),
 		main: xsync.NewMap[coordinator.Gateway, *peer](), ended: make(chan error, 1)}
 	go func() {
 		s.ended <- gnet.Run(s, "tcp://"+addr, gnet.WithMulticore(true), gnet.WithTicker(true), gnet.WithReuseAddr(true), gnet.WithReadBufferCap(64<<10),
@@ -128,7 +128,7 @@
 		return http1.Answer(http.StatusServiceUnavailable, "text/plain", []byte("as many connections stand as may\n"), true), gnet.Close
 	}
 	from.Add(1)
-	p := &peer{id: coordinator.Conn(s.next.Add(1)), out: c, from: from}
+	p := &peer{id: coordinator.ConnID(s.next.Add(1)), out: c, from: from}
 	c.SetContext(p)
 	s.peers.Store(p.id, p)
 	return nil, gnet.None
@@ -147,14 +147,14 @@
 	}
 	if p.joined {
 		s.forget(p.gateway, p)
-		s.d.inbox.TryPut(event{inputs: []coordinator.Input{coordinator.Leave{Gateway: p.gateway, Conn: p.id}}})
+		s.d.inbox.TryPut(event{inputs: []coordinator.Input{coordinator.GatewayDisconnected{Gateway: p.gateway, Conn: p.id}}})
 	}
 	return gnet.None
 }
 
 // OnTick closes connections whose request has not become whole in time.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
-	s.peers.Range(func(_ coordinator.Conn, p *peer) bool {
+	s.peers.Range(func(_ coordinator.ConnID, p *peer) bool {
 		_ = p.out.Wake(nil) // its own loop looks at partAt
 		return true
 	})
@@ -264,12 +264,12 @@
 			fail(http.StatusBadRequest, err.Error())
 			return
 		}
-		doc := coordinator.Endpoints
+		doc := coordinator.EndpointsDocument
 		if req.URL.Path == xds.RoutePath {
-			doc = coordinator.Routes
+			doc = coordinator.RoutesDocument
 		}
-		ack := coordinator.Ack{Gateway: coordinator.Gateway(node.Name), Doc: doc, Version: m.VersionInfo,
-			Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, Held: node.Held}
+		ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.VersionInfo,
+			Nonce: m.ResponseNonce, Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
 		s.hand(p, node, &ack, func([]byte) {
 			if !node.Polls {
 				s.answer(p, http.StatusNotModified, "", nil)
@@ -278,13 +278,13 @@
 			s.hold(p, req, poll.Request{Gateway: ack.Gateway, Doc: doc, Version: m.VersionInfo, Hold: node.Hold})
 		}, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.DeltaPath:
-		s.delta(p, req, coordinator.Endpoints, xds.LineType, read, fail)
+		s.delta(p, req, coordinator.EndpointsDocument, xds.LineType, read, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.RouteDeltaPath:
-		s.delta(p, req, coordinator.Routes, xds.RouteType, read, fail)
+		s.delta(p, req, coordinator.RoutesDocument, xds.RouteType, read, fail)
 	case req.Method == http.MethodPost && req.URL.Path == xds.LoadPath:
 		m := &loadv3.LoadStatsRequest{}
 		err := read(m)
-		var report coordinator.Report
+		var report coordinator.LoadReport
 		var node xds.Node
 		if err == nil {
 			node, report, err = readReport(m)
@@ -294,7 +294,7 @@
 			return
 		}
 		// A gateway whose last report is young waits while the core is behind: the others' come first.
-		if intake.Defer(s.d.inbox.Len(), plainLength, control.Microseconds(time.Since(p.reported).Microseconds()), control.Microseconds(s.d.cfg.Reports.Period)) {
+		if intake.ShouldDefer(s.d.inbox.Len(), plainLength, control.Microseconds(time.Since(p.reported).Microseconds()), control.Microseconds(s.d.cfg.Reports.Period)) {
 			s.deferred.Add(1)
 			s.answer(p, http.StatusTooManyRequests, textType, []byte("the core is behind: report later\n"))
 			return
@@ -373,15 +373,15 @@
 	}
 	var inputs []coordinator.Input
 	if main == p && !p.joined {
-		inputs = append(inputs, coordinator.Join{Gateway: name, Conn: p.id, Zone: control.Zone(node.Zone), Standing: node.Standing,
+		inputs = append(inputs, coordinator.GatewayConnected{Gateway: name, Conn: p.id, Zone: control.Zone(node.Zone), HasDefaultTableOnly: node.Standing,
 			Weight: node.Weight})
 	}
 	link := main.id
 	switch in := in.(type) {
-	case *coordinator.Ack:
+	case *coordinator.DocumentAck:
 		in.Conn = link
 		inputs = append(inputs, *in)
-	case *coordinator.Report:
+	case *coordinator.LoadReport:
 		in.Conn = link
 		inputs = append(inputs, *in)
 	}
@@ -449,7 +449,7 @@
 }
 
 // delta takes a poll for endpoints line by line, or routes one by one.
-func (s *server) delta(p *peer, req *http.Request, doc coordinator.Doc, kind string, read func(proto.Message) error, fail func(int, string)) {
+func (s *server) delta(p *peer, req *http.Request, doc coordinator.Document, kind string, read func(proto.Message) error, fail func(int, string)) {
 	m := &discoveryv3.DeltaDiscoveryRequest{}
 	err := read(m)
 	var node xds.Node
@@ -464,33 +464,33 @@
 		return
 	}
 	node.Polls = true
-	ack := coordinator.Ack{Gateway: coordinator.Gateway(node.Name), Doc: doc, Version: m.ResponseNonce, Nonce: m.ResponseNonce,
-		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, Held: node.Held}
+	ack := coordinator.DocumentAck{Gateway: coordinator.Gateway(node.Name), Document: doc, Version: m.ResponseNonce, Nonce: m.ResponseNonce,
+		Error: m.ErrorDetail.GetMessage(), Checksum: node.Checksum, ChecksumVersions: node.Held}
 	s.hand(p, node, &ack, func([]byte) {
 		s.hold(p, req, poll.Request{Gateway: ack.Gateway, Doc: doc, Hold: node.Hold, Delta: true, Nonce: m.ResponseNonce,
 			Lines: m.InitialResourceVersions})
 	}, fail)
 }
 
-func readReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.Report, error) {
+func readReport(m *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
 	node, interval, kinds, err := xds.ReadLoad(m)
 	if err != nil {
-		return node, coordinator.Report{}, err
+		return node, coordinator.LoadReport{}, err
 	}
-	r := coordinator.Report{Gateway: coordinator.Gateway(node.Name), Seq: node.Report, Interval: control.Microseconds(interval.Microseconds())}
+	r := coordinator.LoadReport{Gateway: coordinator.Gateway(node.Name), Sequence: node.Report, Interval: control.Microseconds(interval.Microseconds())}
 	for _, k := range kinds {
-		kind := coordinator.KindReport{Kind: k.Name, Arrived: k.Arrived, Denied: k.Denied, Errored: k.Errored}
+		kind := coordinator.ClassReport{Class: k.Name, Arrivals: k.Arrived, Rejected: k.Denied, Failures: k.Errored}
 		for _, e := range k.Endpoints {
-			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Backend: control.EndpointID(e.Backend), Tries: e.Tries,
-				Errored: e.Errored, Active: e.Active, Answer: control.Microseconds(e.Answer.Microseconds()), Loads: loads(e.Loads)})
+			kind.Endpoints = append(kind.Endpoints, coordinator.EndpointReport{Endpoint: control.EndpointID(e.Backend), Attempts: e.Tries,
+				Failures: e.Errored, InFlight: e.Active, MeanLatency: control.Microseconds(e.Answer.Microseconds()), Metrics: loads(e.Loads)})
 		}
-		r.Kinds = append(r.Kinds, kind)
+		r.Classes = append(r.Classes, kind)
 	}
 	return node, r, nil
 }
 
 // drop closes a connection.
-func (s *server) drop(id coordinator.Conn) {
+func (s *server) drop(id coordinator.ConnID) {
 	if p, has := s.peers.Load(id); has {
 		_ = p.out.Close()
 	}
--- a/daemon/state.go
+++ b/daemon/state.go
@@ -107,7 +107,7 @@
 	if l, err := readList(d.cfg.StateDir); err != nil {
 		d.log.Warn("saved_list", zap.String("text", "can't be read: started without it"), zap.Error(err))
 	} else if l != nil {
-		inputs = append(inputs, coordinator.List{EndpointUpdate: control.EndpointUpdate{Version: l.Version, Kind: control.Cached, Endpoints: l.Entries}})
+		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: l.Version, Kind: control.Cached, Endpoints: l.Entries}})
 	}
 	if !d.cfg.Recovery.Enabled {
 		return inputs
@@ -121,17 +121,17 @@
 		return inputs
 	}
 	var kinds []string
-	for _, k := range set.Up.Classes {
+	for _, k := range set.Start.Classes {
 		kinds = append(kinds, k.Name)
 	}
-	b := recovery.Believe(s, now, kinds, set.Up.Zones)
-	if len(inputs) == 0 && len(b.Nodes) > 0 {
-		inputs = append(inputs, coordinator.List{EndpointUpdate: control.EndpointUpdate{Version: b.Version, Kind: control.Cached, Endpoints: b.Nodes}})
+	b := recovery.Restore(s, now, kinds, set.Start.Zones)
+	if len(inputs) == 0 && len(b.Endpoints) > 0 {
+		inputs = append(inputs, coordinator.EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: b.Version, Kind: control.Cached, Endpoints: b.Endpoints}})
 	}
 	kept := b // the core ends belief as evidence comes; the record keeps it as it began
-	kept.Why = slices.Clone(b.Why)
+	kept.Discarded = slices.Clone(b.Discarded)
 	start.Recalled = &kept
-	d.core.Recall(now, b)
+	d.core.Restore(now, b)
 	return inputs
 }
 
@@ -176,7 +176,7 @@
 		return
 	}
 	d.rememberedAt = now
-	d.save(d.core.Remember())
+	d.save(d.core.Snapshot())
 }
 
 // keep writes what is to be saved until the context ends, and what waits then.
@@ -226,7 +226,7 @@
 	}
 	step := &capture.Step{Now: now, Inputs: slices.Clone(inputs), Orders: d.core.Orders(), Digest: capture.Digest(outputs)}
 	for _, o := range outputs {
-		if n, is := o.(coordinator.Note); is && n.Level > coordinator.Debug {
+		if n, is := o.(coordinator.LogEntry); is && n.Level > coordinator.LogDebug {
 			step.Notes = append(step.Notes, n)
 		}
 	}
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -78,9 +78,9 @@
 func (t *tracer) step(came, began time.Time, core *coordinator.Core, inputs []coordinator.Input, outputs []coordinator.Output) {
 	for _, in := range inputs {
 		switch in := in.(type) {
-		case coordinator.Ack:
+		case coordinator.DocumentAck:
 			t.acked(in)
-		case coordinator.Leave:
+		case coordinator.GatewayDisconnected:
 			t.drop(in.Gateway, "the link has ended")
 		}
 	}
@@ -111,7 +111,7 @@
 			break
 		}
 		_, one := t.tracer.Start(ctx, "publish", trace.WithAttributes(attribute.String("gateway", string(p.Gateway)), attribute.String("version", p.Version),
-			attribute.Bool("endpoints", p.Changed[coordinator.Endpoints]), attribute.Bool("routes", p.Changed[coordinator.Routes])))
+			attribute.Bool("endpoints", p.Changed[coordinator.EndpointsDocument]), attribute.Bool("routes", p.Changed[coordinator.RoutesDocument])))
 		t.open[p.Gateway] = append(t.open[p.Gateway], published{p.Version, p.Changed, one})
 		t.count++
 	}
@@ -119,7 +119,7 @@
 }
 
 // acked ends what an acknowledgement confirms: the version, and for its document all before it.
-func (t *tracer) acked(a coordinator.Ack) {
+func (t *tracer) acked(a coordinator.DocumentAck) {
 	all := t.open[a.Gateway]
 	at := slices.IndexFunc(all, func(p published) bool { return p.version == a.Version })
 	if a.Error != "" {
@@ -128,13 +128,13 @@
 		}
 		return
 	}
-	if at < 0 || a.Doc < 0 || int(a.Doc) >= len(all[at].left) {
+	if at < 0 || a.Document < 0 || int(a.Document) >= len(all[at].left) {
 		return
 	}
 	for i := range all[:at+1] {
-		if all[i].left[a.Doc] {
-			all[i].left[a.Doc] = false
-			all[i].span.AddEvent("acknowledged", trace.WithAttributes(attribute.String("document", a.Doc.String())))
+		if all[i].left[a.Document] {
+			all[i].left[a.Document] = false
+			all[i].span.AddEvent("acknowledged", trace.WithAttributes(attribute.String("document", a.Document.String())))
 		}
 	}
 	for len(all) > 0 && all[0].left == [2]bool{} {
