--- a/audit/audit.go
+++ b/audit/audit.go
@@ -14,7 +14,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"porthub/tables"
+	"porthub/routing"
 )
 
 // Limits are the figures of the rules and of the request kinds.
@@ -113,7 +113,7 @@
 type gatewayLog struct {
 	joined []span
 	reads  []read
-	held   tables.Snapshot
+	held   routing.Snapshot
 	acks   []ack
 }
 
@@ -225,7 +225,7 @@
 }
 
 // Held says what a gateway has from now on; version and written are the file's, number the message's place.
-func (l *Log) Held(at, written time.Duration, gw, version string, s tables.Snapshot) {
+func (l *Log) Held(at, written time.Duration, gw, version string, s routing.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g := l.gateway(gw)
@@ -233,9 +233,9 @@
 	r.epoch, r.number = parse(version)
 	before := g.held
 	if n := len(g.reads); n == 0 || g.reads[n-1].epoch != r.epoch {
-		before = tables.Snapshot{} // a start's first message tells all lines, and none that go
+		before = routing.Snapshot{} // a start's first message tells all lines, and none that go
 	}
-	r.lines = tables.ChangeCost(before, s)
+	r.lines = routing.ChangeCost(before, s)
 	for _, k := range l.limits.Kinds {
 		r.open[k.Name] = s.OpenEndpoints(k.Name)
 	}
--- a/capture/explain.go
+++ b/capture/explain.go
@@ -7,25 +7,25 @@
 	"slices"
 	"strings"
 
-	"porthub/control"
 	"porthub/coordinator"
+	"porthub/policyapi"
 )
 
 // Event is something that bore on a node, in words.
 type Event struct {
-	At   control.Microseconds `json:"at_us"`
-	Seq  uint64               `json:"record"`
-	Kind string               `json:"what"` // list, probe, report, order, sent, confirmed, note, start or gap
-	Text string               `json:"text"`
+	At   policyapi.Microseconds `json:"at_us"`
+	Seq  uint64                 `json:"record"`
+	Kind string                 `json:"what"` // list, probe, report, order, sent, confirmed, note, start or gap
+	Text string                 `json:"text"`
 }
 
 // Explanation says why a node got traffic at a time, or why not.
 type Explanation struct {
-	Node     control.EndpointID   `json:"node"`
-	At       control.Microseconds `json:"at_us"`
-	Events   []Event              `json:"chain"` // the last of each sort before that time, and what led to it
-	Gateways []GatewayTable       `json:"holds"` // gateways that held an open line of it then
-	Answer   string               `json:"answer"`
+	Node     policyapi.EndpointID   `json:"node"`
+	At       policyapi.Microseconds `json:"at_us"`
+	Events   []Event                `json:"chain"` // the last of each sort before that time, and what led to it
+	Gateways []GatewayTable         `json:"holds"` // gateways that held an open line of it then
+	Answer   string                 `json:"answer"`
 }
 
 // GatewayTable is a gateway that held an open line of the node.
@@ -35,19 +35,19 @@
 	Classes []string            `json:"request_kinds"`
 	Weights []float64           `json:"weights"` // by request kind, of its cluster's sum
 	// Confirmed: it has said that it holds this; else it is on its way.
-	Confirmed    bool                 `json:"confirmed"`
-	Since        control.Microseconds `json:"since_us"` // when the line was first sent to it
-	Attempts     int                  `json:"tries"`    // in its last report before that time
-	Disconnected bool                 `json:"away"`     // its link had ended: nothing could be told it
+	Confirmed    bool                   `json:"confirmed"`
+	Since        policyapi.Microseconds `json:"since_us"` // when the line was first sent to it
+	Attempts     int                    `json:"tries"`    // in its last report before that time
+	Disconnected bool                   `json:"away"`     // its link had ended: nothing could be told it
 }
 
 // follow keeps what bears on one node while a capture is replayed.
 type follow struct {
-	node    control.EndpointID
-	at      control.Microseconds
+	node    policyapi.EndpointID
+	at      policyapi.Microseconds
 	chain   []Event
-	entry   *control.Endpoint
-	weights map[control.TableID]float64
+	entry   *policyapi.Endpoint
+	weights map[policyapi.TableID]float64
 	opens   map[coordinator.Gateway]*line // as sent
 	holds   map[coordinator.Gateway]*line // as confirmed
 	tries   map[coordinator.Gateway]int
@@ -59,13 +59,13 @@
 
 type line struct {
 	version string
-	since   control.Microseconds
+	since   policyapi.Microseconds
 	kinds   []string
 	weights []float64
 }
 
 // Times finds the time of the first and last record of a capture that have one.
-func Times(r *Reader) (first, last control.Microseconds, err error) {
+func Times(r *Reader) (first, last policyapi.Microseconds, err error) {
 	for {
 		rec, err := r.Next()
 		if err == io.EOF {
@@ -83,8 +83,8 @@
 }
 
 // Explain replays a capture up to a time and says what led to the node's lines as they were then.
-func Explain(r *Reader, node control.EndpointID, at control.Microseconds) (Explanation, error) {
-	f := &follow{node: node, at: at, weights: map[control.TableID]float64{}}
+func Explain(r *Reader, node policyapi.EndpointID, at policyapi.Microseconds) (Explanation, error) {
+	f := &follow{node: node, at: at, weights: map[policyapi.TableID]float64{}}
 	f.begin()
 	seen := false
 	_, err := Replay(r, "", func(rec *Record, core *coordinator.Core, outputs []coordinator.Output) bool {
@@ -112,7 +112,7 @@
 	f.known = true
 }
 
-func (f *follow) say(at control.Microseconds, seq uint64, what, format string, args ...any) {
+func (f *follow) say(at policyapi.Microseconds, seq uint64, what, format string, args ...any) {
 	f.chain = append(f.chain, Event{at, seq, what, fmt.Sprintf(format, args...)})
 }
 
@@ -120,7 +120,7 @@
 	switch {
 	case rec.Start != nil:
 		f.begin()
-		f.say(control.Microseconds(rec.Start.Wall), rec.Seq, "start", "the coordinator started (%s)%s", rec.Start.Build, recalled(rec.Start))
+		f.say(policyapi.Microseconds(rec.Start.Wall), rec.Seq, "start", "the coordinator started (%s)%s", rec.Start.Build, recalled(rec.Start))
 	case rec.Gap != nil:
 		f.begin()
 		f.known = false
@@ -179,21 +179,21 @@
 	}
 	for _, o := range rec.Step.Orders {
 		switch o := o.(type) {
-		case control.SetWeight:
+		case policyapi.SetWeight:
 			if o.Endpoint == f.node && f.weights[o.Table] != o.Weight {
 				f.say(now, seq, "order", "table %d: weight %.3f to %.3f", o.Table, f.weights[o.Table], o.Weight)
 				f.weights[o.Table] = o.Weight
 			}
-		case control.ClearTable:
+		case policyapi.ClearTable:
 			if f.weights[o.Table] > 0 {
 				f.say(now, seq, "order", "table %d was cleared", o.Table)
 				f.weights[o.Table] = 0
 			}
-		case control.EjectEndpoint:
+		case policyapi.EjectEndpoint:
 			if o.Endpoint == f.node {
 				f.say(now, seq, "order", "withdrawn from all tables: %t", o.Ejected)
 			}
-		case control.Log:
+		case policyapi.Log:
 			if strings.Contains(o.Text, string(f.node)) {
 				f.say(now, seq, "note", "%s", o.Text)
 			}
@@ -211,7 +211,7 @@
 	}
 }
 
-func (f *follow) list(now control.Microseconds, seq uint64, l coordinator.EndpointUpdate) {
+func (f *follow) list(now policyapi.Microseconds, seq uint64, l coordinator.EndpointUpdate) {
 	for _, e := range l.Endpoints {
 		if e.ID != f.node {
 			continue
@@ -226,16 +226,16 @@
 		f.entry = &e
 		return
 	}
-	if l.Kind == control.Snapshot && f.entry != nil && f.entry.Status != control.Removed && l.Error == "" {
+	if l.Kind == policyapi.Snapshot && f.entry != nil && f.entry.Status != policyapi.Removed && l.Error == "" {
 		f.say(now, seq, "list", "the node list (version %d) does not name it any more", l.Version)
 		gone := *f.entry
-		gone.Status = control.Removed
+		gone.Status = policyapi.Removed
 		f.entry = &gone
 	}
 }
 
 // told follows what a registry says of the node.
-func (f *follow) told(now control.Microseconds, seq uint64, a coordinator.RegistryUpdate) {
+func (f *follow) told(now policyapi.Microseconds, seq uint64, a coordinator.RegistryUpdate) {
 	text := "does not name it"
 	for _, c := range a.Observations {
 		if c.Endpoint == f.node {
@@ -251,11 +251,11 @@
 	}
 }
 
-func status(s control.EndpointStatus) string {
+func status(s policyapi.EndpointStatus) string {
 	return [...]string{"ready", "draining", "gone"}[min(max(s, 0), 2)]
 }
 
-func (f *follow) report(now control.Microseconds, seq uint64, r coordinator.LoadReport) {
+func (f *follow) report(now policyapi.Microseconds, seq uint64, r coordinator.LoadReport) {
 	tries, errored := 0, 0
 	for _, k := range r.Classes {
 		for _, e := range k.Endpoints {
@@ -272,7 +272,7 @@
 	f.tries[r.Gateway], f.errs[r.Gateway] = tries, errored
 }
 
-func (f *follow) publish(now control.Microseconds, seq uint64, p coordinator.Publish) {
+func (f *follow) publish(now policyapi.Microseconds, seq uint64, p coordinator.Publish) {
 	if !p.Changed[coordinator.EndpointsDocument] {
 		return
 	}
@@ -329,7 +329,7 @@
 	}
 	x.Events = f.short()
 	listed := "it is in no list"
-	closedAt := control.Microseconds(0)
+	closedAt := policyapi.Microseconds(0)
 	if f.entry != nil {
 		listed = "the list has it as " + status(f.entry.Status)
 		for _, e := range f.chain {
@@ -359,7 +359,7 @@
 		x.Answer = "nothing that was recorded names it"
 	case len(x.Gateways) == 0:
 		x.Answer = fmt.Sprintf("no gateway held an open line of it: %s; tables with it: %s", listed, orNone(tabled))
-	case f.entry != nil && f.entry.Status != control.Ready:
+	case f.entry != nil && f.entry.Status != policyapi.Ready:
 		x.Answer = fmt.Sprintf("%s since %.1f s, but %d gateways still held a line of it: %d had no link and could be told nothing, to %d the table without it had gone out and was not confirmed",
 			listed, float64(f.at-closedAt)/1e6, len(x.Gateways), away, late)
 	default:
--- a/capture/record.go
+++ b/capture/record.go
@@ -14,11 +14,11 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"porthub/control"
 	"porthub/coordinator"
+	"porthub/degradation"
+	"porthub/policyapi"
 	"porthub/recovery"
-	"porthub/service"
-	"porthub/tables"
+	"porthub/routing"
 )
 
 // Format is the version of the format that is written. Records of a newer one are not read.
@@ -45,9 +45,9 @@
 
 // Step is one step of the core: what it was told, what the module ordered, and a digest of what went out.
 type Step struct {
-	Now    control.Microseconds
+	Now    policyapi.Microseconds
 	Inputs []coordinator.Input
-	Orders []control.Order
+	Orders []policyapi.Order
 	Digest uint64
 	// Brief notes for staff: event, node and text, as the log has them.
 	Log []coordinator.LogEntry
@@ -55,15 +55,15 @@
 
 // Command is an operator's word between two steps.
 type Command struct {
-	Pin   *tables.Pin `cbor:"pin,omitempty" json:"Pin"`
-	Unpin int         `cbor:"unpin,omitempty" json:"Unpin"`
+	Pin   *routing.Pin `cbor:"pin,omitempty" json:"Pin"`
+	Unpin int          `cbor:"unpin,omitempty" json:"Unpin"`
 	// Drain or Undrain names a node.
-	Drain   control.EndpointID `cbor:"drain,omitempty" json:"Drain"`
-	Undrain control.EndpointID `cbor:"undrain,omitempty" json:"Undrain"`
-	Reason  string             `cbor:"reason,omitempty" json:"Reason"`
+	Drain   policyapi.EndpointID `cbor:"drain,omitempty" json:"Drain"`
+	Undrain policyapi.EndpointID `cbor:"undrain,omitempty" json:"Undrain"`
+	Reason  string               `cbor:"reason,omitempty" json:"Reason"`
 	// SetOverride is an operator's word about levels of service, Unsay the number of one that is taken back.
-	SetOverride   *service.Override `cbor:"say,omitempty" json:"Say"`
-	ClearOverride int               `cbor:"unsay,omitempty" json:"Unsay"`
+	SetOverride   *degradation.Override `cbor:"say,omitempty" json:"Say"`
+	ClearOverride int                   `cbor:"unsay,omitempty" json:"Unsay"`
 }
 
 // Gap says that records are missing: what was told then is not known.
@@ -86,9 +86,9 @@
 	"list": coordinator.EndpointUpdate{}, "told": coordinator.RegistryUpdate{}, "join": coordinator.GatewayConnected{}, "leave": coordinator.GatewayDisconnected{}, "ack": coordinator.DocumentAck{},
 	"report": coordinator.LoadReport{}, "probed": coordinator.HealthCheckResult{}, "refused": coordinator.PeerRejected{}, "failed": coordinator.PublishFailed{},
 
-	"log": control.Log{}, "watch": control.WatchEndpoints{}, "fetch": control.Resync{}, "sleep": control.SetTimer{}, "probe": control.CheckHealth{},
-	"tell": control.Broadcast{}, "line": control.SetWeight{}, "clear": control.ClearTable{}, "bind": control.BindProxy{}, "withdraw": control.EjectEndpoint{},
-	"admit": control.SetAdmission{}, "marked": control.RequestAck{},
+	"log": policyapi.Log{}, "watch": policyapi.WatchEndpoints{}, "fetch": policyapi.Resync{}, "sleep": policyapi.SetTimer{}, "probe": policyapi.CheckHealth{},
+	"tell": policyapi.Broadcast{}, "line": policyapi.SetWeight{}, "clear": policyapi.ClearTable{}, "bind": policyapi.BindProxy{}, "withdraw": policyapi.EjectEndpoint{},
+	"admit": policyapi.SetAdmission{}, "marked": policyapi.RequestAck{},
 })
 
 func naming(all map[string]any) (map[reflect.Type]string, map[string]reflect.Type) {
@@ -107,7 +107,7 @@
 }
 
 type stepRecord struct {
-	Now    control.Microseconds   `cbor:"now_us"`
+	Now    policyapi.Microseconds `cbor:"now_us"`
 	Inputs []tagged               `cbor:"in,omitempty"`
 	Orders []tagged               `cbor:"out,omitempty"`
 	Digest uint64                 `cbor:"digest,omitempty"`
@@ -122,7 +122,7 @@
 		Value any
 	}
 	stepOut struct {
-		Now    control.Microseconds   `cbor:"now_us"`
+		Now    policyapi.Microseconds `cbor:"now_us"`
 		Inputs []taggedOut            `cbor:"in,omitempty"`
 		Orders []taggedOut            `cbor:"out,omitempty"`
 		Digest uint64                 `cbor:"digest,omitempty"`
@@ -196,7 +196,7 @@
 	if s.Inputs, err = untag[coordinator.Input](r.Inputs); err != nil {
 		return err
 	}
-	s.Orders, err = untag[control.Order](r.Orders)
+	s.Orders, err = untag[policyapi.Order](r.Orders)
 	return err
 }
 
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -7,8 +7,8 @@
 	"reflect"
 	"slices"
 
-	"porthub/control"
 	"porthub/coordinator"
+	"porthub/policyapi"
 )
 
 // ReplayResult is what came of a replay.
@@ -30,13 +30,13 @@
 
 // Mismatch is where a replay departs from the record.
 type Mismatch struct {
-	Start    string               `json:"start"` // epoch
-	Seq      uint64               `json:"record"`
-	Now      control.Microseconds `json:"now_us"`
-	Order    int                  `json:"order"` // position; -1: the orders agree and what was published does not
-	Recorded string               `json:"recorded"`
-	Replayed string               `json:"replayed"`
-	Inputs   []string             `json:"inputs"`
+	Start    string                 `json:"start"` // epoch
+	Seq      uint64                 `json:"record"`
+	Now      policyapi.Microseconds `json:"now_us"`
+	Order    int                    `json:"order"` // position; -1: the orders agree and what was published does not
+	Recorded string                 `json:"recorded"`
+	Replayed string                 `json:"replayed"`
+	Inputs   []string               `json:"inputs"`
 }
 
 // SameBuild tells whether all of it was written by the build that replays it.
@@ -80,7 +80,7 @@
 			}
 			core = coordinator.New(s.Settings)
 			if s.Restored != nil {
-				core.Restore(control.Microseconds(s.Wall), *s.Restored)
+				core.Restore(policyapi.Microseconds(s.Wall), *s.Restored)
 			}
 		case rec.Gap != nil:
 			v.Gaps = append(v.Gaps, *rec.Gap)
@@ -136,7 +136,7 @@
 	}
 }
 
-func compare(rec *Record, got []control.Order, digest uint64) *Mismatch {
+func compare(rec *Record, got []policyapi.Order, digest uint64) *Mismatch {
 	want := rec.Step.Orders
 	first := &Mismatch{Seq: rec.Seq, Now: rec.Step.Now, Order: -1}
 	switch at := differ(want, got); {
@@ -155,7 +155,7 @@
 }
 
 // differ is the position of the first order that is not the same; -1: there is none.
-func differ(a, b []control.Order) int {
+func differ(a, b []policyapi.Order) int {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || !reflect.DeepEqual(a[i], b[i]) {
 			return i
@@ -164,7 +164,7 @@
 	return -1
 }
 
-func show(orders []control.Order, i int) string {
+func show(orders []policyapi.Order, i int) string {
 	if i >= len(orders) {
 		return fmt.Sprintf("nothing: %d orders in all", len(orders))
 	}
--- a/drill/drill_test.go
+++ b/chaos/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package chaos
 
 import (
 	"context"
--- a/drill/fleet.go
+++ b/chaos/fleet.go
@@ -1,4 +1,4 @@
-package drill
+package chaos
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"time"
 
 	"porthub/audit"
-	"porthub/standin"
+	"porthub/emulator"
 )
 
 // mode is how a fleet's gateways get their tables.
@@ -30,15 +30,15 @@
 	s     Scenario
 	mode  mode
 	dir   string
-	world *standin.World
+	world *emulator.World
 	log   *audit.Log
-	tally *standin.Tally
+	tally *emulator.Tally
 	reqs  atomic.Uint64
 
-	nodes    []*standin.Node
-	gateways []*standin.Gateway
+	nodes    []*emulator.Node
+	gateways []*emulator.Gateway
 	weights  []float64 // of the gateways, mean 1
-	clients  []*standin.Client
+	clients  []*emulator.Client
 	rng      *rand.Rand
 	struck   [][]int // gateways that trouble i strikes, where it strikes some
 
@@ -53,7 +53,7 @@
 
 // entry is what the list says of a node.
 type entry struct {
-	node     *standin.Node
+	node     *emulator.Node
 	state    audit.ListState
 	launched time.Duration
 }
@@ -73,8 +73,8 @@
 	l := limits(s)
 	l.Baseline = m != byCoordinator
 	log := audit.NewLog(l)
-	f := &fleet{s: s, mode: m, dir: dir, log: log, tally: standin.NewTally(), listed: map[string]*entry{}, ended: make(chan struct{})}
-	f.world = standin.NewWorld(log, standin.Rules{Cold: duration(s.Rules.Cold), ColdFrom: s.Rules.ColdFrom,
+	f := &fleet{s: s, mode: m, dir: dir, log: log, tally: emulator.NewTally(), listed: map[string]*entry{}, ended: make(chan struct{})}
+	f.world = emulator.NewWorld(log, emulator.Rules{Cold: duration(s.Rules.Cold), ColdFrom: s.Rules.ColdFrom,
 		ColdMultiple: s.Rules.ColdMultiple, ColdWindow: duration(s.Rules.ColdWindow)}, seed)
 	f.rng = f.world.Rand("fleet")
 	if s.Registry == "eureka" && m == byCoordinator {
@@ -84,7 +84,7 @@
 		}
 	}
 	for i := range s.Nodes {
-		n, err := standin.NewNode(f.world, standin.NodeOptions{Name: fmt.Sprintf("node-%d", i), Zone: s.Zones[i%len(s.Zones)], Machine: "std",
+		n, err := emulator.NewNode(f.world, emulator.NodeOptions{Name: fmt.Sprintf("node-%d", i), Zone: s.Zones[i%len(s.Zones)], Machine: "std",
 			Pod: i / 3, Weight: float64(s.Cores), Cores: s.Cores, Queue: s.Queue, Conns: s.Conns})
 		if err != nil {
 			return nil, err
@@ -104,13 +104,13 @@
 	}
 	for i := range s.Gateways {
 		f.weights[i] *= float64(s.Gateways) / total
-		o := standin.GatewayOptions{Name: fmt.Sprintf("gw-%d", i), Zone: s.Zones[i%len(s.Zones)], Kinds: kinds, FrontDir: filepath.Join(dir, "tables"),
+		o := emulator.GatewayOptions{Name: fmt.Sprintf("gw-%d", i), Zone: s.Zones[i%len(s.Zones)], Kinds: kinds, FrontDir: filepath.Join(dir, "tables"),
 			List: f.entries, Standing: 6, ShunAfter: 5, ShunFor: 5 * time.Second, Period: duration(s.Period), Weight: f.rate(i),
 			Everyone: m == oneTable, ReadChunk: s.Chunk, ReadPause: time.Millisecond}
 		if m == byCoordinator {
 			o.Coordinator = f.address
 		}
-		f.gateways = append(f.gateways, standin.NewGateway(f.world, o))
+		f.gateways = append(f.gateways, emulator.NewGateway(f.world, o))
 	}
 	for i := range s.Troubles {
 		f.struck = append(f.struck, f.chooseGateways(s.Troubles[i], f.world.Rand(fmt.Sprint("struck ", i))))
@@ -132,16 +132,16 @@
 		}
 	}
 	for i, g := range f.gateways {
-		c := standin.ClientOptions{Name: g.Name, Gateway: g, Rate: f.rate(i), Retries: f.s.Retries, TryShare: 0.7, Backoff: 50 * time.Millisecond,
+		c := emulator.ClientOptions{Name: g.Name, Gateway: g, Rate: f.rate(i), Retries: f.s.Retries, TryShare: 0.7, Backoff: 50 * time.Millisecond,
 			Factor: func(at time.Duration) float64 { return f.factor(i, at) }, Dear: f.dear}
 		for at := time.Duration(0); at < f.length(); at += 100 * time.Millisecond {
 			c.Most = max(c.Most, f.factor(i, at))
 		}
 		for _, k := range f.s.Kinds {
-			c.Kinds = append(c.Kinds, standin.Kind{Name: k.Name, Share: k.Share, Work: duration(k.Work), ResponseTarget: duration(k.ResponseTarget),
+			c.Kinds = append(c.Kinds, emulator.Kind{Name: k.Name, Share: k.Share, Work: duration(k.Work), ResponseTarget: duration(k.ResponseTarget),
 				ClientTimeout: duration(k.ClientTimeout), Payoff: k.Payoff, LatePayoff: 0.15, Replayable: k.Repeat == "replayable"})
 		}
-		f.clients = append(f.clients, standin.NewClient(f.world, c, f.tally, &f.reqs))
+		f.clients = append(f.clients, emulator.NewClient(f.world, c, f.tally, &f.reqs))
 	}
 	return nil
 }
@@ -204,20 +204,20 @@
 }
 
 // entries is the list as it stands.
-func (f *fleet) entries() []standin.ListEntry {
+func (f *fleet) entries() []emulator.ListEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []standin.ListEntry
+	var out []emulator.ListEntry
 	for _, n := range f.nodes {
 		if e := f.listed[n.Addr]; e.state != audit.Absent {
-			out = append(out, standin.ListEntry{Addr: n.Addr, Zone: n.Zone, Weight: n.Weight, Draining: e.state == audit.Draining})
+			out = append(out, emulator.ListEntry{Addr: n.Addr, Zone: n.Zone, Weight: n.Weight, Draining: e.state == audit.Draining})
 		}
 	}
 	return out
 }
 
 // tellList changes what the list says of a node, late as lists are.
-func (f *fleet) tellList(n *standin.Node, state audit.ListState, after time.Duration) {
+func (f *fleet) tellList(n *emulator.Node, state audit.ListState, after time.Duration) {
 	_, launched := n.Up()
 	f.pauses.Add(1)
 	time.AfterFunc(after, func() {
--- a/drill/polls.go
+++ b/chaos/polls.go
@@ -1,4 +1,4 @@
-package drill
+package chaos
 
 import (
 	"bufio"
@@ -24,7 +24,7 @@
 
 	"porthub/audit"
 	"porthub/config"
-	"porthub/standin"
+	"porthub/emulator"
 	"porthub/xds"
 )
 
@@ -56,7 +56,7 @@
 	s := usual()
 	s.Gateways = gateways
 	f := &fleet{s: s, dir: dir, log: audit.NewLog(limits(s))}
-	f.world = standin.NewWorld(f.log, standin.Rules{}, 1)
+	f.world = emulator.NewWorld(f.log, emulator.Rules{}, 1)
 	logs, err := os.Create(filepath.Join(dir, "coordinator.log"))
 	if err != nil {
 		return res, err
--- a/drill/registry.go
+++ b/chaos/registry.go
@@ -1,4 +1,4 @@
-package drill
+package chaos
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 
 	"porthub/audit"
 	"porthub/config"
-	"porthub/standin"
-	"porthub/standin/eureka"
+	"porthub/emulator"
+	"porthub/emulator/eureka"
 )
 
 // registry is a stand-in Eureka registry with two peers that the coordinator reads in place of the file. The audit takes a
@@ -68,7 +68,7 @@
 }
 
 // list brings the registry to what the list says; tell is called once it has been told.
-func (r *registry) list(start time.Time, nodes []*standin.Node, listed map[string]*entry, tell func()) {
+func (r *registry) list(start time.Time, nodes []*emulator.Node, listed map[string]*entry, tell func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, n := range nodes {
--- a/drill/troubles.go
+++ b/chaos/troubles.go
@@ -1,4 +1,4 @@
-package drill
+package chaos
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"porthub/audit"
 	"porthub/config"
-	"porthub/control"
 	"porthub/daemon"
-	"porthub/standin"
+	"porthub/emulator"
+	"porthub/policyapi"
 )
 
 // trouble is one kind of trouble: what its fields mean, how it usually is, and what it does. Those that only change
@@ -47,15 +47,15 @@
 	troubles = map[string]trouble{
 		"crash": {"part of the nodes die and come back cold after a while", Trouble{For: 6e6, Part: 0.17}, (*fleet).crash},
 		"vanish": {"part of the nodes go silent, leave the list late and come back cold", Trouble{For: 8e6, Part: 0.12}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
-			f.each(f.choose(t, rng), t, func(n *standin.Node) {
-				n.Set(func(x *standin.Fault) { x.Hang = true })
+			f.each(f.choose(t, rng), t, func(n *emulator.Node) {
+				n.Set(func(x *emulator.Fault) { x.Hang = true })
 				f.tellList(n, audit.Absent, 4*duration(f.s.ListLate))
 			},
-				func(n *standin.Node) { n.Kill(); f.revive(n) })
+				func(n *emulator.Node) { n.Kill(); f.revive(n) })
 		}},
 		"hang": {"part of the nodes take reqs and answer none; the list shows nothing", Trouble{For: 8e6, Part: 0.12}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
-			f.each(f.choose(t, rng), t, func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Hang = true }) },
-				func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Hang = false }) })
+			f.each(f.choose(t, rng), t, func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Hang = true }) },
+				func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Hang = false }) })
 		}},
 		"pauses": {"part of the nodes stand still for size ms every extra s", Trouble{For: 10e6, Part: 0.3, Size: 300, Extra: 1.5}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
 			nodes, end := f.choose(t, rng), duration(t.At+t.For)
@@ -81,7 +81,7 @@
 					}
 				}
 			}
-			var nodes []*standin.Node
+			var nodes []*emulator.Node
 			for _, n := range f.nodes {
 				if n.Zone == zone {
 					nodes = append(nodes, n)
@@ -132,8 +132,8 @@
 			}
 		}},
 		"shared_slow": {"every node works size times slower", Trouble{For: 5e6, Size: 1.5}, func(f *fleet, t Trouble, _ *rand.Rand, _ []int) {
-			f.each(f.nodes, t, func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Slow = t.Size }) },
-				func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Slow = 0 }) })
+			f.each(f.nodes, t, func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Slow = t.Size }) },
+				func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Slow = 0 }) })
 		}},
 		"counter_down": {"part of the gateways reach no coordinator and go on", Trouble{For: 8e6, Part: 0.3}, func(f *fleet, t Trouble, _ *rand.Rand, gateways []int) {
 			for _, i := range gateways {
@@ -145,18 +145,18 @@
 			}
 		}},
 		"answer_lost": {"part of the nodes do the work, but size of their answers never come back; probes are answered", Trouble{For: 8e6, Part: 0.5, Size: 0.2}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
-			f.each(f.choose(t, rng), t, func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Lost = t.Size }) },
-				func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Lost = 0 }) })
+			f.each(f.choose(t, rng), t, func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Lost = t.Size }) },
+				func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Lost = 0 }) })
 		}},
 		"class_fail": {"part of the nodes fail size of one kind's reqs and serve the others; extra over 0.5: by errors, else by silence", Trouble{For: 10e6, Part: 0.4, Size: 0.9, Kind: "capacity"}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
 			kind := cmp.Or(t.Kind, f.s.Kinds[0].Name)
-			f.each(f.choose(t, rng), t, func(n *standin.Node) {
-				n.Set(func(x *standin.Fault) { x.FailKind, x.FailPart, x.FailError = kind, t.Size, t.Extra > 0.5 })
-			}, func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.FailPart = 0 }) })
+			f.each(f.choose(t, rng), t, func(n *emulator.Node) {
+				n.Set(func(x *emulator.Fault) { x.FailKind, x.FailPart, x.FailError = kind, t.Size, t.Extra > 0.5 })
+			}, func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.FailPart = 0 }) })
 		}},
 		"conn_squeeze": {"every node accepts size of its connections", Trouble{For: 10e6, Size: 0.1}, func(f *fleet, t Trouble, _ *rand.Rand, _ []int) {
-			f.each(f.nodes, t, func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Conns = max(t.Size, 1e-3) }) },
-				func(n *standin.Node) { n.Set(func(x *standin.Fault) { x.Conns = 0 }) })
+			f.each(f.nodes, t, func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Conns = max(t.Size, 1e-3) }) },
+				func(n *emulator.Node) { n.Set(func(x *emulator.Fault) { x.Conns = 0 }) })
 		}},
 		"flapping": {"part of the nodes fail and recover by turns of size s, extra of it down; each return is cold, and the list follows late", Trouble{For: 14e6, Part: 0.12, Size: 5, Extra: 0.4}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
 			end := duration(t.At + t.For)
@@ -172,7 +172,7 @@
 		}},
 		"mass_restart": {"part of the nodes restart at once and are cold", Trouble{For: 7e5, Part: 0.5}, (*fleet).crash},
 		"wrong_list": {"the list drops part of the nodes that serve, and names them again after a while", Trouble{For: 6e6, Part: 0.2}, func(f *fleet, t Trouble, rng *rand.Rand, _ []int) {
-			f.each(f.choose(t, rng), t, func(n *standin.Node) { f.tellList(n, audit.Absent, 0) }, func(n *standin.Node) { f.tellList(n, audit.Ready, 0) })
+			f.each(f.choose(t, rng), t, func(n *emulator.Node) { f.tellList(n, audit.Absent, 0) }, func(n *emulator.Node) { f.tellList(n, audit.Ready, 0) })
 		}},
 		"broken_list": {"the list's file is half written, then empty, then gone, for a third of the time each", Trouble{For: 6e6}, func(f *fleet, t Trouble, _ *rand.Rand, _ []int) {
 			path := filepath.Join(f.dir, "nodes.json")
@@ -207,7 +207,7 @@
 				return
 			}
 			var o daemon.Operated
-			r := daemon.PinRequest{Fleet: true, Ago: control.Microseconds(t.Size * 1e6), Reason: "drill"}
+			r := daemon.PinRequest{Fleet: true, Ago: policyapi.Microseconds(t.Size * 1e6), Reason: "drill"}
 			if f.operate("/tables/pin", r, &o) != nil || o.Error != "" {
 				return // no coordinator, or nothing so old: then there is nothing to roll back
 			}
@@ -238,7 +238,7 @@
 }
 
 // each does something to nodes, and undoes it when the trouble's time is over.
-func (f *fleet) each(nodes []*standin.Node, t Trouble, do, undo func(*standin.Node)) {
+func (f *fleet) each(nodes []*emulator.Node, t Trouble, do, undo func(*emulator.Node)) {
 	for _, n := range nodes {
 		do(n)
 	}
@@ -253,7 +253,7 @@
 }
 
 // die ends a node's process; the list drops it late, unless it is back by then.
-func (f *fleet) die(n *standin.Node) {
+func (f *fleet) die(n *emulator.Node) {
 	n.Kill()
 	f.pauses.Add(1)
 	time.AfterFunc(duration(f.s.ListLate), func() {
@@ -265,15 +265,15 @@
 }
 
 // revive starts a node's process again, and the list names it with its start a little late.
-func (f *fleet) revive(n *standin.Node) {
+func (f *fleet) revive(n *emulator.Node) {
 	if err := n.Revive(); err == nil {
 		f.tellList(n, audit.Ready, duration(f.s.ListLate)/2)
 	}
 }
 
 // choose draws the nodes that a trouble strikes: those that run, of its zone if it names one.
-func (f *fleet) choose(t Trouble, rng *rand.Rand) []*standin.Node {
-	var up []*standin.Node
+func (f *fleet) choose(t Trouble, rng *rand.Rand) []*emulator.Node {
+	var up []*emulator.Node
 	for _, n := range f.nodes {
 		f.mu.Lock()
 		listed := f.listed[n.Addr].state == audit.Ready
--- a/client/files.go
+++ b/client/files.go
@@ -13,14 +13,14 @@
 
 	"github.com/fsnotify/fsnotify"
 
-	"porthub/front/files"
-	"porthub/tables"
+	"porthub/routing"
 	"porthub/xds"
+	"porthub/xdsfile"
 )
 
 // Held is what a gateway holds by its files.
 type Held struct {
-	Snapshot       tables.Snapshot
+	Snapshot       routing.Snapshot
 	EndpointsFrom  string // version of the clusters; empty: none has been read
 	RoutesFrom     string
 	Reads, Refused int // whole documents read, and texts that were none
@@ -60,7 +60,7 @@
 
 // Look reads what has changed since the last look, endpoints before routes. A missing file is no update.
 func (r *Reader) Look() (updates []Update) {
-	for _, name := range []string{files.EndpointFile, files.RouteFile} {
+	for _, name := range []string{xdsfile.EndpointFile, xdsfile.RouteFile} {
 		path := filepath.Join(r.dir, name)
 		info, err := os.Stat(path)
 		if err != nil {
--- a/client/link.go
+++ b/client/link.go
@@ -32,7 +32,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"porthub/coordinator"
-	"porthub/tables"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -105,7 +105,7 @@
 	defer l.mu.Unlock()
 	l.node.Standing = held.EndpointsFrom == ""
 	if l.node.Checksum = 0; held.EndpointsFrom != "" && held.RoutesFrom != "" {
-		l.node.Checksum, l.node.Held = tables.Checksum(held.Snapshot), [tables.DocumentCount]string{held.EndpointsFrom, held.RoutesFrom}
+		l.node.Checksum, l.node.Held = routing.Checksum(held.Snapshot), [routing.DocumentCount]string{held.EndpointsFrom, held.RoutesFrom}
 	}
 	path, kind, version := xds.EndpointPath, xds.EndpointType, held.EndpointsFrom
 	if u.Doc.Type == xds.RouteType {
--- a/client/poller.go
+++ b/client/poller.go
@@ -13,7 +13,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"porthub/tables"
+	"porthub/routing"
 	"porthub/xds"
 )
 
@@ -29,9 +29,9 @@
 	hold   time.Duration
 
 	// What is held by deltas, by document; each is touched by its goroutine alone.
-	held  [tables.DocumentCount]tables.Snapshot
-	nonce [tables.DocumentCount]string // of the last delta that was taken
-	fresh [tables.DocumentCount]bool   // what is held must be stated: the coordinator does not know it
+	held  [routing.DocumentCount]routing.Snapshot
+	nonce [routing.DocumentCount]string // of the last delta that was taken
+	fresh [routing.DocumentCount]bool   // what is held must be stated: the coordinator does not know it
 }
 
 // NewPoller polls for a gateway's tables, of the request kinds given; each poll is held for so long at most.
@@ -40,7 +40,7 @@
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
-	p := &Poller{node: o.Node, addr: o.Coordinator, kinds: kinds, Deltas: true, hold: hold, fresh: [tables.DocumentCount]bool{true, true}}
+	p := &Poller{node: o.Node, addr: o.Coordinator, kinds: kinds, Deltas: true, hold: hold, fresh: [routing.DocumentCount]bool{true, true}}
 	p.node.Polls, p.node.Hold = true, hold
 	for i := range p.http {
 		p.http[i] = &http.Client{Timeout: hold + 10*time.Second, Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: 1,
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -4,14 +4,14 @@
 import (
 	"time"
 
-	"porthub/control"
+	"porthub/policyapi"
 )
 
 // Clock gives a host its time, in microseconds since 1970.
 type Clock interface {
-	Now() control.Microseconds
+	Now() policyapi.Microseconds
 	// After sends once the length has passed.
-	After(d control.Microseconds) <-chan time.Time
+	After(d policyapi.Microseconds) <-chan time.Time
 }
 
 // wallClock starts at the wall's time and then follows the monotonic clock, so that a wall clock that is set anew
@@ -21,10 +21,10 @@
 // New is the machine's clock.
 func New() Clock { return wallClock{time.Now()} }
 
-func (c wallClock) Now() control.Microseconds {
-	return control.Microseconds(c.start.UnixMicro() + time.Since(c.start).Microseconds())
+func (c wallClock) Now() policyapi.Microseconds {
+	return policyapi.Microseconds(c.start.UnixMicro() + time.Since(c.start).Microseconds())
 }
 
-func (c wallClock) After(d control.Microseconds) <-chan time.Time {
+func (c wallClock) After(d policyapi.Microseconds) <-chan time.Time {
 	return time.After(time.Duration(d) * time.Microsecond)
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -7,9 +7,9 @@
 	"io"
 	"os"
 
-	"porthub/choice"
-	"porthub/control"
-	"porthub/wire"
+	"porthub/policy"
+	"porthub/policyapi"
+	"porthub/simwire"
 )
 
 func main() {
@@ -21,14 +21,14 @@
 
 // host keeps the instances of this process; they share nothing.
 type host struct {
-	instances map[control.InstanceID]*choice.Instance
-	order     []control.InstanceID // of the batch, in the order in which they first occur
-	events    map[control.InstanceID][]control.Event
+	instances map[policyapi.InstanceID]*policy.Instance
+	order     []policyapi.InstanceID // of the batch, in the order in which they first occur
+	events    map[policyapi.InstanceID][]policyapi.Event
 }
 
 func serve(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), wire.NewWriter(out)
-	h := host{instances: map[control.InstanceID]*choice.Instance{}, events: map[control.InstanceID][]control.Event{}}
+	r, w := simwire.NewReader(in), simwire.NewWriter(out)
+	h := host{instances: map[policyapi.InstanceID]*policy.Instance{}, events: map[policyapi.InstanceID][]policyapi.Event{}}
 	for {
 		batch, err := r.Read()
 		if errors.Is(err, io.EOF) {
@@ -45,7 +45,7 @@
 }
 
 // turn deals a batch out to its instances and writes what they order.
-func (h *host) turn(batch wire.Batch, w *wire.Writer) {
+func (h *host) turn(batch simwire.Batch, w *simwire.Writer) {
 	h.order = h.order[:0]
 	for _, ev := range batch.Events {
 		if _, seen := h.events[ev.To]; !seen {
@@ -68,7 +68,7 @@
 }
 
 // act runs one instance; its panic becomes a text. Events up to a crash are moot: their orders would die with it.
-func (h *host) act(id control.InstanceID, now control.Microseconds, events []control.Event) (orders []control.Order, failed string) {
+func (h *host) act(id policyapi.InstanceID, now policyapi.Microseconds, events []policyapi.Event) (orders []policyapi.Order, failed string) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, failed = nil, fmt.Sprint(p)
@@ -77,11 +77,11 @@
 	from := 0
 	for i, ev := range events {
 		switch e := ev.(type) {
-		case wire.Crash:
+		case simwire.Crash:
 			delete(h.instances, id)
 			from = i + 1
-		case control.Start:
-			h.instances[id] = choice.New(e)
+		case policyapi.Start:
+			h.instances[id] = policy.New(e)
 			from = i + 1
 		}
 	}
--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"porthub/capture"
-	"porthub/control"
 	"porthub/daemon"
+	"porthub/policyapi"
 )
 
 func captureCommand() *cobra.Command {
@@ -196,7 +196,7 @@
 				return err
 			}
 			defer r.Close()
-			x, err := capture.Explain(r, control.EndpointID(node), when)
+			x, err := capture.Explain(r, policyapi.EndpointID(node), when)
 			if err != nil {
 				return err
 			}
@@ -234,12 +234,12 @@
 }
 
 // moment reads a time as explain takes it.
-func moment(open func() (*capture.Reader, error), at string) (control.Microseconds, error) {
+func moment(open func() (*capture.Reader, error), at string) (policyapi.Microseconds, error) {
 	if t, err := time.Parse(time.RFC3339Nano, at); err == nil {
-		return control.Microseconds(t.UnixMicro()), nil
+		return policyapi.Microseconds(t.UnixMicro()), nil
 	}
 	if n, err := strconv.ParseInt(at, 10, 64); err == nil && n > 0 {
-		return control.Microseconds(n), nil
+		return policyapi.Microseconds(n), nil
 	}
 	if d, err := time.ParseDuration(at); err == nil {
 		r, err := open()
@@ -251,13 +251,13 @@
 		if strings.HasPrefix(at, "-") {
 			first = last
 		}
-		return first + control.Microseconds(d.Microseconds()), err
+		return first + policyapi.Microseconds(d.Microseconds()), err
 	}
 	return 0, fmt.Errorf("--at %q: it must be a time such as 2026-12-01T21:14:05Z, microseconds, +62.5s or -10s", at)
 }
 
 // clock shows a time of the core.
-func clock(at control.Microseconds) string {
+func clock(at policyapi.Microseconds) string {
 	if at == 0 {
 		return "-"
 	}
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -14,10 +14,10 @@
 	"github.com/spf13/cobra"
 
 	"porthub/config"
-	"porthub/control"
 	"porthub/coordinator"
 	"porthub/daemon"
-	"porthub/service"
+	"porthub/degradation"
+	"porthub/policyapi"
 )
 
 func levelsCommand() *cobra.Command {
@@ -49,7 +49,7 @@
 	fmt.Fprintln(w, "SCOPE\tLEVEL\tFOR\tWHY\tENDS\tGATEWAYS")
 	for _, s := range l.Scopes {
 		scope, since, held := string(s.Zone), "-", []string{}
-		if s.Zone == service.FleetScope {
+		if s.Zone == degradation.FleetScope {
 			scope = "fleet"
 		}
 		if s.Since > 0 {
@@ -62,7 +62,7 @@
 	}
 	fmt.Fprint(w, "\nFIGURE")
 	for _, s := range l.Scopes {
-		fmt.Fprintf(w, "\t%s", map[bool]string{true: "fleet", false: string(s.Zone)}[s.Zone == service.FleetScope])
+		fmt.Fprintf(w, "\t%s", map[bool]string{true: "fleet", false: string(s.Zone)}[s.Zone == degradation.FleetScope])
 	}
 	fmt.Fprintln(w)
 	for i, f := range l.Scopes[0].Signals {
@@ -102,14 +102,14 @@
   porthub levels set hard --forbid --for 2h --reason "it has cost too much"
   porthub levels set --hold --zone hala-a --for 10m --reason "being looked at"`,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r.Do, r.Zone, r.For = service.ForceLevel, control.Zone(zone), control.Microseconds(length.Microseconds())
+			r.Do, r.Zone, r.For = degradation.ForceLevel, policyapi.Zone(zone), policyapi.Microseconds(length.Microseconds())
 			switch {
 			case forbid && hold:
 				return errors.New("--forbid or --hold, not both")
 			case forbid:
-				r.Do = service.ForbidLevel
+				r.Do = degradation.ForbidLevel
 			case hold:
-				r.Do = service.HoldLevel
+				r.Do = degradation.HoldLevel
 			}
 			if hold != (len(args) == 0) {
 				return errors.New("name a level to force or forbid it; --hold takes none")
@@ -193,17 +193,17 @@
 	return cmd
 }
 
-func simulate(out io.Writer, set service.Settings, name string, in io.Reader) error {
-	m := service.New(set)
+func simulate(out io.Writer, set degradation.Settings, name string, in io.Reader) error {
+	m := degradation.New(set)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "AT\tSCOPE\tFROM\tTO\tWHY")
 	lines := bufio.NewScanner(in)
 	last, changes := -1.0, 0
-	figures := map[control.Zone]service.Signals{}
+	figures := map[policyapi.Zone]degradation.Signals{}
 	step := func() {
-		for _, c := range m.Step(control.Microseconds(last*1e6), figures) {
+		for _, c := range m.Step(policyapi.Microseconds(last*1e6), figures) {
 			changes++
-			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == service.FleetScope], set.Name(c.From), set.Name(c.To), c.Reason)
+			fmt.Fprintf(w, "%.1f s\t%s\t%s\t%s\t%s\n", last, map[bool]string{true: "fleet", false: string(c.Zone)}[c.Zone == degradation.FleetScope], set.Name(c.From), set.Name(c.To), c.Reason)
 		}
 		clear(figures)
 	}
@@ -230,13 +230,13 @@
 			step()
 		}
 		last = c.At
-		f := figures[control.Zone(c.Zone)]
+		f := figures[policyapi.Zone(c.Zone)]
 		for r, v := range []*float64{c.Load, c.Lost, c.Unreachable, c.Shed, c.Behind} {
 			if v != nil {
-				f.Set(service.Trigger(r), *v)
+				f.Set(degradation.Trigger(r), *v)
 			}
 		}
-		figures[control.Zone(c.Zone)] = f
+		figures[policyapi.Zone(c.Zone)] = f
 	}
 	if err := lines.Err(); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
@@ -247,11 +247,11 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%d changes in %.0f s; the settings allow %d in each scope\n", changes, max(0, last-first), set.MaxChanges(control.Microseconds((last-first)*1e6)))
+	fmt.Fprintf(out, "%d changes in %.0f s; the settings allow %d in each scope\n", changes, max(0, last-first), set.MaxChanges(policyapi.Microseconds((last-first)*1e6)))
 	return nil
 }
 
-func containsZone(zones []control.Zone, name string) bool {
+func containsZone(zones []policyapi.Zone, name string) bool {
 	for _, z := range zones {
 		if string(z) == name {
 			return true
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"porthub/control"
 	"porthub/daemon"
+	"porthub/policyapi"
 )
 
 func nodesCommand() *cobra.Command {
@@ -57,7 +57,7 @@
 		var addr, reason string
 		cmd := &cobra.Command{Use: c[0] + " NODE", Short: c[1], Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
 			var a daemon.NodeAnswer
-			if err := ask(cmd, addr, "/nodes/"+c[0], daemon.NodeRequest{Node: control.EndpointID(args[0]), Reason: reason}, &a); err != nil {
+			if err := ask(cmd, addr, "/nodes/"+c[0], daemon.NodeRequest{Node: policyapi.EndpointID(args[0]), Reason: reason}, &a); err != nil {
 				return err
 			}
 			if a.Error != "" {
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -12,10 +12,10 @@
 	"github.com/spf13/cobra"
 
 	"porthub/capture"
-	"porthub/control"
 	"porthub/coordinator"
 	"porthub/daemon"
-	"porthub/desk"
+	"porthub/policyapi"
+	"porthub/tui"
 )
 
 // momentsMost bounds what top keeps of a capture: an hour, a moment a second.
@@ -36,15 +36,15 @@
 			if every < 200*time.Millisecond {
 				return errors.New("--every: 200ms at least")
 			}
-			var source desk.Source = desk.NewLive(addr)
+			var source tui.Source = tui.NewLive(addr)
 			if dir != "" {
 				moments, err := momentsOf(dir)
 				if err != nil {
 					return err
 				}
-				source = desk.NewRecorded(dir, moments)
+				source = tui.NewRecorded(dir, moments)
 			}
-			m := desk.New(source, every)
+			m := tui.New(source, every)
 			if once {
 				return drawOnce(cmd.OutOrStdout(), m)
 			}
@@ -61,9 +61,9 @@
 }
 
 // drawOnce draws what a first look shows.
-func drawOnce(out io.Writer, m desk.Model) error {
+func drawOnce(out io.Writer, m tui.Model) error {
 	next, _ := m.Update(m.Init()())
-	shown, is := next.(desk.Model)
+	shown, is := next.(tui.Model)
 	if !is {
 		return errors.New("the screen has gone")
 	}
@@ -72,7 +72,7 @@
 }
 
 // momentsOf replays a capture and keeps a moment of each second.
-func momentsOf(dir string) (moments []desk.Frame, err error) {
+func momentsOf(dir string) (moments []tui.Frame, err error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 	}
 	defer r.Close()
 	var tail []coordinator.LogRecord
-	last := control.Microseconds(0)
+	last := policyapi.Microseconds(0)
 	_, err = capture.Replay(r, "", func(rec *capture.Record, core *coordinator.Core, outputs []coordinator.Output) bool {
 		if rec.Step == nil || core == nil {
 			return true
@@ -94,7 +94,7 @@
 		}
 		if rec.Step.Now-last >= 1_000_000 {
 			last = rec.Step.Now
-			moments = append(moments, desk.Frame{Overview: core.Overview(), Log: tail})
+			moments = append(moments, tui.Frame{Overview: core.Overview(), Log: tail})
 		}
 		return len(moments) < momentsMost
 	})
--- a/cmd/porthub/versions.go
+++ b/cmd/porthub/versions.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"porthub/control"
 	"porthub/daemon"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // ask sends a request to a coordinator and reads its answer.
@@ -151,7 +151,7 @@
 			printDiff(out, a.Lines, b.Lines)
 			kinds := maps.Clone(a.Acting)
 			if kinds == nil {
-				kinds = map[string][]tables.EndpointWeight{}
+				kinds = map[string][]routing.EndpointWeight{}
 			}
 			maps.Copy(kinds, b.Acting)
 			for _, kind := range slices.Sorted(maps.Keys(kinds)) {
@@ -161,9 +161,9 @@
 			return nil
 		}}
 	scoped := func(cmd *cobra.Command) (daemon.PinRequest, error) {
-		r := daemon.PinRequest{Zone: control.Zone(zone), Fleet: fleet, Reason: reason}
+		r := daemon.PinRequest{Zone: policyapi.Zone(zone), Fleet: fleet, Reason: reason}
 		if cmd.Flags().Changed("table") {
-			t := control.TableID(table)
+			t := policyapi.TableID(table)
 			r.Table = &t
 		}
 		said := 0
@@ -208,7 +208,7 @@
 			if (version == 0) == (ago == 0) {
 				return errors.New("say to when: --version N of a table, or --ago TIME")
 			}
-			r.Version, r.Ago = tables.Version(version), control.Microseconds(ago.Microseconds())
+			r.Version, r.Ago = routing.Version(version), policyapi.Microseconds(ago.Microseconds())
 			return send(cmd, "/tables/pin", r)
 		}}
 	unpin := &cobra.Command{Use: "unpin PIN", Short: "Let a pin go", Args: cobra.ExactArgs(1),
@@ -240,16 +240,16 @@
 }
 
 // of is what a version had for a kind.
-func of(v daemon.VersionOf, kind string) []tables.EndpointWeight {
+func of(v daemon.VersionOf, kind string) []routing.EndpointWeight {
 	if lines, acts := v.Acting[kind]; acts {
 		return lines
 	}
 	return v.Lines
 }
 
-func printDiff(out io.Writer, from, to []tables.EndpointWeight) {
+func printDiff(out io.Writer, from, to []routing.EndpointWeight) {
 	before := weights(from)
-	d := tables.Diff(tables.State{}.With(before), tables.State{}.With(weights(to)))
+	d := routing.Diff(routing.State{}.With(before), routing.State{}.With(weights(to)))
 	for _, l := range d.Set {
 		if old, had := before[l.Endpoint]; had {
 			fmt.Fprintf(out, "~ %s %.4g -> %.4g\n", l.Endpoint, old, l.Weight)
@@ -262,14 +262,14 @@
 	}
 }
 
-func weights(lines []tables.EndpointWeight) tables.Weights {
-	w := tables.Weights{}
+func weights(lines []routing.EndpointWeight) routing.Weights {
+	w := routing.Weights{}
 	for _, l := range lines {
 		w[l.Endpoint] = l.Weight
 	}
 	return w
 }
 
-func age(now, at control.Microseconds) string {
+func age(now, at policyapi.Microseconds) string {
 	return (time.Duration(now-at) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
--- a/config/config.go
+++ b/config/config.go
@@ -12,12 +12,12 @@
 	"strings"
 	"time"
 
-	"porthub/control"
-	"porthub/service"
+	"porthub/degradation"
+	"porthub/policyapi"
 )
 
 // Duration is a length of time; in the file it is a string with a unit, such as "750ms", "2.5s" or "1m".
-type Duration control.Microseconds
+type Duration policyapi.Microseconds
 
 // Config is the whole file. Defaults stand in Default.
 type Config struct {
@@ -235,9 +235,9 @@
 	Behind      float64 `json:"behind"`
 }
 
-func (r Reasons) all() [service.TriggerCount]float64 {
-	return [service.TriggerCount]float64{service.TriggerLoad: r.Load, service.TriggerLostCapacity: r.Lost, service.TriggerUnreachable: r.Unreachable, service.TriggerShedReports: r.Shed,
-		service.TriggerBehind: r.Behind}
+func (r Reasons) all() [degradation.TriggerCount]float64 {
+	return [degradation.TriggerCount]float64{degradation.TriggerLoad: r.Load, degradation.TriggerLostCapacity: r.Lost, degradation.TriggerUnreachable: r.Unreachable, degradation.TriggerShedReports: r.Shed,
+		degradation.TriggerBehind: r.Behind}
 }
 
 // KindBounds are a level's for one request kind.
@@ -257,17 +257,17 @@
 }
 
 // ServiceLevels are the levels of service as package service has them, and the fallback.
-func (c Config) ServiceLevels() (service.Settings, service.Fallback) {
-	s := service.Settings{Period: control.Microseconds(c.Reports.Period)}
+func (c Config) ServiceLevels() (degradation.Settings, degradation.Fallback) {
+	s := degradation.Settings{Period: policyapi.Microseconds(c.Reports.Period)}
 	for _, z := range c.Zones {
-		s.Zones = append(s.Zones, control.Zone(z))
+		s.Zones = append(s.Zones, policyapi.Zone(z))
 	}
 	for _, k := range c.Kinds {
 		s.Classes = append(s.Classes, k.Name)
 	}
 	for _, l := range c.Service.Levels {
-		one := service.Level{Name: l.Name, Enter: l.Enter.all(), Leave: l.Leave.all(), EnterDelay: control.Microseconds(l.EnterHeld),
-			LeaveDelay: control.Microseconds(l.LeaveHeld), Bounds: service.Unbounded(len(c.Kinds))}
+		one := degradation.Level{Name: l.Name, Enter: l.Enter.all(), Leave: l.Leave.all(), EnterDelay: policyapi.Microseconds(l.EnterHeld),
+			LeaveDelay: policyapi.Microseconds(l.LeaveHeld), Bounds: degradation.Unbounded(len(c.Kinds))}
 		b := &one.Bounds
 		b.CrossZoneFactor, b.MaxEndpoints, b.MaxHealthChecks, b.ReportIntervalFactor = l.Cross, l.Lines, l.Probes, l.Stretch
 		for k := range c.Kinds {
@@ -282,7 +282,7 @@
 		}
 		s.Levels = append(s.Levels, one)
 	}
-	f := service.Fallback{After: control.Microseconds(c.Service.Fallback.After), Duration: control.Microseconds(c.Service.Fallback.For)}
+	f := degradation.Fallback{After: policyapi.Microseconds(c.Service.Fallback.After), Duration: policyapi.Microseconds(c.Service.Fallback.For)}
 	if c.Service.Fallback.Level != "" {
 		f.Level, _ = s.LevelNamed(c.Service.Fallback.Level)
 	}
@@ -530,42 +530,42 @@
 }
 
 // Start is what the decision module is handed at its start.
-func (c Config) Up() control.Start {
-	up := control.Start{Seed: uint64(c.Coordinator.Seed), Self: control.PeerID(c.Coordinator.Index), InstanceCount: max(1, c.Coordinator.Instances),
-		Zone: control.Zone(c.Coordinator.Zone), ProxyCount: c.Gateways.Expected, PollsList: true, EjectionThreshold: c.Gateways.ShunAfter,
+func (c Config) Up() policyapi.Start {
+	up := policyapi.Start{Seed: uint64(c.Coordinator.Seed), Self: policyapi.PeerID(c.Coordinator.Index), InstanceCount: max(1, c.Coordinator.Instances),
+		Zone: policyapi.Zone(c.Coordinator.Zone), ProxyCount: c.Gateways.Expected, PollsList: true, EjectionThreshold: c.Gateways.ShunAfter,
 		WeightsListed: true}
 	for _, z := range c.Zones {
-		up.Zones = append(up.Zones, control.Zone(z))
+		up.Zones = append(up.Zones, policyapi.Zone(z))
 	}
 	for _, k := range c.Kinds {
-		kind := control.ClassSettings{Name: k.Name, LatencyObjective: control.Microseconds(k.ResponseTarget),
-			ClientTimeout: control.Microseconds(k.ClientTimeout), PriorityWeight: k.Payoff, LocalZoneOnly: k.OwnZone}
+		kind := policyapi.ClassSettings{Name: k.Name, LatencyObjective: policyapi.Microseconds(k.ResponseTarget),
+			ClientTimeout: policyapi.Microseconds(k.ClientTimeout), PriorityWeight: k.Payoff, LocalZoneOnly: k.OwnZone}
 		switch k.Repeat {
 		case "replayable":
-			kind.Idempotency = control.Idempotent
+			kind.Idempotency = policyapi.Idempotent
 		case "uniqued":
-			kind.Idempotency = control.IdempotentWithKey
+			kind.Idempotency = policyapi.IdempotentWithKey
 			if kind.DeduplicationScope = k.RepeatScope; k.RepeatScope == "pod" {
 				kind.DeduplicationScope = "cell"
 			}
 		}
 		for _, z := range k.OnlyZones {
-			kind.AllowedZones = append(kind.AllowedZones, control.Zone(z))
+			kind.AllowedZones = append(kind.AllowedZones, policyapi.Zone(z))
 		}
 		up.Classes = append(up.Classes, kind)
 	}
 	r := c.Rules
-	up.Rules = control.RuleSettings{EmptyTableLimit: control.Microseconds(r.EmptyFor), DrainGracePeriod: control.Microseconds(r.DrainGrace),
-		WarmUp: control.Microseconds(r.Cold), InitialCapacity: r.ColdFrom, OverloadFactor: r.ColdMultiple, OverloadWindow: control.Microseconds(r.ColdWindow),
-		SoftRemoval: !r.GoneBinds, QueueLimit: r.WaitingLines, MessageLimit: r.Messages, MessageWindow: control.Microseconds(r.MessagesIn),
+	up.Rules = policyapi.RuleSettings{EmptyTableLimit: policyapi.Microseconds(r.EmptyFor), DrainGracePeriod: policyapi.Microseconds(r.DrainGrace),
+		WarmUp: policyapi.Microseconds(r.Cold), InitialCapacity: r.ColdFrom, OverloadFactor: r.ColdMultiple, OverloadWindow: policyapi.Microseconds(r.ColdWindow),
+		SoftRemoval: !r.GoneBinds, QueueLimit: r.WaitingLines, MessageLimit: r.Messages, MessageWindow: policyapi.Microseconds(r.MessagesIn),
 		HealthChecksAllowed: c.Probes.Allowed}
-	up.Channel = control.ChannelSettings{LinesPerSecond: c.Channel.LinesPerS, MessageOverhead: c.Channel.Envelope,
-		Latency: control.Microseconds(c.Channel.Transit), MaxLatency: control.Microseconds(c.Channel.WorstTransit), EndpointConnections: c.Channel.Connections}
-	up.Reports = control.ReportSettings{Period: control.Microseconds(c.Reports.Period), MaxLinesPerSecond: c.Reports.LinesPer, MetricsInReports: true}
+	up.Channel = policyapi.ChannelSettings{LinesPerSecond: c.Channel.LinesPerS, MessageOverhead: c.Channel.Envelope,
+		Latency: policyapi.Microseconds(c.Channel.Transit), MaxLatency: policyapi.Microseconds(c.Channel.WorstTransit), EndpointConnections: c.Channel.Connections}
+	up.Reports = policyapi.ReportSettings{Period: policyapi.Microseconds(c.Reports.Period), MaxLinesPerSecond: c.Reports.LinesPer, MetricsInReports: true}
 	for _, l := range c.Reports.Loads {
 		up.Reports.MetricNames = append(up.Reports.MetricNames, LoadNames[l])
 	}
-	up.Admission = map[string]control.AdmissionMode{"off": control.AdmissionOff, "share": control.AdmissionByShare, "rate": control.AdmissionByRate}[c.Levels]
+	up.Admission = map[string]policyapi.AdmissionMode{"off": policyapi.AdmissionOff, "share": policyapi.AdmissionByShare, "rate": policyapi.AdmissionByRate}[c.Levels]
 	return up
 }
 
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -6,47 +6,47 @@
 	"maps"
 	"slices"
 
-	"porthub/choice"
-	"porthub/control"
-	"porthub/intake"
+	"porthub/degradation"
+	"porthub/loadreport"
 	"porthub/membership"
+	"porthub/policy"
+	"porthub/policyapi"
 	"porthub/recovery"
-	"porthub/service"
-	"porthub/tables"
+	"porthub/routing"
 )
 
-type micros = control.Microseconds
+type micros = policyapi.Microseconds
 
 const second micros = 1_000_000
 
 // Settings are what a core is handed at its start.
 type Settings struct {
-	Start          control.Start    `cbor:"Up" json:"Up"`
-	Epoch          string           `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
-	SilenceTimeout micros           `cbor:"SilentAfter" json:"SilentAfter"` // without a word for so long a gateway counts as away
-	AllowEmptyList bool             `cbor:"AllowEmpty" json:"AllowEmpty"`   // an empty list after one that was not is believed
-	SolverEnabled  bool             `cbor:"Solver" json:"Solver"`           // tables that break limits give way to the solver's
-	MaxReportLines float64          `cbor:"Intake" json:"Intake"`           // lines of reports that are taken in a second; 0: all
-	Sources        []string         `cbor:"Sources" json:"Sources"`         // registries beside the file, the most trusted first
-	Build          string           `cbor:"Build" json:"Build"`             // names the build, for snapshots and captures
-	SyncDocuments  bool             `cbor:"Sync" json:"Sync"`               // documents are synced while the disk is quick enough for it
-	Degradation    service.Settings `cbor:"Service" json:"Service"`         // levels of reduced service; without any there are none
-	Fallback       service.Fallback `cbor:"Fallback" json:"Fallback"`
+	Start          policyapi.Start      `cbor:"Up" json:"Up"`
+	Epoch          string               `cbor:"Epoch" json:"Epoch"`             // names this start; versions of two starts never look alike
+	SilenceTimeout micros               `cbor:"SilentAfter" json:"SilentAfter"` // without a word for so long a gateway counts as away
+	AllowEmptyList bool                 `cbor:"AllowEmpty" json:"AllowEmpty"`   // an empty list after one that was not is believed
+	SolverEnabled  bool                 `cbor:"Solver" json:"Solver"`           // tables that break limits give way to the solver's
+	MaxReportLines float64              `cbor:"Intake" json:"Intake"`           // lines of reports that are taken in a second; 0: all
+	Sources        []string             `cbor:"Sources" json:"Sources"`         // registries beside the file, the most trusted first
+	Build          string               `cbor:"Build" json:"Build"`             // names the build, for snapshots and captures
+	SyncDocuments  bool                 `cbor:"Sync" json:"Sync"`               // documents are synced while the disk is quick enough for it
+	Degradation    degradation.Settings `cbor:"Service" json:"Service"`         // levels of reduced service; without any there are none
+	Fallback       degradation.Fallback `cbor:"Fallback" json:"Fallback"`
 }
 
 // Core is one coordinator's state. Its zero value does not work: use New.
 type Core struct {
 	set     Settings
-	module  *choice.Instance
+	module  *policy.Instance
 	now     micros
 	began   micros // time of the first step
 	steps   uint64
 	timers  []timer
 	watchAt micros // before it no gateway needs a look
-	proxies []control.ProxyID
+	proxies []policyapi.ProxyID
 	// restless are the gateways that something is still to be done about.
-	restless map[control.ProxyID]bool
-	orders   []control.Order // of the last step
+	restless map[policyapi.ProxyID]bool
+	orders   []policyapi.Order // of the last step
 	outputs  []Output
 
 	list     roster
@@ -54,16 +54,16 @@
 	settled  micros // when membership was asked last
 	relisted bool   // the list has changed: documents are checked against it whether the module reaches them or not
 	gateways map[Gateway]*gateway
-	byProxy  map[control.ProxyID]*gateway
-	kinds    map[string]control.RequestClass
+	byProxy  map[policyapi.ProxyID]*gateway
+	kinds    map[string]policyapi.RequestClass
 
 	// What the module has ordered and not taken back.
-	lines     map[control.TableID]map[control.EndpointID]float64
-	levels    map[control.TableID]map[control.RequestClass]control.SetAdmission
-	withdrawn map[control.EndpointID]bool
+	lines     map[policyapi.TableID]map[policyapi.EndpointID]float64
+	levels    map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission
+	withdrawn map[policyapi.EndpointID]bool
 
 	made     map[madeKey]made // in this step
-	book     *tables.VersionStore
+	book     *routing.VersionStore
 	later    []Output        // of what was done between steps
 	lag      micros          // of confirmations, smoothed over eight
 	unsynced bool            // files go out without a sync
@@ -71,7 +71,7 @@
 	leveling *leveling       // nil: there are no levels of service
 	belief   *recovery.State // of the time before this start; nil: none
 	sums     sums
-	intake   *intake.Sampler
+	intake   *loadreport.Sampler
 	busy     string // the nodes' own figure that is their busy share
 	queued   string // and the one that counts what waits there; empty: none
 	reported bool   // a report has been told to the module
@@ -81,31 +81,31 @@
 
 type timer struct {
 	at    micros
-	token control.TimerToken
+	token policyapi.TimerToken
 }
 
 // New starts a core. The saved list, if there is one, is the first input.
 func New(set Settings) *Core {
-	c := &Core{set: set, module: choice.New(moduleUp(set.Start)), gateways: map[Gateway]*gateway{}, byProxy: map[control.ProxyID]*gateway{},
-		kinds: map[string]control.RequestClass{}, lines: map[control.TableID]map[control.EndpointID]float64{},
-		levels:    map[control.TableID]map[control.RequestClass]control.SetAdmission{},
-		restless:  map[control.ProxyID]bool{},
-		withdrawn: map[control.EndpointID]bool{}, counts: map[string]*count{}}
+	c := &Core{set: set, module: policy.New(moduleUp(set.Start)), gateways: map[Gateway]*gateway{}, byProxy: map[policyapi.ProxyID]*gateway{},
+		kinds: map[string]policyapi.RequestClass{}, lines: map[policyapi.TableID]map[policyapi.EndpointID]float64{},
+		levels:    map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission{},
+		restless:  map[policyapi.ProxyID]bool{},
+		withdrawn: map[policyapi.EndpointID]bool{}, counts: map[string]*count{}}
 	for k, kind := range set.Start.Classes {
-		c.kinds[kind.Name] = control.RequestClass(k)
+		c.kinds[kind.Name] = policyapi.RequestClass(k)
 	}
-	c.list.entries = map[control.EndpointID]control.Endpoint{}
-	c.list.firstSeen = map[control.EndpointID]micros{}
+	c.list.entries = map[policyapi.EndpointID]policyapi.Endpoint{}
+	c.list.firstSeen = map[policyapi.EndpointID]micros{}
 	c.sums.reset()
 	c.made = map[madeKey]made{}
-	c.book = tables.NewVersionStore(keepVersions, keepFor)
+	c.book = routing.NewVersionStore(keepVersions, keepFor)
 	if len(set.Start.Reports.MetricNames) > 0 {
 		c.busy = set.Start.Reports.MetricNames[0]
 	}
 	if len(set.Start.Reports.MetricNames) > 1 {
 		c.queued = set.Start.Reports.MetricNames[1]
 	}
-	c.intake = intake.New(intake.Settings{MaxLines: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
+	c.intake = loadreport.New(loadreport.Settings{MaxLines: set.MaxReportLines, Period: set.Start.Reports.Period, Seed: set.Start.Seed})
 	c.members = membership.New(membership.Settings{Zones: set.Start.Zones, Authoritative: map[string]bool{FileSource: true},
 		Sources: append([]string{FileSource}, set.Sources...)})
 	c.leveling = newLeveling(set.Degradation)
@@ -117,7 +117,7 @@
 
 // moduleUp is what the module is told of the site. It counts a table's line once; to a gateway it travels once for each
 // request kind, so of the lines that may wait the module is given its part.
-func moduleUp(up control.Start) control.Start {
+func moduleUp(up policyapi.Start) policyapi.Start {
 	up.Rules.QueueLimit /= float64(max(1, len(up.Classes)))
 	up.Channel.MessageOverhead /= float64(max(1, len(up.Classes)))
 	return up
@@ -132,7 +132,7 @@
 	}
 	c.outputs, c.orders, c.later = c.later, nil, nil
 	clear(c.made)
-	var events []control.Event
+	var events []policyapi.Event
 	for _, in := range inputs {
 		events = append(events, c.input(in)...)
 	}
@@ -175,7 +175,7 @@
 func (c *Core) Steps() uint64 { return c.steps }
 
 // Orders are the module's orders of the last step, for those who compare them.
-func (c *Core) Orders() []control.Order { return c.orders }
+func (c *Core) Orders() []policyapi.Order { return c.orders }
 
 func (c *Core) out(o Output) { c.outputs = append(c.outputs, o) }
 
@@ -184,18 +184,18 @@
 }
 
 // due takes the timers that are due, in the order of their times.
-func (c *Core) due() (events []control.Event) {
+func (c *Core) due() (events []policyapi.Event) {
 	slices.SortStableFunc(c.timers, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	n := 0
 	for n < len(c.timers) && c.timers[n].at <= c.now {
-		events = append(events, control.TimerFired{Token: c.timers[n].token})
+		events = append(events, policyapi.TimerFired{Token: c.timers[n].token})
 		n++
 	}
 	c.timers = c.timers[n:]
 	return events
 }
 
-func (c *Core) input(in Input) []control.Event {
+func (c *Core) input(in Input) []policyapi.Event {
 	switch in := in.(type) {
 	case EndpointUpdate:
 		return c.listed(in)
@@ -212,7 +212,7 @@
 		c.report(in)
 	case HealthCheckResult:
 		if _, known := c.list.entries[in.Endpoint]; known {
-			return []control.Event{in.HealthCheckResult}
+			return []policyapi.Event{in.HealthCheckResult}
 		}
 	case PeerRejected:
 		c.complain("bad_input", "", "%s: %s", in.From, in.Reason)
@@ -227,35 +227,35 @@
 
 // carryOut keeps what the module ordered and publishes what has changed for each gateway. It returns what the module
 // must be told at once: acknowledgements of messages that hold nothing new.
-func (c *Core) carryOut(orders []control.Order) []control.Event {
-	touched := map[control.TableID]bool{}
-	all, mark := false, control.AckID(-1)
-	bound := map[control.ProxyID]bool{}
+func (c *Core) carryOut(orders []policyapi.Order) []policyapi.Event {
+	touched := map[policyapi.TableID]bool{}
+	all, mark := false, policyapi.AckID(-1)
+	bound := map[policyapi.ProxyID]bool{}
 	for _, order := range orders {
 		switch o := order.(type) {
-		case control.Log:
+		case policyapi.Log:
 			c.out(mode(o.Text))
-		case control.WatchEndpoints:
+		case policyapi.WatchEndpoints:
 			c.out(WatchEndpoints{o.Enabled})
-		case control.Resync:
+		case policyapi.Resync:
 			c.out(Resync{})
-		case control.SetTimer:
+		case policyapi.SetTimer:
 			c.timers = append(c.timers, timer{c.now + o.After, o.Token})
-		case control.CheckHealth:
+		case policyapi.CheckHealth:
 			c.probe(o.Endpoint)
-		case control.SetWeight:
+		case policyapi.SetWeight:
 			touched[o.Table] = true
 			if c.lines[o.Table] == nil {
-				c.lines[o.Table] = map[control.EndpointID]float64{}
+				c.lines[o.Table] = map[policyapi.EndpointID]float64{}
 			}
 			if c.lines[o.Table][o.Endpoint] = o.Weight; o.Weight == 0 {
 				delete(c.lines[o.Table], o.Endpoint)
 			}
-		case control.ClearTable:
+		case policyapi.ClearTable:
 			touched[o.Table] = true
 			delete(c.lines, o.Table)
 			delete(c.levels, o.Table)
-		case control.BindProxy:
+		case policyapi.BindProxy:
 			if g := c.byProxy[o.Proxy]; g != nil {
 				for k := range c.set.Start.Classes {
 					if o.Classes == 0 || o.Classes&(1<<k) != 0 {
@@ -263,32 +263,32 @@
 					}
 				}
 			}
-		case control.EjectEndpoint:
+		case policyapi.EjectEndpoint:
 			c.withdrawn[o.Endpoint] = o.Ejected
 			for t, lines := range c.lines {
 				if _, has := lines[o.Endpoint]; has {
 					touched[t] = true
 				}
 			}
-		case control.SetAdmission:
-			if all = all || o.Table == control.AllTables; o.Table != control.AllTables {
+		case policyapi.SetAdmission:
+			if all = all || o.Table == policyapi.AllTables; o.Table != policyapi.AllTables {
 				touched[o.Table] = true
 			}
 			if c.levels[o.Table] == nil {
-				c.levels[o.Table] = map[control.RequestClass]control.SetAdmission{}
+				c.levels[o.Table] = map[policyapi.RequestClass]policyapi.SetAdmission{}
 			}
 			for k := range c.set.Start.Classes {
 				if o.Classes == 0 || o.Classes&(1<<k) != 0 {
-					c.levels[o.Table][control.RequestClass(k)] = o
+					c.levels[o.Table][policyapi.RequestClass(k)] = o
 				}
 			}
-		case control.RequestAck:
+		case policyapi.RequestAck:
 			mark, all = o.AckID, all || o.AllProxies
 		}
 	}
 	clear(c.made)
-	var events []control.Event
-	var solved map[control.TableID]bool
+	var events []policyapi.Event
+	var solved map[policyapi.TableID]bool
 	if c.solving != nil && c.solving.due {
 		c.solving.due = false
 		solved = c.solve()
@@ -323,25 +323,25 @@
 // concerned are the gateways that a change may reach, in the order of their joining: all, or those that were bound anew
 // and those that something is still to be done about. Between rounds orders concern one gateway or none, and a look at
 // each of thousands would be most of the step.
-func (c *Core) concerned(everyone bool, bound map[control.ProxyID]bool) []control.ProxyID {
+func (c *Core) concerned(everyone bool, bound map[policyapi.ProxyID]bool) []policyapi.ProxyID {
 	if !everyone {
 		return slices.Sorted(maps.Keys(union(bound, c.restless)))
 	}
 	for len(c.proxies) < len(c.gateways) {
-		c.proxies = append(c.proxies, control.ProxyID(len(c.proxies)))
+		c.proxies = append(c.proxies, policyapi.ProxyID(len(c.proxies)))
 	}
 	return c.proxies
 }
 
 // snapshot is what a gateway is to hold by the module's orders. Whatever the module's tables say, nothing that
 // drains or is gone stays open: a table the module has stopped laying out may still be somebody's.
-func (c *Core) snapshot(g *gateway) tables.Snapshot {
-	var s tables.Snapshot
+func (c *Core) snapshot(g *gateway) routing.Snapshot {
+	var s routing.Snapshot
 	if c.leveling != nil {
 		s.Level = c.leveling.machine.Level(g.zone)
 	}
 	for k, kind := range c.set.Start.Classes {
-		table, k := g.binds[k], control.RequestClass(k)
+		table, k := g.binds[k], policyapi.RequestClass(k)
 		key := madeKey{table, k, g.zone}
 		made, has := c.made[key]
 		if !has {
@@ -355,8 +355,8 @@
 			s.Clusters = append(s.Clusters, made.cluster)
 		}
 		to := c.bounded(g, k, c.moduleRoute(g, k))
-		r := tables.Route{Class: kind.Name, Rate: to.most(), Share: to.share, RetryPolicy: to.secondTry, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
-		if c.set.Start.Admission == control.AdmissionByRate {
+		r := routing.Route{Class: kind.Name, Rate: to.most(), Share: to.share, RetryPolicy: to.secondTry, Timeout: kind.ClientTimeout, Fallback: c.fallback(g, k)}
+		if c.set.Start.Admission == policyapi.AdmissionByRate {
 			r.Rate = g.cap(int(k), admit, r)
 		}
 		s.Routes = append(s.Routes, r)
@@ -367,15 +367,15 @@
 // made is a table's cluster for a kind. Gateways of a zone on one table share it within a step: with thousands of them
 // most of a step went into making the same again.
 type made struct {
-	cluster tables.Cluster
-	weights map[control.EndpointID]float64
+	cluster routing.Cluster
+	weights map[policyapi.EndpointID]float64
 	admit   float64
 }
 
 type madeKey struct {
-	table control.TableID
-	kind  control.RequestClass
-	zone  control.Zone
+	table policyapi.TableID
+	kind  policyapi.RequestClass
+	zone  policyapi.Zone
 }
 
 func (c *Core) make(g *gateway, key madeKey, name string) made {
@@ -389,8 +389,8 @@
 }
 
 // build makes a cluster, with nothing open that the rules close.
-func (c *Core) build(name string, weights map[control.EndpointID]float64) tables.Cluster {
-	return tables.BuildCluster(name, weights, c.list.zone, func(b control.EndpointID) bool {
+func (c *Core) build(name string, weights map[policyapi.EndpointID]float64) routing.Cluster {
+	return routing.BuildCluster(name, weights, c.list.zone, func(b policyapi.EndpointID) bool {
 		return c.withdrawn[b] || c.list.closed(b, c.set.Start.Rules.SoftRemoval)
 	})
 }
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -5,24 +5,24 @@
 	"slices"
 	"strings"
 
-	"porthub/control"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // gateway is one that has ever joined.
 type gateway struct {
 	name   Gateway
-	proxy  control.ProxyID
-	zone   control.Zone
+	proxy  policyapi.ProxyID
+	zone   policyapi.Zone
 	conn   ConnID
 	linked bool // a connection stands
 	joined bool // the module counts it as joined
-	binds  []control.TableID
+	binds  []policyapi.TableID
 
 	seq      uint64 // of its last report
 	heardAt  micros // last word of any kind
 	joinedAt micros
-	ledger   *tables.InFlight // what it holds, and what it may be sent
+	ledger   *routing.InFlight // what it holds, and what it may be sent
 
 	usage []float64       // by kind: reqs a second that came to it, half way to the new value with each report
 	caps  map[int]float64 // rates that were told lately: by kind what the solver's admission came to, then what a level's did
@@ -37,14 +37,14 @@
 	weight   float64
 }
 
-const unbound control.TableID = -1
+const unbound policyapi.TableID = -1
 
 func (g *gateway) bound() bool { return len(g.binds) > 0 && !slices.Contains(g.binds, unbound) }
 
 // join takes a gateway in. One that connects twice under one name is one gateway: the later connection stands and
 // the earlier is closed, since the later one knows best that the earlier is dead.
-func (c *Core) join(in GatewayConnected) []control.Event {
-	var events []control.Event
+func (c *Core) join(in GatewayConnected) []policyapi.Event {
+	var events []policyapi.Event
 	g := c.gateways[in.Gateway]
 	defer func() {
 		if g != nil {
@@ -57,7 +57,7 @@
 			c.out(CloseConnection{in.Conn, "too many gateways"})
 			return nil
 		}
-		g = &gateway{name: in.Gateway, proxy: control.ProxyID(len(c.gateways)), ledger: tables.NewInFlight(c.set.Epoch, c.budget())}
+		g = &gateway{name: in.Gateway, proxy: policyapi.ProxyID(len(c.gateways)), ledger: routing.NewInFlight(c.set.Epoch, c.budget())}
 		c.gateways[in.Gateway], c.byProxy[g.proxy] = g, g
 	}
 	if !slices.Contains(c.set.Start.Zones, in.Zone) {
@@ -75,47 +75,47 @@
 	if events = append(events, c.letIn(g)...); !g.joined && g.bound() {
 		// It has to wait for being let in, and what has drained while it was away still stands in its files.
 		g.ledger.Invalidate()
-		events = append(events, c.publish(g, tables.NoAckID)...)
+		events = append(events, c.publish(g, routing.NoAckID)...)
 	}
 	return events
 }
 
 // budget is what the rules allow of messages to one gateway; a file is written a little later than it was published.
-func (c *Core) budget() tables.Budget {
-	return tables.Budget{MaxMessages: c.set.Start.Rules.MessageLimit, Window: c.set.Start.Rules.MessageWindow + spanSlack}
+func (c *Core) budget() routing.Budget {
+	return routing.Budget{MaxMessages: c.set.Start.Rules.MessageLimit, Window: c.set.Start.Rules.MessageWindow + spanSlack}
 }
 
 // mostGateways bounds what names alone can cost.
 const mostGateways = 60000
 
 // letIn joins a linked gateway unless it has to wait.
-func (c *Core) letIn(g *gateway) []control.Event {
+func (c *Core) letIn(g *gateway) []policyapi.Event {
 	if !g.linked || g.joined || c.now < g.letInAt {
 		return nil
 	}
 	g.joined, g.joinedAt = true, c.now
-	g.binds = slices.Repeat([]control.TableID{unbound}, len(c.set.Start.Classes))
+	g.binds = slices.Repeat([]policyapi.TableID{unbound}, len(c.set.Start.Classes))
 	g.ledger.Connect()
 	c.recalled(g)
 	g.checkAt = 0
 	defer c.watch(g)
-	return []control.Event{control.ProxyConnected{Proxy: g.proxy, Zone: g.zone, HasDefaultTableOnly: g.fresh, Weight: g.weight}}
+	return []policyapi.Event{policyapi.ProxyConnected{Proxy: g.proxy, Zone: g.zone, HasDefaultTableOnly: g.fresh, Weight: g.weight}}
 }
 
 // part ends a gateway's connection as far as the module goes; it keeps its files and goes on by them.
-func (c *Core) part(g *gateway) []control.Event {
+func (c *Core) part(g *gateway) []policyapi.Event {
 	was := g.joined
 	g.linked, g.joined = false, false
 	c.intake.GatewayDisconnected(string(g.name))
 	g.ledger.Disconnect()
 	c.weigh(g)
 	if was {
-		return []control.Event{control.ProxyDisconnected{Proxy: g.proxy}}
+		return []policyapi.Event{policyapi.ProxyDisconnected{Proxy: g.proxy}}
 	}
 	return nil
 }
 
-func (c *Core) leave(in GatewayDisconnected) []control.Event {
+func (c *Core) leave(in GatewayDisconnected) []policyapi.Event {
 	g := c.gateways[in.Gateway]
 	if g == nil || g.conn != in.Conn || !g.linked {
 		return nil // a connection that another one had replaced
@@ -138,12 +138,12 @@
 // in again later each time, so that it costs only itself.
 //
 // With thousands of gateways a look at each took most of a step: nobody is looked at before the first of them is due.
-func (c *Core) watchGateways() []control.Event {
+func (c *Core) watchGateways() []policyapi.Event {
 	if c.now < c.watchAt {
 		return nil
 	}
-	var events []control.Event
-	for p := range control.ProxyID(len(c.gateways)) {
+	var events []policyapi.Event
+	for p := range policyapi.ProxyID(len(c.gateways)) {
 		g := c.byProxy[p]
 		waiting := g.ledger.Unacknowledged()
 		laterAt, later := g.ledger.DueAt()
@@ -163,14 +163,14 @@
 			g.linked = was
 		case !g.joined:
 			if events = append(events, c.letIn(g)...); !g.joined && g.bound() && c.checkDue(g) {
-				events = append(events, c.publish(g, tables.NoAckID)...)
+				events = append(events, c.publish(g, routing.NoAckID)...)
 			}
 		case g.bound() && (g.ledger.Retry(c.now) || c.checkDue(g) || later && c.now >= laterAt):
-			events = append(events, c.publish(g, tables.NoAckID)...)
+			events = append(events, c.publish(g, routing.NoAckID)...)
 		}
 	}
 	c.watchAt = c.now + watchMost
-	for p := range control.ProxyID(len(c.gateways)) {
+	for p := range policyapi.ProxyID(len(c.gateways)) {
 		c.watchAt = min(c.watchAt, c.attention(c.byProxy[p]))
 	}
 	c.watchAt = max(c.watchAt, c.now+watchLeast)
@@ -264,22 +264,22 @@
 const spanSlack = second / 2
 
 // publish brings a gateway to what it should hold, as its ledger says.
-func (c *Core) publish(g *gateway, mark control.AckID) []control.Event {
+func (c *Core) publish(g *gateway, mark policyapi.AckID) []policyapi.Event {
 	defer c.watch(g)
 	s := c.snapshot(g)
 	g.checkAt = 0
 	verdict, m := g.ledger.Offer(c.now, s, mark, c.room(), func() bool {
-		return tables.ClosesEndpoint(g.ledger.Sent(), s, func(b control.EndpointID) bool {
+		return routing.ClosesEndpoint(g.ledger.Sent(), s, func(b policyapi.EndpointID) bool {
 			return c.withdrawn[b] || c.list.closed(b, c.set.Start.Rules.SoftRemoval)
 		})
 	})
-	if verdict != tables.OfferDeferred {
+	if verdict != routing.OfferDeferred {
 		g.owed = false
 	}
 	switch verdict {
-	case tables.OfferAcknowledged:
-		return []control.Event{control.Acknowledged{Proxy: g.proxy, AckID: m.AckID}}
-	case tables.OfferSend:
+	case routing.OfferAcknowledged:
+		return []policyapi.Event{policyapi.Acknowledged{Proxy: g.proxy, AckID: m.AckID}}
+	case routing.OfferSend:
 		c.out(Publish{Gateway: g.name, Version: m.Version, Nonce: m.Version, Snapshot: s, Changed: m.Changed, Sync: c.synced()})
 	}
 	return nil
@@ -288,7 +288,7 @@
 // ack takes an acknowledgement in. Only what this process has published to this gateway and is still on its way
 // counts; anything else (an earlier start's version at joining, a repeat, an invention) is passed over, and noted
 // where it is no version a gateway could hold.
-func (c *Core) ack(in DocumentAck) []control.Event {
+func (c *Core) ack(in DocumentAck) []policyapi.Event {
 	g := c.speaker(in.Gateway, in.Conn)
 	if g == nil || in.Document < 0 || in.Document >= documentCount {
 		return nil
@@ -301,12 +301,12 @@
 	if !known && strings.HasPrefix(in.Version, c.set.Epoch+".") {
 		c.complain("unknown_version", g.name, "acknowledged %s %s, which is not on its way to it", in.Document, in.Version)
 	}
-	var events []control.Event
+	var events []policyapi.Event
 	for _, m := range done {
 		g.expelled = 0
 		c.lag += (c.now - m.SentAt - c.lag) / 8
 		if m.AckID >= 0 {
-			events = append(events, control.Acknowledged{Proxy: g.proxy, AckID: m.AckID, Delay: c.now - m.SentAt})
+			events = append(events, policyapi.Acknowledged{Proxy: g.proxy, AckID: m.AckID, Delay: c.now - m.SentAt})
 		}
 	}
 	if known && g.joined {
@@ -347,7 +347,7 @@
 }
 
 // refused notes a refusal; the ledger has the whole sent again.
-func (c *Core) refused(g *gateway, in DocumentAck) []control.Event {
+func (c *Core) refused(g *gateway, in DocumentAck) []policyapi.Event {
 	if again, known := g.ledger.Reject(c.now, in.Nonce); known {
 		c.complain("refused", g.name, "%s %s: %.200s: sent again in %.0f s", in.Document, in.Nonce, in.Error, float64(again)/float64(second))
 	}
--- a/coordinator/io.go
+++ b/coordinator/io.go
@@ -1,9 +1,9 @@
 package coordinator
 
 import (
-	"porthub/control"
 	"porthub/membership"
-	"porthub/tables"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // Gateway is a gateway's name, its node id on the wire.
@@ -18,7 +18,7 @@
 type (
 	// EndpointUpdate is an answer of the node list, or its failure (How ListFailed, Why says what went wrong).
 	EndpointUpdate struct {
-		control.EndpointUpdate
+		policyapi.EndpointUpdate
 		Error string `cbor:"Why" json:"Why"`
 
 		decided bool // by membership
@@ -27,11 +27,11 @@
 	RegistryUpdate struct{ membership.SourceUpdate }
 	// GatewayConnected says that a gateway has opened a connection and named itself.
 	GatewayConnected struct {
-		Gateway             Gateway      `cbor:"Gateway" json:"Gateway"`
-		Conn                ConnID       `cbor:"Conn" json:"Conn"`
-		Zone                control.Zone `cbor:"Zone" json:"Zone"`
-		HasDefaultTableOnly bool         `cbor:"Standing" json:"Standing"` // it holds only its standing table
-		Weight              float64      `cbor:"Weight" json:"Weight"`     // usual reqs a second; 0: not known
+		Gateway             Gateway        `cbor:"Gateway" json:"Gateway"`
+		Conn                ConnID         `cbor:"Conn" json:"Conn"`
+		Zone                policyapi.Zone `cbor:"Zone" json:"Zone"`
+		HasDefaultTableOnly bool           `cbor:"Standing" json:"Standing"` // it holds only its standing table
+		Weight              float64        `cbor:"Weight" json:"Weight"`     // usual reqs a second; 0: not known
 	}
 	// GatewayDisconnected says that a connection has ended.
 	GatewayDisconnected struct {
@@ -53,14 +53,14 @@
 	}
 	// LoadReport sums what a gateway did in the last interval.
 	LoadReport struct {
-		Gateway  Gateway              `cbor:"Gateway" json:"Gateway"`
-		Conn     ConnID               `cbor:"Conn" json:"Conn"`
-		Sequence uint64               `cbor:"Seq" json:"Seq"` // counts a gateway's reports; what is not above the last is a repeat or late
-		Interval control.Microseconds `cbor:"Interval" json:"Interval"`
-		Classes  []ClassReport        `cbor:"Kinds" json:"Kinds"`
+		Gateway  Gateway                `cbor:"Gateway" json:"Gateway"`
+		Conn     ConnID                 `cbor:"Conn" json:"Conn"`
+		Sequence uint64                 `cbor:"Seq" json:"Seq"` // counts a gateway's reports; what is not above the last is a repeat or late
+		Interval policyapi.Microseconds `cbor:"Interval" json:"Interval"`
+		Classes  []ClassReport          `cbor:"Kinds" json:"Kinds"`
 	}
 	// HealthCheckResult is the finding of a probe.
-	HealthCheckResult struct{ control.HealthCheckResult }
+	HealthCheckResult struct{ policyapi.HealthCheckResult }
 	// PeerRejected says that peers were answered with an error, Count times since the last one of these.
 	PeerRejected struct {
 		From   string `cbor:"From" json:"From"`
@@ -85,12 +85,12 @@
 
 // EndpointReport is what a gateway met at one backend.
 type EndpointReport struct {
-	Endpoint    control.EndpointID   `cbor:"Backend" json:"Backend"`
-	Attempts    int                  `cbor:"Tries" json:"Tries"`     // that ended
-	Failures    int                  `cbor:"Errored" json:"Errored"` // of them: errors, refusals, time-outs, failed connects
-	InFlight    int                  `cbor:"Active" json:"Active"`   // not ended yet
-	MeanLatency control.Microseconds `cbor:"Answer" json:"Answer"`
-	Metrics     control.LoadMetrics  `cbor:"Loads" json:"Loads"` // by the module's names
+	Endpoint    policyapi.EndpointID   `cbor:"Backend" json:"Backend"`
+	Attempts    int                    `cbor:"Tries" json:"Tries"`     // that ended
+	Failures    int                    `cbor:"Errored" json:"Errored"` // of them: errors, refusals, time-outs, failed connects
+	InFlight    int                    `cbor:"Active" json:"Active"`   // not ended yet
+	MeanLatency policyapi.Microseconds `cbor:"Answer" json:"Answer"`
+	Metrics     policyapi.LoadMetrics  `cbor:"Loads" json:"Loads"` // by the module's names
 }
 
 // Document is one of the documents that a gateway is given.
@@ -113,20 +113,20 @@
 		Gateway  Gateway
 		Version  string // of the documents in this message
 		Nonce    string
-		Snapshot tables.Snapshot
+		Snapshot routing.Snapshot
 		Changed  [documentCount]bool
 		// Sync: bring it to the disk before it is moved into place. Readers see whole files either way; after a power cut
 		// an unsynced one may be empty, is refused and sent again. Left out while the disk is too slow for drains.
 		Sync bool
 	}
 	// CheckHealth examines a backend.
-	CheckHealth struct{ Endpoint control.EndpointID }
+	CheckHealth struct{ Endpoint policyapi.EndpointID }
 	// WatchEndpoints asks the node list for its changes from now on; a List answers, also when it fails.
 	WatchEndpoints struct{ Enabled bool }
 	// Resync asks for the whole list once.
 	Resync struct{}
 	// SaveList asks to keep the list for the next start.
-	SaveList struct{ List control.EndpointUpdate }
+	SaveList struct{ List policyapi.EndpointUpdate }
 	// CloseConnection closes a connection.
 	CloseConnection struct {
 		Conn   ConnID
@@ -134,13 +134,13 @@
 	}
 	// LogEntry is a record for staff. Event is a short fixed name, Text what happened with its figures.
 	LogEntry struct {
-		Level    LogLevel           `cbor:"Level" json:"Level"`
-		Event    string             `cbor:"Event" json:"Event"`
-		Text     string             `cbor:"Text" json:"Text"`
-		Gateway  Gateway            `cbor:"Gateway" json:"Gateway"`
-		Endpoint control.EndpointID `cbor:"Backend" json:"Backend"`
-		Count    int                `cbor:"Count" json:"Count"` // of the same since the last such record
-		Fields   []LogField         `cbor:"Fields" json:"Fields"`
+		Level    LogLevel             `cbor:"Level" json:"Level"`
+		Event    string               `cbor:"Event" json:"Event"`
+		Text     string               `cbor:"Text" json:"Text"`
+		Gateway  Gateway              `cbor:"Gateway" json:"Gateway"`
+		Endpoint policyapi.EndpointID `cbor:"Backend" json:"Backend"`
+		Count    int                  `cbor:"Count" json:"Count"` // of the same since the last such record
+		Fields   []LogField           `cbor:"Fields" json:"Fields"`
 	}
 )
 
--- a/coordinator/members.go
+++ b/coordinator/members.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"porthub/control"
 	"porthub/membership"
+	"porthub/policyapi"
 )
 
 // Package membership decides who belongs to the fleet; here is only what it is told and what becomes of its word.
@@ -13,9 +13,9 @@
 const FileSource = "file"
 
 // file hands a list of the file to membership.
-func (c *Core) file(in EndpointUpdate) []control.Event {
+func (c *Core) file(in EndpointUpdate) []policyapi.Event {
 	a := membership.SourceUpdate{Source: FileSource}
-	seen := map[control.EndpointID]bool{}
+	seen := map[policyapi.EndpointID]bool{}
 	for _, e := range in.Endpoints {
 		if seen[e.ID] {
 			c.complain("list_twice", "", "%s stands twice: the first one counts", e.ID)
@@ -28,9 +28,9 @@
 		seen[e.ID] = true
 		claim := membership.Observation{Endpoint: e.ID, Zone: e.Zone, Weight: e.Weight, Pod: e.Pod, MachineType: e.MachineType, StartedAt: e.StartedAt}
 		switch e.Status {
-		case control.Draining:
+		case policyapi.Draining:
 			claim.Status = membership.OutOfService
-		case control.Removed:
+		case policyapi.Removed:
 			continue
 		}
 		a.Observations = append(a.Observations, claim)
@@ -45,7 +45,7 @@
 
 // settle asks membership and takes its list. A source that answered is a list to the module even if nothing has changed,
 // since it may have asked for one.
-func (c *Core) settle(answered bool) []control.Event {
+func (c *Core) settle(answered bool) []policyapi.Event {
 	if !answered && c.now-c.settled < settleEvery {
 		return nil
 	}
@@ -57,11 +57,11 @@
 	if !changed && !answered || !c.members.Initialized() {
 		return nil
 	}
-	return c.listed(EndpointUpdate{EndpointUpdate: control.EndpointUpdate{Version: max(c.list.fileVersion, c.members.Version()), Kind: control.Snapshot, Endpoints: entries}, decided: true})
+	return c.listed(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: max(c.list.fileVersion, c.members.Version()), Kind: policyapi.Snapshot, Endpoints: entries}, decided: true})
 }
 
 // DrainNode takes a node out at an operator's word, until UndrainNode takes it back; it survives restarts.
-func (c *Core) DrainNode(b control.EndpointID, reason string) error {
+func (c *Core) DrainNode(b policyapi.EndpointID, reason string) error {
 	if err := c.members.Drain(c.now, b, reason); err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 }
 
 // UndrainNode takes an operator's drain back.
-func (c *Core) UndrainNode(b control.EndpointID, reason string) error {
+func (c *Core) UndrainNode(b policyapi.EndpointID, reason string) error {
 	if err := c.members.Undrain(c.now, b); err != nil {
 		return err
 	}
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -4,69 +4,69 @@
 	"maps"
 	"slices"
 
-	"porthub/control"
-	"porthub/intake"
+	"porthub/loadreport"
+	"porthub/policyapi"
 	"porthub/solver"
 )
 
 // Overview is how a coordinator stands, without any table: small enough to be asked for each second.
 type Overview struct {
-	Now           control.Microseconds `json:"now_us"`
-	StartedAt     control.Microseconds `json:"began_us"`
-	Build         string               `json:"build"`
-	Classes       []string             `json:"kinds"`
-	Endpoints     []EndpointOverview   `json:"nodes"`
-	Gateways      []GatewayOverview    `json:"gateways"`
-	Traffic       []Traffic            `json:"traffic"`
-	Levels        DegradationStatus    `json:"levels"`
-	Solver        *SolverStatus        `json:"solver,omitempty"`
-	Sampling      intake.Stats         `json:"intake"`
-	LinesInFlight float64              `json:"lines_on_way"`
-	LineLimit     float64              `json:"lines_limit"`
-	Pins          int                  `json:"pins"`
+	Now           policyapi.Microseconds `json:"now_us"`
+	StartedAt     policyapi.Microseconds `json:"began_us"`
+	Build         string                 `json:"build"`
+	Classes       []string               `json:"kinds"`
+	Endpoints     []EndpointOverview     `json:"nodes"`
+	Gateways      []GatewayOverview      `json:"gateways"`
+	Traffic       []Traffic              `json:"traffic"`
+	Levels        DegradationStatus      `json:"levels"`
+	Solver        *SolverStatus          `json:"solver,omitempty"`
+	Sampling      loadreport.Stats       `json:"intake"`
+	LinesInFlight float64                `json:"lines_on_way"`
+	LineLimit     float64                `json:"lines_limit"`
+	Pins          int                    `json:"pins"`
 }
 
 // EndpointOverview is one node. Rates are a second, times the core's.
 type EndpointOverview struct {
-	Endpoint       control.EndpointID   `json:"node"`
-	Zone           control.Zone         `json:"zone"`
-	State          string               `json:"state"` // membership's
-	Reason         string               `json:"why"`
-	Since          control.Microseconds `json:"since_us"`
-	WarmUpProgress float64              `json:"warmth"`
-	Capacity       float64              `json:"capacity"` // reqs; 0: not known
-	Attempts       float64              `json:"tries"`
-	Failures       float64              `json:"errored"`
-	Utilization    float64              `json:"util"`
-	Queue          float64              `json:"queue"`
-	AttemptsError  float64              `json:"tries_error"`
-	LastReport     control.Microseconds `json:"heard_us"` // when; 0: never
-	Senders        int                  `json:"senders"`  // gateways with an open line to it
-	FailingClasses []string             `json:"fails,omitempty"`
-	Withheld       bool                 `json:"withheld"` // by the module
+	Endpoint       policyapi.EndpointID   `json:"node"`
+	Zone           policyapi.Zone         `json:"zone"`
+	State          string                 `json:"state"` // membership's
+	Reason         string                 `json:"why"`
+	Since          policyapi.Microseconds `json:"since_us"`
+	WarmUpProgress float64                `json:"warmth"`
+	Capacity       float64                `json:"capacity"` // reqs; 0: not known
+	Attempts       float64                `json:"tries"`
+	Failures       float64                `json:"errored"`
+	Utilization    float64                `json:"util"`
+	Queue          float64                `json:"queue"`
+	AttemptsError  float64                `json:"tries_error"`
+	LastReport     policyapi.Microseconds `json:"heard_us"` // when; 0: never
+	Senders        int                    `json:"senders"`  // gateways with an open line to it
+	FailingClasses []string               `json:"fails,omitempty"`
+	Withheld       bool                   `json:"withheld"` // by the module
 }
 
 // GatewayOverview is one gateway.
 type GatewayOverview struct {
-	Gateway              Gateway              `json:"gateway"`
-	Zone                 control.Zone         `json:"zone"`
-	Connected            bool                 `json:"joined"`
-	LastReport           control.Microseconds `json:"heard_us"`
-	Version              string               `json:"version"` // confirmed, of endpoints
-	Unacknowledged       int                  `json:"waiting"`
-	OldestUnacknowledged control.Microseconds `json:"oldest_us"` // age of the first message on its way
-	Demand               float64              `json:"usage"`     // reqs a second
-	OpenEndpoints        int                  `json:"lines"`     // open, of all kinds
-	Level                string               `json:"level"`
+	Gateway              Gateway                `json:"gateway"`
+	Zone                 policyapi.Zone         `json:"zone"`
+	Connected            bool                   `json:"joined"`
+	LastReport           policyapi.Microseconds `json:"heard_us"`
+	Version              string                 `json:"version"` // confirmed, of endpoints
+	Unacknowledged       int                    `json:"waiting"`
+	OldestUnacknowledged policyapi.Microseconds `json:"oldest_us"` // age of the first message on its way
+	Demand               float64                `json:"usage"`     // reqs a second
+	OpenEndpoints        int                    `json:"lines"`     // open, of all kinds
+	Level                string                 `json:"level"`
 }
 
 // Traffic is what comes to the gateways of a zone of a kind, and what is let in.
 type Traffic struct {
-	Zone      control.Zone `json:"zone"`
-	Class     string       `json:"kind"`
-	Demand    float64      `json:"asked"`
-	Admitted  float64      `json:"let"`
-	Endpoints int          `json:"nodes"` // that gateways of the zone may send to
+	Zone      policyapi.Zone `json:"zone"`
+	Class     string         `json:"kind"`
+	Demand    float64        `json:"asked"`
+	Admitted  float64        `json:"let"`
+	Endpoints int            `json:"nodes"` // that gateways of the zone may send to
 }
 
 // Overview tells it; it changes nothing. It looks at every line of every gateway's table once.
@@ -76,12 +76,12 @@
 	if o.Solver != nil {
 		o.Solver.Explanations = nil
 	}
-	senders := map[control.EndpointID]int{}
+	senders := map[policyapi.EndpointID]int{}
 	type reach struct {
-		zone control.Zone
+		zone policyapi.Zone
 		kind int
 	}
-	open := map[reach]map[control.EndpointID]bool{}
+	open := map[reach]map[policyapi.EndpointID]bool{}
 	deals := c.deals()
 	for _, name := range slices.Sorted(maps.Keys(c.gateways)) {
 		g := c.gateways[name]
@@ -93,11 +93,11 @@
 		for _, u := range g.usage {
 			one.Demand += u
 		}
-		mine := map[control.EndpointID]bool{}
+		mine := map[policyapi.EndpointID]bool{}
 		for k, cl := range g.ledger.Sent().Clusters {
 			at := reach{g.zone, k}
 			if open[at] == nil {
-				open[at] = map[control.EndpointID]bool{}
+				open[at] = map[policyapi.EndpointID]bool{}
 			}
 			for _, l := range cl.Endpoints {
 				if !l.Withheld && l.Weight > 0 {
@@ -145,18 +145,18 @@
 
 // LogRecord is one record of the log.
 type LogRecord struct {
-	At      control.Microseconds `json:"at_us"`
-	Level   string               `json:"level"`
-	Event   string               `json:"event"`
-	Text    string               `json:"text"`
-	Subject string               `json:"of,omitempty"` // gateway or node
+	At      policyapi.Microseconds `json:"at_us"`
+	Level   string                 `json:"level"`
+	Event   string                 `json:"event"`
+	Text    string                 `json:"text"`
+	Subject string                 `json:"of,omitempty"` // gateway or node
 }
 
 // tailMost records of the log are kept for overviews.
 const tailMost = 200
 
 // AppendLog adds a note to the log's last records. What was handed out before stays as it was.
-func AppendLog(tail []LogRecord, now control.Microseconds, n LogEntry) []LogRecord {
+func AppendLog(tail []LogRecord, now policyapi.Microseconds, n LogEntry) []LogRecord {
 	r := LogRecord{At: now, Level: "info", Event: n.Event, Text: n.Text, Subject: string(n.Gateway)}
 	if n.Level == LogWarn {
 		r.Level = "warn"
--- a/coordinator/recall.go
+++ b/coordinator/recall.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"porthub/control"
+	"porthub/policyapi"
 	"porthub/recovery"
 )
 
@@ -36,7 +36,7 @@
 }
 
 // ClassName is what a request kind is called.
-func (c *Core) ClassName(kind control.RequestClass) string { return c.set.Start.Classes[kind].Name }
+func (c *Core) ClassName(kind policyapi.RequestClass) string { return c.set.Start.Classes[kind].Name }
 
 func (c *Core) kindNames() (names []string) {
 	for _, k := range c.set.Start.Classes {
@@ -47,7 +47,7 @@
 
 // Restore hands a core what is believed of the time before, before its first step; the list among it comes as an input of
 // its own.
-func (c *Core) Restore(now control.Microseconds, b recovery.State) {
+func (c *Core) Restore(now policyapi.Microseconds, b recovery.State) {
 	c.now = max(c.now, now)
 	c.belief = &b
 	if c.solving != nil {
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -7,36 +7,36 @@
 	"math"
 	"slices"
 
-	"porthub/control"
-	"porthub/intake"
+	"porthub/loadreport"
+	"porthub/policyapi"
 )
 
 // sums is what the gateways have reported since the module was last told.
 type sums struct {
 	heard map[heardKey]*heardSum
-	usage map[usageKey]*control.ProxyLoad
+	usage map[usageKey]*policyapi.ProxyLoad
 }
 
 type heardKey struct {
-	zone    control.Zone
-	backend control.EndpointID
+	zone    policyapi.Zone
+	backend policyapi.EndpointID
 }
 
 type usageKey struct {
-	proxy control.ProxyID
-	kind  control.RequestClass
+	proxy policyapi.ProxyID
+	kind  policyapi.RequestClass
 }
 
 type heardSum struct {
 	tries, errored int
 	answer         float64 // sum over the done ones, microseconds
 	period         micros
-	loads          control.LoadMetrics
+	loads          policyapi.LoadMetrics
 	loadsOf        int // tries of the report whose loads are kept
 }
 
 func (s *sums) reset() {
-	s.heard, s.usage = map[heardKey]*heardSum{}, map[usageKey]*control.ProxyLoad{}
+	s.heard, s.usage = map[heardKey]*heardSum{}, map[usageKey]*policyapi.ProxyLoad{}
 }
 
 // most bounds on what one report may claim; a gateway is one process.
@@ -84,7 +84,7 @@
 		kind := c.kinds[k.Class]
 		u := c.sums.usage[usageKey{g.proxy, kind}]
 		if u == nil {
-			u = &control.ProxyLoad{Proxy: g.proxy, Class: kind}
+			u = &policyapi.ProxyLoad{Proxy: g.proxy, Class: kind}
 			c.sums.usage[usageKey{g.proxy, kind}] = u
 		}
 		if len(g.usage) == 0 {
@@ -96,7 +96,7 @@
 			if _, known := c.list.entries[e.Endpoint]; !known || e.Attempts == 0 {
 				continue // its standing table may name what we were never told of
 			}
-			stands, taken := c.intake.Sample(verdict, intake.EndpointLine{Endpoint: e.Endpoint, Attempts: e.Attempts, Failures: e.Failures})
+			stands, taken := c.intake.Sample(verdict, loadreport.EndpointLine{Endpoint: e.Endpoint, Attempts: e.Attempts, Failures: e.Failures})
 			if !taken {
 				continue
 			}
@@ -198,7 +198,7 @@
 }
 
 // flush tells the module what was reported since the last time, in one order whatever the order of the reports.
-func (c *Core) flush() (events []control.Event) {
+func (c *Core) flush() (events []policyapi.Event) {
 	keys := slices.SortedFunc(maps.Keys(c.sums.heard), func(a, b heardKey) int {
 		return cmp.Or(cmp.Compare(a.zone, b.zone), cmp.Compare(a.backend, b.backend))
 	})
@@ -215,7 +215,7 @@
 		if gathering {
 			h.loads = nil
 		}
-		heard := control.EndpointLoad{Zone: k.zone, Endpoint: k.backend, Attempts: h.tries, Failures: h.errored, Period: h.period, Metrics: h.loads}
+		heard := policyapi.EndpointLoad{Zone: k.zone, Endpoint: k.backend, Attempts: h.tries, Failures: h.errored, Period: h.period, Metrics: h.loads}
 		if done := h.tries - h.errored; done > 0 {
 			heard.MeanLatency = micros(h.answer / float64(done))
 		}
@@ -234,13 +234,13 @@
 		// Until the first report comes, an empty line about nobody says that nothing was to be heard. Without it the
 		// module takes its first round for a gap of four periods, and every speed learned in it is a quarter of the true
 		// one: on a calm start a tenth of all reqs was turned away for ten seconds.
-		events = append(events, control.ProxyLoad{Proxy: nobody, Period: c.set.Start.Reports.Period})
+		events = append(events, policyapi.ProxyLoad{Proxy: nobody, Period: c.set.Start.Reports.Period})
 	}
 	return events
 }
 
 // nobody is a proxy that never joins.
-const nobody control.ProxyID = -1
+const nobody policyapi.ProxyID = -1
 
 // count holds back complaints of one sort: one record a period says how many there were.
 type count struct {
--- a/coordinator/solving.go
+++ b/coordinator/solving.go
@@ -6,9 +6,9 @@
 	"slices"
 	"strconv"
 
-	"porthub/control"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/solver"
-	"porthub/tables"
 )
 
 // solving joins the solver to the core. The module's tables pass untouched while they keep every limit; package solver
@@ -17,33 +17,33 @@
 	judge    *solver.ClassHealth
 	estimate *solver.CapacityEstimator
 	keeper   *solver.Activation
-	heard    map[kindKey]*control.EndpointClassLoad // since the last round
-	busy     map[control.EndpointID]float64         // the nodes' own word, the last of this round
+	heard    map[kindKey]*policyapi.EndpointClassLoad // since the last round
+	busy     map[policyapi.EndpointID]float64         // the nodes' own word, the last of this round
 	since    micros
 	acts     map[solver.TableKey]solver.Table
 	round    solver.Round
 	due      bool // a round of reports has ended and the module has not been asked since
-	starts   map[control.EndpointID]micros
+	starts   map[policyapi.EndpointID]micros
 	excess   solver.OvershootEstimator
 }
 
 type kindKey struct {
-	zone    control.Zone
-	backend control.EndpointID
-	kind    control.RequestClass
+	zone    policyapi.Zone
+	backend policyapi.EndpointID
+	kind    policyapi.RequestClass
 }
 
 func newSolving(kinds int) *solving {
 	return &solving{judge: solver.NewClassHealth(kinds), estimate: solver.NewCapacityEstimator(kinds), keeper: solver.NewActivation(),
-		heard: map[kindKey]*control.EndpointClassLoad{}, busy: map[control.EndpointID]float64{}, starts: map[control.EndpointID]micros{}}
+		heard: map[kindKey]*policyapi.EndpointClassLoad{}, busy: map[policyapi.EndpointID]float64{}, starts: map[policyapi.EndpointID]micros{}}
 }
 
 // hear takes in what a report said of one node and kind.
-func (s *solving) hear(zone control.Zone, kind control.RequestClass, e EndpointReport, interval micros) {
+func (s *solving) hear(zone policyapi.Zone, kind policyapi.RequestClass, e EndpointReport, interval micros) {
 	key := kindKey{zone, e.Endpoint, kind}
 	h := s.heard[key]
 	if h == nil {
-		h = &control.EndpointClassLoad{Zone: zone, Endpoint: e.Endpoint, Class: kind}
+		h = &policyapi.EndpointClassLoad{Zone: zone, Endpoint: e.Endpoint, Class: kind}
 		s.heard[key] = h
 	}
 	if done := e.Attempts - e.Failures; done > 0 {
@@ -64,19 +64,19 @@
 	keys := slices.SortedFunc(maps.Keys(s.heard), func(a, b kindKey) int {
 		return cmp.Or(cmp.Compare(a.backend, b.backend), cmp.Compare(a.zone, b.zone), cmp.Compare(a.kind, b.kind))
 	})
-	var heard []control.EndpointClassLoad
-	byNode := map[control.EndpointID][]control.EndpointClassLoad{}
+	var heard []policyapi.EndpointClassLoad
+	byNode := map[policyapi.EndpointID][]policyapi.EndpointClassLoad{}
 	for _, k := range keys {
 		heard = append(heard, *s.heard[k])
 		byNode[k.backend] = append(byNode[k.backend], *s.heard[k])
 	}
-	var ready []control.EndpointID
+	var ready []policyapi.EndpointID
 	for _, e := range c.present() {
 		if s.starts[e.ID] != e.StartedAt { // another process under its name
 			s.starts[e.ID] = e.StartedAt
 			s.judge.Forget(e.ID)
 		}
-		if e.Status == control.Ready {
+		if e.Status == policyapi.Ready {
 			ready = append(ready, e.ID)
 		}
 		if busy, told := s.busy[e.ID]; told && !gathering && seconds < 5 {
@@ -91,7 +91,7 @@
 }
 
 // warmth is the part of its capacity that a node has by the slowest course the rules allow.
-func (c *Core) warmth(e control.Endpoint) float64 {
+func (c *Core) warmth(e policyapi.Endpoint) float64 {
 	r := c.set.Start.Rules
 	if e.StartedAt <= 0 || c.now-e.StartedAt >= r.WarmUp {
 		return 1
@@ -106,7 +106,7 @@
 const trialPart = 0.1
 
 // solve asks the keeper what acts, and returns the tables that something has changed for.
-func (c *Core) solve() map[control.TableID]bool {
+func (c *Core) solve() map[policyapi.TableID]bool {
 	s := c.solving
 	f, hold := c.fleet()
 	if len(f.Consumers) == 0 || len(f.Endpoints) == 0 || f.Check() != nil {
@@ -118,13 +118,13 @@
 		c.out(LogEntry{Level: LogInfo, Event: "solver", Text: line})
 	}
 	s.acts = maps.Clone(s.round.Tables)
-	changed := map[control.TableID]bool{}
+	changed := map[policyapi.TableID]bool{}
 	for key := range union(before, s.acts) {
 		old, was := before[key]
 		now, is := s.acts[key]
 		if was != is || !maps.Equal(old.Weights, now.Weights) || old.Admit != now.Admit {
 			if n, err := strconv.Atoi(key.Consumer); err == nil {
-				changed[control.TableID(n)] = true
+				changed[policyapi.TableID(n)] = true
 			}
 		}
 	}
@@ -153,10 +153,10 @@
 		}
 		f.Classes = append(f.Classes, kind)
 	}
-	index := map[control.EndpointID]int{}
+	index := map[policyapi.EndpointID]int{}
 	costs := s.estimate.Costs()
 	present := c.present()
-	if slices.ContainsFunc(present, func(e control.Endpoint) bool { return c.warmth(e) < 1 }) {
+	if slices.ContainsFunc(present, func(e policyapi.Endpoint) bool { return c.warmth(e) < 1 }) {
 		c.exceed()
 	}
 	for _, e := range present {
@@ -165,7 +165,7 @@
 			warm /= s.excess.Factor()
 		}
 		n := solver.Endpoint{Name: string(e.ID), Zone: string(e.Zone), Pod: int(e.Pod), Capacity: s.estimate.Capacity(e.ID) * warm,
-			Cost: costs, Closed: e.Status != control.Ready || c.withdrawn[e.ID]}
+			Cost: costs, Closed: e.Status != policyapi.Ready || c.withdrawn[e.ID]}
 		if warm < 1 {
 			n.Limit = coldPart
 		}
@@ -181,8 +181,8 @@
 		index[e.ID] = len(f.Endpoints)
 		f.Endpoints = append(f.Endpoints, n)
 	}
-	users := map[control.TableID]int{}
-	for proxy := range control.ProxyID(len(c.gateways)) {
+	users := map[policyapi.TableID]int{}
+	for proxy := range policyapi.ProxyID(len(c.gateways)) {
 		g := c.byProxy[proxy]
 		if !g.joined || !g.bound() {
 			continue
@@ -207,8 +207,8 @@
 
 // exceed holds what came to nodes in the last round against what the tables that gateways hold plan for them.
 func (c *Core) exceed() {
-	planned := map[control.EndpointID]float64{}
-	for proxy := range control.ProxyID(len(c.gateways)) {
+	planned := map[policyapi.EndpointID]float64{}
+	for proxy := range policyapi.ProxyID(len(c.gateways)) {
 		g := c.byProxy[proxy]
 		if !g.joined {
 			continue
@@ -237,7 +237,7 @@
 }
 
 // want is the module's table as the solver has it: ready nodes only, those on trial for the kind by a tenth.
-func (c *Core) want(table control.TableID, kind int, index map[control.EndpointID]int, f *solver.Fleet) (lines []solver.Share) {
+func (c *Core) want(table policyapi.TableID, kind int, index map[policyapi.EndpointID]int, f *solver.Fleet) (lines []solver.Share) {
 	for _, b := range slices.Sorted(maps.Keys(c.lines[table])) {
 		j, listed := index[b]
 		w := c.lines[table][b]
@@ -268,7 +268,7 @@
 }
 
 // acting puts what acts in the place of a table's weights.
-func (c *Core) acting(table control.TableID, kind int) (map[control.EndpointID]float64, float64, bool) {
+func (c *Core) acting(table policyapi.TableID, kind int) (map[policyapi.EndpointID]float64, float64, bool) {
 	if c.solving == nil {
 		return nil, 1, false
 	}
@@ -276,28 +276,28 @@
 	if !acts {
 		return nil, 1, false
 	}
-	weights := make(map[control.EndpointID]float64, len(t.Weights))
+	weights := make(map[policyapi.EndpointID]float64, len(t.Weights))
 	for name, w := range t.Weights {
-		weights[control.EndpointID(name)] = w * float64(len(t.Weights)) // about 1 each, as the module's are
+		weights[policyapi.EndpointID(name)] = w * float64(len(t.Weights)) // about 1 each, as the module's are
 	}
 	return weights, t.Admit, true
 }
 
 // actingOf is what acts in the place of a table's weights, by kind; nil: nothing does.
-func (c *Core) actingOf(table control.TableID) (by map[control.RequestClass]tables.Weights) {
+func (c *Core) actingOf(table policyapi.TableID) (by map[policyapi.RequestClass]routing.Weights) {
 	for k := range c.set.Start.Classes {
 		if w, _, acts := c.acting(table, k); acts {
 			if by == nil {
-				by = map[control.RequestClass]tables.Weights{}
+				by = map[policyapi.RequestClass]routing.Weights{}
 			}
-			by[control.RequestClass(k)] = w
+			by[policyapi.RequestClass(k)] = w
 		}
 	}
 	return by
 }
 
 // cap is the rate that the solver's admission comes to at a gateway. It stays while it is near what is right.
-func (g *gateway) cap(kind int, admit float64, base tables.Route) float64 {
+func (g *gateway) cap(kind int, admit float64, base routing.Route) float64 {
 	if admit >= 1 {
 		g.settled(kind, -1)
 		return base.Rate
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -4,51 +4,51 @@
 	"maps"
 	"slices"
 
-	"porthub/control"
-	"porthub/intake"
-	"porthub/service"
-	"porthub/tables"
+	"porthub/degradation"
+	"porthub/loadreport"
+	"porthub/policyapi"
+	"porthub/routing"
 )
 
 // GatewayStatus is how one gateway stands. Times are the core's, in microseconds.
 type GatewayStatus struct {
-	Gateway              Gateway               `json:"gateway"`
-	Zone                 control.Zone          `json:"zone"`
-	Connected            bool                  `json:"joined"`
-	Since                control.Microseconds  `json:"since_us"` // joined or, if it is away, last heard
-	Version              string                `json:"version"`  // last published
-	Confirmed            [documentCount]string `json:"confirmed"`
-	ConfirmedAt          [documentCount]int64  `json:"confirmed_at_us"`
-	Unacknowledged       int                   `json:"waiting"` // messages not acknowledged
-	UnacknowledgedLines  int                   `json:"waiting_lines"`
-	OldestUnacknowledged control.Microseconds  `json:"oldest_waiting_us"` // age of the first of them
-	Published            int                   `json:"published"`
-	Tables               []control.TableID     `json:"tables"` // by request kind
-	Snapshot             tables.Snapshot       `json:"snapshot"`
+	Gateway              Gateway                `json:"gateway"`
+	Zone                 policyapi.Zone         `json:"zone"`
+	Connected            bool                   `json:"joined"`
+	Since                policyapi.Microseconds `json:"since_us"` // joined or, if it is away, last heard
+	Version              string                 `json:"version"`  // last published
+	Confirmed            [documentCount]string  `json:"confirmed"`
+	ConfirmedAt          [documentCount]int64   `json:"confirmed_at_us"`
+	Unacknowledged       int                    `json:"waiting"` // messages not acknowledged
+	UnacknowledgedLines  int                    `json:"waiting_lines"`
+	OldestUnacknowledged policyapi.Microseconds `json:"oldest_waiting_us"` // age of the first of them
+	Published            int                    `json:"published"`
+	Tables               []policyapi.TableID    `json:"tables"` // by request kind
+	Snapshot             routing.Snapshot       `json:"snapshot"`
 }
 
 // Status is how a coordinator stands.
 type Status struct {
-	Now       control.Microseconds `json:"now_us"`
-	Steps     uint64               `json:"steps"`
-	Endpoints []control.Endpoint   `json:"nodes"`
-	Gateways  []GatewayStatus      `json:"gateways"`
-	Solver    *SolverStatus        `json:"solver,omitempty"`
-	Sampling  intake.Stats         `json:"intake"`
-	Estimates []EndpointEstimate   `json:"heard"`
+	Now       policyapi.Microseconds `json:"now_us"`
+	Steps     uint64                 `json:"steps"`
+	Endpoints []policyapi.Endpoint   `json:"nodes"`
+	Gateways  []GatewayStatus        `json:"gateways"`
+	Solver    *SolverStatus          `json:"solver,omitempty"`
+	Sampling  loadreport.Stats       `json:"intake"`
+	Estimates []EndpointEstimate     `json:"heard"`
 }
 
 // EndpointEstimate is what reports say of a node now, with the error that each figure has in 19 of 20 cases.
 type EndpointEstimate struct {
-	Endpoint control.EndpointID `json:"node"`
-	intake.Estimate
+	Endpoint policyapi.EndpointID `json:"node"`
+	loadreport.Estimate
 }
 
 // Now is the time of the last step.
-func (c *Core) Now() control.Microseconds { return c.now }
+func (c *Core) Now() policyapi.Microseconds { return c.now }
 
 // Estimates tells what reports say of the nodes.
-func (c *Core) Estimates() (intake.Stats, []EndpointEstimate) {
+func (c *Core) Estimates() (loadreport.Stats, []EndpointEstimate) {
 	var out []EndpointEstimate
 	for _, b := range slices.Sorted(maps.Keys(c.list.entries)) {
 		if f, known := c.intake.Estimate(c.now, b); known {
@@ -64,7 +64,7 @@
 		return c.intake.IntervalFactor()
 	}
 	m := c.leveling.machine
-	return max(c.intake.IntervalFactor(), m.Settings().Bounds(m.Level(service.FleetScope)).ReportIntervalFactor)
+	return max(c.intake.IntervalFactor(), m.Settings().Bounds(m.Level(degradation.FleetScope)).ReportIntervalFactor)
 }
 
 // Status tells how the core stands. It changes nothing.
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -3,9 +3,9 @@
 import (
 	"fmt"
 
-	"porthub/control"
+	"porthub/policyapi"
+	"porthub/routing"
 	"porthub/solver"
-	"porthub/tables"
 )
 
 // How many versions of a table are kept, and for how long.
@@ -16,7 +16,7 @@
 
 // Pin holds tables at an earlier state; it is in force from the next step on. A pin without a version or time holds
 // what is in force now.
-func (c *Core) Pin(p tables.Pin) (tables.Pin, error) {
+func (c *Core) Pin(p routing.Pin) (routing.Pin, error) {
 	if p.Version == 0 && p.At == 0 {
 		p.At = c.now
 	}
@@ -28,7 +28,7 @@
 }
 
 // Unpin lets a pin go.
-func (c *Core) Unpin(id int, reason string) (tables.Pin, error) {
+func (c *Core) Unpin(id int, reason string) (routing.Pin, error) {
 	p, err := c.book.Unpin(id)
 	if err == nil {
 		c.repinned(LogEntry{Level: LogWarn, Event: "unpinned", Text: fmt.Sprintf("%s (pin %d): %s", p.Scope, p.ID, reason)})
@@ -36,7 +36,7 @@
 	return p, err
 }
 
-func where(p tables.Pin) string {
+func where(p routing.Pin) string {
 	if p.Version > 0 {
 		return fmt.Sprintf("version %d", p.Version)
 	}
@@ -53,11 +53,11 @@
 }
 
 // inForce is what a gateway is to hold of a table for a kind, with the pins and the rules' mask over it.
-func (c *Core) inForce(g *gateway, table control.TableID, kind int, w map[control.EndpointID]float64) map[control.EndpointID]float64 {
+func (c *Core) inForce(g *gateway, table policyapi.TableID, kind int, w map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	if len(c.book.Pins()) == 0 {
 		return w
 	}
-	held, pin, overruled := c.book.Effective(table, control.RequestClass(kind), g.zone, w, func(b control.EndpointID) tables.EndpointEligibility {
+	held, pin, overruled := c.book.Effective(table, policyapi.RequestClass(kind), g.zone, w, func(b policyapi.EndpointID) routing.EndpointEligibility {
 		return c.standing(b, kind, w)
 	})
 	if overruled != "" {
@@ -67,14 +67,14 @@
 }
 
 // standing is what the rules say of a backend now, whatever old weights say.
-func (c *Core) standing(b control.EndpointID, kind int, w map[control.EndpointID]float64) tables.EndpointEligibility {
+func (c *Core) standing(b policyapi.EndpointID, kind int, w map[policyapi.EndpointID]float64) routing.EndpointEligibility {
 	e, known := c.list.entries[b]
-	closed := !known || e.Status != control.Ready || c.withdrawn[b]
+	closed := !known || e.Status != policyapi.Ready || c.withdrawn[b]
 	if c.solving != nil && c.solving.judge.Status(b, kind) != solver.ClassHealthy {
 		closed = true
 	}
-	return tables.EndpointEligibility{Closed: closed, Weight: w[b], WarmingUp: known && c.warmth(e) < 1}
+	return routing.EndpointEligibility{Closed: closed, Weight: w[b], WarmingUp: known && c.warmth(e) < 1}
 }
 
 // VersionStore is the versions and pins of all tables; it must not be changed.
-func (c *Core) Versions() *tables.VersionStore { return c.book }
+func (c *Core) Versions() *routing.VersionStore { return c.book }
