--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -49,7 +49,7 @@
 	Gateway              Gateway                `json:"gateway"`
 	Zone                 policyapi.Zone         `json:"zone"`
 	Connected            bool                   `json:"joined"`
-	LastReport           policyapi.Microseconds `json:"heard_us"`
+	LastMessageAt        policyapi.Microseconds `json:"heard_us"`
 	Version              string                 `json:"version"` // confirmed, of the endpoints document
 	Unacknowledged       int                    `json:"waiting"`
 	OldestUnacknowledged policyapi.Microseconds `json:"oldest_us"` // age of the first message in flight
@@ -113,7 +113,7 @@
 		Gateway:        g.name,
 		Zone:           g.zone,
 		Connected:      g.joined,
-		LastReport:     g.lastMessageAt,
+		LastMessageAt:  g.lastMessageAt,
 		Version:        g.delivery.Confirmed(int(EndpointsDocument)).Version,
 		Unacknowledged: len(g.delivery.Unacknowledged()),
 		Level:          levels[min(g.delivery.Level(), len(levels)-1)],
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -31,12 +31,12 @@
 	}
 	for _, g := range c.gateways.sorted() {
 		s.Gateways = append(s.Gateways, recovery.Gateway{
-			Name:       string(g.name),
-			Zone:       g.zone,
-			LastReport: g.lastMessageAt,
-			Weight:     g.weight,
-			Demand:     slices.Clone(g.demand),
-			Version:    g.delivery.Confirmed(int(EndpointsDocument)).Version,
+			Name:          string(g.name),
+			Zone:          g.zone,
+			LastMessageAt: g.lastMessageAt,
+			Weight:        g.weight,
+			Demand:        slices.Clone(g.demand),
+			Version:       g.delivery.Confirmed(int(EndpointsDocument)).Version,
 		})
 	}
 	if c.recovered == nil {
--- a/recovery/restore.go
+++ b/recovery/restore.go
@@ -16,7 +16,7 @@
 	// MaxEjectionAge limits how long ejections outlive a restart: an endpoint that failed a class longer ago may well
 	// serve it now, and a new trial costs only a few requests.
 	MaxEjectionAge = 60 * second
-	// MaxDemandAge limits the age of a gateway's last report: demand of a minute ago is a better estimate than none.
+	// MaxDemandAge limits the age of a gateway's last message: demand of a minute ago is a better estimate than none.
 	MaxDemandAge = 60 * second
 )
 
@@ -106,7 +106,7 @@
 		return
 	}
 	for _, gateway := range snapshot.Gateways {
-		if now-gateway.LastReport > MaxDemandAge {
+		if now-gateway.LastMessageAt > MaxDemandAge {
 			continue // it was disconnected long before the snapshot was taken
 		}
 		s.Gateways[gateway.Name] = gateway
--- a/recovery/restore_test.go
+++ b/recovery/restore_test.go
@@ -35,8 +35,8 @@
 		Ejections: []solver.Ejection{{Endpoint: "n3", Class: 1, Backoff: 8 * second}},
 		Pins:      []routing.PinnedVersion{{Pin: routing.Pin{ID: 3, Reason: "why"}}},
 		Gateways: []Gateway{
-			{Name: "g1", Zone: "a", LastReport: snapshotAt - second, Weight: 5, Demand: []float64{4, 1}, Version: "old.7"},
-			{Name: "disconnected", Zone: "a", LastReport: snapshotAt - 300*second},
+			{Name: "g1", Zone: "a", LastMessageAt: snapshotAt - second, Weight: 5, Demand: []float64{4, 1}, Version: "old.7"},
+			{Name: "disconnected", Zone: "a", LastMessageAt: snapshotAt - 300*second},
 		},
 	}
 }
--- a/recovery/snapshot.go
+++ b/recovery/snapshot.go
@@ -32,10 +32,10 @@
 
 // Gateway is the state of one gateway in a snapshot.
 type Gateway struct {
-	Name       string                 `cbor:"name" json:"Name"`
-	Zone       policyapi.Zone         `cbor:"zone" json:"Zone"`
-	LastReport policyapi.Microseconds `cbor:"heard_us" json:"Heard"`
-	Weight     float64                `cbor:"weight" json:"Weight"`
-	Demand     []float64              `cbor:"usage,omitempty" json:"Usage"` // requests per second by request class
-	Version    string                 `cbor:"version" json:"Version"`       // last version that it acknowledged
+	Name          string                 `cbor:"name" json:"Name"`
+	Zone          policyapi.Zone         `cbor:"zone" json:"Zone"`
+	LastMessageAt policyapi.Microseconds `cbor:"heard_us" json:"Heard"`
+	Weight        float64                `cbor:"weight" json:"Weight"`
+	Demand        []float64              `cbor:"usage,omitempty" json:"Usage"` // requests per second by request class
+	Version       string                 `cbor:"version" json:"Version"`       // last version that it acknowledged
 }
--- a/tui/tui_test.go
+++ b/tui/tui_test.go
@@ -55,7 +55,7 @@
 		m.Endpoints = append(m.Endpoints, n)
 	}
 	for i := range 15 {
-		g := coordinator.GatewayOverview{Gateway: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), Zone: zones[i%3], Connected: i != 4, LastReport: 4999 * second, Version: fmt.Sprintf("k3f.%d", 40+i),
+		g := coordinator.GatewayOverview{Gateway: coordinator.Gateway(fmt.Sprintf("gw-%d", i)), Zone: zones[i%3], Connected: i != 4, LastMessageAt: 4999 * second, Version: fmt.Sprintf("k3f.%d", 40+i),
 			Demand: float64(3 * i), OpenEndpoints: 18, Level: "tight"}
 		if i == 7 {
 			g.Unacknowledged, g.OldestUnacknowledged = 2, 1_400_000
