--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -6,28 +6,28 @@
 	"porthub/routing"
 )
 
-// unlimitedAdmission is the rate in requests per second from which a level means no limit: no gateway comes near it.
+// unlimitedAdmission is the ordered rate, in requests per second, from which there is no limit: no gateway gets nearly as many.
 const unlimitedAdmission = 1e6
 
-// minAdmittedRate is the least rate, in requests per second, that the solver or a level sets for a gateway: the demand that it
-// is computed from may have been near zero, and enough requests must be admitted to measure it again.
+// minAdmittedRate is the lowest rate, in requests per second, that the solver or a level sets for a gateway: the rate is computed
+// from the demand, which may have been near zero, and enough requests must be admitted to measure the demand again.
 const minAdmittedRate = 0.1
 
-// A published rate stays while it is within these factors of the newly computed one: a change costs a message.
+// A published rate is kept while it is within these multiples of the newly computed rate, since each change costs a message.
 const (
 	minRateRatio = 0.8
 	maxRateRatio = 1.25
 )
 
-// classAdmission is what a gateway admits of a class: the rate for all tables, which levels of service divide among the classes,
-// and the rate of its own table, which protects endpoints that are warming up and which no level of service raises. Rates are
-// in requests per second; routing.UnlimitedRate: no limit.
+// classAdmission is what a gateway admits of a class. Rates are in requests per second, or routing.UnlimitedRate.
 type classAdmission struct {
+	// rate is the rate for all tables, which levels of service divide among the classes. warmUpRate is the rate of the gateway's
+	// own table: it protects endpoints that are warming up, and no level of service raises it. share is a fraction of the demand.
 	rate, warmUpRate, share float64
 	retryPolicy             policyapi.RetryPolicy
 }
 
-// effectiveRate is the lower of both rates.
+// effectiveRate returns the lower of both rates.
 func (a classAdmission) effectiveRate() float64 {
 	if a.rate < 0 || a.warmUpRate >= 0 && a.warmUpRate < a.rate {
 		return a.warmUpRate
@@ -35,7 +35,7 @@
 	return a.rate
 }
 
-// admittedRate is what is admitted of a demand in requests per second.
+// admittedRate returns the admitted part of a demand, in requests per second.
 func (a classAdmission) admittedRate(demand float64) float64 {
 	admitted := demand * a.share
 	if rate := a.effectiveRate(); rate >= 0 {
@@ -44,7 +44,7 @@
 	return admitted
 }
 
-// policyAdmission is the admission of a class at a gateway as the decision module ordered it.
+// policyAdmission returns the admission of a class at a gateway as ordered by the decision module.
 func (c *Core) policyAdmission(g *gateway, class policyapi.RequestClass) classAdmission {
 	a := classAdmission{rate: routing.UnlimitedRate, warmUpRate: routing.UnlimitedRate, share: 1}
 	for _, table := range []policyapi.TableID{policyapi.AllTables, g.tables[class]} {
@@ -66,8 +66,8 @@
 	return a
 }
 
-// applyLevelBounds applies the bounds of a gateway's level of service to what the module orders. The module has determined how
-// much is admitted in all; the level divides it differently among the classes, and bounds retries.
+// applyLevelBounds applies the bounds of a gateway's level of service to the admission that the module has ordered. The module
+// determines how much is admitted in total; the level divides it differently among the classes and limits retries.
 func (c *Core) applyLevelBounds(g *gateway, class policyapi.RequestClass, a classAdmission) classAdmission {
 	if c.degradation == nil {
 		return a
@@ -75,7 +75,7 @@
 	key := rateKey{int(class), rateOfLevel}
 	level := c.degradation.controller.Level(g.zone)
 	if level == 0 {
-		g.forgetRate(key)
+		g.discardRate(key)
 		return a
 	}
 	a.retryPolicy = min(a.retryPolicy, c.degradation.controller.Settings().Bounds(level).RetryPolicy[class])
@@ -99,11 +99,11 @@
 	return a
 }
 
-// solverRate converts the solver's admitted share of a class to a rate at a gateway, no higher than the base rate.
+// solverRate converts the solver's admitted share of a class to a rate at a gateway, which is at most the base rate.
 func (g *gateway) solverRate(class int, admittedShare, base float64) float64 {
 	key := rateKey{class, rateOfSolver}
 	if admittedShare >= 1 {
-		g.forgetRate(key)
+		g.discardRate(key)
 		return base
 	}
 	rate := g.stableRate(key, max(minAdmittedRate, admittedShare*g.demandOf(class)))
@@ -113,12 +113,13 @@
 	return rate
 }
 
-// rateKey identifies a rate that was published to a gateway, by class and by what set it.
+// rateKey identifies a rate that was published to a gateway.
 type rateKey struct {
 	class  int
 	source rateSource
 }
 
+// rateSource is what a published rate was computed from.
 type rateSource int
 
 const (
@@ -126,7 +127,7 @@
 	rateOfLevel
 )
 
-// stableRate returns the last published rate if the rate computed now is near it, or else the rate computed now.
+// stableRate returns the last published rate if the newly computed rate is close to it, and otherwise the new one.
 func (g *gateway) stableRate(key rateKey, rate float64) float64 {
 	if g.publishedRates == nil {
 		g.publishedRates = map[rateKey]float64{}
@@ -138,9 +139,9 @@
 	return rate
 }
 
-func (g *gateway) forgetRate(key rateKey) { delete(g.publishedRates, key) }
+func (g *gateway) discardRate(key rateKey) { delete(g.publishedRates, key) }
 
-// admittedRate is the requests per second that a gateway admits of a class by the snapshot last sent to it.
+// admittedRate returns the requests per second that a gateway admits of a class by the snapshot last sent to it.
 func (g *gateway) admittedRate(class int) float64 {
 	admitted := g.demandOf(class)
 	routes := g.delivery.Sent().Routes
--- a/coordinator/aggregate.go
+++ b/coordinator/aggregate.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// loadAggregate sums up what the gateways have reported since the last round, for the decision module.
+// loadAggregate sums up the reports of the gateways since the last round, for the decision module.
 type loadAggregate struct {
 	endpoints map[endpointKey]*endpointSum
 	proxies   map[proxyKey]*policyapi.ProxyLoad
@@ -26,10 +26,10 @@
 
 type endpointSum struct {
 	attempts, failures int
-	latencySum         float64 // of the successful attempts, microseconds
+	latencySum         float64 // over the successful attempts, in microseconds
 	period             microseconds
 	metrics            policyapi.LoadMetrics
-	metricsAnswers     int // successful attempts of the report that metrics are from
+	metricsResponses   int // successful attempts in the report that metrics come from
 }
 
 func newLoadAggregate() loadAggregate {
@@ -62,14 +62,14 @@
 	sum.failures += r.Failures
 	sum.period = max(sum.period, interval)
 	sum.latencySum += float64(succeeded) * float64(r.MeanLatency)
-	// The endpoint states its metrics with each response: of several values, the one of the report with most responses counts.
-	if r.Metrics != nil && succeeded >= sum.metricsAnswers {
+	// An endpoint sends its metrics with each response. Of several reports, the metrics from the one with most responses are used.
+	if r.Metrics != nil && succeeded >= sum.metricsResponses {
 		sum.metrics = r.Metrics
-		sum.metricsAnswers = succeeded
+		sum.metricsResponses = succeeded
 	}
 }
 
-// attempts is how many attempts the gateways of a zone made at an endpoint.
+// attempts returns how many attempts the gateways of a zone made at an endpoint, and whether they reported any.
 func (a *loadAggregate) attempts(zone policyapi.Zone, endpoint policyapi.EndpointID) (count int, reported bool) {
 	sum := a.endpoints[endpointKey{zone, endpoint}]
 	if sum == nil {
@@ -78,7 +78,7 @@
 	return sum.attempts, true
 }
 
-// events returns the sums as events, in one order whatever the order of the reports.
+// events returns the sums as events, in an order that does not depend on that of the reports.
 func (a *loadAggregate) events(withMetrics bool) (events []policyapi.Event) {
 	endpoints := slices.SortedFunc(maps.Keys(a.endpoints), func(x, y endpointKey) int {
 		return cmp.Or(cmp.Compare(x.zone, y.zone), cmp.Compare(x.endpoint, y.endpoint))
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -15,11 +15,11 @@
 	settings Settings
 	policy   *policy.Instance
 
-	now       microseconds // of the last step
+	now       microseconds // time of the last step
 	startedAt microseconds // time of the first step
 	steps     uint64
 	timers    timerQueue
-	orders    []policyapi.Order // of the last step
+	orders    []policyapi.Order // by the decision module in the last step
 	outbox    outbox
 	warnings  warningLog
 
@@ -32,13 +32,13 @@
 	acks       ackMonitor
 
 	reports     reportState
-	solver      *solverState      // nil: the solver is off
-	degradation *degradationState // nil: there are no levels of service
-	recovered   *recovery.State   // of an earlier process; nil: none
+	solver      *solverState      // nil if the solver is disabled
+	degradation *degradationState // nil if no levels of service are configured
+	recovered   *recovery.State   // state of an earlier process; nil if none was restored
 }
 
-// New returns a core that has not taken a step. The state of an earlier process is passed to Restore, its saved endpoint
-// list to Step as the first input.
+// New returns a core that has not taken a step. To continue from an earlier process, pass its state to Restore and its saved
+// endpoint list to Step as the first input.
 func New(settings Settings) *Core {
 	c := &Core{
 		settings:    settings,
@@ -60,8 +60,8 @@
 }
 
 // Step applies the inputs that have arrived by now, in microseconds, and returns the outputs for the caller to carry out, in
-// order. Time never goes back: a now before the last one counts as the last one, so a clock that is set back can't undo a
-// decision.
+// order. Time does not go backwards: a now that is earlier than in the last step is replaced by the last one, so a clock that
+// is set back can't undo a decision.
 func (c *Core) Step(now policyapi.Microseconds, inputs []Input) []Output {
 	c.now = max(c.now, now)
 	c.steps++
@@ -84,7 +84,8 @@
 	return c.outbox.outputs
 }
 
-// stepPolicy steps the decision module until it has neither events nor expired timers left.
+// stepPolicy passes events and expired timers to the decision module, and then the events that result from its orders, until
+// there are none left. In the first step of the core, the module is stepped even without events.
 func (c *Core) stepPolicy(events []policyapi.Event) {
 	for {
 		if fired := c.timers.fire(c.now); len(fired) > 0 {
@@ -103,7 +104,7 @@
 	}
 }
 
-// handleInput applies an input and returns the events that follow from it for the decision module.
+// handleInput applies an input and returns the resulting events for the decision module.
 func (c *Core) handleInput(in Input) []policyapi.Event {
 	switch in := in.(type) {
 	case EndpointUpdate:
@@ -123,32 +124,32 @@
 			return []policyapi.Event{in.HealthCheckResult}
 		}
 	case PeerRejected:
-		entry := LogEntry{Level: LogWarn, Event: eventInvalidInput, Text: fmt.Sprintf("%s: %s", in.From, in.Reason)}
+		entry := LogEntry{Level: LogWarn, Event: eventInvalidInput, Text: fmt.Sprintf("request of %s rejected: %s", in.From, in.Reason)}
 		c.warnings.add(entry, in.Count)
 	case PublishFailed:
 		c.warn(eventPublishFailed, in.Gateway, "%s", in.Reason)
 	default:
-		panic(fmt.Sprintf("coordinator: no such input: %T", in))
+		panic(fmt.Sprintf("coordinator: unknown type of input: %T", in))
 	}
 	return nil
 }
 
-// NextDeadline is the latest time, in microseconds, at which the core wants its next step, even without an input.
+// NextDeadline returns the time, in microseconds, by which Step must be called again even if no input arrives.
 func (c *Core) NextDeadline() policyapi.Microseconds {
 	next := min(c.now+second, c.gateways.nextCheckAt)
 	return max(c.timers.next(next), c.now)
 }
 
-// Now is the time of the last step.
+// Now returns the time of the last step.
 func (c *Core) Now() policyapi.Microseconds { return c.now }
 
-// Steps is the number of steps taken; in the log it identifies the inputs of the step that failed.
+// Steps returns the number of steps taken. In the log it identifies the step that failed, and thereby its inputs.
 func (c *Core) Steps() uint64 { return c.steps }
 
 // Orders returns the decision module's orders of the last step, for callers that compare or record them.
 func (c *Core) Orders() []policyapi.Order { return c.orders }
 
-// ClassName is the name of a request class.
+// ClassName returns the name of a request class.
 func (c *Core) ClassName(class policyapi.RequestClass) string {
 	return c.settings.Start.Classes[class].Name
 }
--- a/coordinator/degradation.go
+++ b/coordinator/degradation.go
@@ -11,9 +11,9 @@
 type degradationState struct {
 	controller   *degradation.Controller
 	roundAt      microseconds
-	peakCapacity map[policyapi.Zone]float64      // ready capacity of the last minutes, by scope
-	allocations  map[policyapi.Zone][]allocation // by class; of zones at a level
-	// fallbackShares are, by class, the shares of demand admitted by the level that gateways fall back to without a coordinator.
+	peakCapacity map[policyapi.Zone]float64      // decaying peak of the ready capacity, by scope
+	allocations  map[policyapi.Zone][]allocation // by class, for zones at a level of reduced service
+	// fallbackShares are, by class, the shares of demand that are admitted at the level that gateways without a coordinator apply.
 	fallbackShares map[policyapi.Zone][]float64
 	healthChecks   healthCheckQueue
 }
@@ -25,18 +25,18 @@
 	allocated float64 // by the level
 }
 
-// peakCapacityHalfLife is the time in which the recorded peak decays by half, down to the present capacity: a fleet that was made
+// peakCapacityHalfLife is the time in which the recorded peak decays by half, down to the current capacity: a fleet that was made
 // smaller on purpose counts as complete again within minutes.
 const peakCapacityHalfLife = 120 * second
 
-// gatewayMemory is how long a disconnected gateway counts as missing.
-const gatewayMemory = 300 * second
+// missingGatewayTimeout is the time since its last message for which a disconnected gateway counts as missing.
+const missingGatewayTimeout = 300 * second
 
-// fallbackTolerance is the difference up to which a fallback share is not updated: each change is a message to every gateway of
+// fallbackTolerance is the change up to which a fallback share is not updated: each update costs a message to every gateway of
 // the zone.
 const fallbackTolerance = 0.1
 
-// newDegradationState returns nil if the settings have no levels.
+// newDegradationState returns nil if no levels are configured.
 func newDegradationState(settings degradation.Settings) *degradationState {
 	if len(settings.Levels) == 0 {
 		return nil
@@ -49,24 +49,24 @@
 	}
 }
 
-// bounds returns the bounds of a zone's level; reduced reports whether it is at any level of reduced service.
+// bounds returns the bounds of a zone's level. reduced reports whether that is a level of reduced service.
 func (d *degradationState) bounds(zone policyapi.Zone) (bounds degradation.Bounds, reduced bool) {
 	level := d.controller.Level(zone)
 	return d.controller.Settings().Bounds(level), level > 0
 }
 
-// degradationRound measures the signals once in a report period, before the round's reports go to the decision module, and
-// applies the levels that follow from them.
+// degradationRound measures the signals once per report period, before the round's reports are passed to the decision module, and
+// applies the resulting levels.
 func (c *Core) degradationRound() {
 	d := c.degradation
 	if d == nil || c.now-d.roundAt < c.settings.Start.Reports.Period*9/10 {
 		return
 	}
-	passed := c.now - d.roundAt
+	elapsed := c.now - d.roundAt
 	d.roundAt = c.now
 	capacity := c.capacities()
 	allocations := c.zoneAllocations()
-	for _, entry := range c.stepDegradation(c.degradationSignals(passed, allocations, capacity)) {
+	for _, entry := range c.stepDegradation(c.degradationSignals(elapsed, allocations, capacity)) {
 		c.outbox.emit(entry)
 	}
 	clear(d.allocations)
@@ -76,12 +76,12 @@
 		}
 	}
 	c.updateFallbackShares(allocations)
-	// What a level allocates changes with the load.
+	// The admission that a level allocates depends on the load.
 	c.markPending(func(g *gateway) bool { return g.joined && d.controller.Level(g.zone) > 0 })
 }
 
-// stepDegradation steps the levels, marks the gateways whose level has changed for publication, and returns the changes for the
-// log.
+// stepDegradation updates the levels, marks the gateways whose level has changed for publication, and returns the changes as log
+// entries.
 func (c *Core) stepDegradation(signals map[policyapi.Zone]degradation.Signals) (entries []LogEntry) {
 	controller := c.degradation.controller
 	before := map[policyapi.Zone]int{}
@@ -110,14 +110,14 @@
 // DegradationStatus is the state of the levels of service.
 type DegradationStatus struct {
 	Now          policyapi.Microseconds    `json:"now_us"`
-	Levels       []string                  `json:"levels"` // by severity, the normal service first
+	Levels       []string                  `json:"levels"` // by severity, starting with normal service
 	Scopes       []degradation.ScopeStatus `json:"standings"`
 	Overrides    []degradation.Override    `json:"words"`
 	Gateways     map[string]map[int]int    `json:"gateways"` // by zone and level: number of gateways that have confirmed it
-	Disconnected int                       `json:"away"`     // gateways that have not joined: they use their last documents
+	Disconnected int                       `json:"away"`     // gateways that have not joined and use their last documents
 }
 
-// Degradation returns the state of the levels; without levels it is the normal service everywhere.
+// Degradation returns the state of the levels. If none are configured, normal service is the only one.
 func (c *Core) Degradation() DegradationStatus {
 	status := DegradationStatus{Now: c.now, Levels: []string{degradation.NormalLevel}, Gateways: map[string]map[int]int{}}
 	if c.degradation == nil {
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -7,12 +7,12 @@
 	"porthub/policyapi"
 )
 
-// endpointStore is the endpoint list as it was last accepted.
+// endpointStore holds the last endpoint list that was accepted.
 type endpointStore struct {
-	entries     map[policyapi.EndpointID]policyapi.Endpoint // removed ones too: their zone is still needed
-	initialized bool                                        // a fresh list has arrived
-	fileVersion policyapi.ListVersion                       // of the file's last list
-	changed     bool                                        // since gateways' documents were last checked against the list
+	entries     map[policyapi.EndpointID]policyapi.Endpoint // includes removed endpoints: their zone is still needed
+	initialized bool                                        // a list other than the cached one has been accepted
+	fileVersion policyapi.ListVersion                       // version of the file's last list
+	changed     bool                                        // the list has changed since publishChanges last ran
 }
 
 func newEndpointStore() endpointStore {
@@ -24,8 +24,8 @@
 	return entry.Zone, ok
 }
 
-// closed reports whether an endpoint must not get new requests. With softRemoval, the decision module decides about one
-// that left the list without a drain: the endpoint may keep its weights while it responds.
+// closed reports whether an endpoint must not get new requests. With softRemoval, the decision module decides about an endpoint
+// that left the list without a drain: it may keep its weights while it responds.
 func (s *endpointStore) closed(endpoint policyapi.EndpointID, softRemoval bool) bool {
 	status := s.entries[endpoint].Status
 	return status == policyapi.Draining || status == policyapi.Removed && !softRemoval
@@ -40,7 +40,7 @@
 	return n
 }
 
-// listed returns the endpoints that are not removed, in the order of their names.
+// listed returns the endpoints that are not removed, in the order of their IDs.
 func (s *endpointStore) listed() (entries []policyapi.Endpoint) {
 	for _, id := range slices.Sorted(maps.Keys(s.entries)) {
 		if entry := s.entries[id]; entry.Status != policyapi.Removed {
@@ -50,15 +50,15 @@
 	return entries
 }
 
-// handleEndpointUpdate applies an endpoint list. An empty list after one that was not comes from a broken source far more
-// often than from an empty fleet: it is rejected unless the settings allow it, and the last list stays in force.
+// handleEndpointUpdate applies an endpoint list. An empty list after a non-empty one comes from a broken source far more often
+// than from an empty fleet: it is rejected unless the settings allow it, and the last list stays in force.
 func (c *Core) handleEndpointUpdate(in EndpointUpdate) []policyapi.Event {
 	if in.Kind == policyapi.Failed {
 		c.warn(eventEndpointListFailed, "", "%s", in.Error)
 		return []policyapi.Event{in.EndpointUpdate}
 	}
 	if ready := c.endpoints.readyCount(); in.Kind != policyapi.Delta && len(in.Endpoints) == 0 && ready > 0 && !c.settings.AllowEmptyList {
-		c.warn(eventEndpointListEmpty, "", "it names no endpoint, the last one %d: not accepted", ready)
+		c.warn(eventEndpointListEmpty, "", "empty list rejected: the last one has %d ready endpoints", ready)
 		return []policyapi.Event{policyapi.EndpointUpdate{Version: in.Version, Kind: policyapi.Failed}}
 	}
 	if in.Kind == policyapi.Snapshot && !in.decided {
@@ -68,7 +68,7 @@
 	return []policyapi.Event{in.EndpointUpdate}
 }
 
-// applyEndpoints puts an update into the store and returns its valid entries, each with its start time.
+// applyEndpoints stores an update and returns its valid entries, each with its start time.
 func (c *Core) applyEndpoints(update policyapi.EndpointUpdate) []policyapi.Endpoint {
 	named := map[policyapi.EndpointID]bool{}
 	var entries []policyapi.Endpoint
@@ -99,7 +99,7 @@
 	return entries
 }
 
-// removeUnnamed sets the endpoints that a complete list does not name to Removed.
+// removeUnnamed sets the status of endpoints that a complete list does not name to Removed.
 func (c *Core) removeUnnamed(named map[policyapi.EndpointID]bool) {
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
 		entry := c.endpoints.entries[id]
@@ -112,10 +112,9 @@
 	}
 }
 
-// withStartTime returns an entry with its start time. A source that states no start time still implies one by naming an
-// endpoint that it did not name before, or that was removed: the endpoint has just started. Endpoints of the first list
-// have run for long. A start time in the future becomes now: another machine's clock must not keep an endpoint warming up
-// forever.
+// withStartTime returns an entry with its start time. Without a start time from the source, an endpoint that is new in the list
+// or had been removed counts as started now, and the endpoints of the first list as warmed up. A start time in the future is
+// replaced by the recorded one or by now: another machine's clock must not keep an endpoint warming up forever.
 func (c *Core) withStartTime(entry policyapi.Endpoint, kind policyapi.UpdateKind) policyapi.Endpoint {
 	last, ok := c.endpoints.entries[entry.ID]
 	switch {
@@ -128,7 +127,7 @@
 	case kind == policyapi.Cached:
 		entry.StartedAt = last.StartedAt
 	case !c.endpoints.initialized:
-		// The first fresh list after a restart: endpoints that were not listed before it have started since.
+		// The first fresh list after a restart: endpoints that are not in the restored state have started since.
 		entry.StartedAt = last.StartedAt
 		if !ok {
 			entry.StartedAt, _ = c.recovered.StartTime(entry.ID, c.now)
@@ -141,7 +140,7 @@
 	return entry
 }
 
-// warmUpProgress is the fraction of its capacity, up to 1, that an endpoint has by the slowest warm-up the rules allow.
+// warmUpProgress returns the fraction of its capacity, up to 1, that an endpoint has if it warms up as slowly as the rules allow.
 func (c *Core) warmUpProgress(endpoint policyapi.Endpoint) float64 {
 	rules := c.settings.Start.Rules
 	if endpoint.StartedAt <= 0 || c.now-endpoint.StartedAt >= rules.WarmUp {
--- a/coordinator/gatewaychecks.go
+++ b/coordinator/gatewaychecks.go
@@ -22,10 +22,10 @@
 	maxExpulsion          = 60 * second
 )
 
-// checkGateways handles gateways that are silent, that do not acknowledge, that can join again, or that a document must be
-// sent to again.
+// checkGateways handles gateways that are silent, that do not acknowledge, that can join again, or to which documents must be
+// sent again.
 //
-// No gateway is checked before the first of them is due: with thousands of gateways the checks would take most of a step.
+// It does nothing until a gateway is due: with thousands of gateways, checking all in each step would take most of the step.
 func (c *Core) checkGateways() []policyapi.Event {
 	if c.now < c.gateways.nextCheckAt {
 		return nil
@@ -44,10 +44,10 @@
 	return events
 }
 
-// checkGateway carries out the check of one connected gateway.
+// checkGateway checks one connected gateway.
 func (c *Core) checkGateway(g *gateway) []policyapi.Event {
 	if silence := c.now - g.lastMessageAt; silence > c.settings.SilenceTimeout {
-		c.warn(eventGatewaySilent, g.name, "no message for %.1f s: it is disconnected", seconds(silence))
+		c.warn(eventGatewaySilent, g.name, "no message for %.1f s: gateway disconnected", seconds(silence))
 		c.outbox.emit(CloseConnection{g.conn, "silent"})
 		return c.disconnectGateway(g)
 	}
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// republishDue reports whether a joined gateway's snapshot must be offered again without an order: its documents are due to be
-// sent again, the list has changed, or a message was deferred.
+// republishDue reports whether a joined gateway's snapshot must be offered again without an order: because a retry, a check
+// against the endpoint list or a deferred message is due.
 func (c *Core) republishDue(g *gateway) bool {
 	if g.delivery.StartRetry(c.now) || c.listCheckDue(g) {
 		return true
@@ -77,20 +77,21 @@
 	return waiting && c.now >= dueAt
 }
 
-// expelGateway disconnects a gateway from the decision module while its connection stays open: the gateway acknowledges nothing,
-// and its unacknowledged lines would delay the orders to all others. It joins again after a longer time with each expulsion.
+// expelGateway reports a gateway as disconnected to the decision module while its connection stays open: the gateway acknowledges
+// nothing, and its unacknowledged lines would delay the orders to all others. It can join again later, after each expulsion in a
+// row after a longer time.
 func (c *Core) expelGateway(g *gateway, oldest routing.Message) []policyapi.Event {
 	g.expulsions++
 	pause := min(expulsionBase<<min(g.expulsions, maxExpulsionDoublings), maxExpulsion)
 	g.joinAfter = c.now + pause
-	c.warn(eventAckTimeout, g.name, "version %s not acknowledged for %.1f s: it is disconnected for %.0f s", oldest.Version,
+	c.warn(eventAckTimeout, g.name, "version %s not acknowledged for %.1f s: gateway expelled for %.0f s", oldest.Version,
 		seconds(c.now-oldest.SentAt), seconds(pause))
 	events := c.disconnectGateway(g)
 	g.connected = true
 	return events
 }
 
-// nextGatewayCheck is the time from which checkGateway has something to do for a gateway in its present state.
+// nextGatewayCheck returns the time from which checkGateway has something to do for a gateway in its current state.
 func (c *Core) nextGatewayCheck(g *gateway) microseconds {
 	if !g.connected {
 		return never
@@ -117,8 +118,8 @@
 	return next
 }
 
-// updateGateway updates what gatewaySet derives from a gateway's state: lines in flight, the next check and dirty. Call it after
-// any change of that state.
+// updateGateway updates the fields of gatewaySet that are derived from a gateway's state: linesInFlight, nextCheckAt and dirty.
+// It must be called after any change of that state.
 func (c *Core) updateGateway(g *gateway) {
 	c.updateLinesInFlight(g)
 	c.gateways.nextCheckAt = min(c.gateways.nextCheckAt, c.nextGatewayCheck(g))
@@ -129,7 +130,7 @@
 	}
 }
 
-// updateLinesInFlight updates the sums of lines in flight, each message with its overhead.
+// updateLinesInFlight updates the lines in flight to a gateway and their sum. Each message counts with its overhead.
 func (c *Core) updateLinesInFlight(g *gateway) {
 	lines := 0.0
 	for _, m := range g.delivery.Unacknowledged() {
@@ -139,16 +140,17 @@
 	g.linesInFlight = lines
 }
 
-// markPending makes the next step offer some gateways their snapshots again.
-func (c *Core) markPending(which func(*gateway) bool) {
+// markPending marks the snapshots of the selected gateways to be offered again.
+func (c *Core) markPending(selected func(*gateway) bool) {
 	for _, g := range c.gateways.inOrder {
-		if which(g) {
+		if selected(g) {
 			g.publishPending = true
 			c.updateGateway(g)
 		}
 	}
 }
 
-// listCheckDue reports whether it is time to check a gateway's documents against the list. The decision module removes drained
-// endpoints from its tables; those that are still in an old table, or at an expelled gateway, by then are withheld here.
+// listCheckDue reports whether it is time to check a gateway's documents against the endpoint list. By then the decision module
+// has usually removed draining endpoints from its tables; the check withholds those that are still in an old table or in the
+// documents of an expelled gateway.
 func (c *Core) listCheckDue(g *gateway) bool { return g.listCheckAt > 0 && c.now >= g.listCheckAt }
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -15,28 +15,28 @@
 	zone  policyapi.Zone
 
 	conn             ConnID
-	connected        bool // conn is open
-	joined           bool // the decision module counts it as connected
-	defaultTableOnly bool // as stated on connecting
-	weight           float64
+	connected        bool    // conn is open
+	joined           bool    // the decision module counts it as connected
+	defaultTableOnly bool    // as reported on connecting
+	weight           float64 // usual requests per second, as reported on connecting; 0 if unknown
 	joinedAt         microseconds
-	lastMessageAt    microseconds // of any message
-	expulsions       int          // since its last acknowledgement, for not acknowledging
+	lastMessageAt    microseconds // time of the last message of any kind
+	expulsions       int          // for missing acknowledgements, since its last acknowledgement
 	joinAfter        microseconds // earliest time at which it can join again
 
-	tables   []policyapi.TableID // by request class; unboundTable: none yet
-	delivery *routing.Delivery   // what it was sent and has acknowledged
-	// publishPending is set when its snapshot may have changed and has not been offered to it since.
+	tables   []policyapi.TableID // by request class; unboundTable until one is bound
+	delivery *routing.Delivery   // the messages sent to it and their acknowledgements
+	// publishPending is set if its snapshot may have changed since it was last offered.
 	publishPending bool
 	linesInFlight  float64
-	// listCheckAt is when its documents are checked against the endpoint list; 0: the list has not changed.
+	// listCheckAt is when its documents are checked against the changed endpoint list; 0 if the list has not changed.
 	listCheckAt microseconds
 
-	reportSequence uint64 // of its last report on this connection; 0: none yet
-	// demand is the requests per second that it receives, by class, smoothed with a factor of a half for each report;
-	// empty: not known.
+	reportSequence uint64 // of its last report on this connection; 0 if there is none
+	// demand is the number of requests per second that it receives, by class, smoothed by demandSmoothing with each report;
+	// empty if unknown.
 	demand []float64
-	// publishedRates are the admission rates last published to it: small changes of them need no message.
+	// publishedRates are the admission rates last published to it: small changes of a rate need no message.
 	publishedRates map[rateKey]float64
 }
 
@@ -46,7 +46,7 @@
 	return len(g.tables) > 0 && !slices.Contains(g.tables, unboundTable)
 }
 
-// oldestUnacknowledged is when the first of the messages in flight to it was sent, if there is any.
+// oldestUnacknowledged returns the oldest message in flight to the gateway, and false if none is in flight.
 func (g *gateway) oldestUnacknowledged() (routing.Message, bool) {
 	messages := g.delivery.Unacknowledged()
 	if len(messages) == 0 {
@@ -55,7 +55,7 @@
 	return messages[0], true
 }
 
-// demandOf is the requests per second that it receives of a class; 0 if not known.
+// demandOf returns the requests per second that the gateway receives of a class, or 0 if unknown.
 func (g *gateway) demandOf(class int) float64 {
 	if class >= len(g.demand) {
 		return 0
@@ -63,18 +63,18 @@
 	return g.demand[class]
 }
 
-// maxGateways bounds the memory that connections under ever new names can take.
+// maxGateways limits the memory that connections with ever new gateway names can use.
 const maxGateways = 60000
 
 // gatewaySet is all gateways that have ever connected.
 type gatewaySet struct {
 	byName  map[Gateway]*gateway
 	inOrder []*gateway // in the order of their first connections, indexed by ProxyID
-	// dirty are the gateways that have a publication or check pending without an order.
+	// dirty contains the gateways that need a publication or a list check even without an order.
 	dirty map[policyapi.ProxyID]bool
-	// nextCheckAt is when the first gateway needs a check.
+	// nextCheckAt is the earliest time at which a gateway needs a check.
 	nextCheckAt microseconds
-	// linesInFlight is the sum over all gateways.
+	// linesInFlight is the sum of the lines in flight to all gateways.
 	linesInFlight float64
 }
 
@@ -89,7 +89,7 @@
 	return g
 }
 
-// byProxy returns nil for a proxy that is none of the gateways.
+// byProxy returns the gateway with the proxy ID given, or nil if there is none.
 func (s *gatewaySet) byProxy(proxy policyapi.ProxyID) *gateway {
 	if proxy < 0 || int(proxy) >= len(s.inOrder) {
 		return nil
@@ -106,9 +106,9 @@
 	return all
 }
 
-// affected returns the gateways that a change can concern, in the order of their first connections: all, or those that were
-// bound to another table and the dirty ones. Between rounds orders concern one gateway or none, and visiting each of
-// thousands would take most of the step.
+// affected returns the gateways that a change can affect, in the order of their first connections: all of them, or only the
+// dirty ones and those that were bound to another table. Between rounds of reports, orders concern at most one gateway, and
+// visiting each of thousands would take most of the step.
 func (s *gatewaySet) affected(all bool, bound map[policyapi.ProxyID]bool) []*gateway {
 	if all {
 		return s.inOrder
@@ -132,18 +132,18 @@
 	return all
 }
 
-// handleConnect accepts a connection. A second connection under a gateway's name replaces the first one, which the gateway
-// itself has given up.
+// handleConnect accepts or rejects a connection. A second connection under a gateway's name replaces the first one, which the
+// gateway no longer uses.
 func (c *Core) handleConnect(in GatewayConnected) []policyapi.Event {
-	if !slices.Contains(c.settings.Start.Zones, in.Zone) { // before it takes a place among the gateways
-		c.warn(eventGatewayUnknownZone, in.Gateway, "zone %q is not one of %v", in.Zone, c.settings.Start.Zones)
+	if !slices.Contains(c.settings.Start.Zones, in.Zone) { // checked first: a rejected gateway must not count against maxGateways
+		c.warn(eventGatewayUnknownZone, in.Gateway, "connection rejected: zone %q is not one of %v", in.Zone, c.settings.Start.Zones)
 		c.outbox.emit(CloseConnection{in.Conn, "unknown zone"})
 		return nil
 	}
 	g := c.gateways.byName[in.Gateway]
 	if g == nil {
 		if count := len(c.gateways.inOrder); count >= maxGateways {
-			c.warn(eventTooManyGateways, in.Gateway, "there are %d already", count)
+			c.warn(eventTooManyGateways, in.Gateway, "connection rejected: there are already %d gateways", count)
 			c.outbox.emit(CloseConnection{in.Conn, "too many gateways"})
 			return nil
 		}
@@ -152,7 +152,7 @@
 	defer c.updateGateway(g)
 	var events []policyapi.Event
 	if g.connected && g.conn != in.Conn {
-		c.warn(eventConnectionReplaced, in.Gateway, "a second connection under this name: the first one is closed")
+		c.warn(eventConnectionReplaced, in.Gateway, "second connection under this name: the first one is closed")
 		c.outbox.emit(CloseConnection{g.conn, "another connection under this name"})
 		events = append(events, c.disconnectGateway(g)...)
 	}
@@ -165,14 +165,14 @@
 	g.reportSequence = 0
 	events = append(events, c.joinGateway(g)...)
 	if !g.joined && g.bound() {
-		// It has to wait before it joins, and its documents may still offer endpoints that have drained since it disconnected.
+		// It can't join yet, and its documents may still offer endpoints that have drained since it disconnected.
 		g.delivery.Invalidate()
 		events = append(events, c.publish(g, routing.NoAckID)...)
 	}
 	return events
 }
 
-// joinGateway lets a connected gateway join, that is, reports it to the decision module, unless it has to wait.
+// joinGateway reports a connected gateway to the decision module, unless it has joined already or must wait until joinAfter.
 func (c *Core) joinGateway(g *gateway) []policyapi.Event {
 	if !g.connected || g.joined || c.now < g.joinAfter {
 		return nil
@@ -187,7 +187,7 @@
 	return []policyapi.Event{policyapi.ProxyConnected{Proxy: g.proxy, Zone: g.zone, HasDefaultTableOnly: g.defaultTableOnly, Weight: g.weight}}
 }
 
-// handleDisconnect ignores the end of a connection that another one has replaced.
+// handleDisconnect disconnects a gateway whose connection has ended, unless another connection has replaced that one.
 func (c *Core) handleDisconnect(in GatewayDisconnected) []policyapi.Event {
 	g := c.gateways.byName[in.Gateway]
 	if g == nil || g.conn != in.Conn || !g.connected {
@@ -210,7 +210,7 @@
 	return []policyapi.Event{policyapi.ProxyDisconnected{Proxy: g.proxy}}
 }
 
-// sender returns the gateway that a message comes from; nil if it did not come on the gateway's present connection.
+// sender returns the gateway that has sent a message, or nil if the message did not arrive on its current connection.
 func (c *Core) sender(name Gateway, conn ConnID) *gateway {
 	g := c.gateways.byName[name]
 	if g == nil || !g.connected || g.conn != conn {
--- a/coordinator/healthchecks.go
+++ b/coordinator/healthchecks.go
@@ -7,19 +7,20 @@
 	"porthub/policyapi"
 )
 
-// healthCheckQueue delays health checks beyond the rate that the fleet's level of service allows.
+// healthCheckQueue holds back health checks that exceed the rate allowed by the fleet's level of service.
 type healthCheckQueue struct {
 	pending []policyapi.EndpointID
-	nextAt  microseconds // earliest time of the next one
+	nextAt  microseconds // earliest time of the next health check
 }
 
-// healthCheckRate is how many health checks per second the fleet's level allows; 0: no bound.
+// healthCheckRate returns how many health checks per second the fleet's level allows; 0 means no limit.
 func (d *degradationState) healthCheckRate() float64 {
 	bounds, _ := d.bounds(degradation.FleetScope)
 	return bounds.MaxHealthChecks
 }
 
-// checkHealth emits a health check, or queues it while a level bounds them. None is lost, and none is queued twice.
+// checkHealth emits a health check, or queues it while a level limits their rate. No health check is
+// dropped, and no endpoint is queued twice.
 func (c *Core) checkHealth(endpoint policyapi.EndpointID) {
 	d := c.degradation
 	if d == nil || d.healthCheckRate() == 0 && len(d.healthChecks.pending) == 0 {
--- a/coordinator/inputs.go
+++ b/coordinator/inputs.go
@@ -5,14 +5,14 @@
 	"porthub/policyapi"
 )
 
-// Gateway is a gateway's name, the id of its node message in xDS.
+// Gateway is the name of a gateway: the id of its node message in xDS.
 type Gateway string
 
-// ConnID is one connection of a gateway. It is never used twice within a process.
+// ConnID identifies a connection of a gateway. IDs are never reused within a process.
 type ConnID uint64
 
-// Input is an observation that a Core is given in Step. The set is closed: it has the types of this file whose input
-// method marks them, all of them passed by value, since captures record and restore them as values.
+// Input is an observation that is passed to Core.Step. The set is closed: it consists of the types in this file that have an
+// input method. All are passed by value, because captures record and restore them as values.
 type Input interface{ input() }
 
 func (EndpointUpdate) input()      {}
@@ -26,30 +26,30 @@
 func (PublishFailed) input()       {}
 
 type (
-	// EndpointUpdate is the content of the endpoint list's file, or the failure to read it (Kind Failed, with Error).
+	// EndpointUpdate is the content of the endpoint list file or, with Kind Failed, the Error that prevented reading it.
 	EndpointUpdate struct {
 		policyapi.EndpointUpdate
 		Error string `cbor:"Why" json:"Why"`
 
-		decided bool // by membership: a snapshot that need not go through it any more
+		decided bool // the list is a result of package membership and is not passed to it again
 	}
-	// RegistryUpdate is a registry's answer, or its failure.
+	// RegistryUpdate is the result of a poll of a registry: its endpoints, or an error.
 	RegistryUpdate struct{ membership.SourceUpdate }
-	// GatewayConnected reports that a gateway has opened a connection and named itself.
+	// GatewayConnected reports that a gateway has opened a connection and identified itself.
 	GatewayConnected struct {
 		Gateway             Gateway        `cbor:"Gateway" json:"Gateway"`
 		Conn                ConnID         `cbor:"Conn" json:"Conn"`
 		Zone                policyapi.Zone `cbor:"Zone" json:"Zone"`
-		HasDefaultTableOnly bool           `cbor:"Standing" json:"Standing"` // it has only its default table
-		Weight              float64        `cbor:"Weight" json:"Weight"`     // usual requests per second; 0: not known
+		HasDefaultTableOnly bool           `cbor:"Standing" json:"Standing"` // it has no table but its default one
+		Weight              float64        `cbor:"Weight" json:"Weight"`     // usual requests per second; 0 if unknown
 	}
 	// GatewayDisconnected reports that a connection has ended.
 	GatewayDisconnected struct {
 		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
 		Conn    ConnID  `cbor:"Conn" json:"Conn"`
 	}
-	// DocumentAck is a gateway's response to a document: it has applied Version, or, if Error is not empty, it has rejected
-	// the document with Nonce for that reason.
+	// DocumentAck is a gateway's response to a document. If Error is empty, the gateway has applied Version. Otherwise it has
+	// rejected the document with Nonce, for the reason in Error.
 	DocumentAck struct {
 		Gateway  Gateway  `cbor:"Gateway" json:"Gateway"`
 		Conn     ConnID   `cbor:"Conn" json:"Conn"`
@@ -57,60 +57,63 @@
 		Version  string   `cbor:"Version" json:"Version"`
 		Nonce    string   `cbor:"Nonce" json:"Nonce"`
 		Error    string   `cbor:"Error" json:"Error"`
-		// Checksum is routing.Checksum of the snapshot that the gateway has; 0: not stated.
+		// Checksum is routing.Checksum of the snapshot that the gateway has; 0 if the gateway does not report it.
 		Checksum uint64 `cbor:"Checksum" json:"Checksum"`
-		// ChecksumVersions are the versions that the checksum is of; empty: not stated.
+		// ChecksumVersions are the versions of the documents that Checksum covers; empty if the gateway does not report them.
 		ChecksumVersions [documentCount]string `cbor:"Held" json:"Held"`
 	}
-	// LoadReport sums up what a gateway did in the last interval.
+	// LoadReport summarizes the requests that a gateway handled in an interval.
 	LoadReport struct {
-		Gateway  Gateway                `cbor:"Gateway" json:"Gateway"`
-		Conn     ConnID                 `cbor:"Conn" json:"Conn"`
-		Sequence uint64                 `cbor:"Seq" json:"Seq"` // counts a gateway's reports; one that is not above the last is a duplicate or late
+		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
+		Conn    ConnID  `cbor:"Conn" json:"Conn"`
+		// Sequence numbers a gateway's reports. A report whose number is not above the last one is a duplicate or late.
+		Sequence uint64                 `cbor:"Seq" json:"Seq"`
 		Interval policyapi.Microseconds `cbor:"Interval" json:"Interval"`
 		Classes  []ClassReport          `cbor:"Kinds" json:"Kinds"`
 	}
 	// HealthCheckResult is the result of a health check.
 	HealthCheckResult struct{ policyapi.HealthCheckResult }
-	// PeerRejected reports that peers were answered with an error, Count times since the last one of these.
+	// PeerRejected reports that peers received error responses, Count of them since the last PeerRejected. From and Reason
+	// describe the latest one.
 	PeerRejected struct {
 		From   string `cbor:"From" json:"From"`
 		Reason string `cbor:"Why" json:"Why"`
 		Count  int    `cbor:"Count" json:"Count"`
 	}
-	// PublishFailed reports that a document could not be delivered; the sender retries without an output of the core.
+	// PublishFailed reports that a document could not be written for a gateway. The caller retries without a further Publish.
 	PublishFailed struct {
 		Gateway Gateway `cbor:"Gateway" json:"Gateway"`
 		Reason  string  `cbor:"Why" json:"Why"`
 	}
 )
 
-// ClassReport is a report's part for one request class. All counts are of requests or attempts in the interval.
+// ClassReport is the part of a load report for one request class. All counts are for the report's interval.
 type ClassReport struct {
 	Class     string           `cbor:"Kind" json:"Kind"`
-	Arrivals  int              `cbor:"Arrived" json:"Arrived"` // requests received, with clients' retries and rejected ones
-	Rejected  int              `cbor:"Denied" json:"Denied"`   // by admission, or because no endpoint was left
-	Failures  int              `cbor:"Errored" json:"Errored"` // admitted and not answered
+	Arrivals  int              `cbor:"Arrived" json:"Arrived"` // requests received, including clients' retries and rejected requests
+	Rejected  int              `cbor:"Denied" json:"Denied"`   // requests rejected by admission control or for lack of an endpoint
+	Failures  int              `cbor:"Errored" json:"Errored"` // requests admitted but not answered
 	Endpoints []EndpointReport `cbor:"Endpoints" json:"Endpoints"`
 }
 
 // EndpointReport is what a gateway measured at one endpoint.
 type EndpointReport struct {
-	Endpoint    policyapi.EndpointID   `cbor:"Backend" json:"Backend"`
-	Attempts    int                    `cbor:"Tries" json:"Tries"`     // completed ones
-	Failures    int                    `cbor:"Errored" json:"Errored"` // of them: errors, rejections, timeouts, failed connects
-	InFlight    int                    `cbor:"Active" json:"Active"`   // not completed yet
+	Endpoint policyapi.EndpointID `cbor:"Backend" json:"Backend"`
+	Attempts int                  `cbor:"Tries" json:"Tries"` // completed attempts
+	// Failures are completed attempts that failed: errors, rejections, timeouts and failed connects.
+	Failures    int                    `cbor:"Errored" json:"Errored"`
+	InFlight    int                    `cbor:"Active" json:"Active"` // attempts not yet completed
 	MeanLatency policyapi.Microseconds `cbor:"Answer" json:"Answer"`
-	Metrics     policyapi.LoadMetrics  `cbor:"Loads" json:"Loads"` // by the names of the report settings
+	Metrics     policyapi.LoadMetrics  `cbor:"Loads" json:"Loads"` // by the metric names in the report settings
 }
 
-// Document is one of the documents that a gateway gets.
+// Document identifies one of the documents that are published to a gateway.
 type Document int
 
 const (
-	// EndpointsDocument has the clusters: which endpoints requests may go to, by weight.
+	// EndpointsDocument contains the clusters: the endpoints of each request class and their weights.
 	EndpointsDocument Document = iota
-	// RoutesDocument has admission and retry policies.
+	// RoutesDocument contains the admission rates and retry policies.
 	RoutesDocument
 	documentCount
 )
--- a/coordinator/levelbounds.go
+++ b/coordinator/levelbounds.go
@@ -10,7 +10,7 @@
 	"porthub/routing"
 )
 
-// limitCrossZone applies a level's bound on traffic between zones to a table's weights for the gateways of a zone.
+// limitCrossZone applies a level's limit on traffic between zones to a table's weights for the gateways of a zone.
 func (c *Core) limitCrossZone(zone policyapi.Zone, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	if c.degradation == nil {
 		return weights
@@ -22,7 +22,7 @@
 	return openWeights(bounds.LimitCrossZone(c.tableEndpoints(zone, weights)))
 }
 
-// hasOwnTable reports whether a gateway's level bounds its number of endpoints, so that it shares its cluster with no other.
+// hasOwnTable reports whether a gateway's level limits its number of endpoints, so that its clusters are not shared.
 func (c *Core) hasOwnTable(g *gateway) bool {
 	if c.degradation == nil {
 		return false
@@ -31,7 +31,7 @@
 	return bounds.MaxEndpoints > 0
 }
 
-// limitOwnEndpoints applies a level's bound on the number of endpoints to the weights of a gateway.
+// limitOwnEndpoints applies a level's limit on the number of endpoints to the weights of a gateway.
 func (c *Core) limitOwnEndpoints(g *gateway, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	bounds, reduced := c.degradation.bounds(g.zone)
 	if !reduced {
@@ -40,7 +40,7 @@
 	return openWeights(bounds.LimitEndpoints(string(g.name), c.tableEndpoints(g.zone, weights)))
 }
 
-// tableEndpoints is a table as package degradation bounds it, in the order of names.
+// tableEndpoints converts a table for package degradation, in the order of endpoint IDs.
 func (c *Core) tableEndpoints(zone policyapi.Zone, weights map[policyapi.EndpointID]float64) (endpoints []degradation.TableEndpoint) {
 	for _, id := range slices.Sorted(maps.Keys(weights)) {
 		entry, ok := c.endpoints.entries[id]
@@ -55,6 +55,7 @@
 	return endpoints
 }
 
+// openWeights returns the weights above 0 of a table.
 func openWeights(endpoints []degradation.TableEndpoint) map[policyapi.EndpointID]float64 {
 	weights := map[policyapi.EndpointID]float64{}
 	for _, e := range endpoints {
@@ -89,7 +90,7 @@
 	}
 }
 
-// fallback is the part of a gateway's route that applies while it reaches no coordinator.
+// fallback returns the part of a gateway's route that applies while it reaches no coordinator.
 func (c *Core) fallback(g *gateway, class policyapi.RequestClass) routing.Fallback {
 	fallback := c.settings.Fallback
 	if c.degradation == nil || fallback.Level == 0 || len(c.degradation.fallbackShares[g.zone]) == 0 {
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -9,27 +9,27 @@
 	"porthub/policyapi"
 )
 
-// minWeight is the weight by which an endpoint without one counts.
+// minWeight is the weight of an endpoint that has no weight, and the least divisor for sums of weights.
 const minWeight = 1e-9
 
-// minLearningUtilization is the utilization below which an endpoint's capacity can't be estimated from it.
+// minLearningUtilization is the utilization up to which it is too inaccurate to estimate an endpoint's capacity from.
 const minLearningUtilization = 0.1
 
 // scopeCounts are the counts from which the degradation signals of a zone, or of the fleet, are computed.
 type scopeCounts struct {
 	readyCapacity float64 // of ready endpoints, by weight and warm-up
-	gateways      float64 // connected, or with a last message younger than gatewayMemory
-	disconnected  float64 // of them
+	gateways      float64 // connected, or with a last message less than missingGatewayTimeout ago
+	disconnected  float64 // gateways among them that have not joined
 }
 
-// countScopes counts by zone and for the fleet.
+// countScopes returns the counts for each zone and for the fleet.
 func (c *Core) countScopes() map[policyapi.Zone]*scopeCounts {
 	counts := map[policyapi.Zone]*scopeCounts{degradation.FleetScope: {}}
 	scopesOf := func(zone policyapi.Zone) []*scopeCounts {
 		if counts[zone] == nil {
 			counts[zone] = &scopeCounts{}
 		}
-		if zone == degradation.FleetScope { // a gateway that never named a valid zone
+		if zone == degradation.FleetScope { // the zone of a gateway that never reported a valid one
 			return []*scopeCounts{counts[zone]}
 		}
 		return []*scopeCounts{counts[zone], counts[degradation.FleetScope]}
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, g := range c.gateways.inOrder {
-		if !g.connected && c.now-g.lastMessageAt >= gatewayMemory {
+		if !g.connected && c.now-g.lastMessageAt >= missingGatewayTimeout {
 			continue
 		}
 		for _, scope := range scopesOf(g.zone) {
@@ -59,8 +59,8 @@
 	return counts
 }
 
-// degradationSignals are the signals of the fleet and of each zone; passed is the time since they were measured last.
-func (c *Core) degradationSignals(passed microseconds, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) map[policyapi.Zone]degradation.Signals {
+// degradationSignals returns the signals of the fleet and of each zone; elapsed is the time since they were last measured.
+func (c *Core) degradationSignals(elapsed microseconds, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) map[policyapi.Zone]degradation.Signals {
 	d := c.degradation
 	counts := c.countScopes()
 	awaiting := c.awaitingGateways()
@@ -73,7 +73,7 @@
 		}
 		if c.endpoints.initialized {
 			ready := counts[scope].readyCapacity
-			d.peakCapacity[scope] = max(ready, d.peakCapacity[scope]*math.Exp2(-float64(passed)/float64(peakCapacityHalfLife)))
+			d.peakCapacity[scope] = max(ready, d.peakCapacity[scope]*math.Exp2(-float64(elapsed)/float64(peakCapacityHalfLife)))
 			s.Set(degradation.TriggerLostCapacity, 1-ready/max(d.peakCapacity[scope], minWeight))
 		}
 		if gateways := counts[scope].gateways; gateways > 0 && !awaiting {
@@ -88,8 +88,8 @@
 	return signals
 }
 
-// publicationLag is how far publications are behind: the part of the drain grace period that acknowledgements take, or the part
-// of the queue that is in flight if that is larger.
+// publicationLag returns how far publications are behind: the time that acknowledgements take as a fraction of the drain grace
+// period, or the lines in flight as a fraction of the queue limit, whichever is larger.
 func (c *Core) publicationLag() float64 {
 	rules := c.settings.Start.Rules
 	lag := float64(c.acks.delay) / float64(rules.DrainGracePeriod)
@@ -99,7 +99,7 @@
 	return lag
 }
 
-// capacities returns the endpoints' present capacities in mean requests per second; those of unknown capacity are left out.
+// capacities returns the current capacities of ready endpoints in mean requests per second. Unknown capacities are left out.
 func (c *Core) capacities() map[policyapi.EndpointID]float64 {
 	capacities := map[policyapi.EndpointID]float64{}
 	for _, e := range c.endpoints.listed() {
@@ -113,7 +113,7 @@
 	return capacities
 }
 
-// learnedCapacity is an endpoint's capacity by the solver's estimate or else by its utilization.
+// learnedCapacity returns an endpoint's capacity by the solver's estimate, or else by its utilization.
 func (c *Core) learnedCapacity(endpoint policyapi.EndpointID) (capacity float64, ok bool) {
 	if c.solver != nil {
 		capacity = c.solver.estimate.Capacity(endpoint)
@@ -125,10 +125,10 @@
 	if !ok || estimate.Utilization <= minLearningUtilization {
 		return 0, false
 	}
-	return (estimate.Attempts - estimate.Failures) / estimate.Utilization, true // completed in a busy second
+	return (estimate.Attempts - estimate.Failures) / estimate.Utilization, true // requests answered per second of busy time
 }
 
-// zoneAllocations sums up for each zone and class the demand, and what the decision module admits of it.
+// zoneAllocations returns the demand of each zone and class, and the part of it that the decision module admits.
 func (c *Core) zoneAllocations() map[policyapi.Zone][]allocation {
 	zones := map[policyapi.Zone][]allocation{}
 	for _, zone := range c.settings.Start.Zones {
@@ -147,10 +147,11 @@
 	return zones
 }
 
-// offeredLoad is the demanded work divided by the capacity of the endpoints that serve a zone, or of all for the fleet's scope.
+// offeredLoad returns the demanded work divided by the capacity of the endpoints that serve a zone, or of all endpoints for the
+// fleet's scope. ok is false if it is unknown.
 func (c *Core) offeredLoad(scope policyapi.Zone, allocations map[policyapi.Zone][]allocation, capacity map[policyapi.EndpointID]float64) (load float64, ok bool) {
 	demand, admitted := 0.0, 0.0
-	for _, zone := range slices.Sorted(maps.Keys(allocations)) { // in order, so that a replay gets the same sums
+	for _, zone := range slices.Sorted(maps.Keys(allocations)) { // in a fixed order, so that a replay computes the same sums
 		if scope != degradation.FleetScope && zone != scope {
 			continue
 		}
@@ -162,8 +163,8 @@
 	if admitted <= 0 {
 		return 0, false
 	}
-	attempts, total := 0.0, 0.0     // of all endpoints
-	utilization, weight := 0.0, 0.0 // sums by how much of the zone's traffic each endpoint gets
+	attempts, total := 0.0, 0.0     // sums over all endpoints
+	utilization, weight := 0.0, 0.0 // sums weighted by the zone's attempts at each endpoint
 	for _, id := range slices.Sorted(maps.Keys(capacity)) {
 		estimate, reported := c.reports.sampler.Estimate(c.now, id)
 		if !reported {
@@ -185,7 +186,7 @@
 	return 0, false
 }
 
-// allocate divides what is admitted of a zone among the classes by a level's bounds, in work.
+// allocate divides the work that is admitted in a zone among the classes by a level's bounds.
 func (c *Core) allocate(sums []allocation, bounds degradation.Bounds) []allocation {
 	costs := make([]float64, len(sums))
 	weights := make([]float64, len(sums))
--- a/coordinator/logevents.go
+++ b/coordinator/logevents.go
@@ -1,7 +1,7 @@
 package coordinator
 
-// Names of log entries; those of the decision module are constants of package policylog. On-call staff search for them, and
-// packages chaos and expectation count eventServiceLevel: a change needs a line in CHANGELOG.md.
+// Event names of log entries; those of the decision module's entries are constants of package policylog. On-call staff search
+// for them, and packages chaos and expectation count eventServiceLevel, so a change needs an entry in CHANGELOG.md.
 const (
 	// Endpoint lists and membership.
 	eventEndpointList        = "endpoint_list"
--- a/coordinator/logtail.go
+++ b/coordinator/logtail.go
@@ -6,13 +6,13 @@
 	"porthub/policyapi"
 )
 
-// LoggedOverview is an overview with the log's last entries.
+// LoggedOverview is an overview with the most recent log entries.
 type LoggedOverview struct {
 	Overview
 	Log []LogRecord `json:"log"`
 }
 
-// LogRecord is an entry of the log with its time.
+// LogRecord is a log entry with its time.
 type LogRecord struct {
 	At      policyapi.Microseconds `json:"at_us"`
 	Level   string                 `json:"level"`
@@ -21,11 +21,11 @@
 	Subject string                 `json:"of,omitempty"` // gateway or endpoint
 }
 
-// maxLogTail is how many entries of the log an overview has.
+// maxLogTail is the maximum number of log entries in an overview.
 const maxLogTail = 200
 
-// AppendLog adds an entry to the log's last records, dropping the oldest beyond maxLogTail. A tail that was handed out before
-// does not change.
+// AppendLog appends an entry to the most recent records and drops the oldest ones beyond maxLogTail. Slices that it has
+// returned before keep their contents.
 func AppendLog(tail []LogRecord, now policyapi.Microseconds, entry LogEntry) []LogRecord {
 	record := LogRecord{At: now, Level: "info", Event: entry.Event, Text: entry.Text, Subject: string(entry.Gateway)}
 	if entry.Level == LogWarn {
--- a/coordinator/membership.go
+++ b/coordinator/membership.go
@@ -7,18 +7,18 @@
 	"porthub/policyapi"
 )
 
-// FileSource is the name of the endpoint list's file among the sources. It is authoritative: drops of any number of endpoints
-// are followed.
+// FileSource is the name of the endpoint list file among the sources of package membership. The file is authoritative: endpoints
+// that it drops are removed, however many at once.
 const FileSource = "file"
 
-// membershipInterval is how often membership is stepped even without a source's update, since quarantines end and endpoints are
-// readmitted by time alone.
+// membershipInterval is the interval at which membership is stepped without updates from sources, since quarantines end and
+// endpoints are readmitted as time passes.
 const membershipInterval = second / 4
 
 // membershipState connects package membership, which decides which endpoints belong to the fleet, to the core.
 type membershipState struct {
 	*membership.Membership
-	steppedAt microseconds // 0: step it next time, whatever the interval
+	steppedAt microseconds // 0: step it in the next step, regardless of membershipInterval
 }
 
 func newMembershipState(settings Settings) membershipState {
@@ -33,17 +33,17 @@
 	return c.applySourceUpdate(in.SourceUpdate)
 }
 
-// handleFileUpdate applies a complete list of the file to membership.
+// handleFileUpdate passes a complete list from the file to membership.
 func (c *Core) handleFileUpdate(in EndpointUpdate) []policyapi.Event {
 	update := membership.SourceUpdate{Source: FileSource}
 	named := map[policyapi.EndpointID]bool{}
 	for _, e := range in.Endpoints {
 		if named[e.ID] {
-			c.warn(eventEndpointDuplicate, "", "%s is listed twice: the first entry counts", e.ID)
+			c.warn(eventEndpointDuplicate, "", "endpoint %s is listed more than once: only the first entry is used", e.ID)
 			continue
 		}
 		if !slices.Contains(c.settings.Start.Zones, e.Zone) {
-			c.warn(eventEndpointUnknownZone, "", "%s is in zone %q, which is not one of %v: left out", e.ID, e.Zone, c.settings.Start.Zones)
+			c.warn(eventEndpointUnknownZone, "", "endpoint %s is ignored: its zone %q is not one of %v", e.ID, e.Zone, c.settings.Start.Zones)
 			continue
 		}
 		named[e.ID] = true
@@ -60,7 +60,7 @@
 	return c.applySourceUpdate(update)
 }
 
-// applySourceUpdate applies a source's update to membership. The decision module gets the list that follows even if nothing has
+// applySourceUpdate passes a source's update to membership. The decision module gets the resulting list even if nothing has
 // changed, since it may have requested one.
 func (c *Core) applySourceUpdate(update membership.SourceUpdate) []policyapi.Event {
 	c.membership.Apply(c.now, update)
@@ -68,7 +68,7 @@
 	return c.applyMembershipList(entries)
 }
 
-// stepMembershipIfDue steps membership once in membershipInterval and applies its list if that has changed.
+// stepMembershipIfDue steps membership if membershipInterval has passed, and applies its list if the list has changed.
 func (c *Core) stepMembershipIfDue() []policyapi.Event {
 	if c.now-c.membership.steppedAt < membershipInterval {
 		return nil
@@ -80,7 +80,7 @@
 	return c.applyMembershipList(entries)
 }
 
-// stepMembership steps membership, logs its notes and returns its list, and whether that has changed.
+// stepMembership steps membership, logs its notes, and returns its list and whether the list has changed.
 func (c *Core) stepMembership() (entries []policyapi.Endpoint, changed bool) {
 	c.membership.steppedAt = c.now
 	entries, changed, notes := c.membership.Step(c.now)
@@ -90,7 +90,7 @@
 	return entries, changed
 }
 
-// applyMembershipList applies a list of membership, once any source has reported successfully.
+// applyMembershipList applies a list of membership. It does nothing until a source has reported successfully.
 func (c *Core) applyMembershipList(entries []policyapi.Endpoint) []policyapi.Event {
 	if !c.membership.Initialized() {
 		return nil
@@ -102,8 +102,8 @@
 	})
 }
 
-// DrainEndpoint drains an endpoint at an operator's command, until UndrainEndpoint; the drain survives restarts. It fails if
-// membership does not know the endpoint.
+// DrainEndpoint drains an endpoint at an operator's command, until UndrainEndpoint; the drain survives restarts. It returns
+// membership.ErrReasonRequired if reason is empty and membership.ErrUnknownEndpoint if no source has named the endpoint.
 func (c *Core) DrainEndpoint(endpoint policyapi.EndpointID, reason string) error {
 	if err := c.membership.Drain(c.now, endpoint, reason); err != nil {
 		return err
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// UndrainEndpoint ends an operator's drain. It fails if there is none.
+// UndrainEndpoint ends an operator's drain. It returns membership.ErrNotDrained if there is none.
 func (c *Core) UndrainEndpoint(endpoint policyapi.EndpointID, reason string) error {
 	if err := c.membership.Undrain(c.now, endpoint); err != nil {
 		return err
@@ -123,5 +123,5 @@
 	return nil
 }
 
-// MembershipDecisions returns what membership has decided of every endpoint, and why.
+// MembershipDecisions returns the decisions of package membership about all endpoints, with their reasons.
 func (c *Core) MembershipDecisions() []membership.Decision { return c.membership.Decisions() }
--- a/coordinator/orders.go
+++ b/coordinator/orders.go
@@ -8,7 +8,7 @@
 	"porthub/routing"
 )
 
-// policyTables is the state that the decision module's orders have set up: weights, admission and ejections.
+// policyTables is the state set by the decision module's orders: weights, admission and ejections.
 type policyTables struct {
 	weights    map[policyapi.TableID]map[policyapi.EndpointID]float64
 	admissions map[policyapi.TableID]map[policyapi.RequestClass]policyapi.SetAdmission
@@ -50,29 +50,29 @@
 	}
 }
 
-// inClassSet reports whether an order for a set of classes concerns a class; the empty set is all classes.
+// inClassSet reports whether a class is in a set of an order. The empty set stands for all classes.
 func inClassSet(set policyapi.ClassSet, class int) bool {
 	return set == 0 || set&(1<<class) != 0
 }
 
-// orderEffects is what the orders of one policy step have changed.
+// orderEffects collects the changes by the orders of one step of the decision module.
 type orderEffects struct {
-	tables      map[policyapi.TableID]bool // with other weights or admission
-	bound       map[policyapi.ProxyID]bool // bound to other tables
-	allGateways bool
-	ackID       policyapi.AckID
+	tables      map[policyapi.TableID]bool // tables whose weights or admission were set
+	bound       map[policyapi.ProxyID]bool // proxies that were bound to tables
+	allGateways bool                       // an order concerns all gateways
+	ackID       policyapi.AckID            // of the last RequestAck; routing.NoAckID without one
 }
 
-// reach reports whether the orders concern a gateway.
-func (e *orderEffects) reach(g *gateway) bool {
+// affects reports whether the orders affect a gateway.
+func (e *orderEffects) affects(g *gateway) bool {
 	if e.allGateways || e.bound[g.proxy] {
 		return true
 	}
 	return slices.ContainsFunc(g.tables, func(t policyapi.TableID) bool { return e.tables[t] })
 }
 
-// applyOrders carries out the decision module's orders and publishes to each gateway what has changed. It returns events for
-// the module's next step: acknowledgements for gateways that already had what was ordered.
+// applyOrders carries out the decision module's orders and publishes the changes to each gateway. It returns events for the
+// module's next step: acknowledgements of gateways that already have what was ordered.
 func (c *Core) applyOrders(orders []policyapi.Order) []policyapi.Event {
 	effects := orderEffects{tables: map[policyapi.TableID]bool{}, bound: map[policyapi.ProxyID]bool{}, ackID: routing.NoAckID}
 	for _, order := range orders {
@@ -149,15 +149,15 @@
 	}
 }
 
-// publishChanges publishes to the gateways for which orders, the solver or the endpoint list have changed something.
+// publishChanges publishes to the gateways that are affected by changes of orders, the solver's tables or the endpoint list.
 func (c *Core) publishChanges(effects *orderEffects, solved map[policyapi.TableID]bool) (events []policyapi.Event) {
-	everyone := effects.allGateways || c.endpoints.changed || len(effects.tables)+len(solved) > 0
-	for _, g := range c.gateways.affected(everyone, effects.bound) {
+	all := effects.allGateways || c.endpoints.changed || len(effects.tables)+len(solved) > 0
+	for _, g := range c.gateways.affected(all, effects.bound) {
 		for _, table := range g.tables {
 			g.publishPending = g.publishPending || solved[table]
 		}
 		if c.endpoints.changed && g.listCheckAt == 0 {
-			// By then the decision module has nearly always removed the draining endpoints itself.
+			// By then the decision module has nearly always removed draining endpoints from its tables itself.
 			g.listCheckAt = c.now + c.settings.Start.Rules.DrainGracePeriod/listCheckDivisor
 		}
 		if c.publishDue(g, effects) {
@@ -169,13 +169,14 @@
 	return events
 }
 
-// listCheckDivisor divides the drain grace period: gateways' documents are checked against a new list after the quotient.
+// listCheckDivisor is the divisor of the drain grace period that gives the delay from a change of the endpoint list until
+// gateways' documents are checked against it.
 const listCheckDivisor = 4
 
-// publishDue reports whether a gateway's snapshot has to be offered to it again after orders.
+// publishDue reports whether a gateway's snapshot must be offered to it after orders.
 func (c *Core) publishDue(g *gateway, effects *orderEffects) bool {
-	due := effects.reach(g) || g.publishPending && c.mayPublishUnordered(g) || c.listCheckDue(g) || g.delivery.Invalidated()
-	// An expelled gateway may still read its documents: drains are published to it.
+	due := effects.affects(g) || g.publishPending && c.mayPublishUnordered(g) || c.listCheckDue(g) || g.delivery.Invalidated()
+	// An expelled gateway may still read its documents, so drains are published to it, too.
 	reachable := g.joined || g.connected && c.listCheckDue(g)
 	return due && reachable && g.bound()
 }
--- a/coordinator/outbox.go
+++ b/coordinator/outbox.go
@@ -5,10 +5,10 @@
 // outbox collects the outputs of a step.
 type outbox struct {
 	outputs  []Output
-	deferred []Output // emitted between steps, by an operator's command: the next step returns them first
+	deferred []Output // emitted between steps by operators' commands; the next step returns them first
 }
 
-// begin starts a step.
+// begin replaces the outputs of the last step by the deferred ones.
 func (o *outbox) begin() {
 	o.outputs = o.deferred
 	o.deferred = nil
@@ -20,5 +20,5 @@
 	o.emit(LogEntry{Level: level, Event: event, Text: fmt.Sprintf(format, args...)})
 }
 
-// logLater has the next step return an entry.
+// logLater defers an entry to the outputs of the next step.
 func (o *outbox) logLater(entry LogEntry) { o.deferred = append(o.deferred, entry) }
--- a/coordinator/overrides.go
+++ b/coordinator/overrides.go
@@ -6,8 +6,8 @@
 	"porthub/degradation"
 )
 
-// SetLevelOverride applies an operator's override of the levels of service; it takes effect with the next step. Without levels
-// the error is degradation.ErrUnknownLevel.
+// SetLevelOverride applies an operator's override of the levels of service; it takes effect with the next step. If no levels are
+// configured, the error wraps degradation.ErrUnknownLevel.
 func (c *Core) SetLevelOverride(override degradation.Override) (degradation.Override, error) {
 	if c.degradation == nil {
 		return override, errNoLevels()
@@ -22,7 +22,7 @@
 	return set, nil
 }
 
-// ClearLevelOverride ends an operator's override. Without levels the error is degradation.ErrUnknownLevel.
+// ClearLevelOverride ends an operator's override. If no levels are configured, the error wraps degradation.ErrUnknownLevel.
 func (c *Core) ClearLevelOverride(id int, reason string) (degradation.Override, error) {
 	if c.degradation == nil {
 		return degradation.Override{}, errNoLevels()
@@ -31,7 +31,7 @@
 	if err != nil {
 		return cleared, err
 	}
-	c.overridesChanged("override %d is cleared: %s", id, reason)
+	c.overridesChanged("override %d cleared: %s", id, reason)
 	return cleared, nil
 }
 
@@ -39,8 +39,8 @@
 	return fmt.Errorf("%w: service.levels is empty", degradation.ErrUnknownLevel)
 }
 
-// overridesChanged logs a change of the overrides and applies them without waiting for the next round; the log entries come with
-// the next step.
+// overridesChanged logs a change of the overrides and applies it without waiting for the next round. The next step returns the
+// log entries.
 func (c *Core) overridesChanged(format string, args ...any) {
 	c.outbox.logLater(LogEntry{Level: LogWarn, Event: eventLevelOverride, Text: fmt.Sprintf(format, args...)})
 	for _, entry := range c.stepDegradation(nil) {
--- a/coordinator/overview.go
+++ b/coordinator/overview.go
@@ -24,21 +24,21 @@
 	Pins          int                    `json:"pins"`
 }
 
-// EndpointOverview is the state of one endpoint. Rates are per second, times the core's in microseconds.
+// EndpointOverview is the state of one endpoint. Rates are per second; times are the core's, in microseconds.
 type EndpointOverview struct {
 	Endpoint       policyapi.EndpointID   `json:"node"`
 	Zone           policyapi.Zone         `json:"zone"`
-	State          string                 `json:"state"` // membership's
+	State          string                 `json:"state"` // name of its membership.State
 	Reason         string                 `json:"why"`
 	Since          policyapi.Microseconds `json:"since_us"`
 	WarmUpProgress float64                `json:"warmth"`
-	Capacity       float64                `json:"capacity"` // requests per second; 0: not known
+	Capacity       float64                `json:"capacity"` // requests per second; 0 if unknown
 	Attempts       float64                `json:"tries"`
 	Failures       float64                `json:"errored"`
 	Utilization    float64                `json:"util"`
 	Queue          float64                `json:"queue"`
 	AttemptsError  float64                `json:"tries_error"`
-	LastReport     policyapi.Microseconds `json:"heard_us"` // 0: none
+	LastReport     policyapi.Microseconds `json:"heard_us"` // 0 if there is none
 	Senders        int                    `json:"senders"`  // gateways that may send to it
 	FailingClasses []string               `json:"fails,omitempty"`
 	Withheld       bool                   `json:"withheld"` // ejected by the decision module
@@ -50,11 +50,11 @@
 	Zone                 policyapi.Zone         `json:"zone"`
 	Connected            bool                   `json:"joined"`
 	LastMessageAt        policyapi.Microseconds `json:"heard_us"`
-	Version              string                 `json:"version"` // confirmed, of the endpoints document
+	Version              string                 `json:"version"` // last confirmed version of the endpoints document
 	Unacknowledged       int                    `json:"waiting"`
-	OldestUnacknowledged policyapi.Microseconds `json:"oldest_us"` // age of the first message in flight
+	OldestUnacknowledged policyapi.Microseconds `json:"oldest_us"` // age of the oldest message in flight
 	Demand               float64                `json:"usage"`     // requests per second
-	OpenEndpoints        int                    `json:"lines"`     // that it may send to, summed over the classes
+	OpenEndpoints        int                    `json:"lines"`     // endpoints that it may send to, summed over the classes
 	Level                string                 `json:"level"`
 }
 
@@ -64,11 +64,11 @@
 	Class     string         `json:"kind"`
 	Demand    float64        `json:"asked"`
 	Admitted  float64        `json:"let"`
-	Endpoints int            `json:"nodes"` // that gateways of the zone may send to
+	Endpoints int            `json:"nodes"` // endpoints that gateways of the zone may send to
 }
 
-// Overview returns the state of the coordinator without tables. It changes nothing, and visits every line of every gateway's
-// table once.
+// Overview returns the state of the coordinator without tables. It does not change that state. Its cost is linear in the lines of
+// all gateways' tables.
 func (c *Core) Overview() Overview {
 	o := Overview{
 		Now:           c.now,
@@ -85,25 +85,25 @@
 	if o.Solver != nil {
 		o.Solver.Endpoints = nil
 	}
-	reach := newReachability()
+	reachable := newReachability()
 	for _, g := range c.gateways.sorted() {
-		one := c.gatewayOverview(g, o.Levels.Levels)
-		one.OpenEndpoints = reach.add(g.zone, g.delivery.Sent().Clusters)
-		o.Gateways = append(o.Gateways, one)
+		gateway := c.gatewayOverview(g, o.Levels.Levels)
+		gateway.OpenEndpoints = reachable.add(g.zone, g.delivery.Sent().Clusters)
+		o.Gateways = append(o.Gateways, gateway)
 	}
 	allocations := c.zoneAllocations()
 	for _, zone := range c.settings.Start.Zones {
 		for class, name := range o.Classes {
 			sum := allocations[zone][class]
-			o.Traffic = append(o.Traffic, Traffic{Zone: zone, Class: name, Demand: sum.demand, Admitted: sum.admitted, Endpoints: reach.endpoints(zone, class)})
+			o.Traffic = append(o.Traffic, Traffic{Zone: zone, Class: name, Demand: sum.demand, Admitted: sum.admitted, Endpoints: reachable.endpoints(zone, class)})
 		}
 	}
 	capacity := c.capacities()
 	for _, decision := range c.membership.Decisions() {
-		one := c.endpointOverview(decision)
-		one.Capacity = capacity[decision.Endpoint]
-		one.Senders = reach.senders[decision.Endpoint]
-		o.Endpoints = append(o.Endpoints, one)
+		endpoint := c.endpointOverview(decision)
+		endpoint.Capacity = capacity[decision.Endpoint]
+		endpoint.Senders = reachable.senders[decision.Endpoint]
+		o.Endpoints = append(o.Endpoints, endpoint)
 	}
 	return o
 }
@@ -158,8 +158,8 @@
 
 // reachability counts which endpoints gateways may send to.
 type reachability struct {
-	senders map[policyapi.EndpointID]int // gateways that may send to it
-	open    map[zoneClass]map[policyapi.EndpointID]bool
+	senders map[policyapi.EndpointID]int                // number of gateways that may send to an endpoint
+	open    map[zoneClass]map[policyapi.EndpointID]bool // endpoints that gateways of a zone may send a class to
 }
 
 type zoneClass struct {
@@ -171,9 +171,9 @@
 	return &reachability{senders: map[policyapi.EndpointID]int{}, open: map[zoneClass]map[policyapi.EndpointID]bool{}}
 }
 
-// add counts a gateway's clusters and returns how many of their endpoints it may send to.
+// add counts the endpoints in a gateway's clusters and returns how many of them it may send to, summed over the classes.
 func (r *reachability) add(zone policyapi.Zone, clusters []routing.Cluster) (open int) {
-	mine := map[policyapi.EndpointID]bool{}
+	reachable := map[policyapi.EndpointID]bool{}
 	for class, cluster := range clusters {
 		key := zoneClass{zone, class}
 		if r.open[key] == nil {
@@ -184,17 +184,17 @@
 				continue
 			}
 			open++
-			mine[e.Endpoint] = true
+			reachable[e.Endpoint] = true
 			r.open[key][e.Endpoint] = true
 		}
 	}
-	for id := range mine {
+	for id := range reachable {
 		r.senders[id]++
 	}
 	return open
 }
 
-// endpoints is how many endpoints the gateways of a zone may send a class to.
+// endpoints returns how many endpoints the gateways of a zone may send a class to.
 func (r *reachability) endpoints(zone policyapi.Zone, class int) int {
 	return len(r.open[zoneClass{zone, class}])
 }
--- a/coordinator/policylog.go
+++ b/coordinator/policylog.go
@@ -2,7 +2,7 @@
 
 import "porthub/policylog"
 
-// policyLogEntry makes a log line of the decision module an entry with its figures as fields.
+// policyLogEntry converts a log line of the decision module to a log entry with the line's values as fields.
 func policyLogEntry(line string) LogEntry {
 	parsed := policylog.Parse(line)
 	entry := LogEntry{Level: LogInfo, Event: parsed.Event, Text: parsed.Text}
--- a/coordinator/recovery.go
+++ b/coordinator/recovery.go
@@ -8,8 +8,8 @@
 	"porthub/recovery"
 )
 
-// Snapshot returns the state that the next start needs; package recovery decides which part of it is still valid then. The result
-// shares immutable state with the core.
+// Snapshot returns the state to restore after a restart; package recovery decides which part of it is still valid then. The
+// result shares immutable state with the core.
 func (c *Core) Snapshot() recovery.Snapshot {
 	s := recovery.Snapshot{
 		Format:    recovery.Format,
@@ -43,7 +43,7 @@
 		return s
 	}
 	for _, name := range slices.Sorted(maps.Keys(c.recovered.Gateways)) {
-		if c.gateways.byName[Gateway(name)] == nil { // not connected yet: its earlier state stays
+		if c.gateways.byName[Gateway(name)] == nil { // it has not connected since the restart: its earlier state is kept
 			s.Gateways = append(s.Gateways, c.recovered.Gateways[name])
 		}
 	}
@@ -51,13 +51,13 @@
 }
 
 // Restore applies the state of an earlier process. It must be called before the first step. The endpoint list of that state is
-// an input of its own.
+// passed to Step as an input.
 func (c *Core) Restore(now policyapi.Microseconds, state recovery.State) {
 	c.now = max(c.now, now)
 	c.recovered = &state
 	if c.solver != nil {
 		c.solver.health.Restore(now, state.Ejections)
-		for _, e := range state.Endpoints { // the restored ejections belong to these processes
+		for _, e := range state.Endpoints { // the restored ejections apply to processes with these start times
 			c.solver.startTimes[e.ID] = e.StartedAt
 		}
 	}
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -7,12 +7,12 @@
 	"porthub/policyapi"
 )
 
-// reportState validates, samples and sums load reports before they go to the decision module.
+// reportState is the state for validating, sampling and summing load reports before they are passed to the decision module.
 type reportState struct {
 	aggregate loadAggregate
 	sampler   *loadreport.Sampler
-	// The names of the metrics in which endpoints report their utilization, a fraction of busy time, and their queued
-	// requests; empty: they report none.
+	// The names of the metrics in which endpoints report their utilization, a fraction of busy time, and the number of their
+	// queued requests; empty if they report none.
 	utilizationMetric, queueMetric string
 	delivered                      bool // the decision module has received a report
 }
@@ -33,18 +33,18 @@
 // demandSmoothing is the weight of a new measurement in a gateway's smoothed demand, 0 to 1.
 const demandSmoothing = 0.5
 
-// handleReport applies a load report: completely, or not at all.
+// handleReport applies a load report, or rejects it as a whole.
 func (c *Core) handleReport(r LoadReport) {
 	g := c.sender(r.Gateway, r.Conn)
 	if g == nil {
 		return
 	}
 	if r.Sequence <= g.reportSequence {
-		c.warn(eventReportDuplicate, g.name, "number %d came after %d: ignored", r.Sequence, g.reportSequence)
+		c.warn(eventReportDuplicate, g.name, "report %d ignored: it arrived after report %d", r.Sequence, g.reportSequence)
 		return
 	}
 	if err := c.validateReport(r); err != nil {
-		c.warn(eventReportInvalid, g.name, "%s: the report is rejected", err)
+		c.warn(eventReportInvalid, g.name, "report rejected: %s", err)
 		return
 	}
 	first := g.reportSequence == 0
@@ -53,8 +53,8 @@
 		return
 	}
 	if period := c.settings.Start.Reports.Period; first && r.Interval > period {
-		// The first report on a connection also covers the time without one. The decision module counts by its rounds: the
-		// requests of four seconds would look like four times the traffic.
+		// The first report on a connection also covers the time before it. The decision module counts requests by its own
+		// rounds, so the requests of four seconds would look like four times the traffic.
 		r = r.scaled(float64(period) / float64(r.Interval))
 		r.Interval = period
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-// decideSampling lets the sampler decide how much of a report is used.
+// decideSampling returns the sampler's decision on how much of a report is used.
 func (c *Core) decideSampling(g *gateway, r LoadReport) loadreport.SamplingDecision {
 	lines := 0
 	arrivals := 0
@@ -77,7 +77,7 @@
 	}
 	decision := c.reports.sampler.Decide(c.now, string(g.name), lines, arrivals, r.Interval)
 	if decision.TrustedFraction < 1 {
-		c.warn(eventReportImplausible, g.name, "it states %d requests in %.1f s: %.3f of that is used", arrivals, seconds(r.Interval), decision.TrustedFraction)
+		c.warn(eventReportImplausible, g.name, "implausible count of %d requests in %.1f s: the counts of the report are multiplied by %.3f", arrivals, seconds(r.Interval), decision.TrustedFraction)
 	}
 	return decision
 }
@@ -92,7 +92,7 @@
 	c.reports.aggregate.addRequests(g.proxy, class, r, interval)
 	for _, line := range r.Endpoints {
 		if _, ok := c.endpoints.entries[line.Endpoint]; !ok || line.Attempts == 0 {
-			continue // a gateway's default table may name endpoints that no list has
+			continue // a gateway's default table may name endpoints that are in no list
 		}
 		weight, taken := c.reports.sampler.Sample(decision, loadreport.EndpointLine{Endpoint: line.Endpoint, Attempts: line.Attempts, Failures: line.Failures})
 		if taken {
@@ -101,7 +101,7 @@
 	}
 }
 
-// addEndpointReport adds a line about an endpoint to the sums of this round, weighted for the lines that were not sampled.
+// addEndpointReport adds a line about an endpoint to the sums of this round. Its weight makes up for lines that were not sampled.
 func (c *Core) addEndpointReport(zone policyapi.Zone, class policyapi.RequestClass, line EndpointReport, interval microseconds, weight float64) {
 	if utilization, stated := line.Metrics[c.reports.utilizationMetric]; stated {
 		c.reports.sampler.AddMetrics(line.Endpoint, utilization, line.Metrics[c.reports.queueMetric])
@@ -122,7 +122,7 @@
 	return int(math.Round(float64(count) * weight))
 }
 
-// scaled returns a report with its counts multiplied by a fraction, each rounded up so that small ones don't vanish.
+// scaled returns a report with its counts multiplied by a fraction and rounded up, so that small counts do not become 0.
 func (r LoadReport) scaled(fraction float64) LoadReport {
 	scale := func(n int) int { return int(math.Ceil(float64(n) * fraction)) }
 	var classes []ClassReport
@@ -143,16 +143,16 @@
 	return r
 }
 
-// After a start, gateways are awaited for gatewayArrivalTime (a gateway connects again within two seconds; those that don't are
-// disconnected), or until gatewayArrivalShare of them report. The decision module considers a fleet complete by the same share.
+// After a start, the core waits for gateways until gatewayArrivalShare of them report, and for gatewayArrivalTime at most: a
+// gateway connects again within two seconds unless it is down. The decision module considers a fleet complete by the same share.
 const (
 	gatewayArrivalTime  = 10 * second
 	gatewayArrivalShare = 0.95
 )
 
-// awaitingGateways reports whether many gateways have yet to connect. Until they have, endpoints' own metrics are withheld from
-// the decision module: they show the load from all gateways while the counts cover only those connected, so every endpoint
-// would look slow, and levels of service would be entered by mistake.
+// awaitingGateways reports whether, soon after a start, many gateways have yet to connect. Until they have, endpoints' own metrics
+// are withheld from the decision module: the metrics include the load from all gateways while the counts cover only the connected
+// ones, so every endpoint would look slow, and levels of service would be entered by mistake.
 func (c *Core) awaitingGateways() bool {
 	if c.now-c.startedAt > gatewayArrivalTime {
 		return false
@@ -166,14 +166,14 @@
 	return float64(reporting) < gatewayArrivalShare*float64(c.settings.Start.ProxyCount)
 }
 
-// noProxy is a proxy that never connects.
+// noProxy is the ID of a proxy that does not exist.
 const noProxy policyapi.ProxyID = -1
 
-// flushReports ends a round of reports: it returns the sums since the last one as events for the decision module, and closes
-// the rounds of the sampler, the levels of service and the solver.
+// flushReports ends a round of reports: it returns the sums of the round as events for the decision module, and ends the round
+// of the sampler, the levels of service and the solver.
 func (c *Core) flushReports() []policyapi.Event {
 	for _, name := range c.reports.sampler.EndRound(c.now) {
-		c.warn(eventReportsStopped, Gateway(name), "it is connected and has not reported for five periods: its traffic is estimated from the others'")
+		c.warn(eventReportsStopped, Gateway(name), "connected without a report for five periods: its traffic is estimated from that of other gateways")
 	}
 	c.degradationRound()
 	awaiting := c.awaitingGateways()
@@ -189,8 +189,8 @@
 	if c.reports.delivered {
 		return nil
 	}
-	// Until the first report, an empty load of no proxy shows the module that there was nothing to report. Without it the module
-	// takes its first round for a gap of four periods and learns a quarter of each true speed from it: at a start under low load
-	// a tenth of all requests was rejected for ten seconds.
+	// Until the first report, an empty load of noProxy indicates to the module that there was nothing to report. Without it, the
+	// module treats its first round as a gap of four periods and learns a quarter of each endpoint's true speed: after a start
+	// under low load, a tenth of all requests was rejected for ten seconds.
 	return []policyapi.Event{policyapi.ProxyLoad{Proxy: noProxy, Period: c.settings.Start.Reports.Period}}
 }
--- a/coordinator/snapshot.go
+++ b/coordinator/snapshot.go
@@ -5,8 +5,8 @@
 	"porthub/routing"
 )
 
-// clusterCache contains the clusters of the tables. Gateways of a zone with the same table share them within a step: with
-// thousands of gateways, building each cluster again would take most of a step.
+// clusterCache caches the clusters of tables within a step. Gateways of a zone with the same table share them: with thousands
+// of gateways, building each cluster again would take most of a step.
 type clusterCache map[clusterKey]tableCluster
 
 type clusterKey struct {
@@ -15,14 +15,14 @@
 	zone  policyapi.Zone
 }
 
-// tableCluster is a table's cluster for a class, as the gateways of a zone get it.
+// tableCluster is a table's cluster for a class, as it is published to the gateways of a zone.
 type tableCluster struct {
 	cluster       routing.Cluster
 	weights       map[policyapi.EndpointID]float64
-	admittedShare float64 // by the solver; 1: all
+	admittedShare float64 // part of the demand that the solver admits; 1 is all of it
 }
 
-// snapshot returns what a gateway should have: the module's orders with the solver, pins and levels applied.
+// snapshot returns the snapshot that a gateway should have: the module's orders with the solver, pins and levels applied.
 func (c *Core) snapshot(g *gateway) routing.Snapshot {
 	var s routing.Snapshot
 	if c.degradation != nil {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// tableCluster is the cluster of a gateway's table for a class, as all gateways of its zone on that table get it.
+// tableCluster returns the cluster of a gateway's table for a class, which all gateways of its zone with that table share.
 func (c *Core) tableCluster(g *gateway, class policyapi.RequestClass) tableCluster {
 	key := clusterKey{g.tables[class], class, g.zone}
 	if cached, has := c.clusters[key]; has {
@@ -64,7 +64,7 @@
 	return routing.BuildCluster(c.ClassName(class), weights, c.endpoints.zoneOf, c.isClosed)
 }
 
-// route is a gateway's admission and retry policy for a class.
+// route returns a gateway's admission and retry policy for a class.
 func (c *Core) route(g *gateway, class policyapi.RequestClass, admittedShare float64) routing.Route {
 	admission := c.applyLevelBounds(g, class, c.policyAdmission(g, class))
 	settings := c.settings.Start.Classes[class]
--- a/coordinator/solver.go
+++ b/coordinator/solver.go
@@ -9,8 +9,8 @@
 	"porthub/solver"
 )
 
-// solverState connects package solver to the core. The decision module's tables apply unchanged while they keep every limit;
-// package solver decides when they don't and what replaces them. This package only collects its inputs and applies its tables.
+// solverState connects package solver to the core. The decision module's tables apply unchanged while they are within every limit;
+// package solver decides when they are not and what replaces them. This package only collects its inputs and applies its tables.
 type solverState struct {
 	health     *solver.ClassHealth
 	estimate   *solver.CapacityEstimator
@@ -18,13 +18,13 @@
 	overshoot  solver.OvershootEstimator
 
 	classLoads  map[classLoadKey]*policyapi.EndpointClassLoad // since the last round
-	utilization map[policyapi.EndpointID]float64              // as endpoints state it, the last of this round
+	utilization map[policyapi.EndpointID]float64              // last value that each endpoint reported in this round
 	startTimes  map[policyapi.EndpointID]microseconds         // of the processes that health refers to
 	roundAt     microseconds
 	pending     bool // a round of reports has ended and the solver has not run since
 
 	round  solver.Round
-	tables map[solver.TableKey]solver.Table // that replace the module's
+	tables map[solver.TableKey]solver.Table // tables that replace the module's
 }
 
 type classLoadKey struct {
@@ -36,7 +36,7 @@
 // solverUtilizationMetric is the metric that the solver learns endpoints' capacities from.
 const solverUtilizationMetric = "busy"
 
-// maxLearningRound is the longest round, in seconds, that capacities are learned from: in a longer one reports are missing.
+// maxLearningRound is the duration in seconds from which no capacities are learned from a round, since reports are missing.
 const maxLearningRound = 5
 
 func newSolverState(classes int) *solverState {
@@ -50,7 +50,7 @@
 	}
 }
 
-// addLoad adds what a report states of one endpoint and class.
+// addLoad adds a report's line about an endpoint and class to the sums of this round.
 func (s *solverState) addLoad(zone policyapi.Zone, class policyapi.RequestClass, r EndpointReport, interval microseconds) {
 	key := classLoadKey{zone, r.Endpoint, class}
 	load := s.classLoads[key]
@@ -70,7 +70,7 @@
 	}
 }
 
-// takeLoads returns what was reported in this round, in one order whatever the order of the reports, and begins the next.
+// takeLoads returns the sums of this round, in an order that does not depend on that of the reports, and starts the next round.
 func (s *solverState) takeLoads() (loads []policyapi.EndpointClassLoad) {
 	keys := slices.SortedFunc(maps.Keys(s.classLoads), func(a, b classLoadKey) int {
 		return cmp.Or(cmp.Compare(a.endpoint, b.endpoint), cmp.Compare(a.zone, b.zone), cmp.Compare(a.class, b.class))
@@ -82,8 +82,8 @@
 	return loads
 }
 
-// closeSolverRound makes the solver evaluate health and learn capacities from the reports of the round. While awaitingGateways,
-// nothing is learned: the reports cover only a part of the load.
+// closeSolverRound evaluates health and learns capacities from the reports of the round. If awaitingGateways, no capacities are
+// learned: the reports cover only part of the load.
 func (c *Core) closeSolverRound(awaitingGateways bool) {
 	s := c.solver
 	duration := seconds(c.now - s.roundAt)
@@ -117,16 +117,16 @@
 // SolverStatus is the state of the solver for operators.
 type SolverStatus struct {
 	Active           bool                `json:"acting"`
-	WorstUtilization float64             `json:"worst"` // largest load over a limit that the module's tables would bring
+	WorstUtilization float64             `json:"worst"` // largest load of an endpoint by the module's tables, over its limit
 	WorstEndpoint    string              `json:"at"`
-	Tables           int                 `json:"tables"`          // that replace the module's
-	Moved            int                 `json:"moved"`           // in the last round
-	Endpoints        []string            `json:"nodes,omitempty"` // the listed ones
+	Tables           int                 `json:"tables"`          // number of tables that replace the module's
+	Moved            int                 `json:"moved"`           // tables that changed in the last round
+	Endpoints        []string            `json:"nodes,omitempty"` // IDs of the listed endpoints
 	Certificate      *solver.Certificate `json:"certificate,omitempty"`
-	Failing          []string            `json:"failing,omitempty"` // endpoint and class
+	Failing          []string            `json:"failing,omitempty"` // pairs of an endpoint and the class that it is failing
 }
 
-// solverStatus returns nil while the solver is off.
+// solverStatus returns nil if the solver is disabled.
 func (c *Core) solverStatus() *SolverStatus {
 	if c.solver == nil {
 		return nil
@@ -151,7 +151,7 @@
 	return status
 }
 
-// classHealthy reports whether the solver considers an endpoint healthy for a class; without a solver all are.
+// classHealthy reports whether an endpoint is healthy for a class. If the solver is disabled, all endpoints are.
 func (c *Core) classHealthy(endpoint policyapi.EndpointID, class int) bool {
 	return c.solver == nil || c.solver.health.Status(endpoint, class) == solver.ClassHealthy
 }
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -10,14 +10,15 @@
 	"porthub/solver"
 )
 
-// warmUpLoadLimit is the fraction of its capacity that an endpoint gets load for while warming up, as in the module's tables.
+// warmUpLoadLimit is the fraction of its current capacity up to which an endpoint is loaded while warming up, as in the module's
+// tables.
 const warmUpLoadLimit = 0.7
 
-// trialWeightFactor is the fraction of its weight that an endpoint gets for a class that it is on trial for.
+// trialWeightFactor is the fraction of its weight that an endpoint has for a class for which it is on trial.
 const trialWeightFactor = 0.1
 
-// solverFleet returns the solver's input: the listed endpoints, and as consumers the tables that gateways are bound to,
-// with the demand that their gateways admit. keepActive: an endpoint is on trial for a class or failing it.
+// solverFleet returns the solver's input: the listed endpoints, and as consumers the tables that gateways are bound to, with the
+// demand that their gateways admit. keepActive is true if an endpoint is failing a class or on trial for it.
 func (c *Core) solverFleet() (fleet solver.Fleet, keepActive bool) {
 	fleet.Classes = c.solverClasses()
 	listed := c.endpoints.listed()
@@ -47,7 +48,7 @@
 	return classes
 }
 
-// solverEndpoint is an endpoint as the solver has it; unhealthy: it is on trial for a class, or failing it.
+// solverEndpoint converts an endpoint for the solver. unhealthy is true if it is failing a class or on trial for it.
 func (c *Core) solverEndpoint(e policyapi.Endpoint, costs []float64) (endpoint solver.Endpoint, unhealthy bool) {
 	s := c.solver
 	progress := c.warmUpProgress(e)
@@ -80,7 +81,7 @@
 	return endpoint, unhealthy
 }
 
-// addConsumers adds a consumer for each table that a gateway is bound to, with the demand of all its gateways.
+// addConsumers adds a consumer for each table that a gateway is bound to, with the admitted demand of all gateways of the table.
 func (c *Core) addConsumers(fleet *solver.Fleet, index map[policyapi.EndpointID]int) {
 	consumers := map[policyapi.TableID]int{}
 	for _, g := range c.gateways.inOrder {
@@ -113,11 +114,11 @@
 	return consumer
 }
 
-// consumerName is the name by which the solver knows a table.
+// consumerName returns the name of a table in the solver's input.
 func consumerName(table policyapi.TableID) string { return strconv.Itoa(int(table)) }
 
-// wantedShares is the module's table as the solver has it: ready endpoints only, those on trial for the class by a part of
-// their weight.
+// wantedShares converts the module's table for the solver: without closed endpoints, and with a reduced weight for those on trial
+// for the class.
 func (c *Core) wantedShares(table policyapi.TableID, class int, index map[policyapi.EndpointID]int, endpoints []solver.Endpoint) (shares []solver.Share) {
 	for _, id := range slices.Sorted(maps.Keys(c.tables.weights[table])) {
 		i, listed := index[id]
@@ -133,7 +134,7 @@
 	return shares
 }
 
-// measureOvershoot compares the requests that endpoints got in the last round with those planned by the tables of the gateways.
+// measureOvershoot compares the attempts at each endpoint in the last round with those planned by the gateways' tables.
 func (c *Core) measureOvershoot() {
 	planned := map[policyapi.EndpointID]float64{}
 	for _, g := range c.gateways.inOrder {
@@ -154,7 +155,7 @@
 	c.solver.overshoot.Observe(outcomes)
 }
 
-// addPlanned divides a rate among the open endpoints of a cluster by their weights.
+// addPlanned divides a rate among the open endpoints of a cluster by their weights, and adds the parts to planned.
 func addPlanned(planned map[policyapi.EndpointID]float64, cluster routing.Cluster, rate float64) {
 	total := 0.0
 	for _, e := range cluster.Endpoints {
--- a/coordinator/solvertables.go
+++ b/coordinator/solvertables.go
@@ -9,7 +9,7 @@
 	"porthub/solver"
 )
 
-// solveTables asks the solver which tables it replaces, and returns those that this has changed.
+// solveTables runs the solver and returns the tables for which its replacement has changed.
 func (c *Core) solveTables() map[policyapi.TableID]bool {
 	s := c.solver
 	fleet, keepActive := c.solverFleet()
@@ -36,8 +36,8 @@
 	return changed
 }
 
-// solverWeights returns the weights that the solver sets in place of a table's for a class, with the share of the demand that it
-// admits; active is false if it sets none.
+// solverWeights returns the weights that the solver sets in place of a table's for a class, and the share of the demand that it
+// admits. active is false if it sets none.
 func (c *Core) solverWeights(table policyapi.TableID, class int) (weights map[policyapi.EndpointID]float64, admittedShare float64, active bool) {
 	if c.solver == nil {
 		return nil, 1, false
@@ -48,12 +48,12 @@
 	}
 	weights = make(map[policyapi.EndpointID]float64, len(solved.Weights))
 	for name, weight := range solved.Weights {
-		weights[policyapi.EndpointID(name)] = weight * float64(len(solved.Weights)) // about 1 each, as the module's are
+		weights[policyapi.EndpointID(name)] = weight * float64(len(solved.Weights)) // scaled to a mean of 1, like the module's
 	}
 	return weights, solved.Admit, true
 }
 
-// solverWeightsByClass returns the weights that the solver sets in place of a table's, by class; nil if it sets none.
+// solverWeightsByClass returns the weights that the solver sets in place of a table's, by class. It is nil if there are none.
 func (c *Core) solverWeightsByClass(table policyapi.TableID) (byClass map[policyapi.RequestClass]routing.Weights) {
 	for class := range c.settings.Start.Classes {
 		weights, _, active := c.solverWeights(table, class)
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -15,13 +15,13 @@
 	Gateway              Gateway                `json:"gateway"`
 	Zone                 policyapi.Zone         `json:"zone"`
 	Connected            bool                   `json:"joined"`
-	Since                policyapi.Microseconds `json:"since_us"` // when it joined or, if it is disconnected, its last message
-	Version              string                 `json:"version"`  // last published
+	Since                policyapi.Microseconds `json:"since_us"` // time of joining or, if it is disconnected, of its last message
+	Version              string                 `json:"version"`  // last published version
 	Confirmed            [documentCount]string  `json:"confirmed"`
 	ConfirmedAt          [documentCount]int64   `json:"confirmed_at_us"`
 	Unacknowledged       int                    `json:"waiting"` // messages in flight
 	UnacknowledgedLines  int                    `json:"waiting_lines"`
-	OldestUnacknowledged policyapi.Microseconds `json:"oldest_waiting_us"` // age of the first of them
+	OldestUnacknowledged policyapi.Microseconds `json:"oldest_waiting_us"` // age of the oldest message in flight
 	Published            int                    `json:"published"`
 	Tables               []policyapi.TableID    `json:"tables"` // by request class
 	Snapshot             routing.Snapshot       `json:"snapshot"`
@@ -38,13 +38,13 @@
 	Estimates []EndpointEstimate     `json:"heard"`
 }
 
-// EndpointEstimate is what reports state of an endpoint now, with the error that each figure has in 19 of 20 cases.
+// EndpointEstimate is the load of an endpoint as estimated from reports. Its error fields hold in 19 of 20 cases.
 type EndpointEstimate struct {
 	Endpoint policyapi.EndpointID `json:"node"`
 	loadreport.Estimate
 }
 
-// Estimates returns the state of report sampling and what reports state of the endpoints, in the order of their names.
+// Estimates returns the statistics of report sampling, and the estimated loads of endpoints in the order of their IDs.
 func (c *Core) Estimates() (loadreport.Stats, []EndpointEstimate) {
 	var estimates []EndpointEstimate
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints.entries)) {
@@ -55,7 +55,7 @@
 	return c.reports.sampler.Stats(), estimates
 }
 
-// ReportIntervalFactor is how many report periods gateways are asked to wait between two reports.
+// ReportIntervalFactor returns the number of report periods that gateways should wait between two reports.
 func (c *Core) ReportIntervalFactor() int {
 	factor := c.reports.sampler.IntervalFactor()
 	if c.degradation == nil {
@@ -65,7 +65,7 @@
 	return max(factor, bounds.ReportIntervalFactor)
 }
 
-// Status returns the state of the coordinator with all tables. It changes nothing.
+// Status returns the state of the coordinator with all tables. It does not change that state.
 func (c *Core) Status() Status {
 	s := Status{
 		Now:       c.now,
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -19,8 +19,8 @@
 	q.pending = append(q.pending, timer{at, token})
 }
 
-// fire removes the timers that are due and returns their events in the order of their times; of two at the same time the
-// one that was set first comes first.
+// fire removes the timers that are due and returns their events in the order of their times. Timers with the same time fire
+// in the order in which they were set.
 func (q *timerQueue) fire(now microseconds) (events []policyapi.Event) {
 	slices.SortStableFunc(q.pending, func(a, b timer) int { return cmp.Compare(a.at, b.at) })
 	fired := 0
@@ -32,7 +32,7 @@
 	return events
 }
 
-// next is the time of the first timer, or limit if none comes before it.
+// next returns the time of the earliest timer, or limit if there is no timer before it.
 func (q *timerQueue) next(limit microseconds) microseconds {
 	for _, t := range q.pending {
 		limit = min(limit, t.at)
--- a/coordinator/versions.go
+++ b/coordinator/versions.go
@@ -7,14 +7,14 @@
 	"porthub/routing"
 )
 
-// How many versions of a table are stored, and for how long.
+// Limits on the number and age of the stored versions of a table.
 const (
 	maxVersions   = 64
 	maxVersionAge = 3600 * second
 )
 
-// Pin fixes tables at an earlier version; it takes effect with the next step. A pin without a version or time fixes what is
-// in effect now. Its error wraps routing.ErrReasonRequired or routing.ErrUnknownVersion.
+// Pin fixes tables at an earlier version; it takes effect with the next step. A pin without a version or time fixes the
+// versions in effect now. Its error wraps routing.ErrReasonRequired or routing.ErrUnknownVersion.
 func (c *Core) Pin(pin routing.Pin) (routing.Pin, error) {
 	if pin.Version == 0 && pin.At == 0 {
 		pin.At = c.now
@@ -27,7 +27,7 @@
 	return set, nil
 }
 
-// Unpin removes a pin. Its error wraps routing.ErrUnknownPin if there is none of that ID.
+// Unpin removes a pin. Its error wraps routing.ErrUnknownPin if there is no pin with that ID.
 func (c *Core) Unpin(id int, reason string) (routing.Pin, error) {
 	pin, err := c.versions.Unpin(id)
 	if err != nil {
@@ -44,16 +44,16 @@
 	if pin.Version > 0 {
 		return fmt.Sprintf("version %d", pin.Version)
 	}
-	return fmt.Sprintf("as at %d us", pin.At)
+	return fmt.Sprintf("state at %d us", pin.At)
 }
 
-// pinsChanged logs a change of the pins and makes the next step offer all gateways their snapshots again.
+// pinsChanged logs a change of the pins and marks the snapshots of all gateways to be offered again.
 func (c *Core) pinsChanged(event, text string) {
 	c.outbox.logLater(LogEntry{Level: LogWarn, Event: event, Text: text})
 	c.markPending(func(*gateway) bool { return true })
 }
 
-// effectiveWeights returns the weights of a table for a class that a gateway should have, after pins are applied.
+// effectiveWeights returns the weights of a table for a class at a gateway after pins are applied.
 func (c *Core) effectiveWeights(g *gateway, table policyapi.TableID, class int, weights map[policyapi.EndpointID]float64) map[policyapi.EndpointID]float64 {
 	if len(c.versions.Pins()) == 0 {
 		return weights
@@ -68,7 +68,7 @@
 	return effective
 }
 
-// eligibility returns what the rules allow an endpoint now, independent of pinned weights.
+// eligibility returns what the rules currently allow for an endpoint, regardless of pinned weights.
 func (c *Core) eligibility(endpoint policyapi.EndpointID, class int, weights map[policyapi.EndpointID]float64) routing.EndpointEligibility {
 	entry, ok := c.endpoints.entries[endpoint]
 	closed := !ok || entry.Status != policyapi.Ready || c.tables.ejected[endpoint] || !c.classHealthy(endpoint, class)
--- a/coordinator/warnings.go
+++ b/coordinator/warnings.go
@@ -6,44 +6,44 @@
 	"slices"
 )
 
-// warningInterval is the least time between two warnings of one event name: invalid inputs can arrive by the thousand, and one
-// entry that counts them is enough.
+// warningInterval is the minimum time between two warnings with the same event name: invalid inputs can arrive by the thousand,
+// and one entry with their number is enough.
 const warningInterval = 10 * second
 
-// warningLog limits the rate of warnings by event name: the first is emitted by the step in which it occurs, then one in each
-// interval, with the number since the last.
+// warningLog limits the rate of warnings of each event name. The first warning is emitted in the step in which it occurs, later
+// ones at most once per warningInterval, with their number since the last entry.
 type warningLog map[string]*warningCount
 
 type warningCount struct {
-	count    int
+	count    int // since the last entry
 	last     LogEntry
 	loggedAt microseconds
 }
 
 func (w warningLog) add(entry LogEntry, count int) {
-	one := w[entry.Event]
-	if one == nil {
-		one = &warningCount{loggedAt: -warningInterval}
-		w[entry.Event] = one
+	warning := w[entry.Event]
+	if warning == nil {
+		warning = &warningCount{loggedAt: -warningInterval}
+		w[entry.Event] = warning
 	}
-	one.count += count
-	one.last = entry
+	warning.count += count
+	warning.last = entry
 }
 
 // flush emits the warnings that are due, in the order of their event names.
 func (w warningLog) flush(now microseconds, out *outbox) {
 	for _, event := range slices.Sorted(maps.Keys(w)) {
-		one := w[event]
-		if one.count > 0 && (now-one.loggedAt >= warningInterval || one.loggedAt < 0) {
-			one.last.Count = one.count
-			out.emit(one.last)
-			one.count = 0
-			one.loggedAt = now
+		warning := w[event]
+		if warning.count > 0 && (now-warning.loggedAt >= warningInterval || warning.loggedAt < 0) {
+			warning.last.Count = warning.count
+			out.emit(warning.last)
+			warning.count = 0
+			warning.loggedAt = now
 		}
 	}
 }
 
-// warn records something that should not happen, about a gateway or, if that is empty, none.
+// warn records a warning about a gateway, or about no gateway in particular if the name is empty.
 func (c *Core) warn(event string, gateway Gateway, format string, args ...any) {
 	c.warnings.add(LogEntry{Level: LogWarn, Event: event, Text: fmt.Sprintf(format, args...), Gateway: gateway}, 1)
 }
--- a/recovery/restore.go
+++ b/recovery/restore.go
@@ -13,19 +13,20 @@
 const second policyapi.Microseconds = 1_000_000
 
 const (
-	// MaxEjectionAge limits how long ejections outlive a restart: an endpoint that failed a class longer ago may well
-	// serve it now, and a new trial costs only a few requests.
+	// MaxEjectionAge is the maximum age of restored ejections: an endpoint that failed a class longer ago may well serve
+	// it now, and a new trial costs only a few requests.
 	MaxEjectionAge = 60 * second
-	// MaxDemandAge limits the age of a gateway's last message: demand of a minute ago is a better estimate than none.
+	// MaxDemandAge is the maximum age of the last message of a restored gateway: its demand a minute ago is a better
+	// estimate than none.
 	MaxDemandAge = 60 * second
 )
 
 // State is the part of a snapshot that applies after a restart.
 type State struct {
-	Epoch     string                 `cbor:"from" json:"From"` // of the process that wrote the snapshot
+	Epoch     string                 `cbor:"from" json:"From"` // epoch of the process that wrote the snapshot
 	At        policyapi.Microseconds `cbor:"at_us" json:"At"`  // when the snapshot was taken
 	Endpoints []policyapi.Endpoint   `cbor:"Nodes" json:"Nodes"`
-	// ListedAt is when Endpoints was current: an endpoint that is not among them has started since. 0: unknown.
+	// ListedAt is when Endpoints was current: an endpoint that it does not contain has started since. 0 if unknown.
 	ListedAt  policyapi.Microseconds          `cbor:"KnownAt" json:"KnownAt"`
 	Version   policyapi.ListVersion           `cbor:"Version" json:"Version"`
 	Ejections []solver.Ejection               `cbor:"Marks" json:"Marks"`
@@ -33,13 +34,13 @@
 	Pins      []routing.PinnedVersion         `cbor:"Pins" json:"Pins"`
 	Drains    map[policyapi.EndpointID]string `cbor:"Drains" json:"Drains"`
 	Levels    degradation.Snapshot            `cbor:"Levels" json:"Levels"`
-	// Discarded lists what was discarded and why, as text for the log.
+	// Discarded has a text for the log for each part of the snapshot that was discarded, with the reason.
 	Discarded []string `cbor:"Why" json:"Why"`
 }
 
 // Restore returns the part of snapshot that applies at now under the request classes and zones of the current
-// configuration. If the clock has gone back since the snapshot was taken, ages are unknown and only state that does not
-// age is restored.
+// configuration. If the clock has gone back since the snapshot was taken, ages are unknown and only state without an age
+// limit is restored.
 func Restore(snapshot Snapshot, now policyapi.Microseconds, classes []string, zones []policyapi.Zone) State {
 	state := State{
 		Epoch:     snapshot.Epoch,
@@ -57,7 +58,7 @@
 		return state
 	}
 	if !slices.Equal(classes, snapshot.Classes) {
-		state.discard("request classes were %v and are %v: ejections and gateways are discarded", snapshot.Classes, classes)
+		state.discard("request classes have changed from %v to %v: ejections and gateways are discarded", snapshot.Classes, classes)
 		return state
 	}
 	state.restoreEjections(snapshot, age)
@@ -65,8 +66,8 @@
 	return state
 }
 
-// restoredEndpoints returns the endpoints that apply until a fresh list comes: draining ones go on draining, and start
-// times stay. A start time in the future becomes now, so that another machine's clock keeps no endpoint warming up.
+// restoredEndpoints returns the endpoints that apply until a fresh list arrives, with their status and start times. A start
+// time in the future is replaced by now, so that another machine's clock does not keep an endpoint warming up.
 func restoredEndpoints(endpoints []policyapi.Endpoint, now policyapi.Microseconds) (restored []policyapi.Endpoint) {
 	for _, endpoint := range endpoints {
 		if endpoint.Status == policyapi.Removed {
@@ -78,7 +79,8 @@
 	return restored
 }
 
-// restorePins restores pins whatever their age, unless the indexes of classes and tables in them have changed meaning.
+// restorePins restores pins of any age. If the classes or zones have changed, it discards them, since they refer to classes and
+// tables by index.
 func (s *State) restorePins(snapshot Snapshot, classes []string, zones []policyapi.Zone) {
 	if slices.Equal(classes, snapshot.Classes) && slices.Equal(zones, snapshot.Zones) {
 		s.Pins = snapshot.Pins
@@ -95,19 +97,19 @@
 		return
 	}
 	if len(snapshot.Ejections) > 0 {
-		s.discard("%d ejections are %.0f s old: discarded", len(snapshot.Ejections), float64(age)/float64(second))
+		s.discard("%d ejections from %.0f s ago are discarded", len(snapshot.Ejections), float64(age)/float64(second))
 	}
 }
 
 func (s *State) restoreGateways(snapshot Snapshot, now policyapi.Microseconds) {
 	s.Gateways = map[string]Gateway{}
 	if age := now - snapshot.At; age > MaxDemandAge {
-		s.discard("the state of gateways is %.0f s old: discarded", float64(age)/float64(second))
+		s.discard("the state of gateways from %.0f s ago is discarded", float64(age)/float64(second))
 		return
 	}
 	for _, gateway := range snapshot.Gateways {
 		if now-gateway.LastMessageAt > MaxDemandAge {
-			continue // it was disconnected long before the snapshot was taken
+			continue // it had been disconnected for some time when the snapshot was taken
 		}
 		s.Gateways[gateway.Name] = gateway
 	}
@@ -118,8 +120,8 @@
 }
 
 // StartTime returns the start time of an endpoint that the first fresh list names without one. An endpoint of the
-// snapshot keeps its start time; any other started after the snapshot and counts as started now, so it warms up.
-// ok is false if nothing was restored.
+// snapshot keeps its start time. Any other endpoint has started after the snapshot: it counts as started now and warms
+// up. ok is false if nothing was restored.
 func (s *State) StartTime(endpoint policyapi.EndpointID, now policyapi.Microseconds) (at policyapi.Microseconds, ok bool) {
 	if s == nil || s.ListedAt == 0 {
 		return 0, false
@@ -134,6 +136,6 @@
 
 // String summarizes the restored state for the log.
 func (s *State) String() string {
-	return fmt.Sprintf("from epoch %s: %d endpoints, %d ejections, %d gateways, %d pins", s.Epoch, len(s.Endpoints),
+	return fmt.Sprintf("state of epoch %s: %d endpoints, %d ejections, %d gateways, %d pins", s.Epoch, len(s.Endpoints),
 		len(s.Ejections), len(s.Gateways), len(s.Pins))
 }
--- a/recovery/snapshot.go
+++ b/recovery/snapshot.go
@@ -15,19 +15,19 @@
 type Snapshot struct {
 	Format int                    `cbor:"format" json:"Format"`
 	Build  string                 `cbor:"build" json:"Build"`
-	Epoch  string                 `cbor:"epoch" json:"Epoch"` // of the process that wrote the snapshot
+	Epoch  string                 `cbor:"epoch" json:"Epoch"` // epoch of the process that wrote the snapshot
 	At     policyapi.Microseconds `cbor:"at_us" json:"At"`
-	Steps  uint64                 `cbor:"steps" json:"Steps"` // of the core, since its start
+	Steps  uint64                 `cbor:"steps" json:"Steps"` // steps of the core since its start
 
 	Version   policyapi.ListVersion           `cbor:"list_version" json:"Version"`
 	Endpoints []policyapi.Endpoint            `cbor:"nodes" json:"Nodes"` // including draining ones
 	Ejections []solver.Ejection               `cbor:"marks,omitempty" json:"Marks"`
 	Gateways  []Gateway                       `cbor:"gateways,omitempty" json:"Gateways"`
 	Pins      []routing.PinnedVersion         `cbor:"pins,omitempty" json:"Pins"`
-	Drains    map[policyapi.EndpointID]string `cbor:"drains,omitempty" json:"Drains"` // by operators, with their reasons
+	Drains    map[policyapi.EndpointID]string `cbor:"drains,omitempty" json:"Drains"` // operators' drains with their reasons
 	Levels    degradation.Snapshot            `cbor:"levels" json:"Levels"`
 	Classes   []string                        `cbor:"kinds" json:"Kinds"` // names of the request classes, by index
-	Zones     []policyapi.Zone                `cbor:"zones" json:"Zones"` // tables are numbered by them
+	Zones     []policyapi.Zone                `cbor:"zones" json:"Zones"` // in the order by which tables are numbered
 }
 
 // Gateway is the state of one gateway in a snapshot.
