--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -50,7 +50,7 @@
 // occur in the batch.
 func (h *host) handle(batch simwire.Batch, w *simwire.Writer) {
 	var order []policyapi.InstanceID
-	events := map[policyapi.InstanceID][]simwire.Addressed{}
+	events := map[policyapi.InstanceID][]simwire.InstanceEvent{}
 	for _, event := range batch.Events {
 		if _, seen := events[event.To]; !seen {
 			order = append(order, event.To)
@@ -71,7 +71,7 @@
 
 // step runs one instance and turns its panic into an error. Events before a crash or a start are dropped: they were for
 // the instance that ends there, whose orders would have no effect.
-func (h *host) step(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.Addressed) (orders []policyapi.Order, err error) {
+func (h *host) step(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.InstanceEvent) (orders []policyapi.Order, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, err = nil, errors.New(fmt.Sprint(p))
--- a/proxyproto/config.go
+++ b/proxyproto/config.go
@@ -166,7 +166,7 @@
 	if len(text) == 0 {
 		return &ConfigError{Key: "settings", Err: errors.New("missing")}
 	}
-	settings, err := simwire.Settings(text)
+	settings, err := simwire.ParseSettings(text)
 	if err != nil {
 		return &ConfigError{Key: "settings", Err: err}
 	}
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -32,28 +32,28 @@
 }
 
 // event reads one message, with the lines that belong to it.
-func (r *Reader) event(f *fields) (Addressed, error) {
+func (r *Reader) event(f *fields) (InstanceEvent, error) {
 	to := policyapi.InstanceID(f.text("i"))
 	if f.message == "CRASH_NOW" {
-		return Addressed{To: to, Crash: true}, f.close()
+		return InstanceEvent{To: to, Crash: true}, f.close()
 	}
 	parse, found := parsers[f.message]
 	if !found {
-		return Addressed{}, r.syntaxError(f.message, "message", "not known")
+		return InstanceEvent{}, r.syntaxError(f.message, "message", "not known")
 	}
 	event, err := parse(r, to, f)
 	if err != nil {
-		return Addressed{}, err
+		return InstanceEvent{}, err
 	}
 	if err := f.close(); err != nil {
-		return Addressed{}, err
+		return InstanceEvent{}, err
 	}
-	return Addressed{To: to, Event: event}, nil
+	return InstanceEvent{To: to, Event: event}, nil
 }
 
 func (r *Reader) start(to policyapi.InstanceID, f *fields) (policyapi.Event, error) {
 	seed := f.seed("nonce64")
-	start, err := Settings([]byte(f.last("info")))
+	start, err := ParseSettings([]byte(f.last("info")))
 	if err != nil {
 		f.fail("info", err.Error())
 	}
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -13,8 +13,8 @@
 // bufferSize holds most batches and replies at once, in bytes.
 const bufferSize = 1 << 20
 
-// Addressed is an event, or a crash, of one instance.
-type Addressed struct {
+// InstanceEvent is an event, or a crash, of one instance.
+type InstanceEvent struct {
 	To    policyapi.InstanceID
 	Event policyapi.Event // nil if Crash
 	// Crash orders the host to drop the instance; the module is not involved.
@@ -24,7 +24,7 @@
 // Batch contains the events that arrive at one time.
 type Batch struct {
 	Now    policyapi.Microseconds
-	Events []Addressed
+	Events []InstanceEvent
 }
 
 // Reader reads batches.
--- a/simwire/reader_test.go
+++ b/simwire/reader_test.go
@@ -75,7 +75,7 @@
 
 // Each message becomes its event, with each part in its field.
 func TestEventsAreRead(t *testing.T) {
-	for text, want := range map[string]Addressed{
+	for text, want := range map[string]InstanceEvent{
 		"CRASH_NOW\ti":                           {Crash: true},
 		"RING\ti\t3":                             {Event: policyapi.TimerFired{Token: 3}},
 		"PROBE_DONE\ti\tb:1\tOk\t250\tq:2":       {Event: policyapi.HealthCheckResult{Endpoint: "b:1", Healthy: true, Code: "Ok", Duration: 250, Metrics: policyapi.LoadMetrics{"q": 2}}},
@@ -95,7 +95,7 @@
 	} {
 		want.To = "i"
 		batch, err := NewReader(strings.NewReader("TURN\t5\n" + text + "\nEOB\n")).Read()
-		if err != nil || !reflect.DeepEqual(batch.Events, []Addressed{want}) {
+		if err != nil || !reflect.DeepEqual(batch.Events, []InstanceEvent{want}) {
 			t.Errorf("%q gives %+v, %v, want %+v", text, batch.Events, err, want)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // The settings object has each figure in its place; what is absent keeps the protocol's default.
 func TestSettings(t *testing.T) {
-	got, err := Settings([]byte(`{"az":"a","localities":["a","b"],"me":1,"instances":2,"discovery":"ask","weights":"rough","caps":{"peers":true,"probes":true},
+	got, err := ParseSettings([]byte(`{"az":"a","localities":["a","b"],"me":1,"instances":2,"discovery":"ask","weights":"rough","caps":{"peers":true,"probes":true},
 		"domain":{"classOwnZone":[true],"dataPlaneSize":12,"outlierAfter":5,"updateCap":20,"emptyFor":1,"period":2,"reloadSpan":3,"transit":4,"worstTransit":5,
 		"envelope":6,"linesPerS":7,"ingestRate":8,"socketsMin":9.5,"queueCap":10,"levelKind":"rate"},
 		"guarantees":{"askWithin":11,"cold":12,"drainGrace":13,"fall":14,"coldFrom":0.5,"tipMultiple":2.5,"softRemoval":true},
@@ -122,7 +122,7 @@
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v, want %+v", got, err, want)
 	}
-	if got, err := Settings([]byte(`{}`)); err != nil || !reflect.DeepEqual(got, policyapi.Start{InstanceCount: 1, WeightsListed: true}) {
+	if got, err := ParseSettings([]byte(`{}`)); err != nil || !reflect.DeepEqual(got, policyapi.Start{InstanceCount: 1, WeightsListed: true}) {
 		t.Errorf("an empty object gives %+v, %v", got, err)
 	}
 }
--- a/simwire/settings.go
+++ b/simwire/settings.go
@@ -70,9 +70,9 @@
 	AllowedZones       []policyapi.Zone       `json:"onlyZones"`
 }
 
-// Settings decodes the settings object of an UP message. Unknown keys are ignored. The seed is not part of the object:
+// ParseSettings decodes the settings object of an UP message. Unknown keys are ignored. The seed is not part of the object:
 // Start.Seed is 0. The error is that of package json.
-func Settings(text []byte) (policyapi.Start, error) {
+func ParseSettings(text []byte) (policyapi.Start, error) {
 	var in settings
 	if err := json.Unmarshal(text, &in); err != nil {
 		return policyapi.Start{}, err
