--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -24,7 +24,7 @@
 		}
 		if last.Sampling.Reports >= before.Sampling.Reports { // it was not restarted
 			offered += last.Sampling.Lines - before.Sampling.Lines
-			accepted += last.Sampling.Taken - before.Sampling.Taken
+			accepted += last.Sampling.AcceptedLines - before.Sampling.AcceptedLines
 		}
 		result.MaxMailbox = max(result.MaxMailbox, last.Inbox)
 		f.compareEstimates(last, result)
--- a/coordinator/endpoints.go
+++ b/coordinator/endpoints.go
@@ -108,7 +108,7 @@
 		}
 		entry.Status = policyapi.Removed
 		c.endpoints.entries[id] = entry
-		c.reports.sampler.ForgetEndpoint(id)
+		c.reports.sampler.RemoveEndpoint(id)
 	}
 }
 
--- a/loadreport/round.go
+++ b/loadreport/round.go
@@ -28,7 +28,7 @@
 	s.stats.ReportsPerGateway = float64(s.round.reports) / max(1, s.connectedGateways())
 	s.stats.Rounds++
 	if s.fraction < 1 {
-		s.stats.Sampled++
+		s.stats.SampledRounds++
 	}
 	s.estimateEndpoints(now)
 	if s.round.trustedReports > 0 {
--- a/loadreport/sampler.go
+++ b/loadreport/sampler.go
@@ -37,19 +37,19 @@
 	seconds float64 // that the report covers
 }
 
-// Stats are counters since the start, and figures of the last round.
+// Stats holds counters since the start and figures of the last round.
 type Stats struct {
 	Reports           int64   `json:"reports"`
-	Lines             int64   `json:"lines"`   // offered
-	Taken             int64   `json:"taken"`   // of them
-	HealthSignals     int64   `json:"news"`    // taken as health signals
-	Capped            int64   `json:"capped"`  // reports that were not fully trusted
-	SampledFraction   float64 `json:"part"`    // of routine lines that is taken now
-	Rounds            int64   `json:"rounds"`  // ended
-	Sampled           int64   `json:"sampled"` // rounds in which not all lines were taken
+	Lines             int64   `json:"lines"` // received, accepted or not
+	AcceptedLines     int64   `json:"taken"`
+	HealthSignals     int64   `json:"news"`    // lines that were accepted as health signals
+	CappedReports     int64   `json:"capped"`  // reports that were not fully trusted
+	SampledFraction   float64 `json:"part"`    // current fraction of routine lines that is accepted
+	Rounds            int64   `json:"rounds"`  // completed rounds
+	SampledRounds     int64   `json:"sampled"` // completed rounds in which only a fraction of the routine lines was accepted
 	Reporting         int     `json:"live"`    // connected gateways that report
 	Silent            int     `json:"stopped"` // connected gateways that have not reported for silentPeriods
-	ReportsPerGateway float64 `json:"heard"`   // reports of the last round by connected gateway
+	ReportsPerGateway float64 `json:"heard"`   // reports of the last round divided by the number of connected gateways
 }
 
 // Sampler samples the lines of reports and estimates the load of endpoints from them, round by round. Its memory is
@@ -109,7 +109,7 @@
 	rate := float64(arrived) / seconds
 	trusted := g.trust(rate, surgeFactor*max(g.demand, s.meanDemand))
 	if trusted < 1 {
-		s.stats.Capped++
+		s.stats.CappedReports++
 	}
 	g.record(now, rate, trusted == 1)
 	if trusted == 1 {
@@ -157,7 +157,7 @@
 	if !signal && !decision.IncludeRoutine {
 		return 0, false
 	}
-	s.stats.Taken++
+	s.stats.AcceptedLines++
 	if signal {
 		weight = 1
 		s.round.healthSignals++
@@ -189,8 +189,8 @@
 	}
 }
 
-// ForgetEndpoint drops the estimate of an endpoint.
-func (s *Sampler) ForgetEndpoint(id policyapi.EndpointID) { delete(s.endpoints, id) }
+// RemoveEndpoint discards the estimate of an endpoint.
+func (s *Sampler) RemoveEndpoint(id policyapi.EndpointID) { delete(s.endpoints, id) }
 
 // IntervalFactor returns how many periods gateways should wait between reports, so that what they send can be taken.
 func (s *Sampler) IntervalFactor() int { return s.intervalFactor }
--- a/loadreport/sampler_test.go
+++ b/loadreport/sampler_test.go
@@ -212,7 +212,7 @@
 		now += second
 		sampler.EndRound(now)
 	}
-	if stats := sampler.Stats(); stats.SampledFraction != 1 || sampler.IntervalFactor() != 1 || stats.Sampled == 0 {
+	if stats := sampler.Stats(); stats.SampledFraction != 1 || sampler.IntervalFactor() != 1 || stats.SampledRounds == 0 {
 		t.Errorf("the fraction does not recover: %+v", stats)
 	}
 }
