--- a/proxyproto/config.go
+++ b/proxyproto/config.go
@@ -13,7 +13,7 @@
 )
 
 // maxClasses keeps a message within the protocol's 64 parts: a table and an admission level for each request class.
-const maxClasses = MaxOrderParts / 2
+const maxClasses = MaxMessageParts / 2
 
 // ConfigError is a configuration that can't be used.
 type ConfigError struct {
--- a/proxyproto/publisher.go
+++ b/proxyproto/publisher.go
@@ -89,8 +89,8 @@
 // Disconnect removes a proxy's stream.
 func (p *Publisher) Disconnect(proxy policyapi.ProxyID) { delete(p.streams, proxy) }
 
-// ForgetEndpoints drops all state of endpoints that messages may no longer name.
-func (p *Publisher) ForgetEndpoints(forgotten []policyapi.EndpointID) {
+// DiscardEndpoints drops all state of endpoints that messages may no longer name.
+func (p *Publisher) DiscardEndpoints(forgotten []policyapi.EndpointID) {
 	for _, id := range forgotten {
 		delete(p.ejected, id)
 		for _, ejections := range p.proxyEjections {
--- a/proxyproto/publisher_test.go
+++ b/proxyproto/publisher_test.go
@@ -196,7 +196,7 @@
 	if len(got) != 1 || strings.Join(messageTexts(t, got[0].Bytes), "|") != "CONFIG replace 1 rows s-2:1 drop s-2 undrop s-1" {
 		t.Errorf("%+v", got)
 	}
-	publisher.ForgetEndpoints([]policyapi.EndpointID{"s-2"})
+	publisher.DiscardEndpoints([]policyapi.EndpointID{"s-2"})
 	if len(publisher.ejected) != 0 || len(publisher.proxyEjections[1]) != 0 {
 		t.Errorf("%v, %v are left", publisher.ejected, publisher.proxyEjections)
 	}
--- a/proxyproto/session.go
+++ b/proxyproto/session.go
@@ -13,8 +13,8 @@
 // The protocol's bounds on messages.
 const (
 	MaxMessageBytes = 1 << 20
-	// MaxOrderParts is how many parts one message to a proxy may have.
-	MaxOrderParts = 64
+	// MaxMessageParts is how many parts one message to a proxy may have.
+	MaxMessageParts = 64
 	// MaxMessageWords bounds the words of an incoming message: none has over twenty; a later version of the protocol may add
 	// fields, which are ignored.
 	MaxMessageWords = 64
--- a/proxyserver/loop.go
+++ b/proxyserver/loop.go
@@ -168,7 +168,7 @@
 	update := c.endpoints.reconcile(list)
 	c.endpoints.apply(update, list.HealthCheckAddresses)
 	forgotten := c.server.applyList(update)
-	c.publisher.ForgetEndpoints(forgotten)
+	c.publisher.DiscardEndpoints(forgotten)
 	c.endpoints.forget(forgotten)
 	return update
 }
