--- a/cmd/porthub/levels_simulate.go
+++ b/cmd/porthub/levels_simulate.go
@@ -70,11 +70,11 @@
 // values returns the figures by trigger.
 func (l signalLine) values() [degradation.TriggerCount]*float64 {
 	return [degradation.TriggerCount]*float64{
-		degradation.TriggerLoad:         l.Load,
-		degradation.TriggerLostCapacity: l.Lost,
-		degradation.TriggerUnreachable:  l.Unreachable,
-		degradation.TriggerShedReports:  l.Shed,
-		degradation.TriggerBehind:       l.Behind,
+		degradation.TriggerLoad:           l.Load,
+		degradation.TriggerLostCapacity:   l.Lost,
+		degradation.TriggerUnreachable:    l.Unreachable,
+		degradation.TriggerShedReports:    l.Shed,
+		degradation.TriggerPublicationLag: l.Behind,
 	}
 }
 
--- a/config/degradation.go
+++ b/config/degradation.go
@@ -54,11 +54,11 @@
 
 func (t Triggers) thresholds() [degradation.TriggerCount]float64 {
 	return [degradation.TriggerCount]float64{
-		degradation.TriggerLoad:         t.Load,
-		degradation.TriggerLostCapacity: t.Lost,
-		degradation.TriggerUnreachable:  t.Unreachable,
-		degradation.TriggerShedReports:  t.Shed,
-		degradation.TriggerBehind:       t.Behind,
+		degradation.TriggerLoad:           t.Load,
+		degradation.TriggerLostCapacity:   t.Lost,
+		degradation.TriggerUnreachable:    t.Unreachable,
+		degradation.TriggerShedReports:    t.Shed,
+		degradation.TriggerPublicationLag: t.Behind,
 	}
 }
 
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -81,7 +81,7 @@
 		}
 		if scope == degradation.FleetScope {
 			s.Set(degradation.TriggerShedReports, 1-c.reports.sampler.Stats().SampledFraction)
-			s.Set(degradation.TriggerBehind, c.publicationLag())
+			s.Set(degradation.TriggerPublicationLag, c.publicationLag())
 		}
 		signals[scope] = s
 	}
--- a/coordinator/solver.go
+++ b/coordinator/solver.go
@@ -23,7 +23,7 @@
 	roundAt     microseconds
 	pending     bool // a round of reports has ended and the solver has not run since
 
-	round  solver.Round
+	round  solver.RoundResult
 	tables map[solver.TableKey]solver.Table // that replace the module's
 }
 
@@ -98,7 +98,7 @@
 	for _, e := range c.endpoints.listed() {
 		if s.startTimes[e.ID] != e.StartedAt { // a new process under the same ID
 			s.startTimes[e.ID] = e.StartedAt
-			s.health.Forget(e.ID)
+			s.health.ResetEndpoint(e.ID)
 		}
 		if e.Status == policyapi.Ready {
 			ready = append(ready, e.ID)
@@ -137,7 +137,7 @@
 		WorstUtilization: round.WorstUtilization,
 		WorstEndpoint:    round.WorstEndpoint,
 		Tables:           len(c.solver.tables),
-		Moved:            round.Moved,
+		Moved:            round.ChangedTables,
 		Certificate:      round.Certificate,
 	}
 	for _, e := range c.endpoints.listed() {
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -102,13 +102,13 @@
 func (c *Core) solverConsumer(table policyapi.TableID, zone policyapi.Zone, index map[policyapi.EndpointID]int, endpoints []solver.Endpoint) solver.Consumer {
 	classes := len(c.settings.Start.Classes)
 	consumer := solver.Consumer{
-		Name:   consumerName(table),
-		Zone:   string(zone),
-		Demand: make([]float64, classes),
-		Wanted: make([][]solver.Share, classes),
+		Name:    consumerName(table),
+		Zone:    string(zone),
+		Demand:  make([]float64, classes),
+		Desired: make([][]solver.Share, classes),
 	}
 	for class := range classes {
-		consumer.Wanted[class] = c.wantedShares(table, class, index, endpoints)
+		consumer.Desired[class] = c.wantedShares(table, class, index, endpoints)
 	}
 	return consumer
 }
--- a/degradation/admission.go
+++ b/degradation/admission.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// MinShare is the part of a class's own demand that is admitted first where its share allows it: of a class that is
+	// MinAdmittedFraction is the part of a class's own demand that is admitted first where its share allows it: of a class that is
 	// rejected completely the demand is no longer observable, and its callers retry.
-	MinShare = 0.1
+	MinAdmittedFraction = 0.1
 	// shareSteps is the number of steps of AdmittedShare.
 	shareSteps = 20
 	// fullShare is the part of the demand that counts as all of it.
@@ -18,7 +18,7 @@
 
 // DivideAdmission divides the admitted work among the request classes. total is the admitted work (requests per second
 // times their cost); by class, demand is the work demanded, priority its priority weight, and share the most of total that
-// it may use. Each class first gets MinShare of what it may use. Of the rest, classes of higher priority go first, and
+// it may use. Each class first gets MinAdmittedFraction of what it may use. Of the rest, classes of higher priority go first, and
 // those of equal priority get the same part of what they may still use. What no class may use stays unused.
 func DivideAdmission(total float64, demand, priority, share []float64) []float64 {
 	usable := make([]float64, len(demand))
@@ -31,7 +31,7 @@
 		if share[class] < 1 {
 			usable[class] = min(demand[class], share[class]*total)
 		}
-		admitted[class] = MinShare * usable[class]
+		admitted[class] = MinAdmittedFraction * usable[class]
 		floors += admitted[class]
 	}
 	if floors > total {
--- a/degradation/check.go
+++ b/degradation/check.go
@@ -20,11 +20,11 @@
 
 // minLeave is the least threshold for leaving a level by each trigger: values that a calm fleet has.
 var minLeave = [TriggerCount]float64{
-	TriggerLoad:         0.1,
-	TriggerLostCapacity: 0.01,
-	TriggerUnreachable:  0.02,
-	TriggerShedReports:  0.01,
-	TriggerBehind:       0.02,
+	TriggerLoad:           0.1,
+	TriggerLostCapacity:   0.01,
+	TriggerUnreachable:    0.02,
+	TriggerShedReports:    0.01,
+	TriggerPublicationLag: 0.02,
 }
 
 // allLevels is the Finding.Level of findings that concern the levels together.
--- a/degradation/trigger.go
+++ b/degradation/trigger.go
@@ -7,12 +7,12 @@
 
 // The triggers.
 const (
-	TriggerLoad         Trigger = iota // demanded work by capacity; 1 is full
-	TriggerLostCapacity                // part of the capacity of the last minutes that is closed, ejected or removed
-	TriggerUnreachable                 // part of the known gateways that are disconnected
-	TriggerShedReports                 // part of the lines of load reports that is not taken
-	TriggerBehind                      // lines in flight by their limit, or delay of acknowledgements by the grace period: the larger
-	TriggerCount                       // the number of triggers
+	TriggerLoad           Trigger = iota // demanded work by capacity; 1 is full
+	TriggerLostCapacity                  // part of the capacity of the last minutes that is closed, ejected or removed
+	TriggerUnreachable                   // part of the known gateways that are disconnected
+	TriggerShedReports                   // part of the lines of load reports that is not taken
+	TriggerPublicationLag                // lines in flight by their limit, or delay of acknowledgements by the grace period: the larger
+	TriggerCount                         // the number of triggers
 )
 
 var triggerNames = [TriggerCount]string{"load", "lost", "unreachable", "shed", "behind"}
--- a/solver/activation.go
+++ b/solver/activation.go
@@ -24,12 +24,12 @@
 	tables            map[TableKey]Table // that replace the wanted ones
 }
 
-// Round is the result of one Step.
-type Round struct {
+// RoundResult is the result of one Step.
+type RoundResult struct {
 	Active bool
 	// Tables replace the wanted ones; a table that is not among them is as wanted. They are valid until the next Step.
-	Tables map[TableKey]Table
-	Moved  int // tables that changed in this round
+	Tables        map[TableKey]Table
+	ChangedTables int // tables that changed in this round
 	// WorstUtilization is the largest load of an endpoint by the wanted weights, as a fraction of its limit.
 	WorstUtilization float64
 	WorstEndpoint    string
@@ -45,9 +45,9 @@
 // Step takes the fleet of one round with the wanted weights in it. A table that gives weight to an endpoint which fails the
 // class, and an overloaded endpoint that is warming up, activate at once. While keepActive is set an active solution stays
 // active: an endpoint is on trial.
-func (a *Activation) Step(f Fleet, keepActive bool) Round {
+func (a *Activation) Step(f Fleet, keepActive bool) RoundResult {
 	wanted := loadWanted(f)
-	round := Round{WorstUtilization: wanted.worst, WorstEndpoint: wanted.worstEndpoint}
+	round := RoundResult{WorstUtilization: wanted.worst, WorstEndpoint: wanted.worstEndpoint}
 	a.countRounds(wanted, keepActive)
 	switch {
 	case !a.active && wanted.urgent != "":
@@ -59,7 +59,7 @@
 	case a.active && a.withinLimitRounds >= leaveRounds:
 		a.active = false
 		a.overLimitRounds = 0
-		round.Moved = len(a.tables)
+		round.ChangedTables = len(a.tables)
 		clear(a.tables)
 		round.Notes = append(round.Notes, fmt.Sprintf("solver inactive: %s is offered the most, %.2f of its limit", wanted.worstEndpoint, wanted.worst))
 	}
@@ -69,7 +69,7 @@
 	}
 	solution := a.solve(f)
 	round.Certificate = &solution.Certificate
-	round.Moved = a.moveTables(f, solution)
+	round.ChangedTables = a.moveTables(f, solution)
 	round.Tables = a.tables
 	return round
 }
@@ -116,10 +116,10 @@
 	for i := range f.Consumers {
 		consumer := &f.Consumers[i]
 		for class, rate := range consumer.Demand {
-			if rate <= 0 || class >= len(consumer.Wanted) {
+			if rate <= 0 || class >= len(consumer.Desired) {
 				continue
 			}
-			if failing := f.loadTable(load, consumer.Wanted[class], class, rate); failing != "" && wanted.urgent == "" {
+			if failing := f.loadTable(load, consumer.Desired[class], class, rate); failing != "" && wanted.urgent == "" {
 				wanted.urgent = fmt.Sprintf("%s fails %s and is in the table of %s", failing, f.Classes[class].Name, consumer.Name)
 			}
 		}
--- a/solver/activation_test.go
+++ b/solver/activation_test.go
@@ -27,8 +27,8 @@
 	}
 	activation.Step(overloaded, false)
 	round := activation.Step(overloaded, false)
-	if !round.Active || len(round.Notes) != 1 || round.Moved == 0 || round.Moved > 10 {
-		t.Errorf("active %t, %v, moved %d", round.Active, round.Notes, round.Moved)
+	if !round.Active || len(round.Notes) != 1 || round.ChangedTables == 0 || round.ChangedTables > 10 {
+		t.Errorf("active %t, %v, moved %d", round.Active, round.Notes, round.ChangedTables)
 	}
 	for range 8 {
 		round = activation.Step(overloaded, false)
@@ -37,8 +37,8 @@
 	for u := range overloaded.Consumers {
 		load += 0.5 * round.Tables[solver.TableKey{Consumer: overloaded.Consumers[u].Name}].Weights["n2"]
 	}
-	if round.Moved != 0 || load > 4*1.05 {
-		t.Errorf("after ten rounds %d tables still move and the weak endpoint is offered %.2f of 4", round.Moved, load)
+	if round.ChangedTables != 0 || load > 4*1.05 {
+		t.Errorf("after ten rounds %d tables still move and the weak endpoint is offered %.2f of 4", round.ChangedTables, load)
 	}
 	// Load that hovers at the threshold rarely changes the mode.
 	changes := 0
@@ -71,7 +71,7 @@
 // comparing it with the table that is not there panicked once solutions were active.)
 func TestActivationWithoutWantedTable(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 4}, 8, 8)
-	f.Consumers[1].Wanted = nil
+	f.Consumers[1].Desired = nil
 	if err := f.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -105,8 +105,10 @@
 	}
 }
 
-// Forget drops the records of an endpoint, because another process has its address.
-func (e *CapacityEstimator) Forget(endpoint policyapi.EndpointID) { delete(e.endpoints, endpoint) }
+// ResetEndpoint drops the records of an endpoint, because another process has its address.
+func (e *CapacityEstimator) ResetEndpoint(endpoint policyapi.EndpointID) {
+	delete(e.endpoints, endpoint)
+}
 
 // Capacity returns what an endpoint can do when warmed up, in requests of mean cost per second, or NaN while too little is
 // known.
--- a/solver/check.go
+++ b/solver/check.go
@@ -46,7 +46,7 @@
 
 func (f Fleet) checkConsumer(i int) error {
 	c := &f.Consumers[i]
-	if len(c.Demand) != len(f.Classes) || len(c.Wanted) > len(f.Classes) || len(c.Pod) != 0 && len(c.Pod) != len(f.Classes) {
+	if len(c.Demand) != len(f.Classes) || len(c.Desired) > len(f.Classes) || len(c.Pod) != 0 && len(c.Pod) != len(f.Classes) {
 		return fmt.Errorf("%w: users[%d] %s: demand, want and pod need one entry for each kind", ErrInvalidFleet, i, c.Name)
 	}
 	for class, rate := range c.Demand {
@@ -54,7 +54,7 @@
 			return fmt.Errorf("%w: users[%d] %s: demand[%d] is %v", ErrInvalidFleet, i, c.Name, class, rate)
 		}
 	}
-	for class, shares := range c.Wanted {
+	for class, shares := range c.Desired {
 		for _, share := range shares {
 			if share.Endpoint < 0 || share.Endpoint >= len(f.Endpoints) || !isAmount(share.Weight) {
 				return fmt.Errorf("%w: users[%d] %s: want[%d] names node %d with weight %v", ErrInvalidFleet, i, c.Name, class, share.Endpoint, share.Weight)
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -253,8 +253,8 @@
 	return fmt.Sprintf("ejections for class %d ignored: %t, %d of %d endpoints healthy", class, panics, left, len(ready))
 }
 
-// Forget drops the records of an endpoint, because another process has its address.
-func (h *ClassHealth) Forget(endpoint policyapi.EndpointID) {
+// ResetEndpoint drops the records of an endpoint, because another process has its address.
+func (h *ClassHealth) ResetEndpoint(endpoint policyapi.EndpointID) {
 	for class := range h.classes {
 		delete(h.pairs, pair{endpoint, class})
 	}
--- a/solver/fleet.go
+++ b/solver/fleet.go
@@ -58,10 +58,10 @@
 
 // Consumer is a gateway, or a group of gateways that share their tables.
 type Consumer struct {
-	Name   string    `json:"name"`
-	Zone   string    `json:"zone"`
-	Demand []float64 `json:"demand"` // requests per second by class
-	Wanted [][]Share `json:"want"`   // the decision module's tables by class
+	Name    string    `json:"name"`
+	Zone    string    `json:"zone"`
+	Demand  []float64 `json:"demand"` // requests per second by class
+	Desired [][]Share `json:"want"`   // the decision module's tables by class
 	// Pod restricts a class to a pod while an endpoint there is open; 0, or without it: all pods.
 	Pod []int `json:"pod,omitempty"`
 }
--- a/solver/fleets/baselines.go
+++ b/solver/fleets/baselines.go
@@ -9,7 +9,7 @@
 const (
 	EvenWeights     Baseline = "even weights"
 	CapacityWeights Baseline = "weights by capacity"
-	WantedWeights   Baseline = "the tables wanted alone"
+	DesiredWeights  Baseline = "the tables wanted alone"
 )
 
 // baselineRate is what a baseline sends to an endpoint that may serve it, in requests per second.
@@ -66,8 +66,8 @@
 // baselineWeights returns the weights by endpoint of a consumer's table.
 func baselineWeights(f solver.Fleet, baseline Baseline, consumer, class int, open []bool, limits []float64) []float64 {
 	weights := make([]float64, len(f.Endpoints))
-	if baseline == WantedWeights {
-		if wanted := f.Consumers[consumer].Wanted; class < len(wanted) {
+	if baseline == DesiredWeights {
+		if wanted := f.Consumers[consumer].Desired; class < len(wanted) {
 			for _, share := range wanted[class] {
 				if !f.Endpoints[share.Endpoint].Closed { // any baseline follows drains
 					weights[share.Endpoint] += share.Weight
--- a/solver/fleets/cases.go
+++ b/solver/fleets/cases.go
@@ -36,8 +36,8 @@
 // endpointsPerPod is the number of endpoints of a pod in each zone.
 const endpointsPerPod = 3
 
-// Drawn is a random fleet.
-type Drawn struct {
+// RandomFleet is a random fleet.
+type RandomFleet struct {
 	solver.Fleet
 	// Fits reports that the demand was generated from a placement within every limit, so that all of it can be placed.
 	Fits bool
@@ -46,9 +46,9 @@
 }
 
 // Draw returns the i-th fleet of a seed.
-func Draw(seed uint64, i int) Drawn {
+func Draw(seed uint64, i int) RandomFleet {
 	rng := rand.New(rand.NewPCG(seed, uint64(i)))
-	d := &drawing{rng: rng, Drawn: Drawn{Fits: true, Case: Cases[i%len(Cases)]}}
+	d := &drawing{rng: rng, RandomFleet: RandomFleet{Fits: true, Case: Cases[i%len(Cases)]}}
 	d.zones = 1 + rng.IntN(4)
 	classes := 1 + rng.IntN(4)
 	endpoints := max(d.zones, 3+rng.IntN(38))
@@ -63,12 +63,12 @@
 	d.drawConsumers(consumers)
 	d.scaleDemand()
 	d.drawTables()
-	return d.Drawn
+	return d.RandomFleet
 }
 
 // drawing is a fleet that is being drawn. The order of draws must stay: it decides what a seed means.
 type drawing struct {
-	Drawn
+	RandomFleet
 	rng   *rand.Rand
 	zones int
 }
@@ -167,10 +167,10 @@
 func (d *drawing) drawConsumers(count int) {
 	for i := range count {
 		c := solver.Consumer{
-			Name:   fmt.Sprintf("gw-%d", i),
-			Zone:   d.drawZone(),
-			Demand: make([]float64, len(d.Classes)),
-			Wanted: make([][]solver.Share, len(d.Classes)),
+			Name:    fmt.Sprintf("gw-%d", i),
+			Zone:    d.drawZone(),
+			Demand:  make([]float64, len(d.Classes)),
+			Desired: make([][]solver.Share, len(d.Classes)),
 		}
 		size := math.Exp(1.2 * d.rng.NormFloat64())
 		if d.Case == caseHotGateway && i == 0 {
@@ -255,8 +255,8 @@
 	for i := range d.Consumers {
 		c := &d.Consumers[i]
 		shares := d.drawTable(c.Zone)
-		for class := range c.Wanted {
-			c.Wanted[class] = shares
+		for class := range c.Desired {
+			c.Desired[class] = shares
 		}
 	}
 }
--- a/solver/fleets/large.go
+++ b/solver/fleets/large.go
@@ -46,7 +46,7 @@
 		shares := drawLargeTable(rng, f.Endpoints, i%largeZones)
 		for range classes {
 			c.Demand = append(c.Demand, demand)
-			c.Wanted = append(c.Wanted, shares)
+			c.Desired = append(c.Desired, shares)
 			work += demand * largeCost
 		}
 		f.Consumers = append(f.Consumers, c)
--- a/solver/fleets/measure.go
+++ b/solver/fleets/measure.go
@@ -14,13 +14,13 @@
 	// WorstOverload is the largest load of an endpoint by its limit.
 	WorstOverload float64 `json:"worst_overload"`
 	// Unplaced is the largest part of a feasible fleet's demand that was not placed.
-	Unplaced      float64  `json:"unplaced_when_feasible"`
-	PriorityRatio *Ratio   `json:"payoff_ratio,omitempty"` // of the placed priority to the exact optimum
-	Milliseconds  Quantile `json:"ms"`
-	Steps         Quantile `json:"steps"`
-	Untouched     int      `json:"untouched"`
-	WorstCase     string   `json:"worst_case"`       // of the worst ratio
-	Optima        int      `json:"optima,omitempty"` // fleets whose optimum was found
+	Unplaced      float64   `json:"unplaced_when_feasible"`
+	PriorityRatio *Ratio    `json:"payoff_ratio,omitempty"` // of the placed priority to the exact optimum
+	Milliseconds  Quantiles `json:"ms"`
+	Steps         Quantiles `json:"steps"`
+	Untouched     int       `json:"untouched"`
+	WorstCase     string    `json:"worst_case"`       // of the worst ratio
+	Optima        int       `json:"optima,omitempty"` // fleets whose optimum was found
 	// PriorityRatioWhenShed is the ratio over the fleets in which something had to be rejected.
 	PriorityRatioWhenShed *Ratio `json:"payoff_ratio_when_shed,omitempty"`
 	// Baselines are the ratios of baselines on the same fleets.
@@ -35,8 +35,8 @@
 	Worst  float64 `json:"worst"`
 }
 
-// Quantile holds quantiles, in the unit that its field names.
-type Quantile struct {
+// Quantiles holds quantiles, in the unit that its field names.
+type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
@@ -69,7 +69,7 @@
 			best = exact
 		}
 		if baselines && best > 0 {
-			for _, baseline := range []Baseline{EvenWeights, CapacityWeights, WantedWeights} {
+			for _, baseline := range []Baseline{EvenWeights, CapacityWeights, DesiredWeights} {
 				collected.baselines[baseline] = append(collected.baselines[baseline], ServedPriority(drawn.Fleet, baseline)/best)
 			}
 		}
@@ -79,7 +79,7 @@
 }
 
 // solve solves a fleet and returns its placed priority.
-func (m *Measurement) solve(d Drawn, s *samples) (placed float64) {
+func (m *Measurement) solve(d RandomFleet, s *samples) (placed float64) {
 	start := time.Now()
 	solution := solver.Solve(d.Fleet, nil)
 	s.milliseconds = append(s.milliseconds, millisecondsSince(start))
@@ -97,7 +97,7 @@
 }
 
 // compareOptimum compares the placed priority with the optimum and returns this; ok is false if there is none.
-func (m *Measurement) compareOptimum(d Drawn, placed float64, s *samples) (optimum float64, ok bool) {
+func (m *Measurement) compareOptimum(d RandomFleet, placed float64, s *samples) (optimum float64, ok bool) {
 	optimum, err := Optimum(d.Fleet)
 	if err != nil || optimum <= 0 {
 		return 0, false
@@ -138,10 +138,10 @@
 	return &Ratio{Median: values[len(values)/2], Worst: values[0]}
 }
 
-func quantiles(values []float64) Quantile {
+func quantiles(values []float64) Quantiles {
 	if len(values) == 0 {
-		return Quantile{}
+		return Quantiles{}
 	}
 	values = slices.Sorted(slices.Values(values))
-	return Quantile{P50: values[len(values)/2], P99: values[min(len(values)-1, len(values)*99/100)]}
+	return Quantiles{P50: values[len(values)/2], P99: values[min(len(values)-1, len(values)*99/100)]}
 }
--- a/solver/problem.go
+++ b/solver/problem.go
@@ -122,8 +122,8 @@
 func (p *problem) newDemand(consumer, class, targetIndex int) demand {
 	c, t := &p.fleet.Consumers[consumer], &p.targets[targetIndex]
 	d := demand{consumer: consumer, class: class, target: targetIndex, rate: c.Demand[class], unwanted: unwantedPart}
-	if class < len(c.Wanted) {
-		d.wanted = p.openShares(c.Wanted[class], t)
+	if class < len(c.Desired) {
+		d.wanted = p.openShares(c.Desired[class], t)
 	}
 	if len(d.wanted) == 0 {
 		d.unwanted = 1
--- a/solver/solve_test.go
+++ b/solver/solve_test.go
@@ -30,7 +30,7 @@
 		if m.MinAdmitted <= 0 {
 			t.Error("a consumer with open endpoints starves")
 		}
-		if w := m.Baselines[fleets.WantedWeights]; w.Median > m.PriorityRatio.Median {
+		if w := m.Baselines[fleets.DesiredWeights]; w.Median > m.PriorityRatio.Median {
 			t.Errorf("the wanted tables alone do better: %+v", w)
 		}
 	}
@@ -113,7 +113,7 @@
 					shares = append(shares, solver.Share{Endpoint: i, Weight: rapid.SampledFrom([]float64{0, 0.01, 1, 30}).Draw(t, "weight")})
 				}
 			}
-			consumer.Wanted = append(consumer.Wanted, shares)
+			consumer.Desired = append(consumer.Desired, shares)
 			consumer.Pod = append(consumer.Pod, number("user pod", 0, 3))
 		}
 		f.Consumers = append(f.Consumers, consumer)
@@ -130,14 +130,14 @@
 		shares = append(shares, solver.Share{Endpoint: j, Weight: 1})
 	}
 	for u, d := range demands {
-		f.Consumers = append(f.Consumers, solver.Consumer{Name: fmt.Sprint("u", u), Zone: "a", Demand: []float64{d}, Wanted: [][]solver.Share{shares}})
+		f.Consumers = append(f.Consumers, solver.Consumer{Name: fmt.Sprint("u", u), Zone: "a", Demand: []float64{d}, Desired: [][]solver.Share{shares}})
 	}
 	return f
 }
 
 func TestWantedWeightsWithinLimitsAreUntouched(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 10}, 9, 9)
-	f.Consumers[0].Wanted[0] = []solver.Share{{Endpoint: 0, Weight: 3}, {Endpoint: 1, Weight: 1}}
+	f.Consumers[0].Desired[0] = []solver.Share{{Endpoint: 0, Weight: 3}, {Endpoint: 1, Weight: 1}}
 	s := solver.Solve(f, nil)
 	if !s.Untouched || s.Weights[0][0][0] != (solver.Share{Endpoint: 0, Weight: 0.75}) || len(s.Weights[0][0]) != 2 {
 		t.Errorf("%+v", s.Weights)
@@ -155,7 +155,7 @@
 	f.Classes = append(f.Classes, solver.Class{Name: "save", PriorityWeight: 2})
 	for u := range f.Consumers {
 		f.Consumers[u].Demand = append(f.Consumers[u].Demand, 5)
-		f.Consumers[u].Wanted = append(f.Consumers[u].Wanted, f.Consumers[u].Wanted[0])
+		f.Consumers[u].Desired = append(f.Consumers[u].Desired, f.Consumers[u].Desired[0])
 	}
 	s := solver.Solve(f, nil)
 	for u := range f.Consumers {
@@ -175,7 +175,7 @@
 	f.Endpoints[2].Zone, f.Endpoints[3].Zone = "b", "b"
 	f.Classes = append(f.Classes, solver.Class{Name: "issue", PriorityWeight: 3, AllowedZones: []string{"b"}})
 	f.Consumers[0].Demand = append(f.Consumers[0].Demand, 9)
-	f.Consumers[0].Wanted = append(f.Consumers[0].Wanted, []solver.Share{{Endpoint: 2, Weight: 1}, {Endpoint: 3, Weight: 1}})
+	f.Consumers[0].Desired = append(f.Consumers[0].Desired, []solver.Share{{Endpoint: 2, Weight: 1}, {Endpoint: 3, Weight: 1}})
 	f.Endpoints[3].Closed = true
 	s := solver.Solve(f, nil)
 	if s.Admit[0][1] < 0.97 || s.Admit[0][0] < 0.97 || fleets.Overload(f, s) > 1.05 {
--- a/solver/tables.go
+++ b/solver/tables.go
@@ -90,14 +90,14 @@
 
 func wantedTable(f Fleet, consumer *Consumer, class int) Table {
 	table := Table{Weights: map[string]float64{}, Admit: 1}
-	if class >= len(consumer.Wanted) {
+	if class >= len(consumer.Desired) {
 		return table // it wants none
 	}
 	total := 0.0
-	for _, share := range consumer.Wanted[class] {
+	for _, share := range consumer.Desired[class] {
 		total += share.Weight
 	}
-	for _, share := range consumer.Wanted[class] {
+	for _, share := range consumer.Desired[class] {
 		table.Weights[f.Endpoints[share.Endpoint].Name] += share.Weight / max(total, tiny)
 	}
 	return table
--- a/solver/untouched.go
+++ b/solver/untouched.go
@@ -16,7 +16,7 @@
 	s.Certificate.Load = load
 	s.Certificate.Reason = "all fits as wanted"
 	for _, d := range p.demands {
-		s.Weights[d.consumer][d.class] = normalized(p.fleet.Consumers[d.consumer].Wanted[d.class])
+		s.Weights[d.consumer][d.class] = normalized(p.fleet.Consumers[d.consumer].Desired[d.class])
 		s.Certificate.PlacedPriority += d.rate * p.priority[d.class]
 	}
 	s.Certificate.Bound = s.Certificate.PlacedPriority
@@ -28,7 +28,7 @@
 func (p *problem) wantedLoad() (load []float64, ok bool) {
 	load = make([]float64, len(p.limit))
 	for _, d := range p.demands {
-		wanted := p.fleet.Consumers[d.consumer].Wanted
+		wanted := p.fleet.Consumers[d.consumer].Desired
 		if d.class >= len(wanted) {
 			return nil, false
 		}
