--- a/coordinator/bench_test.go
+++ b/coordinator/bench_test.go
@@ -7,8 +7,8 @@
 	"porthub/policyapi"
 )
 
-// BenchmarkRound is one round of reports: every gateway reports, the module decides, the solver runs, documents
-// go out and are acknowledged.
+// BenchmarkRound measures one round of reports: every gateway reports, the decision module and the solver run, documents are
+// published and acknowledged.
 func BenchmarkRound(b *testing.B) {
 	for _, size := range [][2]int{{18, 15}, {100, 300}, {400, 3000}} {
 		b.Run(fmt.Sprintf("%d_nodes_%d_gateways", size[0], size[1]), func(b *testing.B) {
@@ -35,7 +35,7 @@
 	}
 }
 
-// BenchmarkDrain is the step in which all gateways learn that an endpoint drains: ten thousand of them, a hundred endpoints.
+// BenchmarkDrain measures the second in which a drain is published to ten thousand gateways of a fleet of a hundred endpoints.
 func BenchmarkDrain(b *testing.B) {
 	h := newHarness(&testing.T{}, func(s *Settings) { s.Start.ProxyCount, s.Start.Rules.QueueLimit = 10000, 4e6 })
 	zones := []policyapi.Zone{"a", "b"}
@@ -55,11 +55,11 @@
 		}
 		list[n%20].Status = policyapi.Draining
 		h.setEndpoints(list...)
-		h.advance(second) // after a quarter of the grace at the latest it is masked
+		h.advance(second) // withheld after at most a quarter of the drain grace period
 	}
 }
 
-// BenchmarkOverview is what one poll of the terminal view costs.
+// BenchmarkOverview measures the overview that the terminal view polls.
 func BenchmarkOverview(b *testing.B) {
 	for _, size := range [][2]int{{100, 300}, {1000, 3000}} {
 		b.Run(fmt.Sprintf("%d_nodes_%d_gateways", size[0], size[1]), func(b *testing.B) {
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// A clock that is set back undoes nothing and stops nothing.
+// After the clock has been set back, the core's time stays and its gateways stay connected.
 func TestClockSteppingBack(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -16,12 +16,12 @@
 	h.now -= 3600 * second
 	h.step(h.report("g1"))
 	if h.core.now != at {
-		t.Errorf("the core went back by %d", at-h.core.now)
+		t.Errorf("the core's time went back by %d us, want 0", at-h.core.now)
 	}
 	h.now = at
 	h.advance(3*second, "g1", "g2")
 	if !h.core.gateways.byName["g1"].joined || !h.core.gateways.byName["g2"].joined {
-		t.Error("gateways were disconnected by a step of the clock")
+		t.Error("gateways were disconnected when the clock was set back")
 	}
 }
 
@@ -44,6 +44,6 @@
 		return all
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) || len(a) == 0 {
-		t.Errorf("%d and %d outputs differ", len(a), len(b))
+		t.Errorf("two runs gave %d and %d outputs, want equal ones", len(a), len(b))
 	}
 }
--- a/coordinator/example_test.go
+++ b/coordinator/example_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A caller passes inputs with their time, carries out the outputs, and steps again at the next deadline at the latest.
+// The caller passes inputs with their time, carries out the outputs, and calls Step again by the next deadline.
 func ExampleCore_Step() {
 	core := coordinator.New(settings())
 	now := 1000 * second
--- a/coordinator/harness_test.go
+++ b/coordinator/harness_test.go
@@ -9,16 +9,16 @@
 	"porthub/routing"
 )
 
-// harness gives a core its time and emulates the gateways, which acknowledge at once unless they are unresponsive.
+// harness drives a core with a simulated clock and gateways, which acknowledge at once unless they are unresponsive.
 type harness struct {
 	t             *testing.T
 	core          *Core
 	now           microseconds
 	unresponsive  map[Gateway]bool
 	conns         map[Gateway]ConnID
-	published     map[Gateway]Publish // the last
+	published     map[Gateway]Publish // last publication
 	publishCount  map[Gateway]int
-	logged        map[string]int // entries by event
+	logged        map[string]int // number of entries by event, including those counted in one entry
 	closed        []ConnID
 	watchRequests int
 	nextConn      ConnID
@@ -43,7 +43,7 @@
 	return h
 }
 
-// step steps the core, and again with the acknowledgements of what it has published until there are none.
+// step steps the core with the inputs, and then with the acknowledgements of its publications until there are none.
 func (h *harness) step(inputs ...Input) {
 	for {
 		var acks []Input
@@ -71,7 +71,7 @@
 	}
 }
 
-// advance lets time pass; each second the named gateways report a second of light load.
+// advance advances the time in steps of the core; in each second the named gateways report light load.
 func (h *harness) advance(duration microseconds, gateways ...Gateway) {
 	for end := h.now + duration; h.now < end; {
 		h.now = min(end, max(h.now+1, h.core.NextDeadline()))
@@ -85,18 +85,18 @@
 	}
 }
 
-// report is the next report of a gateway: ten requests of each class, four attempts at each of its endpoints.
+// report returns the next report of a gateway: ten requests of each class, and four attempts at each of its endpoints.
 func (h *harness) report(g Gateway) LoadReport {
 	h.sequence++
 	r := LoadReport{Gateway: g, Conn: h.conns[g], Sequence: h.sequence, Interval: second}
-	for _, k := range []string{"view", "save"} {
-		class := ClassReport{Class: k, Arrivals: 10}
-		for _, c := range h.published[g].Snapshot.Clusters {
-			if c.Class != k {
+	for _, name := range []string{"view", "save"} {
+		class := ClassReport{Class: name, Arrivals: 10}
+		for _, cluster := range h.published[g].Snapshot.Clusters {
+			if cluster.Class != name {
 				continue
 			}
-			for _, l := range c.Endpoints {
-				class.Endpoints = append(class.Endpoints, EndpointReport{Endpoint: l.Endpoint, Attempts: 4, MeanLatency: 160_000,
+			for _, e := range cluster.Endpoints {
+				class.Endpoints = append(class.Endpoints, EndpointReport{Endpoint: e.Endpoint, Attempts: 4, MeanLatency: 160_000,
 					Metrics: policyapi.LoadMetrics{"busy": 0.4, "q": 0}})
 			}
 		}
@@ -111,18 +111,18 @@
 	h.step(GatewayConnected{Gateway: g, Conn: h.nextConn, Zone: zone, HasDefaultTableOnly: true, Weight: 20})
 }
 
-// restart replaces the core by another one that restores its snapshot after a downtime; the named gateways connect again.
+// restart replaces the core by a new one that restores its snapshot after a downtime; the named gateways connect again.
 func (h *harness) restart(downtime microseconds, gateways ...Gateway) {
 	h.t.Helper()
 	snapshot := h.core.Snapshot()
 	settings := h.core.settings
 	settings.Epoch += "x"
 	h.now += downtime
-	h.published = map[Gateway]Publish{} // from here on the new core's
+	h.published = map[Gateway]Publish{} // publications of the new core alone
 	h.core = New(settings)
 	var classes []string
-	for _, k := range settings.Start.Classes {
-		classes = append(classes, k.Name)
+	for _, class := range settings.Start.Classes {
+		classes = append(classes, class.Name)
 	}
 	state := recovery.Restore(snapshot, h.now, classes, settings.Start.Zones)
 	h.core.Restore(h.now, state)
@@ -132,23 +132,24 @@
 	}
 }
 
-// fourEndpoints are two endpoints in each of two zones.
+// fourEndpoints returns two ready endpoints in each of two zones.
 func fourEndpoints() []policyapi.Endpoint {
 	return append(readyEndpoints("a", "a1:1", "a2:1"), readyEndpoints("b", "b1:1", "b2:1")...)
 }
 
-func readyEndpoints(zone policyapi.Zone, names ...policyapi.EndpointID) (out []policyapi.Endpoint) {
-	for _, n := range names {
-		out = append(out, policyapi.Endpoint{ID: n, Zone: zone, Weight: 2, MachineType: "std"})
+func readyEndpoints(zone policyapi.Zone, names ...policyapi.EndpointID) (endpoints []policyapi.Endpoint) {
+	for _, name := range names {
+		endpoints = append(endpoints, policyapi.Endpoint{ID: name, Zone: zone, Weight: 2, MachineType: "std"})
 	}
-	return out
+	return endpoints
 }
 
-func (h *harness) setEndpoints(e ...policyapi.Endpoint) {
-	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: 1, Kind: policyapi.Snapshot, Endpoints: e}})
+// setEndpoints passes a complete endpoint list to the core.
+func (h *harness) setEndpoints(endpoints ...policyapi.Endpoint) {
+	h.step(EndpointUpdate{EndpointUpdate: policyapi.EndpointUpdate{Version: 1, Kind: policyapi.Snapshot, Endpoints: endpoints}})
 }
 
-// startFleet connects two gateways, in two zones of two endpoints each, and waits until they have tables.
+// startFleet starts two zones with two endpoints and one gateway each, and waits until the gateways have tables.
 func (h *harness) startFleet() {
 	h.setEndpoints(fourEndpoints()...)
 	h.connect("g1", "a")
@@ -156,26 +157,26 @@
 	h.advance(4*second, "g1", "g2")
 }
 
-// openEndpoints are the endpoints that a gateway may send a class to.
+// openEndpoints returns the endpoints that a gateway may send a class to.
 func (h *harness) openEndpoints(g Gateway, class string) (names []policyapi.EndpointID) {
-	for _, c := range h.published[g].Snapshot.Clusters {
-		for _, l := range c.Endpoints {
-			if c.Class == class && !l.Withheld {
-				names = append(names, l.Endpoint)
+	for _, cluster := range h.published[g].Snapshot.Clusters {
+		for _, e := range cluster.Endpoints {
+			if cluster.Class == class && !e.Withheld {
+				names = append(names, e.Endpoint)
 			}
 		}
 	}
 	return names
 }
 
-// endpointShare is the part of a class that a gateway sends to an endpoint.
+// endpointShare returns the fraction of a class's requests that a gateway sends to an endpoint.
 func (h *harness) endpointShare(g Gateway, class string, endpoint policyapi.EndpointID) float64 {
 	sum, own := 0.0, 0.0
-	for _, c := range h.published[g].Snapshot.Clusters {
-		for _, l := range c.Endpoints {
-			if c.Class == class && !l.Withheld {
-				if sum += l.Weight; l.Endpoint == endpoint {
-					own = l.Weight
+	for _, cluster := range h.published[g].Snapshot.Clusters {
+		for _, e := range cluster.Endpoints {
+			if cluster.Class == class && !e.Withheld {
+				if sum += e.Weight; e.Endpoint == endpoint {
+					own = e.Weight
 				}
 			}
 		}
@@ -183,8 +184,8 @@
 	return own / max(sum, 1e-9)
 }
 
-// withLevels adds two levels of service: view gets three tenths, and at the severer level there are no retries and no traffic
-// between zones.
+// withLevels configures two levels of service: at both, class view may use three tenths of the admitted work, and at the severer
+// one there are no retries and no traffic between zones.
 func withLevels(s *Settings) {
 	s.Start.ProxyCount = 2
 	s.Degradation = degradation.Settings{Zones: s.Start.Zones, Classes: []string{"view", "save"}, Period: second}
@@ -201,13 +202,17 @@
 	s.Fallback = degradation.Fallback{Level: 1, After: 10 * second, Duration: 60 * second}
 }
 
-func (h *harness) route(g Gateway, k int) routing.Route { return h.published[g].Snapshot.Routes[k] }
+// route returns the published route of a gateway for a class.
+func (h *harness) route(g Gateway, class int) routing.Route {
+	return h.published[g].Snapshot.Routes[class]
+}
 
+// forceLevel sets an override that forces a level in a zone, or in the fleet.
 func (h *harness) forceLevel(level int, zone policyapi.Zone) degradation.Override {
 	h.t.Helper()
-	w, err := h.core.SetLevelOverride(degradation.Override{Action: degradation.ForceLevel, Zone: zone, Level: level, Until: h.now + 600*second, Reason: "a test"})
+	override, err := h.core.SetLevelOverride(degradation.Override{Action: degradation.ForceLevel, Zone: zone, Level: level, Until: h.now + 600*second, Reason: "a test"})
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return w
+	return override
 }
--- a/coordinator/policylog_test.go
+++ b/coordinator/policylog_test.go
@@ -7,7 +7,7 @@
 	"porthub/policylog"
 )
 
-// Each form of the module's log lines becomes an entry with its figures.
+// Each kind of log line of the decision module becomes an entry with the line's values as fields.
 func TestPolicyLogLines(t *testing.T) {
 	for text, want := range map[string]LogEntry{
 		"levels on: true, 479.2 reqs a second asked, 428.3 can be done": {Event: "admission",
@@ -21,7 +21,7 @@
 		t.Run(text, func(t *testing.T) {
 			got := policyLogEntry(text)
 			if got.Event != want.Event || !reflect.DeepEqual(got.Fields, want.Fields) || got.Text != policylog.Parse(text).Text || got.Level != LogInfo {
-				t.Errorf("%+v", got)
+				t.Errorf("entry %+v, want info event and fields of %+v", got, want)
 			}
 		})
 	}
--- a/coordinator/reports_test.go
+++ b/coordinator/reports_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// One invalid figure rejects the complete report, with a log entry; nothing of it reaches the module.
+// A report with one invalid value is rejected as a whole, with a log entry; no part of it reaches the decision module.
 func TestInvalidReportsAreRejected(t *testing.T) {
 	for name, change := range map[string]func(*LoadReport){
 		"duplicate":                   func(r *LoadReport) { r.Sequence = 1 },
@@ -29,7 +29,7 @@
 			change(&r)
 			h.step(r)
 			if len(h.core.reports.aggregate.proxies) != 0 || h.logged["report_invalid"]+h.logged["report_duplicate"] != 1 {
-				t.Errorf("applied, logged %v", h.logged)
+				t.Errorf("want no applied report and 1 entry report_invalid or report_duplicate; logged %v", h.logged)
 			}
 			h.step(h.report("g1"))
 			if len(h.core.reports.aggregate.proxies) == 0 {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Warnings of one event are logged once an interval, with their number.
+// Warnings with the same event name are logged at most once per interval.
 func TestWarningsAreRateLimited(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
@@ -53,6 +53,6 @@
 		h.now += 50_000
 	}
 	if entries != 1 {
-		t.Errorf("%d entries in 5 s", entries)
+		t.Errorf("%d entries in 5 s, want 1", entries)
 	}
 }
--- a/coordinator/status_test.go
+++ b/coordinator/status_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A coordinator without gateways and endpoints lists none: its status has empty lists, which scripts can loop over. (Regression: they
-// were null, as in `porthub tables --output json`.)
+// Without gateways and endpoints, the status has empty JSON lists, which scripts can loop over. (Regression: they were null, as in
+// `porthub tables --output json`.)
 func TestStatusWithoutGateways(t *testing.T) {
 	h := newHarness(t, nil)
 	text, err := json.Marshal(h.core.Status())
@@ -16,20 +16,20 @@
 	}
 	for _, want := range []string{`"gateways":[]`, `"nodes":[]`} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("no %s in %s", want, text)
+			t.Errorf("%s is missing in the status %s", want, text)
 		}
 	}
 }
 
-// A gateway that names an unknown zone is rejected and takes no place: connections under ever new names do not fill the limit on
-// gateways. (Regression: each was kept, and after 60,000 of them every new gateway was rejected.)
-func TestGatewayOfUnknownZoneTakesNoPlace(t *testing.T) {
+// A gateway that names an unknown zone is rejected and does not count against the limit on gateways. (Regression: such gateways were
+// stored, and after 60,000 connections under different names every new gateway was rejected.)
+func TestGatewayOfUnknownZoneIsNotStored(t *testing.T) {
 	h := newHarness(t, nil)
 	h.step(GatewayConnected{Gateway: "g-lost", Conn: 1, Zone: "nowhere"})
 	if n := len(h.core.gateways.inOrder); n != 0 {
-		t.Errorf("%d gateways are kept", n)
+		t.Errorf("%d gateways are stored, want 0", n)
 	}
 	if n := len(h.core.Status().Gateways); n != 0 {
-		t.Errorf("%d gateways are listed", n)
+		t.Errorf("the status lists %d gateways, want 0", n)
 	}
 }
--- a/recovery/restore_test.go
+++ b/recovery/restore_test.go
@@ -41,6 +41,7 @@
 	}
 }
 
+// Ejections and gateways are restored only from a recent snapshot, pins and endpoints from a snapshot of any age.
 func TestRestoreLimitsAgeOfState(t *testing.T) {
 	for _, c := range []struct {
 		name                      string
@@ -58,42 +59,43 @@
 				t.Errorf("ejections, gateways, pins restored: %v, want %v", got, want)
 			}
 			if len(state.Endpoints) != 3 || state.Endpoints[1].Status != policyapi.Draining {
-				t.Errorf("endpoints %v", state.Endpoints)
+				t.Errorf("endpoints %v, want 3 with the second one draining", state.Endpoints)
 			}
 			if state.Endpoints[2].StartedAt > snapshotAt+c.after {
-				t.Error("an endpoint starts in the future")
+				t.Error("an endpoint has a start time in the future")
 			}
 		})
 	}
 	if state := Restore(testSnapshot(), snapshotAt+second, testClasses, testZones); len(state.Gateways) != 1 {
-		t.Errorf("a gateway that was disconnected for five minutes is restored: %v", state.Gateways)
+		t.Errorf("restored gateways: %v, want g1 alone, without the one disconnected for five minutes", state.Gateways)
 	}
 }
 
-// Indexes of classes and numbers of tables mean nothing after the configuration has changed.
+// State that refers to classes or tables by index is discarded after the classes or zones have changed.
 func TestRestoreAfterConfigurationChange(t *testing.T) {
 	state := Restore(testSnapshot(), snapshotAt+second, []string{"save", "view"}, testZones)
 	if len(state.Ejections)+len(state.Gateways)+len(state.Pins) > 0 || len(state.Endpoints) != 3 ||
 		!strings.Contains(strings.Join(state.Discarded, " "), "request classes") {
-		t.Errorf("classes changed: %+v", state)
+		t.Errorf("classes changed: state %+v, want 3 endpoints alone and the reason in Discarded", state)
 	}
 	if state := Restore(testSnapshot(), snapshotAt+second, testClasses, []policyapi.Zone{"b", "a"}); len(state.Pins) > 0 || len(state.Ejections) == 0 {
-		t.Errorf("zones changed: %+v", state)
+		t.Errorf("zones changed: state %+v, want ejections and no pins", state)
 	}
 }
 
-func TestStartTimeOfUnstatedEndpoints(t *testing.T) {
+// Endpoints of the snapshot keep their start times, others count as started now.
+func TestStartTimeFromSnapshot(t *testing.T) {
 	state := Restore(testSnapshot(), snapshotAt+10*second, testClasses, testZones)
 	for endpoint, want := range map[policyapi.EndpointID]policyapi.Microseconds{"n1": 0, "n3": snapshotAt - 5*second, "new": snapshotAt + 11*second} {
 		if got, ok := state.StartTime(endpoint, snapshotAt+11*second); !ok || got != want {
-			t.Errorf("%s: %d, want %d", endpoint, got, want)
+			t.Errorf("start time of %s: %d, want %d", endpoint, got, want)
 		}
 	}
 	var none *State
 	if _, ok := none.StartTime("n1", snapshotAt); ok {
-		t.Error("a start time is known without restored state")
+		t.Error("without restored state StartTime returned ok, want false")
 	}
 	if text := fmt.Sprint(state.String()); !strings.Contains(text, "3 endpoints") {
-		t.Error(text)
+		t.Errorf("summary %q, want the number of endpoints in it", text)
 	}
 }
