--- a/coordinator/solver.go
+++ b/coordinator/solver.go
@@ -117,7 +117,7 @@
 // SolverStatus is the state of the solver for operators.
 type SolverStatus struct {
 	Active           bool                `json:"acting"`
-	WorstUtilization float64             `json:"worst"` // largest load of an endpoint by the module's tables, over its limit
+	WorstUtilization float64             `json:"worst"` // largest load by the module's tables, divided by the endpoint's limit
 	WorstEndpoint    string              `json:"at"`
 	Tables           int                 `json:"tables"`          // number of tables that replace the module's
 	Moved            int                 `json:"moved"`           // tables that changed in the last round
--- a/coordinator/timers.go
+++ b/coordinator/timers.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// timerQueue contains the timers that the decision module has set.
+// timerQueue holds the pending timers of the decision module.
 type timerQueue struct{ pending []timer }
 
 type timer struct {
--- a/coordinator/versions_test.go
+++ b/coordinator/versions_test.go
@@ -52,7 +52,7 @@
 	h.startFleet()
 	h.advance(5*second, "g1", "g2")
 	failing := true
-	pass := func(seconds int) {
+	reportFor := func(seconds int) {
 		for range seconds {
 			h.now += second
 			var in []Input
@@ -60,8 +60,8 @@
 				r := h.report(g)
 				for k := range r.Classes {
 					for e := range r.Classes[k].Endpoints {
-						if one := &r.Classes[k].Endpoints[e]; failing && r.Classes[k].Class == "save" && one.Endpoint == "a1:1" {
-							one.Attempts, one.Failures = 8, 8
+						if line := &r.Classes[k].Endpoints[e]; failing && r.Classes[k].Class == "save" && line.Endpoint == "a1:1" {
+							line.Attempts, line.Failures = 8, 8
 						}
 					}
 				}
@@ -70,7 +70,7 @@
 			h.step(in...)
 		}
 	}
-	pass(12)
+	reportFor(12)
 	if slices.Contains(h.openEndpoints("g1", "save"), "a1:1") || !slices.Contains(h.openEndpoints("g1", "view"), "a1:1") {
 		t.Fatalf("the solver has not ejected a1:1 for class save alone: g1 may send save to %v", h.openEndpoints("g1", "save"))
 	}
@@ -93,13 +93,13 @@
 	before := weights()
 	h.restart(second, "g1", "g2") // the pin and its weights are restored
 	failing = false
-	if pass(20); weights() != before || h.endpointShare("g1", "save", "a1:1") > 0 {
+	if reportFor(20); weights() != before || h.endpointShare("g1", "save", "a1:1") > 0 {
 		t.Errorf("pinned with shares %v for class save: got shares %v, want no change", before, weights())
 	}
 	if _, err := h.core.Unpin(pin.ID, "test finished"); err != nil {
 		t.Fatal(err)
 	}
-	pass(20)
+	reportFor(20)
 	if !slices.Contains(h.openEndpoints("g1", "save"), "a1:1") {
 		t.Errorf("without the pin g1 may send class save to %v, want a1:1 among them", h.openEndpoints("g1", "save"))
 	}
