--- a/membership/apply.go
+++ b/membership/apply.go
@@ -9,20 +9,22 @@
 )
 
 const (
-	// massDropFraction is the part of a source's endpoints that, dropped at once, has more likely been lost by the
-	// registry than left the fleet.
+	// massDropFraction is the fraction of a source's endpoints from which on a drop is a mass drop: a registry that drops
+	// so many at once has more likely lost its state than the endpoints have left the fleet.
 	massDropFraction = 0.3
-	// massDropMinimum is the least number of endpoints for which massDropFraction and registryRestartFraction count.
+	// massDropMinimum is the minimum number of endpoints for massDropFraction and registryRestartFraction to apply.
 	massDropMinimum = 3
-	// massDropWindow is the time in which drops belong to the same loss: a registry loses its state bit by bit, too.
+	// massDropWindow is the period within which drops by one source are added up, since a registry may also lose its
+	// state gradually.
 	massDropWindow = 10 * second
-	// registryRestartFraction is the part of a source's endpoints whose new start times, at once, are the registry's own.
+	// registryRestartFraction is the fraction of a source's endpoints from which on start times that change in the same
+	// poll are attributed to a restart of the registry.
 	registryRestartFraction = 0.5
-	// leaseGrace is the number of leases after which an unrenewed one has expired.
+	// leaseGrace is the number of lease durations without a renewal after which a lease has expired.
 	leaseGrace = 2
 )
 
-// Apply applies the result of a poll. Invalid observations are left out and noted.
+// Apply applies the result of one poll of a source. It discards invalid observations and adds a note for each.
 func (m *Membership) Apply(now policyapi.Microseconds, update SourceUpdate) {
 	m.now = max(m.now, now)
 	s := m.sources[update.Source]
@@ -61,8 +63,9 @@
 	s.initialized = true
 }
 
-// observe records an observation, unless it is older than the last one: then it comes from a registry peer that lags.
-// registryRestarted means that new start times are the registry's own.
+// observe records an observation and reports whether it did so. An observation older than the last one comes from a
+// registry peer that lags behind and is discarded. If registryRestarted is set, a later start time than the last one is
+// attributed to the registry's restart, and the endpoint keeps its start time.
 func (e *endpoint) observe(now policyapi.Microseconds, source string, observation Observation, registryRestarted bool) (recorded bool) {
 	if last, ok := e.observations[source]; ok {
 		if observation.ChangedAt > 0 && observation.ChangedAt < last.ChangedAt {
@@ -80,17 +83,20 @@
 	return true
 }
 
-// validate returns the valid observations of an update; of two instances with one address, the one started last.
+// validate returns the valid observations of an update by endpoint. If several instances share an address, the one that
+// started last is used.
 func (m *Membership) validate(update SourceUpdate) map[policyapi.EndpointID]Observation {
 	valid := map[policyapi.EndpointID]Observation{}
 	for _, observation := range update.Observations {
 		if !slices.Contains(m.settings.Zones, observation.Zone) {
-			m.note("%s names %s in zone %q, which is not one of %v: left out", update.Source, observation.Endpoint, observation.Zone, m.settings.Zones)
+			m.note("%s lists %s in zone %q, which is not one of the configured zones %v: observation discarded",
+				update.Source, observation.Endpoint, observation.Zone, m.settings.Zones)
 			continue
 		}
 		observation = m.normalize(observation)
 		if other, ok := valid[observation.Endpoint]; ok {
-			m.note("%s: instances %s and %s have the address %s: the later one counts", update.Source, other.Instance, observation.Instance, observation.Endpoint)
+			m.note("%s: instances %s and %s share the address %s: the one that started last is used",
+				update.Source, other.Instance, observation.Instance, observation.Endpoint)
 			if !startedAfter(observation, other) {
 				continue
 			}
@@ -101,10 +107,11 @@
 	return valid
 }
 
-// normalize corrects weights that are not positive and start times in the future: another machine's clock must keep no
-// endpoint warming up, and one that is in service keeps its start time.
+// normalize replaces a weight that is not positive by 1, and a start time in the future by the current time: a clock that
+// is ahead on another machine must not keep an endpoint in slow start. An endpoint that is in service or draining keeps the
+// start time that it had.
 func (m *Membership) normalize(observation Observation) Observation {
-	if !(observation.Weight > 0) { // NaN, too
+	if !(observation.Weight > 0) { // also true for NaN
 		observation.Weight = 1
 	}
 	if observation.StartedAt <= m.now {
@@ -118,7 +125,8 @@
 	return observation
 }
 
-// startedAfter orders instances with one address.
+// startedAfter reports whether a takes precedence over b, an instance with the same address: it started later, or, with
+// equal start times, it changed later or has the greater instance id.
 func startedAfter(a, b Observation) bool {
 	return cmp.Or(
 		cmp.Compare(a.StartedAt, b.StartedAt),
@@ -127,8 +135,9 @@
 	) > 0
 }
 
-// markExpiredLeases sets LeaseExpired of leases that have expired by the registry's own clock, which the latest renewal
-// shows: a registry in self-preservation continues to list endpoints that have failed.
+// markExpiredLeases sets LeaseExpired on observations whose lease has expired, since a registry in self-preservation
+// continues to list endpoints that have failed. The latest renewal among the observations stands for the time of the
+// registry's clock.
 func markExpiredLeases(observations map[policyapi.EndpointID]Observation) {
 	latest := policyapi.Microseconds(0)
 	for _, o := range observations {
@@ -143,8 +152,8 @@
 	}
 }
 
-// registryRestarted reports whether so many start times have changed at once that the registry has restarted and not the
-// endpoints; only those count that have answered gateways all the while.
+// registryRestarted reports whether so many start times have changed in the same poll that the registry has restarted and
+// not the endpoints. It counts only the changes of endpoints that still answer gateways.
 func (m *Membership) registryRestarted(s *source, reported map[policyapi.EndpointID]Observation) bool {
 	changed, known := 0, 0
 	for id, observation := range reported {
@@ -153,19 +162,20 @@
 			continue
 		}
 		known++
-		if observation.StartedAt > last.StartedAt && m.answers(m.endpoints[id]) {
+		if observation.StartedAt > last.StartedAt && m.isAnswering(m.endpoints[id]) {
 			changed++
 		}
 	}
 	if changed < massDropMinimum || float64(changed) < registryRestartFraction*float64(known) {
 		return false
 	}
-	m.note("%d of %d endpoints have new start times at once and answered gateways all the while: the registry has restarted, not the endpoints", changed, known)
+	m.note("%d of %d endpoints have new start times but still answer gateways: the registry has restarted, not the endpoints",
+		changed, known)
 	return true
 }
 
-// dropMissing records which endpoints a source no longer names. Few at a time have left the fleet; many at once of which
-// some still answer gateways were lost by the source, unless it is authoritative.
+// dropMissing records which endpoints a source no longer lists. In a mass drop it keeps the last observation of those that
+// were up. Otherwise the endpoints have left the fleet, and their observations are deleted.
 func (m *Membership) dropMissing(name string, s *source, reported map[policyapi.EndpointID]Observation) {
 	massDrop := m.isMassDrop(name, s, reported)
 	for id := range s.reported {
@@ -181,6 +191,9 @@
 	}
 }
 
+// isMassDrop reports whether a source that is not authoritative has dropped so many endpoints within massDropWindow that
+// it has lost them. At least one endpoint dropped by this poll must still answer gateways. Among those that this poll drops,
+// endpoints that were not up at the source or that an operator has drained do not count.
 func (m *Membership) isMassDrop(name string, s *source, reported map[policyapi.EndpointID]Observation) bool {
 	missing, answering := 0, 0
 	for id := range s.reported {
@@ -192,7 +205,7 @@
 			continue
 		}
 		missing++
-		if m.answers(e) {
+		if m.isAnswering(e) {
 			answering++
 		}
 	}
@@ -203,20 +216,22 @@
 		}
 	}
 	known := len(s.reported) + recent
-	if missing == 0 || answering == 0 || !isMass(missing+recent, known) || m.settings.Authoritative[name] {
+	if missing == 0 || answering == 0 || !exceedsMassDropLimits(missing+recent, known) || m.settings.Authoritative[name] {
 		return false
 	}
-	m.note("%s dropped %d of %d endpoints, %d of them answer gateways: lost by the source, not left", name, missing, known, answering)
+	m.note("%s dropped %d of %d endpoints, and %d of the dropped ones still answer gateways: attributed to a loss by the source",
+		name, missing, known, answering)
 	return true
 }
 
-// isMass reports whether so many endpoints of those known are more than leave a fleet at once.
-func isMass(count, total int) bool {
+// exceedsMassDropLimits reports whether count of total endpoints are too many to have left the fleet at once.
+func exceedsMassDropLimits(count, total int) bool {
 	return count >= massDropMinimum && float64(count) >= massDropFraction*float64(total)
 }
 
-// endMassDrop ends a mass drop once the source names most of the endpoints again: those that it still does not name have
-// left. Without it an endpoint that drained and left during the mass drop would stay listed as long as it answers.
+// endMassDrop ends a mass drop once the source lists most of the endpoints again. Those that are still missing have left
+// the fleet: without this rule, an endpoint that drained and left during the mass drop would stay listed while it answers
+// gateways. The argument returned is the number of mass-dropped endpoints that this poll lists again.
 func (m *Membership) endMassDrop(name string, reported map[policyapi.EndpointID]Observation, returned int) {
 	var missing []*endpoint
 	for _, id := range m.endpointIDs() {
@@ -224,10 +239,11 @@
 			missing = append(missing, e)
 		}
 	}
-	if returned == 0 || len(missing) == 0 || isMass(len(missing), len(reported)+len(missing)) {
+	if returned == 0 || len(missing) == 0 || exceedsMassDropLimits(len(missing), len(reported)+len(missing)) {
 		return
 	}
-	m.note("%s names %d endpoints again after a mass drop; %d that it does not name have left", name, returned, len(missing))
+	m.note("%s lists %d endpoints again after a mass drop; the %d that are still missing have left the fleet",
+		name, returned, len(missing))
 	for _, e := range missing {
 		delete(e.massDropped, name)
 		delete(e.observations, name)
--- a/membership/decision.go
+++ b/membership/decision.go
@@ -7,16 +7,16 @@
 	"porthub/policyapi"
 )
 
-// State is the decision about an endpoint.
+// State is the state that a Membership has decided for an endpoint.
 type State int
 
-// The states. Only Ready and Retained endpoints get new requests.
+// The states of an endpoint. Only Ready and Retained endpoints get new requests.
 const (
 	Ready State = iota
 	Draining
 	Removed
-	Waiting  // no source has it up yet, or it is excluded for flapping
-	Retained // its registry dropped it together with many others, and it still answers gateways
+	Waiting  // it is not up at its sources, or it is excluded for flapping
+	Retained // its registry dropped it in a mass drop, or its zone would be empty, and it still answers gateways
 )
 
 func (s State) String() string {
@@ -26,16 +26,16 @@
 // serving reports whether endpoints in this state get new requests.
 func (s State) serving() bool { return s == Ready || s == Retained }
 
-// Decision is the decision about an endpoint, with its reason and evidence.
+// Decision is the decided state of an endpoint, with its reason and evidence.
 type Decision struct {
 	Endpoint     policyapi.EndpointID   `json:"node"`
 	State        State                  `json:"-"`
 	StateName    string                 `json:"state"`
 	Reason       string                 `json:"why"`
 	Since        policyapi.Microseconds `json:"since_us"`
-	Listed       policyapi.Endpoint     `json:"entry"` // as it is, or was last, in the endpoint list
-	Observations []LastObservation      `json:"says"`  // by source
-	// Flaps counts how often it has gone down; the count halves each minute.
+	Listed       policyapi.Endpoint     `json:"entry"` // its current or last entry in the endpoint list
+	Observations []LastObservation      `json:"says"`  // one per source
+	// Flaps counts how often the endpoint has gone down. The count halves each minute.
 	Flaps         float64                `json:"flaps"`
 	ExcludedUntil policyapi.Microseconds `json:"out_until_us,omitempty"` // 0: not excluded for flapping
 }
@@ -47,7 +47,7 @@
 	At     policyapi.Microseconds `json:"at_us"`
 }
 
-// Decisions returns the decision for every endpoint in the order of their ids.
+// Decisions returns the decisions for all endpoints, sorted by endpoint id.
 func (m *Membership) Decisions() (decisions []Decision) {
 	for _, id := range m.endpointIDs() {
 		e := m.endpoints[id]
@@ -69,7 +69,8 @@
 	return decisions
 }
 
-// evidence returns the last observations of an endpoint: an operator's drain, then the sources by name, then gateways.
+// evidence returns the last observations of an endpoint: first an operator's drain, then those of the sources sorted by
+// name, and last those of gateways.
 func (m *Membership) evidence(e *endpoint) (evidence []LastObservation) {
 	if e.drainReason != "" {
 		evidence = append(evidence, LastObservation{"operator", "drain: " + e.drainReason, e.drainedAt})
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// answerLifetime is how long an answer to a gateway counts as evidence that an endpoint serves, even if a registry has
-	// dropped it.
+	// answerLifetime is how long an answer to a gateway is evidence that an endpoint serves requests, even if a registry
+	// has dropped it.
 	answerLifetime = 6 * second
-	// maxRetention bounds how long an endpoint that its registry has mass-dropped is retained, answering or not.
+	// maxRetention bounds how long a mass-dropped endpoint is retained, even if it continues to answer gateways.
 	maxRetention = 120 * second
 
-	// toleratedFlaps is the flap count up to which an endpoint is not excluded.
-	toleratedFlaps = 2.5
-	// resetFlaps is the flap count below which the next exclusion is a first one again.
-	resetFlaps = 1.5
-	// firstExclusion doubles with each further exclusion in a row, maxDoublings times and up to maxExclusion.
+	// maxToleratedFlaps is the flap count above which an endpoint is excluded.
+	maxToleratedFlaps = 2.5
+	// exclusionResetFlaps is the flap count below which the duration of exclusions returns to firstExclusion.
+	exclusionResetFlaps = 1.5
+	// firstExclusion is the duration of the first exclusion. It doubles with each consecutive exclusion, at most
+	// maxDoublings times and up to maxExclusion.
 	firstExclusion = 10 * second
 	maxExclusion   = 300 * second
 	maxDoublings   = 5
@@ -28,14 +29,14 @@
 	flapHalfLife = 60 * second
 )
 
-// decide decides about one endpoint from the present evidence.
+// decide sets the state of one endpoint by the present evidence and records the transition if the state has changed.
 func (m *Membership) decide(e *endpoint) {
 	state, reason := m.evaluate(e)
 	if state.serving() || state == Draining {
 		e.listed = m.listedEndpoint(e)
 	}
 	previous := e.state
-	if previous.serving() && !state.serving() && state != Draining && !m.droppedByAuthority(e) {
+	if previous.serving() && !state.serving() && state != Draining && !m.droppedByAuthoritativeSource(e) {
 		m.recordFlap(e)
 	}
 	state, reason = m.applyExclusion(e, state, reason)
@@ -49,8 +50,8 @@
 	e.reason = reason
 }
 
-// applyExclusion keeps an endpoint that is excluded for flapping out of service, and makes one whose exclusion has ended
-// warm up like one that has just started.
+// applyExclusion keeps an endpoint out of service while it is excluded for flapping. An endpoint whose exclusion has ended
+// goes through slow start like one that has just started.
 func (m *Membership) applyExclusion(e *endpoint, state State, reason string) (State, string) {
 	if state != Ready || e.excludedUntil == 0 {
 		return state, reason
@@ -65,7 +66,8 @@
 	return state, reason
 }
 
-// recordFlap counts that an endpoint has gone down and excludes it for longer the more often it does.
+// recordFlap counts that an endpoint has gone down, and excludes it if it has done so too often. Consecutive exclusions
+// get longer.
 func (m *Membership) recordFlap(e *endpoint) {
 	for e.flapsDecayedAt > 0 && m.now-e.flapsDecayedAt >= flapHalfLife {
 		e.flaps /= 2
@@ -76,22 +78,23 @@
 		e.flapsDecayedAt = m.now
 	}
 	switch {
-	case e.flaps > toleratedFlaps:
+	case e.flaps > maxToleratedFlaps:
 		e.excludedUntil = m.now + min(maxExclusion, firstExclusion<<min(e.exclusions, maxDoublings))
 		e.flapsDecayedAt = e.excludedUntil // the count does not decay while it is excluded
 		e.exclusions++
 		m.note("%s is flapping: excluded for %d s", e.id, (e.excludedUntil-m.now)/second)
-	case e.flaps < resetFlaps:
+	case e.flaps < exclusionResetFlaps:
 		e.exclusions = 0
 	}
 }
 
-// sourceStatuses groups the sources of an endpoint by the status that they report, the most trusted first.
-type sourceStatuses struct {
+// sourcesByStatus groups the names of an endpoint's sources by the status that they report. Each group is in the order of
+// trust, the most trusted first.
+type sourcesByStatus struct {
 	outOfService, up, down, notUp, massDropped []string
 }
 
-func (m *Membership) sourceStatuses(e *endpoint) (s sourceStatuses) {
+func (m *Membership) groupSourcesByStatus(e *endpoint) (s sourcesByStatus) {
 	for _, name := range m.sourcesByTrust(e) {
 		observation := e.observations[name]
 		switch {
@@ -99,7 +102,7 @@
 			s.massDropped = append(s.massDropped, name)
 		case observation.Status == OutOfService:
 			s.outOfService = append(s.outOfService, name)
-		case observation.Status == Up && observation.LeaseExpired && !m.answers(e):
+		case observation.Status == Up && observation.LeaseExpired && !m.isAnswering(e):
 			s.notUp = append(s.notUp, name+" (its lease has expired)")
 		case observation.Status == Up:
 			s.up = append(s.up, name)
@@ -112,20 +115,22 @@
 	return s
 }
 
-// evaluate weighs the evidence in the order of precedence: drains first, then sources that have the endpoint down, then
-// those that have it up, and last those that mass-dropped it.
+// evaluate returns the state of an endpoint by the present evidence, and the reason. Drains take precedence, followed by
+// sources that report the endpoint as down, sources that report it as up, sources that report it as starting or whose lease
+// of it has expired, and last sources that mass-dropped it.
 func (m *Membership) evaluate(e *endpoint) (State, string) {
 	if e.drainReason != "" {
 		return Draining, "drained by an operator: " + e.drainReason
 	}
-	sources := m.sourceStatuses(e)
+	sources := m.groupSourcesByStatus(e)
 	switch {
 	case len(sources.outOfService) > 0:
 		return Draining, "out of service at " + sources.outOfService[0]
-	case len(sources.down) > 0 && !m.answers(e):
+	case len(sources.down) > 0 && !m.isAnswering(e):
 		return Waiting, "down at " + strings.Join(sources.down, ", ") + ", and it answers no gateway"
 	case len(sources.down) > 0 && len(sources.up) == 0:
-		// The registry's health check fails, but gateways get answers: no new requests, and none is cut off.
+		// The registry's health check fails, but gateways get answers: draining stops new requests and lets those in
+		// progress complete.
 		return Draining, "down at " + strings.Join(sources.down, ", ") + ", while it answers gateways"
 	case len(sources.up) > 0:
 		return Ready, "up at " + strings.Join(sources.up, ", ")
@@ -138,12 +143,12 @@
 	}
 }
 
-// evaluateMassDropped retains an endpoint while it answers gateways, up to maxRetention, and for answerLifetime after the
-// drop if it answered before.
+// evaluateMassDropped retains an endpoint while it answers gateways, for at most maxRetention. One that has answered before
+// and has not failed since is retained for answerLifetime after the drop even without further answers.
 func (m *Membership) evaluateMassDropped(e *endpoint, source string) (State, string) {
 	age := m.now - e.droppedAt[source]
 	switch {
-	case m.answers(e) && age < maxRetention:
+	case m.isAnswering(e) && age < maxRetention:
 		return Retained, source + " dropped it together with many others, and it answers gateways"
 	case age < answerLifetime && e.lastAnswer > 0 && !e.failing:
 		return Retained, source + " dropped it together with many others"
@@ -152,13 +157,14 @@
 	}
 }
 
-// sourcesByTrust returns the names of the sources that have observed an endpoint, the most trusted first.
+// sourcesByTrust returns the names of the sources that have an observation of an endpoint, the most trusted first.
 func (m *Membership) sourcesByTrust(e *endpoint) []string {
 	names := slices.Sorted(maps.Keys(e.observations))
 	slices.SortStableFunc(names, func(a, b string) int { return m.trustRank(a) - m.trustRank(b) })
 	return names
 }
 
+// trustRank returns the position of a source in Settings.Sources. Sources that are not listed there rank last.
 func (m *Membership) trustRank(name string) int {
 	if i := slices.Index(m.settings.Sources, name); i >= 0 {
 		return i
@@ -166,8 +172,8 @@
 	return len(m.settings.Sources)
 }
 
-// listedEndpoint returns the list's entry of an endpoint: zone and weight by the most trusted source that has it up, the
-// start time by startTime. Without any observation the entry stays as it was.
+// listedEndpoint returns the entry of an endpoint in the list. It is taken from the most trusted source that reports the
+// endpoint as up; the start time is that of startTime. Without any observation the entry stays as it was.
 func (m *Membership) listedEndpoint(e *endpoint) policyapi.Endpoint {
 	observations := m.listableObservations(e)
 	if len(observations) == 0 {
@@ -190,7 +196,7 @@
 	}
 }
 
-// listableObservations returns the observations that have an endpoint up, or all if none has; the most trusted first.
+// listableObservations returns the observations with status Up, or all observations if there is none, in the order of trust.
 func (m *Membership) listableObservations(e *endpoint) (observations []Observation) {
 	anyUp := false
 	for _, observation := range e.observations {
@@ -204,11 +210,11 @@
 	return observations
 }
 
-// startTime returns the start time from which an endpoint warms up: the latest that a source reports, or now if it must
-// have started unreported.
+// startTime returns the time at which the slow start of an endpoint begins: the latest start time that a source reports, or
+// the current time if the endpoint must have started without a report of the start time.
 func (m *Membership) startTime(e *endpoint, instance string, reported policyapi.Microseconds) policyapi.Microseconds {
 	newProcess := instance != "" && e.instance != "" && instance != e.instance
-	// It is new since the first list, or listed again: no source reports that it ran in between.
+	// The endpoint is new since the first list or is listed again, and it is not known to have run before that.
 	appeared := m.hasList && (e.state == Removed || e.state == Waiting && e.startedAt == 0)
 	switch {
 	case newProcess && reported <= e.startedAt:
@@ -222,11 +228,12 @@
 	}
 }
 
-// retainLastOfZones prevents that the list has no endpoint in a zone while some there answer gateways: those that any
-// number of sources dropped, none of them authoritative, stay until others are ready.
-func (m *Membership) retainLastOfZones() {
+// retainInEmptyZones prevents a zone from having no endpoint in the list while some of its endpoints answer gateways. It
+// retains those endpoints until others of the zone are ready, however many sources have dropped them, unless an
+// authoritative source has.
+func (m *Membership) retainInEmptyZones() {
 	for _, zone := range m.settings.Zones {
-		for _, e := range m.lastOfZone(zone) {
+		for _, e := range m.retainableInZone(zone) {
 			if e.state != Retained {
 				m.note("%s is retained: zone %s would have no endpoint, and it answers gateways", e.id, zone)
 			}
@@ -237,8 +244,8 @@
 	}
 }
 
-// lastOfZone returns the endpoints that can be retained in a zone where none serves.
-func (m *Membership) lastOfZone(zone policyapi.Zone) (answering []*endpoint) {
+// retainableInZone returns the endpoints of a zone that can be retained, or nil if an endpoint of the zone is in service.
+func (m *Membership) retainableInZone(zone policyapi.Zone) (answering []*endpoint) {
 	for _, id := range m.endpointIDs() {
 		e := m.endpoints[id]
 		if e.listed.Zone != zone {
@@ -248,15 +255,15 @@
 			return nil
 		}
 		removed := e.state == Removed || e.state == Waiting
-		if removed && m.answers(e) && e.drainReason == "" && !m.droppedByAuthority(e) {
+		if removed && m.isAnswering(e) && e.drainReason == "" && !m.droppedByAuthoritativeSource(e) {
 			answering = append(answering, e)
 		}
 	}
 	return answering
 }
 
-// droppedByAuthority reports whether an authoritative source has dropped an endpoint.
-func (m *Membership) droppedByAuthority(e *endpoint) bool {
+// droppedByAuthoritativeSource reports whether an authoritative source has dropped an endpoint.
+func (m *Membership) droppedByAuthoritativeSource(e *endpoint) bool {
 	for name := range e.droppedAt {
 		if m.settings.Authoritative[name] {
 			return true
--- a/membership/fixture_test.go
+++ b/membership/fixture_test.go
@@ -7,22 +7,25 @@
 	"porthub/policyapi"
 )
 
-// fixture is a membership with two registries (eureka and other) and a file, which is authoritative.
+// fixture is a Membership with two registries (eureka and other) and a file, which is authoritative.
 type fixture struct {
 	t          *testing.T
 	membership *Membership
 	now        policyapi.Microseconds
-	// list is the last list that differed from the one before.
-	list  []policyapi.Endpoint
-	lists int
-	notes []string
+	list       []policyapi.Endpoint // the last list that Step returned as changed
+	lists      int                  // number of changed lists
+	notes      []string             // notes of all steps
 }
 
 func newFixture(t *testing.T) *fixture {
-	return &fixture{t: t, now: 1000 * second, membership: New(Settings{Zones: []policyapi.Zone{"a", "b"}, Authoritative: map[string]bool{"file": true},
-		Sources: []string{"file", "eureka", "other"}})}
+	return &fixture{t: t, now: 1000 * second, membership: New(Settings{
+		Zones:         []policyapi.Zone{"a", "b"},
+		Authoritative: map[string]bool{"file": true},
+		Sources:       []string{"file", "eureka", "other"},
+	})}
 }
 
+// step steps the Membership and records the list, if it has changed, and the notes.
 func (s *fixture) step() {
 	list, changed, notes := s.membership.Step(s.now)
 	if changed {
@@ -32,7 +35,7 @@
 	s.notes = append(s.notes, notes...)
 }
 
-// report applies a successful poll of a source and steps. Endpoints are ids followed by their status, see observation.
+// report applies a successful poll of a source and steps. The endpoints have the format of observation.
 func (s *fixture) report(source string, endpoints ...string) {
 	update := SourceUpdate{Source: source}
 	for _, endpoint := range endpoints {
@@ -42,8 +45,8 @@
 	s.step()
 }
 
-// observation returns an observation by its text: an id that begins with the zone, then + up, * starting, o out of
-// service, - down, ? unknown.
+// observation parses an observation: an id that begins with the zone, followed by the status as one character: + for up,
+// * for starting, o for out of service, - for down, ? for unknown.
 func observation(text string) Observation {
 	id, status := text[:len(text)-1], text[len(text)-1]
 	return Observation{
@@ -56,7 +59,7 @@
 	}
 }
 
-// advance steps once a second; the endpoints given answer gateways.
+// advance steps once a second for the given time, in which the given endpoints answer gateways.
 func (s *fixture) advance(seconds int, answering ...policyapi.EndpointID) {
 	for range seconds {
 		s.now += second
@@ -67,7 +70,7 @@
 	}
 }
 
-// requireStates checks the states of the endpoints given.
+// requireStates checks the states of the given endpoints.
 func (s *fixture) requireStates(want map[policyapi.EndpointID]string) {
 	s.t.Helper()
 	for _, d := range s.membership.Decisions() {
@@ -77,7 +80,7 @@
 	}
 }
 
-// requireList checks the complete list: ids followed by + (ready) or o (draining).
+// requireList checks the complete list, given as ids followed by + (ready) or o (draining).
 func (s *fixture) requireList(want ...string) {
 	s.t.Helper()
 	var got []string
@@ -101,7 +104,7 @@
 			return e.StartedAt
 		}
 	}
-	s.t.Fatalf("%s is not listed", id)
+	s.t.Fatalf("endpoint %s is not in the list", id)
 	return 0
 }
 
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -11,8 +11,8 @@
 
 const second policyapi.Microseconds = 1_000_000
 
-// forgetAfter is how long an endpoint that no source names stays in memory and in Decisions.
-const forgetAfter = 3600 * second
+// removedLifetime is how long an endpoint that no source lists any more is kept in memory and in Decisions.
+const removedLifetime = 3600 * second
 
 // The errors of Drain and Undrain.
 var (
@@ -21,13 +21,14 @@
 	ErrNotDrained      = errors.New("no operator has drained the endpoint")
 )
 
-// Settings are the settings of a Membership.
+// Settings configure a Membership.
 type Settings struct {
 	Zones []policyapi.Zone
-	// Authoritative sources are followed when they drop endpoints, however many at once: whoever edits a file means it,
-	// while a registry may have lost its state.
+	// Authoritative has the sources whose drops are applied however many endpoints they drop at once: an edit of a file is
+	// intended, while a registry may have lost its state.
 	Authoritative map[string]bool
-	// Sources is the order of trust where sources differ in the zone or weight of an endpoint, the most trusted first.
+	// Sources has the names of the sources in the order of trust, the most trusted first. It decides where sources differ
+	// in the zone or weight of an endpoint.
 	Sources []string
 }
 
@@ -37,30 +38,30 @@
 	now         policyapi.Microseconds
 	endpoints   map[policyapi.EndpointID]*endpoint
 	sources     map[string]*source
-	transitions []transition // of this step
-	notes       []string     // for the log, since the last step
+	transitions []transition // of the current step
+	notes       []string     // lines for the log, added since the last step
 
 	version  policyapi.ListVersion
-	lastList []policyapi.Endpoint
-	hasList  bool // a list has been returned
+	lastList []policyapi.Endpoint // the last list that Step returned as changed
+	hasList  bool                 // lastList is set
 }
 
-// endpoint is the state of one endpoint. Maps are by source.
+// endpoint is the state of one endpoint. Its maps are keyed by the name of the source.
 type endpoint struct {
 	id policyapi.EndpointID
 
-	observations map[string]Observation            // last one of each source that names it, or has mass-dropped it
-	observedAt   map[string]policyapi.Microseconds // when it was last observed
-	droppedAt    map[string]policyapi.Microseconds // when the source dropped it
-	massDropped  map[string]bool                   // the source dropped it together with many others
-	// registryStarts holds start times that come from a restart of the registry, not of the endpoint.
+	observations map[string]Observation            // the last one of each source that lists or has mass-dropped the endpoint
+	observedAt   map[string]policyapi.Microseconds // when the source last reported the endpoint
+	droppedAt    map[string]policyapi.Microseconds // when the source dropped the endpoint
+	massDropped  map[string]bool                   // the source dropped the endpoint in a mass drop
+	// registryStarts has start times that result from a restart of the registry and not of the endpoint.
 	registryStarts map[string]policyapi.Microseconds
 
-	drainReason string // an operator's; empty: not drained by an operator
+	drainReason string // of the operator's drain; empty if no operator has drained it
 	drainedAt   policyapi.Microseconds
 
-	lastAnswer policyapi.Microseconds // to a gateway
-	failing    bool                   // nothing but errors since lastAnswer
+	lastAnswer policyapi.Microseconds // when a gateway last reported an answer; 0 if none has
+	failing    bool                   // gateways have reported only errors since lastAnswer
 
 	startedAt policyapi.Microseconds
 	instance  string
@@ -71,17 +72,17 @@
 	since  policyapi.Microseconds
 
 	flaps          float64
-	flapsDecayedAt policyapi.Microseconds // when flaps was last halved
+	flapsDecayedAt policyapi.Microseconds // start of the current half-life of flaps; after an exclusion, its end
 	excludedUntil  policyapi.Microseconds
-	exclusions     int // in a row
+	exclusions     int // consecutive ones; sets the duration of the next
 }
 
-// New returns a Membership that no source has reported to yet.
+// New returns a Membership without endpoints.
 func New(settings Settings) *Membership {
 	return &Membership{settings: settings, endpoints: map[policyapi.EndpointID]*endpoint{}, sources: map[string]*source{}}
 }
 
-// endpoint returns the endpoint with an id, adding it if it is new.
+// endpoint returns the endpoint with an id, and adds it if it does not exist.
 func (m *Membership) endpoint(id policyapi.EndpointID) *endpoint {
 	if e := m.endpoints[id]; e != nil {
 		return e
@@ -100,17 +101,17 @@
 	return e
 }
 
-// endpointIDs returns the ids of all endpoints in order.
+// endpointIDs returns the ids of all endpoints, sorted.
 func (m *Membership) endpointIDs() []policyapi.EndpointID {
 	return slices.Sorted(maps.Keys(m.endpoints))
 }
 
-// ReportTraffic records that an endpoint answered done requests of gateways and failed the others.
+// ReportTraffic records that, of a gateway's requests to an endpoint, done were answered and failed were not.
 func (m *Membership) ReportTraffic(now policyapi.Microseconds, id policyapi.EndpointID, done, failed int) {
 	m.now = max(m.now, now)
 	e := m.endpoints[id]
 	if e == nil {
-		return // no source has named it
+		return // no source has listed it
 	}
 	if done > 0 {
 		e.lastAnswer = m.now
@@ -122,13 +123,13 @@
 	}
 }
 
-// answers reports whether an endpoint has recently answered a gateway and has not failed since.
-func (m *Membership) answers(e *endpoint) bool {
+// isAnswering reports whether an endpoint has recently answered a gateway and has not failed since.
+func (m *Membership) isAnswering(e *endpoint) bool {
 	return e != nil && e.lastAnswer > 0 && m.now-e.lastAnswer <= answerLifetime && !e.failing
 }
 
-// Drain drains an endpoint on behalf of an operator until Undrain, whatever sources report. It returns ErrReasonRequired
-// if reason is empty and ErrUnknownEndpoint if no source has named the endpoint.
+// Drain drains an endpoint on behalf of an operator until Undrain is called, whatever the sources report. It returns
+// ErrReasonRequired if reason is empty and ErrUnknownEndpoint if the endpoint is unknown.
 func (m *Membership) Drain(now policyapi.Microseconds, id policyapi.EndpointID, reason string) error {
 	m.now = max(m.now, now)
 	if reason == "" {
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// Drains returns the reasons of operators' drains, for the next start of the process.
+// Drains returns the reasons of operators' drains by endpoint, to be passed to Restore at the next start of the process.
 func (m *Membership) Drains() map[policyapi.EndpointID]string {
 	drains := map[policyapi.EndpointID]string{}
 	for id, e := range m.endpoints {
@@ -167,8 +168,8 @@
 	return drains
 }
 
-// Restore restores operators' drains and the endpoints of the last list with their start times. No source counts as
-// having observed them.
+// Restore restores operators' drains and the endpoints of the last list with their start times. It adds no observations of
+// them: the sources have to report the endpoints again.
 func (m *Membership) Restore(now policyapi.Microseconds, drains map[policyapi.EndpointID]string, list []policyapi.Endpoint) {
 	m.now = max(m.now, now)
 	for _, listed := range list {
@@ -183,15 +184,15 @@
 	}
 }
 
-// Step decides about all endpoints. It returns the endpoint list, whether it differs from the last one, and notes for
-// the log. The first list counts as changed once a source has reported.
+// Step decides the state of all endpoints. It returns the endpoint list, whether the list differs from the last one, and
+// notes for the log. The first list counts as changed once a source has reported successfully.
 func (m *Membership) Step(now policyapi.Microseconds) (list []policyapi.Endpoint, changed bool, notes []string) {
 	m.now = max(m.now, now)
 	for _, id := range m.endpointIDs() {
 		m.decide(m.endpoints[id])
 	}
 	m.noteTransitions()
-	m.retainLastOfZones()
+	m.retainInEmptyZones()
 	list = m.list()
 	if m.hasList {
 		changed = !slices.Equal(list, m.lastList)
@@ -208,7 +209,7 @@
 	return list, changed, notes
 }
 
-// list returns the endpoint list and forgets endpoints that have been removed for long.
+// list returns the endpoint list. It deletes endpoints that have been in the state Removed for longer than removedLifetime.
 func (m *Membership) list() (list []policyapi.Endpoint) {
 	for _, id := range m.endpointIDs() {
 		e := m.endpoints[id]
@@ -220,7 +221,7 @@
 			e.listed.Status = policyapi.Draining
 			list = append(list, e.listed)
 		default:
-			if e.state == Removed && e.drainReason == "" && len(e.observations) == 0 && m.now-e.since > forgetAfter {
+			if e.state == Removed && e.drainReason == "" && len(e.observations) == 0 && m.now-e.since > removedLifetime {
 				delete(m.endpoints, id)
 			}
 		}
@@ -228,7 +229,7 @@
 	return list
 }
 
-// Initialized reports whether any source has ever reported successfully.
+// Initialized reports whether at least one poll of any source has succeeded.
 func (m *Membership) Initialized() bool {
 	for _, s := range m.sources {
 		if s.initialized {
@@ -238,5 +239,5 @@
 	return false
 }
 
-// Version returns the number of lists that differed from the one before.
+// Version returns the version of the list: the number of changed lists that Step has returned.
 func (m *Membership) Version() policyapi.ListVersion { return m.version }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -20,13 +20,14 @@
 	s.requireList("a1+", "a2+", "a3+", "b1+", "b2+")
 	s.report("eureka", "a1+", "a2+", "a3+", "b1+")
 	s.requireList("a1+", "a2+", "a3+", "b1+")
-	// Its health check fails while it answers gateways: no new requests.
+	// An endpoint whose health check fails while it answers gateways is drained.
 	s.advance(2, "a1")
 	s.report("eureka", "a1-", "a2+", "a3+", "b1+")
 	s.requireList("a1o", "a2+", "a3+", "b1+")
 }
 
-// A drain by any source takes effect at once, an operator's above all, and ends when the source ends it.
+// A drain by any source takes effect at once and ends when that source ends it. An operator's drain overrides all sources
+// and survives a restart.
 func TestDrainPrecedence(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
@@ -38,10 +39,10 @@
 	s.report("eureka", "a1+", "a2o", "a3+", "b1+", "b2+", "b3+")
 	s.requireStates(map[policyapi.EndpointID]string{"a2": "draining"})
 	if err := s.membership.Drain(s.now, "a3", ""); !errors.Is(err, ErrReasonRequired) {
-		t.Errorf("a drain without a reason: %v", err)
+		t.Errorf("drain without a reason: error %v, want ErrReasonRequired", err)
 	}
 	if err := s.membership.Drain(s.now, "z9", "why"); !errors.Is(err, ErrUnknownEndpoint) {
-		t.Errorf("a drain of an endpoint that no source names: %v", err)
+		t.Errorf("drain of an unknown endpoint: error %v, want ErrUnknownEndpoint", err)
 	}
 	if err := s.membership.Drain(s.now, "a3", "disk"); err != nil {
 		t.Fatal(err)
@@ -56,14 +57,14 @@
 		t.Error(err)
 	}
 	if err := s.membership.Undrain(s.now, "a3"); !errors.Is(err, ErrNotDrained) {
-		t.Errorf("a second undrain: %v", err)
+		t.Errorf("second undrain: error %v, want ErrNotDrained", err)
 	}
 	s.step()
 	s.requireList(allUp...)
 }
 
-// A registry that drops half of the fleet at once: endpoints that answer are retained; those that leave one by one go at
-// once; an authoritative source is followed.
+// If a registry drops half of the fleet or all of it at once, the endpoints that answer gateways are retained. An endpoint
+// that leaves alone is removed at once although it answers, and drops by an authoritative source are always applied.
 func TestMassDropRetainsAnsweringEndpoints(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
@@ -72,15 +73,15 @@
 	s.advance(3, allEndpoints...)
 	s.requireList(allUp...)
 	s.requireStates(map[policyapi.EndpointID]string{"a3": "held", "b1": "held", "b2": "held", "a1": "ready"})
-	s.report("eureka", allUp...) // it has recovered
+	s.report("eureka", allUp...) // the registry has recovered
 	s.requireList(allUp...)
-	s.report("eureka", "a1+", "a2+", "a3+", "b1+", "b2+") // one has left, and still answers
+	s.report("eureka", "a1+", "a2+", "a3+", "b1+", "b2+") // b3 has left and still answers
 	s.requireStates(map[policyapi.EndpointID]string{"b3": "gone"})
 	s.advance(30, allEndpoints...)
-	s.report("eureka") // no endpoint at all
+	s.report("eureka") // the response lists no endpoint
 	s.advance(3, allEndpoints...)
 	s.requireList("a1+", "a2+", "a3+", "b1+", "b2+")
-	// Endpoints that no longer answer are removed, retained or not.
+	// Retained endpoints are removed when they no longer answer.
 	s.advance(8, "a1", "b1")
 	s.requireList("a1+", "b1+")
 	f := newFixture(t)
@@ -90,8 +91,8 @@
 	f.requireList("a1+")
 }
 
-// An endpoint that left during a mass drop is removed as soon as the registry names the others again, though it still
-// answers.
+// An endpoint that leaves during a mass drop is removed as soon as the registry lists the others again, although it still
+// answers gateways.
 func TestLeftDuringMassDrop(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
@@ -99,12 +100,12 @@
 	s.report("eureka", "a1+", "a2+", "b3+")
 	s.advance(3, allEndpoints...)
 	s.requireList(allUp...)
-	s.report("eureka", "a1+", "a2+", "a3+", "b2+", "b3+") // b1 has left meanwhile
+	s.report("eureka", "a1+", "a2+", "a3+", "b2+", "b3+") // b1 has left in the meantime
 	s.requireList("a1+", "a2+", "a3+", "b2+", "b3+")
 	s.requireStates(map[policyapi.EndpointID]string{"b1": "gone"})
 }
 
-// Two endpoints dropped per poll are a mass drop, too.
+// A registry that drops two endpoints in each poll causes a mass drop, although no single poll drops enough of them.
 func TestGradualMassDrop(t *testing.T) {
 	s := newFixture(t)
 	var all []string
@@ -120,17 +121,17 @@
 		s.advance(1, endpoints...)
 	}
 	if len(s.list) < 7 {
-		t.Errorf("%d of 9 are left", len(s.list))
+		t.Errorf("%d of 9 endpoints are still listed, want at least 7", len(s.list))
 	}
 }
 
-// The registry is down from the start, then empty; the file alone has the fleet.
+// The file alone provides the fleet while the registry is down from the start and later returns no endpoints.
 func TestFileReplacesFailedRegistry(t *testing.T) {
 	s := newFixture(t)
 	s.membership.Apply(s.now, SourceUpdate{Source: "eureka", Error: "refused"})
 	s.step()
 	if s.lists != 0 {
-		t.Error("a list before any source has reported")
+		t.Error("a list is returned before any source has reported successfully")
 	}
 	s.report("file", "a1+", "b1+")
 	s.requireList("a1+", "b1+")
@@ -140,57 +141,58 @@
 	s.step()
 	s.requireList("a1+", "b1+")
 	if text := strings.Join(s.notes, "\n"); !strings.Contains(text, "poll failed: refused") || !strings.Contains(text, "polls succeed again") {
-		t.Error(text)
+		t.Errorf("notes are %q, want both the failed poll and the recovery", text)
 	}
 }
 
-// After a registry's restart re-registered endpoints do not warm up again; one that has really restarted does.
+// After a restart of the registry all endpoints register again with new start times. They must not go through slow start
+// again, unlike an endpoint that has really restarted.
 func TestRegistryRestartKeepsStartTimes(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
 	s.advance(5, allEndpoints...)
-	a := SourceUpdate{Source: "eureka"}
-	for _, n := range allUp {
-		c := observation(n)
-		c.StartedAt = s.now
-		a.Observations = append(a.Observations, c)
+	update := SourceUpdate{Source: "eureka"}
+	for _, endpoint := range allUp {
+		registered := observation(endpoint)
+		registered.StartedAt = s.now
+		update.Observations = append(update.Observations, registered)
 	}
-	s.membership.Apply(s.now, a)
+	s.membership.Apply(s.now, update)
 	s.step()
 	for _, id := range allEndpoints {
 		if at := s.startTime(id); at != 10*second {
-			t.Errorf("%s warms up since %d", id, at)
+			t.Errorf("start time of %s is %d after the registry's restart, want 10 s as before", id, at)
 		}
 	}
 	s.advance(5, allEndpoints...)
-	a.Observations = slices.Clone(a.Observations)
-	s.membership.Apply(s.now, a) // and the same again
-	a.Observations[2].StartedAt = s.now
-	s.membership.Apply(s.now, a)
+	update.Observations = slices.Clone(update.Observations)
+	s.membership.Apply(s.now, update) // the same response again
+	update.Observations[2].StartedAt = s.now
+	s.membership.Apply(s.now, update)
 	s.step()
 	if at := s.startTime("b1"); at != 10*second {
-		t.Errorf("the others warm up since %d", at)
+		t.Errorf("start time of b1 is %d after the restart of another endpoint, want 10 s as before", at)
 	}
 	if at := s.startTime("a3"); at != s.now {
-		t.Errorf("it restarted at %d and counts as started at %d", s.now, at)
+		t.Errorf("a3 restarted at %d, but its start time is %d", s.now, at)
 	}
-	a.Observations[1].Instance = "another"
+	update.Observations[1].Instance = "another"
 	s.advance(2)
-	s.membership.Apply(s.now, a)
+	s.membership.Apply(s.now, update)
 	s.step()
 	if at := s.startTime("a2"); at != s.now {
-		t.Errorf("another process under its address counts as started at %d, now %d", at, s.now)
+		t.Errorf("start time of a2 is %d after a new process took its address, want the current time %d", at, s.now)
 	}
-	a.Observations[0].StartedAt = s.now + 3600*second
-	s.membership.Apply(s.now, a)
+	update.Observations[0].StartedAt = s.now + 3600*second
+	s.membership.Apply(s.now, update)
 	s.step()
 	if at := s.startTime("a1"); at > s.now {
-		t.Errorf("it starts in an hour: %d", at)
+		t.Errorf("start time of a1 is %d, in the future", at)
 	}
 }
 
-// A lagging peer of the registry does not override newer observations, and of two instances with one address the later
-// one counts.
+// A peer of the registry that lags behind does not override newer observations. If two instances share an address, the one
+// that started later is used, in whichever order they are listed.
 func TestLaggingPeersAndDuplicateAddresses(t *testing.T) {
 	s := newFixture(t)
 	out := observation("a1o")
@@ -209,7 +211,7 @@
 		s.membership.Apply(s.now, SourceUpdate{Source: "eureka", Observations: instances})
 		s.step()
 		if at := s.startTime("b1"); at != s.now-second {
-			t.Errorf("the older instance counts: %d", at)
+			t.Errorf("start time of b1 is %d, want that of the younger instance", at)
 		}
 	}
 	bad := observation("a1+")
@@ -217,12 +219,12 @@
 	s.membership.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{bad, young}})
 	s.step()
 	if !strings.Contains(strings.Join(s.notes, "\n"), "elsewhere") {
-		t.Error("an unknown zone is not noted")
+		t.Error("no note names the unknown zone")
 	}
 }
 
-// An endpoint that goes up and down is excluded for longer each time and warms up afterwards; the list changes a few
-// times in ten minutes, not a hundred.
+// An endpoint that repeatedly goes up and down is excluded for longer each time and goes through slow start afterwards.
+// Without the exclusion the list would change 120 times in ten minutes.
 func TestFlappingIsDamped(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
@@ -241,19 +243,19 @@
 			excluded = 0
 		}
 	}
-	t.Logf("%d lists in ten minutes, 120 without damping; excluded for %d s at most", s.lists-before, 5*longest)
+	t.Logf("%d changed lists in ten minutes, 120 without damping; longest exclusion %d s", s.lists-before, 5*longest)
 	if n := s.lists - before; n > 24 || longest < 12 {
-		t.Errorf("%d lists in ten minutes, excluded for %d s at most", n, 5*longest)
+		t.Errorf("%d changed lists in ten minutes, want at most 24; longest exclusion %d s, want at least 60 s", n, 5*longest)
 	}
 	s.report("eureka", allUp...)
 	s.advance(400, allEndpoints...)
 	s.requireList(allUp...)
 	if at := s.startTime("a1"); at < 1000*second {
-		t.Errorf("it does not warm up: %d", at)
+		t.Errorf("start time of a1 is %d after its exclusion, want at least 1000 s", at)
 	}
 }
 
-// A zone is not without endpoints while some there answer, unless an authoritative source or an operator wants it so.
+// A zone keeps an endpoint that answers gateways, although the registry has dropped it, until an operator drains it.
 func TestZoneIsNeverEmptyWhileEndpointsAnswer(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", "a1+", "b1+")
@@ -282,27 +284,28 @@
 			evidence = append(evidence, o.Source+": "+o.Text)
 		}
 		if want := "eureka: out of service, file: up, gateways: answered"; d.Endpoint == "a1" && (strings.Join(evidence, ", ") != want || d.StateName != "draining" || d.Since == 0) {
-			t.Errorf("%v, %s since %d", evidence, d.StateName, d.Since)
+			t.Errorf("evidence %v, state %s since %d; want evidence of all three sources, state draining and a time",
+				evidence, d.StateName, d.Since)
 		}
 	}
 }
 
-// Of a thousand endpoints 300 flap together for ten minutes: the others stay listed, and the list rarely changes.
-func TestFlappingHallOfThousandEndpoints(t *testing.T) {
+// While 300 of a thousand endpoints flap together for ten minutes, the others stay listed and the list rarely changes.
+func TestManyEndpointsFlapTogether(t *testing.T) {
 	s := newFixture(t)
 	var up, down []string
-	var steady, hall []policyapi.EndpointID
+	var steady, flapping []policyapi.EndpointID
 	for i := range 1000 {
 		name := fmt.Sprintf("%c%d", "ab"[i%2], i)
 		up = append(up, name+"+")
 		if i%2 == 1 && i < 600 {
-			hall, down = append(hall, policyapi.EndpointID(name)), append(down, name+"-")
+			flapping, down = append(flapping, policyapi.EndpointID(name)), append(down, name+"-")
 		} else {
 			steady, down = append(steady, policyapi.EndpointID(name)), append(down, name+"+")
 		}
 	}
 	s.report("eureka", up...)
-	s.advance(5, append(slices.Clone(steady), hall...)...)
+	s.advance(5, append(slices.Clone(steady), flapping...)...)
 	before := s.lists
 	for i := range 60 {
 		if i%2 == 0 {
@@ -321,18 +324,19 @@
 		}
 		for _, id := range steady {
 			if !listed[id] {
-				t.Fatalf("%s, which is up, is not listed in round %d", id, i)
+				t.Fatalf("endpoint %s is up but not in the list in round %d", id, i)
 			}
 		}
 	}
 	if n := s.lists - before; n > 20 {
-		t.Errorf("%d lists in ten minutes, 60 without damping", n)
+		t.Errorf("%d changed lists in ten minutes, want at most 20 (60 without damping)", n)
 	} else {
-		t.Logf("%d lists in ten minutes, 60 without damping", n)
+		t.Logf("%d changed lists in ten minutes, 60 without damping", n)
 	}
 }
 
-// A registry in self-preservation has a dead endpoint up: by its own clock the lease has expired, and it answers no gateway.
+// A registry in self-preservation lists a failed endpoint as up. Its lease has expired by the registry's clock, and it answers
+// no gateway, so it is not listed.
 func TestExpiredLease(t *testing.T) {
 	s := newFixture(t)
 	dead, alive := observation("a1+"), observation("a2+")
@@ -341,7 +345,7 @@
 	s.membership.Apply(s.now, SourceUpdate{Source: "eureka", Observations: []Observation{dead, alive}})
 	s.step()
 	s.requireList("a2+")
-	s.membership.ReportTraffic(s.now, "a1", 3, 0) // it answers after all
+	s.membership.ReportTraffic(s.now, "a1", 3, 0) // it answers in spite of its expired lease
 	s.step()
 	s.requireList("a1+", "a2+")
 }
--- a/membership/notes.go
+++ b/membership/notes.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// note adds a line for the log.
+// note adds a line to the notes that the next Step returns for the log.
 func (m *Membership) note(format string, args ...any) {
 	m.notes = append(m.notes, fmt.Sprintf(format, args...))
 }
@@ -20,10 +20,10 @@
 	reason   string
 }
 
-// namedEndpoints is how many endpoints a note about many of them names.
-const namedEndpoints = 3
+// maxNamedEndpoints is the maximum number of endpoints that a note about several endpoints names.
+const maxNamedEndpoints = 3
 
-// noteTransitions notes this step's transitions; equal ones of several endpoints share a line.
+// noteTransitions adds notes for the transitions of the current step. Equal transitions of several endpoints share a note.
 func (m *Membership) noteTransitions() {
 	for len(m.transitions) > 0 {
 		first := m.transitions[0]
@@ -35,8 +35,8 @@
 			}
 			return same
 		})
-		subject := strings.Join(names[:min(namedEndpoints, len(names))], ", ")
-		if len(names) > namedEndpoints {
+		subject := strings.Join(names[:min(maxNamedEndpoints, len(names))], ", ")
+		if len(names) > maxNamedEndpoints {
 			subject = fmt.Sprintf("%d endpoints (%s, ...)", len(names), subject)
 		}
 		m.note("%s: %s, was %s: %s", subject, first.to, first.from, first.reason)
