--- a/loadreport/comparison_test.go
+++ b/loadreport/comparison_test.go
@@ -7,160 +7,166 @@
 	"porthub/policyapi"
 )
 
-// The storm of reports, eight times what can be taken.
+// The compared load: gateways send eight times the lines that can be processed.
 const (
-	stormGateways       = 2000
-	stormEndpoints      = 100
-	stormLinesPerReport = 10
-	stormMaxLines       = 2500.0
-	stormRounds         = 60
-	stormWarmUpRounds   = 5  // not measured
-	stormChangeRound    = 30 // the load of one endpoint doubles and another one fails
-	growingEndpoint     = 7
-	failingEndpoint     = 13
+	overloadGateways       = 2000
+	overloadEndpoints      = 100
+	overloadLinesPerReport = 10
+	overloadMaxLines       = 2500.0
+	overloadRounds         = 60
+	overloadWarmUpRounds   = 5  // rounds at the start that are not measured
+	overloadChangeRound    = 30 // round in which the load of growingEndpoint doubles and failingEndpoint fails
+	growingEndpoint        = 7
+	failingEndpoint        = 13
 )
 
-// stormRule is how reports are taken.
-type stormRule int
+// acceptancePolicy selects the lines that are processed.
+type acceptancePolicy int
 
 const (
-	takeAll         stormRule = iota // all lines, at eight times the limit
-	takeOldestFirst                  // the oldest reports first, from a bounded queue
-	takeSampled
+	acceptAll         acceptancePolicy = iota // process all lines, eight times the limit
+	acceptOldestFirst                         // process the oldest reports of a bounded queue up to the limit
+	acceptSampled                             // process the lines that a Sampler selects
 )
 
-// stormReport is a gateway's report.
-type stormReport struct {
+// gatewayReport is a gateway's report.
+type gatewayReport struct {
 	name  string
 	lines []EndpointLine
 }
 
-// stormOutcome is how well a rule does.
-type stormOutcome struct {
-	err      float64 // mean relative error of an endpoint's attempts
-	learned  int     // rounds until half of the failing endpoint's failures are known
-	followed int     // rounds until the doubled load is known within a fifth
-	lines    float64 // taken per round
+// overloadOutcome is the measured result of a run under one policy.
+type overloadOutcome struct {
+	meanError         float64 // mean relative error of the estimated attempts at an endpoint
+	failureDetectedIn int     // rounds until the estimate shows half of the failures of failingEndpoint
+	growthDetectedIn  int     // rounds until the estimate of growingEndpoint is within a fifth of its doubled load
+	linesPerRound     float64 // accepted lines
 }
 
-// stormRound has the reports of one round, in random order, and the true loads.
-type stormRound struct {
-	reports  []stormReport
+// overloadRound has the reports of one round, in random order, and the true load.
+type overloadRound struct {
+	reports  []gatewayReport
 	attempts map[policyapi.EndpointID]float64
-	failures float64 // of the failing endpoint
+	failures float64 // at failingEndpoint
 }
 
-// storm is a run under one rule.
-type storm struct {
-	rule    stormRule
-	fleet   *fleet
-	sampler *Sampler
-	waiting []stormReport // under takeOldestFirst
-	cases   int
-	outcome stormOutcome
+// overloadRun is a run under one policy.
+type overloadRun struct {
+	policy    acceptancePolicy
+	fleet     *fleet
+	sampler   *Sampler
+	queue     []gatewayReport // reports that acceptOldestFirst has not processed yet
+	estimates int             // compared with the true load
+	outcome   overloadOutcome
 }
 
-func newStorm(rule stormRule) *storm {
+func newOverloadRun(policy acceptancePolicy) *overloadRun {
 	settings := Settings{Period: second}
-	if rule == takeSampled {
-		settings.MaxLinesPerSecond = stormMaxLines
+	if policy == acceptSampled {
+		settings.MaxLinesPerSecond = overloadMaxLines
 	}
-	return &storm{
-		rule:    rule,
-		fleet:   newFleet(stormGateways, stormEndpoints),
+	return &overloadRun{
+		policy:  policy,
+		fleet:   newFleet(overloadGateways, overloadEndpoints),
 		sampler: New(settings),
-		outcome: stormOutcome{learned: stormRounds, followed: stormRounds},
+		outcome: overloadOutcome{failureDetectedIn: overloadRounds, growthDetectedIn: overloadRounds},
 	}
 }
 
-func (s *storm) run() stormOutcome {
-	for r := range stormRounds {
+func (s *overloadRun) run() overloadOutcome {
+	for r := range overloadRounds {
 		now := policyapi.Microseconds(r+1) * second
-		if r == stormChangeRound {
+		if r == overloadChangeRound {
 			s.fleet.meanAttempts[growingEndpoint] *= 2
 		}
 		round := s.drawRound(r)
-		s.take(now, r, s.choose(round.reports))
+		s.process(now, r, s.selectReports(round.reports))
 		s.sampler.EndRound(now)
-		if r >= stormWarmUpRounds {
+		if r >= overloadWarmUpRounds {
 			s.measure(now, r, round)
 		}
 	}
-	s.outcome.err /= float64(s.cases)
+	s.outcome.meanError /= float64(s.estimates)
 	return s.outcome
 }
 
-func (s *storm) drawRound(r int) stormRound {
-	round := stormRound{attempts: map[policyapi.EndpointID]float64{}}
+// drawRound draws random reports of all gateways.
+func (s *overloadRun) drawRound(r int) overloadRound {
+	round := overloadRound{attempts: map[policyapi.EndpointID]float64{}}
 	rng := s.fleet.rng
 	for g, name := range s.fleet.names {
-		next := stormReport{name: name}
-		for i := range stormLinesPerReport {
-			index := (g*7 + i*i + i) % stormEndpoints
+		report := gatewayReport{name: name}
+		for i := range overloadLinesPerReport {
+			index := (g*7 + i*i + i) % overloadEndpoints
 			line := EndpointLine{Endpoint: s.fleet.endpoints[index], Attempts: int(s.fleet.meanAttempts[index]*2*rng.Float64()) + 1}
-			if index == failingEndpoint && r >= stormChangeRound {
+			if index == failingEndpoint && r >= overloadChangeRound {
 				line.Failures = line.Attempts
 				round.failures += float64(line.Attempts)
 			}
-			next.lines = append(next.lines, line)
+			report.lines = append(report.lines, line)
 			round.attempts[line.Endpoint] += float64(line.Attempts)
 		}
-		round.reports = append(round.reports, next)
+		round.reports = append(round.reports, report)
 	}
 	rng.Shuffle(len(round.reports), func(i, j int) { round.reports[i], round.reports[j] = round.reports[j], round.reports[i] })
 	return round
 }
 
-// choose returns the reports that are processed in this round.
-func (s *storm) choose(arrived []stormReport) []stormReport {
-	if s.rule != takeOldestFirst {
+// selectReports returns the reports that are processed in this round.
+func (s *overloadRun) selectReports(arrived []gatewayReport) []gatewayReport {
+	if s.policy != acceptOldestFirst {
 		return arrived
 	}
-	s.waiting = append(s.waiting, arrived...)
-	if maxWaiting := int(20 * stormMaxLines / stormLinesPerReport); len(s.waiting) > maxWaiting {
-		s.waiting = s.waiting[:maxWaiting] // the queue is full
+	s.queue = append(s.queue, arrived...)
+	if maxQueued := int(20 * overloadMaxLines / overloadLinesPerReport); len(s.queue) > maxQueued {
+		s.queue = s.queue[:maxQueued]
 	}
-	count := min(len(s.waiting), int(stormMaxLines/stormLinesPerReport))
-	chosen := s.waiting[:count]
-	s.waiting = s.waiting[count:]
-	return chosen
+	count := min(len(s.queue), int(overloadMaxLines/overloadLinesPerReport))
+	selected := s.queue[:count]
+	s.queue = s.queue[count:]
+	return selected
 }
 
-func (s *storm) take(now policyapi.Microseconds, r int, reports []stormReport) {
-	for _, next := range reports {
-		decision := s.sampler.Decide(now, next.name, stormLinesPerReport, 30, second)
-		for _, line := range next.lines {
-			if _, ok := s.sampler.Sample(decision, line); ok && r >= stormWarmUpRounds {
-				s.outcome.lines += 1.0 / (stormRounds - stormWarmUpRounds)
+// process passes the reports of a round to the sampler.
+func (s *overloadRun) process(now policyapi.Microseconds, r int, reports []gatewayReport) {
+	for _, report := range reports {
+		decision := s.sampler.Decide(now, report.name, overloadLinesPerReport, 30, second)
+		for _, line := range report.lines {
+			if _, ok := s.sampler.Sample(decision, line); ok && r >= overloadWarmUpRounds {
+				s.outcome.linesPerRound += 1.0 / (overloadRounds - overloadWarmUpRounds)
 			}
 		}
 	}
 }
 
-func (s *storm) measure(now policyapi.Microseconds, r int, round stormRound) {
+// measure compares the estimates with the true load of a round.
+func (s *overloadRun) measure(now policyapi.Microseconds, r int, round overloadRound) {
 	for id, want := range round.attempts {
 		got, _ := s.sampler.Estimate(now, id)
-		s.outcome.err += math.Abs(got.Attempts-want) / want
-		s.cases++
+		s.outcome.meanError += math.Abs(got.Attempts-want) / want
+		s.estimates++
 	}
-	if r < stormChangeRound {
+	if r < overloadChangeRound {
 		return
 	}
 	if got, _ := s.sampler.Estimate(now, s.fleet.endpoints[failingEndpoint]); got.Failures > round.failures/2 {
-		s.outcome.learned = min(s.outcome.learned, r-stormChangeRound)
+		s.outcome.failureDetectedIn = min(s.outcome.failureDetectedIn, r-overloadChangeRound)
 	}
 	growing := s.fleet.endpoints[growingEndpoint]
 	want := round.attempts[growing]
 	if got, _ := s.sampler.Estimate(now, growing); math.Abs(got.Attempts-want) < want/5 {
-		s.outcome.followed = min(s.outcome.followed, r-stormChangeRound)
+		s.outcome.growthDetectedIn = min(s.outcome.growthDetectedIn, r-overloadChangeRound)
 	}
 }
 
-// Sampling detects a failure at once where a queue of reports, the oldest first, delays it, with errors that are not worse.
+// With eight times the load that can be processed, sampling shows a failure in the round in which it happens, while a queue
+// of the oldest reports delays it by many rounds. The errors of the sampled estimates are at most a quarter larger.
 func TestSamplingAgainstOldestFirst(t *testing.T) {
-	all, oldest, sampling := newStorm(takeAll).run(), newStorm(takeOldestFirst).run(), newStorm(takeSampled).run()
+	all, oldest, sampling := newOverloadRun(acceptAll).run(), newOverloadRun(acceptOldestFirst).run(), newOverloadRun(acceptSampled).run()
 	t.Logf("all %+v, oldest first %+v, sampling %+v", all, oldest, sampling)
-	if sampling.learned > 0 || oldest.learned < 10 || sampling.lines > stormMaxLines || sampling.err > 1.25*oldest.err {
-		t.Error("sampling does not detect the failure sooner, or its estimates are worse")
+	if sampling.failureDetectedIn > 0 || oldest.failureDetectedIn < 10 || sampling.linesPerRound > overloadMaxLines ||
+		sampling.meanError > 1.25*oldest.meanError {
+		t.Error("want sampling to detect the failure in its round, at least 10 rounds before oldest first, within the limit of lines " +
+			"and with errors at most a quarter larger")
 	}
 }
--- a/loadreport/doc.go
+++ b/loadreport/doc.go
@@ -1,20 +1,20 @@
-// Package loadreport decides how much of the gateways' load reports is taken when more comes than can be processed, so that
-// the estimates made from the rest are unbiased and their error is known.
+// Package loadreport samples the gateways' load reports when more of them arrive than can be processed, such that the load
+// estimates made from the accepted part are unbiased and have a known error.
 //
-// A report has two parts. The demand at the gateway, a few figures, is always taken. What the gateway observed at endpoints,
-// one line per endpoint and request class, is most of the work. Lines that signal a failing endpoint are always taken;
-// the routine ones are sampled: those of a gateway are taken in a fraction p of its reports, by a rotation that each
-// gateway enters at a place of its own. So every gateway is sampled at least once in 1/p reports, and a line that is
-// taken counts for 1/p lines.
+// A report has two parts. The demand at the gateway consists of a few figures and is always accepted. The gateway's
+// observations at endpoints, one line per endpoint and request class, cause most of the work. Lines that signal a failing
+// endpoint are always accepted. Routine lines are sampled: the lines of a gateway are accepted in a fraction p of its reports,
+// selected by a rotation in which each gateway has its own phase. Every gateway is thus sampled at least once in 1/p reports,
+// and an accepted line counts for 1/p lines.
 //
 // Reports that are late, lost or requested less often are missing from a round. The estimate of an endpoint is therefore
-// the mean over the reports that came, times the number of reporting gateways; how many did not report goes into the
-// error.
+// the mean over the received reports, multiplied by the number of connected gateways. The number of missing reports goes
+// into the error of the estimate.
 //
-// The package is pure: times are passed in, and the rotation comes from hashes. docs/intake.md gives the reasons for the
-// rules and the measured errors.
+// The package does no I/O and reads no clock: times are passed in, and the rotation is derived from hashes. docs/intake.md
+// gives the reasons for the rules and the measured errors.
 //
-// A [Sampler] has the state. For each report call [Sampler.Decide], then [Sampler.Sample] for each line; once a period call
-// [Sampler.EndRound], after which [Sampler.Estimate] has the new estimates. A Sampler is not safe for concurrent use. Times
-// are microseconds, rates are per second.
+// A [Sampler] holds the state. Call [Sampler.Decide] for each report, then [Sampler.Sample] for each of its lines. Call
+// [Sampler.EndRound] once a period; [Sampler.Estimate] then returns the new estimates. A Sampler is not safe for concurrent
+// use. Times are in microseconds, and rates are per second.
 package loadreport
--- a/loadreport/round.go
+++ b/loadreport/round.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// minFraction is the least part of routine lines that is taken: a gateway is sampled every 32nd report at worst.
-	minFraction = 1.0 / 32
-	// plannedLoad is the part of the limit that is planned for.
-	plannedLoad = 0.9
-	// fractionGrowth is by how much the fraction may grow per round; it falls at once.
+	// minSampledFraction is the minimum fraction of routine lines that is accepted: each gateway is sampled at least once in
+	// 32 of its reports.
+	minSampledFraction = 1.0 / 32
+	// plannedLoadFraction is the fraction of MaxLinesPerSecond up to which lines are planned to be accepted.
+	plannedLoadFraction = 0.9
+	// fractionGrowth is the maximum factor by which the sampled fraction grows per round. It falls without a limit.
 	fractionGrowth = 1.25
-	// intervalHysteresis is by how much the fraction must exceed a step's before the interval gets shorter again.
+	// intervalHysteresis is the factor by which the fraction must exceed the threshold of an interval step before the
+	// interval gets shorter again.
 	intervalHysteresis = 1.25
 )
 
-// EndRound ends a round: it makes the estimates from what was taken and plans the fraction for the next round from what
-// came. It returns the names of the gateways that have gone silent since the last round, in order.
+// EndRound ends a round: it makes estimates from the accepted lines and plans the sampled fraction of the next round from the
+// received ones. It returns the names of the gateways that have gone silent since the last round, sorted.
 func (s *Sampler) EndRound(now policyapi.Microseconds) (silent []string) {
 	seconds := float64(now-s.round.startedAt) / microsecondsPerSecond
 	if seconds <= 0 {
@@ -44,7 +46,8 @@
 	return silent
 }
 
-// countGateways counts the connected gateways and returns those that have gone silent, in order.
+// countGateways counts the reporting and the silent gateways among the connected ones. It returns the names of those that
+// have newly gone silent, sorted.
 func (s *Sampler) countGateways(now policyapi.Microseconds) (silent []string) {
 	s.stats.Reporting = 0
 	s.stats.Silent = 0
@@ -67,16 +70,16 @@
 	return silent
 }
 
-// connectedGateways returns the number of connected gateways. Those that have gone silent go on sending requests: they
-// count as the mean of the others, and in the error.
+// connectedGateways returns the number of connected gateways, including silent ones. A silent gateway continues to send
+// requests to endpoints: estimates assume the mean of the others for it, and their errors account for it.
 func (s *Sampler) connectedGateways() float64 { return float64(s.stats.Reporting + s.stats.Silent) }
 
-// planFraction sets the fraction of routine lines so that they fit into the limit together with the health signals.
+// planFraction sets the sampled fraction such that routine lines and health signals together stay within the planned load.
 func (s *Sampler) planFraction(seconds float64) {
-	capacity := max(0, plannedLoad*s.settings.MaxLinesPerSecond*seconds-s.round.healthSignals)
+	capacity := max(0, plannedLoadFraction*s.settings.MaxLinesPerSecond*seconds-s.round.healthSignals)
 	fraction := 1.0
 	if routine := s.round.offeredLines - s.round.healthSignals; routine > capacity {
-		fraction = max(minFraction, capacity/routine)
+		fraction = max(minSampledFraction, capacity/routine)
 	}
 	if fraction < s.fraction {
 		s.fraction = fraction
@@ -85,24 +88,24 @@
 	s.fraction = min(fraction, s.fraction*fractionGrowth)
 }
 
-// planInterval sets the interval factor by what would come if all gateways reported once a period: by what does come, a
-// longer interval would end as soon as it has helped.
+// planInterval sets the interval factor by the number of lines that would arrive if all gateways reported once a period. If
+// it used the number that does arrive, a longer interval would end as soon as it has reduced the load.
 func (s *Sampler) planInterval() {
 	reports := float64(max(1, s.round.reports))
 	offered := s.round.offeredLines / reports * float64(s.stats.Reporting) * microsecondsPerSecond / float64(max(1, s.settings.Period))
 	if offered > 0 {
-		s.intervalFactor = nextIntervalFactor(s.intervalFactor, plannedLoad*s.settings.MaxLinesPerSecond/offered)
+		s.intervalFactor = nextIntervalFactor(s.intervalFactor, plannedLoadFraction*s.settings.MaxLinesPerSecond/offered)
 	}
 }
 
-// intervalSteps are the interval factors by the fraction of lines below which they apply.
+// intervalSteps has the interval factors, each with the fraction of accepted lines below which it applies.
 var intervalSteps = [...]struct {
 	below  float64
 	factor int
 }{{0.15, 4}, {0.4, 2}}
 
-// nextIntervalFactor returns the factor by the fraction of lines that can be taken if all gateways report once a period.
-// It rises at once and falls with hysteresis, so that it does not oscillate.
+// nextIntervalFactor returns the interval factor for the fraction of lines that can be accepted if all gateways report once a
+// period. The factor rises at once and falls with hysteresis, which prevents oscillation.
 func nextIntervalFactor(current int, fraction float64) int {
 	for _, step := range intervalSteps {
 		if fraction < step.below || current >= step.factor && fraction < intervalHysteresis*step.below {
--- a/loadreport/sampler.go
+++ b/loadreport/sampler.go
@@ -2,39 +2,39 @@
 
 import "porthub/policyapi"
 
-// microsecondsPerSecond converts times to seconds.
+// microsecondsPerSecond converts between microseconds and seconds.
 const microsecondsPerSecond = 1e6
 
-// A line signals a failing endpoint if all of its attempts fail, or signalFailures and signalFraction of them do.
+// A line signals a failing endpoint if all of its attempts have failed, or if at least minSignalFailures attempts and a
+// fraction of at least minSignalFraction of them have.
 const (
-	signalFailures = 2
-	signalFraction = 0.2
+	minSignalFailures = 2
+	minSignalFraction = 0.2
 )
 
-// Settings are the settings of a Sampler.
+// Settings configure a Sampler.
 type Settings struct {
-	MaxLinesPerSecond float64                // that may be taken; 0: no limit
-	Period            policyapi.Microseconds // of reports
-	Seed              uint64                 // of the rotation
+	MaxLinesPerSecond float64                // maximum rate of accepted lines; 0 means no limit
+	Period            policyapi.Microseconds // normal interval between the reports of a gateway
+	Seed              uint64                 // seed of the hash that gives each gateway its phase in the rotation
 }
 
-// EndpointLine is what a gateway observed at an endpoint for one request class.
+// EndpointLine has the counts of a gateway's attempts at an endpoint for one request class.
 type EndpointLine struct {
 	Endpoint policyapi.EndpointID
 	Attempts int
 	Failures int
 }
 
-// SamplingDecision is how the lines of one report are taken.
+// SamplingDecision is the decision how the lines of one report are sampled.
 type SamplingDecision struct {
-	// IncludeRoutine reports whether routine lines are taken; each counts for Weight of them.
-	IncludeRoutine bool
-	Weight         float64
-	// TrustedFraction is the part of the report's counts that is trusted: below 1 for a gateway that suddenly reports
-	// many times its usual demand.
+	IncludeRoutine bool    // routine lines are accepted
+	Weight         float64 // number of lines that an accepted routine line counts for
+	// TrustedFraction is the fraction of the report's counts that is trusted. It is below 1 for a gateway that suddenly
+	// reports many times its usual demand.
 	TrustedFraction float64
 
-	seconds float64 // that the report covers
+	seconds float64 // interval that the report covers
 }
 
 // Stats holds counters since the start and figures of the last round.
@@ -52,13 +52,13 @@
 	ReportsPerGateway float64 `json:"heard"`   // reports of the last round divided by the number of connected gateways
 }
 
-// Sampler samples the lines of reports and estimates the load of endpoints from them, round by round. Its memory is
-// bounded by the gateways and endpoints that it has seen. It is not safe for concurrent use.
+// Sampler samples the lines of reports and estimates the load of endpoints from them, round by round. Its memory grows with
+// the number of gateways and endpoints that it has seen. It is not safe for concurrent use.
 type Sampler struct {
 	settings       Settings
-	fraction       float64 // of routine lines that is taken
-	intervalFactor int
-	meanDemand     float64 // requests per second of a gateway, the mean of the last round
+	fraction       float64 // fraction of routine lines that is accepted
+	intervalFactor int     // number of periods between the reports of a gateway
+	meanDemand     float64 // mean requests per second of a gateway in the last round
 	gateways       map[string]*gateway
 	endpoints      map[policyapi.EndpointID]*endpointRound
 	roundNumber    uint64
@@ -68,17 +68,17 @@
 
 // roundTotals sums the reports of one round.
 type roundTotals struct {
-	startedAt      policyapi.Microseconds // 0: no report has ever come
-	offeredLines   float64
-	healthSignals  float64 // lines
+	startedAt      policyapi.Microseconds // 0 until the first report ever
+	offeredLines   float64                // received lines, accepted or not
+	healthSignals  float64                // lines accepted as health signals
 	reports        int
-	squaredReports float64 // sum over the gateways of their number of reports, squared
-	coveredSeconds float64 // sum over the reports
-	trustedReports int
-	trustedDemand  float64 // sum over the trusted reports, requests per second
+	squaredReports float64 // sum over the gateways of the square of their number of reports
+	coveredSeconds float64 // sum of the intervals that the reports cover
+	trustedReports int     // reports that are fully trusted
+	trustedDemand  float64 // sum of the demand in these reports, in requests per second
 }
 
-// New returns a Sampler that takes all lines until more come than its settings allow.
+// New returns a Sampler that accepts all lines until more of them arrive than its settings allow.
 func New(settings Settings) *Sampler {
 	return &Sampler{
 		settings:       settings,
@@ -100,14 +100,15 @@
 	return g
 }
 
-// Decide decides on a report of a gateway with so many lines and so many requests that arrived in the interval.
+// Decide decides how to sample a gateway's report. The report has the given number of lines, and the given number of requests
+// arrived at the gateway in the interval that it covers.
 func (s *Sampler) Decide(now policyapi.Microseconds, name string, lines, arrived int, interval policyapi.Microseconds) SamplingDecision {
 	seconds := float64(max(1, interval)) / microsecondsPerSecond
 	g := s.gateway(name)
 	s.countReport(now, g, lines, seconds)
 
 	rate := float64(arrived) / seconds
-	trusted := g.trust(rate, surgeFactor*max(g.demand, s.meanDemand))
+	trusted := g.trustedFraction(rate, surgeFactor*max(g.demand, s.meanDemand))
 	if trusted < 1 {
 		s.stats.CappedReports++
 	}
@@ -143,16 +144,16 @@
 	s.stats.Lines += int64(lines)
 }
 
-// IsHealthSignal reports whether a line signals a failing endpoint and is always taken.
+// IsHealthSignal reports whether a line signals a failing endpoint. Such lines are always accepted.
 func IsHealthSignal(line EndpointLine) bool {
-	if line.Failures >= signalFailures && float64(line.Failures) >= signalFraction*float64(line.Attempts) {
+	if line.Failures >= minSignalFailures && float64(line.Failures) >= minSignalFraction*float64(line.Attempts) {
 		return true
 	}
 	return line.Failures > 0 && line.Failures == line.Attempts
 }
 
-// Sample reports whether a line of a report is taken and for how many lines it counts.
-func (s *Sampler) Sample(decision SamplingDecision, line EndpointLine) (weight float64, taken bool) {
+// Sample reports whether a line of a report is accepted, and how many lines it then counts for.
+func (s *Sampler) Sample(decision SamplingDecision, line EndpointLine) (weight float64, accepted bool) {
 	signal := IsHealthSignal(line)
 	if !signal && !decision.IncludeRoutine {
 		return 0, false
@@ -174,7 +175,7 @@
 	return weight, true
 }
 
-// AddMetrics adds an endpoint's own utilization and queue length as a line that was taken carries them.
+// AddMetrics adds the utilization and queue length that an endpoint reports about itself, from a line that was accepted.
 func (s *Sampler) AddMetrics(id policyapi.EndpointID, utilization, queue float64) {
 	if e := s.endpoints[id]; e != nil {
 		e.utilization.add(utilization)
@@ -182,7 +183,7 @@
 	}
 }
 
-// GatewayDisconnected records that a gateway has disconnected: it counts again once it reports again.
+// GatewayDisconnected records that a gateway has disconnected. Its next report marks it as connected again.
 func (s *Sampler) GatewayDisconnected(name string) {
 	if g := s.gateways[name]; g != nil {
 		g.connected = false
@@ -192,7 +193,7 @@
 // RemoveEndpoint discards the estimate of an endpoint.
 func (s *Sampler) RemoveEndpoint(id policyapi.EndpointID) { delete(s.endpoints, id) }
 
-// IntervalFactor returns how many periods gateways should wait between reports, so that what they send can be taken.
+// IntervalFactor returns how many periods gateways should wait between reports, so that their lines can be accepted.
 func (s *Sampler) IntervalFactor() int { return s.intervalFactor }
 
 // Stats returns the counters.
