--- a/registry/eureka/cache.go
+++ b/registry/eureka/cache.go
@@ -7,27 +7,29 @@
 	"strings"
 )
 
-// maxRemoved bounds the memory for removed instances.
+// maxRemoved is the number of removed instances at which their record is cleared to bound its memory.
 const maxRemoved = 20000
 
-// actionDeleted marks an instance of a delta that left the registry.
+// actionDeleted is the action of an instance that a delta removes from the registry.
 const actionDeleted = "DELETED"
 
-// Cache is the known state of a registry: the last snapshot with the deltas since. The zero value is empty.
+// Cache holds the known state of a registry: the last snapshot with the deltas applied since. The zero value is empty.
 type Cache struct {
-	instances map[string]Instance // by application and ID
-	removed   map[string]int64    // when removed instances last changed, in milliseconds
-	complete  bool                // deltas may be applied
+	instances map[string]Instance // by Instance.key
+	removed   map[string]int64    // Instance.changedAt of removed instances, by Instance.key
+	complete  bool                // instances has the state of a snapshot to which deltas can be applied
 }
 
-// changedAt is when an instance last changed as the registry reports it, in milliseconds since 1970.
+// changedAt returns the latest time at which the registry reports a change of the instance, in milliseconds since 1970.
 func (i Instance) changedAt() int64 {
 	return max(i.DirtyAt, i.UpdatedAt, i.RegisteredAt, i.ServiceUpAt)
 }
 
+// key returns the key of an instance in a Cache: its application and ID.
 func (i Instance) key() string { return i.App + "/" + i.ID }
 
-// StatusHash is the hash by which deltas are verified: each status with its count, sorted by status.
+// StatusHash returns the hash with which a registry lets clients verify deltas: each status with the number of its instances,
+// sorted by status.
 func StatusHash(instances []Instance) string {
 	counts := map[string]int{}
 	for _, instance := range instances {
@@ -40,7 +42,7 @@
 	return hash.String()
 }
 
-// ApplySnapshot replaces the state.
+// ApplySnapshot replaces the state by a snapshot.
 func (c *Cache) ApplySnapshot(snapshot Applications) {
 	before := c.instances
 	c.instances = map[string]Instance{}
@@ -52,8 +54,8 @@
 	c.recordRemovals(before)
 }
 
-// ApplyDelta applies a delta. It reports false, and leaves the state unchanged, if the result does not have the registry's
-// hash or there is no snapshot: then a snapshot has to be fetched.
+// ApplyDelta applies a delta and reports whether it did so. It returns false and keeps the instances unchanged if no snapshot
+// has been applied or the result does not have the registry's hash; a snapshot must then be fetched.
 func (c *Cache) ApplyDelta(delta Applications) bool {
 	if !c.complete {
 		return false
@@ -75,13 +77,13 @@
 	return true
 }
 
-// applyInstance applies one instance of a delta. The hash covers only the counts of statuses: a stale delta can bring a
-// removed instance back as it was, and have the right hash when another one was added. So an instance comes back only if
-// it changed after it was removed.
+// applyInstance applies one instance of a delta. The hash covers only the counts of statuses: a stale delta can restore a
+// removed instance in its old state and still have the right hash if another instance was added. Therefore a removed instance
+// is restored only if it has changed since.
 func (c *Cache) applyInstance(next map[string]Instance, instance Instance) {
 	key := instance.key()
 	if current, ok := next[key]; ok && current.DirtyAt > instance.DirtyAt && instance.Action != actionDeleted {
-		return // deltas overlap: this is an older state
+		return // deltas overlap, and this one has an older state of the instance
 	}
 	if removedAt, ok := c.removed[key]; ok && instance.changedAt() <= removedAt {
 		return
@@ -94,7 +96,7 @@
 	next[key] = instance
 }
 
-// recordRemovals records the instances of an earlier state that have been removed.
+// recordRemovals records the instances that have been removed since an earlier state.
 func (c *Cache) recordRemovals(before map[string]Instance) {
 	for key, instance := range before {
 		if _, ok := c.instances[key]; !ok {
@@ -110,7 +112,7 @@
 	c.removed[key] = changedAt
 }
 
-// Instances returns the state, sorted by application and ID.
+// Instances returns all instances, sorted by application and ID.
 func (c *Cache) Instances() (instances []Instance) {
 	for _, key := range slices.Sorted(maps.Keys(c.instances)) {
 		instances = append(instances, c.instances[key])
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -19,41 +19,43 @@
 
 const (
 	maxBackoff = 30 * time.Second
-	// maxBackoffDoublings bounds the growth of the backoff in poll intervals.
+	// maxBackoffDoublings is how often the backoff is doubled at most. It starts with one poll interval.
 	maxBackoffDoublings = 5
-	// jitterDivisor is the part of the poll interval by which polls of several coordinators drift apart.
+	// jitterDivisor limits the jitter of a poll to a tenth of the poll interval. The jitter makes the polls of several
+	// coordinators drift apart.
 	jitterDivisor = 10
-	// noApplications is the body in place of a 404, which a registry returns for an application without instances.
+	// noApplications replaces the body of a 404 response, which a registry returns for an application without instances.
 	noApplications = `{"applications":{}}`
 )
 
-// Client reads one registry.
+// Client polls one registry.
 type Client struct {
-	options  Options
-	http     *http.Client
-	onUpdate func(membership.SourceUpdate)
-	fetches  chan struct{}
-	counters counters
+	options       Options
+	http          *http.Client
+	onUpdate      func(membership.SourceUpdate)
+	fetchRequests chan struct{}
+	counters      counters
 
-	// What follows belongs to the goroutine of Run.
-	peer                int // index of the address in use
+	// The fields below are used only by the goroutine of Run.
+	peer                int // index of the current peer in options.Addresses
 	cache               Cache
-	snapshotHash        uint64 // of the last snapshot's body
+	snapshotHash        uint64 // hash of the body of the last snapshot
 	observations        []membership.Observation
 	consecutiveFailures int
 }
 
-// Stats count the requests to a registry.
+// Stats holds counters of the requests to a registry.
 type Stats struct {
 	Requests       int64 `json:"calls"`
 	Bytes          int64 `json:"bytes"` // of responses
 	Snapshots      int64 `json:"whole"`
 	Deltas         int64 `json:"deltas"`
-	Unchanged      int64 `json:"unchanged"` // snapshots with the same body as the last
+	Unchanged      int64 `json:"unchanged"` // snapshots with the same body as the previous one
 	HashMismatches int64 `json:"hash_mismatches"`
 	Failures       int64 `json:"failed"`
 }
 
+// counters are the counters behind Stats.
 type counters struct {
 	requests       atomic.Int64
 	bytes          atomic.Int64
@@ -64,14 +66,14 @@
 	failures       atomic.Int64
 }
 
-// New returns a client that does nothing until Run. The function onUpdate is called by Run's goroutine with the state
-// after each poll, and with a failure once every peer has failed.
+// New returns a client that sends no requests until Run is called. Run's goroutine calls onUpdate with the observations after
+// each successful poll, and with an error each time that all peers have failed in turn.
 func New(options Options, onUpdate func(membership.SourceUpdate)) *Client {
 	options = options.withDefaults()
 	return &Client{
-		options:  options,
-		onUpdate: onUpdate,
-		fetches:  make(chan struct{}, 1),
+		options:       options,
+		onUpdate:      onUpdate,
+		fetchRequests: make(chan struct{}, 1),
 		http: &http.Client{Timeout: options.Timeout, Transport: &http.Transport{
 			DialContext:           (&net.Dialer{Timeout: options.Timeout}).DialContext,
 			MaxIdleConnsPerHost:   2,
@@ -80,7 +82,7 @@
 	}
 }
 
-// Stats returns the counts. It is safe for concurrent use.
+// Stats returns the counters. It is safe for concurrent use.
 func (c *Client) Stats() Stats {
 	return Stats{
 		Requests:       c.counters.requests.Load(),
@@ -93,15 +95,16 @@
 	}
 }
 
-// Fetch makes the next poll happen at once. It never blocks.
+// Fetch requests a poll without waiting for the poll interval. It never blocks and is safe for concurrent use.
 func (c *Client) Fetch() {
 	select {
-	case c.fetches <- struct{}{}:
+	case c.fetchRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run polls until the context ends. Its goroutine for the registration ends before it returns.
+// Run polls the registry until the context ends. If Options.Registration is set, it also maintains the registration in another
+// goroutine, which ends before Run returns.
 func (c *Client) Run(ctx context.Context) {
 	var registration sync.WaitGroup
 	defer registration.Wait()
@@ -116,13 +119,14 @@
 		wait := c.report(err)
 		select {
 		case <-ctx.Done():
-		case <-c.fetches:
+		case <-c.fetchRequests:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// report delivers the outcome of a poll and returns the wait before the next.
+// report handles the result of a poll: it delivers observations or an error, switches to the next peer after a failure, and
+// returns the wait before the next poll.
 func (c *Client) report(err error) time.Duration {
 	if err == nil {
 		c.consecutiveFailures = 0
@@ -131,36 +135,37 @@
 	}
 	c.counters.failures.Add(1)
 	c.consecutiveFailures++
-	var wait time.Duration // the next peer is polled at once
+	var wait time.Duration // the next peer is polled without delay
 	if c.consecutiveFailures%len(c.options.Addresses) == 0 {
 		c.onUpdate(membership.SourceUpdate{Source: c.options.Name, Error: err.Error()})
 		wait = c.backoff()
 	}
 	c.peer = (c.peer + 1) % len(c.options.Addresses)
-	c.cache.complete = false // each peer has its own deltas
+	c.cache.complete = false // deltas of one peer do not apply to the state of another
 	return wait
 }
 
-// backoff doubles each time that all peers have failed. It has jitter, so that coordinators do not poll in step.
+// backoff returns the wait after all peers have failed. It doubles each time and has jitter, so that several coordinators do
+// not poll in lockstep.
 func (c *Client) backoff() time.Duration {
 	rounds := c.consecutiveFailures / len(c.options.Addresses)
 	limit := min(c.options.PollInterval<<min(rounds-1, maxBackoffDoublings), maxBackoff)
 	return limit/2 + time.Duration(rand.Int64N(int64(limit)/2+1))
 }
 
-// poll updates the cache and the observations, by a delta if possible.
+// poll updates the cache and the observations, with a delta if possible and with a snapshot otherwise.
 func (c *Client) poll(ctx context.Context) error {
-	if c.options.takesDeltas() && c.cache.complete {
+	if c.options.usesDeltas() && c.cache.complete {
 		applied, err := c.pollDelta(ctx)
 		if applied || err != nil {
 			return err
 		}
-		c.counters.hashMismatches.Add(1) // a delta was lost, or is stale
+		c.counters.hashMismatches.Add(1) // a delta was lost or is stale
 	}
 	return c.pollSnapshot(ctx)
 }
 
-// pollDelta reports whether the delta led to the registry's state.
+// pollDelta fetches a delta and applies it. It returns false if the result does not have the registry's hash.
 func (c *Client) pollDelta(ctx context.Context) (applied bool, err error) {
 	body, err := c.get(ctx, "/apps/delta")
 	if err != nil {
@@ -180,6 +185,8 @@
 	return true, nil
 }
 
+// pollSnapshot fetches a snapshot and replaces the state by it. A body that equals that of the last snapshot is not decoded
+// again.
 func (c *Client) pollSnapshot(ctx context.Context) error {
 	body, err := c.get(ctx, c.snapshotPath())
 	if err != nil {
@@ -204,17 +211,20 @@
 	return nil
 }
 
-// checkHash detects a snapshot of the complete registry that lacks instances.
+// checkHash returns an error if a snapshot of the whole registry lacks instances, which its hash shows. Snapshots of one
+// application or vip address are not checked.
 func (c *Client) checkHash(snapshot Applications) error {
 	if snapshot.Hash == "" || c.options.VIP != "" || c.options.App != "" {
 		return nil
 	}
 	if hash := StatusHash(snapshot.Instances); hash != snapshot.Hash {
-		return fmt.Errorf("%w: the snapshot has hash %s, its instances %s: the response is incomplete", ErrInvalidResponse, snapshot.Hash, hash)
+		return fmt.Errorf("%w: the stated hash is %s, but the instances have the hash %s: the response is incomplete",
+			ErrInvalidResponse, snapshot.Hash, hash)
 	}
 	return nil
 }
 
+// snapshotPath returns the path of the snapshot that the options select.
 func (c *Client) snapshotPath() string {
 	switch {
 	case c.options.App != "":
@@ -226,6 +236,8 @@
 	}
 }
 
+// get returns the body of a GET request to the current peer. The status 404 is not an error for an application or vip
+// address: the body then has no applications.
 func (c *Client) get(ctx context.Context, path string) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, c.options.Addresses[c.peer]+path, nil)
 	if err != nil {
@@ -247,13 +259,13 @@
 		return []byte(noApplications), nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s: %s", path, response.Status)
+		return nil, fmt.Errorf("GET %s: unexpected status %s, want 200", path, response.Status)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", path, err)
+		return nil, fmt.Errorf("GET %s: failed to read the body: %w", path, err)
 	}
 	if int64(len(body)) > c.options.MaxResponseBytes {
-		return nil, fmt.Errorf("%s: more than %d bytes", path, c.options.MaxResponseBytes)
+		return nil, fmt.Errorf("GET %s: the body is larger than %d bytes", path, c.options.MaxResponseBytes)
 	}
 	return body, nil
 }
--- a/registry/eureka/doc.go
+++ b/registry/eureka/doc.go
@@ -1,8 +1,8 @@
-// Package eureka reads the endpoint list from a Eureka registry by its REST operations, and can keep an instance of its
-// own registered there. Bodies are JSON or XML, as the registry is configured to respond. What follows from an instance's state is
-// decided by package membership.
+// Package eureka reads the endpoint list from a Eureka registry with its REST operations. It can also maintain a registration
+// of its own there. Bodies are JSON or XML, whichever the registry is configured to send. Package membership decides what
+// follows from the status of an instance.
 //
-// A [Client] polls one registry: Run works in the caller's goroutine until the context ends and delivers each result, or
-// error, by a callback; Fetch and Stats are safe for concurrent use. A [Cache] applies snapshots and deltas without I/O and
-// belongs to one goroutine. A response that can't be used is an error that wraps [ErrInvalidResponse].
+// A [Client] polls one registry. Its Run method works in the caller's goroutine until the context ends and delivers each
+// result or error with a callback. Fetch and Stats are safe for concurrent use. A [Cache] applies snapshots and deltas
+// without I/O and is not safe for concurrent use. The error for a response that cannot be used wraps [ErrInvalidResponse].
 package eureka
--- a/registry/eureka/encoding.go
+++ b/registry/eureka/encoding.go
@@ -8,29 +8,30 @@
 	"strings"
 )
 
-// text is a value that registries write as a string or as a number.
-type text string
+// stringOrNumber is a value that registries write as a string or as a number.
+type stringOrNumber string
 
-func (t *text) UnmarshalJSON(raw []byte) error {
+func (t *stringOrNumber) UnmarshalJSON(raw []byte) error {
 	if len(raw) > 0 && raw[0] == '"' {
 		var s string
 		err := json.Unmarshal(raw, &s)
-		*t = text(s)
+		*t = stringOrNumber(s)
 		return err
 	}
 	if string(raw) != "null" {
-		*t = text(raw)
+		*t = stringOrNumber(raw)
 	}
 	return nil
 }
 
-// number returns the value; 0 if it is negative or no number.
-func (t text) number() int64 {
+// number returns the value as an integer. It returns 0 for a negative value or text that is not an integer, and the largest
+// int64 for a larger value.
+func (t stringOrNumber) number() int64 {
 	n, _ := strconv.ParseInt(strings.TrimSpace(string(t)), 10, 64)
 	return max(0, n)
 }
 
-// oneOrMany is a list that registries write as a single object when it has one member.
+// oneOrMany is a list that registries write as a single object if it has one element.
 type oneOrMany[T any] []T
 
 func (m *oneOrMany[T]) UnmarshalJSON(raw []byte) error {
@@ -50,10 +51,10 @@
 	return err
 }
 
-// port is written as an object or as a number.
+// port is a port that registries write as an object or as a number.
 type port struct {
-	Number  text `json:"$" xml:",chardata"`
-	Enabled text `json:"@enabled" xml:"enabled,attr"`
+	Number  stringOrNumber `json:"$" xml:",chardata"`
+	Enabled stringOrNumber `json:"@enabled" xml:"enabled,attr"`
 }
 
 func (p *port) UnmarshalJSON(raw []byte) error {
@@ -64,21 +65,21 @@
 	return json.Unmarshal(raw, (*plain)(p))
 }
 
-// lease is leaseInfo. Registries write the renewal time under either of two names.
+// lease is the encoding of leaseInfo. Registries write the renewal time under either of two names.
 type lease struct {
-	Duration   text `json:"durationInSecs" xml:"durationInSecs"`
-	Renewed    text `json:"lastRenewalTimestamp" xml:"lastRenewalTimestamp"`
-	RenewedOld text `json:"renewalTimestamp" xml:"renewalTimestamp"`
-	Registered text `json:"registrationTimestamp" xml:"registrationTimestamp"`
-	Evicted    text `json:"evictionTimestamp" xml:"evictionTimestamp"`
-	ServiceUp  text `json:"serviceUpTimestamp" xml:"serviceUpTimestamp"`
+	Duration   stringOrNumber `json:"durationInSecs" xml:"durationInSecs"`
+	Renewed    stringOrNumber `json:"lastRenewalTimestamp" xml:"lastRenewalTimestamp"`
+	RenewedOld stringOrNumber `json:"renewalTimestamp" xml:"renewalTimestamp"`
+	Registered stringOrNumber `json:"registrationTimestamp" xml:"registrationTimestamp"`
+	Evicted    stringOrNumber `json:"evictionTimestamp" xml:"evictionTimestamp"`
+	ServiceUp  stringOrNumber `json:"serviceUpTimestamp" xml:"serviceUpTimestamp"`
 }
 
-// metadata has arbitrary keys; in XML each is an element.
+// metadata is a map with arbitrary keys. In XML each entry is an element.
 type metadata map[string]string
 
 func (m *metadata) UnmarshalJSON(raw []byte) error {
-	var values map[string]text
+	var values map[string]stringOrNumber
 	if err := json.Unmarshal(raw, &values); err != nil {
 		return err
 	}
@@ -109,31 +110,33 @@
 	}
 }
 
-// instance is an instance as it is encoded.
+// instance is the encoding of an instance in JSON and XML.
 type instance struct {
-	ID              string   `json:"instanceId" xml:"instanceId"`
-	Host            string   `json:"hostName" xml:"hostName"`
-	App             string   `json:"app" xml:"app"`
-	IP              string   `json:"ipAddr" xml:"ipAddr"`
-	Status          string   `json:"status" xml:"status"`
-	Overridden      string   `json:"overriddenStatus" xml:"overriddenStatus"`
-	OverriddenLower string   `json:"overriddenstatus" xml:"overriddenstatus"`
-	Port            port     `json:"port" xml:"port"`
-	Lease           lease    `json:"leaseInfo" xml:"leaseInfo"`
-	Metadata        metadata `json:"metadata" xml:"metadata"`
-	Updated         text     `json:"lastUpdatedTimestamp" xml:"lastUpdatedTimestamp"`
-	Dirty           text     `json:"lastDirtyTimestamp" xml:"lastDirtyTimestamp"`
-	Action          string   `json:"actionType" xml:"actionType"`
+	ID              string         `json:"instanceId" xml:"instanceId"`
+	Host            string         `json:"hostName" xml:"hostName"`
+	App             string         `json:"app" xml:"app"`
+	IP              string         `json:"ipAddr" xml:"ipAddr"`
+	Status          string         `json:"status" xml:"status"`
+	Overridden      string         `json:"overriddenStatus" xml:"overriddenStatus"`
+	OverriddenLower string         `json:"overriddenstatus" xml:"overriddenstatus"`
+	Port            port           `json:"port" xml:"port"`
+	Lease           lease          `json:"leaseInfo" xml:"leaseInfo"`
+	Metadata        metadata       `json:"metadata" xml:"metadata"`
+	Updated         stringOrNumber `json:"lastUpdatedTimestamp" xml:"lastUpdatedTimestamp"`
+	Dirty           stringOrNumber `json:"lastDirtyTimestamp" xml:"lastDirtyTimestamp"`
+	Action          string         `json:"actionType" xml:"actionType"`
 }
 
+// application is the encoding of an application with its instances.
 type application struct {
 	Name      string              `json:"name" xml:"name"`
 	Instances oneOrMany[instance] `json:"instance" xml:"instance"`
 }
 
+// applications is the encoding of a snapshot or a delta.
 type applications struct {
 	XMLName xml.Name               `json:"-" xml:"applications"`
-	Version text                   `json:"versions__delta" xml:"versions__delta"`
+	Version stringOrNumber         `json:"versions__delta" xml:"versions__delta"`
 	Hash    string                 `json:"apps__hashcode" xml:"apps__hashcode"`
 	Apps    oneOrMany[application] `json:"application" xml:"application"`
 }
--- a/registry/eureka/eureka_test.go
+++ b/registry/eureka/eureka_test.go
@@ -15,7 +15,8 @@
 	"porthub/registry/eureka"
 )
 
-// Bodies written by us from the published operations: both encodings, a list of one as an object, numbers as strings.
+// The same snapshot in both encodings, written for this test from the description of the REST operations. Some numbers are
+// strings, as registries write them.
 const (
 	snapshotJSON = `{"applications": {"versions__delta": "7", "apps__hashcode": "DOWN_1_UP_1_", "application": [
 		{"name": "CALC", "instance": [
@@ -37,266 +38,295 @@
 		<overriddenstatus>OUT_OF_SERVICE</overriddenstatus><port enabled="true">9002</port><metadata><zone>b</zone></metadata><lastDirtyTimestamp>1700000000600</lastDirtyTimestamp></instance></application></applications>`
 )
 
-var fields = map[string]string{"zone": "zone", "weight": "weight", "pod": "pod", "machine": "machine"}
+// metadataKeys maps each name of Options.MetadataKeys to the same key.
+var metadataKeys = map[string]string{"zone": "zone", "weight": "weight", "pod": "pod", "machine": "machine"}
 
 func TestParseBodies(t *testing.T) {
-	o := eureka.Options{MetadataKeys: fields}
+	options := eureka.Options{MetadataKeys: metadataKeys}
 	want := []membership.Observation{
 		{Endpoint: "127.0.0.1:9001", Instance: "c-1", Zone: "a", Weight: 2, Pod: 3, Status: membership.Up, StartedAt: 1700000001000_000, ChangedAt: 1700000000500_000,
 			LeaseRenewedAt: 1700000090000_000, LeaseDuration: 90_000_000},
 		{Endpoint: "127.0.0.2:9002", Instance: "c-2", Zone: "b", Weight: 1, Status: membership.OutOfService, ChangedAt: 1700000000600_000}}
 	for name, body := range map[string]string{"JSON": snapshotJSON, "XML": snapshotXML} {
-		a, err := eureka.Parse([]byte(body))
+		applications, err := eureka.Parse([]byte(body))
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: Parse failed: %v", name, err)
 		}
-		if got := o.Observations(a.Instances); !slices.Equal(got, want) {
-			t.Errorf("%s: %+v", name, got)
+		if got := options.Observations(applications.Instances); !slices.Equal(got, want) {
+			t.Errorf("%s: observations are %+v, want %+v", name, got, want)
 		}
-		if h := eureka.StatusHash(a.Instances); h != a.Hash {
-			t.Errorf("%s: hash %s, says %s", name, h, a.Hash)
+		if hash := eureka.StatusHash(applications.Instances); hash != applications.Hash {
+			t.Errorf("%s: hash of the instances is %s, want the stated hash %s", name, hash, applications.Hash)
 		}
 	}
 	for name, body := range map[string]string{
-		"one application":   `{"application": {"name": "calc", "instance": {"instanceId": "x", "ipAddr": "127.0.0.1", "port": {"$": 1}, "status": "UP"}}}`,
-		"an object for one": `{"applications": {"application": {"name": "CALC", "instance": {"instanceId": "x", "status": "UP"}}}}`,
-		"XML of one":        `<application><name>CALC</name><instance><instanceId>x</instanceId><status>UP</status></instance></application>`,
+		"one application":        `{"application": {"name": "calc", "instance": {"instanceId": "x", "ipAddr": "127.0.0.1", "port": {"$": 1}, "status": "UP"}}}`,
+		"object instead of list": `{"applications": {"application": {"name": "CALC", "instance": {"instanceId": "x", "status": "UP"}}}}`,
+		"one application in XML": `<application><name>CALC</name><instance><instanceId>x</instanceId><status>UP</status></instance></application>`,
 	} {
-		if a, err := eureka.Parse([]byte(body)); err != nil || len(a.Instances) != 1 || a.Instances[0].App != "CALC" {
-			t.Errorf("%s: %+v, %v", name, a, err)
+		if got, err := eureka.Parse([]byte(body)); err != nil || len(got.Instances) != 1 || got.Instances[0].App != "CALC" {
+			t.Errorf("%s: Parse returned %+v, error %v; want one instance of application CALC", name, got, err)
 		}
 	}
-	for name, body := range map[string]string{"empty": "", "cut off": snapshotJSON[:len(snapshotJSON)/2], "XML cut off": snapshotXML[:len(snapshotXML)/2], "a page": "<html></html>",
-		"another object": `{"error": "no"}`, "text": "sorry", "nobody": `{"applications": {"application": [{"name": "A", "instance": [{"status": "UP"}]}]}}`} {
+	for name, body := range map[string]string{
+		"empty":               "",
+		"truncated JSON":      snapshotJSON[:len(snapshotJSON)/2],
+		"truncated XML":       snapshotXML[:len(snapshotXML)/2],
+		"HTML page":           "<html></html>",
+		"other JSON object":   `{"error": "no"}`,
+		"plain text":          "sorry",
+		"instance without id": `{"applications": {"application": [{"name": "A", "instance": [{"status": "UP"}]}]}}`,
+	} {
 		if _, err := eureka.Parse([]byte(body)); !errors.Is(err, eureka.ErrInvalidResponse) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error is %v, want ErrInvalidResponse", name, err)
 		}
 	}
-	if a, err := eureka.Parse([]byte(`{"applications": {"versions__delta": "1", "apps__hashcode": "", "application": []}}`)); err != nil || len(a.Instances) != 0 {
-		t.Errorf("an empty registry: %v, %v", a, err)
+	emptyRegistry := `{"applications": {"versions__delta": "1", "apps__hashcode": "", "application": []}}`
+	if got, err := eureka.Parse([]byte(emptyRegistry)); err != nil || len(got.Instances) != 0 {
+		t.Errorf("empty registry: Parse returned %v, error %v; want no instances", got, err)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{snapshotJSON, snapshotXML, `{"applications":{"application":{"instance":""}}}`, `<applications><application/></applications>`} {
-		f.Add([]byte(s))
+	for _, seed := range []string{snapshotJSON, snapshotXML, `{"applications":{"application":{"instance":""}}}`, `<applications><application/></applications>`} {
+		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		a, err := eureka.Parse(body)
+		applications, err := eureka.Parse(body)
 		if err != nil && !errors.Is(err, eureka.ErrInvalidResponse) {
-			t.Errorf("%v", err)
+			t.Errorf("error is %v, want ErrInvalidResponse", err)
 		}
-		for _, c := range (eureka.Options{MetadataKeys: fields}).Observations(a.Instances) {
-			if c.Endpoint == "" || !(c.Weight > 0) || c.StartedAt < 0 {
-				t.Errorf("%+v", c)
+		for _, observation := range (eureka.Options{MetadataKeys: metadataKeys}).Observations(applications.Instances) {
+			if observation.Endpoint == "" || !(observation.Weight > 0) || observation.StartedAt < 0 {
+				t.Errorf("invalid observation %+v", observation)
 			}
 		}
 	})
 }
 
-// site is a registry with peers, and a client that follows it.
-type site struct {
-	t     *testing.T
-	reg   *emulated.Registry
-	peers []*emulated.Peer
-	c     *eureka.Client
+// fixture is a registry with one or more peers, and a client that polls it.
+type fixture struct {
+	t        *testing.T
+	registry *emulated.Registry
+	peers    []*emulated.Peer
+	client   *eureka.Client
 
-	mu      sync.Mutex
-	last    membership.SourceUpdate
-	answers int
-	failed  []string
+	mu       sync.Mutex // guards the fields below
+	last     membership.SourceUpdate
+	updates  int      // successful ones
+	failures []string // errors of failed updates
 }
 
-func newSite(t *testing.T, peers int, change func(*eureka.Options)) *site {
+func newFixture(t *testing.T, peers int, change func(*eureka.Options)) *fixture {
 	t.Helper()
-	s := &site{t: t, reg: emulated.New()}
-	o := eureka.Options{Name: "eureka", MetadataKeys: fields, PollInterval: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, Deltas: true, MaxResponseBytes: 1 << 20}
+	s := &fixture{t: t, registry: emulated.New()}
+	options := eureka.Options{
+		Name: "eureka", MetadataKeys: metadataKeys, Deltas: true,
+		PollInterval: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, MaxResponseBytes: 1 << 20,
+	}
 	for range peers {
-		p, err := s.reg.Listen()
+		peer, err := s.registry.Listen()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(p.Close)
-		s.peers = append(s.peers, p)
-		o.Addresses = append(o.Addresses, p.Addr)
+		t.Cleanup(peer.Close)
+		s.peers = append(s.peers, peer)
+		options.Addresses = append(options.Addresses, peer.Addr)
 	}
 	if change != nil {
-		change(&o)
+		change(&options)
 	}
-	s.c = eureka.New(o, func(a membership.SourceUpdate) {
+	s.client = eureka.New(options, func(update membership.SourceUpdate) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if a.Error != "" {
-			s.failed = append(s.failed, a.Error)
+		if update.Error != "" {
+			s.failures = append(s.failures, update.Error)
 			return
 		}
-		s.last = a
-		s.answers++
+		s.last = update
+		s.updates++
 	})
 	return s
 }
 
-func (s *site) run() {
+// run runs the client until the end of the test.
+func (s *fixture) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); s.c.Run(ctx) }()
+	go func() { defer close(done); s.client.Run(ctx) }()
 	s.t.Cleanup(func() { cancel(); <-done })
 }
 
-func (s *site) put(n int, status string) {
-	s.reg.Put(emulated.Instance{App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status, Metadata: map[string]string{"zone": "a", "vip": "calc"}})
+// put registers instance c-n with a status.
+func (s *fixture) put(n int, status string) {
+	s.registry.Put(emulated.Instance{
+		App: "CALC", ID: fmt.Sprint("c-", n), IP: "127.0.0.1", Port: 9000 + n, Status: status,
+		Metadata: map[string]string{"zone": "a", "vip": "calc"},
+	})
 }
 
-func (s *site) has(want string) bool {
+// lastIs reports whether the last update has the given instances, each with its status.
+func (s *fixture) lastIs(want string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var got []string
-	for _, c := range s.last.Observations {
-		got = append(got, fmt.Sprintf("%s %s", c.Instance, c.Status))
+	for _, observation := range s.last.Observations {
+		got = append(got, fmt.Sprintf("%s %s", observation.Instance, observation.Status))
 	}
-	return s.answers > 0 && strings.Join(got, ", ") == want
+	return s.updates > 0 && strings.Join(got, ", ") == want
 }
 
-func (s *site) until(what string, ok func() bool) {
+// waitFor waits until a condition holds.
+func (s *fixture) waitFor(what string, ok func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(8 * time.Second); !ok(); time.Sleep(3 * time.Millisecond) {
 		if time.Now().After(end) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			s.t.Fatalf("not within 8 s: %s; %+v, %v, %+v", what, s.last, s.failed, s.c.Stats())
+			s.t.Fatalf("not within 8 s: %s; last update %+v, failures %v, stats %+v", what, s.last, s.failures, s.client.Stats())
 		}
 	}
 }
 
-// After a snapshot deltas suffice; a lost or stale delta has the wrong hash, and a snapshot is fetched.
+// After the first snapshot, deltas are sufficient to follow changes. If a delta is lost or stale, the hash does not match and
+// the client fetches a snapshot.
 func TestDeltas(t *testing.T) {
-	s := newSite(t, 1, nil)
+	s := newFixture(t, 1, nil)
 	s.put(1, "UP")
 	s.put(2, "STARTING")
 	s.run()
-	s.until("the first", func() bool { return s.has("c-1 up, c-2 starting") })
-	snapshots := s.c.Stats().Snapshots
+	s.waitFor("the first snapshot is delivered", func() bool { return s.lastIs("c-1 up, c-2 starting") })
+	snapshots := s.client.Stats().Snapshots
 	s.put(2, "UP")
 	s.put(3, "UP")
-	s.reg.Remove("CALC", "c-1")
-	s.until("changes", func() bool { return s.has("c-2 up, c-3 up") })
-	if st := s.c.Stats(); st.Snapshots != snapshots || st.Deltas == 0 || st.HashMismatches != 0 {
-		t.Errorf("deltas suffice: %+v", st)
+	s.registry.Remove("CALC", "c-1")
+	s.waitFor("the changes are delivered", func() bool { return s.lastIs("c-2 up, c-3 up") })
+	if stats := s.client.Stats(); stats.Snapshots != snapshots || stats.Deltas == 0 || stats.HashMismatches != 0 {
+		t.Errorf("stats are %+v, want deltas, no hash mismatch and no further snapshot", stats)
 	}
 	s.peers[0].SetFaults(emulated.Faults{StaleDelta: true})
 	s.put(3, "OUT_OF_SERVICE")
-	s.until("a change that the deltas lack", func() bool { return s.has("c-2 up, c-3 out of service") })
-	if st := s.c.Stats(); st.HashMismatches == 0 {
-		t.Errorf("%+v", st)
+	s.waitFor("a change that is missing from the deltas is delivered", func() bool { return s.lastIs("c-2 up, c-3 out of service") })
+	if stats := s.client.Stats(); stats.HashMismatches == 0 {
+		t.Errorf("stats are %+v, want a hash mismatch", stats)
 	}
 }
 
-// With each fault the known state stays, the failure is reported, and the next valid response is applied.
+// During each fault the known state is kept and a failure is reported. The next valid response is applied.
 func TestFaults(t *testing.T) {
-	for name, f := range map[string]emulated.Faults{"refuses": {ErrorStatus: 503}, "truncated": {Truncated: true}, "huge": {PaddingBytes: 2 << 20}, "slow": {Delay: 5 * time.Second},
-		"wrong hash": {WrongHash: true}} {
-		s := newSite(t, 1, nil)
+	for name, faults := range map[string]emulated.Faults{
+		"status 503":         {ErrorStatus: 503},
+		"truncated response": {Truncated: true},
+		"response too large": {PaddingBytes: 2 << 20},
+		"timeout":            {Delay: 5 * time.Second},
+		"wrong hash":         {WrongHash: true},
+	} {
+		s := newFixture(t, 1, nil)
 		s.put(1, "UP")
 		s.run()
-		s.until("the first", func() bool { return s.has("c-1 up") })
-		s.peers[0].SetFaults(f)
-		s.until(name+": reported", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.failed) > 0 })
+		s.waitFor(name+": the first snapshot is delivered", func() bool { return s.lastIs("c-1 up") })
+		s.peers[0].SetFaults(faults)
+		s.waitFor(name+": the failure is reported", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.failures) > 0 })
 		s.put(2, "UP")
-		if !s.has("c-1 up") {
-			t.Errorf("%s: the known state is lost", name)
+		if !s.lastIs("c-1 up") {
+			t.Errorf("%s: the known state is not kept", name)
 		}
 		s.peers[0].SetFaults(emulated.Faults{})
-		s.until(name+": over", func() bool { return s.has("c-1 up, c-2 up") })
+		s.waitFor(name+": the state after the fault is delivered", func() bool { return s.lastIs("c-1 up, c-2 up") })
 	}
 }
 
-// A failing peer is replaced by the next without a report; a registry that is down is reported, and polled less and less
-// often.
+// If a peer fails, the client changes to the next peer and reports no failure. If all peers fail, it reports the failure and
+// polls less and less often.
 func TestFailover(t *testing.T) {
-	s := newSite(t, 2, nil)
+	s := newFixture(t, 2, nil)
 	s.put(1, "UP")
 	s.peers[0].SetFaults(emulated.Faults{ErrorStatus: 500})
 	s.run()
-	s.until("by the second peer", func() bool { return s.has("c-1 up") })
+	s.waitFor("the response of the second peer is delivered", func() bool { return s.lastIs("c-1 up") })
 	s.peers[0].SetFaults(emulated.Faults{})
 	s.peers[1].Close()
 	s.put(2, "UP")
-	s.until("by the first again", func() bool { return s.has("c-1 up, c-2 up") })
-	if len(s.failed) > 0 {
-		t.Errorf("a failure is reported though a peer answers: %v", s.failed)
+	s.waitFor("the response of the first peer is delivered again", func() bool { return s.lastIs("c-1 up, c-2 up") })
+	if len(s.failures) > 0 {
+		t.Errorf("failures %v are reported, want none since one peer responds", s.failures)
 	}
-	down := newSite(t, 1, func(o *eureka.Options) { o.PollInterval = 40 * time.Millisecond })
+	down := newFixture(t, 1, func(o *eureka.Options) { o.PollInterval = 40 * time.Millisecond })
 	down.peers[0].SetFaults(emulated.Faults{ErrorStatus: 503})
 	down.run()
 	time.Sleep(1200 * time.Millisecond)
-	if n := down.c.Stats().Requests; n < 3 || n > 15 {
-		t.Errorf("%d requests in 1.2 s with a poll interval of 40 ms", n)
+	if n := down.client.Stats().Requests; n < 3 || n > 15 {
+		t.Errorf("%d requests in 1.2 s with a poll interval of 40 ms, want 3 to 15", n)
 	}
 	down.put(1, "UP")
 	down.peers[0].SetFaults(emulated.Faults{})
-	down.until("up at last", func() bool { return down.has("c-1 up") })
+	down.waitFor("the state after the failure is delivered", func() bool { return down.lastIs("c-1 up") })
 }
 
-// One application, a vip address and XML give the same state; a body that did not change is not decoded again.
+// Queries for one application or a vip address and responses in XML give the same state. A body that has not changed is not
+// decoded again.
 func TestQueries(t *testing.T) {
-	for name, change := range map[string]func(*eureka.Options){"app": func(o *eureka.Options) { o.App, o.Deltas = "calc", false },
-		"vip": func(o *eureka.Options) { o.VIP, o.Deltas = "calc", false }, "xml": func(o *eureka.Options) { o.XML, o.Deltas = true, false }} {
-		s := newSite(t, 1, change)
+	for name, change := range map[string]func(*eureka.Options){
+		"app": func(o *eureka.Options) { o.App, o.Deltas = "calc", false },
+		"vip": func(o *eureka.Options) { o.VIP, o.Deltas = "calc", false },
+		"xml": func(o *eureka.Options) { o.XML, o.Deltas = true, false },
+	} {
+		s := newFixture(t, 1, change)
 		s.put(1, "UP")
 		if name != "xml" {
-			s.reg.Put(emulated.Instance{App: "OTHER", ID: "o-1", IP: "127.0.0.1", Port: 8000, Status: "UP"})
+			s.registry.Put(emulated.Instance{App: "OTHER", ID: "o-1", IP: "127.0.0.1", Port: 8000, Status: "UP"})
 		}
 		s.run()
-		s.until(name, func() bool { return s.has("c-1 up") })
-		s.until(name+" unchanged", func() bool { return s.c.Stats().Unchanged > 2 })
-		s.reg.Remove("CALC", "c-1")
-		s.until(name+" empty", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.last.Observations) == 0 && s.answers > 0 })
+		s.waitFor(name+": the first snapshot is delivered", func() bool { return s.lastIs("c-1 up") })
+		s.waitFor(name+": unchanged snapshots are counted", func() bool { return s.client.Stats().Unchanged > 2 })
+		s.registry.Remove("CALC", "c-1")
+		s.waitFor(name+": the empty state is delivered", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.last.Observations) == 0 && s.updates > 0 })
 	}
 }
 
-// The own entry is registered, renewed, registered again when the registry has lost it, and removed at the end; it is no
-// endpoint.
+// The client registers its own entry, renews it, registers it again if the registry has lost it, and removes it at the end. The
+// entry is not delivered as an endpoint.
 func TestRegistration(t *testing.T) {
-	s := newSite(t, 1, func(o *eureka.Options) {
+	s := newFixture(t, 1, func(o *eureka.Options) {
 		o.Zone = "a"
 		o.Registration = &eureka.Registration{App: "porthub", ID: "p-1", Host: "h", IP: "127.0.0.1", Port: 7070, RenewInterval: 30 * time.Millisecond}
 	})
 	s.put(1, "UP")
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); s.c.Run(ctx) }()
-	s.until("registered", func() bool { return s.reg.Has("PORTHUB", "p-1") && s.has("c-1 up") })
-	s.reg.Remove("PORTHUB", "p-1")
-	s.until("registered again", func() bool { return s.reg.Has("PORTHUB", "p-1") })
+	go func() { defer close(done); s.client.Run(ctx) }()
+	s.waitFor("the entry is registered", func() bool { return s.registry.Has("PORTHUB", "p-1") && s.lastIs("c-1 up") })
+	s.registry.Remove("PORTHUB", "p-1")
+	s.waitFor("the entry is registered again", func() bool { return s.registry.Has("PORTHUB", "p-1") })
 	cancel()
 	<-done
-	if s.reg.Has("PORTHUB", "p-1") {
-		t.Error("the entry stays registered")
+	if s.registry.Has("PORTHUB", "p-1") {
+		t.Error("the entry is still registered after Run has returned")
 	}
 }
 
-// The hash covers only the counts of statuses: a stale delta that brings a removed instance back as it was has the right
-// hash once another was added. It must not be applied: a restarted endpoint would count as warmed up.
+// The hash covers only the counts of statuses. A stale delta that restores a removed instance in its old state therefore has
+// the right hash once another instance was added. It must not be applied: a restarted endpoint would skip its slow start.
 func TestStaleDeltaRestoresNoInstance(t *testing.T) {
-	inst := func(id string, dirty int64, action string) eureka.Instance {
-		return eureka.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: 1, Status: "UP", DirtyAt: dirty, ServiceUpAt: dirty, Action: action}
+	instance := func(id string, changedAt int64, action string) eureka.Instance {
+		return eureka.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: 1, Status: "UP", DirtyAt: changedAt, ServiceUpAt: changedAt, Action: action}
 	}
-	var h eureka.Cache
-	h.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{inst("a", 10, ""), inst("b", 10, "")}})
-	h.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{inst("b", 10, "")}}) // a was removed
-	// It has restarted; the stale delta still has its first registration.
-	stale := eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{inst("a", 10, "ADDED"), inst("b", 10, "ADDED")}}
-	if h.ApplyDelta(stale) {
+	var cache eureka.Cache
+	cache.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{instance("a", 10, ""), instance("b", 10, "")}})
+	cache.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{instance("b", 10, "")}}) // a was removed
+	// Instance a has restarted. The stale delta still has its first registration.
+	stale := eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{instance("a", 10, "ADDED"), instance("b", 10, "ADDED")}}
+	if cache.ApplyDelta(stale) {
 		t.Fatal("the stale delta is applied")
 	}
-	h.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{inst("a", 50, ""), inst("b", 10, "")}})
-	if got := h.Instances(); len(got) != 2 || got[0].ServiceUpAt != 50 {
-		t.Errorf("%+v", got)
+	cache.ApplySnapshot(eureka.Applications{Instances: []eureka.Instance{instance("a", 50, ""), instance("b", 10, "")}})
+	if got := cache.Instances(); len(got) != 2 || got[0].ServiceUpAt != 50 {
+		t.Errorf("instances are %+v, want two, the first in service since 50", got)
 	}
-	if !h.ApplyDelta(eureka.Applications{Hash: "UP_1_", Instances: []eureka.Instance{inst("a", 50, "DELETED")}}) || len(h.Instances()) != 1 {
-		t.Error("a valid delta is rejected")
+	if !cache.ApplyDelta(eureka.Applications{Hash: "UP_1_", Instances: []eureka.Instance{instance("a", 50, "DELETED")}}) || len(cache.Instances()) != 1 {
+		t.Error("the delta that removes an instance is not applied")
 	}
-	if !h.ApplyDelta(eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{inst("a", 90, "ADDED")}}) || h.Instances()[0].ServiceUpAt != 90 {
-		t.Error("a valid return is rejected")
+	if !cache.ApplyDelta(eureka.Applications{Hash: "UP_2_", Instances: []eureka.Instance{instance("a", 90, "ADDED")}}) || cache.Instances()[0].ServiceUpAt != 90 {
+		t.Error("the delta that adds the restarted instance is not applied")
 	}
 }
--- a/registry/eureka/observation.go
+++ b/registry/eureka/observation.go
@@ -17,17 +17,19 @@
 	microsecondsPerSecond      = 1_000_000
 )
 
-// Observations converts a registry's instances. Those without an address, and the client's own entry, are left out.
+// Observations converts the instances of a registry to observations. It skips instances without an address and the client's
+// own registration.
 func (o Options) Observations(instances []Instance) (observations []membership.Observation) {
 	for _, instance := range instances {
 		address, ok := o.address(instance)
-		if ok && !o.isOwn(instance) {
+		if ok && !o.isOwnRegistration(instance) {
 			observations = append(observations, o.observation(address, instance))
 		}
 	}
 	return observations
 }
 
+// address returns the host and port of an instance. The result ok is false if the instance has no valid address.
 func (o Options) address(instance Instance) (address string, ok bool) {
 	host := instance.IP
 	if o.UseHostnames || host == "" {
@@ -39,11 +41,13 @@
 	return net.JoinHostPort(host, strconv.Itoa(instance.Port)), true
 }
 
-func (o Options) isOwn(instance Instance) bool {
+// isOwnRegistration reports whether an instance is the client's own registration.
+func (o Options) isOwnRegistration(instance Instance) bool {
 	own := o.Registration
 	return own != nil && instance.App == strings.ToUpper(own.App) && instance.ID == own.ID
 }
 
+// observation converts an instance to an observation. Metadata that is missing or invalid gets its default.
 func (o Options) observation(address string, instance Instance) membership.Observation {
 	metadata := func(name string) string { return instance.Metadata[o.MetadataKeys[name]] }
 	observation := membership.Observation{
@@ -53,9 +57,9 @@
 		Weight:         1,
 		MachineType:    policyapi.MachineType(metadata("machine")),
 		Status:         instance.status(),
-		ChangedAt:      milliseconds(instance.DirtyAt),
-		StartedAt:      milliseconds(max(instance.ServiceUpAt, 0)),
-		LeaseRenewedAt: milliseconds(instance.RenewedAt),
+		ChangedAt:      fromMilliseconds(instance.DirtyAt),
+		StartedAt:      fromMilliseconds(max(instance.ServiceUpAt, 0)),
+		LeaseRenewedAt: fromMilliseconds(instance.RenewedAt),
 		LeaseDuration:  policyapi.Microseconds(instance.LeaseSeconds) * microsecondsPerSecond,
 	}
 	if observation.Zone == "" {
@@ -70,11 +74,13 @@
 	return observation
 }
 
-func milliseconds(ms int64) policyapi.Microseconds {
+// fromMilliseconds converts milliseconds to microseconds.
+func fromMilliseconds(ms int64) policyapi.Microseconds {
 	return policyapi.Microseconds(ms) * microsecondsPerMillisecond
 }
 
-// status returns the status that applies: an operator's, if there is one, before the instance's own.
+// status returns the effective status of an instance: the status that an operator has set at the registry, if any, overrides
+// the status that the instance reports.
 func (i Instance) status() membership.Status {
 	status := i.Status
 	if i.OverriddenStatus != "" && i.OverriddenStatus != "UNKNOWN" {
--- a/registry/eureka/options.go
+++ b/registry/eureka/options.go
@@ -11,23 +11,25 @@
 
 // Options configure a Client.
 type Options struct {
-	Name             string   // of the source
-	Addresses        []string // base URLs of the peers, such as http://127.0.0.1:8761/eureka; the client stays with one that responds
-	App              string   // one application only; empty: all, or VIP
-	VIP              string   // the instances of one vip address only
-	Deltas           bool     // request deltas between snapshots; not with App or VIP
-	XML              bool     // request XML
+	Name string // name of the source in updates
+	// Addresses has the base URLs of the peers, such as http://127.0.0.1:8761/eureka. The client changes the peer only after
+	// a failure.
+	Addresses        []string
+	App              string // read only the instances of this application, if not empty
+	VIP              string // read only the instances of this vip address, if not empty and App is empty
+	Deltas           bool   // request deltas between snapshots; ignored with App or VIP
+	XML              bool   // request XML instead of JSON
 	PollInterval     time.Duration
-	Timeout          time.Duration // of one request
+	Timeout          time.Duration // timeout of one request
 	MaxResponseBytes int64
-	// MetadataKeys maps zone, weight, pod and machine to the keys of the instances' metadata.
+	// MetadataKeys maps zone, weight, pod and machine to the keys that they have in the metadata of instances.
 	MetadataKeys map[string]string
-	Zone         string        // of instances without one
-	UseHostnames bool          // endpoints are addressed by hostName in place of ipAddr
-	Registration *Registration // nil: none
+	Zone         string        // zone of instances whose metadata has none
+	UseHostnames bool          // address endpoints by hostName instead of ipAddr
+	Registration *Registration // the coordinator's own registration; nil if it does not register
 }
 
-// Registration is the coordinator's own entry.
+// Registration is the coordinator's own registration at the registry.
 type Registration struct {
 	App           string
 	ID            string
@@ -37,7 +39,7 @@
 	RenewInterval time.Duration
 }
 
-// withDefaults fills in what is left out.
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.PollInterval <= 0 {
 		o.PollInterval = defaultPollInterval
@@ -54,5 +56,5 @@
 	return o
 }
 
-// takesDeltas reports whether deltas can be requested: there are none of a part of the registry.
-func (o Options) takesDeltas() bool { return o.Deltas && o.App == "" && o.VIP == "" }
+// usesDeltas reports whether the client requests deltas. A registry has them only for all applications together.
+func (o Options) usesDeltas() bool { return o.Deltas && o.App == "" && o.VIP == "" }
--- a/registry/eureka/registration.go
+++ b/registry/eureka/registration.go
@@ -15,22 +15,22 @@
 )
 
 const (
-	// leaseRenewals is the number of missed renewals after which the registry drops the entry.
+	// leaseRenewals is the number of renew intervals after which the registry removes an entry that is not renewed.
 	leaseRenewals     = 3
 	deregisterTimeout = 200 * time.Millisecond
-	// maxIgnoredBytes of a response are read so that the connection can be used again.
+	// maxIgnoredBytes is the number of bytes of a response that are read, so that the connection can be used again.
 	maxIgnoredBytes = 1 << 20
 )
 
-// registrationState is the state of the registration's goroutine.
+// registrationState is the state of the goroutine that maintains the registration.
 type registrationState struct {
-	path       string // of the application
-	peer       int    // index of the address in use
+	path       string // path of the application at the registry
+	peer       int    // index of the current peer in options.Addresses
 	registered bool
 }
 
-// register maintains the coordinator's own registration until the context ends: it registers, renews, registers again when the
-// registry has lost the entry, and removes it at the end.
+// register maintains the coordinator's own registration until the context ends: it registers the entry, renews it, registers it
+// again if the registry has lost it, and removes it at the end.
 func (c *Client) register(ctx context.Context) {
 	registration := c.options.Registration
 	state := registrationState{path: "/apps/" + url.PathEscape(strings.ToUpper(registration.App))}
@@ -50,7 +50,7 @@
 	}
 }
 
-// renew renews the entry, and registers it if there is none.
+// renew renews the entry, or registers it if it is not registered.
 func (c *Client) renew(ctx context.Context, state *registrationState) {
 	if state.registered {
 		path := state.path + "/" + url.PathEscape(c.options.Registration.ID) + "?status=UP"
@@ -64,6 +64,7 @@
 	state.registered = err == nil && status < http.StatusMultipleChoices
 }
 
+// deregister removes the entry if it is registered. It ignores errors: the lease of an entry that remains expires.
 func (c *Client) deregister(state registrationState) {
 	if !state.registered {
 		return
@@ -73,7 +74,7 @@
 	_, _ = c.send(ctx, state.peer, http.MethodDelete, state.path+"/"+url.PathEscape(c.options.Registration.ID), nil)
 }
 
-// body is the instance as Eureka's REST operations have it.
+// body returns the body of the registration request.
 func (r *Registration) body(now time.Time) []byte {
 	instance := map[string]any{
 		"instanceId": r.ID,
@@ -92,11 +93,11 @@
 		},
 		"lastDirtyTimestamp": strconv.FormatInt(now.UnixMilli(), 10),
 	}
-	body, _ := json.Marshal(map[string]any{"instance": instance}) // strings and numbers always encode
+	body, _ := json.Marshal(map[string]any{"instance": instance}) // cannot fail: all values are strings, numbers or maps
 	return body
 }
 
-// send returns the response's status code. A code of 500 or above is an error.
+// send sends a request to a peer and returns the status code of the response. A code of 500 or above is an error.
 func (c *Client) send(ctx context.Context, peer int, method, path string, body []byte) (statusCode int, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, c.options.Addresses[peer]+path, bytes.NewReader(body))
 	if err != nil {
--- a/registry/eureka/response.go
+++ b/registry/eureka/response.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Instance is one instance of a registry. Times are milliseconds since 1970 by the registry's clock; 0: unknown.
+// Instance is one instance of a registry. Times are milliseconds since 1970 by the registry's clock, or 0 if unknown.
 type Instance struct {
 	App              string
 	ID               string
@@ -18,10 +18,10 @@
 	IP               string
 	Port             int
 	Status           string // UP, STARTING, OUT_OF_SERVICE, DOWN, UNKNOWN
-	OverriddenStatus string // the same; UNKNOWN or empty: not overridden
-	Action           string // in deltas: ADDED, MODIFIED, DELETED
+	OverriddenStatus string // one of the same values; UNKNOWN or empty if the status is not overridden
+	Action           string // ADDED, MODIFIED or DELETED; only in deltas
 	Metadata         map[string]string
-	DirtyAt          int64 // last change by the instance
+	DirtyAt          int64 // time of the last change by the instance itself
 	UpdatedAt        int64
 	RegisteredAt     int64
 	RenewedAt        int64
@@ -30,17 +30,17 @@
 	LeaseSeconds     int64
 }
 
-// Applications are a snapshot or a delta.
+// Applications is a snapshot or a delta.
 type Applications struct {
 	Hash      string // apps__hashcode
 	Version   string // versions__delta
 	Instances []Instance
 }
 
-// ErrInvalidResponse is wrapped by every error about a body that can't be read. Nothing of it is used.
-var ErrInvalidResponse = errors.New("no answer of a Eureka registry")
+// ErrInvalidResponse is wrapped by every error about a response body that is invalid. No part of such a body is used.
+var ErrInvalidResponse = errors.New("invalid response of the Eureka registry")
 
-// Parse reads the response to /apps, /apps/delta, /apps/APP or /vips/VIP, in JSON or XML. The error wraps
+// Parse decodes the body of a response to /apps, /apps/delta, /apps/APP or /vips/VIP, in JSON or XML. Its error wraps
 // ErrInvalidResponse.
 func Parse(body []byte) (Applications, error) {
 	decoded, err := decode(bytes.TrimSpace(body))
@@ -60,9 +60,10 @@
 	return result, nil
 }
 
+// decode decodes a body in JSON or XML, whichever it begins like.
 func decode(body []byte) (applications, error) {
 	if len(body) == 0 {
-		return applications{}, errors.New("it is empty")
+		return applications{}, errors.New("the body is empty")
 	}
 	switch body[0] {
 	case '<':
@@ -70,7 +71,7 @@
 	case '{':
 		return decodeJSON(body)
 	default:
-		return applications{}, errors.New("neither JSON nor XML")
+		return applications{}, errors.New("the body is neither JSON nor XML")
 	}
 }
 
@@ -88,7 +89,7 @@
 	case outer.One != nil:
 		return applications{Apps: oneOrMany[application]{*outer.One}}, nil
 	default:
-		return applications{}, errors.New("it has neither applications nor application")
+		return applications{}, errors.New("the JSON object has neither the key applications nor the key application")
 	}
 }
 
@@ -113,16 +114,16 @@
 			all.Apps = oneOrMany[application]{one}
 			return all, err
 		default:
-			return all, fmt.Errorf("<%s> is neither applications nor application", start.Name.Local)
+			return all, fmt.Errorf("the XML root element is <%s>, want <applications> or <application>", start.Name.Local)
 		}
 	}
 }
 
-// convert returns the instance of an application.
+// convert converts the encoding of an instance that belongs to the application app.
 func (i instance) convert(app string) (Instance, error) {
 	converted := Instance{
 		App:              strings.ToUpper(cmp.Or(app, i.App)),
-		ID:               cmp.Or(i.ID, i.Host), // old registries have no ID
+		ID:               cmp.Or(i.ID, i.Host), // old registries do not send instanceId
 		Host:             i.Host,
 		IP:               i.IP,
 		Port:             int(i.Port.Number.number()),
@@ -139,7 +140,7 @@
 		LeaseSeconds:     i.Lease.Duration.number(),
 	}
 	if converted.ID == "" {
-		return converted, fmt.Errorf("an instance of %s has neither instanceId nor hostName", converted.App)
+		return converted, fmt.Errorf("an instance of application %s has neither instanceId nor hostName", converted.App)
 	}
 	return converted, nil
 }
