--- a/registry/file/parse.go
+++ b/registry/file/parse.go
@@ -15,21 +15,21 @@
 	"porthub/policyapi"
 )
 
-// maxBytes bounds a file; a list of ten thousand endpoints has about two million bytes.
+// maxBytes is the maximum size of a file. A list of ten thousand endpoints has about two million bytes.
 const maxBytes = 64 << 20
 
-// ErrInvalidList is wrapped by every error about a list that can't be read.
-var ErrInvalidList = errors.New("node list")
+// ErrInvalidList is wrapped by every error about a list that cannot be read or is invalid.
+var ErrInvalidList = errors.New("invalid endpoint list")
 
-var errNoAddress = errors.New("no address:port")
+var errInvalidAddress = errors.New("expected address:port with a port from 1 to 65535")
 
-// group is one entry of the file.
+// group is one element of the list in the file.
 type group struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// Load reads a list from a file. The error wraps ErrInvalidList.
+// Load reads a list from a file. Its error wraps ErrInvalidList.
 func Load(path string) ([]policyapi.Endpoint, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -41,17 +41,19 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalidList, err)
 	}
 	if len(text) > maxBytes {
-		return nil, fmt.Errorf("%w: %w", ErrInvalidList, tooLarge(path))
+		return nil, fmt.Errorf("%w: %w", ErrInvalidList, errTooLarge(path))
 	}
 	return Parse(text)
 }
 
-func tooLarge(path string) error { return fmt.Errorf("%s is larger than %d bytes", path, maxBytes) }
+// errTooLarge returns the error for a file larger than maxBytes.
+func errTooLarge(path string) error { return fmt.Errorf("%s is larger than %d bytes", path, maxBytes) }
 
-// Parse reads a list, all of it or nothing. The error wraps ErrInvalidList and names the group and target.
+// Parse parses a list. If any endpoint is invalid it returns no endpoints and an error that wraps ErrInvalidList and names
+// the group and target.
 func Parse(text []byte) ([]policyapi.Endpoint, error) {
 	if len(bytes.TrimSpace(text)) == 0 {
-		return nil, fmt.Errorf("%w: the file is empty: a list without nodes is []", ErrInvalidList)
+		return nil, fmt.Errorf("%w: the file is empty; a list without endpoints is written as []", ErrInvalidList)
 	}
 	var groups []group
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -59,7 +61,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrInvalidList, err)
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("%w: something follows the list", ErrInvalidList)
+		return nil, fmt.Errorf("%w: unexpected data follows the list", ErrInvalidList)
 	}
 	var endpoints []policyapi.Endpoint
 	for i, group := range groups {
@@ -74,6 +76,7 @@
 	return endpoints, nil
 }
 
+// parseEndpoint returns the endpoint of a target with the labels of its group.
 func parseEndpoint(target string, labels map[string]string) (endpoint policyapi.Endpoint, err error) {
 	if err := checkAddress(target); err != nil {
 		return endpoint, err
@@ -96,18 +99,19 @@
 	if err != nil {
 		return endpoint, err
 	}
-	endpoint.StartedAt, err = parseStart(labels)
+	endpoint.StartedAt, err = parseStartTime(labels)
 	return endpoint, err
 }
 
+// checkAddress returns errInvalidAddress unless a target has a host and a valid port.
 func checkAddress(target string) error {
 	host, port, err := net.SplitHostPort(target)
 	if err != nil || host == "" {
-		return errNoAddress
+		return errInvalidAddress
 	}
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || number == 0 {
-		return errNoAddress
+		return errInvalidAddress
 	}
 	return nil
 }
@@ -118,7 +122,7 @@
 		return 1, nil
 	}
 	weight, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(weight > 0) || math.IsInf(weight, 0) { // also for NaN
+	if err != nil || !(weight > 0) || math.IsInf(weight, 0) { // !(weight > 0) is also true for NaN
 		return 0, fmt.Errorf("label weight is %q: it must be a number above 0", text)
 	}
 	return weight, nil
@@ -147,8 +151,8 @@
 	}
 }
 
-// parseStart returns when an endpoint started; 0: unknown.
-func parseStart(labels map[string]string) (policyapi.Microseconds, error) {
+// parseStartTime returns the start time of an endpoint, or 0 if it is unknown.
+func parseStartTime(labels map[string]string) (policyapi.Microseconds, error) {
 	text, ok := labels["launched"]
 	if !ok {
 		return 0, nil
@@ -158,7 +162,7 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, text)
 	if err != nil {
-		return 0, fmt.Errorf("label launched is %q: it must be a time of RFC 3339 or microseconds since 1970", text)
+		return 0, fmt.Errorf("label launched is %q: it must be a time in RFC 3339 or microseconds since 1970", text)
 	}
 	return policyapi.Microseconds(at.UnixMicro()), nil
 }
--- a/registry/file/source.go
+++ b/registry/file/source.go
@@ -15,54 +15,56 @@
 
 const (
 	minPollInterval = 10 * time.Millisecond
-	// requestBuffer holds requests that wait. When it is full, another request would change nothing.
+	// requestBuffer is the number of requests of each kind that can wait for Run. When the buffer is full, further requests
+	// are discarded, since another one would have no effect.
 	requestBuffer = 16
 )
 
-// Source follows a file.
+// Source follows the changes of a file.
 type Source struct {
 	path          string
 	pollInterval  time.Duration
 	onUpdate      func([]policyapi.Endpoint, error)
-	subscriptions chan bool // true: deliver the list now and its changes, false: no more changes
-	fetches       chan struct{}
+	watchRequests chan bool // arguments of Watch calls
+	fetchRequests chan struct{}
 
-	// The state of Run.
+	// The fields below are used only by the goroutine of Run.
 	watching bool
-	failing  bool   // the last read failed
-	content  []byte // last delivered
+	failing  bool   // the last delivery was an error
+	content  []byte // content of the last delivered list
 }
 
-// New returns a source that does nothing until Run. The function onUpdate is called by Run's goroutine with each changed
-// list, complete, or with an error.
+// New returns a source that does not read the file until Run is called. Run's goroutine calls onUpdate with each complete
+// list that has changed, or with an error.
 func New(path string, pollInterval time.Duration, onUpdate func([]policyapi.Endpoint, error)) *Source {
 	return &Source{
 		path:          path,
 		pollInterval:  max(pollInterval, minPollInterval),
 		onUpdate:      onUpdate,
-		subscriptions: make(chan bool, requestBuffer),
-		fetches:       make(chan struct{}, requestBuffer),
+		watchRequests: make(chan bool, requestBuffer),
+		fetchRequests: make(chan struct{}, requestBuffer),
 	}
 }
 
-// Watch requests the list now and its changes from now on, or no more changes. It never blocks.
+// Watch starts or stops the delivery of changes. If on is set, the current list is delivered at once. It never blocks and is
+// safe for concurrent use.
 func (s *Source) Watch(on bool) {
 	select {
-	case s.subscriptions <- on:
+	case s.watchRequests <- on:
 	default:
 	}
 }
 
-// Fetch requests the list once. It never blocks.
+// Fetch requests one delivery of the current list. It never blocks and is safe for concurrent use.
 func (s *Source) Fetch() {
 	select {
-	case s.fetches <- struct{}{}:
+	case s.fetchRequests <- struct{}{}:
 	default:
 	}
 }
 
-// Run serves requests until the context ends. It watches the directory, since a file that is replaced by a rename is a
-// new file; where that fails the poll interval alone has to do.
+// Run serves requests until the context ends. It watches the directory of the file, since a watch of the file would end when a
+// rename replaces the file. It also reads the file once per poll interval, which detects changes if the watch fails.
 func (s *Source) Run(ctx context.Context) {
 	var changes chan fsnotify.Event
 	if watcher, err := fsnotify.NewWatcher(); err == nil {
@@ -77,12 +79,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case on := <-s.subscriptions:
+		case on := <-s.watchRequests:
 			s.watching = on
 			if on {
 				s.deliver()
 			}
-		case <-s.fetches:
+		case <-s.fetchRequests:
 			s.deliver()
 		case event := <-changes:
 			if filepath.Base(event.Name) == filepath.Base(s.path) {
@@ -94,13 +96,14 @@
 	}
 }
 
-// deliver reads the file and delivers the list or the error.
+// deliver reads the file and delivers the list or an error.
 func (s *Source) deliver() {
 	text, err := os.ReadFile(s.path)
 	s.deliverContent(text, err)
 }
 
-// deliverChange delivers a list that has changed. Of an error that lasts only the first is delivered.
+// deliverChange reads the file and delivers the list if it has changed. It delivers an error only if the last delivery was
+// not an error.
 func (s *Source) deliverChange() {
 	if !s.watching {
 		return
@@ -117,6 +120,7 @@
 	s.deliverContent(text, err)
 }
 
+// deliverContent delivers the result of reading the file.
 func (s *Source) deliverContent(text []byte, readErr error) {
 	endpoints, err := s.parse(text, readErr)
 	if err != nil {
@@ -129,12 +133,13 @@
 	s.onUpdate(endpoints, nil)
 }
 
+// parse returns the list in the content of the file, or the error of reading it.
 func (s *Source) parse(text []byte, readErr error) ([]policyapi.Endpoint, error) {
 	if readErr != nil {
 		return nil, readErr
 	}
 	if len(text) > maxBytes {
-		return nil, tooLarge(s.path)
+		return nil, errTooLarge(s.path)
 	}
 	return Parse(text)
 }
