--- a/clock/clock.go
+++ b/clock/clock.go
@@ -10,20 +10,20 @@
 type Clock interface {
 	// Now returns the time in microseconds since 1970.
 	Now() policyapi.Microseconds
-	// After returns a channel on which the time is sent once the duration has passed.
+	// After returns a channel that receives a value once the duration in microseconds has passed.
 	After(d policyapi.Microseconds) <-chan time.Time
 }
 
-// wallClock starts at the wall clock's time and follows the monotonic clock from there: setting the wall clock has no effect.
-type wallClock struct{ start time.Time }
+// systemClock starts at the time of the wall clock and advances with the monotonic clock: setting the wall clock has no effect.
+type systemClock struct{ start time.Time }
 
-// New returns the machine's clock.
-func New() Clock { return wallClock{time.Now()} }
+// New returns a Clock that starts at the current time of the machine.
+func New() Clock { return systemClock{time.Now()} }
 
-func (c wallClock) Now() policyapi.Microseconds {
+func (c systemClock) Now() policyapi.Microseconds {
 	return policyapi.Microseconds(c.start.UnixMicro() + time.Since(c.start).Microseconds())
 }
 
-func (c wallClock) After(d policyapi.Microseconds) <-chan time.Time {
+func (c systemClock) After(d policyapi.Microseconds) <-chan time.Time {
 	return time.After(time.Duration(d) * time.Microsecond)
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -14,6 +14,7 @@
 	<-c.After(2000)
 	second := c.Now()
 	if first < before || second-first < 2000 || second-first > 10_000_000 {
-		t.Errorf("%d, then %d after 2000 µs; the wall clock was at %d", first, second, before)
+		t.Errorf("clock read %d, then %d after a wait of 2000 µs; want at least the wall clock's %d, then at least 2000 and at most "+
+			"10000000 more", first, second, before)
 	}
 }
--- a/clock/doc.go
+++ b/clock/doc.go
@@ -1,5 +1,5 @@
-// Package clock provides the time to running coordinators, and lets tests set it.
+// Package clock provides the time to running coordinators and allows tests to control it.
 //
-// A [Clock] is passed to whatever waits or reads the time. [New] returns that of the machine, which never goes back; tests
-// pass their own. The packages that decide something don't use it: they are given the time with each call.
+// A [Clock] is passed to code that reads the time or waits. [New] returns the clock of the machine, which never goes back. Tests
+// pass their own implementation. Packages that make decisions without I/O do not use it: they take the time as an argument.
 package clock
--- a/healthcheck/checker.go
+++ b/healthcheck/checker.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// MaxBodyBytes is how much of a response's body is read: load reports have a hundred bytes or so.
+	// MaxBodyBytes is the maximum number of bytes of a response's body that are read. Load reports have about a hundred.
 	MaxBodyBytes = 1 << 16
-	// maxQueuedChecks bounds the checks that wait for a worker.
+	// maxQueuedChecks is the maximum number of checks that wait for a worker.
 	maxQueuedChecks = 1024
 )
 
-// Codes of results, as the decision module knows them.
+// The codes of results, as package policy expects them.
 const (
 	codeOK           = "Ok"
 	codeFailed       = "Failed"
@@ -32,15 +32,15 @@
 
 // Options configure a Checker.
 type Options struct {
-	Timeout       time.Duration // of a check
-	MaxConcurrent int           // each check holds a descriptor
-	// URL returns where an endpoint is checked; false if it has no address.
+	Timeout       time.Duration // timeout of one check
+	MaxConcurrent int           // maximum number of concurrent checks, each of which holds a file descriptor
+	// URL returns the URL at which an endpoint is checked, or false if the endpoint has no address.
 	URL func(policyapi.EndpointID) (string, bool)
-	// Metrics reads the load figures of a response, whose body ends after MaxBodyBytes.
+	// Metrics reads the load metrics from a response, whose body ends after at most MaxBodyBytes.
 	Metrics func(*http.Response) policyapi.LoadMetrics
 }
 
-// Checker runs health checks, a bounded number at once with a bounded number waiting.
+// Checker runs health checks. The numbers of concurrent and of queued checks are bounded.
 type Checker struct {
 	options Options
 	report  func(policyapi.HealthCheckResult)
@@ -49,7 +49,7 @@
 	cancel  context.CancelFunc
 }
 
-// New starts a Checker. It calls report once for each check, from several goroutines.
+// New starts a Checker. It calls report once for each check, from several goroutines at once.
 func New(options Options, report func(policyapi.HealthCheckResult)) *Checker {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Checker{
@@ -60,24 +60,24 @@
 		cancel:  cancel,
 	}
 	for range options.MaxConcurrent {
-		go c.work(ctx) // ends with Close
+		go c.work(ctx) // Close ends it
 	}
 	return c
 }
 
-// Close ends the Checker. Checks that wait are not reported any more.
+// Close stops the Checker. The results of queued checks are not reported.
 func (c *Checker) Close() { c.cancel() }
 
-// Check requests a check of an endpoint. It does not wait: if too many checks are queued, the result has the code QueueFull.
+// Check queues a check of an endpoint. It never blocks: if too many checks are queued, it reports the code QueueFull instead.
 func (c *Checker) Check(id policyapi.EndpointID) {
 	select {
 	case c.queue <- id:
 	default:
-		go c.report(policyapi.HealthCheckResult{Endpoint: id, Code: codeQueueFull}) // report may wait for its receiver
+		go c.report(policyapi.HealthCheckResult{Endpoint: id, Code: codeQueueFull}) // report may block
 	}
 }
 
-// work runs checks until the context ends.
+// work runs queued checks until the context ends.
 func (c *Checker) work(ctx context.Context) {
 	for {
 		select {
@@ -89,31 +89,32 @@
 	}
 }
 
+// check checks an endpoint and returns the result.
 func (c *Checker) check(ctx context.Context, id policyapi.EndpointID) policyapi.HealthCheckResult {
 	start := time.Now()
 	result := policyapi.HealthCheckResult{Endpoint: id}
-	url, has := c.options.URL(id)
+	url, hasAddress := c.options.URL(id)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
-	if err != nil || !has {
+	if err != nil || !hasAddress {
 		result.Code = codeFailed
 		return result
 	}
 	response, err := c.http.Do(request)
 	result.Duration = policyapi.Microseconds(time.Since(start).Microseconds())
 	if err != nil {
-		result.Code = errorCode(err)
+		result.Code = codeOfError(err)
 		return result
 	}
 	defer func() { _ = response.Body.Close() }()
 	response.Body = limitBody(response.Body)
 	result.Metrics = c.options.Metrics(response)
 	_, _ = io.Copy(io.Discard, response.Body)
-	result.Code = statusCode(response.StatusCode)
+	result.Code = codeOfStatus(response.StatusCode)
 	result.Healthy = result.Code == codeOK
 	return result
 }
 
-// limitBody ends a body after MaxBodyBytes.
+// limitBody returns a body that ends after at most MaxBodyBytes.
 func limitBody(body io.ReadCloser) io.ReadCloser {
 	return struct {
 		io.Reader
@@ -121,8 +122,8 @@
 	}{io.LimitReader(body, MaxBodyBytes), body}
 }
 
-// statusCode returns the code of a response.
-func statusCode(status int) string {
+// codeOfStatus returns the code of a check whose response has the given HTTP status.
+func codeOfStatus(status int) string {
 	switch {
 	case status < http.StatusMultipleChoices:
 		return codeOK
@@ -133,8 +134,8 @@
 	}
 }
 
-// errorCode returns the code of a check without a response.
-func errorCode(err error) string {
+// codeOfError returns the code of a check that failed with an error before a response arrived.
+func codeOfError(err error) string {
 	var netErr net.Error
 	switch {
 	case errors.As(err, &netErr) && netErr.Timeout():
--- a/healthcheck/checker_test.go
+++ b/healthcheck/checker_test.go
@@ -12,7 +12,7 @@
 	"porthub/policyapi"
 )
 
-// startChecker returns a Checker whose endpoints are named by their URLs, and the results.
+// startChecker returns a Checker whose endpoint ids are URLs, and a channel with its results.
 func startChecker(t *testing.T, maxConcurrent int) (*Checker, <-chan policyapi.HealthCheckResult) {
 	t.Helper()
 	results := make(chan policyapi.HealthCheckResult, 2*maxQueuedChecks)
@@ -41,7 +41,7 @@
 		checker.Check(policyapi.EndpointID(endpoint.URL + "/" + strconv.Itoa(status)))
 		result := <-results
 		if result.Code != want || result.Healthy != (want == "Ok") || result.Metrics["bytes"] != MaxBodyBytes {
-			t.Errorf("status %d: %+v, want %s", status, result, want)
+			t.Errorf("status %d: result is %+v, want code %s and a body limited to MaxBodyBytes", status, result, want)
 		}
 	}
 }
@@ -63,20 +63,20 @@
 			checker, results := startChecker(t, 1)
 			checker.Check(policyapi.EndpointID(c.url))
 			if result := <-results; result.Healthy || result.Code != c.want || string(result.Endpoint) != c.url {
-				t.Errorf("%+v, want %s", result, c.want)
+				t.Errorf("result is %+v, want code %s and not healthy", result, c.want)
 			}
 		})
 	}
 }
 
-// Checks beyond the queue are reported at once, without a check.
+// When the queue is full, further checks are reported at once and not run.
 func TestFullQueue(t *testing.T) {
-	checker, results := startChecker(t, 0) // nobody takes checks off the queue
+	checker, results := startChecker(t, 0) // no workers, so queued checks stay in the queue
 	for range maxQueuedChecks {
-		checker.Check("waits")
+		checker.Check("queued")
 	}
 	checker.Check("rejected")
 	if result := <-results; result.Endpoint != "rejected" || result.Code != "QueueFull" || result.Healthy {
-		t.Errorf("%+v", result)
+		t.Errorf("result is %+v, want code QueueFull for the rejected check", result)
 	}
 }
--- a/http1/doc.go
+++ b/http1/doc.go
@@ -1,6 +1,6 @@
-// Package http1 parses HTTP/1.1 requests at the front of a buffer, within limits, and encodes responses, for event loops
-// that net/http's server does not fit.
+// Package http1 parses HTTP/1.1 requests of limited size from a buffer and encodes responses. It is for event loops, in which
+// the server of net/http cannot be used.
 //
-// [ParseRequest] takes a request from the front of a buffer, [EncodeResponse] makes the bytes of a response. The package is
-// pure and keeps no state: the same bytes give the same requests however they were split on the way.
+// [ParseRequest] parses the request at the start of a buffer. [EncodeResponse] returns the bytes of a response. The package does
+// no I/O and keeps no state: a stream gives the same requests in whatever pieces it arrives.
 package http1
--- a/http1/http1.go
+++ b/http1/http1.go
@@ -7,37 +7,39 @@
 	"net/http"
 )
 
-// Limits bound one request, in bytes.
+// Limits are the maximum sizes of a request in bytes.
 type Limits struct {
-	Head int
+	Head int // request line and headers
 	Body int
 }
 
-// Error is a request that can't be parsed, with the status to respond with. The boundaries of later requests on the connection are unknown.
+// Error is the error for a request that cannot be parsed, with the response to it. The boundaries of later requests on the
+// connection are then unknown.
 type Error struct {
-	Code   int    // HTTP status
-	Reason string // for the response's body
-	Err    error  // of net/http; may be nil
+	Code   int    // HTTP status of the response
+	Reason string // body of the response
+	Err    error  // underlying error of net/http; may be nil
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("%d: %s", e.Code, e.Reason) }
 
-// Unwrap returns the error of net/http, if any.
+// Unwrap returns the underlying error of net/http, or nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-var headEnd = []byte("\r\n\r\n")
+// headTerminator ends the headers of a request.
+var headTerminator = []byte("\r\n\r\n")
 
-// ParseRequest parses the first request of a buffer. It returns the request's size in bytes; 0 without an error if the request is not
-// complete yet. The body is a copy. An error is an *Error.
+// ParseRequest parses the first request in a buffer. It returns the request, a copy of its body and its size in bytes. The size
+// is 0 if the request is not complete yet. Any error is an *Error.
 func ParseRequest(buf []byte, limits Limits) (request *http.Request, body []byte, size int, err error) {
-	i := bytes.Index(buf[:min(len(buf), limits.Head+len(headEnd))], headEnd)
+	i := bytes.Index(buf[:min(len(buf), limits.Head+len(headTerminator))], headTerminator)
 	if i < 0 {
 		if len(buf) > limits.Head {
 			return nil, nil, 0, &Error{Code: http.StatusRequestHeaderFieldsTooLarge, Reason: fmt.Sprintf("a head has %d bytes at most", limits.Head)}
 		}
 		return nil, nil, 0, nil
 	}
-	headSize := i + len(headEnd)
+	headSize := i + len(headTerminator)
 	request, parseErr := http.ReadRequest(bufio.NewReader(bytes.NewReader(buf[:headSize])))
 	if parseErr != nil {
 		return nil, nil, 0, &Error{Code: http.StatusBadRequest, Reason: "no HTTP/1.1 request: " + parseErr.Error(), Err: parseErr}
@@ -55,7 +57,8 @@
 	return request, bytes.Clone(buf[headSize:size]), size, nil
 }
 
-// EncodeResponse encodes a response with its Content-Length; a 304 has no body. If isLast is set it announces the connection's end.
+// EncodeResponse encodes a response with its Content-Length. A response with status 304 has no body, and one with status 429 or
+// 503 has Retry-After: 1. If isLast is set, the response has Connection: close.
 func EncodeResponse(code int, contentType string, body []byte, isLast bool) []byte {
 	hasBody := code != http.StatusNotModified
 	var b bytes.Buffer
--- a/http1/http1_test.go
+++ b/http1/http1_test.go
@@ -19,20 +19,20 @@
 		code int
 		size int
 	}{
-		"complete":                  {one, 0, len(one)},
-		"two":                       {one + one, 0, len(one)},
-		"no body":                   {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, 27},
-		"half a head":               {one[:20], 0, 0},
-		"half a body":               {one[:len(one)-2], 0, 0},
-		"nothing":                   {"", 0, 0},
-		"garbage":                   {"garbage\r\n\r\n", 400, 0},
-		"no host":                   {"GET / HTTP/1.1\r\n\r\n", 0, 18},
-		"chunked":                   {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, 0},
-		"a negative length":         {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", 400, 0},
-		"two lengths":               {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", 400, 0},
-		"a body too large":          {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1001\r\n\r\n", 413, 0},
-		"a head too large":          {"GET /" + strings.Repeat("a", 600), 431, 0},
-		"a complete head too large": {"GET /" + strings.Repeat("a", 600) + " HTTP/1.1\r\n\r\n", 431, 0},
+		"complete":                {one, 0, len(one)},
+		"two requests":            {one + one, 0, len(one)},
+		"no body":                 {"GET / HTTP/1.1\r\nHost: x\r\n\r\n", 0, 27},
+		"partial head":            {one[:20], 0, 0},
+		"partial body":            {one[:len(one)-2], 0, 0},
+		"empty buffer":            {"", 0, 0},
+		"garbage":                 {"garbage\r\n\r\n", 400, 0},
+		"no host":                 {"GET / HTTP/1.1\r\n\r\n", 0, 18},
+		"chunked":                 {"POST / HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 411, 0},
+		"negative length":         {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: -5\r\n\r\n", 400, 0},
+		"two lengths":             {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!", 400, 0},
+		"body too large":          {"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1001\r\n\r\n", 413, 0},
+		"head too large":          {"GET /" + strings.Repeat("a", 600), 431, 0},
+		"complete head too large": {"GET /" + strings.Repeat("a", 600) + " HTTP/1.1\r\n\r\n", 431, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, body, size, err := ParseRequest([]byte(c.text), limits)
@@ -40,19 +40,19 @@
 			if parseErr := (*Error)(nil); errors.As(err, &parseErr) {
 				code = parseErr.Code
 			} else if err != nil {
-				t.Errorf("%v is no *Error", err)
+				t.Errorf("error %v is not an *Error", err)
 			}
 			if code != c.code || size != c.size {
-				t.Errorf("%d bytes, %v", size, err)
+				t.Errorf("size is %d, error %v; want size %d and status %d", size, err, c.size, c.code)
 			}
 			if strings.HasSuffix(c.text, "hello") && size > 0 && string(body) != "hello" {
-				t.Errorf("body %q", body)
+				t.Errorf("body is %q, want hello", body)
 			}
 		})
 	}
 }
 
-// A standard client reads responses one after the other.
+// A client of net/http can read encoded responses one after the other from a connection.
 func TestEncodeResponse(t *testing.T) {
 	var all bytes.Buffer
 	all.Write(EncodeResponse(200, "text/plain", []byte("one"), false))
@@ -66,12 +66,12 @@
 		}
 		body, err := io.ReadAll(response.Body)
 		if err != nil || string(body) != want || response.Close != (i == 2) {
-			t.Errorf("response %d: %q, close %t, %v", i, body, response.Close, err)
+			t.Errorf("response %d: body %q, close %t, error %v; want body %q, close only for the last", i, body, response.Close, err, want)
 		}
 	}
 }
 
-// A stream gives the same requests however it is split, none larger than the limits.
+// A stream gives the same requests in whatever pieces it arrives, and no request is larger than the limits.
 func FuzzParseRequest(f *testing.F) {
 	for _, seed := range []string{"POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhelloGET / HTTP/1.1\r\nHost: y\r\n\r\n", "\r\n\r\n\r\n",
 		"GET / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"} {
@@ -104,8 +104,8 @@
 					split, failed = append(split, "error"), true
 					break
 				}
-				if size > limits.Head+len(headEnd)+limits.Body {
-					t.Fatalf("a request of %d bytes", size)
+				if size > limits.Head+len(headTerminator)+limits.Body {
+					t.Fatalf("request has %d bytes, want at most the limits", size)
 				}
 				if size == 0 {
 					break
@@ -118,7 +118,7 @@
 			}
 		}
 		if strings.Join(complete, "|") != strings.Join(split, "|") {
-			t.Fatalf("complete %q, split %q", complete, split)
+			t.Fatalf("requests of the split stream are %q, want those of the complete stream, %q", split, complete)
 		}
 	})
 }
--- a/httpclient/transport_test.go
+++ b/httpclient/transport_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// unreachableAddress returns an address at which connections are never established: nobody accepts, and the backlog is full.
+// unreachableAddress returns an address to which connections are never established: its listener accepts none, and the backlog
+// is full.
 func unreachableAddress(t *testing.T) string {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -37,14 +38,14 @@
 		}
 		t.Cleanup(func() { _ = c.Close() })
 	}
-	t.Fatal("the system establishes connections that nobody accepts")
+	t.Fatal("the system establishes connections beyond the backlog, want dials that stay pending")
 	return ""
 }
 
-// synSent is the state of a connection in the system's table that is not established yet.
+// synSent is the state in /proc/self/net/tcp of a connection that is not established yet.
 const synSent = "02"
 
-// pendingDials returns how many connections to an address are not established yet, by the system's own table.
+// pendingDials returns the number of connections to an address that are not established yet, from /proc/self/net/tcp.
 func pendingDials(t *testing.T, address string) (n int) {
 	text, err := os.ReadFile("/proc/self/net/tcp")
 	if err != nil {
@@ -63,7 +64,8 @@
 	return n
 }
 
-// A call that is canceled before its connection is established ends the dial too.
+// If a call is canceled before its connection is established, its dial must end too. Otherwise calls to an unreachable machine
+// would accumulate file descriptors.
 func TestDialEndsWithItsCall(t *testing.T) {
 	address := unreachableAddress(t)
 	client := http.Client{Transport: Transport()}
@@ -79,16 +81,16 @@
 		}()
 		for end := time.Now().Add(10 * time.Second); pendingDials(t, address) == 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("no dial is pending")
+				t.Fatal("no dial is pending within 10 s of the call, want one")
 			}
 		}
 		cancel()
 		if err := <-ended; err == nil {
-			t.Error("a response from nowhere")
+			t.Error("call to an unreachable address succeeded, want an error")
 		}
 		for end := time.Now().Add(2 * time.Second); pendingDials(t, address) > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal("a dial goes on after the end of its call")
+				t.Fatal("a dial is still pending 2 s after the end of its call, want none")
 			}
 		}
 	}
