--- a/loadreport/gateway.go
+++ b/loadreport/gateway.go
@@ -12,7 +12,7 @@
 	// trusted: a process is far more likely to have miscounted than to have grown that much within a second.
 	surgeFactor = 20.0
 	// surgeReports is the number of consecutive untrusted reports after which a surge is considered real. It is also the
-	// number of reports from which on the usual demand of a gateway is known.
+	// number of reports after which the usual demand of a gateway is known.
 	surgeReports = 3
 	// demandSmoothing is the weight of a new report in the smoothed demand of a gateway.
 	demandSmoothing = 0.5
--- a/loadreport/pacing.go
+++ b/loadreport/pacing.go
@@ -3,7 +3,7 @@
 import "porthub/policyapi"
 
 const (
-	// minBatchDelay is the duration of a step, in microseconds, from which on inputs are batched.
+	// minBatchDelay is the minimum duration of a step, in microseconds, after which inputs are batched.
 	minBatchDelay policyapi.Microseconds = 2000
 	// maxBatchDelay is the maximum delay in microseconds, a hundredth of the time that a drain may take.
 	maxBatchDelay policyapi.Microseconds = 20_000
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// massDropFraction is the fraction of a source's endpoints from which on a drop is a mass drop: a registry that drops
-	// so many at once has more likely lost its state than the endpoints have left the fleet.
+	// massDropFraction is the minimum fraction of a source's endpoints in a mass drop. If a registry drops so many at once,
+	// it is more likely that it has lost its state than that the endpoints have left the fleet.
 	massDropFraction = 0.3
 	// massDropMinimum is the minimum number of endpoints for massDropFraction and registryRestartFraction to apply.
 	massDropMinimum = 3
 	// massDropWindow is the period within which drops by one source are added up, since a registry may also lose its
 	// state gradually.
 	massDropWindow = 10 * second
-	// registryRestartFraction is the fraction of a source's endpoints from which on start times that change in the same
-	// poll are attributed to a restart of the registry.
+	// registryRestartFraction is the minimum fraction of a source's endpoints whose start times must change in the same poll
+	// for the change to be attributed to a restart of the registry.
 	registryRestartFraction = 0.5
 	// leaseGrace is the number of lease durations without a renewal after which a lease has expired.
 	leaseGrace = 2
@@ -192,7 +192,7 @@
 }
 
 // isMassDrop reports whether a source that is not authoritative has dropped so many endpoints within massDropWindow that
-// it has lost them. At least one endpoint dropped by this poll must still answer gateways. Among those that this poll drops,
+// the source must have lost them. At least one endpoint dropped by this poll must still answer gateways. Among those that this poll drops,
 // endpoints that were not up at the source or that an operator has drained do not count.
 func (m *Membership) isMassDrop(name string, s *source, reported map[policyapi.EndpointID]Observation) bool {
 	missing, answering := 0, 0
@@ -224,7 +224,7 @@
 	return true
 }
 
-// exceedsMassDropLimits reports whether count of total endpoints are too many to have left the fleet at once.
+// exceedsMassDropLimits reports whether count out of total endpoints are too many to have left the fleet at once.
 func exceedsMassDropLimits(count, total int) bool {
 	return count >= massDropMinimum && float64(count) >= massDropFraction*float64(total)
 }
--- a/membership/evaluate.go
+++ b/membership/evaluate.go
@@ -117,7 +117,7 @@
 
 // evaluate returns the state of an endpoint by the present evidence, and the reason. Drains take precedence, followed by
 // sources that report the endpoint as down, sources that report it as up, sources that report it as starting or whose lease
-// of it has expired, and last sources that mass-dropped it.
+// for it has expired, and finally sources that mass-dropped it.
 func (m *Membership) evaluate(e *endpoint) (State, string) {
 	if e.drainReason != "" {
 		return Draining, "drained by an operator: " + e.drainReason
