--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,6 @@
 // Command adapter hosts instances of the decision module for the simulator: it reads batches of events from standard
 // input and writes replies with the instances' orders to standard output, until the input ends. It exits with status 1
-// and a message on standard error if the input violates the protocol, or output fails.
+// and a message on standard error if the input violates the protocol or the output cannot be written.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// serve replies to batches of events until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	r := simwire.NewReader(in)
 	w := simwire.NewWriter(out)
@@ -41,23 +41,23 @@
 	}
 }
 
-// host runs the instances of this process, which share nothing.
+// host runs the instances of this process, which share no state.
 type host struct {
 	instances map[policyapi.InstanceID]*policy.Instance
 }
 
-// handle distributes a batch among its instances and writes what they order, in the order in which the instances first
-// occur in the batch.
+// handle distributes a batch among its instances and writes their orders, instance by instance, in the sequence in which
+// the instances first occur in the batch.
 func (h *host) handle(batch simwire.Batch, w *simwire.Writer) {
-	var order []policyapi.InstanceID
+	var ids []policyapi.InstanceID
 	events := map[policyapi.InstanceID][]simwire.InstanceEvent{}
 	for _, event := range batch.Events {
 		if _, seen := events[event.To]; !seen {
-			order = append(order, event.To)
+			ids = append(ids, event.To)
 		}
 		events[event.To] = append(events[event.To], event)
 	}
-	for _, id := range order {
+	for _, id := range ids {
 		orders, err := h.step(id, batch.Now, events[id])
 		if err != nil {
 			w.Exception(id, err.Error())
@@ -69,9 +69,11 @@
 	}
 }
 
-// step runs one instance and turns its panic into an error. Events before a crash or a start are dropped: they were for
-// the instance that ends there, whose orders would have no effect.
-func (h *host) step(id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.InstanceEvent) (orders []policyapi.Order, err error) {
+// step runs one instance and returns its panic, if any, as an error. Events before a crash or a start are discarded: they
+// are for the instance that ends there, whose orders would have no effect.
+func (h *host) step(
+	id policyapi.InstanceID, now policyapi.Microseconds, events []simwire.InstanceEvent,
+) (orders []policyapi.Order, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			orders, err = nil, errors.New(fmt.Sprint(p))
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -9,8 +9,8 @@
 	"porthub/simwire"
 )
 
-// The adapter replies to every batch, ignores events for instances that do not run, drops a crashed one, and returns an error
-// for input that ends in mid-batch.
+// The adapter replies to every batch, ignores events for instances that do not run, drops a crashed instance, and returns an
+// error for input that ends within a batch.
 func TestServe(t *testing.T) {
 	start := "UP\tcoordinator-0\t7\t{\"localities\":[\"a\"],\"discovery\":\"ask\"," +
 		"\"profiles\":[{\"name\":\"view\",\"points\":1,\"slo\":750000}]}\n"
@@ -22,17 +22,18 @@
 	}
 	replies := strings.Split(out.String(), "OK\n")
 	if len(replies) != 5 || replies[0] != "" || replies[1] != "" || replies[3] != "" {
-		t.Errorf("replies %q", replies)
+		t.Errorf("replies %q, want four, of which only the third has orders", replies)
 	}
 	if !strings.Contains(replies[2], "TAIL\tcoordinator-0\t1\n") || !strings.Contains(replies[2], "SLEEP\t") {
-		t.Errorf("the started instance replies %q", replies[2])
+		t.Errorf("the started instance replied %q, want a TAIL and a SLEEP", replies[2])
 	}
 	if err := serve(strings.NewReader("TURN\t1\nRING\tcoordinator-0\t1\n"), &out); err == nil {
-		t.Error("input that ends in mid-batch is accepted")
+		t.Error("serve accepted input that ends within a batch")
 	}
 }
 
-// An instance whose code panics, here since it was never set up, is reported as an exception, and the others go on.
+// A panic of an instance, here one that New did not create, is reported as an exception, and the other instances still
+// reply.
 func TestPanicIsReported(t *testing.T) {
 	in := "TURN\t1\n" +
 		"UP\tgood\t7\t{\"localities\":[\"a\"],\"profiles\":[{\"name\":\"view\",\"slo\":750000}]}\n" +
@@ -50,11 +51,11 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(out.String(), "EXCEPTION\tbad\t") || !strings.Contains(out.String(), "SLEEP\tgood\t") {
-		t.Errorf("reply %q", out.String())
+		t.Errorf("reply %q, want an exception of bad and a timer of good", out.String())
 	}
 }
 
-// A start without zones is no exception.
+// An instance that starts without zones does not panic.
 func TestStartWithoutZones(t *testing.T) {
 	in := "TURN\t1\nUP\ti\t7\t{\"localities\":[]}\nDISCOVERY\ti\t1\tFULL\t1\nROW\ta\tb:1\t1\t0\t-\tstd\tready\nEOB\n"
 	var out strings.Builder
@@ -62,6 +63,6 @@
 		t.Fatal(err)
 	}
 	if strings.Contains(out.String(), "EXCEPTION") || !strings.Contains(out.String(), "SLEEP\ti\t") {
-		t.Errorf("reply %q", out.String())
+		t.Errorf("reply %q, want a timer and no exception", out.String())
 	}
 }
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -33,7 +33,7 @@
 type ackLatencies struct {
 	recent, previous micros // of the present period and the one before
 	since            micros // when the present period began
-	any              bool   // something has been acknowledged
+	recorded         bool   // something has been acknowledged
 }
 
 // longest is the longest latency seen lately.
@@ -47,7 +47,7 @@
 		a.since = now
 	}
 	a.recent = max(a.recent, latency)
-	a.any = true
+	a.recorded = true
 }
 
 // queuedLines estimates the lines in the channel from the acknowledgements. Messages to different proxies can overtake
@@ -73,7 +73,7 @@
 // isOverdue reports whether a message has been in flight for too long to count as queued.
 func (c *channel) isOverdue(now micros, m pendingMessage) bool {
 	age, longest := now-m.sentAt, c.acks.longest()
-	return c.acks.any && age > longest+longest/overdueLatencyDivisor+overduePeriods*c.reportPeriod || age > messageExpiry
+	return c.acks.recorded && age > longest+longest/overdueLatencyDivisor+overduePeriods*c.reportPeriod || age > messageExpiry
 }
 
 // dropOverdue drops the overdue messages of a failed instance.
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -16,9 +16,9 @@
 	maxRejectedShare = 0.9
 	// bucketSeconds is the number of seconds of its rate that a proxy's token bucket holds; it holds one request at least.
 	bucketSeconds = 2
-	// evenRate is the difference from 1 of the ratio of rate and demand below which both count as equal: the general
+	// equalRateTolerance is the difference from 1 of the ratio of rate and demand below which both count as equal: the general
 	// formula is 0/0 there.
-	evenRate = 1e-3
+	equalRateTolerance = 1e-3
 	// levelSteps is the number of bisections that find a level.
 	levelSteps = 20
 )
@@ -134,7 +134,7 @@
 	}
 	ratio := rate / demand
 	places := max(1, bucketSeconds*rate)
-	if math.Abs(ratio-1) < evenRate {
+	if math.Abs(ratio-1) < equalRateTolerance {
 		return demand * places / (places + 1)
 	}
 	return demand * (1 - (1-ratio)/(1-math.Pow(ratio, places+1)))
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -19,7 +19,7 @@
 
 	entry              policyapi.Endpoint
 	unconfirmedRemoval bool // missing from the list without having been listed as draining
-	forgotten          bool
+	dropped            bool
 
 	zones       []zoneHealth // by zone of the proxies
 	recoveredAt micros       // when an ejection last ended; 0: it never was ejected
@@ -48,8 +48,8 @@
 		a.publish(now, urgent)
 	case hostEvent:
 		a.handleEvent(now, m.event)
-	case endpointForgotten:
-		a.forgotten = true
+	case endpointDropped:
+		a.dropped = true
 		a.planner.send(m)
 	case roundClosed:
 		ejected := a.closeRound(now, m)
@@ -134,7 +134,7 @@
 
 // publish sends the endpoint's state to the planner.
 func (a *endpointActor) publish(now micros, urgent bool) {
-	if a.forgotten {
+	if a.dropped {
 		return // messages that were still in the mailbox must not bring it back
 	}
 	state := endpointState{
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -44,7 +44,7 @@
 func (l *endpointList) receive(now micros, m message) {
 	switch m := m.(type) {
 	case reportRound:
-		l.forgetRemoved(now)
+		l.dropRemoved(now)
 	case pollList:
 		if l.settings.pollsList {
 			l.out.add(policyapi.WatchEndpoints{Enabled: true})
@@ -129,10 +129,10 @@
 	}
 }
 
-// forgetRemoved drops the actors of endpoints that were removed more than endpointRetention ago; in a fleet whose
+// dropRemoved drops the actors of endpoints that were removed more than endpointRetention ago; in a fleet whose
 // endpoints get new IDs they would accumulate. An endpoint whose removal is unconfirmed may still be in tables and keeps
 // its actor.
-func (l *endpointList) forgetRemoved(now micros) {
+func (l *endpointList) dropRemoved(now micros) {
 	for _, a := range slices.Clone(l.order) {
 		at, removed := l.removedAt[a.id]
 		if !removed || now-at <= endpointRetention || a.unconfirmedRemoval {
@@ -141,7 +141,7 @@
 		delete(l.removedAt, a.id)
 		delete(l.actors, a.id)
 		l.order = slices.DeleteFunc(l.order, func(other *endpointActor) bool { return other == a })
-		a.send(endpointForgotten{a.id}) // run still has the actor in its present round
+		a.send(endpointDropped{a.id}) // run still has the actor in its present round
 	}
 }
 
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -24,8 +24,8 @@
 	// entryUpdate is an endpoint's new entry in the list, for its actor.
 	entryUpdate struct{ entry policyapi.Endpoint }
 
-	// endpointForgotten drops all state of an endpoint that was removed longer than endpointRetention ago.
-	endpointForgotten struct{ id policyapi.EndpointID }
+	// endpointDropped drops all state of an endpoint that was removed longer than endpointRetention ago.
+	endpointDropped struct{ id policyapi.EndpointID }
 
 	// listConfirmed reports that a list newer than the cached one has arrived.
 	listConfirmed struct{}
@@ -77,19 +77,19 @@
 	retryDelivery struct{}
 )
 
-func (hostEvent) isMessage()         {}
-func (pollList) isMessage()          {}
-func (reportRound) isMessage()       {}
-func (batchEnd) isMessage()          {}
-func (entryUpdate) isMessage()       {}
-func (endpointForgotten) isMessage() {}
-func (listConfirmed) isMessage()     {}
-func (roundClosed) isMessage()       {}
-func (endpointState) isMessage()     {}
-func (demandUpdate) isMessage()      {}
-func (targetState) isMessage()       {}
-func (boundGroups) isMessage()       {}
-func (retryDelivery) isMessage()     {}
+func (hostEvent) isMessage()       {}
+func (pollList) isMessage()        {}
+func (reportRound) isMessage()     {}
+func (batchEnd) isMessage()        {}
+func (entryUpdate) isMessage()     {}
+func (endpointDropped) isMessage() {}
+func (listConfirmed) isMessage()   {}
+func (roundClosed) isMessage()     {}
+func (endpointState) isMessage()   {}
+func (demandUpdate) isMessage()    {}
+func (targetState) isMessage()     {}
+func (boundGroups) isMessage()     {}
+func (retryDelivery) isMessage()   {}
 
 // groupID names a group of endpoints. It stays unique when the zones are divided again.
 type groupID int
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -7,9 +7,9 @@
 	"porthub/policyapi"
 )
 
-// firstClock is where the planner's clock starts, in seconds. It is far above rebindInterval, so that every proxy may be
+// initialClock is where the planner's clock starts, in seconds. It is far above rebindInterval, so that every proxy may be
 // moved from the start.
-const firstClock = 100
+const initialClock = 100
 
 // planner decides the target state: tables, groups and admission.
 type planner struct {
@@ -54,7 +54,7 @@
 		settings:      s,
 		endpoints:     map[policyapi.EndpointID]endpointState{},
 		list:          listStatus{cachedDelay: cachedListDelay(s.reportPeriod, s.rules.DrainGracePeriod)},
-		round:         roundCounts{attempts: make([]float64, zones), clock: firstClock},
+		round:         roundCounts{attempts: make([]float64, zones), clock: initialClock},
 		fleet:         fleetEstimate{speed: 1},
 		groups:        newGroupSet(),
 		zoneDemand:    make([]float64, zones),
@@ -79,7 +79,7 @@
 		if load, is := m.event.(policyapi.EndpointLoad); is {
 			p.countLoad(load)
 		}
-	case endpointForgotten:
+	case endpointDropped:
 		delete(p.endpoints, m.id)
 		delete(p.groups.ofEndpoint, m.id)
 	case listConfirmed:
--- a/policy/removal.go
+++ b/policy/removal.go
@@ -17,8 +17,8 @@
 // of withdrawn endpoints, starting with the tables where they have been pending for longest; then the bindings of new
 // proxies, which cost three times the lines. Other removals follow. It reports whether any required change has to wait.
 func (c *channel) sendWithdrawals(t turn) (pending bool) {
-	losing := c.replicasWithRemovals(t.now)
-	for _, r := range losing {
+	withRemovals := c.replicasWithRemovals(t.now)
+	for _, r := range withRemovals {
 		if r.withdrawalSince > 0 && !c.sendRemovals(t, r) {
 			pending = true
 		}
@@ -29,7 +29,7 @@
 			pending = true
 		}
 	}
-	for _, r := range losing {
+	for _, r := range withRemovals {
 		if r.withdrawalSince == 0 {
 			c.sendRemovals(t, r)
 		}
@@ -83,8 +83,8 @@
 // as many removals as fit. It reports whether all withdrawn endpoints have been removed.
 func (c *channel) sendTableRemovals(now micros, r *replica, set int) (done bool) {
 	change := r.tables[set].pending
-	losses := slices.Concat(change.withdrawn, change.removed)
-	if len(losses) == 0 {
+	removals := slices.Concat(change.withdrawn, change.removed)
+	if len(removals) == 0 {
 		return true
 	}
 	r.removedAt = now
@@ -96,15 +96,15 @@
 	if c.linesThatFit(r.streams, fullLimit) >= change.size() {
 		c.charge(now, r.streams, float64(change.size()))
 		c.orderAdmission(r, set, change)
-		c.orderLines(r, set, slices.Concat(losses, change.updated))
+		c.orderLines(r, set, slices.Concat(removals, change.updated))
 		return true
 	}
-	fit := min(len(losses), c.linesThatFit(r.streams, limit))
+	fit := min(len(removals), c.linesThatFit(r.streams, limit))
 	if fit <= 0 {
 		return false
 	}
 	c.charge(now, r.streams, float64(fit))
-	c.orderLines(r, set, losses[:fit])
+	c.orderLines(r, set, removals[:fit])
 	return fit >= len(change.withdrawn)
 }
 
@@ -139,14 +139,14 @@
 // message limit would otherwise delay the removals of all.
 func (c *channel) reassign(r *replica) {
 	const reserved = true // the binding takes the place of removals
-	var fresh *replica
+	var newReplica *replica
 	for _, s := range slices.Clone(r.streams) {
 		if r.withdrawalSince == 0 || c.messageLimitReached(s, reserved) || !c.bindingFits(r, withdrawalShare*c.queueLimit) {
 			continue
 		}
-		if fresh == nil {
-			fresh = c.addReplica(r.group, r.subset)
+		if newReplica == nil {
+			newReplica = c.addReplica(r.group, r.subset)
 		}
-		c.bind(s, fresh)
+		c.bind(s, newReplica)
 	}
 }
--- a/policyapi/events.go
+++ b/policyapi/events.go
@@ -5,14 +5,14 @@
 // Event is something that a host reports to an instance. The set is closed.
 type Event interface{ isEvent() }
 
-// Start starts an instance. It has no tables and knows no proxies and no endpoints yet.
+// Start starts an instance, which has no tables, proxies or endpoints until further events arrive.
 type Start struct {
-	// Seed makes the random draws of instances differ.
+	// Seed initializes the random numbers of the instance; it differs between instances.
 	Seed uint64 `cbor:"Seed" json:"Seed"`
 	// Self is the position of this instance among all InstanceCount instances.
 	Self          PeerID `cbor:"Me" json:"Me"`
 	InstanceCount int    `cbor:"Instances" json:"Instances"`
-	// Zone is where the instance runs; Zones lists all zones.
+	// Zone is the zone in which the instance runs; Zones lists all zones.
 	Zone      Zone            `cbor:"Zone" json:"Zone"`
 	Zones     []Zone          `cbor:"Zones" json:"Zones"`
 	Classes   []ClassSettings `cbor:"Kinds" json:"Kinds"`
@@ -22,21 +22,21 @@
 	Admission AdmissionMode   `cbor:"Levels" json:"Levels"`
 	// ProxyCount is the number of proxies of all instances together.
 	ProxyCount int `cbor:"Proxies" json:"Proxies"`
-	// PollsList means that the endpoint list comes only after WatchEndpoints or Resync.
+	// PollsList means that the host delivers the endpoint list only in response to WatchEndpoints or Resync.
 	PollsList bool `cbor:"MustAsk" json:"MustAsk"`
-	// EjectionThreshold is the number of consecutive failures after which a proxy stops using an endpoint without an
-	// order to do so; 0 means never.
+	// EjectionThreshold is the number of consecutive failures after which a proxy stops using an endpoint on its own,
+	// without an order; 0 means never.
 	EjectionThreshold int `cbor:"EjectAfter" json:"EjectAfter"`
-	// WeightsListed means that Endpoint.Weight is meaningful.
+	// WeightsListed means that the endpoint list contains weights; otherwise Endpoint.Weight has no meaning.
 	WeightsListed bool `cbor:"ListedWeight" json:"ListedWeight"`
 }
 
-// UpdateKind specifies how an EndpointUpdate relates to the list known before.
+// UpdateKind specifies how an EndpointUpdate relates to the previous list.
 type UpdateKind int
 
 // The values of UpdateKind.
 const (
-	Delta    UpdateKind = iota // the endpoints that changed
+	Delta    UpdateKind = iota // only the endpoints that changed
 	Snapshot                   // the complete list
 	Cached                     // a complete list saved earlier, possibly out of date
 	Failed                     // the list could not be read
@@ -64,7 +64,7 @@
 // The values of EndpointStatus.
 const (
 	Ready    EndpointStatus = iota // may receive requests
-	Draining                       // shuts down gracefully
+	Draining                       // is shutting down gracefully
 	Removed                        // no longer listed; occurs in deltas
 )
 
@@ -86,20 +86,20 @@
 type Endpoint struct {
 	ID   EndpointID `cbor:"Backend" json:"Backend"`
 	Zone Zone       `cbor:"Zone" json:"Zone"`
-	// Weight is the listed size relative to other endpoints. See Start.WeightsListed.
+	// Weight is the listed capacity relative to other endpoints. See Start.WeightsListed.
 	Weight float64 `cbor:"Weight" json:"Weight"`
 	Pod    PodID   `cbor:"Pod" json:"Pod"`
-	// StartedAt is when the process started; 0 means long ago: the endpoint has warmed up.
+	// StartedAt is when the process started; 0 means that it started long ago and has warmed up.
 	StartedAt   Microseconds   `cbor:"Launched" json:"Launched"`
 	MachineType MachineType    `cbor:"Machine" json:"Machine"`
 	Status      EndpointStatus `cbor:"Status" json:"Status"`
 }
 
-// LoadMetrics are an endpoint's figures about itself, by the names that the load report protocol gives them, such as
-// "busy" (fraction of CPU in use), "q" (requests queued) and "rate" (requests served per second).
+// LoadMetrics are the figures that an endpoint reports about itself. The keys are the names of the load report protocol,
+// such as "busy" (fraction of CPU in use), "q" (requests queued) and "rate" (requests served per second).
 type LoadMetrics map[string]float64
 
-// The events beside Start.
+// The events other than Start.
 type (
 	// EndpointUpdate is a change of the endpoint list, or the complete list.
 	EndpointUpdate struct {
@@ -111,7 +111,7 @@
 	TimerFired struct {
 		Token TimerToken `cbor:"Token" json:"Token"`
 	}
-	// HealthCheckResult is the result of a CheckHealth.
+	// HealthCheckResult is the result of a health check that CheckHealth requested.
 	HealthCheckResult struct {
 		Endpoint EndpointID   `cbor:"Backend" json:"Backend"`
 		Healthy  bool         `cbor:"OK" json:"OK"`
@@ -137,7 +137,7 @@
 	ProxyDisconnected struct {
 		Proxy ProxyID `cbor:"Proxy" json:"Proxy"`
 	}
-	// EndpointLoad sums what the proxies of one zone observed of an endpoint during a period.
+	// EndpointLoad sums the attempts of the proxies of one zone at an endpoint during a period.
 	EndpointLoad struct {
 		Zone     Zone       `cbor:"Zone" json:"Zone"`
 		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
@@ -173,8 +173,8 @@
 		AckID AckID        `cbor:"Mark" json:"Mark"`
 		Delay Microseconds `cbor:"Took" json:"Took"`
 	}
-	// SliceLoad sums the requests of one class that arrived for a slice of the keys. Like SliceAssigned and
-	// SliceWeight it occurs only in deployments with slices.
+	// SliceLoad sums the requests of one class that arrived for a slice of the key space. Like SliceAssigned and
+	// SliceWeight, it occurs only in deployments that divide the keys into slices.
 	SliceLoad struct {
 		Table    TableID      `cbor:"Table" json:"Table"`
 		Class    RequestClass `cbor:"Kind" json:"Kind"`
@@ -187,7 +187,7 @@
 		Assigned bool    `cbor:"On" json:"On"`
 		Table    TableID `cbor:"Table" json:"Table"`
 	}
-	// SliceWeight is a weight of a slice's table as the store has it.
+	// SliceWeight reports the stored weight of an endpoint in a slice's table.
 	SliceWeight struct {
 		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
 		Table    TableID    `cbor:"Table" json:"Table"`
--- a/policyapi/orders.go
+++ b/policyapi/orders.go
@@ -6,14 +6,14 @@
 // reply in sequence.
 type Order interface{ isOrder() }
 
-// RetryPolicy specifies when a proxy may send a request again after a failed attempt, always to another endpoint. The values
-// are those of the protocols, and grow with what they permit.
+// RetryPolicy specifies when a proxy may send a request again after a failed attempt, always to another endpoint. The
+// values are those of the protocols; a higher value permits more retries.
 type RetryPolicy int
 
 // The values of RetryPolicy.
 const (
 	NoRetry            RetryPolicy = iota // never
-	RetryIfNotExecuted                    // once, on proof that the first attempt was not executed; safe for every class
+	RetryIfNotExecuted                    // once, if the first attempt was provably not executed; safe for every class
 	RetryOnce                             // once, after any failure
 	RetryTwice                            // twice, after any failure
 )
@@ -46,12 +46,12 @@
 	}
 	// Resync requests the complete endpoint list once.
 	Resync struct{}
-	// SetTimer requests a TimerFired.
+	// SetTimer requests a TimerFired after a delay.
 	SetTimer struct {
 		After Microseconds `cbor:"After" json:"After"`
 		Token TimerToken   `cbor:"Token" json:"Token"`
 	}
-	// CheckHealth requests a health check of an endpoint; the answer is a HealthCheckResult.
+	// CheckHealth requests a health check of an endpoint; the host reports its HealthCheckResult.
 	CheckHealth struct {
 		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
 	}
@@ -75,13 +75,14 @@
 		Table   TableID  `cbor:"Table" json:"Table"`
 		Classes ClassSet `cbor:"Kinds" json:"Kinds"`
 	}
-	// EjectEndpoint makes all connected proxies stop using an endpoint although it is in their tables, or ends that.
+	// EjectEndpoint makes all connected proxies stop using an endpoint although it is in their tables, or lets them use
+	// it again.
 	EjectEndpoint struct {
 		Endpoint EndpointID `cbor:"Backend" json:"Backend"`
 		Ejected  bool       `cbor:"On" json:"On"`
 	}
-	// SetAdmission sets how much of some classes the proxies of a table admit, and when they retry. Where both AllTables
-	// and a proxy's own table have a level, the lower level and the own table's retry policy apply.
+	// SetAdmission sets how many requests of some classes the proxies of a table admit, and when they retry. If both
+	// AllTables and a proxy's own table have a level, the lower level and the retry policy of its own table apply.
 	SetAdmission struct {
 		Table   TableID  `cbor:"Table" json:"Table"`
 		Classes ClassSet `cbor:"Kinds" json:"Kinds"`
@@ -92,7 +93,8 @@
 	// RequestAck requests an Acknowledged from each proxy that a message of this reply reaches.
 	RequestAck struct {
 		AckID AckID `cbor:"Mark" json:"Mark"`
-		// AllProxies sends a message, and so requests the acknowledgement, to proxies that no other order reaches.
+		// AllProxies extends the request to the proxies that no other order of the reply reaches: they are sent a message
+		// that contains only the request.
 		AllProxies bool `cbor:"All" json:"All"`
 	}
 )
--- a/policyapi/policyapi_test.go
+++ b/policyapi/policyapi_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The enumerations print their names, and unknown values their number.
+// String returns the name of each value of an enumeration, and the type and number of an unknown value.
 func TestString(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
@@ -21,20 +21,20 @@
 		{RetryTwice, "retry twice"}, {RetryPolicy(7), "RetryPolicy(7)"},
 	} {
 		if got := c.value.String(); got != c.want {
-			t.Errorf("%T(%d) is %q, want %q", c.value, c.value, got, c.want)
+			t.Errorf("%T(%d).String() = %q, want %q", c.value, c.value, got, c.want)
 		}
 	}
 }
 
-// The values of the retry policies are those of the protocols, and travel as integers.
+// A retry policy is encoded as an integer, whose value is that of the protocols.
 func TestRetryPolicyIsAnInteger(t *testing.T) {
-	for want, policy := range []RetryPolicy{NoRetry, RetryIfNotExecuted, RetryOnce, RetryTwice} {
+	for value, policy := range []RetryPolicy{NoRetry, RetryIfNotExecuted, RetryOnce, RetryTwice} {
 		text, err := json.Marshal(SetAdmission{RetryPolicy: policy})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := fmt.Sprintf(`{"Table":0,"Kinds":0,"Level":0,"SecondTry":%d}`, want); string(text) != got {
-			t.Errorf("%s, want %s", text, got)
+		if want := fmt.Sprintf(`{"Table":0,"Kinds":0,"Level":0,"SecondTry":%d}`, value); string(text) != want {
+			t.Errorf("encoded as %s, want %s", text, want)
 		}
 	}
 }
--- a/policyapi/settings.go
+++ b/policyapi/settings.go
@@ -8,11 +8,11 @@
 // The values of Idempotency. The zero value is the safe one.
 const (
 	NotIdempotent     Idempotency = iota // must never be executed twice
-	IdempotentWithKey                    // repeated keys are dropped within a scope and a time window
+	IdempotentWithKey                    // a request whose key repeats within a scope and a time window is dropped
 	Idempotent                           // may be executed again anywhere
 )
 
-// String returns the name of the value in words.
+// String returns the name of the value in lower-case words.
 func (i Idempotency) String() string {
 	switch i {
 	case NotIdempotent:
@@ -35,7 +35,7 @@
 	DeduplicationScope string `cbor:"RepeatScope" json:"RepeatScope"`
 	// LatencyObjective is the response time within which a request has its full value.
 	LatencyObjective Microseconds `cbor:"ResponseTarget" json:"ResponseTarget"`
-	// ClientTimeout is how long a client waits in all, retries included.
+	// ClientTimeout is how long a client waits in total, including retries.
 	ClientTimeout Microseconds `cbor:"ClientTimeout" json:"ClientTimeout"`
 	// PriorityWeight is the value of one request, relative to other classes; under overload the classes with the lowest
 	// weight are shed first.
@@ -48,11 +48,11 @@
 
 // RuleSettings are the limits that the operators set for an instance's orders.
 type RuleSettings struct {
-	// EmptyTableLimit is the longest that a proxy may have no endpoint to choose.
+	// EmptyTableLimit is the longest time for which a proxy may have no endpoint to send requests to.
 	EmptyTableLimit Microseconds `cbor:"EmptyFor" json:"EmptyFor"`
 	// DrainGracePeriod is the time within which a draining or removed endpoint must be out of all tables.
 	DrainGracePeriod Microseconds `cbor:"DrainGrace" json:"DrainGrace"`
-	// WarmUp is the time after its start at which an endpoint has its full capacity at the latest.
+	// WarmUp is the longest time from an endpoint's start until it has its full capacity.
 	WarmUp Microseconds `cbor:"Cold" json:"Cold"`
 	// InitialCapacity is the fraction of its full capacity, 0 to 1, that an endpoint has at its start.
 	InitialCapacity float64 `cbor:"ColdFrom" json:"ColdFrom"`
@@ -62,13 +62,13 @@
 	OverloadWindow Microseconds `cbor:"Fall" json:"Fall"`
 	// SoftRemoval restricts DrainGracePeriod to endpoints that were listed as draining.
 	SoftRemoval bool `cbor:"SoftRemoval" json:"SoftRemoval"`
-	// PollInterval is how often an instance without a watch must poll the endpoint list.
+	// PollInterval is the longest time between two polls of the endpoint list by an instance without a watch.
 	PollInterval Microseconds `cbor:"AskWithin" json:"AskWithin"`
 	// QueueLimit is the number of lines that may wait in the channel to the proxies.
 	QueueLimit float64 `cbor:"QueueCap" json:"QueueCap"`
-	// MessageLimit is the number of messages to one proxy within MessageWindow; 0 is no limit.
+	// MessageLimit is the most messages to one proxy within MessageWindow; 0 means no limit.
 	MessageLimit int `cbor:"MessageCap" json:"MessageCap"`
-	// MessageWindow is the period that MessageLimit counts over.
+	// MessageWindow is the period to which MessageLimit applies.
 	MessageWindow Microseconds `cbor:"MessageSpan" json:"MessageSpan"`
 	// HealthChecksAllowed permits CheckHealth.
 	HealthChecksAllowed bool `cbor:"ProbeAllowed" json:"ProbeAllowed"`
@@ -76,11 +76,11 @@
 	PeerMessagesAllowed bool `cbor:"PeersAllowed" json:"PeersAllowed"`
 }
 
-// ChannelSettings describe how orders travel to the proxies. A line is the unit of a table change.
+// ChannelSettings describe the channel that carries orders to the proxies. A line is the unit of a table change.
 type ChannelSettings struct {
 	// LinesPerSecond is the usual throughput.
 	LinesPerSecond float64 `cbor:"LinesPerS" json:"LinesPerS"`
-	// MessageOverhead is the cost of a message in lines, beside its own lines.
+	// MessageOverhead is the cost of a message in lines, in addition to the lines that it contains.
 	MessageOverhead float64 `cbor:"Envelope" json:"Envelope"`
 	// Latency is the mean time from the channel to the proxy.
 	Latency Microseconds `cbor:"Transit" json:"Transit"`
@@ -94,7 +94,7 @@
 type ReportSettings struct {
 	// Period is the interval at which reports are gathered.
 	Period Microseconds `cbor:"Period" json:"Period"`
-	// MaxLinesPerSecond is the most report lines delivered per second; the oldest come first.
+	// MaxLinesPerSecond is the most report lines delivered per second; the oldest are delivered first.
 	MaxLinesPerSecond float64 `cbor:"Intake" json:"Intake"`
 	// MetricsInReports means that EndpointLoad carries LoadMetrics.
 	MetricsInReports bool `cbor:"InReport" json:"InReport"`
@@ -107,7 +107,7 @@
 
 // The values of AdmissionMode.
 const (
-	AdmissionOff     AdmissionMode = iota // levels are ignored, retry policies are not
+	AdmissionOff     AdmissionMode = iota // levels are ignored; retry policies apply
 	AdmissionByShare                      // a fraction of the requests; 1 or more admits all
 	AdmissionByRate                       // requests per second at each proxy, for each class of the set
 )
--- a/policylog/policylog.go
+++ b/policylog/policylog.go
@@ -8,33 +8,33 @@
 	"porthub/policyapi"
 )
 
-// Events of the decision module. On-call staff search by them: a change needs a line in CHANGELOG.md.
+// Events of the decision module. On-call staff search logs for them: a change needs a line in CHANGELOG.md.
 const (
-	EventAdmission       = "admission"        // admission begins or ends to be limited
+	EventAdmission       = "admission"        // admission becomes limited or is no longer limited
 	EventEndpointEjected = "endpoint_ejected" // outlier detection took an endpoint out of a zone's tables
-	EventPanicThreshold  = "panic_threshold"  // a zone's ejections begin or end to be ignored
-	EventOther           = "policy"           // a line of no known form
+	EventPanicThreshold  = "panic_threshold"  // the ejections from a zone start or stop being ignored
+	EventOther           = "policy"           // a line in an unknown format
 )
 
-// Admission returns the line for an admission that begins or ends to be limited. Demand and capacity are in requests
+// Admission returns the line that reports whether admission is limited from now on. Demand and capacity are in requests
 // per second.
 func Admission(limited bool, demand, capacity float64) string {
 	return fmt.Sprintf("levels on: %t, %.1f reqs a second asked, %.1f can be done", limited, demand, capacity)
 }
 
-// EndpointEjected returns the line for an endpoint that is ejected from a zone's tables after a number of attempts in a
-// row that failed or did not come.
+// EndpointEjected returns the line that reports that an endpoint is ejected from a zone's tables, after a number of
+// consecutive attempts that failed or were expected but not reported.
 func EndpointEjected(endpoint policyapi.EndpointID, zone policyapi.Zone, attempts float64) string {
 	return fmt.Sprintf("%s sick from %s: of about %.0f tries in a row none was done", endpoint, zone, attempts)
 }
 
-// PanicThreshold returns the line for a zone whose ejections begin or end to be ignored. Healthy and total are the
-// capacity of the endpoints that are not ejected and of all, in requests per second.
+// PanicThreshold returns the line that reports whether a zone's ejections are ignored from now on. Healthy is the capacity
+// of the endpoints that are not ejected and total that of all endpoints, in requests per second.
 func PanicThreshold(zone policyapi.Zone, active bool, healthy, total float64) string {
 	return fmt.Sprintf("sick marks of %s passed over: %t, %.0f of %.0f reqs a second well", zone, active, healthy, total)
 }
 
-// Field is a figure or a name of a log line. Its value is a float64, a bool or a string.
+// Field is a figure or a name in a log line. Its value is a float64, a bool or a string.
 type Field struct {
 	Key   string
 	Value any
@@ -43,19 +43,19 @@
 // Entry is a log line in standard terms.
 type Entry struct {
 	Event  string // one of the events above
-	Text   string // a sentence
+	Text   string // the message for operators
 	Fields []Field
 }
 
-// form is how lines of one event are parsed: the keys of their parts, and the sentence for people.
-type form struct {
+// lineFormat specifies how the lines of one event are parsed: the keys of their parts and the message for operators.
+type lineFormat struct {
 	event    string
 	line     *regexp.Regexp
 	keys     []string
 	sentence func(parts []string) string
 }
 
-var forms = []form{
+var lineFormats = []lineFormat{
 	{
 		event: EventAdmission,
 		line:  regexp.MustCompile(`^levels on: (true|false), ([\d.]+) reqs a second asked, ([\d.]+) can be done$`),
@@ -88,9 +88,9 @@
 	},
 }
 
-// Parse parses a line of the decision module. A line of no known form becomes an EventOther with the line as its text.
+// Parse parses a line of the decision module. A line in an unknown format becomes an EventOther with the line as its text.
 func Parse(line string) Entry {
-	for _, f := range forms {
+	for _, f := range lineFormats {
 		match := f.line.FindStringSubmatch(line)
 		if match == nil {
 			continue
@@ -98,15 +98,15 @@
 		parts := match[1:]
 		entry := Entry{Event: f.event, Text: f.sentence(parts)}
 		for i, key := range f.keys {
-			entry.Fields = append(entry.Fields, Field{key, value(parts[i])})
+			entry.Fields = append(entry.Fields, Field{key, parseValue(parts[i])})
 		}
 		return entry
 	}
 	return Entry{Event: EventOther, Text: line}
 }
 
-// value returns a number as a float64, true and false as a bool, and any other text unchanged.
-func value(text string) any {
+// parseValue returns a number as a float64, a text that strconv.ParseBool accepts as a bool, and any other text unchanged.
+func parseValue(text string) any {
 	if number, err := strconv.ParseFloat(text, 64); err == nil {
 		return number
 	}
--- a/policylog/policylog_test.go
+++ b/policylog/policylog_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Each line has the text that captures hold, and is read back to its event, its figures and a sentence.
+// Each line has the text that captures contain, and Parse returns its event, its figures and a message.
 func TestLinesAreReadBack(t *testing.T) {
 	tests := []struct {
 		name, line, text string
@@ -33,21 +33,21 @@
 				[]Field{{"endpoint", "1.2.3.4:5"}, {"zone", "a"}, {"attempts", 13.0}}},
 		},
 		{
-			name: "panic threshold passed",
+			name: "ejections ignored",
 			line: PanicThreshold("b", true, 1, 9),
 			text: "sick marks of b passed over: true, 1 of 9 reqs a second well",
 			want: Entry{EventPanicThreshold, "ejections from zone b ignored: only 1 of 9 requests/s look healthy",
 				[]Field{{"zone", "b"}, {"active", true}, {"healthy", 1.0}, {"total", 9.0}}},
 		},
 		{
-			name: "panic threshold over",
+			name: "ejections no longer ignored",
 			line: PanicThreshold("b", false, 3, 9),
 			text: "sick marks of b passed over: false, 3 of 9 reqs a second well",
 			want: Entry{EventPanicThreshold, "ejections from zone b in force again: 3 of 9 requests/s look healthy",
 				[]Field{{"zone", "b"}, {"active", false}, {"healthy", 3.0}, {"total", 9.0}}},
 		},
 		{
-			name: "unknown form",
+			name: "unknown format",
 			line: "something new",
 			text: "something new",
 			want: Entry{Event: EventOther, Text: "something new"},
@@ -59,7 +59,7 @@
 				t.Errorf("line %q, want %q", test.line, test.text)
 			}
 			if got := Parse(test.line); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("read back %+v, want %+v", got, test.want)
+				t.Errorf("parsed as %+v, want %+v", got, test.want)
 			}
 		})
 	}
--- a/simwire/events.go
+++ b/simwire/events.go
@@ -8,8 +8,8 @@
 	"porthub/policyapi"
 )
 
-// parsers read the parts of each message after the instance. Go evaluates the calls of a composite literal from left to
-// right, so the fields of each literal must be in the order of the message's parts.
+// parsers contains, by message, the function that reads the parts that follow the instance. Go evaluates the calls in a
+// composite literal from left to right, so the fields of each literal must be in the order of the message's parts.
 var parsers = map[string]func(*Reader, policyapi.InstanceID, *fields) (policyapi.Event, error){
 	"UP":          (*Reader).start,
 	"DISCOVERY":   (*Reader).endpointUpdate,
@@ -26,12 +26,12 @@
 	"RECORDED":    parser(sliceWeight),
 }
 
-// parser adapts a function that needs only the parts.
+// parser adapts a function that needs only the message's parts.
 func parser[E policyapi.Event](parse func(*fields) E) func(*Reader, policyapi.InstanceID, *fields) (policyapi.Event, error) {
 	return func(_ *Reader, _ policyapi.InstanceID, f *fields) (policyapi.Event, error) { return parse(f), nil }
 }
 
-// event reads one message, with the lines that belong to it.
+// event reads one message, including the lines that belong to it.
 func (r *Reader) event(f *fields) (InstanceEvent, error) {
 	to := policyapi.InstanceID(f.text("i"))
 	if f.message == "CRASH_NOW" {
@@ -39,7 +39,7 @@
 	}
 	parse, found := parsers[f.message]
 	if !found {
-		return InstanceEvent{}, r.syntaxError(f.message, "message", "not known")
+		return InstanceEvent{}, r.syntaxError(f.message, "message", "unknown message name")
 	}
 	event, err := parse(r, to, f)
 	if err != nil {
@@ -65,7 +65,8 @@
 	return start, nil
 }
 
-// class reads a request class by its name; policyapi.UnknownClass where the instance or the name is not known.
+// class reads the name of a request class and returns the class, or policyapi.UnknownClass if the instance or the name is
+// unknown.
 func (r *Reader) class(to policyapi.InstanceID, f *fields) policyapi.RequestClass {
 	if class, found := r.classes[to][f.text("class")]; found {
 		return class
@@ -160,18 +161,18 @@
 	"FAILED":      policyapi.Failed,
 }
 
-// endpointUpdate reads an endpoint list: its header and one line for each entry.
+// endpointUpdate reads an endpoint list: its header and one row for each entry.
 func (r *Reader) endpointUpdate(_ policyapi.InstanceID, f *fields) (policyapi.Event, error) {
 	update := policyapi.EndpointUpdate{Version: policyapi.ListVersion(f.integer("epoch"))}
 	name := f.text("how")
 	kind, found := updateKinds[name]
 	if !found {
-		f.fail("how", fmt.Sprintf("%q is not known", name))
+		f.fail("how", fmt.Sprintf("unknown kind of update %q", name))
 	}
 	update.Kind = kind
 	entries := f.integer("lines")
 	if entries < 0 {
-		f.fail("lines", "below 0")
+		f.fail("lines", "number of rows is negative")
 	}
 	if err := f.close(); err != nil {
 		return nil, err
@@ -192,11 +193,11 @@
 	"gone":     policyapi.Removed,
 }
 
-// entry reads a line of an endpoint list.
+// entry reads one row of an endpoint list.
 func (r *Reader) entry() (policyapi.Endpoint, error) {
 	f, err := r.next()
 	if errors.Is(err, io.EOF) {
-		return policyapi.Endpoint{}, r.endError("ROW", "input ends within a list")
+		return policyapi.Endpoint{}, r.endError("ROW", "input ends within an endpoint list")
 	}
 	if err != nil {
 		return policyapi.Endpoint{}, err
@@ -215,7 +216,7 @@
 	name := f.text("health")
 	status, found := endpointStatuses[name]
 	if !found {
-		f.fail("health", fmt.Sprintf("%q is not known", name))
+		f.fail("health", fmt.Sprintf("unknown endpoint status %q", name))
 	}
 	entry.Status = status
 	return entry, f.close()
--- a/simwire/fields.go
+++ b/simwire/fields.go
@@ -12,7 +12,7 @@
 // SyntaxError reports a line that violates the protocol.
 type SyntaxError struct {
 	Line    int    // counted from 1
-	Message string // name of the message, or the text of a line that does not end
+	Message string // name of the message, or the quoted text of a last line without a line end
 	Part    string // name of the part
 	Reason  string
 }
@@ -21,20 +21,20 @@
 	return fmt.Sprintf("line %d: %s: %s: %s", e.Line, e.Message, e.Part, e.Reason)
 }
 
-// absent is the text of a part without a value.
+// absent is the text of a part that has no value.
 const absent = "-"
 
 // fields reads the parts of one line from left to right. It retains the first error, which close returns; values read
-// after it are meaningless.
+// after an error are meaningless.
 type fields struct {
 	line    int
 	message string // the first part, the name of the message
 	rest    string
-	done    bool // all parts are read
+	done    bool // all parts have been read
 	err     *SyntaxError
 }
 
-// newFields starts to read a line.
+// newFields returns the fields of a line and reads the name of the message.
 func newFields(line int, text string) *fields {
 	f := &fields{line: line, rest: text}
 	f.message = f.text("message")
@@ -69,7 +69,7 @@
 	return f.rest
 }
 
-// integer reads a whole number; 0 if it is absent.
+// integer reads a whole number and returns 0 if the part has no value.
 func (f *fields) integer(part string) int64 {
 	s := f.text(part)
 	if s == absent {
@@ -82,7 +82,7 @@
 	return v
 }
 
-// seed reads 64 bits, written as a whole number with or without a sign.
+// seed reads 64 bits that are written as a signed or unsigned whole number.
 func (f *fields) seed(part string) uint64 {
 	s := f.text(part)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -95,7 +95,7 @@
 	return uint64(v)
 }
 
-// number reads a decimal number; 0 if it is absent.
+// number reads a decimal number and returns 0 if the part has no value.
 func (f *fields) number(part string) float64 {
 	s := f.text(part)
 	if s == absent {
@@ -131,7 +131,7 @@
 
 func (f *fields) zone() policyapi.Zone { return policyapi.Zone(f.text("site")) }
 
-// metrics reads a list of name:value.
+// metrics reads name:value pairs separated by commas.
 func (f *fields) metrics(part string) policyapi.LoadMetrics {
 	s := f.text(part)
 	if s == absent || s == "" {
@@ -142,7 +142,7 @@
 		name, value, ok := strings.Cut(pair, ":")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
-			f.fail(part, fmt.Sprintf("%q is not name:value", pair))
+			f.fail(part, fmt.Sprintf("%q does not have the form name:value with a numeric value", pair))
 			return metrics
 		}
 		metrics[name] = v
@@ -158,15 +158,15 @@
 	}
 	b, err := base64.StdEncoding.DecodeString(s)
 	if err != nil {
-		f.fail(part, "not base64")
+		f.fail(part, "invalid base64 encoding")
 	}
 	return b
 }
 
-// close ends the line and returns its first error.
+// close checks that no parts are left and returns the first error of the line.
 func (f *fields) close() error {
 	if f.err == nil && !f.done {
-		f.fail("end of line", "more parts than the message has")
+		f.fail("end of line", "the line has more parts than the message defines")
 	}
 	if f.err != nil {
 		return f.err
--- a/simwire/reader.go
+++ b/simwire/reader.go
@@ -10,32 +10,32 @@
 	"porthub/policyapi"
 )
 
-// bufferSize holds most batches and replies at once, in bytes.
+// bufferSize is the size of a reader's or writer's buffer in bytes. Most batches and replies fit into it.
 const bufferSize = 1 << 20
 
 // InstanceEvent is an event, or a crash, of one instance.
 type InstanceEvent struct {
 	To    policyapi.InstanceID
 	Event policyapi.Event // nil if Crash
-	// Crash orders the host to drop the instance; the module is not involved.
+	// Crash means that the host must drop the instance; the decision module receives no event.
 	Crash bool
 }
 
-// Batch contains the events that arrive at one time.
+// Batch contains the events that arrive at the same time.
 type Batch struct {
 	Now    policyapi.Microseconds
 	Events []InstanceEvent
 }
 
-// Reader reads batches.
+// Reader reads batches of events.
 type Reader struct {
 	in   *bufio.Reader
 	line int
-	// classes are the names of each instance's request classes: load reports refer to a class by its name.
+	// classes contains each instance's request classes by name: load reports refer to a class by its name.
 	classes map[policyapi.InstanceID]map[string]policyapi.RequestClass
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{
 		in:      bufio.NewReaderSize(in, bufferSize),
@@ -43,9 +43,9 @@
 	}
 }
 
-// Read returns the next batch. The error is io.EOF at the end of the input between batches, a *SyntaxError for a batch
-// that violates the protocol, or that of the underlying reader, wrapped. After an error other than io.EOF the Reader must
-// not be used.
+// Read returns the next batch. The error is io.EOF if the input ends between batches, a *SyntaxError if a batch violates
+// the protocol, and otherwise wraps that of the underlying reader. After an error other than io.EOF the Reader must not be
+// used.
 func (r *Reader) Read() (Batch, error) {
 	f, err := r.next()
 	if err != nil {
@@ -61,7 +61,7 @@
 	for {
 		f, err := r.next()
 		if errors.Is(err, io.EOF) {
-			return batch, r.endError("EOB", "input ends in mid-batch")
+			return batch, r.endError("EOB", "input ends within a batch")
 		}
 		if err != nil {
 			return batch, err
@@ -77,7 +77,7 @@
 	}
 }
 
-// next returns the fields of the next line, or io.EOF where the input ends between lines.
+// next returns the fields of the next line, or io.EOF if the input ends between lines.
 func (r *Reader) next() (*fields, error) {
 	text, err := r.in.ReadString('\n')
 	if errors.Is(err, io.EOF) && text == "" {
@@ -88,7 +88,7 @@
 		return nil, r.syntaxError(fmt.Sprintf("%q", text), "end of line", "missing")
 	}
 	if err != nil {
-		return nil, fmt.Errorf("line %d: %w", r.line, err)
+		return nil, fmt.Errorf("read line %d: %w", r.line, err)
 	}
 	return newFields(r.line, strings.TrimSuffix(strings.TrimSuffix(text, "\n"), "\r")), nil
 }
@@ -97,7 +97,7 @@
 	return &SyntaxError{r.line, message, part, reason}
 }
 
-// endError returns a syntax error on the line after the last, where a message is missing.
+// endError returns a syntax error that reports that a message is missing after the last line.
 func (r *Reader) endError(message, reason string) error {
 	r.line++
 	return r.syntaxError(message, "message", reason)
--- a/simwire/reader_test.go
+++ b/simwire/reader_test.go
@@ -15,34 +15,34 @@
 	`"profiles":[{"name":"view","effect":"repeatable","points":1,"slo":750000},` +
 	`{"name":"save","effect":"once","points":2,"slo":1000000,"onlyZones":["a"]}]}`
 
-// A batch is read with its time, and each event with its parts.
+// Read returns a batch with its time and its events.
 func TestBatchIsRead(t *testing.T) {
 	r := NewReader(strings.NewReader("TURN\t5\n" + start + "\nDISCOVERY\tcoordinator-0\t3\tSAVED\t1\n" +
 		"ROW\ta\t10.0.0.1:80\t1.5\t0\t-\tstd\tready\nPROXY_STATS\tcoordinator-0\t4\tsave\t9\t1\t500000\n" +
 		"TALLY\tcoordinator-0\ta\t10.0.0.1:80\t14\t1\t48250\t1000000\tbusy:0.62,q:3\nEOB\n"))
 	b, err := r.Read()
 	if err != nil || len(b.Events) != 4 || b.Now != 5 {
-		t.Fatalf("%+v, %v", b, err)
+		t.Fatalf("read %+v, %v; want four events at time 5", b, err)
 	}
 	if k := b.Events[0].Event.(policyapi.Start).Classes; len(k) != 2 || k[0].Idempotency != policyapi.Idempotent ||
 		k[1].Idempotency != policyapi.NotIdempotent || len(k[1].AllowedZones) != 1 || k[1].LatencyObjective != 1_000_000 {
-		t.Errorf("classes %+v", k)
+		t.Errorf("classes %+v, want view and save with their settings", k)
 	}
 	if e := b.Events[1].Event.(policyapi.EndpointUpdate).Endpoints; len(e) != 1 || e[0].Weight != 1.5 || e[0].StartedAt != 0 {
-		t.Errorf("endpoints %+v", e)
+		t.Errorf("endpoints %+v, want one with weight 1.5", e)
 	}
 	if u := b.Events[2].Event.(policyapi.ProxyLoad); u.Class != 1 || u.Requests != 9 || u.Proxy != 4 {
-		t.Errorf("proxy load %+v", u)
+		t.Errorf("proxy load %+v, want 9 requests of class 1 at proxy 4", u)
 	}
 	if h := b.Events[3].Event.(policyapi.EndpointLoad); h.Attempts != 14 || h.Failures != 1 || h.Metrics["q"] != 3 {
-		t.Errorf("endpoint load %+v", h)
+		t.Errorf("endpoint load %+v, want 14 attempts, 1 failure and a queue of 3", h)
 	}
 	if _, err := r.Read(); !errors.Is(err, io.EOF) {
-		t.Errorf("a clean end gives %v", err)
+		t.Errorf("the end of the input between batches returned %v, want io.EOF", err)
 	}
 }
 
-// Syntax errors name the line, the message and the part.
+// A syntax error contains the line, the message and the part.
 func TestMalformedLinesAreNamed(t *testing.T) {
 	for text, want := range map[string]string{
 		"HELLO\t1\n":                                           "line 1: HELLO: message",
@@ -64,16 +64,16 @@
 	} {
 		_, err := NewReader(strings.NewReader(text)).Read()
 		if err == nil || !strings.HasPrefix(err.Error(), want) {
-			t.Errorf("%q gives %v, want %s", text, err, want)
+			t.Errorf("%q returned %v, want an error that begins with %s", text, err, want)
 		}
 		var syntax *SyntaxError
 		if !errors.As(err, &syntax) || syntax.Line == 0 || syntax.Part == "" {
-			t.Errorf("%q gives %#v, want a *SyntaxError", text, err)
+			t.Errorf("%q returned %#v, want a *SyntaxError with a line and a part", text, err)
 		}
 	}
 }
 
-// Each message becomes its event, with each part in its field.
+// Each message is read as its event, with each part in its field.
 func TestEventsAreRead(t *testing.T) {
 	for text, want := range map[string]InstanceEvent{
 		"CRASH_NOW\ti":                           {Crash: true},
@@ -96,12 +96,12 @@
 		want.To = "i"
 		batch, err := NewReader(strings.NewReader("TURN\t5\n" + text + "\nEOB\n")).Read()
 		if err != nil || !reflect.DeepEqual(batch.Events, []InstanceEvent{want}) {
-			t.Errorf("%q gives %+v, %v, want %+v", text, batch.Events, err, want)
+			t.Errorf("%q is read as %+v, %v, want %+v", text, batch.Events, err, want)
 		}
 	}
 }
 
-// The settings object has each figure in its place; what is absent keeps the protocol's default.
+// ParseSettings returns each value of the settings object in its field, and the protocol's default for each missing key.
 func TestSettings(t *testing.T) {
 	got, err := ParseSettings([]byte(`{"az":"a","localities":["a","b"],"me":1,"instances":2,"discovery":"ask","weights":"rough","caps":{"peers":true,"probes":true},
 		"domain":{"classOwnZone":[true],"dataPlaneSize":12,"outlierAfter":5,"updateCap":20,"emptyFor":1,"period":2,"reloadSpan":3,"transit":4,"worstTransit":5,
@@ -120,9 +120,9 @@
 		Admission: policyapi.AdmissionByRate,
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("parsed as %+v, %v, want %+v", got, err, want)
 	}
 	if got, err := ParseSettings([]byte(`{}`)); err != nil || !reflect.DeepEqual(got, policyapi.Start{InstanceCount: 1, WeightsListed: true}) {
-		t.Errorf("an empty object gives %+v, %v", got, err)
+		t.Errorf("an empty object is parsed as %+v, %v, want the defaults", got, err)
 	}
 }
--- a/simwire/settings.go
+++ b/simwire/settings.go
@@ -6,19 +6,19 @@
 	"porthub/policyapi"
 )
 
-// settings is the settings object as the protocol names it; other keys are ignored.
+// settings is the settings object with the keys of the protocol; other keys are ignored.
 type settings struct {
-	Zone          policyapi.Zone    `json:"az"`
-	Zones         []policyapi.Zone  `json:"localities"`
-	Self          policyapi.PeerID  `json:"me"`
-	InstanceCount int               `json:"instances"`
-	Discovery     string            `json:"discovery"`
-	Weights       string            `json:"weights"`
-	Permissions   permissions       `json:"caps"`
-	Site          siteSettings      `json:"domain"`
-	Rules         ruleSettings      `json:"guarantees"`
-	LoadInfo      loadInfoSettings  `json:"loadInfo"`
-	Classes       []requestSettings `json:"profiles"`
+	Zone          policyapi.Zone     `json:"az"`
+	Zones         []policyapi.Zone   `json:"localities"`
+	Self          policyapi.PeerID   `json:"me"`
+	InstanceCount int                `json:"instances"`
+	Discovery     string             `json:"discovery"`
+	Weights       string             `json:"weights"`
+	Permissions   permissions        `json:"caps"`
+	Deployment    deploymentSettings `json:"domain"`
+	Rules         ruleSettings       `json:"guarantees"`
+	LoadInfo      loadInfoSettings   `json:"loadInfo"`
+	Classes       []classSettings    `json:"profiles"`
 }
 
 type permissions struct {
@@ -26,8 +26,8 @@
 	HealthChecks bool `json:"probes"`
 }
 
-// siteSettings describe a deployment. QueueLimit and MessageOverhead are in lines, the rates per second.
-type siteSettings struct {
+// deploymentSettings describes a deployment. QueueLimit and MessageOverhead are in lines and rates are per second.
+type deploymentSettings struct {
 	LocalZoneOnly       []bool                 `json:"classOwnZone"` // by class
 	ProxyCount          int                    `json:"dataPlaneSize"`
 	EjectionThreshold   int                    `json:"outlierAfter"`
@@ -60,7 +60,7 @@
 	Source  string   `json:"source"`
 }
 
-type requestSettings struct {
+type classSettings struct {
 	Name               string                 `json:"name"`
 	Effect             string                 `json:"effect"`
 	DeduplicationScope string                 `json:"keyScope"`
@@ -70,8 +70,8 @@
 	AllowedZones       []policyapi.Zone       `json:"onlyZones"`
 }
 
-// ParseSettings decodes the settings object of an UP message. Unknown keys are ignored. The seed is not part of the object:
-// Start.Seed is 0. The error is that of package json.
+// ParseSettings decodes the settings object of an UP message. Unknown keys are ignored. The seed is not part of the object,
+// so Start.Seed is 0. Errors are those of package encoding/json.
 func ParseSettings(text []byte) (policyapi.Start, error) {
 	var in settings
 	if err := json.Unmarshal(text, &in); err != nil {
@@ -86,17 +86,17 @@
 		Rules:             in.rules(),
 		Channel:           in.channel(),
 		Reports:           in.reports(),
-		Admission:         in.Site.admissionMode(),
-		ProxyCount:        in.Site.ProxyCount,
+		Admission:         in.Deployment.admissionMode(),
+		ProxyCount:        in.Deployment.ProxyCount,
 		PollsList:         in.Discovery == "ask",
-		EjectionThreshold: in.Site.EjectionThreshold,
+		EjectionThreshold: in.Deployment.EjectionThreshold,
 		WeightsListed:     in.Weights != "off",
 	}, nil
 }
 
 func (in *settings) rules() policyapi.RuleSettings {
 	return policyapi.RuleSettings{
-		EmptyTableLimit:     in.Site.EmptyTableLimit,
+		EmptyTableLimit:     in.Deployment.EmptyTableLimit,
 		DrainGracePeriod:    in.Rules.DrainGracePeriod,
 		WarmUp:              in.Rules.WarmUp,
 		InitialCapacity:     in.Rules.InitialCapacity,
@@ -104,9 +104,9 @@
 		OverloadWindow:      in.Rules.OverloadWindow,
 		SoftRemoval:         in.Rules.SoftRemoval,
 		PollInterval:        in.Rules.PollInterval,
-		QueueLimit:          in.Site.QueueLimit,
-		MessageLimit:        in.Site.MessageLimit,
-		MessageWindow:       in.Site.MessageWindow,
+		QueueLimit:          in.Deployment.QueueLimit,
+		MessageLimit:        in.Deployment.MessageLimit,
+		MessageWindow:       in.Deployment.MessageWindow,
 		HealthChecksAllowed: in.Permissions.HealthChecks,
 		PeerMessagesAllowed: in.Permissions.PeerMessages,
 	}
@@ -114,24 +114,24 @@
 
 func (in *settings) channel() policyapi.ChannelSettings {
 	return policyapi.ChannelSettings{
-		LinesPerSecond:      in.Site.LinesPerSecond,
-		MessageOverhead:     in.Site.MessageOverhead,
-		Latency:             in.Site.Latency,
-		MaxLatency:          in.Site.MaxLatency,
-		EndpointConnections: int(in.Site.EndpointConnections),
+		LinesPerSecond:      in.Deployment.LinesPerSecond,
+		MessageOverhead:     in.Deployment.MessageOverhead,
+		Latency:             in.Deployment.Latency,
+		MaxLatency:          in.Deployment.MaxLatency,
+		EndpointConnections: int(in.Deployment.EndpointConnections),
 	}
 }
 
 func (in *settings) reports() policyapi.ReportSettings {
 	return policyapi.ReportSettings{
-		Period:            in.Site.ReportPeriod,
-		MaxLinesPerSecond: in.Site.ReportLineLimit,
+		Period:            in.Deployment.ReportPeriod,
+		MaxLinesPerSecond: in.Deployment.ReportLineLimit,
 		MetricsInReports:  in.LoadInfo.Source == "inline",
 		MetricNames:       in.LoadInfo.Metrics,
 	}
 }
 
-func (s *siteSettings) admissionMode() policyapi.AdmissionMode {
+func (s *deploymentSettings) admissionMode() policyapi.AdmissionMode {
 	switch s.AdmissionMode {
 	case "share":
 		return policyapi.AdmissionByShare
@@ -152,13 +152,13 @@
 			ClientTimeout:      class.ClientTimeout,
 			PriorityWeight:     class.PriorityWeight,
 			AllowedZones:       class.AllowedZones,
-			LocalZoneOnly:      k < len(in.Site.LocalZoneOnly) && in.Site.LocalZoneOnly[k],
+			LocalZoneOnly:      k < len(in.Deployment.LocalZoneOnly) && in.Deployment.LocalZoneOnly[k],
 		})
 	}
 	return classes
 }
 
-func (s *requestSettings) idempotency() policyapi.Idempotency {
+func (s *classSettings) idempotency() policyapi.Idempotency {
 	switch s.Effect {
 	case "repeatable":
 		return policyapi.Idempotent
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -11,10 +11,10 @@
 	"porthub/policyapi"
 )
 
-// Writer writes replies. It buffers them and retains the first error of the underlying writer, which End returns.
+// Writer writes buffered replies. It retains the first error of the underlying writer, which End returns.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer { return &Writer{bufio.NewWriterSize(out, bufferSize)} }
 
 // Order writes one order of an instance.
@@ -27,25 +27,25 @@
 	w.write("\n")
 }
 
-// Exception reports that an instance's decision code has failed.
+// Exception writes that the decision code of an instance has failed, and why.
 func (w *Writer) Exception(from policyapi.InstanceID, text string) {
 	w.write("EXCEPTION\t", string(from), "\t", oneLine(text), "\n")
 }
 
-// End ends a reply and flushes it.
+// End writes the end of a reply and flushes the buffer.
 func (w *Writer) End() error {
 	w.write("OK\n")
 	return w.out.Flush()
 }
 
-// write buffers texts. The buffer retains an error until End flushes it.
+// write writes texts to the buffer, which retains an error until End flushes it.
 func (w *Writer) write(texts ...string) {
 	for _, text := range texts {
 		_, _ = w.out.WriteString(text)
 	}
 }
 
-// encode returns the name of an order's message and the parts after the instance.
+// encode returns the name of an order's message and the parts that follow the instance.
 func encode(order policyapi.Order) (name string, parts []string) {
 	switch o := order.(type) {
 	case policyapi.Log:
@@ -77,10 +77,10 @@
 	}
 }
 
-// digits are the significant digits of weights and levels.
-const digits = 6
+// significantDigits are the significant significantDigits of weights and levels.
+const significantDigits = 6
 
-func number(v float64) string { return strconv.FormatFloat(v, 'g', digits, 64) }
+func number(v float64) string { return strconv.FormatFloat(v, 'g', significantDigits, 64) }
 
 func integer[T ~int | ~int64](v T) string { return strconv.FormatInt(int64(v), 10) }
 
@@ -93,5 +93,5 @@
 	return "0"
 }
 
-// oneLine replaces line ends and tabs, which the protocol reserves, by spaces.
+// oneLine replaces line ends and tabs, which the protocol reserves, with spaces.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/simwire/writer_test.go
+++ b/simwire/writer_test.go
@@ -8,23 +8,24 @@
 	"porthub/policyapi"
 )
 
-// A reply is the lines of its orders and exceptions, each without line ends and tabs of its own, and a last line.
+// A reply consists of one line for each order and exception, from whose texts line ends and tabs are removed, and a last
+// line.
 func TestOrdersAreWritten(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
 	w.Order("c", policyapi.SetWeight{Table: 3, Endpoint: "b:1", Weight: 0.75})
 	w.Order("c", policyapi.SetAdmission{Table: policyapi.AllTables, Classes: 2, Level: 1e6, RetryPolicy: 1})
-	w.Order("c", policyapi.Log{Text: "two\tlines\nof it"})
+	w.Order("c", policyapi.Log{Text: "two\tlines\nof text"})
 	w.Exception("c", "out of\nrange")
 	w.End()
-	want := "LINE\tc\t3\t0.75\tb:1\nGATE_CLASS\tc\t65535\t2\t1e+06\t1\nRECORD\tc\ttwo lines of it\n" +
+	want := "LINE\tc\t3\t0.75\tb:1\nGATE_CLASS\tc\t65535\t2\t1e+06\t1\nRECORD\tc\ttwo lines of text\n" +
 		"EXCEPTION\tc\tout of range\nOK\n"
 	if out.String() != want {
-		t.Errorf("%q", out.String())
+		t.Errorf("wrote %q, want %q", out.String(), want)
 	}
 }
 
-// Each order has its line.
+// Each order is written as its message with its parts; an order of an unknown type is written as an exception.
 func TestEveryOrderHasALine(t *testing.T) {
 	for want, order := range map[string]policyapi.Order{
 		"RECORD\tc\ttext":                      policyapi.Log{Text: "text"},
@@ -59,11 +60,11 @@
 
 func (failingWriter) Write([]byte) (int, error) { return 0, errFull }
 
-// An error of the underlying writer is returned at the end of the reply.
+// End returns an error of the underlying writer.
 func TestWriteErrorIsReturned(t *testing.T) {
 	w := NewWriter(failingWriter{})
 	w.Order("c", policyapi.Resync{})
 	if err := w.End(); !errors.Is(err, errFull) {
-		t.Errorf("the reply ends with %v, want %v", err, errFull)
+		t.Errorf("End returned %v, want %v", err, errFull)
 	}
 }
