--- a/policy/channel.go
+++ b/policy/channel.go
@@ -7,35 +7,35 @@
 	"porthub/policyapi"
 )
 
-// deliverySettings are the limits on what goes out to the proxies.
+// deliverySettings are the limits on the messages to the proxies.
 type deliverySettings struct {
-	queueLimit       float64 // lines that may wait
-	messageOverhead  float64 // lines that a message costs beside its own
-	messageLimit     int     // messages to one proxy within messageWindow; 0: no limit
+	queueLimit       float64 // lines that may wait in the channel
+	messageOverhead  float64 // cost of a message in lines, in addition to the lines that it contains
+	messageLimit     int     // most messages to one proxy within messageWindow; 0: no limit
 	messageWindow    micros
 	reportPeriod     micros
-	linesPerSecond   float64              // that the channel carries; 0: unknown
-	maxLatency       micros               // of a message, after the channel has carried it
-	drainGracePeriod micros               // within which a withdrawn endpoint has to be out of all tables
-	classSets        []policyapi.ClassSet // of the placements: a replica has a table for each, in this order
+	linesPerSecond   float64              // throughput of the channel; 0: unknown
+	maxLatency       micros               // of a message from the channel to the proxy
+	drainGracePeriod micros               // time within which a withdrawn endpoint must be out of all tables
+	classSets        []policyapi.ClassSet // by placement: a replica has one table for each, in this order
 }
 
-// channel brings what the proxies have nearer to the target state, within the limits on lines and messages.
+// channel moves the tables and levels of the proxies toward the target state, within the limits on lines and messages.
 type channel struct {
 	mailbox
 	deliverySettings
 	out               *outbox
 	reportBoundGroups func(message) // sends the planner the groups that proxies are bound to
 
-	target     targetState // the last one
-	replicas   []*replica  // by the number of their first table
+	target     targetState // the latest from the planner
+	replicas   []*replica  // sorted by the number of their first table
 	streams    map[policyapi.ProxyID]*stream
-	admissions map[policyapi.ClassSet]policyapi.SetAdmission // for all tables, as last ordered
+	admissions map[policyapi.ClassSet]policyapi.SetAdmission // levels for all tables, as last ordered
 
 	turns          turnState
 	acks           ackLatencies
 	lastAckID      policyapi.AckID
-	inherited      []pendingMessage               // of a failed instance: they still take up the queue
+	inherited      []pendingMessage               // messages of a failed instance that still occupy the queue
 	inheritedSends map[policyapi.ProxyID][]micros // times of a failed instance's messages to streams that persist
 }
 
@@ -43,9 +43,9 @@
 type turnState struct {
 	deliveredAt micros            // when the last turn was
 	linesSentAt micros            // when lines of tables or levels last went out
-	retryAt     micros            // when pending removals are sent again; 0: there are none
-	queued      float64           // lines in the queue, counted during a turn
-	crowded     bool              // too many new proxies wait for all to get complete tables in time
+	retryAt     micros            // when pending changes are attempted again; 0: none are pending
+	queued      float64           // lines in the queue, updated during a turn
+	crowded     bool              // more new proxies wait than can get complete tables in time
 	tablesFirst bool              // a table change had to wait: the next turn sends tables before levels
 	nextTable   policyapi.TableID // where the next turn starts, so that all tables are served
 }
@@ -79,7 +79,7 @@
 func (c *channel) handleEvent(now micros, event policyapi.Event) {
 	switch event := event.(type) {
 	case policyapi.ProxyConnected:
-		c.disconnect(event.Proxy) // the new stream may come before the old one's end
+		c.disconnect(event.Proxy) // the new stream may be reported before the end of the old one
 		c.streams[event.Proxy] = &stream{
 			proxy:               event.Proxy,
 			connectedAt:         now,
@@ -96,8 +96,8 @@
 	}
 }
 
-// disconnect drops a stream. The channel drops the messages that wait for its proxy, so that they no longer take up the
-// queue: counting them would hold back the orders to the proxies that stay.
+// disconnect drops a stream. The messages that wait for its proxy are dropped from the queue as well, so they are no longer
+// counted: counting them would delay the orders to the proxies that stay connected.
 func (c *channel) disconnect(id policyapi.ProxyID) {
 	s := c.streams[id]
 	if s == nil {
@@ -117,7 +117,7 @@
 	s.unacknowledged = slices.Delete(s.unacknowledged, 0, i+1)
 }
 
-// takeOver takes over the record of what a failed instance had sent: those messages still take up the queue, and count
+// takeOver copies the record of the messages that a failed instance had sent: they still occupy the queue, and count
 // against the message limits of the streams that persist.
 func (c *channel) takeOver(failed *channel) {
 	c.inherited = slices.Clone(failed.inherited)
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -6,7 +6,7 @@
 	"porthub/policyapi"
 )
 
-// recentReportWindow is how long a report counts as the present state of an endpoint.
+// recentReportWindow is how long a report counts as the current state of an endpoint.
 const recentReportWindow = 5 * second
 
 // endpointActor evaluates one endpoint from its list entries, load reports and health checks.
@@ -22,10 +22,10 @@
 	dropped            bool
 
 	zones       []zoneHealth // by zone of the proxies
-	recoveredAt micros       // when an ejection last ended; 0: it never was ejected
+	recoveredAt micros       // when an ejection last ended; 0: none has ended since the process started
 	healthyAt   micros       // when a health check last passed
 
-	metrics policyapi.LoadMetrics // the latest of this round
+	metrics policyapi.LoadMetrics // the latest metrics of this round
 	load    loadEstimate
 	learned capacityEstimate
 }
@@ -68,7 +68,7 @@
 	}
 }
 
-// addReport counts a load report toward the present round.
+// addReport adds a load report to the current round.
 func (a *endpointActor) addReport(report policyapi.EndpointLoad) {
 	z := slices.Index(a.settings.zones, report.Zone)
 	if z < 0 {
@@ -83,13 +83,13 @@
 	}
 }
 
-// updateEntry takes over a list entry.
+// updateEntry applies a new list entry.
 func (a *endpointActor) updateEntry(entry policyapi.Endpoint) {
 	if entry.StartedAt > a.entry.StartedAt {
 		a.resetAfterRestart()
 	}
-	// With SoftRemoval, a list that drops endpoints without having listed them as draining may be wrong, even about half
-	// of the fleet: such an endpoint stays in the tables as long as it responds.
+	// With SoftRemoval, a list from which endpoints disappear that were never listed as draining may be wrong, even about
+	// half of the fleet. Such an endpoint stays in the tables as long as it responds.
 	unannounced := entry.Status == policyapi.Removed && a.entry.Status == policyapi.Ready
 	a.unconfirmedRemoval = a.settings.rules.SoftRemoval && unannounced
 	if !a.unconfirmedRemoval {
@@ -97,7 +97,7 @@
 	}
 }
 
-// resetAfterRestart drops the health of the previous process and the capacity limit learned from it.
+// resetAfterRestart discards the health of the previous process and the capacity limit learned from it.
 func (a *endpointActor) resetAfterRestart() {
 	a.learned.limit = 0
 	a.learned.slowReports = 0
@@ -105,7 +105,7 @@
 	a.zones = make([]zoneHealth, len(a.settings.zones))
 }
 
-// closeRound evaluates the reports of a round and reports whether the endpoint was ejected by it.
+// closeRound evaluates the reports of a round and returns whether they caused an ejection.
 func (a *endpointActor) closeRound(now micros, round roundClosed) (ejected bool) {
 	totals := a.closeZones(now, round)
 	metrics := readMetrics(a.metrics)
@@ -119,7 +119,8 @@
 	}
 	a.load.lastRate = 0
 	a.load.lastBusy = 0
-	// Learn only at full capacity and with all of the load known: otherwise the endpoint would count as slow for long.
+	// Learn only when the endpoint is warm and all of its load is known: otherwise it would be considered slow for a long
+	// time.
 	if metrics.busy > minLearnBusy && a.warmUpProgress(now) == 1 && hasRate {
 		a.load.lastRate = rate
 		a.load.lastBusy = metrics.busy
@@ -135,7 +136,7 @@
 // publish sends the endpoint's state to the planner.
 func (a *endpointActor) publish(now micros, urgent bool) {
 	if a.dropped {
-		return // messages that were still in the mailbox must not bring it back
+		return // messages that were still in the mailbox must not add the endpoint again
 	}
 	state := endpointState{
 		id:               a.id,
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// endpointRetention is how long the state of a removed endpoint is retained: it may be listed again under its ID.
+	// endpointRetention is how long the state of a removed endpoint is retained: the endpoint may be listed again with
+	// the same ID.
 	endpointRetention = 60 * second
-	// maxPollFailures bounds the poll backoff, which grows by a second with each failure.
+	// maxPollFailures is the number of consecutive failures up to which the poll backoff grows.
 	maxPollFailures = 4
 	// minPollBackoff and pollBackoffJitter are the fixed and the random part of the poll backoff, in seconds for each
-	// failure. Instances must not poll in step.
+	// consecutive failure. The random part keeps instances from polling at the same time.
 	minPollBackoff, pollBackoffJitter = 0.25, 0.5
 )
 
@@ -25,9 +26,9 @@
 	planner   *planner
 	settings  *settings
 	draws     uint64 // random numbers drawn
-	failures  int    // of polls, in a row
+	failures  int    // consecutive failed polls
 	actors    map[policyapi.EndpointID]*endpointActor
-	order     []*endpointActor // in the order in which they were first listed
+	order     []*endpointActor // in the order in which the endpoints were first listed
 	removedAt map[policyapi.EndpointID]micros
 }
 
@@ -65,14 +66,14 @@
 	}
 }
 
-// forward sends a message to an endpoint's actor, if it has one.
+// forward sends a message to an endpoint's actor, if there is one.
 func (l *endpointList) forward(id policyapi.EndpointID, m message) {
 	if a := l.actors[id]; a != nil {
 		a.send(m)
 	}
 }
 
-// apply brings the actors up to date with the list.
+// apply updates the actors to the list.
 func (l *endpointList) apply(now micros, update policyapi.EndpointUpdate) {
 	if update.Kind == policyapi.Failed {
 		l.retryPoll()
@@ -106,7 +107,7 @@
 	}
 }
 
-// removeUnlisted treats endpoints that a complete list does not contain as removed.
+// removeUnlisted treats the endpoints that a complete list does not contain as removed.
 func (l *endpointList) removeUnlisted(now micros, listed map[policyapi.EndpointID]bool) {
 	for _, a := range l.order {
 		if listed[a.id] {
@@ -129,9 +130,9 @@
 	}
 }
 
-// dropRemoved drops the actors of endpoints that were removed more than endpointRetention ago; in a fleet whose
-// endpoints get new IDs they would accumulate. An endpoint whose removal is unconfirmed may still be in tables and keeps
-// its actor.
+// dropRemoved drops the actors of endpoints that were removed more than endpointRetention ago; in a fleet whose endpoints
+// get new IDs, the actors would accumulate. An endpoint whose removal is unconfirmed may still be in tables and keeps its
+// actor.
 func (l *endpointList) dropRemoved(now micros) {
 	for _, a := range slices.Clone(l.order) {
 		at, removed := l.removedAt[a.id]
@@ -141,19 +142,19 @@
 		delete(l.removedAt, a.id)
 		delete(l.actors, a.id)
 		l.order = slices.DeleteFunc(l.order, func(other *endpointActor) bool { return other == a })
-		a.send(endpointDropped{a.id}) // run still has the actor in its present round
+		a.send(endpointDropped{a.id}) // run still includes the actor in its current pass
 	}
 }
 
-// retryPoll polls the list again after a failure, with a backoff that grows with each failure in a row.
+// retryPoll sets a timer to poll the list again after a failure. The backoff grows with each consecutive failure.
 func (l *endpointList) retryPoll() {
 	l.failures = min(l.failures+1, maxPollFailures)
 	backoff := float64(second) * float64(l.failures) * (minPollBackoff + pollBackoffJitter*l.random())
 	l.out.add(policyapi.SetTimer{After: micros(backoff), Token: pollToken})
 }
 
-// random draws a number from 0 to below 1. It depends on the seed and the number of draws alone, so that a replay draws
-// the same.
+// random returns a number from 0 to below 1. It depends only on the seed and the number of earlier draws, so that a replay
+// draws the same numbers.
 func (l *endpointList) random() float64 {
 	l.draws++
 	key := binary.LittleEndian.AppendUint64(nil, l.settings.seed)
--- a/policy/estimate.go
+++ b/policy/estimate.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// epsilon replaces a divisor of zero: rates and capacities that matter are far above it.
+// epsilon replaces divisors of zero. Significant rates and capacities are far above it.
 const epsilon = 1e-9
 
-// sum adds from left to right; the order matters to the last bit.
+// sum adds the values from left to right. The order is fixed because it affects the rounding.
 func sum(values []float64) float64 {
 	total := 0.0
 	for _, v := range values {
@@ -14,7 +14,7 @@
 	return total
 }
 
-// smoothing is how far a smoothed figure moves to a new value each round.
+// smoothing is the fraction of the difference to a new value by which a smoothed figure moves each round.
 const smoothing = 0.5
 
 // smooth moves a figure toward a new value by one round.
@@ -22,8 +22,9 @@
 	*figure += smoothing * (value - *figure)
 }
 
-// decayStep returns the seconds that a count covers which arrives now, where the previous one arrived at last (0: there
-// was none), and the step by which a mean moves toward the new value in that time: half way each round.
+// decayStep returns the seconds that a count covers if it arrives now and the previous one arrived at last (0: there was
+// none). It also returns the fraction of the difference to the new value by which a mean moves in that time: one half for
+// each round.
 func decayStep(now, last micros, roundSeconds float64) (seconds, step float64) {
 	seconds = roundSeconds
 	if last != 0 {
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -11,63 +11,65 @@
 const (
 	// minListedWeight replaces listed weights of zero or below.
 	minListedWeight = 1e-3
-	// priorBusySeconds are the busy seconds that the listed weight counts for beside those learned of an endpoint.
+	// priorBusySeconds is the weight, in busy seconds, of the estimate from an endpoint's listed weight when it is averaged
+	// with the endpoint's measured throughput.
 	priorBusySeconds = 2
-	// assumedBusySeconds and assumedHeadroom are the prior for a fleet of which nothing has been learned: it is assumed
-	// to serve one and a half times its demand, with the weight of 0.3 busy seconds of each endpoint.
+	// assumedBusySeconds and assumedHeadroom are the prior for a fleet of which nothing has been learned: the fleet is
+	// assumed to serve 1.5 times its demand, and the assumption has the weight of 0.3 busy seconds of each endpoint.
 	assumedBusySeconds, assumedHeadroom = 0.3, 1.5
 	// minFleetSpeed and maxFleetSpeed bound the fleet's speed as measured in one round.
 	minFleetSpeed, maxFleetSpeed = 0.4, 1.5
-	// assumedUtilization is the busy share assumed of an unreported endpoint in another instance's zone while demand
-	// equals capacity in this instance's zones: an endpoint without reports is not idle.
+	// assumedUtilization is the busy share that is assumed for an unreported endpoint in another instance's zone if
+	// demand equals capacity in this instance's zones: an endpoint without reports is not idle.
 	assumedUtilization = 0.7
-	// slowEndpointLatency is the multiple of its machine type's mean latency from which an endpoint gets less load.
+	// slowEndpointLatency is the multiple of its machine type's mean latency above which an endpoint gets less load.
 	slowEndpointLatency = 1.5
-	// minSlowCapacity is the fraction of its capacity that a slow endpoint keeps: latency alone is no evidence for a
-	// larger cut.
+	// minSlowCapacity is the fraction of its capacity that a slow endpoint keeps: latency alone does not justify a larger
+	// reduction.
 	minSlowCapacity = 0.5
-	// slowStartMargin is the fraction of its slow-start capacity that an endpoint gets load for; the rest is for retries
-	// and random variation.
+	// slowStartMargin is the fraction of its slow-start capacity that an endpoint gets load for. The rest is reserved for
+	// retries and random variation.
 	slowStartMargin = 0.7
-	// maxSlowStartPressure is the pressure above which endpoints in slow start get no load: what full endpoints reject
-	// comes on top of their weights.
+	// maxSlowStartPressure is the pressure above which endpoints in slow start get no load: they also receive the
+	// requests that full endpoints reject, in addition to the load by their weights.
 	maxSlowStartPressure = 1.5
-	// pressureCeiling minus the failure rate divides the utilization; the quotient is the pressure on the fleet. It is
-	// above 1 to keep the divisor positive.
+	// pressureCeiling minus the failure rate is the divisor of the utilization; the quotient is the pressure on the fleet.
+	// The ceiling is above 1 to keep the divisor positive.
 	pressureCeiling = 1.01
-	// panicThreshold is the fraction of a zone's ready capacity below which the capacity that is not ejected must not
-	// fall: below it the fault is more likely in the network or in the reports than in the endpoints.
+	// panicThreshold is the fraction of the ready capacity that must remain after the ejections from a zone; otherwise
+	// they are ignored. Below it the fault is more likely in the network or in the reports than in the endpoints.
 	panicThreshold = 0.2
 )
 
 // fleetEstimate is the planner's estimate of the fleet as a whole.
 type fleetEstimate struct {
-	meanCapacity        float64 // of an endpoint, requests per second
-	speed               float64 // present speed relative to the speeds learned one by one
+	meanCapacity        float64 // mean over the endpoints, in requests per second
+	speed               float64 // current speed relative to the learned speeds of the endpoints
 	speedsLearned       bool    // a speed has been learned since the start
 	utilization         float64 // load over available capacity
-	admittedUtilization float64 // the same without what admission rejects
-	failureRate         float64 // fraction of all attempts, smoothed
+	admittedUtilization float64 // utilization without the requests that admission rejects
+	failureRate         float64 // fraction of all attempts that failed, smoothed
 }
 
 // fleetEndpoint is an endpoint with its estimated capacity in requests per second.
 type fleetEndpoint struct {
 	endpointState
 	capacity  float64 // at full speed
-	available float64 // now: less than capacity in slow start or while slow
+	available float64 // at present: less than capacity in slow start or while the endpoint is slow
 }
 
 // learnedTotals are sums over the endpoints of local zones.
 type learnedTotals struct {
 	endpoints           float64
 	busySeconds         float64
-	weightedBusySeconds float64 // by listed weight, with assumedBusySeconds for each endpoint
+	weightedBusySeconds float64 // weighted by the listed weight, with assumedBusySeconds for each endpoint
 	requests            float64
 }
 
-// estimateFleet lists the endpoints with their capacities: the requests that they completed in a busy second and, while
-// little is known, an estimate from their listed weights. A cause that slows all endpoints at once, or makes all requests
-// more expensive, changes the fleet's speed within a round, long before the figures of each endpoint follow.
+// estimateFleet returns the endpoints with their capacities. A capacity is the number of requests that the endpoint
+// completed in a busy second, averaged with an estimate from its listed weight that counts as long as little has been
+// learned. A cause that slows all endpoints at once, or makes all requests more expensive, changes the fleet's speed
+// within a round, long before the figures of the single endpoints follow.
 func (p *planner) estimateFleet() []fleetEndpoint {
 	fleet := p.listFleet()
 	totals := p.learnedTotals(fleet)
@@ -119,8 +121,8 @@
 	return totals
 }
 
-// estimateAvailable scales the capacities by the fleet's speed and derives what is available now. LocalCapacity is that
-// of the ready endpoints in local zones.
+// estimateAvailable scales the capacities by the fleet's speed and derives the capacities that are available at present.
+// LocalCapacity is the capacity of the ready endpoints in local zones.
 func (p *planner) estimateAvailable(fleet []fleetEndpoint, localCapacity float64) {
 	latencies := latenciesByMachineType(fleet)
 	pressure := max(1, p.fleet.admittedUtilization) / (pressureCeiling - min(1, p.fleet.failureRate))
@@ -135,13 +137,14 @@
 		}
 		e.available = e.capacity * e.slowStartFactor
 		if others := latencies[e.entry.MachineType]; e.load.latency > 0 {
-			// The product goes first: the order of the operations is part of the decisions.
+			// Multiply before dividing: the order of the operations affects the rounding, and so the decisions.
 			threshold := slowEndpointLatency * sum(others) / float64(len(others))
 			e.available *= min(1, max(minSlowCapacity, threshold/e.load.latency))
 		}
 		if e.slowStartFactor < 1 {
-			// All proxies together must not overload a warming endpoint. Where the others are full, retries and requests
-			// that avoid those come on top of its weight; just after a restart it is unknown whether they are.
+			// All proxies together must not overload a warming endpoint. If the other endpoints are full, it gets retries and
+			// requests that avoid them in addition to its share by weight. Just after a restart it is unknown whether they
+			// are full.
 			e.available *= slowStartMargin / pressure
 			if pressure > maxSlowStartPressure || !p.fleet.speedsLearned {
 				e.available = 0
@@ -150,8 +153,8 @@
 	}
 }
 
-// latenciesByMachineType collects the mean latencies that are known. An endpoint is compared with its machine type: one
-// that stalls or is overloaded gets less load at once.
+// latenciesByMachineType returns the known mean latencies by machine type. An endpoint is compared with its machine type,
+// so that one that stalls or is overloaded gets less load at once.
 func latenciesByMachineType(fleet []fleetEndpoint) map[policyapi.MachineType][]float64 {
 	latencies := map[policyapi.MachineType][]float64{}
 	for _, e := range fleet {
@@ -162,8 +165,9 @@
 	return latencies
 }
 
-// estimateExternalLoad estimates the load of other instances' proxies on an endpoint in one of their zones: by its busy
-// share if that was reported lately, else nearly as in the local zones.
+// estimateExternalLoad estimates the load of other instances' proxies on an endpoint in one of their zones. The estimate
+// uses the endpoint's busy share if that was reported recently, and otherwise assumes nearly the utilization of the local
+// zones.
 func (e *fleetEndpoint) estimateExternalLoad(demand, localCapacity float64) {
 	if !e.recentlyReported {
 		e.load.served = 0
@@ -176,7 +180,7 @@
 	}
 }
 
-// updatePanicThreshold makes the planner ignore ejections where they would nearly empty a zone's tables.
+// updatePanicThreshold makes the planner ignore the ejections from a zone if they would nearly empty its tables.
 func (p *planner) updatePanicThreshold(fleet []fleetEndpoint) {
 	for z, name := range p.settings.zones {
 		healthy, ready := 0.0, 0.0
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -10,22 +10,22 @@
 const (
 	roundToken policyapi.TimerToken = iota + 1 // a report round ends
 	pollToken                                  // the endpoint list is polled again
-	retryToken                                 // pending removals are sent again
+	retryToken                                 // pending changes are attempted again, or a cached list may be used
 )
 
-// Instance is the decisions of one coordinator. Its methods must not be called concurrently.
+// Instance makes the decisions of one coordinator. Its methods must not be called concurrently.
 type Instance struct {
 	out       *outbox
 	endpoints *endpointList
 	proxies   *proxyRegistry
 	planner   *planner
 	channel   *channel
-	actors    []actor // those that receive every event, in the order in which they run
+	actors    []actor // the actors that receive every event, in the order in which they run
 	rounds    roundTracker
 	started   bool
 }
 
-// New returns an instance that has seen no events. It takes over the slices of start.
+// New returns an instance that has received no events. It retains the slices of start.
 func New(start policyapi.Start) *Instance {
 	s := newSettings(start)
 	out := &outbox{}
@@ -45,8 +45,8 @@
 	}
 }
 
-// Step delivers the events of a batch at the time now and returns the orders for the host. Now must not decrease from
-// call to call.
+// Step delivers the events of a batch at the time now and returns the orders for the host. The time must not decrease
+// from call to call.
 func (in *Instance) Step(now micros, events []policyapi.Event) []policyapi.Order {
 	in.out.orders = nil
 	if !in.started {
@@ -94,7 +94,7 @@
 	}
 }
 
-// run lets the actors receive their messages, round after round, until no mailbox has any.
+// run makes the actors receive their messages, pass after pass, until all mailboxes are empty.
 func (in *Instance) run(now micros) {
 	for busy := true; busy; {
 		busy = false
@@ -111,27 +111,29 @@
 	}
 }
 
-// TakeOver makes a new instance, before its first Step, the successor of one whose code has failed. The proxies' streams
-// persist: what the failed instance had sent still counts against the limits on lines and messages.
+// TakeOver makes a new instance the successor of one whose code has failed. It must be called before the first Step. The
+// proxies' streams persist, so what the failed instance had sent still counts against the limits on lines and messages.
 func (in *Instance) TakeOver(failed *Instance) { in.channel.takeOver(failed.channel) }
 
 // Limits of a report round.
 const (
 	// maxRoundPeriods bounds the length of a round after a gap in the reports, in report periods.
 	maxRoundPeriods = 4
-	// cappedReportShare is the fraction of the most report lines from which a round counts as cut off by that limit.
+	// cappedReportShare is the fraction of the limit on report lines from which on a round counts as truncated by the
+	// limit.
 	cappedReportShare = 0.9
-	// silencePeriods are the report periods that may pass, beyond the longest reported, before a report is missed.
+	// silencePeriods is the number of report periods, in addition to the longest reported period, after which a missing
+	// report means that there were no attempts.
 	silencePeriods = 2
 )
 
 // roundTracker counts the report lines of a round.
 type roundTracker struct {
 	period        micros
-	lineLimit     float64 // lines per second at most; 0: no limit
+	lineLimit     float64 // most lines per second; 0: no limit
 	closedAt      micros  // when the last round with reports ended
 	lines         int
-	longestPeriod micros // of a line of this round
+	longestPeriod micros // the longest that a line of this round covers
 }
 
 // observe counts a report line that covers a period.
@@ -140,8 +142,9 @@
 	r.longestPeriod = max(r.longestPeriod, period)
 }
 
-// close ends a round. Report lines are capped and the oldest are delivered first: in a round that reached the cap, a
-// missing line means that there were no attempts only if it is older than all lines that were delivered.
+// close ends a round. The number of report lines is limited, and the oldest are delivered first. In a round that reached
+// the limit, a missing line therefore means that there were no attempts only if it has been missing for longer than the
+// longest period of a delivered line.
 func (r *roundTracker) close(now micros) (round reportRound) {
 	if r.lines == 0 {
 		return round
--- a/policy/mailbox.go
+++ b/policy/mailbox.go
@@ -7,14 +7,14 @@
 
 func (b *mailbox) send(m message) { b.messages = append(b.messages, m) }
 
-// drain empties the mailbox and returns what was in it, in the order sent.
+// drain empties the mailbox and returns its messages in the order in which they were sent.
 func (b *mailbox) drain() []message {
 	messages := b.messages
 	b.messages = nil
 	return messages
 }
 
-// actor is a part of an Instance. Its state is changed by receive alone.
+// actor is a part of an Instance. Only receive changes its state.
 type actor interface {
 	send(m message)
 	drain() []message
@@ -26,5 +26,5 @@
 
 func (o *outbox) add(order policyapi.Order) { o.orders = append(o.orders, order) }
 
-// log orders a line of the log; package policylog writes it.
+// log adds an order to log a line. Package policylog formats the lines.
 func (o *outbox) log(line string) { o.add(policyapi.Log{Text: line}) }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -9,7 +9,7 @@
 // minReportPeriod keeps intervals derived from the report period above zero.
 const minReportPeriod = second / 10
 
-// settings are what the actors need of policyapi.Start. They never change.
+// settings is the part of policyapi.Start that the actors use. It never changes.
 type settings struct {
 	zones            []policyapi.Zone
 	classes          []policyapi.ClassSettings
@@ -17,14 +17,14 @@
 	rules            policyapi.RuleSettings
 	admissionMode    policyapi.AdmissionMode
 	instanceCount    int
-	proxyCount       int // of all instances together
-	connectionLimit  int // connections that the smallest endpoint accepts
+	proxyCount       int // proxies of all instances together
+	connectionLimit  int // connections that the smallest endpoints accept
 	reportLineLimit  float64
 	reportPeriod     micros
 	latencyObjective micros // mean over the classes
 	messageOverhead  float64
-	linesPerSecond   float64 // of the channel
-	maxLatency       micros  // of a message, after the channel has carried it
+	linesPerSecond   float64 // throughput of the channel
+	maxLatency       micros  // of a message from the channel to the proxy
 	pollsList        bool
 	seed             uint64
 }
@@ -53,7 +53,7 @@
 	return s
 }
 
-// delivery is the part of the settings that the channel needs.
+// delivery returns the part of the settings that the channel uses.
 func (s *settings) delivery() deliverySettings {
 	d := deliverySettings{
 		queueLimit:       s.rules.QueueLimit,
--- a/policy/state.go
+++ b/policy/state.go
@@ -5,28 +5,29 @@
 	"slices"
 )
 
-// State is an instance's view of the fleet, for operators to compare with what the proxies do. Rates are in requests per
-// second.
+// State is an instance's view of the fleet, which operators can compare with the actual behavior of the proxies. Rates are
+// in requests per second.
 type State struct {
-	Proxies                int     // connected
-	UnacknowledgedMessages int     // sent to connected proxies and not acknowledged
-	QueuedLines            float64 // lines taken to wait in the channel
+	Proxies                int     // connected proxies
+	UnacknowledgedMessages int     // messages to connected proxies that have not been acknowledged
+	QueuedLines            float64 // estimated lines that wait in the channel
 	Ready                  int     // endpoints that are listed ready
-	Ejected                int     // of those, ejected from at least one zone
-	WarmingUp              int     // of those, in slow start
-	CapacityLimited        int     // of those, slow for several reports in a row
+	Ejected                int     // ready endpoints that are ejected from at least one zone
+	WarmingUp              int     // ready endpoints in slow start
+	CapacityLimited        int     // ready endpoints that were slow for several consecutive reports
 	Demand                 float64 // of the connected proxies
-	Served                 float64 // completed, as last reported
+	Served                 float64 // completed requests, as last reported
 	Capacity               float64 // of the ready endpoints
-	FleetSpeed             float64 // present speed relative to the speeds learned
+	FleetSpeed             float64 // current speed relative to the learned speeds of the endpoints
 	Utilization            float64 // load over capacity
-	AdmittedRate           float64 // published limit; 0: no limit
-	EndpointActors         int     // endpoints with retained state
+	AdmittedRate           float64 // published limit on all requests; 0: no limit
+	EndpointActors         int     // endpoints whose state is retained
 	Tables                 int     // tables in use
-	QueuedRequests         int     // requests queued, as the endpoints report
+	QueuedRequests         int     // requests queued, as reported by the endpoints
 }
 
-// State returns the instance's view of the fleet as of the last Step. It changes nothing, and is the same each time.
+// State returns the instance's view of the fleet as of the last Step. It changes nothing, and repeated calls return the
+// same value.
 func (in *Instance) State() State {
 	pl, ch := in.planner, in.channel
 	s := State{
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// significantDigits are the significant significantDigits of weights and levels.
+// significantDigits is the number of digits with which weights and levels are written.
 const significantDigits = 6
 
 func number(v float64) string { return strconv.FormatFloat(v, 'g', significantDigits, 64) }
