--- a/policy/budget.go
+++ b/policy/budget.go
@@ -8,38 +8,38 @@
 const (
 	// ackIDs is the number of acknowledgement IDs: the protocols carry them in 16 bits.
 	ackIDs = 65536
-	// messageExpiry is the age at which an unacknowledged message counts as delivered or lost at the latest, even if no
-	// proxy has ever acknowledged anything.
+	// messageExpiry is the age above which an unacknowledged message counts as delivered or lost in any case, even if no
+	// proxy has acknowledged any message yet.
 	messageExpiry = 60 * second
-	// ackLatencyPeriods are the report periods for which an acknowledgement's latency counts, at least.
+	// ackLatencyPeriods is the least number of report periods for which the latency of an acknowledgement counts.
 	ackLatencyPeriods = 5
-	// overduePeriods are the report periods, in addition to one and a half times the longest latency seen, after which a
-	// message no longer counts as queued.
+	// overduePeriods is the number of report periods, in addition to one and a half times the longest recent latency, after
+	// which a message no longer counts as queued.
 	overduePeriods = 2
-	// overdueLatencyDivisor makes the half of "one and a half times".
+	// overdueLatencyDivisor divides the longest latency for the half of "one and a half times".
 	overdueLatencyDivisor = 2
 	// ackLines is the cost of the request to acknowledge a message, in lines.
 	ackLines = 1
-	// bindLines is the cost of a binding besides the lines and levels of its table: one line by the protocol, and one in
-	// reserve.
+	// bindLines is the cost of a binding, in lines, in addition to the lines and levels of its table: one line by the
+	// protocol, and one in reserve.
 	bindLines = 2
-	// ownLevelLines is the cost of a table's own level.
+	// ownLevelLines is the cost of a table's own level, in lines.
 	ownLevelLines = 1
-	// windowSlackDivisor is the part of the message window that is added to it, for clocks that differ.
+	// windowSlackDivisor divides the message window; the quotient is added to the window to allow for clock differences.
 	windowSlackDivisor = 50
 )
 
-// ackLatencies are the longest latencies of acknowledgements seen lately.
+// ackLatencies tracks the longest latency of recent acknowledgements.
 type ackLatencies struct {
-	recent, previous micros // of the present period and the one before
-	since            micros // when the present period began
-	recorded         bool   // something has been acknowledged
+	recent, previous micros // longest of the current period and of the previous one
+	since            micros // when the current period began
+	recorded         bool   // any acknowledgement has been recorded
 }
 
-// longest is the longest latency seen lately.
+// longest returns the longest recent latency.
 func (a *ackLatencies) longest() micros { return max(a.recent, a.previous) }
 
-// record takes a latency into account.
+// record records a latency.
 func (a *ackLatencies) record(now, latency, reportPeriod micros) {
 	if now-a.since > ackLatencyPeriods*reportPeriod {
 		a.previous = a.recent
@@ -50,11 +50,12 @@
 	a.recorded = true
 }
 
-// queuedLines estimates the lines in the channel from the acknowledgements. Messages to different proxies can overtake
-// each other by seconds: what waits for a proxy that disconnects is dropped, and only later messages take its place. But
-// one that has been in flight for much longer than any that was acknowledged lately no longer counts: its proxy has
-// stopped responding and will never acknowledge it. Whatever the latencies, and where nothing was ever acknowledged, a
-// message counts for messageExpiry at most.
+// queuedLines estimates the number of lines in the channel as those of all unacknowledged messages. The acknowledgement of a
+// later message to another proxy does not show that an earlier one has left the channel, since messages to different proxies
+// can overtake each other by seconds: the messages that wait for a proxy that disconnects are dropped, and only later ones
+// take their place. But a message that has been in flight for much longer than any that was acknowledged recently does not
+// count: its proxy has stopped responding and will never acknowledge it. Regardless of the latencies, and if no message has
+// been acknowledged yet, a message counts for messageExpiry at most.
 func (c *channel) queuedLines(now micros) (lines float64) {
 	add := func(messages []pendingMessage) {
 		for _, m := range messages {
@@ -81,7 +82,8 @@
 	c.inherited = slices.DeleteFunc(c.inherited, func(m pendingMessage) bool { return c.isOverdue(now, m) })
 }
 
-// maxMessagesSent returns the most messages that one proxy was sent in the message window, and forgets older ones.
+// maxMessagesSent returns the most messages that any proxy was sent in the message window, and discards the times of older
+// ones.
 func (c *channel) maxMessagesSent(now micros) (messages int) {
 	for _, s := range c.streams {
 		s.sentAt = slices.DeleteFunc(s.sentAt, func(at micros) bool {
@@ -92,12 +94,13 @@
 	return messages
 }
 
-// messageLines is the cost of a message besides its own lines; it includes the levels for all tables.
+// messageLines returns the cost of a message, in lines, in addition to its lines of tables. It includes the levels for all
+// tables.
 func (c *channel) messageLines() float64 {
 	return c.messageOverhead + float64(len(c.admissions)) + ackLines
 }
 
-// bindCost is what it costs to bind a proxy to a replica's tables.
+// bindCost returns the cost, in lines, of binding a proxy to a replica's tables.
 func (c *channel) bindCost(r *replica) (lines float64) {
 	for _, table := range r.tables {
 		lines += float64(len(table.lines)+len(c.admissions)) + bindLines
@@ -108,7 +111,7 @@
 	return lines
 }
 
-// charge counts lines to each of some proxies.
+// charge adds lines to the current turn's message to each of some proxies, and to the queue.
 func (c *channel) charge(now micros, streams []*stream, lines float64) {
 	for _, s := range streams {
 		if s.turnLines == 0 {
@@ -120,7 +123,7 @@
 	}
 }
 
-// linesThatFit returns how many lines can be sent to each of some proxies with no more lines than a limit in the queue.
+// linesThatFit returns how many lines can be sent to each of some proxies without exceeding a limit of lines in the queue.
 func (c *channel) linesThatFit(streams []*stream, limit float64) int {
 	if len(streams) == 0 {
 		return math.MaxInt
@@ -134,8 +137,7 @@
 	return int(max(0, free/float64(len(streams))))
 }
 
-// maxTableLines is the number of lines that a table may have so that all of a proxy's tables fit into the queue
-// together.
+// maxTableLines returns the most lines that a table may have for all tables of a proxy to fit into the queue together.
 func maxTableLines(queueLimit, messageOverhead float64, placements, classes int) int {
 	perTable := (bindShare*queueLimit - messageOverhead - float64(classes) - ackLines) / float64(placements)
 	return int(perTable) - classes - bindLines - ownLevelLines
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -7,29 +7,29 @@
 )
 
 const (
-	// minLearnBusy is the busy fraction up to which a round is too idle to measure an endpoint's speed.
+	// minLearnBusy is the busy fraction up to which an endpoint is too idle for a round to measure its speed.
 	minLearnBusy = 0.05
 	// minFullBusy is the busy fraction above which an endpoint may be full.
 	minFullBusy = 0.85
 	// slowAttempts is the least number of attempts that a slow report needs.
 	slowAttempts = 3
-	// slowFailureRate is the fraction of failures that makes a report slow.
+	// slowFailureRate is the fraction of failed attempts above which a report counts as slow.
 	slowFailureRate = 0.3
-	// slowLatency is the fraction of the latency objective above which the mean latency makes a report slow.
+	// slowLatency is the fraction of the latency objective above which a report counts as slow by its mean latency.
 	slowLatency = 0.6
-	// slowReportsToLimit is the number of slow reports in a row that set a capacity limit.
+	// slowReportsToLimit is the number of consecutive slow reports that set a capacity limit.
 	slowReportsToLimit = 3
-	// limitGrowth is the growth of a capacity limit with each report that is not slow.
+	// limitGrowth is the factor by which a capacity limit grows with each report that is not slow.
 	limitGrowth = 1.05
-	// limitRelease is the multiple of the learned speed at which a capacity limit ends.
+	// limitRelease is the multiple of the learned speed above which a capacity limit ends.
 	limitRelease = 1.3
-	// recoveryRamp is the time in which an endpoint gets back to its usual load after an ejection.
+	// recoveryRamp is the time in which the load ramp after an ejection rises by the usual load of the endpoint.
 	recoveryRamp = 5 * second
-	// recoveryStart is where that ramp begins, as a multiple of the capacity of a new process.
+	// recoveryStart is the start of that ramp, as a multiple of the initial capacity of a new process.
 	recoveryStart = 2
 )
 
-// loadEstimate is the load of an endpoint by its reports.
+// loadEstimate is the load of an endpoint, derived from its reports.
 type loadEstimate struct {
 	reportedAt   micros
 	served       float64 // requests per second completed for this instance's proxies, smoothed
@@ -38,8 +38,8 @@
 	busyShare    float64 // fraction of CPU in use, as last reported
 	queue        float64 // requests queued, as last reported
 	reportsRate  bool    // the endpoint reports its own rate
-	lastRate     float64 // requests per second of the last round, if it was learned from; else 0
-	lastBusy     float64 // busy fraction of the last round, if it was learned from; else 0
+	lastRate     float64 // requests per second of the last round, or 0 if the round was not used for learning
+	lastBusy     float64 // busy fraction of the last round, or 0 if the round was not used for learning
 }
 
 // reportedMetrics are the LoadMetrics that the policy uses.
@@ -55,7 +55,8 @@
 	return m
 }
 
-// update takes over a round. The endpoint's own rate counts requests of all proxies, as its busy share does.
+// update applies a round. The rate that an endpoint reports includes the requests of all instances' proxies, as does its
+// busy share.
 func (l *loadEstimate) update(now micros, totals roundTotals, metrics reportedMetrics) {
 	if completed := totals.attempts - totals.failures; completed > 0 {
 		smooth(&l.latency, totals.latencySum/completed)
@@ -73,18 +74,18 @@
 	}
 }
 
-// capacityEstimate is what has been learned of an endpoint's capacity.
+// capacityEstimate is what has been learned about an endpoint's capacity.
 type capacityEstimate struct {
 	throughput  throughputHistogram
 	limit       float64 // requests per second; 0: no limit
-	slowReports int     // in a row
+	slowReports int     // consecutive slow reports
 }
 
-// updateCapacityLimit follows the design's rule: an endpoint has no capacity limit until it is slow for three reports;
-// the limit is then the rate that it served, raised as it serves more. Beyond the design, a report counts as slow only if
-// latencies or failures and the endpoint's own figures agree, so that neither a few expensive requests nor a false
-// report of being full reduce admission; and the limit grows with each report that is not slow and ends above the
-// learned speed, so that neither temporary slowness nor a warm-up leaves a lasting low capacity.
+// updateCapacityLimit follows the rule of the design: an endpoint has no capacity limit until it is slow for three reports;
+// then the limit is the rate that it served, and rises as it serves more. Two additions go beyond the design. A report
+// counts as slow only if the latencies or failures and the endpoint's own metrics agree, so that neither a few expensive
+// requests nor a false report of being full reduce admission. And the limit grows with each report that is not slow and
+// ends above the learned speed, so that neither temporary slowness nor a warm-up leaves a low capacity for long.
 func (a *endpointActor) updateCapacityLimit(totals roundTotals, rounds float64, mayBeFull bool) {
 	learned := &a.learned
 	late := totals.latencySum > slowLatency*(totals.attempts-totals.failures)*float64(a.settings.latencyObjective)
@@ -106,7 +107,7 @@
 	}
 }
 
-// warmUpProgress is the fraction of its capacity that an endpoint has by the slowest warm-up that the rules allow.
+// warmUpProgress returns the fraction of its capacity that an endpoint has by the slowest warm-up that the rules allow.
 func (a *endpointActor) warmUpProgress(now micros) float64 {
 	rules := &a.settings.rules
 	age := now - a.entry.StartedAt
@@ -116,9 +117,9 @@
 	return rules.InitialCapacity + (1-rules.InitialCapacity)*max(0, float64(age)/float64(rules.WarmUp))
 }
 
-// slowStartFactor is the fraction of its usual load that an endpoint may get now. One whose ejection has ended may be a
-// new process that the list does not show yet: until an update can have arrived, its load ramps up from twice that of a
-// new process.
+// slowStartFactor returns the fraction of its usual load that an endpoint may get now. An endpoint whose ejection has ended
+// may be a new process that the list does not contain yet: until a list update should have arrived, its load rises from
+// twice that of a new process.
 func (a *endpointActor) slowStartFactor(now micros) float64 {
 	progress := a.warmUpProgress(now)
 	if a.recoveredAt == 0 {
@@ -128,16 +129,16 @@
 	return min(progress, ramp)
 }
 
-// histogramBins are the bins of a throughputHistogram; the last holds everything above it too.
+// histogramBins is the number of bins of a throughputHistogram. The last one includes all greater busy shares.
 const histogramBins = 4
 
-// histogramLimit is the number of busy seconds at which a histogram is halved, so that it follows an endpoint's speed.
+// histogramLimit is the number of busy seconds above which a histogram is halved, so that it follows an endpoint's speed.
 const histogramLimit = 12
 
-// throughputHistogram collects busy seconds and completed requests, by coarse busy share.
+// throughputHistogram sums busy seconds and completed requests by bins of the busy share.
 type throughputHistogram [histogramBins]struct{ busySeconds, requests float64 }
 
-// add counts requests completed in some busy seconds at a busy share.
+// add adds the requests that were completed in a number of busy seconds at a busy share.
 func (h *throughputHistogram) add(busyShare, busySeconds, requests float64) {
 	bin := &h[min(histogramBins-1, int(histogramBins*busyShare))]
 	bin.busySeconds += busySeconds
--- a/policy/classes.go
+++ b/policy/classes.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// overloadFailureRate is the fleet's failure rate above which retries stop: where many endpoints are full, a retry
-	// only fills another.
+	// overloadFailureRate is the fleet's failure rate above which retries stop: if many endpoints are full, a retry only
+	// fills another one.
 	overloadFailureRate = 0.2
-	// maxRejectedShare bounds the fraction of a class that is rejected, so that none starves.
+	// maxRejectedShare bounds the fraction of a class that is rejected, so that no class starves.
 	maxRejectedShare = 0.9
-	// bucketSeconds is the number of seconds of its rate that a proxy's token bucket holds; it holds one request at least.
+	// bucketSeconds is the size of a proxy's token bucket, in seconds of its rate. The bucket holds at least one request.
 	bucketSeconds = 2
-	// equalRateTolerance is the difference from 1 of the ratio of rate and demand below which both count as equal: the general
-	// formula is 0/0 there.
+	// equalRateTolerance is the difference of the ratio of rate and demand from 1 below which the two count as equal: the
+	// general formula is 0/0 if they are.
 	equalRateTolerance = 1e-3
-	// levelSteps is the number of bisections that find a level.
+	// levelSteps is the number of bisection steps to find a level.
 	levelSteps = 20
 )
 
-// classPlacement is the request classes that may go to the same zones. Each group has a table for each placement.
+// classPlacement is a set of request classes that may go to the same zones. Each group has a table for each placement.
 type classPlacement struct {
 	classes       policyapi.ClassSet
 	allowedZones  []policyapi.Zone // empty: all
@@ -35,10 +35,10 @@
 	return len(c.allowedZones) == 0 || slices.Contains(c.allowedZones, zone)
 }
 
-// restricted reports whether the classes may not go everywhere.
+// restricted reports whether the classes may go only to some zones.
 func (c classPlacement) restricted() bool { return c.localZoneOnly || len(c.allowedZones) > 0 }
 
-// placementsOf puts classes that may go to the same zones together, restricted ones first.
+// placementsOf groups the classes that may go to the same zones. Restricted placements come first.
 func placementsOf(classes []policyapi.ClassSettings) (placements []classPlacement) {
 	for _, restricted := range []bool{true, false} {
 		for k, class := range classes {
@@ -92,7 +92,7 @@
 	return admissions
 }
 
-// retryPolicy is the policy of all classes: one that suits each of them, and none under overload.
+// retryPolicy returns the policy of all classes: the one that is safe for every class, or no retries under overload.
 func (p *planner) retryPolicy() policyapi.RetryPolicy {
 	if p.admittedRate > 0 || p.fleet.failureRate > overloadFailureRate {
 		return policyapi.NoRetry
@@ -100,8 +100,8 @@
 	return policyapi.RetryIfNotExecuted
 }
 
-// admissionLevel turns the fraction of a class to be rejected into a level. A rate is the same at all proxies, however
-// unequal their demand: it is chosen so that all of them together admit the wanted sum.
+// admissionLevel converts the fraction of a class to be rejected into a level. A rate is the same for all proxies, however
+// unequal their demand, and is chosen so that all of them together admit the intended sum.
 func (p *planner) admissionLevel(class int, rejected, demand float64) float64 {
 	if rejected <= 0 {
 		return unlimitedLevel
@@ -125,9 +125,9 @@
 	return high
 }
 
-// admittedByTokenBucket returns how much of a demand with random arrivals a rate limit admits. It is less than the
-// smaller of the two, by up to a third at few requests per second: tokens that a moment of low demand leaves unused are
-// lost beyond the bucket's size. (The model is an M/M/1 queue with as many places as the bucket has tokens.)
+// admittedByTokenBucket returns how much of a demand with random arrivals a rate limit admits. It is less than the smaller
+// of the two, by up to a third at few requests per second: while demand is low, tokens beyond the size of the bucket are
+// lost. The model is an M/M/1 queue with as many places as the bucket has tokens.
 func admittedByTokenBucket(demand, rate float64) float64 {
 	if demand <= 0 || rate <= 0 {
 		return 0
--- a/policy/delivery.go
+++ b/policy/delivery.go
@@ -7,46 +7,48 @@
 	"porthub/policyapi"
 )
 
-// Shares of the queue up to which a change may fill it. Routine changes leave most of the queue to those that the rules
-// require: withdrawn endpoints have to be out of all tables within the grace period, including tables that are no longer
+// Shares of the queue up to which changes may fill it. Routine changes leave most of the queue to the changes that the rules
+// require: withdrawn endpoints must be out of all tables within the grace period, including tables that are no longer
 // planned but that a proxy is still bound to.
 const (
 	routineShare     = 0.25  // routine changes
-	fullChangeShare  = 0.5   // the whole change of a table that loses lines
+	fullChangeShare  = 0.5   // the complete change of a table from which lines are removed
 	bindShare        = 0.8   // the binding of a proxy
 	withdrawalShare  = 0.9   // the removal of withdrawn endpoints
-	replicaLineShare = 0.125 // a line to all proxies that share a replica
+	replicaLineShare = 0.125 // a line to all proxies of a replica
 )
 
 const (
-	// routineMessageDivisor leaves half of the messages to urgent changes.
+	// routineMessageDivisor divides the message limit: routine changes leave half of the messages to urgent ones.
 	routineMessageDivisor = 2
-	// urgentMessages of every urgentMessagesOf messages are the limit for urgent changes.
+	// urgentMessages divided by urgentMessagesOf is the fraction of the message limit that urgent changes may use.
 	urgentMessages, urgentMessagesOf = 3, 4
-	// urgentMessageReserve is the number of messages to a proxy that urgent changes leave in the window.
+	// urgentMessageReserve is the least number of messages in the window that urgent changes leave unused.
 	urgentMessageReserve = 2
-	// routineMessageInterval spaces routine messages so that half of the limit suffices.
+	// routineMessageInterval is the least interval of routine messages, as a multiple of that at which they would use all
+	// of the message limit. With it they use half.
 	routineMessageInterval = 2
-	// urgentIntervalDivisor shortens the interval of routine messages for urgent changes.
+	// urgentIntervalDivisor divides the interval of routine messages if a change is urgent.
 	urgentIntervalDivisor = 2
-	// removalIntervalDivisor and removalGraceDivisor bound how long removals wait after another message, by the routine
-	// interval and the drain grace period.
+	// removalIntervalDivisor and removalGraceDivisor divide the routine interval and the drain grace period. Removals wait
+	// for the smaller of the quotients after another message.
 	removalIntervalDivisor, removalGraceDivisor = 2, 4
-	// retryGraceDivisor bounds the interval between attempts to send pending removals.
+	// retryGraceDivisor divides the drain grace period; the quotient bounds the interval between attempts to send pending
+	// changes.
 	retryGraceDivisor = 16
 )
 
 // turn is the time and the limits of one delivery.
 type turn struct {
 	now          micros
-	routine      bool    // routine changes may go out
-	routineLimit float64 // lines in the queue up to which they may
-	removals     bool    // removals may go out
+	routine      bool    // routine changes may be sent
+	routineLimit float64 // lines in the queue up to which routine changes may fill it
+	removals     bool    // removals may be sent
 	removalDelay micros  // how long removals wait after another message
 }
 
-// deliver brings the proxies nearer to the target state, as far as the limits on queue and messages allow. Lines count as
-// queued until they are acknowledged, whatever the configured throughput, so that a slow channel limits itself.
+// deliver moves the proxies toward the target state, as far as the limits on the queue and on messages allow. Lines count as
+// queued until they are acknowledged, regardless of the configured throughput, so that a slow channel is sent less.
 func (c *channel) deliver(now micros) {
 	c.turns.deliveredAt = now
 	c.dropOverdue(now)
@@ -54,7 +56,8 @@
 	t := c.newTurn(now)
 	c.reconcileReplicas()
 	pending := c.sendWithdrawals(t)
-	// Levels that change with each report would leave the tables no share of the queue: tables and levels alternate.
+	// Levels can change with each report and would then leave no share of the queue to the tables: tables and levels
+	// alternate.
 	if c.turns.tablesFirst {
 		c.turns.tablesFirst = c.sendTableChanges(t)
 		c.sendAdmission(t)
@@ -76,7 +79,7 @@
 	}
 }
 
-// newTurn decides which changes may be sent now. Removals do not wait for the next routine turn, and have messages
+// newTurn determines which changes may be sent now. Removals do not wait for the next routine turn and have messages
 // reserved for them.
 func (c *channel) newTurn(now micros) turn {
 	sent := c.maxMessagesSent(now)
@@ -99,8 +102,8 @@
 	return t
 }
 
-// sendTableChanges sends the tables' changes besides removals, and the tables' own levels, within the routine limit. It
-// reports whether any change does not fit and has to wait, as when half of the fleet changes at once.
+// sendTableChanges sends the changes of tables without removals, including the tables' own levels, within the routine limit.
+// It reports whether any change has to wait because it does not fit, for example because half of the fleet changes at once.
 func (c *channel) sendTableChanges(t turn) (waiting bool) {
 	start, sets := c.turns.nextTable, len(c.classSets)
 	first := slices.IndexFunc(c.replicas, func(r *replica) bool { return r.firstTable+policyapi.TableID(sets) > start })
@@ -114,7 +117,7 @@
 	return waiting
 }
 
-// sendTableChange sends the change of one table, unless the table loses lines, which sendWithdrawals handles. It returns
+// sendTableChange sends the change of one table, unless the change has removals, which sendWithdrawals sends. It returns
 // false if the change has to wait.
 func (c *channel) sendTableChange(t turn, r *replica, set int) (done bool) {
 	change := r.tables[set].pending
@@ -122,7 +125,7 @@
 		return true
 	}
 	share := withdrawalShare
-	if r.removedAt == t.now { // leave a part of the queue for the next removal
+	if r.removedAt == t.now { // leaves a part of the queue for the next removal
 		share = fullChangeShare
 	}
 	if c.turns.queued >= t.routineLimit || c.linesThatFit(r.streams, share*c.queueLimit) < change.size() {
@@ -135,7 +138,7 @@
 	return true
 }
 
-// sendAdmission sends the levels for all tables that have changed, within the routine limit.
+// sendAdmission sends the changed levels that apply to all tables, within the routine limit.
 func (c *channel) sendAdmission(t turn) {
 	streams := c.allStreams()
 	for _, a := range c.target.admissions {
@@ -148,7 +151,7 @@
 	}
 }
 
-// finishTurn requests acknowledgements of the turn's messages and counts them.
+// finishTurn requests acknowledgements of the turn's messages, records the messages and reports the bound groups.
 func (c *channel) finishTurn(now micros) {
 	requested := false
 	for _, id := range slices.Sorted(maps.Keys(c.streams)) {
--- a/policy/demand.go
+++ b/policy/demand.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// disconnectedDecay is the factor by which a disconnected proxy's demand shrinks each round, until it is forgotten.
+	// disconnectedDecay is the factor by which the demand of a disconnected proxy shrinks each round.
 	disconnectedDecay = 0.97
-	// maxDisconnectedShare is the fraction of the demand that may belong to disconnected proxies while the reports still
-	// count as covering all of it: of hundreds of proxies some are always disconnected.
+	// maxDisconnectedShare is the demand of disconnected proxies, as a fraction of that of the connected ones, up to which
+	// the reports count as covering all of the load: of hundreds of proxies, some are always disconnected.
 	maxDisconnectedShare = 0.05
 )
 
@@ -23,17 +23,17 @@
 	total float64
 }
 
-// proxyRecord is what the registry retains of a proxy, connected or not.
+// proxyRecord is the registry's state of a proxy, connected or not.
 type proxyRecord struct {
 	zone          int       // negative: not one of the settings' zones
 	rates         []float64 // by request class
-	roundRequests []float64 // by request class, reported in the present round
-	countedUntil  []micros  // by request class, until when requests are counted
+	roundRequests []float64 // by request class, reported in the current round
+	countedUntil  []micros  // by request class, time up to which requests are counted
 	connected     bool
-	reported      bool // the rates are measured, not assumed
+	reported      bool // the rates are measured and not assumed
 }
 
-// applyRound takes the requests of a round into the rates.
+// applyRound updates the rates with the requests of a round.
 func (p *proxyRecord) applyRound(now micros, round reportRound) {
 	for class := range p.rates {
 		if !p.connected {
@@ -58,7 +58,7 @@
 	zones      []policyapi.Zone
 	classCount int
 	proxies    map[policyapi.ProxyID]*proxyRecord
-	changed    bool // since the last demandUpdate
+	changed    bool // the demand has changed since the last demandUpdate
 	urgent     bool
 }
 
@@ -102,8 +102,8 @@
 	}
 }
 
-// connect registers a proxy. Its demand is that of its previous stream if measured, or else its weight, divided evenly
-// among the classes.
+// connect registers a proxy. Its demand is that of its previous stream if that was measured, and otherwise its weight,
+// divided evenly among the classes.
 func (r *proxyRegistry) connect(now micros, event policyapi.ProxyConnected) {
 	p := r.proxies[event.Proxy]
 	if p == nil {
--- a/policy/diff.go
+++ b/policy/diff.go
@@ -7,26 +7,26 @@
 	"porthub/policyapi"
 )
 
-// minRelativeChange and maxRelativeChange bound the ratio of a new figure to the figure that was sent: within them the
-// change is too small to spend a line on. Each is nearly the inverse of the other.
+// minRelativeChange and maxRelativeChange bound the ratio of a new figure to the figure that was sent: a change within the
+// bounds is too small to be worth a line. Each bound is nearly the inverse of the other.
 const minRelativeChange, maxRelativeChange = 0.85, 1.18
 
-// withinThreshold reports whether a figure is so close to what was sent that the change is not sent.
+// withinThreshold reports whether a figure is so close to the one that was sent that it is not sent again.
 func withinThreshold(wanted, sent float64) bool {
 	return wanted >= minRelativeChange*sent && wanted <= maxRelativeChange*sent
 }
 
 // tableChange is the difference between a table and its plan.
 type tableChange struct {
-	withdrawn        []tableLine // of endpoints no longer ready; a line that keeps the table from being empty goes first
+	withdrawn        []tableLine // removals of endpoints that are not ready; a new line may precede them
 	removed          []tableLine // other removals
 	updated          []tableLine // new lines, and lines with a new weight
 	admission        policyapi.SetAdmission
 	admissionChanged bool
-	replaces         bool // no line of the table stays
+	replaces         bool // no line of the table remains
 }
 
-// size is the number of lines of the complete change.
+// size returns the number of lines of the complete change.
 func (t tableChange) size() int {
 	n := len(t.withdrawn) + len(t.removed) + len(t.updated)
 	if t.admissionChanged {
@@ -35,8 +35,8 @@
 	return n
 }
 
-// diffTable returns the difference between one of a replica's tables and its plan, without weights that are within the
-// threshold. A table of a group that is not planned stays as it is.
+// diffTable returns the difference between one of a replica's tables and its plan, without the weights whose change is
+// within the threshold. A table of a group that is not planned does not change.
 func (c *channel) diffTable(r *replica, set int) (change tableChange) {
 	plans, planned := c.target.tables[r.group]
 	if !planned {
@@ -58,7 +58,7 @@
 	}
 	stays := c.diffRemovals(&change, table, wanted)
 	change.replaces = !stays
-	if !stays && heaviestNew.weight > 0 { // no proxy may ever have an empty table: a new line goes before the removals
+	if !stays && heaviestNew.weight > 0 { // no proxy may have an empty table at any time: a new line is sent before the removals
 		change.updated = slices.DeleteFunc(change.updated, func(line tableLine) bool { return line == heaviestNew })
 		change.withdrawn = slices.Insert(change.withdrawn, 0, heaviestNew)
 	}
@@ -66,7 +66,7 @@
 	return change
 }
 
-// diffRemovals adds the removals to a change, and reports whether any line of the table stays.
+// diffRemovals adds the removals to a change and reports whether any line of the table remains.
 func (c *channel) diffRemovals(change *tableChange, table tableState, wanted map[policyapi.EndpointID]bool) (stays bool) {
 	for _, id := range slices.Sorted(maps.Keys(table.lines)) {
 		switch {
--- a/policy/groups.go
+++ b/policy/groups.go
@@ -11,40 +11,41 @@
 const (
 	// minGroupSize is the least number of endpoints in a group.
 	minGroupSize = 2
-	// groupReportSeconds is the number of endpoints in a group for each second that the reports of all pairs of proxy
-	// and endpoint take: the load that is not reported yet must even out within a group.
+	// groupReportSeconds is the number of endpoints in a group for each second that it takes to report all pairs of a
+	// proxy and an endpoint: load that is not reported yet must even out within a group.
 	groupReportSeconds = 2
-	// undividedZoneConnections is the divisor of an endpoint's connection limit: zones are not divided while there are
-	// fewer proxies than the quotient.
+	// undividedZoneConnections divides the connection limit of an endpoint: zones are not divided if there are fewer
+	// proxies than the quotient.
 	undividedZoneConnections = 4
-	// divisionGrowth is the growth of the endpoint list from which the zones are divided again, as after a start with a
-	// short list.
+	// divisionGrowth is the factor by which the endpoint list must grow for the zones to be divided again, as after a
+	// start with a short list.
 	divisionGrowth = 2
 	// largeProxyDemand and largeProxyShare are the multiple of the mean demand and the fraction of a group's capacity
-	// above which a proxy uses the whole zone; keepZoneDemand and keepZoneShare are those below which it gets a group
-	// again, lower so that it does not alternate.
+	// above which a proxy uses the whole zone. It is assigned to a group again below keepZoneDemand or keepZoneShare,
+	// which are lower so that it does not alternate.
 	largeProxyDemand, largeProxyShare = 4, 0.5
 	keepZoneDemand, keepZoneShare     = 2, 0.25
-	// borrowThreshold is the fraction of its due capacity below which a group borrows from its zone.
+	// borrowThreshold is the fraction of its proportional share of the zone's capacity below which a group borrows
+	// endpoints from its zone.
 	borrowThreshold = 0.5
-	// initialPrice is where the paper starts the prices.
+	// initialPrice is the initial price of the Flowtune paper.
 	initialPrice = 1
 )
 
-// group is a group of a zone's endpoints and the proxies that use them: the design's server group.
+// group consists of endpoints of a zone and the proxies that use them. It is the server group of the design.
 type group struct {
 	id        groupID
 	zone      int // position in the settings' zones
 	index     int // among the zone's groups; the last one, groupSet.perZone, is the whole zone
 	capacity  float64
-	available float64        // capacity, both of its usable endpoints
-	load      float64        // demand of its proxies
-	proxies   []*proxyDemand // those bound to it
+	available float64        // available capacity; like capacity, the sum over its usable endpoints
+	load      float64        // total demand of its proxies
+	proxies   []*proxyDemand // proxies assigned to it
 	price     float64        // of a request per second; see solvePrice
 }
 
-// groupSet is the division of the zones into groups, and who belongs to which. Endpoints and proxies refer to a group by
-// its position in list.
+// groupSet is the division of the zones into groups, with the assignment of endpoints and proxies to the groups, which
+// refers to a group by its position in list.
 type groupSet struct {
 	list                []group // by zone: perZone groups and then the whole zone
 	perZone             int
@@ -52,9 +53,9 @@
 	next                groupID
 	ofEndpoint          map[policyapi.EndpointID]int
 	ofProxy             map[policyapi.ProxyID]int
-	movedAt             map[policyapi.ProxyID]float64 // on roundCounts.clock
+	movedAt             map[policyapi.ProxyID]float64 // time by roundCounts.clock
 	bound               map[groupID]bool              // groups whose tables proxies are bound to
-	retired             []group                       // of earlier divisions, while proxies are bound to their tables
+	retired             []group                       // groups of earlier divisions, until no proxy is bound to their tables
 }
 
 func newGroupSet() groupSet {
@@ -74,8 +75,8 @@
 // zoneGroup returns the group that spans a whole zone.
 func (s *groupSet) zoneGroup(zone int) *group { return &s.list[s.zoneWide(zone)] }
 
-// extremes returns the positions of the zone's groups, without the zone-wide one, of which a figure is least and
-// greatest.
+// extremes returns the positions of the zone's groups with the least and the greatest value of a figure, without the
+// zone-wide group.
 func (s *groupSet) extremes(zone int, figure func(*group) float64) (least, greatest int) {
 	first := zone * (s.perZone + 1)
 	least, greatest = first, first
@@ -94,7 +95,7 @@
 
 func groupUtilization(g *group) float64 { return g.load / max(g.available, epsilon) }
 
-// divide creates new groups and retires the present ones.
+// divide creates new groups and retires the current ones.
 func (s *groupSet) divide(zones, perZone int) {
 	s.retired = append(s.retired, s.list...)
 	s.list = nil
@@ -109,23 +110,23 @@
 	}
 }
 
-// resetTotals clears the sums of the groups, which each plan computes from scratch.
+// resetTotals clears the totals of the groups, which each plan computes from scratch.
 func (s *groupSet) resetTotals() {
 	for i, g := range s.list {
 		s.list[i] = group{id: g.id, zone: g.zone, index: g.index, price: g.price}
 	}
 }
 
-// dropRetired forgets the retired groups that no proxy is bound to any more.
+// dropRetired drops the retired groups that no proxy is bound to any more.
 func (s *groupSet) dropRetired() {
 	s.retired = slices.DeleteFunc(s.retired, func(g group) bool { return !s.bound[g.id] })
 }
 
-// divideZones divides the zones into groups: one table for all of a large zone costs lines, delay and connections. A
-// zone is not divided where all proxies together use less than a quarter of an endpoint's connections; otherwise groups
-// are small, and larger the longer the reports of all pairs take. A zone's last group spans all of it and is for the few
-// proxies far above the mean demand. It is not for all that are too large for a group: a traffic shift or retries would
-// move them all there when connections are scarcest.
+// divideZones divides the zones into groups, since a single table for a large zone costs lines, delay and connections.
+// Zones are not divided if all proxies together use less than a quarter of an endpoint's connections. Otherwise groups are
+// small, but the larger, the longer it takes to report all pairs of a proxy and an endpoint. The last group of a zone spans
+// the whole zone and is for the few proxies far above the mean demand. It is not for every proxy that is too large for a
+// group: a traffic shift or retries would move all of those there when connections are scarcest.
 func (p *planner) divideZones(fleet []fleetEndpoint) {
 	s := p.settings
 	perZoneEndpoints := len(fleet) / max(1, len(s.zones)) // a deployment may name no zones
@@ -150,7 +151,7 @@
 	p.groups.divide(len(s.zones), max(1, perZone))
 }
 
-// assignGroups packs endpoints and, by demand, proxies onto groups of their zone.
+// assignGroups assigns the endpoints and, by their demand, the proxies to groups of their zone.
 func (p *planner) assignGroups(fleet []fleetEndpoint, roundFinished bool) {
 	if p.groups.list == nil || len(fleet) > divisionGrowth*p.groups.endpointsAtDivision {
 		p.divideZones(fleet)
@@ -166,8 +167,8 @@
 	}
 }
 
-// assignEndpoints adds the endpoints to their groups. New ones are distributed by pod, so that the failure of a pod
-// affects few endpoints of a group.
+// assignEndpoints adds the endpoints to their groups. It distributes new endpoints by pod, so that the failure of a pod
+// affects few endpoints of each group.
 func (p *planner) assignEndpoints(fleet []fleetEndpoint) {
 	byPod := slices.Clone(fleet)
 	slices.SortStableFunc(byPod, func(a, b fleetEndpoint) int { return cmp.Compare(a.entry.Pod, b.entry.Pod) })
@@ -188,8 +189,8 @@
 	}
 }
 
-// assignProxies adds the proxies to their groups, the largest first: those that have a group, then the others, each to
-// the group that it leaves least utilized.
+// assignProxies adds the proxies to their groups, the largest first: those that have a group, and then the others, each to
+// the group whose utilization with it is the lowest.
 func (p *planner) assignProxies() {
 	bySize := slices.Clone(p.proxies)
 	slices.SortStableFunc(bySize, func(a, b *proxyDemand) int { return cmp.Compare(b.total, a.total) })
@@ -213,8 +214,8 @@
 	}
 }
 
-// assignedGroup returns the group that a proxy belongs to without a choice: its zone if it is very large, else the group
-// that it has.
+// assignedGroup returns the group that a proxy has to use, if any: the zone-wide one if the proxy is very large, otherwise
+// the group that it is already assigned to.
 func (p *planner) assignedGroup(proxy *proxyDemand, meanDemand float64) (at int, has bool) {
 	at, has = p.groups.ofProxy[proxy.proxy]
 	zoneWide := has && p.groups.isZoneWide(p.groups.list[at])
@@ -227,9 +228,9 @@
 	return at, has && !zoneWide
 }
 
-// isMember reports whether an endpoint serves a group: one of its own, or of the group with its index in another zone. A
-// group left with far less capacity for its load than its zone has, say with all endpoints but one failed or warming up,
-// borrows from the zone, since the remaining one would be overloaded.
+// isMember reports whether an endpoint serves a group: an endpoint of the group, or of the group with the same index in
+// another zone. A group that has far less capacity for its load than its zone, for example because all endpoints but one
+// have failed or are warming up, borrows the endpoints of the zone, since the remaining one would be overloaded.
 func (p *planner) isMember(e fleetEndpoint, g group) bool {
 	if p.groups.isZoneWide(g) || p.groups.list[p.groups.ofEndpoint[e.id]].index == g.index {
 		return true
--- a/policy/health.go
+++ b/policy/health.go
@@ -5,43 +5,43 @@
 	"porthub/policylog"
 )
 
-// Outlier detection: an endpoint of which the proxies of a zone see no success at all, only failures or no reports, is
-// ejected from their tables. One that is merely overloaded still completes some requests and stays: without it the others
-// would be overloaded.
+// Outlier detection ejects an endpoint from the tables of a zone if the zone's proxies see no successful attempts at it,
+// only failed or unreported ones. An endpoint that is merely overloaded still completes some requests and stays: without
+// it, the others would be overloaded.
 const (
-	// ejectionFailures is the number of consecutive failed or missing attempts that ejects an endpoint of an otherwise
-	// healthy fleet. Even a busy endpoint hardly ever reaches it by chance.
+	// ejectionFailures is the number of consecutive failed or missing attempts above which an endpoint of an otherwise
+	// healthy fleet is ejected. Even a busy endpoint hardly ever exceeds it by chance.
 	ejectionFailures = 12
-	// fleetFailureCeiling minus the fleet's failure rate, squared, divides ejectionFailures: where all endpoints fail,
-	// an ejection needs far more evidence. It is above 1 to keep the divisor positive.
+	// fleetFailureCeiling minus the fleet's failure rate, squared, is the divisor of ejectionFailures: if all endpoints
+	// fail, an ejection needs far more evidence. The ceiling is above 1 to keep the divisor positive.
 	fleetFailureCeiling = 1.01
-	// readmissionFailures are the failures that an endpoint starts with after an ejection, so that it is ejected again
-	// sooner.
+	// readmissionFailures is the number of consecutive failures that an endpoint starts with after an ejection, so that
+	// it is ejected sooner if it still fails.
 	readmissionFailures = 4
-	// minEjection and maxEjection bound the duration of an ejection, which doubles each time.
+	// minEjection and maxEjection bound the duration of an ejection, which doubles with each one.
 	minEjection, maxEjection = 2 * second, 8 * second
-	// ejectionBackoff is the factor by which successive ejections grow.
+	// ejectionBackoff is the factor by which the duration of successive ejections grows.
 	ejectionBackoff = 2
 )
 
-// zoneHealth is what the proxies of one zone observe of an endpoint.
+// zoneHealth contains what the proxies of one zone observe of an endpoint.
 type zoneHealth struct {
-	// Sums of the present round.
+	// Sums of the current round.
 	attempts   float64
 	failures   float64
 	latencySum float64 // of the successful attempts, in microseconds
 
 	served       float64 // completed requests per second, smoothed
-	latestRate   float64 // the same, of the latest round
-	countedUntil micros  // until when attempts are counted
+	latestRate   float64 // completed requests per second in the latest round
+	countedUntil micros  // time up to which attempts are counted
 
-	consecutiveFailures float64 // attempts that failed or did not come since the last success
+	consecutiveFailures float64 // failed or missing attempts since the last success
 	ejected             bool
-	retryAt             micros // end of the ejection
-	backoff             micros // length of the latest ejection
+	retryAt             micros // when the ejection may end
+	backoff             micros // duration of the latest ejection
 }
 
-// roundTotals are sums over the zones of a round.
+// roundTotals contains the sums of a round over the zones.
 type roundTotals struct {
 	attempts   float64
 	failures   float64
@@ -50,7 +50,7 @@
 	ejected    bool    // from at least one zone, in this round
 }
 
-// closeZones closes the round in all zones and adds up what they observed.
+// closeZones ends the round in all zones and adds up their observations.
 func (a *endpointActor) closeZones(now micros, round roundClosed) (totals roundTotals) {
 	a.load.served = 0
 	for z := range a.zones {
@@ -77,7 +77,7 @@
 	return totals
 }
 
-// countRound takes the attempts of a round into the rate of completed requests.
+// countRound updates the rate of completed requests with the attempts of a round.
 func (h *zoneHealth) countRound(now micros, roundSeconds float64) {
 	seconds, step := decayStep(now, h.countedUntil, roundSeconds)
 	h.latestRate = (h.attempts - h.failures) / seconds
@@ -119,8 +119,8 @@
 	h.retryAt = now + h.backoff
 }
 
-// readmit ends an ejection when its time has passed; where health checks are allowed, once one has passed since. An
-// endpoint whose removal is unconfirmed has to be listed first.
+// readmit ends an ejection once its duration has passed and, if health checks are allowed, one has succeeded since then. An
+// endpoint whose removal is unconfirmed must be listed again first.
 func (a *endpointActor) readmit(now micros, zone *zoneHealth) {
 	if now < zone.retryAt || a.unconfirmedRemoval {
 		return
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -7,11 +7,11 @@
 	"porthub/policyapi"
 )
 
-// initialClock is where the planner's clock starts, in seconds. It is far above rebindInterval, so that every proxy may be
-// moved from the start.
+// initialClock is the initial value of the planner's clock, in seconds. It is far above rebindInterval, so that every proxy
+// may be moved from the start.
 const initialClock = 100
 
-// planner decides the target state: tables, groups and admission.
+// planner computes the target state: tables, groups and admission.
 type planner struct {
 	mailbox
 	out      *outbox
@@ -30,19 +30,19 @@
 
 	zoneDemand    []float64                          // requests per second, by zone of the proxies
 	endpointLoad  map[policyapi.EndpointID][]float64 // requests per second that an endpoint should get, by group
-	panicZones    []bool                             // by zone of the proxies: ejections are ignored
+	panicZones    []bool                             // by zone of the proxies: whether ejections are ignored
 	admittedRate  float64                            // published limit on all requests per second; 0: no limit
 	maxTableLines int
 
-	changed bool // since the last plan
+	changed bool // the inputs have changed since the last plan
 	urgent  bool // a change must not wait for the next routine turn
 }
 
-// roundCounts are the attempts reported in the present round.
+// roundCounts counts the attempts reported in the current round.
 type roundCounts struct {
 	attempts []float64 // by zone of the proxies
 	failures float64
-	clock    float64 // seconds of all rounds with reports
+	clock    float64 // initialClock plus the seconds of all rounds with reports
 	finished bool    // a round has ended since the last plan
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// countLoad counts a load report toward the present round.
+// countLoad adds a load report to the current round.
 func (p *planner) countLoad(load policyapi.EndpointLoad) {
 	if z := slices.Index(p.settings.zones, load.Zone); z >= 0 {
 		p.round.attempts[z] += float64(load.Attempts)
@@ -104,7 +104,7 @@
 	}
 }
 
-// closeRound ends a round of reports for the endpoint actors and sends them the figures of the fleet that they need.
+// closeRound ends a round of reports and sends the endpoint actors the figures of the fleet that they need to evaluate it.
 func (p *planner) closeRound(round reportRound) {
 	p.round.clock += round.seconds
 	failureRate := p.round.failures / max(sum(p.round.attempts), 1)
@@ -142,7 +142,8 @@
 	}
 }
 
-// plan computes the target state from scratch; the channel sends what differs from what the proxies have.
+// plan computes the target state from scratch and sends it to the channel, which orders the differences to the state of the
+// proxies.
 func (p *planner) plan() {
 	clear(p.zoneDemand)
 	for _, proxy := range p.proxies {
@@ -168,33 +169,33 @@
 	}
 	p.planTables(fleet, &target)
 	p.updateAdmittedRate(fleet)
-	// After a restart the fleet's utilization is unknown; the levels that proxies still have stay until it is known again.
+	// After a restart the fleet's utilization is unknown: the proxies keep their levels until it is known again.
 	if p.fleet.speedsLearned || p.admittedRate > 0 {
 		target.admissions = p.admitByClass()
 	}
 	p.channel.send(target)
 }
 
-// cachedDelayDivisor divides the drain grace period. The grace period of an endpoint that a cached list shows as
-// draining has begun, so the delay of the list must be only a part of it.
+// cachedDelayDivisor divides the drain grace period. The grace period of an endpoint that a cached list contains as
+// draining has already begun, so the delay of the list must be only a part of it.
 const cachedDelayDivisor = 4
 
 // cachedListDelay returns how long the proxies keep their tables while only a cached list is known. A cached list may
-// contain endpoints that have failed, and lack those that have started.
+// contain endpoints that have failed since, and lack those that have started.
 func cachedListDelay(reportPeriod, drainGracePeriod micros) micros {
 	return min(reportPeriod, drainGracePeriod/cachedDelayDivisor)
 }
 
-// listStatus is the state from which acceptsList decides whether the planner uses the endpoint list.
+// listStatus is the state by which acceptsList decides whether the planner uses the endpoint list.
 type listStatus struct {
-	cachedDelay micros // how long a cached list waits for a newer one
+	cachedDelay micros // how long the planner waits for a newer list before it uses a cached one
 	started     bool
-	startedAt   micros // when the first message came
+	startedAt   micros // when the first message arrived
 	confirmed   bool   // a list newer than the cached one has arrived
 }
 
-// startList starts the delay of a cached list with the first message. A delay that ends before the first report round
-// needs a timer of its own.
+// startList starts the delay of a cached list when the first message arrives. A delay that ends before the first report
+// round needs its own timer.
 func (p *planner) startList(now micros) {
 	if p.list.started {
 		return
@@ -206,7 +207,7 @@
 	}
 }
 
-// acceptsList reports whether the planner uses the present list: a new one, even an empty one, or a cached one once
+// acceptsList reports whether the planner uses the current list: a confirmed one, even if it is empty, or a cached one if
 // cachedDelay has passed without a newer one.
 func (p *planner) acceptsList(now micros) bool {
 	return p.list.confirmed || len(p.endpoints) > 0 && now-p.list.startedAt >= p.list.cachedDelay
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -6,27 +6,27 @@
 )
 
 const (
-	// endpointMovesPerPlan is the most endpoints of a zone that change their group with one plan.
+	// endpointMovesPerPlan is the most endpoints of a zone that change their group in one plan.
 	endpointMovesPerPlan = 3
 	// maxEndpointImbalance is the multiple of the poorest group's capacity that the richest may have.
 	maxEndpointImbalance = 2
-	// maxMovedCapacity is the fraction of that difference below which an endpoint's capacity has to be, so that its move
-	// narrows the difference.
+	// maxMovedCapacity is the fraction of the difference in capacity below which a moved endpoint's capacity must be, so
+	// that the move reduces the difference.
 	maxMovedCapacity = 0.7
-	// proxiesPerMove is the number of proxies for each of which one more may be moved in a round.
+	// proxiesPerMove is the number of connected proxies for which one more proxy may be moved in a round.
 	proxiesPerMove = 50
-	// rebindInterval is the least number of seconds between two moves of a proxy: a move costs connections.
+	// rebindInterval is the least number of seconds between two moves of a proxy, since each move costs connections.
 	rebindInterval = 15
-	// maxMovedDemand is the multiple of the demand that evens out two groups that a moved proxy may have.
+	// maxMovedDemand bounds the demand of a moved proxy, as a multiple of the demand that would balance the two groups.
 	maxMovedDemand = 1.5
-	// minFullUtilization is the utilization below which a group is left alone.
+	// minFullUtilization is the utilization below which no proxy is moved out of a group.
 	minFullUtilization = 0.9
-	// maxProxyImbalance is the multiple of the emptiest group's utilization that the fullest may have.
+	// maxProxyImbalance is the multiple of the least group utilization that the greatest may have.
 	maxProxyImbalance = 1.25
 )
 
-// rebalanceEndpoints moves endpoints from a zone's group of the most capacity to the one of the least when drains or
-// failures have left them unequal.
+// rebalanceEndpoints moves endpoints from a zone's group of the greatest capacity to the one of the least, if drains or
+// failures have made them unequal.
 func (p *planner) rebalanceEndpoints(fleet []fleetEndpoint, zone int) {
 	for range endpointMovesPerPlan {
 		poorest, richest := p.groups.extremes(zone, groupCapacity)
@@ -44,8 +44,9 @@
 	}
 }
 
-// rebalanceProxies moves proxies from a zone's fullest group to its emptiest, rarely: only where they differ by much,
-// the fullest is well utilized, and the proxy has not been moved for a while.
+// rebalanceProxies moves proxies from a zone's group of the highest utilization to the one of the lowest. Moves are rare:
+// the utilizations must differ by much, the higher one must be at least minFullUtilization, and the proxy must not have been
+// moved for rebindInterval.
 func (p *planner) rebalanceProxies(zone int) {
 	for range 1 + len(p.proxies)/proxiesPerMove {
 		emptiest, fullest := p.groups.extremes(zone, groupUtilization)
@@ -65,7 +66,7 @@
 	}
 }
 
-// proxyToMove returns the position of the proxy whose move evens out two groups best, or -1.
+// proxyToMove returns the position of the proxy whose move balances two groups best, or -1 if there is none.
 func (p *planner) proxyToMove(from, to *group) int {
 	best := -1
 	gap := (from.load*to.available - to.load*from.available) / max(from.available+to.available, epsilon)
--- a/policy/removal.go
+++ b/policy/removal.go
@@ -9,12 +9,12 @@
 // removalMessageReserve is the number of messages in the window that are left to removals.
 const removalMessageReserve = 2
 
-// lastMessageGraceDivisor divides the drain grace period: removals that would use a proxy's last message wait for the
-// quotient.
+// lastMessageGraceDivisor divides the drain grace period: removals that would use the last message that a proxy may get wait
+// for the quotient at most.
 const lastMessageGraceDivisor = 2
 
-// sendWithdrawals sends the changes that the rules require, for which most of the queue may be used: first the removals
-// of withdrawn endpoints, starting with the tables where they have been pending for longest; then the bindings of new
+// sendWithdrawals sends the changes that the rules require, which may use most of the queue: first the removals of withdrawn
+// endpoints, starting with the tables where they have been pending for the longest time, and then the bindings of new
 // proxies, which cost three times the lines. Other removals follow. It reports whether any required change has to wait.
 func (c *channel) sendWithdrawals(t turn) (pending bool) {
 	withRemovals := c.replicasWithRemovals(t.now)
@@ -37,8 +37,8 @@
 	return pending
 }
 
-// replicasWithRemovals returns the replicas that have a table that loses a line, ordered by the time since when they
-// contain a withdrawn endpoint; those without one come last.
+// replicasWithRemovals returns the replicas in which any table has a line to be removed. Those that have contained a
+// withdrawn endpoint for the longest time come first, and those without one last.
 func (c *channel) replicasWithRemovals(now micros) (replicas []*replica) {
 	for _, r := range c.replicas {
 		removed, withdrawn := false, false
@@ -89,7 +89,7 @@
 	}
 	r.removedAt = now
 	limit := c.requiredLimit(now, cmp.Or(r.withdrawalSince, now), removalWindows, withdrawalShare)
-	fullLimit := min(limit, fullChangeShare*c.queueLimit) // updates are not urgent: they leave a part of the queue for the next removal
+	fullLimit := min(limit, fullChangeShare*c.queueLimit) // updates are not urgent and leave a part of the queue for the next removal
 	if change.replaces {
 		fullLimit = limit
 	}
@@ -108,9 +108,9 @@
 	return fit >= len(change.withdrawn)
 }
 
-// reservesLastMessage reports whether a replica's removals wait for others that may follow, because they would use the
-// last message that one of its proxies may get. They wait for half of the drain grace period at most, less the longest
-// latency of acknowledgements.
+// reservesLastMessage reports whether the removals of a replica wait so that others can be sent with them, because they
+// would use the last message that one of its proxies may get. They wait for half of the drain grace period at most, less
+// the longest latency of acknowledgements.
 func (c *channel) reservesLastMessage(now micros, r *replica) bool {
 	if r.withdrawalSince == 0 || now >= r.withdrawalSince+c.drainGracePeriod/lastMessageGraceDivisor-c.acks.longest() {
 		return false
@@ -120,8 +120,8 @@
 	})
 }
 
-// messageLimitReached reports whether a stream may get no more messages now. Reserved messages, for removals and for the
-// first binding, may use the full limit; others leave removalMessageReserve of it.
+// messageLimitReached reports whether a stream has reached its message limit. Reserved messages, which are those for removals
+// and for the first binding, may use the full limit; others leave removalMessageReserve of it.
 func (c *channel) messageLimitReached(s *stream, reserved bool) bool {
 	limit := c.messageLimit
 	if !reserved {
@@ -130,15 +130,15 @@
 	return c.messageLimit > 0 && len(s.sentAt) >= limit
 }
 
-// anyStreamLimited reports whether one of a replica's proxies may get no more messages now.
+// anyStreamLimited reports whether any stream of a replica has reached its message limit.
 func (c *channel) anyStreamLimited(r *replica) bool {
 	return slices.ContainsFunc(r.streams, func(s *stream) bool { return c.messageLimitReached(s, r.withdrawalSince > 0) })
 }
 
-// reassign binds the streams that may still get a message to another replica of their tables: the streams at their
-// message limit would otherwise delay the removals of all.
+// reassign binds the streams of a replica that may still get a message to a new replica of the same tables. Otherwise the
+// streams at their message limit would delay the removals for all.
 func (c *channel) reassign(r *replica) {
-	const reserved = true // the binding takes the place of removals
+	const reserved = true // the binding replaces removals
 	var newReplica *replica
 	for _, s := range slices.Clone(r.streams) {
 		if r.withdrawalSince == 0 || c.messageLimitReached(s, reserved) || !c.bindingFits(r, withdrawalShare*c.queueLimit) {
--- a/policy/replica.go
+++ b/policy/replica.go
@@ -8,35 +8,35 @@
 	"porthub/policyapi"
 )
 
-// firstExtraTable is the first table number of a group's further replicas. The table numbers of the first replica follow
-// from the group's ID while they are below firstExtraTable, so that they are the same after a restart.
+// firstExtraTable is the first table number for the additional replicas of a group. The table numbers of its first replica
+// are derived from the group's ID while they are below firstExtraTable, so that they are the same after a restart.
 const firstExtraTable policyapi.TableID = 1 << 15
 
-// replica is one copy of a group's tables. The proxies of a large group are spread over several, so that a line to all
-// that share a replica takes no more than a part of the queue.
+// replica is one copy of a group's tables. The proxies of a large group are distributed among several replicas, so that a
+// line to all proxies of a replica takes only a part of the queue.
 type replica struct {
 	group           groupID
-	subset          int // 0: the tables are complete; else which subset of the group's endpoints they have
+	subset          int // 0: the tables are complete; otherwise, the number of the subset of the group's endpoints
 	firstTable      policyapi.TableID
 	tables          []tableState // by placement
-	streams         []*stream    // bound to it, in the order of binding
-	withdrawalSince micros       // since when a withdrawn endpoint is in one of the tables; 0: none is
+	streams         []*stream    // streams bound to the replica, in the order of binding
+	withdrawalSince micros       // when a withdrawn endpoint was first found in one of the tables; 0: there is none
 	removedAt       micros       // when removals were last sent or attempted
 }
 
 // table returns the number of a placement's table.
 func (r *replica) table(set int) policyapi.TableID { return r.firstTable + policyapi.TableID(set) }
 
-// tableState is what a table was last ordered to contain.
+// tableState is the content of a table as last ordered.
 type tableState struct {
 	lines        map[policyapi.EndpointID]float64
-	admission    policyapi.SetAdmission // its own level
-	hasAdmission bool                   // it was ordered
-	pending      tableChange            // by which the table differs from the target state
+	admission    policyapi.SetAdmission // the table's own level
+	hasAdmission bool                   // a level has been ordered
+	pending      tableChange            // difference between the table and the target state
 }
 
-// addReplica creates a replica of a group's tables, or of a subset of them. Its lines cost nothing until a proxy is bound
-// to it.
+// addReplica creates a replica of a group's tables, complete or with a subset of the endpoints. Its lines cost nothing
+// until a proxy is bound to it.
 func (c *channel) addReplica(group groupID, subset int) *replica {
 	sets := len(c.classSets)
 	r := &replica{group: group, subset: subset, firstTable: policyapi.TableID(int(group) * sets), tables: make([]tableState, sets)}
@@ -55,14 +55,14 @@
 	return r
 }
 
-// replicaPosition returns the position of the replica with a first table number, or where it would be inserted.
+// replicaPosition returns the position of the replica with the given first table number, or where to insert it.
 func (c *channel) replicaPosition(firstTable policyapi.TableID) (at int, taken bool) {
 	return slices.BinarySearchFunc(c.replicas, firstTable, func(r *replica, firstTable policyapi.TableID) int {
 		return cmp.Compare(r.firstTable, firstTable)
 	})
 }
 
-// syncReplica brings the tables of a replica that no proxy is bound to up to date.
+// syncReplica updates the tables of a replica that no proxy is bound to.
 func (c *channel) syncReplica(r *replica) {
 	for set := range r.tables {
 		change := c.diffTable(r, set)
@@ -71,8 +71,8 @@
 	}
 }
 
-// reconcileReplicas drops the replicas that no proxy needs, makes sure that each planned group has one, and compares all
-// with the target state. Those that no proxy is bound to are always up to date.
+// reconcileReplicas drops the replicas that no proxy needs, adds a complete one to each planned group that has none, and
+// compares all with the target state. Replicas that no proxy is bound to are updated at once.
 func (c *channel) reconcileReplicas() {
 	present := c.dropReplicas()
 	for _, group := range slices.Sorted(maps.Keys(c.target.tables)) {
@@ -91,8 +91,8 @@
 	}
 }
 
-// dropReplicas drops the replicas that no proxy is bound to, except for a complete one of each planned group. It returns
-// the groups that have a complete replica.
+// dropReplicas drops the replicas that no proxy is bound to, but keeps a complete one of each planned group. It returns the
+// groups that have a complete replica.
 func (c *channel) dropReplicas() (present map[groupID]bool) {
 	present = map[groupID]bool{}
 	for _, r := range c.replicas {
@@ -113,7 +113,7 @@
 	return present
 }
 
-// orderLines sends lines of one of a replica's tables to all that are bound to it.
+// orderLines sends lines of one of a replica's tables to the proxies that are bound to it.
 func (c *channel) orderLines(r *replica, set int, lines []tableLine) {
 	table := &r.tables[set]
 	for _, line := range lines {
@@ -127,7 +127,7 @@
 	table.pending = c.diffTable(r, set)
 }
 
-// orderAdmission sends a table's own level, if it is to change.
+// orderAdmission sends a table's own level if the change includes one.
 func (c *channel) orderAdmission(r *replica, set int, change tableChange) {
 	if !change.admissionChanged {
 		return
--- a/policy/streams.go
+++ b/policy/streams.go
@@ -8,19 +8,19 @@
 	"porthub/policyapi"
 )
 
-// maxUnacknowledged is the number of unacknowledged messages of a stream that are retained: only a proxy that has
-// stopped answering has more.
+// maxUnacknowledged is the number of unacknowledged messages of a stream that are retained. Only a proxy that has stopped
+// responding has more.
 const maxUnacknowledged = 64
 
 // stream is the channel's state of one connected proxy.
 type stream struct {
 	proxy               policyapi.ProxyID
 	connectedAt         micros
-	replica             *replica         // nil: not bound, the proxy uses its default table
-	hasDefaultTableOnly bool             // it connected with no table but its default one
-	sentAt              []micros         // times of the messages in the message window
-	unacknowledged      []pendingMessage // the oldest first
-	turnLines           float64          // lines of the present turn
+	replica             *replica         // nil: not bound to any, the proxy uses the table that it connected with
+	hasDefaultTableOnly bool             // the proxy connected with only its default table
+	sentAt              []micros         // when the messages in the message window were sent
+	unacknowledged      []pendingMessage // oldest first
+	turnLines           float64          // lines of the current turn
 }
 
 // pendingMessage is a message that has not been acknowledged.
@@ -30,7 +30,7 @@
 	lines  float64
 }
 
-// addMessage counts the present turn's message.
+// addMessage records the message of the current turn.
 func (s *stream) addMessage(m pendingMessage) {
 	if len(s.unacknowledged) >= maxUnacknowledged {
 		s.unacknowledged = slices.Delete(s.unacknowledged, 0, 1)
@@ -48,7 +48,7 @@
 	s.replica = nil
 }
 
-// bind orders a proxy to use a replica's tables and charges the lines that this costs.
+// bind orders a proxy to use a replica's tables and adds the cost to the queue.
 func (c *channel) bind(s *stream, r *replica) {
 	cost := c.bindCost(r)
 	if s.turnLines == 0 {
@@ -65,7 +65,7 @@
 }
 
 // bindPlanned binds a proxy to its planned tables if they fit into the queue. It returns false if the binding has to wait
-// for the queue. A proxy that has reached its message limit returns true: others need not wait for it.
+// for the queue. For a proxy that has reached its message limit it returns true, since other proxies need not wait for it.
 func (c *channel) bindPlanned(s *stream) bool {
 	if c.messageLimitReached(s, s.replica == nil) {
 		return true
@@ -82,8 +82,8 @@
 	return true
 }
 
-// replicaForBinding returns the replica that a proxy is to be bound to. In a crowd new proxies first get subset tables:
-// complete ones for all of them would take the channel longer than the drain grace period, in any order.
+// replicaForBinding returns the replica to bind a proxy to. In a crowd, new proxies get subset tables first: complete tables
+// for all of them would take the channel too long in any order; see isCrowded.
 func (c *channel) replicaForBinding(s *stream) *replica {
 	group := c.target.proxyGroups[s.proxy]
 	if s.replica == nil && !s.hasDefaultTableOnly && c.turns.crowded {
@@ -92,8 +92,8 @@
 	return c.replicaFor(group)
 }
 
-// bindingFits reports whether binding a proxy to a replica's tables keeps the queue below a limit. A binding that is
-// larger than a window fits while nothing waits.
+// bindingFits reports whether binding a proxy to a replica's tables keeps the queue below a limit. A binding that is larger
+// than a window fits if the queue is empty.
 func (c *channel) bindingFits(r *replica, limit float64) bool {
 	if c.turns.queued == 0 {
 		limit = bindShare * c.queueLimit
@@ -101,8 +101,8 @@
 	return c.turns.queued+c.messageLines()+c.bindCost(r) < limit
 }
 
-// replicaFor returns the complete replica of a group that a further proxy is to be bound to: the one with the fewest
-// proxies, or a new one if that is full.
+// replicaFor returns the complete replica of a group to bind another proxy to: the one with the fewest proxies, or a new one
+// if that is full.
 func (c *channel) replicaFor(group groupID) *replica {
 	var least *replica
 	for _, r := range c.replicas {
@@ -116,14 +116,14 @@
 	return least
 }
 
-// isFull reports whether a line to one proxy more would take too much of the queue.
+// isFull reports whether a line to all proxies of a replica would take too much of the queue with one more proxy.
 func (c *channel) isFull(r *replica) bool {
 	line := c.messageLines() + 1 // to one proxy
 	limit := min(replicaLineShare*c.queueLimit, replicaWindowShare*c.windowLines())
 	return float64(len(r.streams)+1)*line > max(limit, line)
 }
 
-// allStreams returns the streams by proxy, in order, so that sums over them are the same each time.
+// allStreams returns the streams sorted by proxy, so that sums over them are always rounded alike.
 func (c *channel) allStreams() (streams []*stream) {
 	for _, id := range slices.Sorted(maps.Keys(c.streams)) {
 		streams = append(streams, c.streams[id])
@@ -136,12 +136,13 @@
 	return c.selectStreams(func(s *stream, _ groupID) bool { return s.replica == nil })
 }
 
-// misplacedStreams returns the streams that are bound to other tables than planned, in the order in which they connected.
+// misplacedStreams returns the streams that are bound to tables of another group than planned, in the order in which they
+// connected.
 func (c *channel) misplacedStreams() []*stream {
 	return c.selectStreams(func(s *stream, group groupID) bool { return s.replica != nil && s.replica.group != group })
 }
 
-// selectStreams returns streams of planned proxies in the order in which they connected.
+// selectStreams returns the selected streams of planned proxies in the order in which they connected.
 func (c *channel) selectStreams(selected func(*stream, groupID) bool) (streams []*stream) {
 	for _, s := range c.streams {
 		group, planned := c.target.proxyGroups[s.proxy]
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -10,17 +10,18 @@
 const (
 	// subsetLines is the number of lines of a subset table.
 	subsetLines = 8
-	// minSubsetLines is the number of lines below which a subset table is filled up again.
+	// minSubsetLines is the number of lines below which lines are added to a subset table again.
 	minSubsetLines = subsetLines / 2
-	// crowdGraceDivisor divides the drain grace period: complete tables for all new proxies must take no longer.
+	// crowdGraceDivisor divides the drain grace period: if complete tables for all new proxies take the channel longer than
+	// the quotient, the new proxies are a crowd.
 	crowdGraceDivisor = 4
-	// wideningShare is the share of the routine limit up to which proxies get complete tables for their subset tables.
+	// wideningShare is the share of the routine limit up to which proxies get complete tables in place of subset tables.
 	wideningShare = 0.5
 )
 
-// isCrowded reports whether the complete tables of all new proxies take the channel too long: the tables that they
-// brought from other instances have to be replaced within the drain grace period, and before the proxies move on.
-// Proxies with only their default table do not count: it is small, and was read from the list.
+// isCrowded reports whether sending complete tables to all new proxies would take the channel too long: the tables that
+// they have from other instances must be replaced within the drain grace period, and before the proxies reconnect
+// elsewhere. Proxies that have only their default table do not count: that table is small, and was read from the list.
 func (c *channel) isCrowded() bool {
 	lines := c.turns.queued
 	for _, s := range c.newStreams() {
@@ -31,7 +32,7 @@
 	return lines*float64(second) > c.linesPerSecond*float64(c.drainGracePeriod/crowdGraceDivisor) && c.linesPerSecond > 0
 }
 
-// planCost is what it costs to bind a proxy to complete tables of a group, besides the message.
+// planCost is the cost of binding a proxy to complete tables of a group, without the message overhead.
 func (c *channel) planCost(group groupID) (lines float64) {
 	for _, plan := range c.target.tables[group] {
 		lines += float64(len(plan.lines)+len(c.admissions)) + bindLines
@@ -39,8 +40,8 @@
 	return lines
 }
 
-// plannedLines are the lines that one of a replica's tables should have. Where hardly any endpoint has warmed up, a subset
-// table is the complete one.
+// plannedLines returns the lines that one of a replica's tables should have. If few endpoints have warmed up, a subset table
+// is the complete table.
 func (c *channel) plannedLines(r *replica, set int) []tableLine {
 	plan := c.target.tables[r.group][set]
 	if r.subset == 0 || len(plan.subsetCandidates) <= subsetLines {
@@ -49,7 +50,7 @@
 	return chooseSubset(plan.subsetCandidates, r.tables[set].lines, r.subset)
 }
 
-// subsetCount is the number of subsets that a group's endpoints are divided into.
+// subsetCount returns the number of subsets that a group's endpoints are divided into.
 func (c *channel) subsetCount(group groupID) (count int) {
 	for _, plan := range c.target.tables[group] {
 		count = max(count, len(plan.subsetCandidates)/subsetLines)
@@ -57,8 +58,8 @@
 	return max(1, count)
 }
 
-// chooseSubset returns the lines of a subset table. It retains the present lines, and adds others only when few are left.
-// Subsets take every n-th line, by weight, so that all have nearly the same total weight.
+// chooseSubset returns the lines of a subset table. It retains the present lines, and adds others only if few are left.
+// Of the candidates sorted by weight, each of n subsets takes every n-th, so that all have nearly the same total weight.
 func chooseSubset(candidates []tableLine, present map[policyapi.EndpointID]float64, subset int) (lines []tableLine) {
 	byWeight := slices.Clone(candidates)
 	slices.SortStableFunc(byWeight, func(a, b tableLine) int { return cmp.Compare(b.weight, a.weight) })
@@ -85,9 +86,8 @@
 	return lines
 }
 
-// subsetReplicaFor returns the replica of a group's subset tables that a further proxy is to be bound to: the one with
-// the fewest proxies, or a new one while not every subset has one, or if a line to one proxy more would exceed the share
-// of the queue.
+// subsetReplicaFor returns the replica of a group's subset tables to bind another proxy to: the one with the fewest proxies,
+// or a new one if some subset has no replica yet or the replica is full.
 func (c *channel) subsetReplicaFor(group groupID) *replica {
 	var least *replica
 	highest := 0
--- a/policy/weights.go
+++ b/policy/weights.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// lowUtilization and fullUtilization are the fleet's utilization at which zones begin to spill over, and at which
-	// the fleet is treated as one zone.
+	// lowUtilization is the fleet's utilization above which zones spill over, and fullUtilization that at which the fleet
+	// is treated as one zone.
 	lowUtilization, fullUtilization = 0.6, 0.9
 	// maxSpillover bounds the weight factor of endpoints in other zones relative to local ones.
 	maxSpillover = 2
-	// minLocalShare bounds the fraction of a zone's load that its own endpoints can take from below, for the division.
+	// minLocalShare is the lower bound of the fraction of a zone's load that its own endpoints can take, which is a
+	// divisor.
 	minLocalShare = 1e-3
-	// minTableWeight is the least weight of an endpoint that must stay in a table.
+	// minTableWeight is the least weight of a line in a table that would be empty otherwise.
 	minTableWeight = 0.01
-	// minLineWeight is the weight up to which a line is left out where others remain.
+	// minLineWeight is the weight up to which a line is omitted if other lines remain.
 	minLineWeight = 0.02
-	// minSharedWeight is the fraction of its weight that an endpoint keeps for classes that may go anywhere, however
-	// much restricted classes take.
+	// minSharedWeight is the fraction of its weight that an endpoint keeps for unrestricted classes, however much load the
+	// restricted classes bring.
 	minSharedWeight = 0.2
 )
 
-// tableInputs is what the tables of a plan are built from.
+// tableInputs is the data from which the tables of a plan are built.
 type tableInputs struct {
 	fleet          []fleetEndpoint
 	spillover      []float64                        // by zone
-	restrictedLoad map[policyapi.EndpointID]float64 // of the restricted classes, whose tables are built first
+	restrictedLoad map[policyapi.EndpointID]float64 // load of the restricted classes, whose tables are built first
 }
 
 // planTables plans the tables of all groups that proxies use or are still bound to.
@@ -47,7 +48,7 @@
 	}
 	for _, placement := range p.settings.placements {
 		for i, g := range p.groups.list {
-			if len(g.proxies) > 0 || p.groups.bound[g.id] { // a bound group without proxies: all of them are about to move
+			if len(g.proxies) > 0 || p.groups.bound[g.id] { // all proxies of a bound group without proxies are about to move
 				lines := add(g.id, placement, g)
 				p.addLoad(in, i, placement, lines)
 			}
@@ -59,9 +60,9 @@
 }
 
 // zoneSpillover returns, by zone, the weight factor of endpoints in other zones relative to local ones: 0 keeps all
-// requests in their zone, 1 treats the fleet as one zone. A zone with low utilization keeps its requests. It spills over
-// as the utilization of the fleet rises, or its own above the fleet's: demand changes faster than orders travel, and
-// another zone can take the load that is too much for one.
+// requests in their zone, and 1 treats the fleet as one zone. A zone of low utilization keeps its requests. It spills over
+// as the utilization of the fleet rises, or as its own rises above that of the fleet: demand changes faster than orders
+// reach the proxies, and other zones can take the load that is too much for one.
 func (p *planner) zoneSpillover(fleet []fleetEndpoint) []float64 {
 	available := make([]float64, len(p.settings.zones))
 	load := slices.Clone(p.zoneDemand)
@@ -79,7 +80,8 @@
 	spillover := make([]float64, len(p.settings.zones))
 	for z := range spillover {
 		spillover[z] = min(1, max(0, (utilization-lowUtilization)/(fullUtilization-lowUtilization)))
-		// At least enough spills over that the zone's utilization falls to the fleet's, or to lowUtilization if higher.
+		// At least so much spills over that the zone's utilization falls to that of the fleet, or to lowUtilization if that
+		// is higher.
 		local := max(lowUtilization, utilization) * available[z] / max(load[z], epsilon)
 		elsewhere := sum(available) - available[z]
 		if local < 1 && elsewhere > 0 {
@@ -90,8 +92,8 @@
 	return spillover
 }
 
-// updateUtilization computes the fleet's utilization, with and without the requests that admission rejects: those load no
-// endpoint, but clients repeat them.
+// updateUtilization computes the fleet's utilization, with and without the requests that admission rejects. Those load no
+// endpoint, but clients send them again.
 func (p *planner) updateUtilization(load, available float64) {
 	p.fleet.utilization = load / max(available, epsilon)
 	p.fleet.admittedUtilization = p.fleet.utilization
@@ -101,8 +103,8 @@
 	}
 }
 
-// buildTable returns the lines of a placement's table for a group. Weights are the endpoints' available capacities
-// relative to the fleet's mean, so that a line changes only when its endpoint, or the spillover, does.
+// buildTable returns the lines of a placement's table for a group. The weights are the available capacities of the endpoints
+// relative to the fleet's mean, so that a line changes only if its endpoint or the spillover changes.
 func (p *planner) buildTable(in *tableInputs, placement classPlacement, g group) []tableLine {
 	zones := p.settings.zones
 	servedLocally := g.capacity > 0 && placement.allows(zones[g.zone])
@@ -116,7 +118,7 @@
 		if !p.isMember(e, g) {
 			continue
 		}
-		if !placement.restricted() { // an endpoint that serves restricted classes too gets less of the others
+		if !placement.restricted() { // an endpoint that also serves restricted classes gets less of the others
 			taken := in.restrictedLoad[e.id] / max(e.available*p.fleet.utilization, epsilon)
 			line.weight *= max(minSharedWeight, 1-taken)
 		}
@@ -128,7 +130,7 @@
 		}
 	}
 	if len(lines) == 0 {
-		lines = all // no proxy may have an empty table: any endpoint that is listed ready is better
+		lines = all // no proxy may have an empty table: any ready endpoint is better than none
 	}
 	return heaviest(lines, p.maxTableLines)
 }
@@ -149,7 +151,8 @@
 		placement.allows(p.settings.zones[e.zone])
 }
 
-// addLoad adds the requests that a group's proxies will send by a placement's table to the endpoints' expected load.
+// addLoad adds the requests that a group's proxies will send according to a placement's table to the expected load of the
+// endpoints.
 func (p *planner) addLoad(in *tableInputs, at int, placement classPlacement, lines []tableLine) {
 	weight, demand := 0.0, 0.0
 	for _, line := range lines {
@@ -171,11 +174,11 @@
 }
 
 // warmUpAdmission returns the requests per second that each proxy of a group may admit of each class while a warming
-// endpoint is in the group's table. A proxy's demand can rise a hundredfold before the first report of it arrives; on the
-// few endpoints of a group that overloads the warming ones, the more so the larger the fleet is relative to its groups.
-// With all classes at this level one proxy, on top of the present load, brings a warming endpoint to slowStartMargin of
-// the load at which it fails; the rest is for random variation and for requests in flight. Zone-wide groups need no such
-// limit.
+// endpoint is in the group's table. A proxy's demand can rise a hundredfold before the first report of it arrives. As a
+// group has few endpoints, such a rise overloads the warming ones, the more so the larger the fleet is relative to its
+// groups. With all classes at this level, one proxy in addition to the present load brings a warming endpoint to
+// slowStartMargin of the load at which it fails; the rest is reserved for random variation and for requests in flight.
+// Zone-wide groups need no such limit.
 func (p *planner) warmUpAdmission(g group, placement classPlacement, lines []tableLine) float64 {
 	warming, carried := false, 0.0
 	for _, line := range lines {
@@ -190,7 +193,7 @@
 	return carried * (overload - min(1, p.fleet.utilization)) / float64(classes)
 }
 
-// heaviest returns the lines of the greatest weight, at most limit but at least one.
+// heaviest returns the lines of the greatest weights, at most limit of them but at least one.
 func heaviest(lines []tableLine, limit int) []tableLine {
 	if len(lines) <= max(1, limit) {
 		return lines
