--- a/policy/delivery_test.go
+++ b/policy/delivery_test.go
@@ -6,20 +6,20 @@
 	"porthub/policyapi"
 )
 
-// The queue is nearly full when a drain changes all other lines as well: the removal alone is sent at once, although the
-// complete change would not fit. The rest follows when it fits into the queue.
-func TestRemovalGoesOutThroughFullQueue(t *testing.T) {
+// If the queue is nearly full when a drain changes all other lines as well, the removals are sent at once without the other
+// changes, which would not fit. These follow when they fit into the queue.
+func TestRemovalIsSentWithNearlyFullQueue(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
-	c.inherited = []pendingMessage{{sentAt: now, lines: 0.8 * c.queueLimit}} // more than routine changes and new proxies would wait for
+	c.inherited = []pendingMessage{{sentAt: now, lines: 0.8 * c.queueLimit}} // too much for routine changes and new proxies
 	plan.urgent = true
 	plan.withdrawEndpoints(0, 3, 2)
 	c.deliverPlan(now, plan)
 	if lines, removed := len(out.orders)-1, out.removals(); removed != 3 || lines != 3 {
-		t.Fatalf("%d lines are removed, %d ordered, of %d that drain", removed, lines, 3)
+		t.Fatalf("%d lines are removed and %d ordered, want only the %d of draining endpoints", removed, lines, 3)
 	}
 	if waiting := c.queuedLines(c.turns.deliveredAt); waiting > 0.95*c.queueLimit {
-		t.Errorf("%.0f lines wait, %.0f may", waiting, c.queueLimit)
+		t.Errorf("%.0f lines wait, want at most 0.95 of %.0f", waiting, c.queueLimit)
 	}
 	c.inherited, out.orders = nil, nil
 	c.acknowledgeAll()
@@ -29,9 +29,9 @@
 	}
 }
 
-// Levels that change with each report are sent only while the queue is short, and no faster than proxies acknowledge them:
-// most of the queue stays free for urgent changes.
-func TestAdmissionLeavesQueueOpen(t *testing.T) {
+// Levels that change with each report are sent only while the queue is short, and no faster than proxies acknowledge them, so
+// that most of the queue stays free for urgent changes.
+func TestAdmissionLeavesQueueSpace(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 500)
 	plan.urgent = true // lists change all the time
 	for round := range 20 {
@@ -39,12 +39,13 @@
 		c.deliverPlan(micros(300+round)*second, plan)
 	}
 	if waiting := c.queuedLines(c.turns.deliveredAt); waiting == 0 || waiting > 0.5*c.queueLimit {
-		t.Errorf("%.0f lines wait, of %.0f", waiting, c.queueLimit)
+		t.Errorf("%.0f lines wait, want some, but at most half of %.0f", waiting, c.queueLimit)
 	}
 }
 
-// Proxies disconnect with messages in flight: the channel drops those, and they stop to count as queued at once. What waits
-// for the others counts in full until they acknowledge it, even if later messages to other proxies have overtaken it.
+// If proxies disconnect with messages in flight, the channel drops those messages, and they no longer count as queued. The
+// messages to the other proxies count in full until they are acknowledged, even if later messages to other proxies have
+// overtaken them.
 func TestLinesOfDisconnectedProxiesLeaveQueue(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 100)
 	for i := range plan.lines(0) {
@@ -54,21 +55,21 @@
 	c.deliverPlan(now, plan)
 	before := c.queuedLines(now)
 	if before < 100*100 {
-		t.Fatalf("%.0f lines wait", before)
+		t.Fatalf("%.0f lines wait, want at least those of a hundred proxies", before)
 	}
 	for p := range 60 {
 		c.handleEvent(now, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
 	}
-	for p := 60; p < 80; p++ { // the new stream before the old one's end
+	for p := 60; p < 80; p++ { // the new stream is reported before the end of the old one
 		c.handleEvent(now, policyapi.ProxyConnected{Proxy: policyapi.ProxyID(p)})
 	}
 	if after := c.queuedLines(now); after != before/5 {
-		t.Errorf("%.0f lines waited, %.0f once four of five streams have ended", before, after)
+		t.Errorf("%.0f lines waited, and %.0f after four of five streams have ended, want a fifth", before, after)
 	}
 	now += 2 * second
 	plan.lines(0)[0].weight = 9
 	c.deliverPlan(now, plan)
-	first := plan.lines(0)[0].endpoint // the table was sent to new streams
+	first := plan.lines(0)[0].endpoint // its new weight was sent to the new streams
 	bound := 0
 	for p := policyapi.ProxyID(60); p < 80; p++ {
 		if s := c.streams[p]; s.replica != nil && s.replica.tables[0].lines[first] == 9 {
@@ -76,17 +77,17 @@
 		}
 	}
 	if bound != 20 {
-		t.Errorf("%d of 20 new streams are bound", bound)
+		t.Errorf("%d of 20 new streams are bound to the new table, want all", bound)
 	}
 	waiting := c.queuedLines(now)
 	now += second
-	for p := policyapi.ProxyID(60); p < 80; p++ { // their acknowledgements overtake those of the others
+	for p := policyapi.ProxyID(60); p < 80; p++ { // these acknowledgements overtake those of the other proxies
 		s := c.streams[p]
 		waiting -= s.unacknowledged[0].lines
 		c.handleEvent(now, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[0].ackID})
 	}
 	if after := c.queuedLines(now); after != waiting || waiting < before/5 {
-		t.Errorf("%.0f lines wait, want the %.0f of those that have not acknowledged", after, waiting)
+		t.Errorf("%.0f lines wait, want the %.0f of the proxies that have not acknowledged", after, waiting)
 	}
 	now += 3 * second
 	for p := policyapi.ProxyID(80); p < 100; p++ {
@@ -94,12 +95,12 @@
 		c.handleEvent(now, policyapi.Acknowledged{Proxy: p, AckID: s.unacknowledged[len(s.unacknowledged)-1].ackID})
 	}
 	if after := c.queuedLines(now); after != 0 {
-		t.Errorf("%.0f lines wait when all have acknowledged", after)
+		t.Errorf("%.0f lines wait after all proxies have acknowledged, want none", after)
 	}
 }
 
-// No proxy ever acknowledges: sent lines do not count as queued forever, and further proxies are bound. Once the silent ones
-// have disconnected, nothing counts as queued.
+// If no proxy ever acknowledges, sent lines do not count as queued forever, and more proxies are bound. Once the proxies have
+// disconnected, no lines count as queued.
 func TestNoAcknowledgements(t *testing.T) {
 	c, _ := newTestChannel(deliverySettings{queueLimit: 1000, drainGracePeriod: testGrace})
 	plan := newPlan(1, 100)
@@ -111,21 +112,21 @@
 	c.deliverPlan(30*second, plan)
 	bound := c.boundCount()
 	if bound == 0 || bound == 20 {
-		t.Fatalf("%d are bound", bound)
+		t.Fatalf("%d of 20 proxies are bound, want some but not all", bound)
 	}
 	c.deliverPlan(61*second, plan)
 	if after := c.boundCount(); after <= bound {
-		t.Errorf("%d are bound after a minute, %d before", after, bound)
+		t.Errorf("%d proxies are bound after a minute, want more than the %d from before", after, bound)
 	}
 	for p := range 20 {
 		c.handleEvent(61*second, policyapi.ProxyDisconnected{Proxy: policyapi.ProxyID(p)})
 	}
 	if waiting := c.queuedLines(61 * second); waiting != 0 {
-		t.Errorf("%.0f lines count as queued, and no proxy is connected", waiting)
+		t.Errorf("%.0f lines count as queued although no proxy is connected", waiting)
 	}
 }
 
-// Tables whose change has to wait take turns: none is starved by another that changes all the time.
+// Tables whose changes have to wait take turns, so that no table is starved by another one that changes all the time.
 func TestTableChangesTakeTurns(t *testing.T) {
 	c, out := newTestChannel(deliverySettings{queueLimit: 60000, drainGracePeriod: testGrace})
 	const tables = 4
@@ -156,12 +157,12 @@
 	}
 	for i := range tables {
 		if sent[policyapi.TableID(i)] < 60 {
-			t.Errorf("by table %v lines went out", sent)
+			t.Errorf("lines sent by table: %v, want at least 60 for each", sent)
 		}
 	}
 }
 
-// Levels change with each report to all proxies while tables change, too: neither starves the other.
+// If the levels for all proxies change with each report while the tables change as well, neither starves the other.
 func TestAdmissionAndTablesTakeTurns(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 800)
 	levels, lines := 0, 0
@@ -185,12 +186,12 @@
 		c.acknowledgeAll()
 	}
 	if levels < 8 || lines < 8*20 {
-		t.Errorf("%d levels and %d lines went out in 20 turns", levels, lines)
+		t.Errorf("%d levels and %d lines were sent in 20 turns, want at least 8 and 160", levels, lines)
 	}
 }
 
-// A drain that changes all other lines as well takes no more than half of the queue: the next drain fits into it, and both
-// are sent within the grace period.
+// A drain that changes all other lines as well takes at most half of the queue, so that the next drain fits into it as well and
+// both are sent within the grace period.
 func TestRemovalLeavesQueueForNext(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	for drain := range 2 {
@@ -198,10 +199,10 @@
 		plan.urgent, out.orders = true, nil
 		c.deliverPlan(micros(200+2*drain)*second, plan)
 		if removed := out.removals(); removed != 3 {
-			t.Errorf("drain %d: %d lines are removed of 3", drain, removed)
+			t.Errorf("drain %d: %d lines are removed, want 3", drain, removed)
 		}
 		if waiting := c.queuedLines(c.turns.deliveredAt); waiting > 0.5*c.queueLimit {
-			t.Errorf("drain %d: %.0f lines wait, of %.0f", drain, waiting, c.queueLimit)
+			t.Errorf("drain %d: %.0f lines wait, want at most half of %.0f", drain, waiting, c.queueLimit)
 		}
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// An instance gets the endpoint list and a proxy, and returns the orders that set up the proxy's table.
+// An instance receives the endpoint list and the connection of a proxy, and returns the orders that set up the proxy's table.
 func Example() {
 	const second policyapi.Microseconds = 1_000_000
 	instance := policy.New(policyapi.Start{
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -8,8 +8,8 @@
 	"porthub/policyapi"
 )
 
-// An endpoint without reports, of which its lines lead to expect attempts, loses its lines, and gets them back step by step
-// once a health check passes.
+// An endpoint without reports, although its weights should bring attempts, is ejected. Once a health check has succeeded, it
+// gets its load back gradually.
 func TestUnresponsiveEndpointIsEjectedAndRecovers(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -17,53 +17,53 @@
 	full := h.tables[0]["a1"]
 	h.advance(5*second, h.steadyReports(20, 0.4, 200_000, "a1"))
 	if w, has := h.tables[0]["a1"]; has {
-		t.Fatalf("the unresponsive endpoint still has weight %.2f", w)
+		t.Fatalf("the unresponsive endpoint still has weight %.2f, want no line", w)
 	}
 	h.advance(3*second, h.steadyReports(20, 0.4, 200_000, "a1"))
 	if h.count["health check"] == 0 {
-		t.Fatal("its health was not checked")
+		t.Fatal("no health check of the ejected endpoint was ordered")
 	}
 	h.step(policyapi.HealthCheckResult{Endpoint: "a1", Healthy: true})
 	h.advance(2*second, h.steadyReports(20, 0.4, 200_000))
 	if w := h.tables[0]["a1"]; w == 0 || w > full/2 {
-		t.Errorf("back with weight %.2f, want a small part of %.2f", w, full)
+		t.Errorf("after the ejection the weight is %.2f, want more than 0 and at most half of %.2f", w, full)
 	}
 	h.advance(20*second, h.steadyReports(20, 0.4, 200_000))
 	if w := h.tables[0]["a1"]; w < 0.8*full {
-		t.Errorf("long after it has weight %.2f, want about %.2f", w, full)
+		t.Errorf("22 s after the ejection the weight is %.2f, want at least 0.8 of %.2f", w, full)
 	}
 }
 
-// Most endpoints stop responding to one zone at once: the network is at fault, and the zone's tables must not be emptied.
+// If most endpoints stop responding at once, the fault is more likely in the network, and the tables must not be emptied.
 func TestPanicThresholdKeepsLines(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
 	h.advance(12*second, h.steadyReports(60, 0.3, 400_000))
 	if n := len(h.tables[h.binds[0][0]]); n < 6 {
-		t.Fatalf("the full fleet is not open: %d lines", n)
+		t.Fatalf("the table has %d lines before the failure, want those of all 6 endpoints", n)
 	}
 	h.advance(20*second, h.steadyReports(60, 0.3, 400_000, "a2", "b1", "b2", "c1", "c2"))
 	for p, tables := range h.binds {
 		if len(h.tables[tables[0]]) < 2 {
-			t.Errorf("proxy %d is left with lines %v", p, h.tables[tables[0]])
+			t.Errorf("proxy %d is left with lines %v, want at least 2", p, h.tables[tables[0]])
 		}
 	}
 }
 
-// What slows all endpoints alike is not one faulty endpoint: weights and lines stay, none is ejected.
-func TestFleetWideSlownessEjectsNobody(t *testing.T) {
+// If all endpoints become slow alike, no single endpoint is faulty: they keep their lines and weights, and none is ejected.
+func TestFleetWideSlownessEjectsNoEndpoint(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
 	h.advance(8*second, h.steadyReports(20, 0.5, 200_000))
 	h.advance(8*second, h.steadyReports(20, 0.8, 500_000))
 	for p, prefix := range map[policyapi.ProxyID]policyapi.EndpointID{0: "a", 1: "b", 2: "c"} {
 		if lines := h.tables[h.binds[p][0]]; lines[prefix+"1"] < 0.8 || lines[prefix+"2"] < 0.8 {
-			t.Errorf("proxy %d has lines %v", p, lines)
+			t.Errorf("proxy %d has lines %v, want both endpoints of its zone with weight 0.8 at least", p, lines)
 		}
 	}
 }
 
-// One endpoint that answers far later than its machine type, but still answers, is not ejected: it gets less, not nothing.
+// An endpoint that responds, but with a far higher latency than others of its machine type, gets less load and is not ejected.
 func TestSlowerThanMachineTypeGetsLessWeight(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -72,16 +72,16 @@
 	h.slowEndpoint = "a1"
 	h.advance(6*second, h.steadyReports(20, 0.5, 200_000))
 	if w := h.tables[0]["a1"]; w == 0 || w > 0.7*full {
-		t.Errorf("the slow endpoint has weight %.2f of %.2f", w, full)
+		t.Errorf("the slow endpoint has weight %.2f, want more than 0 and at most 0.7 of %.2f", w, full)
 	}
 	h.slowEndpoint = ""
 	h.advance(10*second, h.steadyReports(20, 0.5, 200_000))
 	if w := h.tables[0]["a1"]; w < 0.8*full {
-		t.Errorf("recovered it has weight %.2f of %.2f", w, full)
+		t.Errorf("after its recovery the endpoint has weight %.2f, want at least 0.8 of %.2f", w, full)
 	}
 }
 
-// An endpoint that only one zone's proxies cannot reach leaves that zone's tables alone.
+// An endpoint that is unreachable only for the proxies of one zone is ejected only from that zone's tables.
 func TestEjectionFromOneZoneOnly(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -94,11 +94,12 @@
 		})
 	})
 	if h.tables[h.binds[0][0]]["b1"] > 0 || h.tables[h.binds[1][0]]["b1"] == 0 {
-		t.Errorf("lines of zone a %v, of zone b %v", h.tables[h.binds[0][0]], h.tables[h.binds[1][0]])
+		t.Errorf("lines of zone a %v, of zone b %v, want b1 only in the latter", h.tables[h.binds[0][0]], h.tables[h.binds[1][0]])
 	}
 }
 
-// Reports are capped: an endpoint without a report does not count as silent while older lines still arrive, but does after.
+// The number of report lines is limited. In a round that reaches the limit, an endpoint without a report is not considered
+// silent, because the delivered lines are still older. In a round below the limit it is, and gets ejected.
 func TestUnreportedEndpointIsNotSilent(t *testing.T) {
 	for _, lineLimit := range []float64{8, 200} {
 		t.Run(fmt.Sprintf("%.0f lines per second", lineLimit), func(t *testing.T) {
@@ -117,13 +118,14 @@
 				return events
 			})
 			if _, has := h.tables[h.binds[0][0]]["a1"]; has != (lineLimit < 20) {
-				t.Errorf("with %.0f lines per second at most, the unreported endpoint has a line: %t", lineLimit, has)
+				t.Errorf("with %.0f report lines per second at most, the unreported endpoint has a line: %t, want the opposite",
+					lineLimit, has)
 			}
 		})
 	}
 }
 
-// When all reports stop, lines and levels stay as they are.
+// If all reports stop, lines and levels do not change.
 func TestMissingReportsChangeNothing(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -131,6 +133,7 @@
 	before := len(h.tables[0])
 	h.advance(30*second, nil)
 	if len(h.tables[0]) != before || h.admissions[0].Level < unlimitedLevel {
-		t.Errorf("after 30 s without reports: lines %v, level %v", h.tables[0], h.admissions[0].Level)
+		t.Errorf("after 30 s without reports: lines %v, level %v, want as many lines as before and an unlimited level",
+			h.tables[0], h.admissions[0].Level)
 	}
 }
--- a/policy/helpers_test.go
+++ b/policy/helpers_test.go
@@ -6,10 +6,10 @@
 	"porthub/policyapi"
 )
 
-// testGrace is a grace period that a full queue of these tests drains within.
+// testGrace is a drain grace period within which the channel can send a full queue of these tests.
 const testGrace = 11 * second
 
-// newPlan returns a target state of some groups, each with the same endpoints of the same weight.
+// newPlan returns a target state of some groups, each with the same endpoints, all of weight 1.
 func newPlan(groups, endpoints int) targetState {
 	plan := targetState{tables: map[groupID][]tablePlan{}, proxyGroups: map[policyapi.ProxyID]groupID{}, ready: map[policyapi.EndpointID]bool{}}
 	for b := range endpoints {
@@ -27,7 +27,8 @@
 // lines returns the lines of a group's only table.
 func (s targetState) lines(g groupID) []tableLine { return s.tables[g][0].lines }
 
-// withdrawEndpoints takes the first endpoints out of a group's table: they drain. The others get another weight.
+// withdrawEndpoints removes the first endpoints from a group's table, as if they drained, and multiplies the weights of the
+// others.
 func (s targetState) withdrawEndpoints(g groupID, endpoints int, weight float64) {
 	for _, l := range s.lines(g)[:endpoints] {
 		delete(s.ready, l.endpoint)
@@ -41,7 +42,7 @@
 
 func (c *channel) deliverPlan(now micros, plan targetState) { c.receive(now, plan) }
 
-// newTestChannel returns a channel with the limits given, and usual values for the other settings.
+// newTestChannel returns a channel with the given limits and common values for the other settings.
 func newTestChannel(limits deliverySettings) (*channel, *outbox) {
 	limits.messageOverhead = 6
 	limits.messageWindow = 10 * second
@@ -51,7 +52,8 @@
 	return newChannel(out, limits), out
 }
 
-// newBoundChannel returns a channel with some proxies bound to the table of a hundred endpoints, all acknowledged.
+// newBoundChannel returns a channel with some proxies bound to a table of a hundred endpoints. All messages are
+// acknowledged.
 func newBoundChannel(t *testing.T, proxies int) (*channel, *outbox, targetState) {
 	t.Helper()
 	c, out := newTestChannel(deliverySettings{queueLimit: 60000, messageLimit: 20, drainGracePeriod: testGrace})
@@ -64,7 +66,7 @@
 		c.deliverPlan(at, plan)
 		c.acknowledgeAll()
 		if at > 100*second {
-			t.Fatal("the proxies are not bound")
+			t.Fatal("some proxies are still not bound after 100 s")
 		}
 	}
 	out.orders = nil
@@ -81,7 +83,7 @@
 	return n
 }
 
-// acknowledgeAll acknowledges all messages, at time 0 so that no latency is recorded.
+// acknowledgeAll acknowledges all messages at time 0, so that no latency is recorded.
 func (c *channel) acknowledgeAll() {
 	for p, s := range c.streams {
 		for len(s.unacknowledged) > 0 {
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -8,8 +8,8 @@
 	"porthub/policyapi"
 )
 
-// host is a fake host: it delivers events to an instance, keeps the clock and its timers, and records what the proxies
-// would have. Times are in microseconds.
+// host is a fake host. It delivers events to an instance, maintains the clock and the timers, and records the tables,
+// bindings and levels that the proxies would have. Times are in microseconds.
 type host struct {
 	t          *testing.T
 	instance   *Instance
@@ -19,13 +19,13 @@
 	binds      map[policyapi.ProxyID][]policyapi.TableID
 	admissions map[policyapi.RequestClass]policyapi.SetAdmission
 	orders     []policyapi.Order // of the last step
-	count      map[string]int
-	highest    map[string]int
+	count      map[string]int    // number of orders by kind
+	highest    map[string]int    // greatest value seen by name
 
 	failureRate         float64              // fraction of all attempts that fail
-	falselyFull         policyapi.EndpointID // reports that it is full
-	slowEndpoint        policyapi.EndpointID // answers four times as late
-	extraRate           int                  // requests per second on top at proxy 0
+	falselyFull         policyapi.EndpointID // this endpoint reports that it is full
+	slowEndpoint        policyapi.EndpointID // this endpoint has four times the latency
+	extraRate           int                  // additional requests per second at proxy 0
 	neverAcknowledge    bool                 // no proxy acknowledges
 	unacknowledging     []policyapi.ProxyID  // these proxies do not acknowledge
 	unacknowledgedLines float64              // lines sent and not acknowledged
@@ -40,7 +40,7 @@
 // hostClasses is the number of request classes in the settings of newHost.
 const hostClasses policyapi.RequestClass = 2
 
-// newHost returns a host of an instance in a fleet of three zones. Change adapts the settings; nil leaves them.
+// newHost returns a host of an instance in a fleet of three zones. Change modifies the settings unless it is nil.
 func newHost(t *testing.T, change func(*policyapi.Start)) *host {
 	t.Helper()
 	start := policyapi.Start{
@@ -64,7 +64,7 @@
 		highest: map[string]int{}, sentAt: map[policyapi.ProxyID][]micros{}}
 }
 
-// step delivers events at the present time, carries out the orders and acknowledges what they send.
+// step delivers events at the current time, carries out the orders and acknowledges the messages that they cause.
 func (h *host) step(events ...policyapi.Event) {
 	h.orders = h.instance.Step(h.now, events)
 	reached := map[policyapi.ProxyID]float64{}
@@ -74,7 +74,7 @@
 	h.acknowledge(reached)
 }
 
-// apply carries out an order and adds the lines that it costs to those of the proxies that it reaches.
+// apply carries out an order and adds the lines that it costs to those of each proxy that it reaches.
 func (h *host) apply(order policyapi.Order, reached map[policyapi.ProxyID]float64) {
 	switch o := order.(type) {
 	case policyapi.SetTimer:
@@ -116,7 +116,7 @@
 		h.binds[o.Proxy] = make([]policyapi.TableID, hostClasses)
 	}
 	for class := range hostClasses {
-		if concerns(o.Classes, class) {
+		if includes(o.Classes, class) {
 			h.binds[o.Proxy][class] = o.Table
 		}
 	}
@@ -128,18 +128,18 @@
 	}
 	h.highest["retry policy"] = max(h.highest["retry policy"], int(o.RetryPolicy))
 	for class := range hostClasses {
-		if concerns(o.Classes, class) {
+		if includes(o.Classes, class) {
 			h.admissions[class] = o
 		}
 	}
 }
 
-// concerns reports whether a set of classes, of which the empty one is all classes, includes a class.
-func concerns(set policyapi.ClassSet, class policyapi.RequestClass) bool {
+// includes reports whether a set of classes includes a class. The empty set includes all classes.
+func includes(set policyapi.ClassSet, class policyapi.RequestClass) bool {
 	return set == 0 || set&(1<<class) != 0
 }
 
-// acknowledge counts the messages of a step and their lines, and acknowledges them if it was requested.
+// acknowledge counts the messages of a step and their lines, and acknowledges the messages if that was requested.
 func (h *host) acknowledge(reached map[policyapi.ProxyID]float64) {
 	var acknowledged []policyapi.Event
 	for _, p := range slices.Sorted(maps.Keys(reached)) {
@@ -158,7 +158,8 @@
 	}
 }
 
-// advance lets time pass in steps of a tenth of a second. Each full second the reports are delivered first.
+// advance advances the clock in steps of a tenth of a second. At each full second, the reports are delivered before the
+// timers that have expired.
 func (h *host) advance(d micros, reports func() []policyapi.Event) {
 	for end := h.now + d; h.now < end; {
 		h.now += second / 10
@@ -190,7 +191,7 @@
 	return entries
 }
 
-// startFleet starts with two endpoints in each of three zones and a proxy in each.
+// startFleet lists two endpoints in each of three zones and connects a proxy in each zone.
 func (h *host) startFleet() {
 	endpoints := append(append(readyEndpoints("a", "a1", "a2"), readyEndpoints("b", "b1", "b2")...), readyEndpoints("c", "c1", "c2")...)
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: endpoints})
@@ -200,8 +201,8 @@
 }
 
 // steadyReports returns a function that reports rate requests per second at each proxy, distributed among the endpoints by
-// the table of the first class. An endpoint with ten attempts per second is busy by the fraction given; silent ones answer
-// nothing.
+// the table of the first class. An endpoint with ten attempts per second has the given busy share. Silent endpoints have no
+// reports.
 func (h *host) steadyReports(rate int, busyShare float64, latency micros, silent ...policyapi.EndpointID) func() []policyapi.Event {
 	return func() []policyapi.Event {
 		var events []policyapi.Event
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -6,7 +6,7 @@
 	"porthub/policyapi"
 )
 
-// A drain soon after other changes is sent with the next report round, without waiting for the routine interval.
+// A drain soon after another change is sent with the next report round and does not wait for the routine interval.
 func TestDrainDoesNotWaitForRoutineTurn(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -19,16 +19,16 @@
 	drain := readyEndpoints("a", "a1")
 	drain[0].Status = policyapi.Draining
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: drain})
-	h.advance(second/2, h.steadyReports(20, 0.5, 200_000)) // the next report round falls in it
+	h.advance(second/2, h.steadyReports(20, 0.5, 200_000)) // includes the next report round
 	for table, lines := range h.tables {
 		if w, has := lines["a1"]; has {
-			t.Errorf("table %d still has the draining endpoint at %.2f", table, w)
+			t.Errorf("table %d still has the draining endpoint, with weight %.2f", table, w)
 		}
 	}
 }
 
-// However the fleet flaps, no proxy is sent more messages than the limit in its window, and without any acknowledgement the
-// queue stays under its limit.
+// However often endpoints change their status, no proxy is sent more messages in a window than the limit, and without any
+// acknowledgement the queue does not exceed its limit.
 func TestMessageAndQueueLimitsHold(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.Rules.QueueLimit = 400 })
 	h.neverAcknowledge = true
@@ -40,15 +40,15 @@
 		h.advance(second/10, h.steadyReports(10+i%50, 0.9, micros(200_000+i*3000)))
 	}
 	if h.highest["messages"] > 20 {
-		t.Errorf("%d messages to one proxy in a window", h.highest["messages"])
+		t.Errorf("%d messages were sent to one proxy in a window, want 20 at most", h.highest["messages"])
 	}
 	if h.unacknowledgedLines > 400 {
-		t.Errorf("%.0f lines sent that nobody acknowledged, the limit is 400", h.unacknowledgedLines)
+		t.Errorf("%.0f lines were sent and not acknowledged, want 400 at most", h.unacknowledgedLines)
 	}
 }
 
-// A proxy has stopped responding: its unacknowledged messages do not delay the orders to others.
-func TestUnresponsiveProxyDelaysNobody(t *testing.T) {
+// If a proxy has stopped responding, its unacknowledged messages do not delay the orders to other proxies.
+func TestUnresponsiveProxyDoesNotDelayOthers(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.Rules.QueueLimit = 150 })
 	h.startFleet()
 	h.advance(5*second, h.steadyReports(20, 0.5, 200_000))
@@ -70,6 +70,7 @@
 		}
 	}
 	if s := h.instance.channel.streams[2]; len(s.unacknowledged) > maxUnacknowledged || len(s.unacknowledged) < 10 {
-		t.Errorf("%d messages to the unresponsive proxy are retained", len(s.unacknowledged))
+		t.Errorf("%d messages to the unresponsive proxy are retained, want at least 10 and at most maxUnacknowledged",
+			len(s.unacknowledged))
 	}
 }
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -8,29 +8,29 @@
 	"porthub/policyapi"
 )
 
-// A restarted coordinator binds no proxy by its cached list, which may contain endpoints that have failed, until a newer one
-// arrives; if none does it uses the cached one after a short delay.
+// A restarted coordinator binds no proxy according to its cached list, which may contain endpoints that have failed, until a
+// newer list arrives. If none arrives, it uses the cached list after a short delay.
 func TestRestartWaitsForNewerList(t *testing.T) {
 	h := newHost(t, nil)
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: readyEndpoints("a", "a1", "a2")})
 	h.step(policyapi.ProxyConnected{Proxy: 0, Zone: "a", Weight: 20})
 	if len(h.binds) > 0 {
-		t.Error("bound by the cached list")
+		t.Error("the proxy was bound according to the cached list")
 	}
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: readyEndpoints("a", "a2")})
 	if lines := h.tables[h.binds[0][0]]; len(lines) != 1 || lines["a2"] == 0 {
-		t.Errorf("lines by the new list: %v", lines)
+		t.Errorf("lines according to the new list: %v, want only a2", lines)
 	}
 	g := newHost(t, nil)
 	g.step(policyapi.EndpointUpdate{Kind: policyapi.Cached, Endpoints: readyEndpoints("a", "a1")})
 	g.step(policyapi.ProxyConnected{Proxy: 0, Zone: "a", Weight: 20})
 	g.advance(3*second, nil)
 	if len(g.binds) == 0 {
-		t.Error("without a newer list nobody was ever bound")
+		t.Error("the proxy was not bound within 3 s without a newer list")
 	}
 }
 
-// A list that must be polled is polled again when the call fails, later each time.
+// A list that must be polled is polled again after a failure, with a longer delay after each consecutive failure.
 func TestFailedListIsPolledAgain(t *testing.T) {
 	h := newHost(t, func(start *policyapi.Start) { start.PollsList = true })
 	h.startFleet()
@@ -39,14 +39,15 @@
 		h.advance(4*second, nil)
 	}
 	if h.count["watch"] != 6 {
-		t.Errorf("polled %d times, want once at the start and once after each failure", h.count["watch"])
+		t.Errorf("polled %d times, want 6: once at the start and once after each failure", h.count["watch"])
 	}
 	if len(h.tables[0]) == 0 {
-		t.Error("a failed call emptied the tables")
+		t.Error("a failed poll emptied the tables")
 	}
 }
 
-// With soft removal a list that removes a serving endpoint does not remove its lines; without, it does.
+// With soft removal, a list without a serving endpoint does not remove the endpoint's lines as long as it responds. Without
+// soft removal, it does.
 func TestListRemovesServingEndpoint(t *testing.T) {
 	for _, softRemoval := range []bool{true, false} {
 		t.Run(fmt.Sprintf("soft removal %t", softRemoval), func(t *testing.T) {
@@ -56,18 +57,19 @@
 			h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: readyEndpoints("a", "a2")})
 			h.advance(5*second, h.steadyReports(20, 0.4, 200_000))
 			if w := h.tables[h.binds[0][0]]["a1"]; (w > 0) != softRemoval {
-				t.Errorf("removal alone binds: %t, weight %.2f", !softRemoval, w)
+				t.Errorf("the removal from the list should remove the lines: %t, but the weight is %.2f", !softRemoval, w)
 			}
 			h.advance(20*second, h.steadyReports(20, 0.4, 200_000, "a1"))
 			if w := h.tables[h.binds[0][0]]["a1"]; w > 0 {
-				t.Errorf("it no longer answers and has weight %.2f", w)
+				t.Errorf("the endpoint no longer responds and has weight %.2f, want no line", w)
 			}
 		})
 	}
 }
 
-// Endpoints get ever new IDs: those removed long ago leave no state behind, and one that is listed again in time keeps its own.
-func TestRemovedEndpointsAreForgotten(t *testing.T) {
+// In a fleet whose endpoints get new IDs, the state of endpoints removed long ago is dropped. An endpoint that is listed again
+// within the retention period keeps its state.
+func TestRemovedEndpointsAreDropped(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
 	for i := range 300 {
@@ -90,11 +92,11 @@
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: back})
 	h.advance(2*endpointRetention, h.steadyReports(20, 0.5, 200_000))
 	if in.endpoints.actors["299"] == nil || in.endpoints.actors["298"] != nil || len(in.endpoints.actors) != 7 {
-		t.Errorf("%d actors", len(in.endpoints.actors))
+		t.Errorf("%d actors, want 7: those of the fleet and the one of the endpoint that is listed again", len(in.endpoints.actors))
 	}
 }
 
-// Late, repeated, contradictory and unknown events do no harm.
+// Late, repeated, contradictory and unknown events neither cause a panic nor empty the tables.
 func TestUnexpectedEventsAreHarmless(t *testing.T) {
 	h := newHost(t, nil)
 	h.step(policyapi.EndpointLoad{Zone: "z", Endpoint: "x", Attempts: -3, Failures: 9}, policyapi.Acknowledged{Proxy: 7, AckID: 3})
@@ -115,6 +117,6 @@
 		h.advance(second, h.steadyReports(20, 0.5, 200_000))
 	}
 	if lines := h.tables[h.binds[0][0]]; lines["a1"] == 0 || lines["a2"] == 0 {
-		t.Errorf("the lines of its zone are %v", lines)
+		t.Errorf("proxy 0 has lines %v, want lines of a1 and a2", lines)
 	}
 }
--- a/policy/removal_test.go
+++ b/policy/removal_test.go
@@ -9,7 +9,7 @@
 	"porthub/policyapi"
 )
 
-// newZoneHost returns a host whose first zone has some endpoints and proxies, in small groups.
+// newZoneHost returns a host whose first zone has some endpoints and proxies, divided into small groups.
 func newZoneHost(t *testing.T, endpoints, proxies int, change func(*policyapi.Start)) (*host, []policyapi.EndpointID) {
 	t.Helper()
 	h := newHost(t, func(start *policyapi.Start) {
@@ -41,48 +41,48 @@
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: entries})
 }
 
-// offers reports whether a proxy's table for a class has an endpoint, by what was ordered.
+// offers reports whether a proxy's table for a class contains an endpoint according to the orders.
 func (h *host) offers(p policyapi.ProxyID, class int, id policyapi.EndpointID) bool {
 	return h.tables[h.binds[p][class]][id] > 0
 }
 
-// fillQueue keeps a share of the queue taken: routine changes, moves and new proxies have to wait.
+// fillQueue fills a share of the queue, so that routine changes, moves and new proxies have to wait.
 func (h *host) fillQueue(share float64) {
 	h.channel().inherited = []pendingMessage{{sentAt: h.now, lines: share * h.channel().queueLimit}}
 }
 
-// A proxy is to move to another group but cannot yet, since the queue is too full for routine changes. Its old group, which
-// has no proxies any more by the plan, still loses an endpoint that drains. (Regression: a group that no proxy was meant to
-// use was not planned, and its tables were not compared.)
-func TestTableToBeLeftLosesEndpoints(t *testing.T) {
+// A proxy is planned to move to another group but cannot yet, because the queue is too full for routine changes. An endpoint
+// that drains must still leave the table of its previous group, to which no proxy is assigned any more. This guards against
+// a regression: a group without assigned proxies was not planned, and its tables were not compared.
+func TestTableOfPreviousGroupLosesEndpoints(t *testing.T) {
 	h, ids := newZoneHost(t, 8, 1, nil)
 	groups, old := &h.instance.planner.groups, h.instance.planner.groups.ofProxy[0]
 	if groups.perZone < 2 {
-		t.Fatalf("%d groups", groups.perZone)
+		t.Fatalf("%d groups in each zone, want at least 2", groups.perZone)
 	}
 	h.fillQueue(0.5)
 	groups.ofProxy[0] = (old + 1) % groups.perZone
-	var mine policyapi.EndpointID
+	var offered policyapi.EndpointID
 	for _, id := range ids {
 		if h.offers(0, 0, id) {
-			mine = id
+			offered = id
 		}
 	}
-	h.drainEndpoints("a", mine)
+	h.drainEndpoints("a", offered)
 	for range 10 {
 		h.fillQueue(0.5)
 		h.advance(second/10, nil)
 	}
 	if groups.ofProxy[0] == old || h.channel().streams[0].replica.group != groups.list[old].id {
-		t.Fatal("it was to be bound to the old group, and planned to another")
+		t.Fatal("the proxy is not bound to its previous group and planned for another one")
 	}
-	if h.offers(0, 0, mine) {
-		t.Errorf("a second after the drain the proxy is still offered %s", mine)
+	if h.offers(0, 0, offered) {
+		t.Errorf("a second after the drain the proxy is still offered %s", offered)
 	}
 }
 
-// The last endpoint that a class may go to drains: its table is planned as empty. (Regression: it was mistaken for a table
-// that is not planned, and the proxies never lost the endpoint.)
+// If the last endpoint that a class may go to drains, the table of the class is planned as empty. This guards against a
+// regression: the empty plan was mistaken for a table that is not planned, and the endpoint was never removed.
 func TestTableWithoutEndpointIsEmptied(t *testing.T) {
 	for name, limit := range map[string]func(*policyapi.ClassSettings){
 		"local zone": func(c *policyapi.ClassSettings) { c.LocalZoneOnly = true },
@@ -93,22 +93,22 @@
 			h.step(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: readyEndpoints("b", "b1", "b2")})
 			h.advance(second, nil)
 			if !h.offers(0, 1, "aA") {
-				t.Fatal("it is not offered what it may use")
+				t.Fatal("the restricted class is not offered aA, its only endpoint")
 			}
 			h.drainEndpoints("a", "aA")
 			h.advance(second, nil)
 			if h.offers(0, 1, "aA") || h.offers(0, 0, "aA") {
-				t.Error("a second after the drain it is still offered")
+				t.Error("a second after the drain aA is still offered")
 			}
 			if !h.offers(0, 0, "b1") {
-				t.Error("the class that may go everywhere has no endpoint")
+				t.Error("the unrestricted class is not offered b1")
 			}
 		})
 	}
 }
 
-// The list has more than doubled and the zones are divided again, while the proxies are still bound to tables of the retired
-// groups: an endpoint of those drains.
+// The endpoint list has more than doubled, so the zones are divided again, while the proxies are still bound to the tables of
+// retired groups. Endpoints that drain must leave those tables.
 func TestTablesOfRetiredGroupsLoseEndpoints(t *testing.T) {
 	h, ids := newZoneHost(t, 8, 6, nil)
 	entries := readyEndpoints("a", ids...)
@@ -128,7 +128,7 @@
 	}
 	for p, s := range h.channel().streams {
 		if s.replica.group != before[p] {
-			t.Fatalf("proxy %d has moved: nothing is shown", p)
+			t.Fatalf("proxy %d has moved to another group, so the test shows nothing", p)
 		}
 		for _, id := range ids[:4] {
 			if h.offers(p, 0, id) {
@@ -139,12 +139,12 @@
 	h.channel().inherited = nil
 	h.advance(30*second, nil)
 	if n := len(h.instance.planner.groups.retired); n > 0 {
-		t.Errorf("%d retired groups are retained after half a minute", n)
+		t.Errorf("%d retired groups are retained after half a minute, want none", n)
 	}
 }
 
-// So many proxies share a group's tables that a line to all of them does not fit into the queue at once: it is sent to some
-// at a time, as acknowledgements arrive. (Regression: it was sent to all or none.)
+// If so many proxies share a group's tables that a line to all of them does not fit into the queue, it is sent to a part of
+// them at a time, as acknowledgements arrive. This guards against a regression: it was sent to all of them or to none.
 func TestRemovalToMoreProxiesThanQueueHolds(t *testing.T) {
 	for _, c := range []struct{ proxies, removed int }{{3000, 1}, {3000, 3}, {400, 60}} {
 		t.Run(fmt.Sprintf("%d proxies, %d endpoints", c.proxies, c.removed), func(t *testing.T) {
@@ -164,23 +164,23 @@
 			for step := 0; step == 0 || len(ch.replicasWithRemovals(at)) > 0; step++ {
 				ch.deliverPlan(at, plan)
 				if waiting := ch.queuedLines(at); waiting > ch.queueLimit {
-					t.Fatalf("%+v: %.0f lines wait, of %.0f", c, waiting, ch.queueLimit)
+					t.Fatalf("%+v: %.0f lines wait, more than the limit of %.0f", c, waiting, ch.queueLimit)
 				}
 				ch.acknowledgeAll()
 				if at += second / 2; step > 100 {
-					t.Fatalf("%+v: the removal does not go out", c)
+					t.Fatalf("%+v: the removal is not complete after 100 turns", c)
 				}
 			}
 			for _, r := range ch.replicas {
 				if n := len(r.tables[0].lines); n != 100-c.removed {
-					t.Errorf("%+v: a table has %d lines", c, n)
+					t.Errorf("%+v: a table has %d lines, want those of the remaining endpoints", c, n)
 				}
 			}
 		})
 	}
 }
 
-// A drain does not wait behind an ejection: if only one of them fits, the drain is sent.
+// The removal of a draining endpoint does not wait for the removals of ejected ones: if only a part fits, it is sent first.
 func TestDrainGoesBeforeEjection(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
@@ -196,11 +196,12 @@
 		}
 	}
 	if !slices.Contains(removed, drained) || len(removed) > 10 {
-		t.Errorf("%d lines are removed, among them the drained one: %t", len(removed), slices.Contains(removed, drained))
+		t.Errorf("%d lines are removed, want 10 at most; the draining endpoint is among them: %t, want true",
+			len(removed), slices.Contains(removed, drained))
 	}
 }
 
-// A proxy's tables take most of the queue, or more than all of it: it is still bound once the queue is empty.
+// A proxy whose tables take most of the queue, or would take more than all of it, is still bound once the queue is empty.
 func TestTablesAsLargeAsQueue(t *testing.T) {
 	for _, limit := range []float64{1000, 300, 120, 50} {
 		t.Run(fmt.Sprintf("queue limit %.0f", limit), func(t *testing.T) {
@@ -208,42 +209,42 @@
 				start.Rules.QueueLimit, start.ProxyCount, start.Channel.EndpointConnections = limit, 1, 3000
 			})
 			if h.binds[0] == nil {
-				t.Errorf("with %.0f lines in the queue the proxy keeps its default table", limit)
+				t.Errorf("with a queue limit of %.0f lines the proxy is not bound", limit)
 				return
 			}
 			cost := h.channel().messageLines() + h.channel().bindCost(h.channel().streams[0].replica)
 			if cost > limit {
-				t.Errorf("its tables cost %.0f lines, of %.0f", cost, limit)
+				t.Errorf("the binding costs %.0f lines, more than the limit of %.0f", cost, limit)
 			}
 		})
 	}
 }
 
-// A proxy's message limit is low: a removal may use the last message.
+// If the message limit is low, a removal may use a proxy's last message.
 func TestRemovalWithFewMessages(t *testing.T) {
 	for _, limit := range []int{1, 2, 3, 4} {
 		t.Run(fmt.Sprintf("limit %d", limit), func(t *testing.T) {
 			h, ids := newZoneHost(t, 8, 1, func(start *policyapi.Start) { start.Rules.MessageLimit = limit })
 			h.advance(12*second, nil)
-			var mine policyapi.EndpointID
+			var offered policyapi.EndpointID
 			for _, id := range ids {
 				if h.offers(0, 0, id) {
-					mine = id
+					offered = id
 				}
 			}
-			h.drainEndpoints("a", mine)
+			h.drainEndpoints("a", offered)
 			h.advance(5*second/2, nil)
-			if h.offers(0, 0, mine) {
-				t.Errorf("with %d messages in the window the proxy is still offered %s", limit, mine)
+			if h.offers(0, 0, offered) {
+				t.Errorf("with a limit of %d messages the proxy is still offered the draining %s", limit, offered)
 			}
 			if h.highest["messages"] > limit {
-				t.Errorf("%d messages went out, %d may", h.highest["messages"], limit)
+				t.Errorf("%d messages were sent in a window, want %d at most", h.highest["messages"], limit)
 			}
 		})
 	}
 }
 
-// One proxy has reached its message limit: the others on its tables do not wait for it.
+// If a proxy has reached its message limit, removals for the other proxies with the same tables do not wait for it.
 func TestRemovalDoesNotWaitForLimitedProxy(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 10)
 	now := 200 * second
@@ -252,18 +253,19 @@
 	c.deliverPlan(now, plan)
 	for p, s := range c.streams {
 		if n := len(s.replica.tables[0].lines); (n == 100) != (p == 3) {
-			t.Errorf("proxy %d has %d lines", p, n)
+			t.Errorf("proxy %d has %d lines, want 100 for proxy 3, which is at its limit, and 99 for the others", p, n)
 		}
 	}
 	c.acknowledgeAll()
 	c.deliverPlan(now+10*second, plan)
 	if n := len(c.streams[3].replica.tables[0].lines); n != 99 {
-		t.Errorf("once it may get messages again it has %d lines", n)
+		t.Errorf("once proxy 3 may get messages again it has %d lines, want 99", n)
 	}
 }
 
-// After a start only a cached list is available: endpoints that it lists as draining are out of all tables within the grace
-// period, even if the report period is longer. An empty list that has arrived is used, a missing one is not.
+// If only a cached list is available after a start, the endpoints that it contains as draining are out of all tables within
+// the grace period, even if the report period is longer. An empty list is used if it has arrived, but not if the list is
+// missing.
 func TestCachedListAfterStart(t *testing.T) {
 	cached := readyEndpoints("a", "a1", "a2")
 	cached[1].Status = policyapi.Draining
@@ -274,9 +276,9 @@
 	}{
 		"cached list":        {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached, Endpoints: cached}}, true, []policyapi.EndpointID{"a1"}},
 		"no list":            {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached}}, false, nil},
-		"a failure":          {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached}, {Kind: policyapi.Failed}}, false, nil},
+		"a failed poll":      {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached}, {Kind: policyapi.Failed}}, false, nil},
 		"an empty list":      {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached, Endpoints: cached}, {Kind: policyapi.Snapshot}}, true, nil},
-		"empty from nothing": {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached}, {Kind: policyapi.Snapshot}}, true, nil},
+		"an empty list only": {[]policyapi.EndpointUpdate{{Kind: policyapi.Cached}, {Kind: policyapi.Snapshot}}, true, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHost(t, func(start *policyapi.Start) { start.Reports.Period = 5 * second })
@@ -286,37 +288,37 @@
 			h.step(policyapi.ProxyConnected{Proxy: 0, Zone: "a"})
 			h.advance(2*second, nil)
 			if bound := h.binds[0] != nil; bound != c.bound {
-				t.Fatalf("bound: %t", bound)
+				t.Fatalf("the proxy is bound: %t, want the opposite", bound)
 			}
 			if !c.bound {
 				return
 			}
 			if got := slices.Sorted(maps.Keys(h.tables[h.binds[0][0]])); !slices.Equal(got, c.want) {
-				t.Errorf("it is offered %v, want %v", got, c.want)
+				t.Errorf("the proxy is offered %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// The queue is full at the time of a drain, and free soon after: the removal does not wait for the next report, which is far
-// off.
+// If the queue is full at the time of a drain and free soon afterward, the removal does not wait for the next report, which
+// comes seconds later.
 func TestRemovalIsRetriedBetweenReports(t *testing.T) {
 	h, ids := newZoneHost(t, 4, 2, func(start *policyapi.Start) { start.Reports.Period = 5 * second })
 	h.advance(10*second, nil)
 	h.fillQueue(0.95)
 	h.drainEndpoints("a", ids[0])
 	if !h.offers(0, 0, ids[0]) && !h.offers(1, 0, ids[0]) {
-		t.Fatal("it went out through a full queue, or was not offered")
+		t.Fatal("the endpoint was removed through a full queue, or was never offered")
 	}
 	h.channel().inherited = nil
 	h.advance(second, nil)
 	if h.offers(0, 0, ids[0]) || h.offers(1, 0, ids[0]) {
-		t.Error("a second later it is still offered")
+		t.Error("a second after the queue was emptied the endpoint is still offered")
 	}
 }
 
-// A failed instance had filled the queue and used up most of one proxy's messages: its successor counts both against the
-// limits.
+// The successor of a failed instance counts what that instance had sent against the limits: its lines in the queue, and the
+// messages of a proxy that had reached its message limit.
 func TestLimitsHoldAcrossTakeOver(t *testing.T) {
 	h, _ := newZoneHost(t, 8, 2, nil)
 	failed := h.instance
@@ -326,31 +328,31 @@
 		Rules: policyapi.RuleSettings{QueueLimit: 5000, MessageLimit: 20, MessageWindow: 10 * second, DrainGracePeriod: 3 * second}})
 	h.instance.TakeOver(failed)
 	if waiting := h.channel().queuedLines(h.now); waiting < 1234 {
-		t.Errorf("%.0f lines wait, 1234 did", waiting)
+		t.Errorf("%.0f lines wait, want at least the 1234 of the failed instance", waiting)
 	}
 	h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: readyEndpoints("a", "a1")}, policyapi.ProxyConnected{Proxy: 0, Zone: "a"}, policyapi.ProxyConnected{Proxy: 1, Zone: "a"})
 	h.advance(second, nil)
 	if h.channel().streams[0].replica == nil || h.channel().streams[1].replica != nil {
-		t.Error("the one with messages left is not bound, or the other is")
+		t.Error("proxy 0, which has messages left, is not bound, or proxy 1, which has none, is bound")
 	}
 }
 
-// The message limit is low, and a message has just been sent: a removal waits for a quarter of the grace period at most,
-// whatever the routine interval.
+// If a message has just been sent and the message limit is low, a removal waits for a quarter of the grace period at most,
+// regardless of the routine interval.
 func TestRemovalIsNotDelayedForLong(t *testing.T) {
 	c, _, plan := newBoundChannel(t, 10)
-	c.messageLimit = 2 // in ten seconds
+	c.messageLimit = 2 // within ten seconds
 	now := 200 * second
 	c.turns.linesSentAt = now
 	plan.withdrawEndpoints(0, 1, 1)
 	c.deliverPlan(now+testGrace/4, plan)
 	if n := len(c.replicas[0].tables[0].lines); n != 99 {
-		t.Errorf("after a quarter of the grace period the table has %d lines", n)
+		t.Errorf("after a quarter of the grace period the table has %d lines, want 99", n)
 	}
 }
 
-// A proxy may get one more message: the removal that would use it waits for others that may follow, but not beyond half of the
-// grace period.
+// If a proxy may get only one more message, a removal that would use it waits, so that others can be sent with it, but for no
+// longer than half of the grace period.
 func TestLastMessageCarriesAllRemovals(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 10)
 	now := 200 * second
@@ -361,17 +363,18 @@
 		plan.withdrawEndpoints(0, 1, 1)
 		c.deliverPlan(now, plan)
 		if out.removals() > 0 {
-			t.Fatal("the first removal took the last message")
+			t.Fatal("a removal used the last message before half of the grace period had passed")
 		}
 		now += second
 	}
 	c.deliverPlan(now+testGrace/2, plan)
 	if n := out.removals(); n != 3 {
-		t.Errorf("%d removals went out with the last message, of 3", n)
+		t.Errorf("the last message has %d removals, want 3", n)
 	}
 }
 
-// Many proxies connect at once and have to wait for the queue: withdrawals at others go first, since they take less of it.
+// If many proxies connect at once and have to wait for the queue, removals of withdrawn endpoints at other proxies are sent
+// first, since they take less of the queue.
 func TestDrainGoesBeforeNewProxies(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
@@ -383,9 +386,9 @@
 	plan.withdrawEndpoints(0, 2, 1)
 	c.deliverPlan(now, plan)
 	if n := out.removals(); n != 2 {
-		t.Errorf("%d removals went out of 2", n)
+		t.Errorf("%d removals were sent, want 2", n)
 	}
 	if bound := c.boundCount() - 500; bound > 0 {
-		t.Errorf("%d were bound beside them, though the queue was full", bound)
+		t.Errorf("%d new proxies were bound although the queue was full", bound)
 	}
 }
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// State changes nothing, and is the same a thousand times. (Regressions: it dropped overdue messages of a failed instance, and added
-// up loads and queued lines in the order of maps, so that the last bits varied.)
+// State changes nothing, and a thousand calls return the same value. This guards against two regressions: State dropped overdue
+// messages of a failed instance, and it added up loads and queued lines in the order of maps, so that the last bits varied.
 func TestStateChangesNothing(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
@@ -15,18 +15,18 @@
 	}
 	want := h.instance.State()
 	if want.Served == 0 || want.QueuedLines == 0 {
-		t.Fatalf("%+v", want)
+		t.Fatalf("state %+v, want some requests served and some lines queued", want)
 	}
 	for range 1000 {
 		if got := h.instance.State(); got != want {
-			t.Fatalf("%+v, before %+v", got, want)
+			t.Fatalf("state %+v, want %+v as before", got, want)
 		}
 	}
 	if len(c.inherited) != 2 {
-		t.Errorf("%d messages of the failed instance are left of 2", len(c.inherited))
+		t.Errorf("%d messages of the failed instance are left, want 2", len(c.inherited))
 	}
 	c.deliver(c.turns.deliveredAt)
 	if len(c.inherited) != 1 {
-		t.Errorf("%d messages of the failed instance after a turn, one is overdue", len(c.inherited))
+		t.Errorf("%d messages of the failed instance are left after a turn, want 1, as one is overdue", len(c.inherited))
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -16,7 +16,7 @@
 	return lines
 }
 
-// The subsets of a group have each endpoint once and nearly the same total weight.
+// The subsets of a group contain each endpoint exactly once and have nearly the same total weight.
 func TestSubsetsShareEndpointsEvenly(t *testing.T) {
 	candidates := subsetTestCandidates(56)
 	used, least, most := map[policyapi.EndpointID]int{}, math.Inf(1), 0.0
@@ -29,16 +29,18 @@
 		least, most = min(least, total), max(most, total)
 	}
 	if len(used) != 56 || most > 1.2*least {
-		t.Errorf("%d of 56 endpoints are used, total weights from %.1f to %.1f", len(used), least, most)
+		t.Errorf("%d of 56 endpoints are used, want all; the total weights are from %.1f to %.1f, want a ratio of 1.2 at most",
+			len(used), least, most)
 	}
 	for endpoint, n := range used {
 		if n != 1 {
-			t.Errorf("%s is in %d subsets", endpoint, n)
+			t.Errorf("%s is in %d subsets, want 1", endpoint, n)
 		}
 	}
 }
 
-// A subset table loses the endpoints that are no longer planned. Others come in only once few are left, as each costs a line.
+// Endpoints that are no longer planned are removed from a subset table. Others are added only once few are left, since each
+// costs a line.
 func TestSubsetIsFilledUpWhenFewAreLeft(t *testing.T) {
 	candidates := subsetTestCandidates(56)
 	present := map[policyapi.EndpointID]float64{}
@@ -47,7 +49,7 @@
 	}
 	filled := 0
 	for range 2 * subsetLines {
-		for endpoint := range present { // one of them drains
+		for endpoint := range present { // one endpoint drains
 			delete(present, endpoint)
 			candidates = slices.DeleteFunc(candidates, func(line tableLine) bool { return line.endpoint == endpoint })
 			break
@@ -59,20 +61,20 @@
 			filled++
 		}
 		if len(lines) != want {
-			t.Fatalf("%d lines with %d left, want %d", len(lines), len(present), want)
+			t.Fatalf("the subset has %d lines with %d endpoints left, want %d", len(lines), len(present), want)
 		}
 		for _, line := range lines {
 			present[line.endpoint] = line.weight
 		}
 	}
 	if filled == 0 {
-		t.Error("it was never filled up")
+		t.Error("no endpoints were ever added to the subset")
 	}
 }
 
-// More proxies come from other coordinators than their complete tables pass the channel in time: they get subset tables of
-// warmed-up endpoints, spread over all of these, and complete tables once all have got one. Proxies with only their default
-// table wait for the complete one.
+// More proxies connect from other coordinators than can be sent complete tables in time. They get subset tables first, which
+// contain only warmed-up endpoints and together all of these, and complete tables once all proxies are bound. A proxy with only
+// its default table waits for the complete one.
 func TestCrowdGetsSubsetTablesFirst(t *testing.T) {
 	c := newFastChannel()
 	plan := newPlan(1, 64)
@@ -86,7 +88,7 @@
 		c.deliverPlan(now, plan)
 		c.acknowledgeAll()
 		if now > 60*second {
-			t.Fatal("the proxies are not bound")
+			t.Fatal("some proxies are still not bound after 60 s")
 		}
 	}
 	subsets, endpoints := 0, map[policyapi.EndpointID]int{}
@@ -98,12 +100,13 @@
 		for endpoint := range s.replica.tables[0].lines {
 			endpoints[endpoint]++
 			if !slices.ContainsFunc(warm, func(line tableLine) bool { return line.endpoint == endpoint }) {
-				t.Fatalf("%s is not warmed up", endpoint)
+				t.Fatalf("a subset table has %s, which is not warmed up", endpoint)
 			}
 		}
 	}
 	if subsets < 1500 || len(endpoints) != len(warm) || c.streams[1800].replica.subset > 0 {
-		t.Errorf("%d proxies have subset tables, with %d endpoints; the one with its default table has subset %d", subsets, len(endpoints), c.streams[1800].replica.subset)
+		t.Errorf("%d proxies have subset tables with %d endpoints, want at least 1500 with 48; the last one has subset %d, want 0",
+			subsets, len(endpoints), c.streams[1800].replica.subset)
 	}
 	for range 100 {
 		now += 2 * second
@@ -111,6 +114,6 @@
 		c.acknowledgeAll()
 	}
 	if left := len(c.subsetStreams()); left > 0 {
-		t.Errorf("%d proxies still have subset tables", left)
+		t.Errorf("%d proxies still have subset tables, want none", left)
 	}
 }
