--- a/policy/admission.go
+++ b/policy/admission.go
@@ -13,7 +13,7 @@
 	admissionStep = 0.05
 	// unlimitedLevel is an admission level that rejects nothing.
 	unlimitedLevel = 1e6
-	// admissionUtilization is the fraction of the capacity above which admission is limited.
+	// admissionUtilization is the fraction of the capacity that the demand must exceed for admission to be limited.
 	admissionUtilization = 0.9
 	// minLimitedCapacity is the fraction of an endpoint's available capacity that counts regardless of its capacity limit:
 	// one endpoint that is full, or falsely reports that it is, must not reduce admission at all proxies.
@@ -22,8 +22,8 @@
 	queueLatency = 0.45
 	// drainReports is the number of report periods within which a queue should drain.
 	drainReports = 4
-	// maxLatencyCut is the largest fraction of the capacity that late responses take off, and minQueuedCapacity the least
-	// fraction that queued requests leave.
+	// maxLatencyCut is the greatest fraction of the capacity that is deducted for late responses, and minQueuedCapacity the
+	// least fraction that remains after the deduction for queued requests.
 	maxLatencyCut, minQueuedCapacity = 0.5, 0.5
 	// priceStep is gamma in the Flowtune paper: the fraction of a Newton step by which the price moves.
 	priceStep = 0.4
--- a/policy/budget.go
+++ b/policy/budget.go
@@ -16,7 +16,7 @@
 	// overduePeriods is the number of report periods, in addition to one and a half times the longest recent latency, after
 	// which a message no longer counts as queued.
 	overduePeriods = 2
-	// overdueLatencyDivisor divides the longest latency for the half of "one and a half times".
+	// overdueLatencyDivisor divides the longest latency; the quotient is the half in "one and a half times".
 	overdueLatencyDivisor = 2
 	// ackLines is the cost of the request to acknowledge a message, in lines.
 	ackLines = 1
@@ -94,8 +94,8 @@
 	return messages
 }
 
-// messageLines returns the cost of a message, in lines, in addition to its lines of tables. It includes the levels for all
-// tables.
+// messageLines returns the cost of a message, in lines, in addition to its table lines. It includes the levels that apply
+// to all tables.
 func (c *channel) messageLines() float64 {
 	return c.messageOverhead + float64(len(c.admissions)) + ackLines
 }
--- a/policy/capacity.go
+++ b/policy/capacity.go
@@ -129,7 +129,7 @@
 	return min(progress, ramp)
 }
 
-// histogramBins is the number of bins of a throughputHistogram. The last one includes all greater busy shares.
+// histogramBins is the number of bins of a throughputHistogram. The last one also includes busy shares of 1 and above.
 const histogramBins = 4
 
 // histogramLimit is the number of busy seconds above which a histogram is halved, so that it follows an endpoint's speed.
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -26,11 +26,11 @@
 	h.step(policyapi.HealthCheckResult{Endpoint: "a1", Healthy: true})
 	h.advance(2*second, h.steadyReports(20, 0.4, 200_000))
 	if w := h.tables[0]["a1"]; w == 0 || w > full/2 {
-		t.Errorf("after the ejection the weight is %.2f, want more than 0 and at most half of %.2f", w, full)
+		t.Errorf("2 s after the health check the weight is %.2f, want more than 0 and at most half of %.2f", w, full)
 	}
 	h.advance(20*second, h.steadyReports(20, 0.4, 200_000))
 	if w := h.tables[0]["a1"]; w < 0.8*full {
-		t.Errorf("22 s after the ejection the weight is %.2f, want at least 0.8 of %.2f", w, full)
+		t.Errorf("22 s after the health check the weight is %.2f, want at least 0.8 of %.2f", w, full)
 	}
 }
 
--- a/policy/streams.go
+++ b/policy/streams.go
@@ -83,7 +83,7 @@
 }
 
 // replicaForBinding returns the replica to bind a proxy to. In a crowd, new proxies get subset tables first: complete tables
-// for all of them would take the channel too long in any order; see isCrowded.
+// for all of them would take the channel longer than a quarter of the drain grace period, in any order.
 func (c *channel) replicaForBinding(s *stream) *replica {
 	group := c.target.proxyGroups[s.proxy]
 	if s.replica == nil && !s.hasDefaultTableOnly && c.turns.crowded {
