--- a/proxyproto/config.go
+++ b/proxyproto/config.go
@@ -12,12 +12,13 @@
 	"porthub/simwire"
 )
 
-// maxClasses keeps a message within the protocol's 64 parts: a table and an admission level for each request class.
+// maxClasses is the largest number of request classes. A message to a proxy may need two of its MaxMessageParts parts for each
+// class: one for a table and one for an admission level.
 const maxClasses = MaxMessageParts / 2
 
-// ConfigError is a configuration that can't be used.
+// ConfigError describes an invalid configuration.
 type ConfigError struct {
-	Key string // in the JSON object; empty: the complete text
+	Key string // key in the JSON object; empty if the error concerns the complete text
 	Err error
 }
 
@@ -30,36 +31,36 @@
 
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// configError returns a *ConfigError with a formatted text.
+// configError returns a *ConfigError for a key, with a formatted error.
 func configError(key, format string, args ...any) error {
 	return &ConfigError{Key: key, Err: fmt.Errorf(format, args...)}
 }
 
-// Limits are what the processes of a coordinator may use together.
+// Limits are the resources that all processes of a coordinator may use together.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config is a coordinator's configuration.
+// Config is the configuration of a coordinator.
 type Config struct {
 	Name       string
 	Listen     string // address:port
 	Discovery  string // address:port
 	Limits     Limits
-	CachedList EndpointList // the last list of this coordinator's previous run
+	CachedList EndpointList // the last endpoint list of the coordinator's previous run
 	Start      policyapi.Start
 	Host       HostSettings
 }
 
-// HostSettings are figures of the settings that the decision module does not need but its host does.
+// HostSettings are the settings that the host of the decision module needs and the module itself does not.
 type HostSettings struct {
-	BatchInterval  policyapi.Microseconds // least time between two batches of events
+	BatchInterval  policyapi.Microseconds // minimum time between two batches of events
 	ConnectTimeout policyapi.Microseconds // how long a proxy, and therefore a health check, waits for a connection
 }
 
-// Keys of NODE_CONFIG's file.
+// configJSONKeys has the keys of the JSON object in NODE_CONFIG's file.
 type configJSONKeys struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -70,7 +71,7 @@
 	Settings   json.RawMessage `json:"settings"`
 }
 
-// Keys of the settings that the host needs; package simwire reads the others.
+// hostSettingsJSON has the keys of the settings that the host needs; package simwire reads the others.
 type hostSettingsJSON struct {
 	BatchInterval policyapi.Microseconds `json:"resolution"`
 	Capabilities  struct {
@@ -78,8 +79,8 @@
 	} `json:"caps"`
 }
 
-// ChangedSettings returns the keys that differ in another configuration, except discovery's address. Seed and endpoint list are new
-// in each configuration and are not compared.
+// ChangedSettings returns the keys whose values differ in another configuration, except discovery's address. The seed and the
+// endpoint list are new in each configuration and are not compared.
 func (c *Config) ChangedSettings(other Config) (names []string) {
 	if c.Name != other.Name {
 		names = append(names, "name")
@@ -111,17 +112,17 @@
 	return err == nil && (port > 0 || i > 0)
 }
 
-// ReadConfig decodes the text of NODE_CONFIG's file. A missing name or address is taken from the environment variables NODE_NAME,
-// NODE_LISTEN and NODE_DISCOVERY, which the function variable looks up. An error is a *ConfigError.
-func ReadConfig(text []byte, variable func(string) string) (Config, error) {
+// ReadConfig decodes the content of NODE_CONFIG's file. A missing name or address is taken from the environment variables
+// NODE_NAME, NODE_LISTEN and NODE_DISCOVERY, which getenv looks up. Errors have the type *ConfigError.
+func ReadConfig(text []byte, getenv func(string) string) (Config, error) {
 	var in configJSONKeys
 	if err := json.Unmarshal(text, &in); err != nil {
-		return Config{}, configError("", "not the JSON of a configuration: %w", err)
+		return Config{}, configError("", "invalid JSON configuration: %w", err)
 	}
 	c := Config{
-		Name:      valueOrVariable(in.Name, "NODE_NAME", variable),
-		Listen:    valueOrVariable(in.Listen, "NODE_LISTEN", variable),
-		Discovery: valueOrVariable(in.Discovery, "NODE_DISCOVERY", variable),
+		Name:      valueOrEnv(in.Name, "NODE_NAME", getenv),
+		Listen:    valueOrEnv(in.Listen, "NODE_LISTEN", getenv),
+		Discovery: valueOrEnv(in.Discovery, "NODE_DISCOVERY", getenv),
 		Limits:    in.Limits,
 	}
 	if err := c.checkHost(); err != nil {
@@ -140,46 +141,46 @@
 	return c, nil
 }
 
-func valueOrVariable(value, name string, variable func(string) string) string {
+func valueOrEnv(value, name string, getenv func(string) string) string {
 	if value == "" {
-		return variable(name)
+		return getenv(name)
 	}
 	return value
 }
 
-// checkHost checks the addresses and limits.
+// checkHost validates the addresses and limits.
 func (c *Config) checkHost() error {
 	if !isHostPort(c.Listen) {
-		return configError("listen", "%q is not address:port", c.Listen)
+		return configError("listen", "%q does not have the form address:port", c.Listen)
 	}
 	if !isHostPort(c.Discovery) {
-		return configError("discovery", "%q is not address:port", c.Discovery)
+		return configError("discovery", "%q does not have the form address:port", c.Discovery)
 	}
 	if c.Limits.Cores < 0 || c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 {
-		return configError("limits", "below 0: %+v", c.Limits)
+		return configError("limits", "must not be negative: %+v", c.Limits)
 	}
 	return nil
 }
 
-// readSettings decodes and checks the settings and the seed.
+// readSettings decodes and validates the settings and the seed.
 func (c *Config) readSettings(text json.RawMessage, seed string) error {
 	if len(text) == 0 {
-		return &ConfigError{Key: "settings", Err: errors.New("missing")}
+		return &ConfigError{Key: "settings", Err: errors.New("required key is missing")}
 	}
 	settings, err := simwire.Settings(text)
 	if err != nil {
 		return &ConfigError{Key: "settings", Err: err}
 	}
 	if n := len(settings.Classes); n == 0 || n > maxClasses {
-		return configError("settings", "%d classes: 1 to %d fit into a message", n, maxClasses)
+		return configError("settings", "%d request classes, want 1 to %d so that all fit into one message", n, maxClasses)
 	}
 	if len(settings.Zones) == 0 || settings.ProxyCount <= 0 {
-		return configError("settings", "%d zones and %d proxies: at least one of each is needed", len(settings.Zones), settings.ProxyCount)
+		return configError("settings", "%d zones and %d proxies, want at least one of each", len(settings.Zones), settings.ProxyCount)
 	}
 	if seed != "" {
 		parsed, err := strconv.ParseUint(seed, 16, 64)
 		if err != nil {
-			return configError("seed", "%q is not a hexadecimal number of 64 bits", seed)
+			return configError("seed", "%q is not a 64-bit hexadecimal number", seed)
 		}
 		settings.Seed = parsed
 	}
--- a/proxyproto/crowd_test.go
+++ b/proxyproto/crowd_test.go
@@ -9,11 +9,12 @@
 	"porthub/policyapi"
 )
 
-// newCrowd returns the model of a coordinator with 200 endpoints and 468 proxies of its own. Four other coordinators are killed after
-// 8 s, in the middle of a release: 2,100 proxies connect within 1.7 s, and return to their own coordinators 3 to 11 s later.
-func newCrowd(t *testing.T, seed uint64) *fleetModel {
+// newFailoverModel returns the model of a coordinator with 200 endpoints and 468 proxies of its own. Four other coordinators are
+// killed after 8 s, in the middle of a release: their 2,100 proxies connect within 1.7 s and return to their own coordinators 3
+// to 11 s later.
+func newFailoverModel(t *testing.T, seed uint64) *fleetModel {
 	random := rand.New(rand.NewPCG(seed, 5))
-	m := newFleetModel(t, fullSize(), seed)
+	m := newFleetModel(t, fullSizeSettings(), seed)
 	var ids []policyapi.EndpointID
 	for i := range 200 {
 		endpoint := policyapi.Endpoint{ID: policyapi.EndpointID(fmt.Sprintf("s-%03d", i)), Zone: m.settings.Zones[i%3], Weight: 1, Pod: policyapi.PodID(i % 40)}
@@ -41,16 +42,17 @@
 	return m
 }
 
-// Most of a crowd of proxies leaves while messages wait for it. What the module takes to be in the queue stays near the truth: it
-// differs by no more than the channel carries until acknowledgements arrive, twice the longest latency and a report period.
+// Most of the proxies that connected after the failure of other coordinators disconnect while messages for them are queued. The
+// module's estimate of the queued lines differs from the true number by no more than the channel carries until acknowledgements
+// arrive: within twice the longest latency and a report period.
 //
-// On a simulated day (seed 88117 of herd+mass) the one coordinator that was left believed 61,000 lines to be queued for eight seconds
-// while 28,000 and then 4,000 were: it counted what had waited for proxies that had left, up to 34,700 lines, and so kept tables and
-// levels back from those that stayed.
-func TestQueueEstimateWhileACrowdLeaves(t *testing.T) {
+// Regression: on a simulated day (seed 88117 of herd+mass) the one remaining coordinator estimated 61,000 queued lines for eight
+// seconds, while 28,000 and then 4,000 lines were queued. It counted up to 34,700 lines for proxies that had disconnected, and
+// therefore held back tables and levels from the proxies that stayed.
+func TestQueueEstimateWhileProxiesLeave(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			m := newCrowd(t, seed)
+			m := newFailoverModel(t, seed)
 			ackTime := 2*m.settings.Channel.MaxLatency + m.settings.Reports.Period
 			allowed := m.settings.Channel.LinesPerSecond * float64(ackTime) / float64(second)
 			worst, at := 0.0, policyapi.Microseconds(0)
@@ -61,10 +63,11 @@
 				}
 			}
 			if worst > allowed {
-				t.Errorf("%.1f s after the kill the queue is estimated wrong by %.0f lines, %.0f are allowed", float64(at)/float64(second), worst, allowed)
+				t.Errorf("%.1f s after the kill the estimate of queued lines is wrong by %.0f lines, want at most %.0f",
+					float64(at)/float64(second), worst, allowed)
 			}
 			if n := len(m.oracle.findings); n > 0 {
-				t.Errorf("%d findings, first %s", n, m.oracle.findings[0])
+				t.Errorf("got %d findings, want none; first: %s", n, m.oracle.findings[0])
 			}
 		})
 	}
--- a/proxyproto/encode.go
+++ b/proxyproto/encode.go
@@ -9,7 +9,7 @@
 	"porthub/resp"
 )
 
-// maxRowsPerPart bounds the rows of one part: with names of 100 bytes that is a tenth of the protocol's largest message.
+// maxRowsPerPart bounds the rows of one part. With endpoint names of 100 bytes, a part takes a tenth of MaxMessageBytes.
 const maxRowsPerPart = 1000
 
 // messageEncoder writes the parts of one message and counts its lines.
@@ -18,7 +18,7 @@
 	message OutboundMessage
 }
 
-// encode writes the parts. The last one has the ejections and the ack id, too.
+// encode writes the parts. The last part also has the ejections and the ack id.
 func (e *messageEncoder) encode(parts []messagePart, eject, restore []string) {
 	parts = splitParts(parts)
 	if len(parts) == 0 {
@@ -36,7 +36,7 @@
 	}
 }
 
-// splitParts splits parts of more than maxRowsPerPart rows; the first piece keeps the part's other fields.
+// splitParts splits parts with more than maxRowsPerPart rows; the first of the resulting parts keeps the other fields.
 func splitParts(parts []messagePart) []messagePart {
 	for i := 0; i < len(parts); i++ {
 		if part := parts[i]; len(part.rows) > maxRowsPerPart {
--- a/proxyproto/endpointlist.go
+++ b/proxyproto/endpointlist.go
@@ -11,34 +11,34 @@
 	"porthub/policyapi"
 )
 
-// ErrNotAList means that a response of discovery is not an endpoint list at all.
+// ErrNotAList means that a response of discovery is not an endpoint list.
 var ErrNotAList = errors.New("not an endpoint list")
 
-// EntryError is an entry of an endpoint list that can't be used.
+// EntryError describes an invalid entry of an endpoint list.
 type EntryError struct {
-	Host   string // as far as it could be read
+	Host   string // the endpoint's name; empty if it could not be read
 	Reason string
 }
 
 func (e *EntryError) Error() string { return fmt.Sprintf("host %q: %s", e.Host, e.Reason) }
 
-// EndpointList is a response of discovery.
+// EndpointList is a decoded response of discovery.
 type EndpointList struct {
 	Update               policyapi.EndpointUpdate
-	HealthCheckAddresses map[policyapi.EndpointID]string // host:port, of endpoints that have a usable one
-	Dropped              []*EntryError                   // one for each entry that can't be used
-	Unreadable           []policyapi.EndpointID          // endpoints of dropped entries whose name could be read
-	HasUnnamed           bool                            // a dropped entry has no readable name: it may be of any endpoint that is missing
+	HealthCheckAddresses map[policyapi.EndpointID]string // host:port, for the endpoints with a valid address
+	Dropped              []*EntryError                   // one for each invalid entry
+	Unreadable           []policyapi.EndpointID          // endpoints of the dropped entries whose names could be read
+	HasUnnamed           bool                            // a dropped entry has no readable name, and may belong to any missing endpoint
 }
 
-// Keys of an endpoint list in JSON.
+// endpointListJSON has the keys of an endpoint list in JSON.
 type endpointListJSON struct {
 	Seq      *int64            `json:"seq"`
 	Complete *bool             `json:"whole"`
 	Hosts    []json.RawMessage `json:"hosts"`
 }
 
-// Keys of an entry.
+// endpointEntryJSON has the keys of an entry.
 type endpointEntryJSON struct {
 	Host     string  `json:"host"`
 	Dial     string  `json:"dial"`
@@ -50,10 +50,11 @@
 	BornAtMs float64 `json:"born_ms"`
 }
 
-// endpointIdentity has the fields that suffice to withdraw an endpoint from all tables.
+// endpointIdentity has the fields of an entry that suffice to withdraw the endpoint from all tables.
 type endpointIdentity struct{ host, health string }
 
-// Keys of an entry's identity. Each value is decoded on its own.
+// endpointIdentityJSON has the keys of an entry's identity. Each value is decoded separately, so that an invalid health value
+// does not prevent decoding the name.
 type endpointIdentityJSON struct {
 	Host   json.RawMessage `json:"host"`
 	Health json.RawMessage `json:"health"`
@@ -73,7 +74,7 @@
 		return EndpointList{}, fmt.Errorf("%w: %w", ErrNotAList, err)
 	}
 	if in.Seq == nil || in.Complete == nil || *in.Seq < 0 {
-		return EndpointList{}, fmt.Errorf("%w: seq or whole is missing, or seq is below 0", ErrNotAList)
+		return EndpointList{}, fmt.Errorf("%w: seq or whole is missing, or seq is negative", ErrNotAList)
 	}
 	list := EndpointList{
 		Update:               policyapi.EndpointUpdate{Version: policyapi.ListVersion(*in.Seq), Kind: policyapi.Delta},
@@ -96,7 +97,7 @@
 	return list, nil
 }
 
-// drop records an entry that can't be used.
+// drop records an invalid entry.
 func (l *EndpointList) drop(raw []byte, reason *EntryError) {
 	l.Dropped = append(l.Dropped, reason)
 	identity, err := readIdentity(raw)
@@ -107,7 +108,7 @@
 	l.Unreadable = append(l.Unreadable, policyapi.EndpointID(identity.host))
 }
 
-// readIdentity decodes an entry's name and health even if its other fields are invalid.
+// readIdentity decodes an entry's name and health even if the other fields are invalid.
 func readIdentity(raw []byte) (identity endpointIdentity, err error) {
 	var fields endpointIdentityJSON
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -122,11 +123,12 @@
 	return identity, nil
 }
 
-// isEncodableName reports whether messages can carry an endpoint's name.
+// isEncodableName reports whether messages can carry an endpoint's name: it must be non-empty and must not contain a separator.
 func isEncodableName(name string) bool { return name != "" && !strings.ContainsAny(name, ",+ \r\n") }
 
-// readEntry decodes an entry and its health-check address, which is empty if it is invalid. For an endpoint that is draining or
-// removed, name and health suffice: the drain must not be lost because another field is invalid.
+// readEntry decodes an entry into an endpoint and its health-check address; an invalid address is returned as the empty string.
+// For an endpoint that is draining or removed, name and health suffice: the drain must not be lost because another field is
+// invalid.
 func readEntry(raw []byte, zones []policyapi.Zone) (policyapi.Endpoint, string, *EntryError) {
 	identity, err := readIdentity(raw)
 	var in endpointEntryJSON
@@ -137,7 +139,7 @@
 	if err != nil {
 		reason = err.Error()
 	} else {
-		reason = in.invalid(zones)
+		reason = in.invalidReason(zones)
 	}
 	if reason != "" {
 		status, known := endpointStatuses[identity.health]
@@ -148,21 +150,21 @@
 	}
 	address := in.Dial
 	if !isHostPort(address) {
-		address = "" // it can be named in tables, but not checked
+		address = "" // tables can name the endpoint, but its health can't be checked
 	}
 	return in.endpoint(), address, nil
 }
 
-// invalid returns why an entry can't be used; "" if it can.
-func (e *endpointEntryJSON) invalid(zones []policyapi.Zone) string {
+// invalidReason returns why the entry is invalid, or "" if it is valid.
+func (e *endpointEntryJSON) invalidReason(zones []policyapi.Zone) string {
 	status, known := endpointStatuses[e.Health]
 	switch {
 	case !isEncodableName(e.Host):
-		return "no message can carry this name"
+		return "the name is empty or contains a separator of the protocol"
 	case !known:
-		return fmt.Sprintf("health %q is not known", e.Health)
+		return fmt.Sprintf("health %q is not Ready, Terminating or Gone", e.Health)
 	case status != policyapi.Removed && !slices.Contains(zones, policyapi.Zone(e.Site)):
-		return fmt.Sprintf("site %q is not in the settings", e.Site)
+		return fmt.Sprintf("site %q is not a zone of the settings", e.Site)
 	case e.Share < 0 || e.Share > math.MaxInt32 || e.BornAtMs < 0 || e.BornAtMs > maxTimeMilliseconds:
 		return fmt.Sprintf("share %g or born_ms %g is out of range", e.Share, e.BornAtMs)
 	default:
--- a/proxyproto/endpointlist_test.go
+++ b/proxyproto/endpointlist_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-// Name and health suffice to withdraw an endpoint.
+// An entry with a name and a health value withdraws its endpoint even if other fields are invalid.
 func TestReadEndpointListKeepsWithdrawals(t *testing.T) {
 	for _, c := range []struct {
 		name, entry string
@@ -38,13 +38,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			list := readEntries(t, c.entry)
 			if !slices.Equal(list.Update.Endpoints, []policyapi.Endpoint{c.want}) || len(list.Dropped) != 0 || list.HasUnnamed {
-				t.Errorf("%+v, want %+v", list, c.want)
+				t.Errorf("got list %+v, want only endpoint %+v", list, c.want)
 			}
 		})
 	}
 }
 
-// An invalid entry is dropped without the others, and its endpoint is reported if its name can be read.
+// An invalid entry is dropped, the others are kept, and the entry's endpoint is reported if its name can be read.
 func TestReadEndpointListDropsInvalidEntries(t *testing.T) {
 	const valid = `{"host":"s-0","dial":"h:1","site":"a","health":"Ready","share":1}`
 	for _, c := range []struct {
@@ -64,16 +64,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			list := readEntries(t, valid, c.entry)
 			if len(list.Update.Endpoints) != 1 || list.Update.Endpoints[0].ID != "s-0" || list.HealthCheckAddresses["s-0"] != "h:1" {
-				t.Errorf("the valid entry: %+v", list)
+				t.Errorf("got list %+v, want only s-0 at h:1", list)
 			}
 			if len(list.Dropped) != 1 || !slices.Equal(list.Unreadable, c.unreadable) || list.HasUnnamed != (c.unreadable == nil) {
-				t.Errorf("dropped %v, unreadable %v, unnamed %t", list.Dropped, list.Unreadable, list.HasUnnamed)
+				t.Errorf("got dropped %v, unreadable %v, unnamed %t; want one dropped entry, unreadable %v, unnamed %t",
+					list.Dropped, list.Unreadable, list.HasUnnamed, c.unreadable, c.unreadable == nil)
 			}
 		})
 	}
 }
 
-// Several dropped entries among usable ones, in the order of the list.
+// With several invalid entries among valid ones, the endpoints and the unreadable names keep the order of the list.
 func TestReadEndpointListKeepsTheOrderOfEntries(t *testing.T) {
 	list := readEntries(t,
 		`{"host":"s-1","site":"nowhere","health":"Terminating"}`,
@@ -86,14 +87,15 @@
 		ids = append(ids, e.ID)
 	}
 	if !slices.Equal(ids, []policyapi.EndpointID{"s-1", "s-5"}) {
-		t.Errorf("endpoints %v", ids)
+		t.Errorf("got endpoints %v, want s-1 and s-5", ids)
 	}
 	if !slices.Equal(list.Unreadable, []policyapi.EndpointID{"s-2", "s-3"}) || !list.HasUnnamed || len(list.Dropped) != 3 {
-		t.Errorf("unreadable %v, unnamed %t, dropped %v", list.Unreadable, list.HasUnnamed, list.Dropped)
+		t.Errorf("got unreadable %v, unnamed %t, dropped %v; want s-2 and s-3, an unnamed entry, three dropped entries",
+			list.Unreadable, list.HasUnnamed, list.Dropped)
 	}
 }
 
-// Version and kind of a list, addresses that can't be used, keys of a later version.
+// A list has its version and kind, invalid addresses are left out, and keys of a later version are ignored.
 func TestReadEndpointList(t *testing.T) {
 	list, err := ReadEndpointList([]byte(`{"seq":43,"whole":false,"later":[1],"hosts":[
 		{"host":"s-1","dial":"h:1","site":"a","class":"m2","block":3,"health":"Terminating","share":1.5,"born_ms":2.5,"later":{}},
@@ -103,7 +105,7 @@
 		t.Fatal(err)
 	}
 	if list.Update.Kind != policyapi.Delta || list.Update.Version != 43 || len(list.Dropped) != 0 {
-		t.Errorf("%+v", list)
+		t.Errorf("got list %+v, want a delta of version 43 without dropped entries", list)
 	}
 	want := []policyapi.Endpoint{
 		{ID: "s-1", Zone: "a", Weight: 1.5, Pod: 3, StartedAt: 2500, MachineType: "m2", Status: policyapi.Draining},
@@ -111,10 +113,10 @@
 		{ID: "s-9", Zone: "b", Status: policyapi.Ready},
 	}
 	if !slices.Equal(list.Update.Endpoints, want) {
-		t.Errorf("%+v, want %+v", list.Update.Endpoints, want)
+		t.Errorf("got endpoints %+v, want %+v", list.Update.Endpoints, want)
 	}
 	if len(list.HealthCheckAddresses) != 1 || list.HealthCheckAddresses["s-1"] != "h:1" {
-		t.Errorf("addresses %v", list.HealthCheckAddresses)
+		t.Errorf("got addresses %v, want only s-1 at h:1", list.HealthCheckAddresses)
 	}
 }
 
@@ -126,7 +128,7 @@
 		`{"seq":1,"whole":true,"hosts":7}`,
 	} {
 		if _, err := ReadEndpointList([]byte(text), testSettings.Zones); !errors.Is(err, ErrNotAList) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got error %v, want ErrNotAList", text, err)
 		}
 	}
 }
--- a/proxyproto/fleetmodel_test.go
+++ b/proxyproto/fleetmodel_test.go
@@ -14,31 +14,31 @@
 	"porthub/proxyproto"
 )
 
-// fleetModel runs one coordinator, its decision module and its publisher, under a virtual clock: with a channel that drains at the stated
-// rate or slower, proxies as the protocol describes them, and the oracle that checks the rules.
+// fleetModel simulates one coordinator, with its decision module and publisher, under a virtual clock. Its channel drains at the
+// rate of the settings or slower, its proxies follow the protocol, and an oracle checks the rules.
 type fleetModel struct {
 	t        testing.TB
 	random   *rand.Rand
 	settings policyapi.Start
-	slowdown float64 // the channel runs so many times slower than stated
-	ackLoss  float64 // the fraction of acknowledgements that are lost
+	slowdown float64 // factor by which the channel is slower than the settings state
+	ackLoss  float64 // fraction of acknowledgements that are lost
 
 	now         policyapi.Microseconds
 	module      *policy.Instance
 	publisher   *proxyproto.Publisher
 	timers      map[policyapi.Microseconds][]policyapi.TimerToken
-	agenda      schedule
+	scheduled   actionHeap
 	actionCount int
 	batch       []policyapi.Event
 	oracle      *oracle
 	proxies     map[policyapi.ProxyID]*connectedProxy
-	everSeen    map[policyapi.ProxyID]*modelProxy // all that ever connected, with their state
+	everSeen    map[policyapi.ProxyID]*modelProxy // all proxies that have ever connected
 	list        map[policyapi.EndpointID]policyapi.Endpoint
 	version     policyapi.ListVersion
-	failing     map[policyapi.EndpointID]bool // all attempts fail
+	failing     map[policyapi.EndpointID]bool // endpoints whose attempts all fail
 
 	queueEmptyAt policyapi.Microseconds // when the last message leaves the channel
-	inQueue      []queued
+	inQueue      []queuedMessage
 	tables       map[policyapi.TableID]map[policyapi.EndpointID]float64
 	bound        map[policyapi.ProxyID][]policyapi.TableID // by class
 	messages     int
@@ -48,44 +48,44 @@
 type connectedProxy struct {
 	*modelProxy
 	since        policyapi.Microseconds
-	sent         []policyapi.Microseconds // of messages on this stream
-	applied      policyapi.Microseconds   // when the last of them is applied
+	sent         []policyapi.Microseconds // send times of the messages on this stream
+	applied      policyapi.Microseconds   // when the last message is applied
 	load         float64                  // requests a second
 	disconnected bool
 }
 
-// queued is a message in the channel.
-type queued struct {
+// queuedMessage is a message in the channel.
+type queuedMessage struct {
 	proxy    *connectedProxy
 	leavesAt policyapi.Microseconds
 	lines    float64
 }
 
-// scheduledAction is something that happens at a time.
+// scheduledAction is a function that runs at a given time.
 type scheduledAction struct {
 	at    policyapi.Microseconds
 	order int
 	run   func()
 }
 
-// schedule is a heap of actions, by time and then in the order in which they were scheduled.
-type schedule []scheduledAction
+// actionHeap is a heap of actions, ordered by time and, for the same time, by when they were scheduled.
+type actionHeap []scheduledAction
 
 // Len is part of heap.Interface, as are the methods below.
-func (s *schedule) Len() int { return len(*s) }
-func (s *schedule) Less(i, j int) bool {
+func (s *actionHeap) Len() int { return len(*s) }
+func (s *actionHeap) Less(i, j int) bool {
 	a, b := (*s)[i], (*s)[j]
 	return a.at < b.at || a.at == b.at && a.order < b.order
 }
-func (s *schedule) Swap(i, j int) { (*s)[i], (*s)[j] = (*s)[j], (*s)[i] }
-func (s *schedule) Push(x any)    { *s = append(*s, x.(scheduledAction)) }
-func (s *schedule) Pop() any {
+func (s *actionHeap) Swap(i, j int) { (*s)[i], (*s)[j] = (*s)[j], (*s)[i] }
+func (s *actionHeap) Push(x any)    { *s = append(*s, x.(scheduledAction)) }
+func (s *actionHeap) Pop() any {
 	last := (*s)[len(*s)-1]
 	*s = (*s)[:len(*s)-1]
 	return last
 }
 
-// tick is how often the coordinator takes a batch, at most.
+// tick is the shortest time between two batches of the coordinator.
 const tick = second / 20
 
 func newFleetModel(t testing.TB, settings policyapi.Start, seed uint64) *fleetModel {
@@ -97,7 +97,7 @@
 	return m
 }
 
-// restartCoordinator starts the coordinator without state: the messages in its channel and its timers are lost.
+// restartCoordinator restarts the coordinator without state: the messages in its channel and its timers are lost.
 func (m *fleetModel) restartCoordinator() {
 	m.settings.Seed = m.random.Uint64()
 	m.module, m.publisher = policy.New(m.settings), proxyproto.NewPublisher(m.settings.Classes)
@@ -111,7 +111,7 @@
 	m.oracle.restart(m.now)
 }
 
-// failModule replaces the decision module by a new one after a failure, as the live coordinator does.
+// failModule replaces the decision module as after a panic, in the same way as package proxyserver does.
 func (m *fleetModel) failModule() {
 	failed := m.module
 	m.module, m.publisher = policy.New(m.settings), m.publisher.Restart()
@@ -133,10 +133,10 @@
 	return names
 }
 
-// after schedules an action.
-func (m *fleetModel) after(wait policyapi.Microseconds, do func()) {
+// after schedules an action to run after a delay.
+func (m *fleetModel) after(delay policyapi.Microseconds, action func()) {
 	m.actionCount++
-	heap.Push(&m.agenda, scheduledAction{m.now + wait, m.actionCount, do})
+	heap.Push(&m.scheduled, scheduledAction{m.now + delay, m.actionCount, action})
 }
 
 func (m *fleetModel) enqueue(e policyapi.Event) { m.batch = append(m.batch, e) }
@@ -167,8 +167,8 @@
 	m.enqueue(list)
 }
 
-// connect connects a proxy's stream. One that has been connected before keeps its tables; a new one has its default table, or the
-// table earlierTable of another coordinator.
+// connect connects a proxy's stream. A proxy that was connected before keeps its tables; a new one has its default table, or
+// earlierTable from another coordinator.
 func (m *fleetModel) connect(id policyapi.ProxyID, zone policyapi.Zone, load float64, earlierTable ...policyapi.EndpointID) {
 	p := m.everSeen[id]
 	isNew := p == nil && len(earlierTable) == 0
@@ -192,7 +192,7 @@
 	m.enqueue(connected)
 }
 
-// defaultTable returns the endpoints of a proxy's own table: a few that are ready when it starts.
+// defaultTable returns the endpoints of a proxy's default table: up to six endpoints of its zone that are ready when it starts.
 func (m *fleetModel) defaultTable(zone policyapi.Zone) (ids []policyapi.EndpointID) {
 	for _, id := range slices.Sorted(maps.Keys(m.list)) {
 		if e := m.list[id]; e.Zone == zone && e.Status == policyapi.Ready && len(ids) < 6 {
@@ -202,7 +202,7 @@
 	return ids
 }
 
-// disconnect ends a proxy's stream: messages on their way to it are lost.
+// disconnect ends a proxy's stream. Messages that are on their way to the proxy are lost.
 func (m *fleetModel) disconnect(id policyapi.ProxyID) {
 	if p := m.proxies[id]; p != nil {
 		p.disconnected = true
@@ -214,12 +214,12 @@
 	}
 }
 
-// run advances the clock.
+// run advances the clock by d and runs everything that is due.
 func (m *fleetModel) run(d policyapi.Microseconds) {
 	for end := m.now + d; m.now < end; {
 		m.now += tick
-		for len(m.agenda) > 0 && m.agenda[0].at <= m.now {
-			heap.Pop(&m.agenda).(scheduledAction).run()
+		for len(m.scheduled) > 0 && m.scheduled[0].at <= m.now {
+			heap.Pop(&m.scheduled).(scheduledAction).run()
 		}
 		for _, at := range slices.Sorted(maps.Keys(m.timers)) {
 			if at <= m.now {
@@ -238,7 +238,7 @@
 	}
 }
 
-// checkRules checks all connected proxies.
+// checkRules checks the rules for all connected proxies.
 func (m *fleetModel) checkRules() {
 	for _, id := range slices.Sorted(maps.Keys(m.proxies)) {
 		m.oracle.check(m.now, m.proxies[id].since, m.proxies[id].modelProxy)
@@ -258,7 +258,7 @@
 	}
 }
 
-// trackOrder sets timers and follows tables and binds for describeOrders.
+// trackOrder sets timers, and records tables and binds for describeOrders.
 func (m *fleetModel) trackOrder(order policyapi.Order) {
 	switch o := order.(type) {
 	case policyapi.SetTimer:
@@ -286,19 +286,19 @@
 	}
 }
 
-// describeOrders describes which table a proxy is bound to, and the weights that were ordered for the table.
+// describeOrders describes the table that a proxy is bound to for a class, and the endpoints that were ordered for the table.
 func (m *fleetModel) describeOrders(id policyapi.ProxyID, class int) string {
 	tables := m.bound[id]
 	if tables == nil {
 		return "bound to no table"
 	}
-	return fmt.Sprintf("bound to table %d, ordered to hold %v", tables[class], slices.Sorted(maps.Keys(m.tables[tables[class]])))
+	return fmt.Sprintf("bound to table %d with the ordered endpoints %v", tables[class], slices.Sorted(maps.Keys(m.tables[tables[class]])))
 }
 
-// dropWaiting removes from the channel what waits for a proxy that has disconnected. Later messages take its place, those that wait
-// already keep their time: a trace of acknowledgements on a simulated day shows both.
+// dropWaiting removes the messages for a disconnected proxy from the channel. Later messages are carried earlier because of that,
+// but messages that are already queued keep their times: a trace of acknowledgements on a simulated day shows both.
 func (m *fleetModel) dropWaiting(p *connectedProxy) {
-	m.inQueue = slices.DeleteFunc(m.inQueue, func(q queued) bool {
+	m.inQueue = slices.DeleteFunc(m.inQueue, func(q queuedMessage) bool {
 		if q.proxy != p || q.leavesAt <= m.now {
 			return false
 		}
@@ -307,12 +307,12 @@
 	})
 }
 
-// carryTime is how long the channel takes to carry some lines.
+// carryTime returns how long the channel takes to carry a number of lines.
 func (m *fleetModel) carryTime(lines float64) policyapi.Microseconds {
 	return policyapi.Microseconds(lines * m.slowdown / m.settings.Channel.LinesPerSecond * float64(second))
 }
 
-// waitingLines is the number of lines in the channel.
+// waitingLines returns the number of lines in the channel.
 func (m *fleetModel) waitingLines() (lines float64) {
 	for _, message := range m.inQueue {
 		if message.leavesAt > m.now {
@@ -326,13 +326,13 @@
 func (m *fleetModel) send(message proxyproto.OutboundMessage) {
 	p := m.proxies[message.Proxy]
 	if p == nil {
-		m.t.Fatalf("%v: a message for proxy %d, which is not connected", m.now, message.Proxy)
+		m.t.Fatalf("at %v: message for proxy %d, which is not connected", m.now, message.Proxy)
 	}
 	m.messages++
 	lines := float64(message.Lines) + m.settings.Channel.MessageOverhead
 	m.queueEmptyAt = max(m.queueEmptyAt, m.now) + m.carryTime(lines)
-	m.inQueue = slices.DeleteFunc(m.inQueue, func(q queued) bool { return q.leavesAt <= m.now })
-	m.inQueue = append(m.inQueue, queued{p, m.queueEmptyAt, lines})
+	m.inQueue = slices.DeleteFunc(m.inQueue, func(q queuedMessage) bool { return q.leavesAt <= m.now })
+	m.inQueue = append(m.inQueue, queuedMessage{p, m.queueEmptyAt, lines})
 	m.checkQueue(p)
 	travel := m.settings.Channel.Latency/2 + policyapi.Microseconds(m.random.Int64N(int64(m.settings.Channel.MaxLatency-m.settings.Channel.Latency/2)))
 	p.applied = max(p.applied, m.queueEmptyAt+travel)
@@ -358,7 +358,7 @@
 	})
 }
 
-// checkQueue checks rule 5: the lines in the queue, and the messages to one proxy since it has connected.
+// checkQueue checks rule 5, which limits the lines in the queue and the messages on one stream within a window.
 func (m *fleetModel) checkQueue(p *connectedProxy) {
 	waiting := m.waitingLines()
 	if rules := m.settings.Rules; waiting > rules.QueueLimit {
@@ -371,7 +371,8 @@
 	}
 }
 
-// reportLoad reports the proxies' demand and the endpoints' load that follows from the tables, and schedules the next round.
+// reportLoad reports the demand of the proxies and the resulting load of the endpoints in their tables, and schedules the next
+// report.
 func (m *fleetModel) reportLoad() {
 	m.after(m.settings.Reports.Period, m.reportLoad)
 	type pair struct {
--- a/proxyproto/messagereader.go
+++ b/proxyproto/messagereader.go
@@ -16,25 +16,25 @@
 	// maxTimeMilliseconds bounds every time in a message to about a thousand years, so that the conversion to microseconds can't
 	// overflow.
 	maxTimeMilliseconds = 4e13
-	// maxMeasuredMilliseconds bounds a period or latency that a proxy or collector has measured: an hour. Reports come each
-	// second, delayed ones within minutes; a longer period would outweigh all earlier reports.
+	// maxMeasuredMilliseconds bounds a period or latency that a proxy or collector has measured. It is one hour: reports arrive
+	// every second, delayed ones within minutes, and a longer period would outweigh all earlier reports.
 	maxMeasuredMilliseconds = 3600 * 1000
-	// maxLoggedBytes is the number of bytes of a peer's text that an error quotes.
+	// maxLoggedBytes is the maximum number of bytes of a peer's text that an error quotes.
 	maxLoggedBytes = 24
 )
 
-// messageReader reads a message's fields, which are alternating names and values. It retains the first error in err; values returned
-// after it are meaningless.
+// messageReader reads a message's fields, which are alternating names and values. It retains the first error in err; values
+// returned after an error are meaningless.
 type messageReader struct {
 	name  string
 	words [][]byte
 	err   *ProtocolError
 }
 
-// wrap returns the error of the message under a sentinel.
+// wrap returns the recorded error, wrapped together with a sentinel error.
 func (m *messageReader) wrap(sentinel error) error { return fmt.Errorf("%w: %w", sentinel, m.err) }
 
-// fail records an error in a field.
+// fail records an error in a field, unless an earlier error is recorded.
 func (m *messageReader) fail(field, reason string) {
 	if m.err == nil {
 		m.err = &ProtocolError{Message: shorten(m.name), Field: field, Reason: reason}
@@ -47,7 +47,7 @@
 // text returns a field's value. The field must occur exactly once.
 func (m *messageReader) text(field string) string {
 	if len(m.words)%2 != 0 {
-		m.fail(field, "the message has a name without a value")
+		m.fail(field, "the message has a field name without a value")
 	}
 	value := ""
 	found := 0
@@ -58,7 +58,7 @@
 		}
 	}
 	if found != 1 {
-		m.fail(field, fmt.Sprintf("occurs %d times, must occur once", found))
+		m.fail(field, fmt.Sprintf("occurs %d times, want once", found))
 	}
 	return value
 }
@@ -86,24 +86,25 @@
 	return v
 }
 
-// integer returns a whole number from 0 to maximum.
+// integer returns an integer from 0 to maximum.
 func (m *messageReader) integer(field string, maximum int) int {
 	text := m.text(field)
 	v, err := strconv.ParseUint(text, 10, 31)
 	switch {
 	case err != nil:
-		m.fail(field, fmt.Sprintf("%q is not a whole number from 0 on", shorten(text)))
+		m.fail(field, fmt.Sprintf("%q is not a non-negative integer", shorten(text)))
 	case int(v) > maximum:
-		m.fail(field, fmt.Sprintf("%d is over %d", v, maximum))
+		m.fail(field, fmt.Sprintf("%d is greater than %d", v, maximum))
 	}
 	return int(v)
 }
 
-// duration returns a time of at most so many milliseconds.
+// duration returns a duration that is sent in milliseconds, from 0 to maxMilliseconds.
 func (m *messageReader) duration(field string, maxMilliseconds float64) policyapi.Microseconds {
 	return millisecondsToMicroseconds(m.number(field, 0, maxMilliseconds))
 }
 
+// flag returns a field that is sent as 0 or 1.
 func (m *messageReader) flag(field string) bool {
 	text := m.text(field)
 	if text != "0" && text != "1" {
@@ -119,7 +120,7 @@
 func (m *messageReader) zone(v *Validator) policyapi.Zone {
 	zone := policyapi.Zone(m.text("az"))
 	if !slices.Contains(v.zones, zone) {
-		m.fail("az", fmt.Sprintf("%q is not in the settings", shorten(string(zone))))
+		m.fail("az", fmt.Sprintf("%q is not a zone of the settings", shorten(string(zone))))
 	}
 	return zone
 }
@@ -128,7 +129,7 @@
 	name := m.text("kind")
 	class, has := v.classes[name]
 	if !has {
-		m.fail("kind", fmt.Sprintf("%q is not in the settings", shorten(name)))
+		m.fail("kind", fmt.Sprintf("%q is not a request class of the settings", shorten(name)))
 	}
 	return class
 }
@@ -137,15 +138,16 @@
 	text := m.text(field)
 	metrics, ok := parseLoadReport(text)
 	if !ok {
-		m.fail(field, fmt.Sprintf("%q is not a list of name:figure with figures from 0 on", shorten(text)))
+		m.fail(field, fmt.Sprintf("%q is not a list of name:value pairs with non-negative values", shorten(text)))
 	}
 	return metrics
 }
 
-// shorten limits a peer's text to what an error quotes.
+// shorten truncates a peer's text to the maxLoggedBytes that an error quotes.
 func shorten(text string) string { return text[:min(len(text), maxLoggedBytes)] }
 
-// parseDecimal parses a plain decimal number. It rejects the other forms that Go accepts (NaN, hexadecimals, underscores).
+// parseDecimal parses a decimal number. It rejects the other forms that strconv.ParseFloat accepts, such as NaN and hexadecimal
+// numbers.
 func parseDecimal(text string) (float64, bool) {
 	if text == "" || strings.Trim(text, "+-.0123456789eE") != "" {
 		return 0, false
@@ -154,7 +156,7 @@
 	return v, err == nil
 }
 
-// millisecondsToMicroseconds converts a time of the platform.
+// millisecondsToMicroseconds converts one of the platform's times to the unit of the decision module.
 func millisecondsToMicroseconds(milliseconds float64) policyapi.Microseconds {
 	return policyapi.Microseconds(math.Round(milliseconds * microsecondsPerMillisecond))
 }
--- a/proxyproto/metrics.go
+++ b/proxyproto/metrics.go
@@ -7,8 +7,8 @@
 	"porthub/policyapi"
 )
 
-// MetricNames maps the names of load metrics on the platform to those of the decision module. The protocol's page has names of its
-// own, settings and reports use the module's: both are accepted.
+// MetricNames maps the names of load metrics on the platform to those of the decision module. The protocol's specification has
+// its own names, while settings and reports use the module's; both are accepted.
 var MetricNames = map[string]string{
 	"inflight":   "rif",
 	"util":       "busy",
@@ -25,8 +25,8 @@
 	"lat_ms":    "lat_ms",
 }
 
-// parseLoadReport parses a load report of the form name:figure,name:figure. A report with one invalid figure is rejected completely,
-// since its other figures can't be relied on. Unknown names are ignored; "" and "-" are reports without figures.
+// parseLoadReport parses a load report of the form name:value,name:value. A report with an invalid value is rejected completely,
+// since its other values can't be relied on. Unknown names are ignored; "" and "-" are reports without values.
 func parseLoadReport(text string) (policyapi.LoadMetrics, bool) {
 	if text == "" || text == "-" {
 		return nil, true
--- a/proxyproto/modelproxy_test.go
+++ b/proxyproto/modelproxy_test.go
@@ -12,7 +12,7 @@
 	"porthub/resp"
 )
 
-// modelProxy is a proxy as the protocol page describes one: it has a table for each request class and a set of ejected
+// modelProxy models a proxy according to the protocol's specification. It has a table for each request class and a set of ejected
 // endpoints, keeps both when its stream is replaced, and applies CONFIG messages to them.
 type modelProxy struct {
 	id          policyapi.ProxyID
@@ -31,7 +31,7 @@
 	return p
 }
 
-// setTables replaces all tables by a proxy's default table, or by the table of another coordinator.
+// setTables replaces the tables of all classes, by the proxy's default table or by the table of another coordinator.
 func (p *modelProxy) setTables(endpoints ...policyapi.EndpointID) {
 	for class := range p.tables {
 		p.tables[class] = map[policyapi.EndpointID]float64{}
@@ -46,7 +46,7 @@
 	return p.tables[class][id] > 0 && !p.ejected[id]
 }
 
-// offersAny reports whether a request of a class could go anywhere.
+// offersAny reports whether a request of a class could go to at least one endpoint.
 func (p *modelProxy) offersAny(class int) bool {
 	for id := range p.tables[class] {
 		if p.offers(class, id) {
@@ -56,13 +56,13 @@
 	return false
 }
 
-// apply applies one message in all its parts.
+// apply applies all parts of one message.
 func (p *modelProxy) apply(t testing.TB, message []byte) {
 	p.lastMessage = ""
 	for len(message) > 0 {
 		words, size, err := resp.Parse(message, proxyproto.IncomingLimits)
 		if err != nil || size == 0 {
-			t.Fatalf("proxy %d: not complete messages: %v", p.id, err)
+			t.Fatalf("proxy %d: incomplete or invalid message: %v", p.id, err)
 		}
 		p.applyPart(t, words)
 		p.lastMessage += resp.Text(words, 1<<12) + " "
@@ -72,7 +72,7 @@
 
 func (p *modelProxy) applyPart(t testing.TB, words [][]byte) {
 	if string(words[0]) != "CONFIG" || len(words)%2 == 0 {
-		t.Fatalf("proxy %d: not an order: %s", p.id, resp.Text(words, 200))
+		t.Fatalf("proxy %d: not a valid CONFIG message: %s", p.id, resp.Text(words, 200))
 	}
 	fields := map[string]string{}
 	for i := 1; i < len(words); i += 2 {
@@ -100,7 +100,7 @@
 		id, text, _ := strings.Cut(row, ":")
 		weight, err := strconv.ParseFloat(text, 64)
 		if err != nil || weight < 0 {
-			t.Fatalf("proxy %d: row %q", p.id, row)
+			t.Fatalf("proxy %d: invalid row %q", p.id, row)
 		}
 		p.tables[class][policyapi.EndpointID(id)] = weight
 		if weight == 0 {
@@ -109,7 +109,7 @@
 	}
 }
 
-// splitList splits a list of the protocol; the empty text has no members.
+// splitList splits a comma-separated list of the protocol. The empty text is the empty list.
 func splitList(text string) []string {
 	return strings.FieldsFunc(text, func(r rune) bool { return r == ',' })
 }
@@ -126,16 +126,16 @@
 	p.apply(t, message("CONFIG", "for", "save", "replace", "1", "rows", "s-1:1.5,s-2:0.5", "part", "1"))
 	p.apply(t, message("CONFIG", "rows", "s-2:0,s-3:1", "drop", "s-1", "stamp", "7"))
 	if got := p.endpoints(0); !slices.Equal(got, []policyapi.EndpointID{"s-0", "s-3"}) {
-		t.Errorf("view: %v", got)
+		t.Errorf("class view: got endpoints %v, want s-0 and s-3", got)
 	}
 	if got := p.endpoints(1); !slices.Equal(got, []policyapi.EndpointID{"s-1", "s-3"}) {
-		t.Errorf("save: %v", got)
+		t.Errorf("class save: got endpoints %v, want s-1 and s-3", got)
 	}
 	if p.offers(1, "s-1") || !p.offers(1, "s-3") {
-		t.Error("an ejected endpoint is offered, or another is not")
+		t.Error("the ejected endpoint s-1 is offered, or s-3 is not offered")
 	}
 	p.apply(t, message("CONFIG", "undrop", "s-1"))
 	if !p.offers(1, "s-1") {
-		t.Error("a restored endpoint is not offered")
+		t.Error("the restored endpoint s-1 is not offered")
 	}
 }
--- a/proxyproto/oracle_test.go
+++ b/proxyproto/oracle_test.go
@@ -10,7 +10,7 @@
 
 const (
 	second policyapi.Microseconds = 1_000_000
-	slack                         = 300_000 * policyapi.Microseconds(1) // the protocol's slack on the time limits of the rules
+	slack                         = 300_000 * policyapi.Microseconds(1) // tolerance of the protocol on the time limits of the rules
 )
 
 // finding is one violation of a rule.
@@ -26,24 +26,24 @@
 	return fmt.Sprintf("%8.2f s: rule %s, proxy %d, class %s: %s", float64(f.at)/float64(second), f.rule, f.proxy, f.class, f.detail)
 }
 
-// listedEndpoint is an endpoint as last delivered to the coordinator, and since when it has its status.
+// listedEndpoint is an endpoint as last delivered to the coordinator.
 type listedEndpoint struct {
 	endpoint policyapi.Endpoint
-	since    policyapi.Microseconds // of the status
-	// drained is set once the list has called it draining: with soft removal, only that withdraws it.
+	since    policyapi.Microseconds // when it last became ready, stopped being ready, or began to drain
+	// drained is set once the endpoint is listed as draining. With soft removal, only a drain withdraws an endpoint.
 	drained bool
 }
 
-// oracle checks the rules on drains (3) and on proxies without an endpoint (1) against the proxies' tables.
+// oracle checks the tables of proxies against the rules on drains (3) and on proxies without an endpoint (1).
 type oracle struct {
 	rules      policyapi.RuleSettings
 	classes    []policyapi.ClassSettings
-	factor     policyapi.Microseconds // the channel runs so many times slower than stated: time limits are as much longer
-	started    policyapi.Microseconds // of the coordinator
+	factor     policyapi.Microseconds // multiplies the time limits if the channel is slower than the settings state
+	started    policyapi.Microseconds // when the coordinator started
 	endpoints  map[policyapi.EndpointID]*listedEndpoint
 	emptySince map[emptyTableKey]policyapi.Microseconds
 	findings   []finding
-	expected   func(proxy policyapi.ProxyID, class int) string // what was ordered, for the report
+	expected   func(proxy policyapi.ProxyID, class int) string // describes what was ordered, for findings
 }
 
 type emptyTableKey struct {
@@ -56,7 +56,7 @@
 		expected: func(policyapi.ProxyID, int) string { return "" }}
 }
 
-// restart resets the oracle for a coordinator that has only its cached list.
+// restart resets the oracle for a coordinator that starts with only its cached list.
 func (o *oracle) restart(now policyapi.Microseconds) {
 	o.started = now
 	o.endpoints = map[policyapi.EndpointID]*listedEndpoint{}
@@ -97,18 +97,18 @@
 		l.drained = false
 	case policyapi.Draining:
 		if !l.drained && o.rules.SoftRemoval {
-			l.since = now // an earlier removal did not withdraw it
+			l.since = now // an earlier removal did not withdraw the endpoint
 		}
 		l.drained = true
 	}
 	l.endpoint = e
 }
 
-// withdrawnSince returns since when an endpoint must not be offered, false if it may be.
-func (o *oracle) withdrawnSince(id policyapi.EndpointID) (since policyapi.Microseconds, is bool) {
+// withdrawnSince returns the time from which an endpoint must not be offered. It returns false if the endpoint may be offered.
+func (o *oracle) withdrawnSince(id policyapi.EndpointID) (since policyapi.Microseconds, withdrawn bool) {
 	l := o.endpoints[id]
 	if l == nil {
-		return o.started, !o.rules.SoftRemoval // no list of this coordinator has it
+		return o.started, !o.rules.SoftRemoval // no list since the start contains the endpoint
 	}
 	if l.endpoint.Status == policyapi.Ready || o.rules.SoftRemoval && !l.drained {
 		return 0, false
@@ -116,13 +116,13 @@
 	return l.since, true
 }
 
-// check checks the tables that a connected proxy has now.
+// check checks the current tables of a connected proxy.
 func (o *oracle) check(now, connected policyapi.Microseconds, p *modelProxy) {
 	for class, settings := range o.classes {
 		for _, id := range p.endpoints(class) {
-			since, is := o.withdrawnSince(id)
+			since, withdrawn := o.withdrawnSince(id)
 			deadline := max(since, connected) + o.rules.DrainGracePeriod*o.factor + slack
-			if is && now > deadline && p.offers(class, id) {
+			if withdrawn && now > deadline && p.offers(class, id) {
 				o.findings = append(o.findings, finding{"drain", now, p.id, settings.Name, fmt.Sprintf(
 					"%s is offered %.2f s after the grace period (withdrawn at %.2f s, connected at %.2f s); %s; last message: %.300s", id,
 					float64(now-deadline)/float64(second), float64(since)/float64(second), float64(connected)/float64(second), o.expected(p.id, class), p.lastMessage)})
@@ -149,11 +149,11 @@
 	}
 }
 
-// hasUsableEndpoint reports whether a warmed-up ready endpoint is listed to which a class's requests from a zone may go.
+// hasUsableEndpoint reports whether a ready and warmed-up endpoint is listed that requests of a class from a zone may use.
 func (o *oracle) hasUsableEndpoint(now policyapi.Microseconds, zone policyapi.Zone, class policyapi.ClassSettings) bool {
 	for _, l := range o.endpoints {
-		open := (!class.LocalZoneOnly || l.endpoint.Zone == zone) && (len(class.AllowedZones) == 0 || slices.Contains(class.AllowedZones, l.endpoint.Zone))
-		if open && l.endpoint.Status == policyapi.Ready && now-l.endpoint.StartedAt >= o.rules.WarmUp && now-l.since >= 0 {
+		allowed := (!class.LocalZoneOnly || l.endpoint.Zone == zone) && (len(class.AllowedZones) == 0 || slices.Contains(class.AllowedZones, l.endpoint.Zone))
+		if allowed && l.endpoint.Status == policyapi.Ready && now-l.endpoint.StartedAt >= o.rules.WarmUp && now-l.since >= 0 {
 			return true
 		}
 	}
@@ -178,34 +178,35 @@
 	}{{20 * second, 0}, {23 * second, 0}, {23*second + slack, 0}, {23*second + slack + 1, 2}} {
 		o.findings = nil
 		if o.check(step.at, 0, p); len(o.findings) != step.want {
-			t.Errorf("%d findings at %d, want %d: %v", len(o.findings), step.at, step.want, o.findings)
+			t.Errorf("got %d findings at %d µs, want %d: %v", len(o.findings), step.at, step.want, o.findings)
 		}
 	}
 	o.findings = nil
 	if o.check(24*second, 22*second, p); len(o.findings) != 0 {
-		t.Errorf("it connected two seconds ago: %v", o.findings)
+		t.Errorf("proxy that connected 2 s ago: got findings %v, want none", o.findings)
 	}
 	p.ejected["s-1"] = true
 	if o.check(30*second, 0, p); len(o.findings) != 0 {
-		t.Errorf("it is ejected: %v", o.findings)
+		t.Errorf("ejected endpoint: got findings %v, want none", o.findings)
 	}
 	p.setTables("s-3") // never listed
 	if o.check(30*second, 0, p); len(o.findings) != 2 {
-		t.Errorf("%d findings on an endpoint that no list has, want 2", len(o.findings))
+		t.Errorf("endpoint that was never listed: got %d findings, want 2", len(o.findings))
 	}
 	o.findings = nil
 	p.setTables()
 	o.check(30*second, 0, p)
 	o.check(34*second, 0, p)
 	if len(o.findings) != 0 {
-		t.Errorf("empty for no longer than allowed: %v", o.findings)
+		t.Errorf("table empty for 4 s, which is allowed: got findings %v, want none", o.findings)
 	}
 	if o.check(35*second, 0, p); len(o.findings) != 2 || o.findings[0].rule != "empty" {
-		t.Errorf("empty for 5 s: %v", o.findings)
+		t.Errorf("table empty for 5 s: got findings %v, want 2 of rule empty", o.findings)
 	}
 }
 
-// With soft removal only a drain withdraws an endpoint, not its removal from the list, even after an earlier drain has ended.
+// With soft removal only a drain withdraws an endpoint. Its removal from the list does not, even if it was drained and ready
+// again before.
 func TestOracleSoftRemoval(t *testing.T) {
 	o := newOracle(policyapi.RuleSettings{DrainGracePeriod: second, SoftRemoval: true}, []policyapi.ClassSettings{{Name: "view"}})
 	for i, step := range []struct {
@@ -213,8 +214,8 @@
 		want   bool
 	}{{policyapi.Ready, false}, {policyapi.Removed, false}, {policyapi.Draining, true}, {policyapi.Removed, true}, {policyapi.Ready, false}, {policyapi.Removed, false}} {
 		o.applyList(policyapi.Microseconds(i)*second, policyapi.EndpointUpdate{Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: step.status}}})
-		if _, is := o.withdrawnSince("s-1"); is != step.want {
-			t.Errorf("step %d: withdrawn %t", i, is)
+		if _, withdrawn := o.withdrawnSince("s-1"); withdrawn != step.want {
+			t.Errorf("step %d: withdrawn is %t, want %t", i, withdrawn, step.want)
 		}
 	}
 }
--- a/proxyproto/outbound.go
+++ b/proxyproto/outbound.go
@@ -11,22 +11,23 @@
 type OutboundMessage struct {
 	Proxy            policyapi.ProxyID
 	Bytes            []byte          // all parts, encoded
-	Lines            int             // as the protocol counts them, without the message's overhead
-	HasCompleteTable bool            // it replaces at least one table
-	AckID            policyapi.AckID // on the wire; meaningful if RequestsAck
+	Lines            int             // lines as the protocol counts them, without the message's overhead
+	HasCompleteTable bool            // the message replaces at least one table
+	AckID            policyapi.AckID // ack id on the wire; meaningful if RequestsAck is set
 	RequestsAck      bool
 }
 
 // messagePart is one part of a message.
 type messagePart struct {
-	classes   []int // empty: it concerns no request class
+	classes   []int // request classes that the part is for; empty if it has only ejections and the ack id
 	replace   bool
 	rows      []string
 	admission *admission
 }
 
 // compose builds a proxy's message: complete tables that are new to the stream, the ordered weights of other tables, admission
-// levels that differ from those last sent on the stream, ejections and the ack id. Bytes is empty if there is nothing to send.
+// levels that differ from those last sent on the stream, ejections and the ack id. The message has no Bytes if there is nothing to
+// send.
 func (p *Publisher) compose(proxy policyapi.ProxyID, changes *changeSet) OutboundMessage {
 	s := p.streams[proxy]
 	parts := p.tableParts(proxy, s, changes)
@@ -44,8 +45,8 @@
 	return encoder.message
 }
 
-// tableParts returns a part for each table of the stream that has to be sent. Classes share a part if they share the table and it is
-// sent completely, or not, to both: the channel counts the lines once.
+// tableParts returns a part for each table of the stream that has to be sent. Classes that share a table also share its part, so
+// that the channel counts the lines once, unless the complete table has to be sent for some of them only.
 func (p *Publisher) tableParts(proxy policyapi.ProxyID, s *stream, changes *changeSet) []messagePart {
 	rebound := changes.rebound[proxy]
 	if rebound == nil {
@@ -77,21 +78,22 @@
 	return parts
 }
 
-// rows returns the table's rows in the order of their endpoints: all of them, or those that were ordered.
-func (t *table) rows(complete bool, ordered map[policyapi.EndpointID]bool) (rows []string) {
+// rows returns the table's rows, sorted by endpoint: all rows if complete is set, otherwise those of the changed endpoints.
+func (t *table) rows(complete bool, changed map[policyapi.EndpointID]bool) (rows []string) {
 	if complete {
 		for _, id := range slices.Sorted(maps.Keys(t.weights)) {
 			rows = append(rows, formatRow(id, t.weights[id]))
 		}
 		return rows
 	}
-	for _, id := range slices.Sorted(maps.Keys(ordered)) {
+	for _, id := range slices.Sorted(maps.Keys(changed)) {
 		rows = append(rows, formatRow(id, t.weights[id]))
 	}
 	return rows
 }
 
-// addAdmissions adds the levels that have not been sent on the stream: to a part for the same classes, else in parts of their own.
+// addAdmissions adds the levels that have not been sent on the stream. A level is added to a part for the same classes, or to a new
+// part if there is none.
 func (p *Publisher) addAdmissions(s *stream, changes *changeSet, parts []messagePart) []messagePart {
 	for class := range p.classes {
 		due := p.dueAdmission(s, changes, class)
@@ -117,8 +119,8 @@
 	return parts
 }
 
-// dueAdmission returns the admission of a class that has to be sent on the stream, nil if none. A level for all tables that was set
-// earlier is sent with the stream's first table, and is counted with it.
+// dueAdmission returns the admission of a class that has to be sent on the stream, or nil if there is none. A level for all
+// tables that was set earlier is sent with the stream's first table, and its line is counted with the table's.
 func (p *Publisher) dueAdmission(s *stream, changes *changeSet, class int) *admission {
 	if s.tables[class] == nil && !changes.globalAdmissionChanged[class] {
 		return nil
@@ -130,8 +132,8 @@
 	return effective
 }
 
-// effectiveAdmission returns the admission that applies to a class on a stream, nil if none does. Where both the table and all tables
-// have a level, the lower one applies, with the table's own retry policy.
+// effectiveAdmission returns the admission that applies to a class on a stream, or nil if there is none. If there is a level for
+// the table and one for all tables, the lower one applies, with the retry policy of the table.
 func (p *Publisher) effectiveAdmission(s *stream, class int) *admission {
 	effective, has := p.globalAdmission[policyapi.RequestClass(class)]
 	if t := s.tables[class]; t != nil {
@@ -149,19 +151,20 @@
 	return &effective
 }
 
-// ejectionChanges returns the endpoints that the proxy must eject and those it must restore. Only endpoints of the proxy's tables are
-// ejected; a class without a bound table may use any. On the platform, replacing a table lifts ejections by other coordinators, so
-// all ejections are sent again on a new stream, as the decision module expects with the bind.
+// ejectionChanges returns the endpoints that the proxy must eject and those it must restore. Only endpoints of the proxy's tables
+// are ejected; a class without a bound table may use any endpoint. On the platform, replacing a table lifts the ejections by
+// other coordinators. All ejections are therefore sent again on a new stream, as the decision module expects when it binds the
+// proxy.
 func (p *Publisher) ejectionChanges(proxy policyapi.ProxyID, s *stream) (eject, restore []string) {
 	for _, id := range slices.Sorted(maps.Keys(p.ejected)) {
-		mayHave := func(t *table) bool {
+		mayUse := func(t *table) bool {
 			if t == nil {
 				return true
 			}
 			_, has := t.weights[id]
 			return has
 		}
-		if s.ejected[id] || !slices.ContainsFunc(s.tables, mayHave) {
+		if s.ejected[id] || !slices.ContainsFunc(s.tables, mayUse) {
 			continue
 		}
 		if p.proxyEjections[proxy] == nil {
--- a/proxyproto/publisher.go
+++ b/proxyproto/publisher.go
@@ -22,22 +22,22 @@
 	acks           ackSequence
 }
 
-// admission is an admission level and the retry policy that is sent with it.
+// admission is an admission level with its retry policy.
 type admission struct {
 	level       float64
 	retryPolicy policyapi.RetryPolicy
 }
 
-// table is a routing table as ordered: an endpoint that is absent has weight 0.
+// table is a routing table as ordered by the decision module. Endpoints that it lacks have weight 0.
 type table struct {
 	weights    map[policyapi.EndpointID]float64
 	admissions map[policyapi.RequestClass]admission
 }
 
-// stream is the state of one proxy's stream. Slices are by request class.
+// stream is the state of one proxy's stream. Its slices are indexed by request class.
 type stream struct {
-	tables         []*table                      // nil: none was bound, the proxy uses the table that it had on connecting
-	sentAdmissions []*admission                  // nil: none was sent
+	tables         []*table                      // nil: no table was bound, and the proxy uses the one that it had when it connected
+	sentAdmissions []*admission                  // last admission sent; nil if none was
 	ejected        map[policyapi.EndpointID]bool // ejections sent on this stream
 }
 
@@ -56,9 +56,9 @@
 	return p
 }
 
-// Restart returns the Publisher of a decision module that replaces a failed one: without tables and streams. The proxies' ejections
-// stay in force, and the ack ids continue after the last one used, so that an acknowledgement to the failed module can't be mistaken
-// for one to its successor.
+// Restart returns the Publisher of a decision module that replaces a failed one: without tables and streams. The proxies'
+// ejections stay in force, and the ack ids continue after the last one used, so that an acknowledgement to the failed module
+// can't be mistaken for one to its successor.
 func (p *Publisher) Restart() *Publisher {
 	restarted := NewPublisher(nil)
 	restarted.classes = p.classes
@@ -89,9 +89,9 @@
 // Disconnect removes a proxy's stream.
 func (p *Publisher) Disconnect(proxy policyapi.ProxyID) { delete(p.streams, proxy) }
 
-// DiscardEndpoints drops all state of endpoints that messages may no longer name.
-func (p *Publisher) DiscardEndpoints(forgotten []policyapi.EndpointID) {
-	for _, id := range forgotten {
+// DiscardEndpoints discards the state of endpoints that messages may no longer name.
+func (p *Publisher) DiscardEndpoints(expired []policyapi.EndpointID) {
+	for _, id := range expired {
 		delete(p.ejected, id)
 		for _, ejections := range p.proxyEjections {
 			delete(ejections, id)
@@ -102,14 +102,14 @@
 	}
 }
 
-// changeSet is what one batch of orders changes.
+// changeSet contains the changes of one batch of orders.
 type changeSet struct {
-	changedWeights map[*table]map[policyapi.EndpointID]bool // weights that were ordered, even if the value is the same
+	changedWeights map[*table]map[policyapi.EndpointID]bool // weights that were set, even to the same value
 	cleared        map[*table]bool
 	rebound        map[policyapi.ProxyID][]bool // request classes for which a proxy was bound to a table
 	ackID          policyapi.AckID
 	requestsAck    bool
-	ackFromAll     bool // proxies with no other change must acknowledge, too
+	ackFromAll     bool // proxies without other changes must acknowledge, too
 
 	globalAdmissionChanged []bool // by request class
 }
@@ -123,8 +123,7 @@
 	}
 }
 
-// Apply carries out the orders that concern tables and streams, ignores the others and returns the resulting messages, ordered by
-// proxy.
+// Apply applies the orders that concern tables and streams, ignores the others and returns the resulting messages, sorted by proxy.
 func (p *Publisher) Apply(orders []policyapi.Order) []OutboundMessage {
 	changes := p.newChangeSet()
 	changed := false
@@ -197,7 +196,7 @@
 func (p *Publisher) bind(changes *changeSet, o policyapi.BindProxy) {
 	s := p.streams[o.Proxy]
 	if s == nil {
-		return // it has disconnected
+		return // the proxy has disconnected
 	}
 	if changes.rebound[o.Proxy] == nil {
 		changes.rebound[o.Proxy] = make([]bool, len(p.classes))
@@ -227,7 +226,7 @@
 	}
 }
 
-// table returns the table with an ID, creating it if it does not exist.
+// table returns the table with the given ID, creating it if it does not exist.
 func (p *Publisher) table(id policyapi.TableID) *table {
 	t := p.tables[id]
 	if t == nil {
--- a/proxyproto/publisher_test.go
+++ b/proxyproto/publisher_test.go
@@ -11,12 +11,12 @@
 	"porthub/resp"
 )
 
-// messageTexts returns the parts of a message, each as its words in one line.
+// messageTexts returns the parts of a message, each as its words joined by spaces.
 func messageTexts(t interface{ Fatal(...any) }, bytes []byte) (texts []string) {
 	for len(bytes) > 0 {
 		words, size, err := resp.Parse(bytes, IncomingLimits)
 		if err != nil || size == 0 {
-			t.Fatal("not complete messages: ", err)
+			t.Fatal("incomplete or invalid message: ", err)
 		}
 		texts = append(texts, resp.Text(words, MaxMessageBytes))
 		bytes = bytes[size:]
@@ -24,7 +24,7 @@
 	return texts
 }
 
-// publisherStep is a batch of orders and the messages that it must result in, by proxy.
+// publisherStep is a batch of orders and the messages that must result from it, by proxy.
 type publisherStep struct {
 	name   string
 	orders []policyapi.Order
@@ -34,7 +34,8 @@
 // everyClass is the empty set, which means all classes.
 const everyClass policyapi.ClassSet = 0
 
-// encodingSteps follow each other on one Publisher with two connected proxies: each builds on the state that those before it leave.
+// encodingSteps are applied in order to one Publisher with two connected proxies. Each step starts from the state after the steps
+// before it.
 var encodingSteps = []publisherStep{
 	{
 		name: "weights of a table without proxies",
@@ -175,13 +176,13 @@
 				got[message.Proxy] = strings.Join(messageTexts(t, message.Bytes), "|")
 			}
 			if !maps.Equal(got, step.want) {
-				t.Errorf("%v, want %v", got, step.want)
+				t.Errorf("got messages %v, want %v", got, step.want)
 			}
 		})
 	}
 }
 
-// A proxy keeps its ejections when its stream is replaced: those lifted in between are lifted on the new one.
+// A proxy keeps its ejections when its stream is replaced. Ejections that were lifted in between are lifted on the new stream.
 func TestEjectionsSurviveReconnect(t *testing.T) {
 	publisher := NewPublisher(testSettings.Classes)
 	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
@@ -194,15 +195,15 @@
 	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
 	got := publisher.Apply([]policyapi.Order{policyapi.SetWeight{Table: 1, Endpoint: "s-2", Weight: 1}, policyapi.BindProxy{Proxy: 1, Table: 1}})
 	if len(got) != 1 || strings.Join(messageTexts(t, got[0].Bytes), "|") != "CONFIG replace 1 rows s-2:1 drop s-2 undrop s-1" {
-		t.Errorf("%+v", got)
+		t.Errorf("got messages %+v, want one that binds table 1, ejects s-2 and restores s-1", got)
 	}
 	publisher.DiscardEndpoints([]policyapi.EndpointID{"s-2"})
 	if len(publisher.ejected) != 0 || len(publisher.proxyEjections[1]) != 0 {
-		t.Errorf("%v, %v are left", publisher.ejected, publisher.proxyEjections)
+		t.Errorf("got ejections %v and proxy ejections %v, want none", publisher.ejected, publisher.proxyEjections)
 	}
 }
 
-// A large table is sent in several parts, each within the protocol's bound.
+// A large table is sent in several parts of at most maxRowsPerPart rows.
 func TestLargeTableIsSplitIntoParts(t *testing.T) {
 	publisher := NewPublisher(testSettings.Classes)
 	publisher.Connect(policyapi.ProxyConnected{Proxy: 1})
@@ -213,12 +214,12 @@
 	got := publisher.Apply(append(orders, policyapi.BindProxy{Proxy: 1, Table: 1}, policyapi.RequestAck{AckID: 1}))
 	parts := messageTexts(t, got[0].Bytes)
 	if len(parts) != 4 || !strings.HasSuffix(parts[3], "stamp 1") || !strings.HasSuffix(parts[2], "part 1") || strings.Contains(parts[1], "replace") {
-		t.Errorf("%d parts", len(parts))
+		t.Errorf("got %d parts, want 4: replace only in the first, part 1 in all but the last, stamp in the last", len(parts))
 	}
 }
 
-// A stream is bound in the batch that changes its table, before or after the change, or is bound to another table: its message has the
-// state at the end of the batch.
+// A batch binds a stream and changes the weights of a table, in either order: the stream's message has the state at the end of
+// the batch.
 func TestBindAndWeightInOneBatch(t *testing.T) {
 	setUp := []policyapi.Order{
 		policyapi.SetWeight{Table: 1, Endpoint: "s-1", Weight: 1},
@@ -243,7 +244,7 @@
 			publisher.Apply(c.before)
 			messages := publisher.Apply(c.batch)
 			if len(messages) != 1 || strings.Join(messageTexts(t, messages[0].Bytes), "|") != c.want {
-				t.Errorf("%+v", messages)
+				t.Errorf("got messages %+v, want one: %s", messages, c.want)
 			}
 		})
 	}
--- a/proxyproto/publishermodel_test.go
+++ b/proxyproto/publishermodel_test.go
@@ -16,10 +16,11 @@
 const (
 	modelProxies = 3
 	modelTables  = 3
-	allTables    = modelTables // where the levels for all tables are kept
+	allTables    = modelTables // index of the levels for all tables
 )
 
-// proxyState is the state of a proxy after the messages that it has applied, as the protocol's page describes it, by request class.
+// proxyState is the state of a proxy after applying its messages according to the protocol's specification. Its slices are
+// indexed by request class.
 type proxyState struct {
 	weights    []map[string]float64
 	admissions []string
@@ -30,12 +31,12 @@
 	return proxyState{[]map[string]float64{{}, {}, {}}, []string{"", "", ""}, map[string]bool{}}
 }
 
-// splitMembers splits a list of the protocol; the empty text has no members.
+// splitMembers splits a comma-separated list of the protocol. The empty text is the empty list.
 func splitMembers(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' })
 }
 
-// apply applies a message and returns its lines as the protocol counts them.
+// apply applies a message and returns its number of lines as the protocol counts them.
 func (s *proxyState) apply(t *rapid.T, message []byte) (lines int) {
 	for _, text := range messageTexts(t, message) {
 		words := strings.Split(text, " ")
@@ -70,7 +71,7 @@
 		name, text, _ := strings.Cut(row, ":")
 		weight, err := strconv.ParseFloat(text, 64)
 		if err != nil || weight < 0 {
-			t.Fatalf("row %q", row)
+			t.Fatalf("invalid row %q", row)
 		}
 		s.weights[class][name] = weight
 		if weight == 0 {
@@ -82,7 +83,7 @@
 	}
 }
 
-// modelStream is a proxy's stream: what was ordered for it, and the state of the proxy.
+// modelStream is a proxy's stream: the orders for the stream, and the state of the proxy.
 type modelStream struct {
 	proxyState
 	bound         []int  // table by request class; -1: none
@@ -96,10 +97,10 @@
 	weights   [modelTables]map[string]float64
 	levels    [modelTables + 1]map[int]admission // by table, then request class
 
-	// Of the batch that is drawn.
+	// State of the current batch.
 	orders   []policyapi.Order
-	cost     int                       // the lines that the orders may take on a stream, without those of binds
-	bindCost map[policyapi.ProxyID]int // how often a stream was bound
+	cost     int                       // maximum number of lines that the orders take on a stream, without those of binds
+	bindCost map[policyapi.ProxyID]int // number of binds of each stream
 	cleared  bool
 }
 
@@ -112,7 +113,7 @@
 	}
 }
 
-// drawBatch draws a batch of orders, perhaps with a new stream before it.
+// drawBatch draws a batch of orders. In some cases it connects a new stream first.
 func (m *publisherModel) drawBatch(t *rapid.T) {
 	proxy := policyapi.ProxyID(rapid.IntRange(0, modelProxies-1).Draw(t, "proxy"))
 	if rapid.IntRange(0, 3).Draw(t, "stream") == 0 {
@@ -159,7 +160,7 @@
 				m.levels[table][class] = a
 			}
 		}
-		m.cost += 3 // of the classes that it is for
+		m.cost += 3 // at most one line for each class
 	default:
 		endpoint := "s-" + strconv.Itoa(rapid.IntRange(0, 4).Draw(t, "endpoint"))
 		weight := float64(rapid.IntRange(0, 9).Draw(t, "weight")) / 8
@@ -189,7 +190,7 @@
 	m.bindCost[proxy]++
 }
 
-// publish lets the proxies apply the batch's messages and checks the lines of each.
+// publish applies the messages of the batch to the proxies and checks the number of lines of each message.
 func (m *publisherModel) publish(t *rapid.T) {
 	for _, message := range m.publisher.Apply(append(m.orders, policyapi.RequestAck{AckID: 1})) {
 		s := m.streams[message.Proxy]
@@ -202,7 +203,8 @@
 			}
 		}
 		if lines := s.apply(t, message.Bytes); lines != message.Lines || lines > maxLines {
-			t.Fatalf("%d lines, counted as %d, at most %d: %q", lines, message.Lines, maxLines, messageTexts(t, message.Bytes))
+			t.Fatalf("got a message of %d lines with Lines = %d, want equal numbers of at most %d: %q",
+				lines, message.Lines, maxLines, messageTexts(t, message.Bytes))
 		}
 	}
 }
@@ -213,7 +215,7 @@
 	table := s.bound[class]
 	want := ""
 	effective, has := m.levels[allTables][class]
-	has = has && (table >= 0 || s.globalOrdered[class]) // an earlier one goes with the first table
+	has = has && (table >= 0 || s.globalOrdered[class]) // an earlier level is sent with the first table
 	if table >= 0 {
 		if own, isSet := m.levels[table][class]; isSet {
 			if has {
@@ -223,7 +225,7 @@
 			has = true
 		}
 		if !maps.Equal(s.weights[class], m.weights[table]) {
-			t.Fatalf("proxy %d, class %d holds %v, ordered %v", proxy, class, s.weights[class], m.weights[table])
+			t.Fatalf("proxy %d, class %d: got weights %v, want %v", proxy, class, s.weights[class], m.weights[table])
 		}
 	}
 	if has {
@@ -231,12 +233,12 @@
 	}
 	notSentYet := want != "" && s.admissions[class] == "" && len(m.orders) == 0
 	if s.admissions[class] != want && !notSentYet {
-		t.Fatalf("proxy %d, class %d has admission %q, ordered %q", proxy, class, s.admissions[class], want)
+		t.Fatalf("proxy %d, class %d: got admission %q, want %q", proxy, class, s.admissions[class], want)
 	}
 }
 
-// For random orders and streams, a proxy that has applied all its messages has the state that was ordered for it, and no message has
-// more lines than the simulator's protocol counts for it.
+// For random orders and streams, a proxy that has applied all its messages has the state that was ordered for it, and no message
+// has more lines than the simulator's protocol counts for it.
 func TestStreamsConvergeToOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newPublisherModel()
--- a/proxyproto/sequences_test.go
+++ b/proxyproto/sequences_test.go
@@ -15,20 +15,20 @@
 )
 
 var (
-	sequences     = flag.Int("sequences", 120, "how many random sequences of fleet events are run")
-	reported      = flag.Int("reported", 2, "how many failed sequences of each rule are reported in full")
-	firstSequence = flag.Uint64("first-sequence", 1, "the seed of the first of them")
+	sequences     = flag.Int("sequences", 120, "number of random sequences of fleet events to run")
+	reported      = flag.Int("reported", 2, "number of failed sequences of each rule to report in full")
+	firstSequence = flag.Uint64("first-sequence", 1, "seed of the first sequence")
 )
 
-// deployment is what a sequence begins with.
+// deployment contains the settings of a sequence and its initial endpoints and proxies.
 type deployment struct {
 	initialSettings policyapi.Start
-	perZone         int  // endpoints
-	maxProxies      int  // as many proxies connect at most
-	tight           bool // the tables of all proxies do not pass the channel within half of the grace period
+	perZone         int  // initial endpoints of each zone
+	maxProxies      int  // maximum number of proxies
+	tight           bool // the channel can't carry the tables of all proxies within half of the grace period
 }
 
-// sequence is a random sequence of fleet events at one coordinator: deployment and events are drawn from a seed.
+// sequence is a random sequence of fleet events at one coordinator. Its deployment and events are drawn from a seed.
 type sequence struct {
 	*fleetModel
 	deployment
@@ -38,11 +38,11 @@
 	changes       []policyapi.Microseconds // when the list changed
 }
 
-// pick draws one of some values.
+// pick returns a random one of the values.
 func pick(r *rand.Rand, values ...int) int { return values[r.IntN(len(values))] }
 
-// drawDeployment draws a deployment. Limits are such that a coordinator can keep the rules: a line to each proxy takes a small part of
-// the grace period, and so do the tables of proxies that connect together.
+// drawDeployment draws a deployment. Its limits allow a coordinator to keep the rules: sending a line to each proxy takes a small
+// part of the grace period, and so does sending the tables of proxies that connect at the same time.
 func drawDeployment(r *rand.Rand) deployment {
 	var d deployment
 	d.initialSettings.InstanceCount = pick(r, 1, 1, 5, 5, 40, 300)
@@ -79,7 +79,7 @@
 	return classes
 }
 
-// maxTableLines is the number of lines that all tables of a proxy can have, even after the list has doubled.
+// maxTableLines returns the maximum number of lines that all tables of a proxy can have, even after the list has doubled.
 func (d *deployment) maxTableLines() int {
 	zoneRules := map[string]bool{}
 	for _, class := range d.initialSettings.Classes {
@@ -88,7 +88,7 @@
 	return len(zoneRules) * 2 * max(1, d.perZone) * len(d.initialSettings.Zones)
 }
 
-// drawLimits draws channel, reports and rules.
+// drawLimits draws the settings of the channel, the reports and the rules.
 func (d *deployment) drawLimits(r *rand.Rand) {
 	overhead := 3 + r.IntN(4)
 	allTablesLines := float64(d.maxTableLines() + overhead + 3*len(d.initialSettings.Classes) + 3)
@@ -100,7 +100,7 @@
 		MaxLatency:          600_000,
 		EndpointConnections: pick(r, 20, 100, 300, 3000),
 	}
-	drainSeconds := 0.5 + 8*r.Float64() // that a full queue takes
+	drainSeconds := 0.5 + 8*r.Float64() // time that a full queue takes to drain
 	d.initialSettings.Channel.LinesPerSecond = queueLimit / drainSeconds
 	grace := policyapi.Microseconds((drainSeconds + 2.5) * float64(second))
 	d.initialSettings.Reports = policyapi.ReportSettings{
@@ -142,7 +142,7 @@
 	s.actions = append(s.actions, fmt.Sprintf("%8.2f s: ", float64(s.now)/float64(second))+fmt.Sprintf(format, args...))
 }
 
-// newEndpoint returns a new endpoint.
+// newEndpoint returns an endpoint with a new name and a random weight and pod.
 func (s *sequence) newEndpoint(zone policyapi.Zone, startedAt policyapi.Microseconds) policyapi.Endpoint {
 	s.endpointCount++
 	return policyapi.Endpoint{
@@ -155,7 +155,7 @@
 	}
 }
 
-// start delivers a list, perhaps an incomplete one, and connects proxies.
+// start delivers the endpoint list, in some sequences after a cached one that can be incomplete, and connects proxies.
 func (s *sequence) start() {
 	incomplete := s.random.IntN(4) == 0
 	for _, zone := range s.settings.Zones {
@@ -180,7 +180,7 @@
 	}
 }
 
-// connectRandomProxy connects a proxy: a new one, one that was connected before, or one from another coordinator with its tables.
+// connectRandomProxy connects a proxy: a new one, one that was connected before, or one that has a table of another coordinator.
 func (s *sequence) connectRandomProxy() {
 	id := policyapi.ProxyID(s.random.IntN(s.maxProxies))
 	if s.proxies[id] != nil && s.random.IntN(10) > 0 {
@@ -207,7 +207,7 @@
 	s.connect(id, zone, load, earlierTable...)
 }
 
-// randomEndpoints draws endpoints of the list, of one zone or of all, with a status.
+// randomEndpoints draws at most limit listed endpoints with a status, from one zone or from all zones.
 func (s *sequence) randomEndpoints(limit int, status policyapi.EndpointStatus) (endpoints []policyapi.Endpoint) {
 	zone := s.settings.Zones[s.random.IntN(len(s.settings.Zones))]
 	everywhere := s.random.IntN(2) == 0
@@ -224,7 +224,7 @@
 func (s *sequence) randomAction() {
 	count := 1 + s.random.IntN(3)
 	if s.random.IntN(6) == 0 {
-		count = 100 // all of a zone
+		count = 100 // in general all endpoints of a zone
 	}
 	action := s.random.IntN(16)
 	if (action <= 8 || action == 15) && !s.mayChange() {
@@ -240,7 +240,7 @@
 	case 7, 8:
 		s.launch(count)
 	case 9:
-		s.logAction("a snapshot")
+		s.logAction("snapshot delivered")
 		s.deliverList(s.endpointUpdate(policyapi.Snapshot))
 	case 10:
 		s.deliverList(policyapi.EndpointUpdate{Kind: policyapi.Failed})
@@ -268,8 +268,8 @@
 	}
 }
 
-// mayChange reports whether the list may change now, or the module fail. Under a low message limit no coordinator could publish more
-// changes to a proxy: one message binds it, one is left over.
+// mayChange reports whether the list may change now, or the module may fail. Under a low message limit no coordinator could
+// publish more changes to a proxy: of the messages within a window, one binds the proxy and one stays in reserve.
 func (s *sequence) mayChange() bool {
 	messageLimit := s.settings.Rules.MessageLimit
 	if messageLimit == 0 {
@@ -306,7 +306,7 @@
 	s.applyDelta(endpoints...)
 }
 
-// launch lists new endpoints, or drained ones again as new processes under the same names.
+// launch lists new endpoints, in some cases also draining ones as ready again: new processes under the same names.
 func (s *sequence) launch(count int) {
 	var endpoints []policyapi.Endpoint
 	if s.random.IntN(2) == 0 {
@@ -322,13 +322,13 @@
 	s.applyDelta(endpoints...)
 }
 
-// restart restarts the coordinator, or its module alone; proxies reconnect within a second.
+// restart restarts the coordinator, whose proxies reconnect within a second, or replaces only its decision module.
 func (s *sequence) restart() {
 	if s.tight {
-		return // all tables could not be sent again in time
+		return // the tables of all proxies could not be sent again in time
 	}
 	if s.random.IntN(2) == 0 {
-		s.logAction("the module fails")
+		s.logAction("the decision module fails")
 		s.failModule()
 		s.after(second/2, func() { s.deliverList(s.endpointUpdate(policyapi.Snapshot)) })
 		return
@@ -350,7 +350,7 @@
 	}
 }
 
-// runScenario runs the complete sequence, or until a rule is violated.
+// runScenario runs the sequence to its end, or until a rule is violated.
 func (s *sequence) runScenario() {
 	s.start()
 	for range 10 + s.random.IntN(20) {
@@ -363,8 +363,9 @@
 	s.run(s.settings.Rules.DrainGracePeriod*s.oracle.factor + second)
 }
 
-// In random sequences of fleet events no proxy offers an endpoint that was listed as draining or removed once the grace period is over
-// (rule 3), none lacks one while a warmed-up ready one is listed (rule 1), and lines and messages stay within their limits (rule 5).
+// In random sequences of fleet events no proxy offers an endpoint that was listed as draining or removed once the grace period is
+// over (rule 3), no proxy is without an endpoint while a ready and warmed-up one is listed (rule 1), and lines and messages stay
+// within their limits (rule 5).
 func TestRandomSequencesKeepTheRules(t *testing.T) {
 	type outcome struct {
 		seed uint64
@@ -396,6 +397,6 @@
 		}
 	}
 	if len(count) > 0 {
-		t.Errorf("of %d sequences these broke a rule first: %v", *sequences, count)
+		t.Errorf("of %d sequences, number of violations by the rule that was violated first: %v; want none", *sequences, count)
 	}
 }
--- a/proxyproto/session.go
+++ b/proxyproto/session.go
@@ -10,21 +10,22 @@
 	"porthub/resp"
 )
 
-// The protocol's bounds on messages.
+// Limits of the protocol.
 const (
+	// MaxMessageBytes is the maximum size of a message.
 	MaxMessageBytes = 1 << 20
 	// MaxMessageParts is how many parts one message to a proxy may have.
 	MaxMessageParts = 64
-	// MaxMessageWords bounds the words of an incoming message: none has over twenty; a later version of the protocol may add
-	// fields, which are ignored.
+	// MaxMessageWords bounds the words of an incoming message. No message of this version of the protocol has more than twenty; a
+	// later version may add fields, which are ignored.
 	MaxMessageWords = 64
 )
 
-// IncomingLimits bound incoming messages.
+// IncomingLimits are the limits of incoming messages.
 var IncomingLimits = resp.Limits{Bytes: MaxMessageBytes, Words: MaxMessageWords}
 
 var (
-	// PongReply answers PING.
+	// PongReply is the reply to PING.
 	PongReply = resp.Append(nil, "PONG")
 	// NackReply informs a peer that its connection is rejected.
 	NackReply = resp.Append(nil, "NACK")
@@ -39,7 +40,7 @@
 // ProtocolError describes an invalid message. It is wrapped together with ErrMalformed or ErrRejected.
 type ProtocolError struct {
 	Message string // the message's name, shortened
-	Field   string // empty: the complete message
+	Field   string // empty if the error concerns the complete message
 	Reason  string
 }
 
@@ -50,15 +51,15 @@
 	return fmt.Sprintf("%s: %s: %s", e.Message, e.Field, e.Reason)
 }
 
-// Role is what a connection has identified itself as.
+// Role is the role of a connection's peer, as identified by its first message.
 type Role int
 
 const (
-	// Unidentified is a connection before its first message.
+	// Unidentified is the role of a connection that has not identified itself yet.
 	Unidentified Role = iota
-	// Collector is a connection that passes load reports on.
+	// Collector is the role of a peer that forwards load reports.
 	Collector
-	// Stream is a proxy's connection.
+	// Stream is the role of a proxy, which receives its tables on the connection.
 	Stream
 )
 
@@ -75,8 +76,8 @@
 	}
 }
 
-// maxPendingAcks bounds the unacknowledged ack ids of a stream: a proxy that responds is a few behind, for one that has fallen silent
-// they would accumulate. The decision module itself retains fewer.
+// maxPendingAcks bounds the unacknowledged ack ids of a stream. A responsive proxy has only a few, but those of a proxy that has
+// stopped responding would accumulate. The decision module retains fewer.
 const maxPendingAcks = 256
 
 // Session is the protocol state of one connection. It is not safe for concurrent use.
@@ -98,8 +99,8 @@
 // PendingAcks returns the number of unacknowledged ack ids.
 func (s *Session) PendingAcks() int { return len(s.pendingAcks) }
 
-// Receive processes one message of at least one word. It returns the event that the message reports, nil if there is none, and the
-// reply to be written, nil if there is none. An error wraps ErrMalformed or ErrRejected and a *ProtocolError, and leaves the session
+// Receive processes one message of at least one word. It returns the event that the message reports and the reply to be written;
+// each is nil if there is none. An error wraps ErrMalformed or ErrRejected together with a *ProtocolError, and leaves the session
 // unchanged.
 func (s *Session) Receive(words [][]byte, v *Validator) (event policyapi.Event, reply []byte, err error) {
 	m := messageReader{name: string(words[0]), words: words[1:]}
@@ -135,7 +136,7 @@
 		s.Proxy = connected.Proxy
 		return connected, nil
 	default:
-		m.failMessage("SOURCE or SUBSCRIBE must come first")
+		m.failMessage("the first message must be SOURCE or SUBSCRIBE")
 		return nil, m.wrap(ErrRejected)
 	}
 }
@@ -148,7 +149,7 @@
 	case m.name == "RATE":
 		load := m.proxyLoad(v)
 		if s.Role == Stream && load.Proxy != s.Proxy {
-			m.fail("sidecar", "is another proxy's")
+			m.fail("sidecar", "is not the proxy of this stream")
 		}
 		event = load
 	case m.name == "ACK" && s.Role == Stream:
@@ -170,11 +171,11 @@
 		Delay: m.duration("lag_ms", maxMeasuredMilliseconds),
 	}
 	if ack.Proxy != s.Proxy {
-		m.fail("sidecar", "is another proxy's")
+		m.fail("sidecar", "is not the proxy of this stream")
 	}
 	i := slices.Index(s.pendingAcks, ack.AckID)
 	if i < 0 {
-		m.fail("version", "was not sent on this stream, or has been acknowledged")
+		m.fail("version", "was not sent on this stream, or is already acknowledged")
 	}
 	if m.err == nil {
 		s.pendingAcks = slices.Delete(s.pendingAcks, 0, i+1)
@@ -201,7 +202,7 @@
 	// Requests that arrived before the window can fail within it: there can be more failures than requests.
 	load.Failures = m.integer("bad", math.MaxInt32)
 	if load.Period <= 0 {
-		m.fail("window", "is 0")
+		m.fail("window", "must be greater than 0")
 	}
 	return load
 }
@@ -215,10 +216,10 @@
 	}
 	load.Failures = m.integer("bad", load.Attempts)
 	if load.Period <= 0 {
-		m.fail("window", "is 0")
+		m.fail("window", "must be greater than 0")
 	}
 	if !v.IsKnown(load.Endpoint) {
-		m.fail("host", fmt.Sprintf("%q is in no endpoint list", shorten(string(load.Endpoint))))
+		m.fail("host", fmt.Sprintf("%q is not in the endpoint list", shorten(string(load.Endpoint))))
 	}
 	// If all attempts failed there is no latency to average, and avg is optional.
 	if load.Failures < load.Attempts || m.has("avg") {
--- a/proxyproto/session_test.go
+++ b/proxyproto/session_test.go
@@ -29,7 +29,8 @@
 	return words
 }
 
-// newTestSession returns a session that has been identified by a message, unless that is empty, with the pending ack id 9.
+// newTestSession returns a session that was identified by a message and has the pending ack id 9. If the message is empty, the
+// session is unidentified and has no pending ack ids.
 func newTestSession(t *testing.T, identification string) *Session {
 	t.Helper()
 	session := &Session{}
@@ -64,7 +65,7 @@
 		{sourceMessage, "LOAD az b host s-2 n 4 bad 4 window 1000", policyapi.EndpointLoad{Zone: "b", Endpoint: "s-2", Attempts: 4, Failures: 4, Period: 1_000_000}},
 		{sourceMessage, rateMessage, policyapi.ProxyLoad{Proxy: 17, Class: 1, Requests: 19, Period: 1_000_000}},
 		{subscribeMessage, rateMessage, policyapi.ProxyLoad{Proxy: 17, Class: 1, Requests: 19, Period: 1_000_000}},
-		// requests that came before the window fail within it
+		// requests that arrived before the window can fail within it
 		{subscribeMessage, "RATE sidecar 17 kind view n 0 bad 2 window 500", policyapi.ProxyLoad{Proxy: 17, Failures: 2, Period: 500_000}},
 		{subscribeMessage, ackMessage, policyapi.Acknowledged{Proxy: 17, AckID: 9, Delay: 310400}},
 		{subscribeMessage, ackMessage + " more 1", policyapi.Acknowledged{Proxy: 17, AckID: 9, Delay: 310400}},
@@ -72,19 +73,19 @@
 		t.Run(c.text, func(t *testing.T) {
 			got, reply, err := newTestSession(t, c.identification).Receive(splitWords(c.text), newTestValidator())
 			if err != nil || reply != nil || !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%+v, %q, %v", got, reply, err)
+				t.Errorf("got event %+v, reply %q, error %v; want only event %+v", got, reply, err, c.want)
 			}
 		})
 	}
 	for _, identification := range []string{"", subscribeMessage, sourceMessage} {
 		_, reply, err := newTestSession(t, identification).Receive(splitWords("PING"), newTestValidator())
 		if err != nil || string(reply) != "*1\r\n$4\r\nPONG\r\n" {
-			t.Errorf("PING after %q: %q, %v", identification, reply, err)
+			t.Errorf("PING after %q: got reply %q, error %v; want PONG", identification, reply, err)
 		}
 	}
 }
 
-// invalidValues are values out of a field's range, or of another type.
+// invalidValues has, for each field, values that are out of range or of another type.
 var invalidValues = map[string][]string{
 	"sidecar":  {"20", "-1", "1.5", "x"},
 	"az":       {"c", "7"},
@@ -113,12 +114,12 @@
 			return strings.Join(changed, " ")
 		}
 		without := func(count int) string { return strings.Join(slices.Delete(slices.Clone(words), i, i+count), " ") }
-		if field != "report" { // it may be absent or empty
+		if field != "report" { // a report may be absent or empty
 			variants = append(variants, without(2), withValue(""))
 		}
 		variants = append(variants, message+" "+field+" "+words[i+1], without(1))
 		if len(invalidValues[field]) == 0 {
-			t.Errorf("no invalid values for %s", field)
+			t.Errorf("invalidValues has no values for field %s", field)
 		}
 		for _, value := range invalidValues[field] {
 			variants = append(variants, withValue(value))
@@ -127,8 +128,8 @@
 	return variants
 }
 
-// A report or acknowledgement with an invalid field is ignored, and the next valid one counts; a connection whose identification has
-// an invalid field is rejected.
+// A report or acknowledgement with an invalid field is ignored, and the next valid one counts; a connection whose identification
+// has an invalid field is rejected.
 func TestSessionRejectsInvalidFields(t *testing.T) {
 	for _, c := range []struct {
 		name, identification, text string
@@ -146,24 +147,24 @@
 				session := newTestSession(t, c.identification)
 				event, reply, err := session.Receive(splitWords(text), newTestValidator())
 				if event != nil || reply != nil || !errors.Is(err, c.want) {
-					t.Errorf("%q: %+v, %q, %v", text, event, reply, err)
+					t.Errorf("%q: got event %+v, reply %q, error %v; want only error %v", text, event, reply, err, c.want)
 				}
 				if detail := (*ProtocolError)(nil); !errors.As(err, &detail) || detail.Field == "" {
-					t.Errorf("%q: %v does not name the field", text, err)
+					t.Errorf("%q: error %v does not name the field", text, err)
 				}
 				if _, _, err := session.Receive(splitWords(c.text), newTestValidator()); err != nil {
-					t.Errorf("%q after %q: %v", c.text, text, err)
+					t.Errorf("%q after %q: got error %v, want none", c.text, text, err)
 				}
 			}
 		})
 	}
 }
 
-// A message does not fit the connection's role: an unidentified connection is rejected, on others only the message is ignored.
+// A message that is not allowed for the connection's role is ignored. On an unidentified connection, the connection is rejected.
 func TestSessionRejectsUnexpectedMessages(t *testing.T) {
 	for _, text := range []string{loadMessage, rateMessage, ackMessage, "CONFIG drop s-1", "GET / HTTP/1.1", "PONG", ""} {
 		if _, _, err := newTestSession(t, "").Receive(splitWords(text), newTestValidator()); !errors.Is(err, ErrRejected) {
-			t.Errorf("unidentified, %q: %v", text, err)
+			t.Errorf("%q on an unidentified connection: got error %v, want ErrRejected", text, err)
 		}
 	}
 	for identification, texts := range map[string][]string{
@@ -173,49 +174,50 @@
 	} {
 		for _, text := range texts {
 			if _, _, err := newTestSession(t, identification).Receive(splitWords(text), newTestValidator()); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%q after %q: %v", text, identification, err)
+				t.Errorf("%q after %q: got error %v, want ErrMalformed", text, identification, err)
 			}
 		}
 	}
 }
 
-// An acknowledgement covers all ack ids before it, once.
+// An acknowledgement covers its ack id and all earlier ones. No ack id can be acknowledged twice, and the pending ones are bounded.
 func TestAcknowledgementsAreCumulative(t *testing.T) {
 	session := newTestSession(t, subscribeMessage)
 	session.AckRequested(65535)
 	session.AckRequested(0)
 	if _, _, err := session.Receive(splitWords("ACK sidecar 17 version 65535 lag_ms 1"), newTestValidator()); err != nil || session.PendingAcks() != 1 {
-		t.Errorf("%d pending, %v", session.PendingAcks(), err)
+		t.Errorf("got %d pending ack ids, error %v; want 1 and no error", session.PendingAcks(), err)
 	}
 	if _, _, err := session.Receive(splitWords(ackMessage), newTestValidator()); err == nil {
-		t.Error("an ack id is acknowledged again")
+		t.Error("the second acknowledgement of an ack id is accepted, want an error")
 	}
 	for id := range policyapi.AckID(3 * maxPendingAcks) {
 		session.AckRequested(id)
 	}
 	if session.PendingAcks() != maxPendingAcks {
-		t.Errorf("%d ack ids of a silent proxy are pending", session.PendingAcks())
+		t.Errorf("got %d pending ack ids of a silent proxy, want %d", session.PendingAcks(), maxPendingAcks)
 	}
 }
 
-// Messages can still name removed endpoints for a while, and the number of those is bounded.
-func TestValidatorForgetsRemovedEndpoints(t *testing.T) {
+// Messages can still name removed endpoints, but only a bounded number of them: the oldest expire.
+func TestValidatorExpiresRemovedEndpoints(t *testing.T) {
 	validator := newTestValidator()
 	validator.Apply(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{{ID: "s-1", Status: policyapi.Removed}}})
 	validator.Apply(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: []policyapi.Endpoint{{ID: "s-3"}}})
 	if !validator.IsKnown("s-1") || !validator.IsKnown("s-2") || !validator.IsKnown("s-3") || validator.IsKnown("s-4") {
-		t.Errorf("%+v", validator)
+		t.Errorf("got %+v, want s-1, s-2 and s-3 known and s-4 unknown", validator)
 	}
 	validator.Apply(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{{ID: "s-1"}}}) // listed again
-	forgotten := map[policyapi.EndpointID]bool{}
+	expired := map[policyapi.EndpointID]bool{}
 	for i := range 3 * maxRemovedEndpoints {
 		id := policyapi.EndpointID(strings.Repeat("x", 1+i/100) + string(rune('a'+i%100)))
 		validator.Apply(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{{ID: id}}})
 		for _, removed := range validator.Apply(policyapi.EndpointUpdate{Kind: policyapi.Delta, Endpoints: []policyapi.Endpoint{{ID: id, Status: policyapi.Removed}}}) {
-			forgotten[removed] = true
+			expired[removed] = true
 		}
 	}
-	if len(validator.endpoints) > maxRemovedEndpoints+2 || !validator.IsKnown("s-1") || validator.IsKnown("s-2") || !forgotten["s-2"] || forgotten["s-1"] {
-		t.Errorf("%d endpoints stored", len(validator.endpoints))
+	if len(validator.endpoints) > maxRemovedEndpoints+2 || !validator.IsKnown("s-1") || validator.IsKnown("s-2") || !expired["s-2"] || expired["s-1"] {
+		t.Errorf("got %d stored endpoints, want at most %d, with s-1 known and s-2 expired",
+			len(validator.endpoints), maxRemovedEndpoints+2)
 	}
 }
--- a/proxyproto/surge_test.go
+++ b/proxyproto/surge_test.go
@@ -9,10 +9,10 @@
 	"porthub/policyapi"
 )
 
-var surgeSeeds = flag.Uint64("surge-seeds", 2, "how many further seeds of the large surge are played")
+var surgeSeeds = flag.Uint64("surge-seeds", 2, "number of additional seeds for the large surge")
 
-// fullSize returns the settings of a deployment of 200 endpoints and 2,400 proxies under five coordinators.
-func fullSize() policyapi.Start {
+// fullSizeSettings returns the settings of a deployment of 200 endpoints and 2,400 proxies under five coordinators.
+func fullSizeSettings() policyapi.Start {
 	return policyapi.Start{
 		InstanceCount: 5,
 		ProxyCount:    2400,
@@ -54,15 +54,15 @@
 	}
 }
 
-// Most coordinators are killed while a release replaces half of the endpoints: all proxies connect to the remaining one, with the tables
-// of the others, while endpoints drain every half second. Their tables are replaced within the grace period.
+// Most coordinators are killed while a release replaces half of the endpoints: the proxies connect to the remaining coordinator
+// with the tables of the others, while endpoints drain every half second. Their tables are replaced within the grace period.
 func TestSurgeOfProxiesDuringARelease(t *testing.T) { runSurge(t, 1000) }
 
-// The same with as many proxies as five coordinators of the simulated days have: the channel cannot deliver all their tables within the
-// grace period.
+// The same surge with as many proxies as five coordinators of the simulated days have: the channel cannot deliver all their tables
+// within the grace period.
 func TestLargeSurgeOfProxiesDuringARelease(t *testing.T) { runSurge(t, 1800) }
 
-// The same on other seeds: go test ./proxyproto -run TestLargeSurgeOnMoreSeeds -surge-seeds 20
+// The large surge with additional seeds: go test ./proxyproto -run TestLargeSurgeOnMoreSeeds -surge-seeds 20
 func TestLargeSurgeOnMoreSeeds(t *testing.T) { runSurgeOn(t, 1800, 3, *surgeSeeds) }
 
 func runSurge(t *testing.T, proxies int) { runSurgeOn(t, proxies, 0, 3) }
@@ -71,7 +71,7 @@
 	for seed := firstSeed; seed < firstSeed+seeds; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			random := rand.New(rand.NewPCG(seed, 3))
-			m := newFleetModel(t, fullSize(), seed)
+			m := newFleetModel(t, fullSizeSettings(), seed)
 			var ids []policyapi.EndpointID
 			for i := range 200 {
 				endpoint := policyapi.Endpoint{ID: policyapi.EndpointID(fmt.Sprintf("s-%03d", i)), Zone: m.settings.Zones[i%3], Weight: 0.8 + 0.4*random.Float64(),
@@ -92,19 +92,19 @@
 				m.after(policyapi.Microseconds(wave)*second/2, func() { m.release(wave, ids[wave*25:(wave+1)*25]) })
 			}
 			for proxy := 400; proxy < 400+proxies; proxy++ {
-				brings := []policyapi.EndpointID{ids[random.IntN(200)], ids[random.IntN(200)], ids[random.IntN(200)]}
-				m.after(policyapi.Microseconds(300_000+random.Int64N(2_000_000)), func() { m.connect(policyapi.ProxyID(proxy), zone(proxy), load(), brings...) })
+				earlierTable := []policyapi.EndpointID{ids[random.IntN(200)], ids[random.IntN(200)], ids[random.IntN(200)]}
+				m.after(policyapi.Microseconds(300_000+random.Int64N(2_000_000)), func() { m.connect(policyapi.ProxyID(proxy), zone(proxy), load(), earlierTable...) })
 				m.after(policyapi.Microseconds(5_000_000+random.Int64N(9_000_000)), func() { m.disconnect(policyapi.ProxyID(proxy)) })
 			}
 			m.run(20 * second)
 			if n := len(m.oracle.findings); n > 0 {
-				t.Errorf("%d findings, first %s", n, m.oracle.findings[0])
+				t.Errorf("got %d findings, want none; first: %s", n, m.oracle.findings[0])
 			}
 		})
 	}
 }
 
-// release drains endpoints and lists as many new ones.
+// release drains endpoints and lists a new one for each.
 func (m *fleetModel) release(wave int, ids []policyapi.EndpointID) {
 	var endpoints []policyapi.Endpoint
 	for i, id := range ids {
--- a/proxyproto/validator.go
+++ b/proxyproto/validator.go
@@ -7,12 +7,12 @@
 	"porthub/policyapi"
 )
 
-// maxRemovedEndpoints is the number of removed endpoints that messages may still name: reports arrive seconds late. It bounds the
-// memory in a fleet whose endpoints get new names.
+// maxRemovedEndpoints is the number of removed endpoints that messages may still name, since reports arrive seconds late. It
+// bounds the memory in a fleet whose endpoints are replaced under new names.
 const maxRemovedEndpoints = 1024
 
-// maxLatencyNoise is the factor by which a mean latency can exceed the client timeout of its class: a request that its client has
-// given up does not count as completed, and the noise of the mean stays below this factor.
+// maxLatencyNoise is the factor by which a mean latency can exceed the client timeout of its class. Requests that time out at the
+// client do not count as completed, so that only noise raises the mean above the timeout, by less than this factor.
 const maxLatencyNoise = 2
 
 // Validator contains the zones, request classes, proxies and endpoints that a coordinator's incoming messages may name. It is not
@@ -21,7 +21,7 @@
 	zones      []policyapi.Zone
 	classes    map[string]policyapi.RequestClass
 	proxyCount int
-	maxLatency float64                       // milliseconds: no mean latency is longer
+	maxLatency float64                       // largest valid mean latency in milliseconds
 	endpoints  map[policyapi.EndpointID]bool // true: listed; false: removed, but messages may still name it
 	removed    []policyapi.EndpointID        // the oldest first
 }
@@ -45,7 +45,7 @@
 }
 
 // Apply applies an endpoint update and returns the endpoints that messages may no longer name.
-func (v *Validator) Apply(update policyapi.EndpointUpdate) (forgotten []policyapi.EndpointID) {
+func (v *Validator) Apply(update policyapi.EndpointUpdate) (expired []policyapi.EndpointID) {
 	listed := map[policyapi.EndpointID]bool{}
 	for _, e := range update.Endpoints {
 		if e.Status != policyapi.Removed {
@@ -56,7 +56,7 @@
 		}
 	}
 	if update.Kind == policyapi.Snapshot || update.Kind == policyapi.Cached {
-		for _, id := range slices.Sorted(maps.Keys(v.endpoints)) { // in order, so that all forget the same ones
+		for _, id := range slices.Sorted(maps.Keys(v.endpoints)) { // sorted, so that the same lists always expire the same endpoints
 			if v.endpoints[id] && !listed[id] {
 				v.markRemoved(id)
 			}
@@ -68,9 +68,9 @@
 		oldest := v.removed[0]
 		v.removed = v.removed[1:]
 		delete(v.endpoints, oldest)
-		forgotten = append(forgotten, oldest)
+		expired = append(expired, oldest)
 	}
-	return forgotten
+	return expired
 }
 
 func (v *Validator) markRemoved(id policyapi.EndpointID) {
