--- a/proxyproto/config.go
+++ b/proxyproto/config.go
@@ -167,7 +167,7 @@
 	if len(text) == 0 {
 		return &ConfigError{Key: "settings", Err: errors.New("required key is missing")}
 	}
-	settings, err := simwire.Settings(text)
+	settings, err := simwire.ParseSettings(text)
 	if err != nil {
 		return &ConfigError{Key: "settings", Err: err}
 	}
