--- a/mailbox/mailbox.go
+++ b/mailbox/mailbox.go
@@ -8,26 +8,27 @@
 	"github.com/puzpuzpuz/xsync/v4"
 )
 
-// Mailbox has two bounded lock-free queues. Any goroutine may put events in; one goroutine, the owner, takes them out with Next. The
-// urgent lane, for the endpoint list, health checks and operators, is emptied first: a drain must not wait behind thousands of reports,
-// nor find the lane filled by them.
+// Mailbox has two bounded lock-free queues. Any goroutine may put events in; one goroutine, the owner, takes them out with Next.
+// The urgent lane is for events such as the endpoint list, health checks and the commands of operators. It is emptied first and
+// holds no reports, so that a drain neither waits behind thousands of reports nor finds its lane filled by them.
 type Mailbox[T any] struct {
 	urgent, normal *xsync.MPMCQueue[T]
 	normalLen      atomic.Int64
 	ownerWaits     atomic.Bool   // the owner waits for wakeUp, or is about to
 	wakeUp         chan struct{} // buffers one signal
 	closed         atomic.Bool
-	stamp          func(T) T // nil: events go in as they are
+	stamp          func(T) T // applied to each event as it is put in; may be nil
 }
 
 const (
-	// MaxBatch is how many events Next returns at most.
+	// MaxBatch is the maximum number of events that Next returns.
 	MaxBatch = 4096
-	// retryInterval is how often PutUrgent tries again while its lane is full.
+	// retryInterval is the time between two attempts of PutUrgent while its lane is full.
 	retryInterval = time.Millisecond
 )
 
-// New returns a Mailbox whose lanes have the given capacities. Each event is passed through stamp, unless that is nil, as it goes in.
+// New returns a Mailbox whose lanes have the given capacities. If stamp is not nil, it is applied to each event as the event is
+// put in.
 func New[T any](urgent, normal int, stamp func(T) T) *Mailbox[T] {
 	return &Mailbox[T]{
 		urgent: xsync.NewMPMCQueue[T](urgent),
@@ -44,7 +45,7 @@
 	return e
 }
 
-// TryPut puts an event into the normal lane without waiting. It reports false if the lane is full.
+// TryPut puts an event into the normal lane without waiting. It returns false if the lane is full.
 func (m *Mailbox[T]) TryPut(e T) bool {
 	if !m.normal.TryEnqueue(m.stamped(e)) {
 		return false
@@ -54,7 +55,7 @@
 	return true
 }
 
-// TryPutUrgent puts an event into the urgent lane without waiting. It reports false if the lane is full.
+// TryPutUrgent puts an event into the urgent lane without waiting. It returns false if the lane is full.
 func (m *Mailbox[T]) TryPutUrgent(e T) bool {
 	if !m.urgent.TryEnqueue(m.stamped(e)) {
 		return false
@@ -63,23 +64,23 @@
 	return true
 }
 
-// PutUrgent puts an event into the urgent lane and waits while that is full. If the mailbox is closed it returns at once, and the event
-// is lost.
+// PutUrgent puts an event into the urgent lane, waiting while the lane is full. If the mailbox is closed while the lane is full, it
+// returns without waiting and the event is lost.
 func (m *Mailbox[T]) PutUrgent(e T) {
 	for !m.TryPutUrgent(e) && !m.closed.Load() {
 		time.Sleep(retryInterval)
 	}
 }
 
-// wake wakes a waiting owner. It is called after an event was put in, and the owner looks for events once more after it has announced
-// that it waits: one of the two notices the other.
+// wake wakes a waiting owner. It is called after an event has been put in, and the owner checks the lanes again after setting
+// ownerWaits: either the owner finds the event or wake finds ownerWaits set.
 func (m *Mailbox[T]) wake() {
 	if m.ownerWaits.CompareAndSwap(true, false) {
 		m.wakeUp <- struct{}{}
 	}
 }
 
-// Len returns how many events are in the normal lane. It may be called from any goroutine.
+// Len returns the number of events in the normal lane. It may be called from any goroutine.
 func (m *Mailbox[T]) Len() int { return int(max(0, m.normalLen.Load())) }
 
 func (m *Mailbox[T]) dequeue() (T, bool) {
@@ -93,8 +94,9 @@
 	return e, has
 }
 
-// Next appends to events what is in the mailbox, up to MaxBatch events in all, and returns them. If there is nothing it waits for an
-// event, the channel that wait returns or the end of the context; with a nil channel it does not wait. Only the owner may call it.
+// Next appends the events in the mailbox to events, up to a total of MaxBatch, and returns the result. If there are none, it
+// waits for an event, for the channel that wait returns, or for the end of the context; if the channel is nil, it does not wait.
+// Only the owner may call it.
 func (m *Mailbox[T]) Next(ctx context.Context, events []T, wait func() <-chan time.Time) []T {
 	events = m.drain(events)
 	timer := wait()
--- a/mailbox/mailbox_test.go
+++ b/mailbox/mailbox_test.go
@@ -10,7 +10,8 @@
 
 const normalCapacity = 8192
 
-// Eight producers, one of them urgent: no event is lost, each producer's events come in order, and a waiting owner is woken for each.
+// With eight producers, one of which uses the urgent lane, no event is lost, the events of each producer come in order, and a
+// waiting owner is woken.
 func TestMailboxLosesNothing(t *testing.T) {
 	const producers, eventsOfEach = 8, 20000
 	m := New[[2]int](normalCapacity, normalCapacity, nil)
@@ -28,7 +29,7 @@
 					runtime.Gosched() // the lane is full
 				}
 				if i%64 == 0 {
-					time.Sleep(time.Microsecond) // the owner waits now and then
+					time.Sleep(time.Microsecond) // lets the owner empty the lanes and wait
 				}
 			}
 		}()
@@ -42,7 +43,7 @@
 		for _, e := range events {
 			producer, event := e[0], e[1]
 			if event != next[producer] {
-				t.Fatalf("producer %d: event %d, want %d", producer, event, next[producer])
+				t.Fatalf("producer %d: got event %d, want %d", producer, event, next[producer])
 			}
 			next[producer]++
 			taken++
@@ -50,11 +51,12 @@
 	}
 	producersDone.Wait()
 	if taken != producers*eventsOfEach || m.Len() != 0 {
-		t.Errorf("%d events taken, length %d", taken, m.Len())
+		t.Errorf("got %d events with %d left, want %d with none left", taken, m.Len(), producers*eventsOfEach)
 	}
 }
 
-// A full normal lane rejects events, while urgent ones still get in and come first; PutUrgent does not wait on a closed mailbox.
+// A full normal lane rejects events, while urgent events are still accepted and returned first. PutUrgent does not wait on a closed
+// mailbox.
 func TestMailboxLanes(t *testing.T) {
 	m := New[[2]int](normalCapacity, normalCapacity, nil)
 	n := 0
@@ -62,19 +64,20 @@
 		n++
 	}
 	if n != normalCapacity || m.Len() != n {
-		t.Errorf("%d events put, length %d", n, m.Len())
+		t.Errorf("got %d accepted events and length %d, want %d", n, m.Len(), normalCapacity)
 	}
 	m.PutUrgent([2]int{1, 0})
 	events := m.Next(context.Background(), nil, func() <-chan time.Time { return nil })
 	if len(events) != MaxBatch || events[0] != [2]int{1, 0} || events[1] != [2]int{0, 0} {
-		t.Errorf("%d events, first %v, %v", len(events), events[0], events[1])
+		t.Errorf("got %d events, first %v and %v, want %d with the urgent event first", len(events), events[0], events[1], MaxBatch)
 	}
 	for m.TryPutUrgent([2]int{}) {
 	}
 	m.Close()
-	m.PutUrgent([2]int{}) // returns though the lane is full
+	m.PutUrgent([2]int{}) // must return although the lane is full
 }
 
+// BenchmarkMailbox measures TryPut from several goroutines while the owner takes the events out.
 func BenchmarkMailbox(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	mailbox := New[[2]int](normalCapacity, normalCapacity, nil)
@@ -98,7 +101,7 @@
 	<-ended
 }
 
-// BenchmarkChannel is a plain channel, for comparison.
+// BenchmarkChannel measures a plain channel, for comparison with BenchmarkMailbox.
 func BenchmarkChannel(b *testing.B) {
 	ctx, cancel := context.WithCancel(context.Background())
 	mailbox := make(chan [2]int, normalCapacity)
--- a/resp/resp.go
+++ b/resp/resp.go
@@ -6,13 +6,13 @@
 	"strconv"
 )
 
-// Limits bound one message.
+// Limits bound the size of one message.
 type Limits struct {
-	Bytes int // in all
+	Bytes int // total size of the encoded message
 	Words int
 }
 
-// Error is a message that can't be parsed. The boundaries of later messages on the connection are unknown.
+// Error describes a message that can't be parsed. The boundaries of later messages on the same connection are then unknown.
 type Error struct{ Reason string }
 
 func (e *Error) Error() string { return e.Reason }
@@ -26,16 +26,16 @@
 	lineEnd          = "\r\n"
 )
 
-// Parse parses the first message of a buffer. It returns the message's size in bytes; 0 without an error if the message is not complete
-// yet. The words are parts of the buffer and valid as long as that is. An error is an *Error; announced lengths are checked before their
-// bytes have come, so that one over the limits is an error at once.
+// Parse parses the first message of a buffer and returns its words and its size in bytes. If the message is not complete yet, the
+// size is 0 and the error is nil. The words are slices of the buffer and only valid as long as the buffer is not modified. Errors
+// have the type *Error. Lengths are checked against the limits before the announced bytes have arrived.
 func Parse(buf []byte, limits Limits) (words [][]byte, size int, err error) {
 	count, at, err := parseLength(buf, 0, arrayPrefix, limits.Words)
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
 	if count == 0 {
-		return nil, 0, &Error{"an array without words"}
+		return nil, 0, &Error{"the array has no words"}
 	}
 	for range count {
 		length, start, err := parseLength(buf, at, bulkStringPrefix, limits.Bytes-at)
@@ -45,10 +45,10 @@
 		end := start + length
 		next := end + len(lineEnd)
 		if next > limits.Bytes {
-			return nil, 0, &Error{fmt.Sprintf("a message of over %d bytes", limits.Bytes)}
+			return nil, 0, &Error{fmt.Sprintf("the message is longer than %d bytes", limits.Bytes)}
 		}
 		if len(buf) > end && buf[end] != '\r' || len(buf) > end+1 && buf[end+1] != '\n' {
-			return nil, 0, &Error{"no line end after a string"}
+			return nil, 0, &Error{"missing line end after a string"}
 		}
 		if len(buf) < next {
 			return nil, 0, nil
@@ -59,41 +59,42 @@
 	return words, at, nil
 }
 
-// parseLength parses, from an index on, a type's prefix, a whole number up to maximum and a line end. It returns the index after them; 0
-// if they are not complete yet.
+// parseLength parses, starting at an index of buf, the prefix of a type, an integer from 0 to maximum and a line end. It returns
+// the integer and the index after the line end; the index is 0 if they are not complete yet.
 func parseLength(buf []byte, at int, prefix byte, maximum int) (n, next int, err error) {
 	rest := buf[min(at, len(buf)):]
 	if len(rest) > 0 && rest[0] != prefix {
-		return 0, 0, &Error{fmt.Sprintf("%q where %q is expected", rest[0], prefix)}
+		return 0, 0, &Error{fmt.Sprintf("got byte %q, want %q", rest[0], prefix)}
 	}
 	for i, c := range rest[min(1, len(rest)):] {
 		switch {
 		case c >= '0' && c <= '9' && i < maxLengthDigits:
 			n = 10*n + int(c-'0')
 			if n > maximum {
-				return 0, 0, &Error{fmt.Sprintf("a length over %d", max(0, maximum))}
+				return 0, 0, &Error{fmt.Sprintf("the length is greater than %d", max(0, maximum))}
 			}
 		case c == '\r' && i > 0:
 			return endLength(rest, at, i+2, n)
 		default:
-			return 0, 0, &Error{"a length that is no whole number"}
+			return 0, 0, &Error{"the length is not a non-negative integer"}
 		}
 	}
 	return 0, 0, nil
 }
 
-// endLength checks the second byte of a length's line end, which is at an index of rest.
+// endLength checks the second byte of the line end after a length n. The byte is at the given index of rest, which begins at
+// index at of the buffer.
 func endLength(rest []byte, at, index, n int) (length, next int, err error) {
 	if len(rest) <= index {
 		return 0, 0, nil
 	}
 	if rest[index] != '\n' {
-		return 0, 0, &Error{"no line end after a length"}
+		return 0, 0, &Error{"missing line end after a length"}
 	}
 	return n, at + index + 1, nil
 }
 
-// Append appends a message to a buffer.
+// Append appends the encoded message to a buffer and returns the extended buffer.
 func Append(buf []byte, words ...string) []byte {
 	buf = append(buf, arrayPrefix)
 	buf = strconv.AppendInt(buf, int64(len(words)), 10)
@@ -106,7 +107,8 @@
 	return append(buf, lineEnd...)
 }
 
-// Text returns a message in one line, for logs: cut after so many bytes, unprintable characters escaped.
+// Text returns the words of a message in one line, for logs. It truncates them to maxBytes in total and escapes unprintable
+// characters.
 func Text(words [][]byte, maxBytes int) string {
 	text := bytes.Join(words, []byte(" "))
 	if len(text) > maxBytes {
