--- a/proxyserver/connections.go
+++ b/proxyserver/connections.go
@@ -9,32 +9,33 @@
 	"porthub/proxyproto"
 )
 
-// silenceTimeout is the time after which a stream that has not sent a pending acknowledgement, nor anything else, counts as dead.
-// Acknowledgements can take eleven seconds while the channel is full, and a proxy without requests has no load to report meanwhile. The
-// decision module expires messages after a minute, too.
+// silenceTimeout is the time after which a stream counts as silent if an acknowledgement is pending and nothing has been
+// received. Acknowledgements can take eleven seconds while the channel is full, and a proxy without requests has no load to
+// report in that time. The decision module also expires messages after a minute.
 const silenceTimeout = time.Minute
 
-// connection is a peer's connection. It is owned by the event loop, except for the field connected.
+// connection is a peer's connection. It is used by the event loop only, except for the field connected.
 type connection struct {
 	conn            gnet.Conn
 	session         proxyproto.Session
 	acceptedAt      time.Time
 	receivedAt      time.Time // when bytes last arrived
-	ackPendingSince time.Time // since when an acknowledgement is, or was, pending
+	ackPendingSince time.Time // start of the present or last period with a pending acknowledgement
 	closed          bool
 
-	// connected is owned by the owner: the event that connected the stream. HasDefaultTableOnly becomes false once a table is sent.
+	// connected is the event that connected the stream. Only the owner uses it, and resets HasDefaultTableOnly once a table is
+	// sent.
 	connected policyapi.ProxyConnected
 }
 
-// isSilent reports whether an acknowledgement of a stream is pending and nothing has been received from it for silenceTimeout.
+// isSilent reports whether an acknowledgement has been pending, and nothing has been received, for more than silenceTimeout.
 func (c *connection) isSilent(now time.Time) bool {
 	return c.session.PendingAcks() > 0 && now.Sub(c.receivedAt) > silenceTimeout && now.Sub(c.ackPendingSince) > silenceTimeout
 }
 
-// OnOpen accepts a connection. Beyond the limit the oldest unidentified connection is closed, so that a proxy can always connect. If
-// all are identified, a silent stream is closed; if there is none the new connection is rejected, and its proxy can connect to other
-// coordinators.
+// OnOpen accepts a connection. Beyond maxConnections, the oldest unidentified connection is closed, so that clients that do not
+// identify themselves can't keep a proxy from connecting. If all other connections are identified, the longest silent stream is
+// closed. If there is none, the new connection is rejected, and its proxy can connect to another coordinator.
 func (s *server) OnOpen(conn gnet.Conn) ([]byte, gnet.Action) {
 	loop := conn.EventLoop()
 	s.loop.CompareAndSwap(nil, &loop)
@@ -75,7 +76,7 @@
 	return gnet.None
 }
 
-// popOldestUnidentified removes the oldest unidentified connection from the queue. There must be one.
+// popOldestUnidentified removes the oldest unidentified connection from the queue and returns it. There must be one.
 func (s *server) popOldestUnidentified() *connection {
 	for {
 		c := s.unidentified[0]
@@ -91,7 +92,7 @@
 	s.unidentified = s.unidentified[1:]
 }
 
-// closeLateUnidentified rejects connections that have not identified themselves in time.
+// closeLateUnidentified rejects connections that have not identified themselves within identificationTimeout.
 func (s *server) closeLateUnidentified(now time.Time) {
 	for len(s.unidentified) > 0 {
 		c := s.unidentified[0]
@@ -107,8 +108,8 @@
 	s.unidentified = nil // releases the memory of a burst of connections
 }
 
-// longestSilent returns the silent stream from which nothing has been received for the longest time, nil if there is none. Its proxy
-// has disappeared without closing the connection, and must not take the place of another.
+// longestSilent returns the silent stream from which nothing has been received for the longest time, or nil if there is none. Its
+// proxy is assumed to have disappeared without closing the connection, so that another proxy can take its place.
 func (s *server) longestSilent(now time.Time) (longest *connection) {
 	for c := range s.streams {
 		if c.isSilent(now) && (longest == nil || c.receivedAt.Before(longest.receivedAt)) {
@@ -118,7 +119,8 @@
 	return longest
 }
 
-// reject closes a connection from within the event loop, but not from its own callbacks: those return gnet.Close.
+// reject sends NACK and closes a connection. It must be called on the event loop, but not in a callback of the same connection:
+// such a callback returns gnet.Close.
 func (s *server) reject(c *connection) {
 	_, _ = c.conn.Write(proxyproto.NackReply)
 	_ = c.conn.EventLoop().Close(c.conn)
--- a/proxyserver/coordinator.go
+++ b/proxyserver/coordinator.go
@@ -18,17 +18,18 @@
 	"porthub/proxyproto"
 )
 
-// ErrEnvironment means a failure of the machine that the coordinator runs on, such as an address that is in use.
-var ErrEnvironment = errors.New("environment")
+// ErrEnvironment means that the coordinator can't run because of its environment, for example because its address is in use.
+var ErrEnvironment = errors.New("environment failure")
 
 const (
 	// maxConcurrentHealthChecks bounds the descriptors that health checks use.
 	maxConcurrentHealthChecks = 8
-	// laneCapacity is the number of inputs that can wait for the owner in each lane of the mailbox: a second's reports at ten times
-	// the expected rate.
+	// laneCapacity is the number of inputs that can wait for the owner in each lane of the mailbox. It holds the reports of one
+	// second at ten times the expected rate.
 	laneCapacity = 4096
-	// reservedDescriptors are not available to connections: standard streams, listener, pollers, a watch and the one that replaces
-	// it, a snapshot, health checks and their name look-ups, the log.
+	// reservedDescriptors is the number of descriptors that are not available to connections. They are used by the standard
+	// streams, the listener, the pollers, a watch and the one that replaces it, a snapshot, health checks and their name
+	// look-ups, and the log.
 	reservedDescriptors = 16 + maxConcurrentHealthChecks
 )
 
@@ -41,7 +42,7 @@
 	server  *server
 	checker *healthcheck.Checker
 
-	// Used by the owner only.
+	// The fields below are used by the owner only.
 	module    *policyModule
 	publisher *proxyproto.Publisher
 	streams   map[policyapi.ProxyID]*connection
@@ -49,18 +50,19 @@
 	watcher   *discoveryWatcher
 	timers    timerQueue
 	stats     stats
-	inputs    []input // of a step; reused by the next one
+	inputs    []input // inputs of the current step; the slice is reused
 }
 
 // input is an item of the owner's mailbox: exactly one of event, discovery and config is set.
 type input struct {
-	connection *connection // that the event came from; nil for others
+	connection *connection // connection of a peer's event; nil for other inputs
 	event      policyapi.Event
 	discovery  *discoveryEvent
-	config     *proxyproto.Config // to be reloaded
+	config     *proxyproto.Config // configuration to be reloaded
 }
 
-// New returns a coordinator that listens on its address; Run must be called to serve. An error in listening wraps ErrEnvironment.
+// New returns a coordinator that listens on its address; Run must be called to serve. If it can't listen, the error wraps
+// ErrEnvironment.
 func New(cfg proxyproto.Config, log *zap.Logger) (*Coordinator, error) {
 	c := &Coordinator{
 		cfg:       cfg,
@@ -96,7 +98,7 @@
 	return c, err
 }
 
-// cachedList is the endpoint list of the configuration.
+// cachedList returns the endpoint list of the configuration as an update of kind Cached.
 func (c *Coordinator) cachedList() policyapi.EndpointUpdate {
 	cached := c.cfg.CachedList.Update
 	cached.Kind = policyapi.Cached
@@ -106,8 +108,8 @@
 // Addr returns the address on which the coordinator listens.
 func (c *Coordinator) Addr() string { return c.server.addr }
 
-// healthCheckOptions returns how endpoints are checked: in deployments with load reports, the response contains one. A check may take
-// the connect timeout plus one report period: a later result is out of date.
+// healthCheckOptions returns the options for health checks. In deployments with load metrics, the response to a check contains a
+// load report. A check times out after the connect timeout plus one report period, since a later result is out of date.
 func (c *Coordinator) healthCheckOptions() healthcheck.Options {
 	path := "/alive"
 	if len(c.cfg.Start.Reports.MetricNames) > 0 {
@@ -130,12 +132,12 @@
 	}
 }
 
-// Reload applies a new configuration. Only discovery's address can change while the coordinator runs; other differences are logged and
-// ignored. Reload may be called from any goroutine.
+// Reload applies a new configuration. Only discovery's address can change while the coordinator runs; other differences are
+// logged and ignored. Reload may be called from any goroutine.
 func (c *Coordinator) Reload(cfg proxyproto.Config) { c.mailbox.PutUrgent(input{config: &cfg}) }
 
-// Run serves until the context ends, then closes all connections and returns nil. It returns an error if the decision module fails
-// repeatedly, or, wrapping ErrEnvironment, if the listener ends.
+// Run serves until the context ends, then closes all connections and returns nil. It returns an error if the decision module panics
+// twice within a short time, or if the listener ends; the latter error wraps ErrEnvironment.
 func (c *Coordinator) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -145,7 +147,7 @@
 	if err := c.process(ctx, []policyapi.Event{c.cachedList()}); err != nil {
 		return err
 	}
-	if !c.cfg.Start.PollsList { // the decision module expects changes without requesting them
+	if !c.cfg.Start.PollsList { // the decision module does not request changes, but expects them
 		c.watcher.follow(ctx)
 	}
 	for ctx.Err() == nil {
--- a/proxyserver/coordinator_test.go
+++ b/proxyserver/coordinator_test.go
@@ -23,11 +23,11 @@
 	"porthub/resp"
 )
 
-// A proxy connects and receives its table, then a drain; a stream that is replaced before its end is detected is no disconnect.
+// A proxy receives its table after connecting, and later a drain. When the proxy connects again, its old stream is closed.
 func TestStreamReceivesTableAndDrain(t *testing.T) {
 	srv := startServer(t, 256)
 	if from := receive(t, "watch", srv.discovery.calls); from != "41" {
-		t.Errorf("watched from %q", from)
+		t.Errorf("got a watch from version %q, want 41", from)
 	}
 	srv.discovery.send(listMessage(41, false))
 	pinging := srv.dial()
@@ -39,7 +39,7 @@
 	source.ping()
 	old := srv.subscribe(7)
 	if m := old.receiveUntil(7, "replace 1"); !strings.Contains(m, "s-1:") || !strings.Contains(m, "s-2:") || !strings.Contains(m, "stamp") {
-		t.Errorf("%q", m)
+		t.Errorf("got message %q, want one with s-1, s-2 and an ack id", m)
 	}
 	replacement := srv.subscribe(7)
 	replacement.receiveUntil(7, "replace 1")
@@ -53,8 +53,8 @@
 	}
 }
 
-// A proxy connects again before the end of its old stream is detected: the old stream's acknowledgements are ignored, and its end is
-// no disconnect. Load reports count on either stream.
+// A proxy connects again before the end of its old stream is detected: the old stream's acknowledgements are ignored, and its end
+// does not count as a disconnect of the proxy. Load reports are accepted on both streams.
 func TestReplacedStreamIsNotADisconnect(t *testing.T) {
 	coordinator, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
 	srv := &testServer{t: t, coordinator: coordinator}
@@ -78,79 +78,80 @@
 	if _, err := old.receive(); err == nil {
 		t.Error("the old stream is still open")
 	}
-	// Its end was handed over before the client could see it.
+	// The end of the old stream was passed to the owner before the client could detect it.
 	for _, e := range coordinator.mailbox.Next(ctx, nil, func() <-chan time.Time { return time.After(time.Millisecond) }) {
 		got = coordinator.accept(ctx, got, e)
 	}
 	got = slices.DeleteFunc(got, func(ev policyapi.Event) bool { _, is := ev.(policyapi.ProxyLoad); return is })
 	if len(got) != 2 || got[0] != (policyapi.ProxyDisconnected{Proxy: 7}) || got[1].(policyapi.ProxyConnected).Proxy != 7 || coordinator.streams[7] == nil {
-		t.Errorf("events %+v", got)
+		t.Errorf("got events %+v, want the disconnect and the connect of proxy 7", got)
 	}
 }
 
-// Health checks use the address in the endpoint list, load metrics are reported by the decision module's names, and each outcome has
-// its code.
+// Health checks use the address in the endpoint list, load metrics are reported under the decision module's names, and each
+// outcome has its own code.
 func TestHealthChecks(t *testing.T) {
-	answers := map[string]int{"/metrics/load": http.StatusOK}
+	statuses := map[string]int{"/metrics/load": http.StatusOK}
 	var mu sync.Mutex
 	endpoint := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		w.WriteHeader(answers[req.URL.Path])
+		w.WriteHeader(statuses[req.URL.Path])
 		_, _ = io.WriteString(w, `{"inflight":7,"queue":2,"util":0.61,"new":"x"}`)
 	}))
 	defer endpoint.Close()
 	srv := startServer(t, 256)
 	results := make(chan policyapi.HealthCheckResult, 1)
 	options := srv.coordinator.healthCheckOptions()
-	options.URL = func(b policyapi.EndpointID) (string, bool) {
-		if b == "s-1" {
+	options.URL = func(id policyapi.EndpointID) (string, bool) {
+		if id == "s-1" {
 			return endpoint.URL + "/metrics/load", true
 		}
-		return srv.coordinator.healthCheckOptions().URL(b)
+		return srv.coordinator.healthCheckOptions().URL(id)
 	}
-	checker := healthcheck.New(options, func(found policyapi.HealthCheckResult) { results <- found })
+	checker := healthcheck.New(options, func(result policyapi.HealthCheckResult) { results <- result })
 	defer checker.Close()
-	check := func(b policyapi.EndpointID) policyapi.HealthCheckResult {
-		checker.Check(b)
+	check := func(id policyapi.EndpointID) policyapi.HealthCheckResult {
+		checker.Check(id)
 		return receive(t, "result", results)
 	}
-	if f := check("s-1"); !f.Healthy || f.Code != "Ok" || len(f.Metrics) != 3 || f.Metrics["busy"] != 0.61 || f.Metrics["rif"] != 7 {
-		t.Errorf("%+v", f)
+	if result := check("s-1"); !result.Healthy || result.Code != "Ok" || len(result.Metrics) != 3 ||
+		result.Metrics["busy"] != 0.61 || result.Metrics["rif"] != 7 {
+		t.Errorf("got result %+v, want code Ok and three metrics", result)
 	}
 	mu.Lock()
-	answers["/metrics/load"] = http.StatusServiceUnavailable
+	statuses["/metrics/load"] = http.StatusServiceUnavailable
 	mu.Unlock()
-	if f := check("s-1"); f.Healthy || f.Code != "QueueFull" {
-		t.Errorf("%+v", f)
+	if result := check("s-1"); result.Healthy || result.Code != "QueueFull" {
+		t.Errorf("got result %+v, want code QueueFull", result)
 	}
-	if f := check("s-2"); f.Healthy || f.Code != "ConnectError" { // listed at a port without a listener
-		t.Errorf("%+v", f)
+	if result := check("s-2"); result.Healthy || result.Code != "ConnectError" { // listed at a port without a listener
+		t.Errorf("got result %+v, want code ConnectError", result)
 	}
-	if f := check("s-9"); f.Healthy || f.Code != "Failed" { // never listed
-		t.Errorf("%+v", f)
+	if result := check("s-9"); result.Healthy || result.Code != "Failed" { // never listed
+		t.Errorf("got result %+v, want code Failed", result)
 	}
 }
 
-// An address that is in use is a failure of the machine.
+// Listening on an address that is in use fails with ErrEnvironment.
 func TestListenAddressInUse(t *testing.T) {
 	srv := startServer(t, 256)
 	cfg := srv.cfg
 	cfg.Listen = srv.coordinator.Addr()
 	if _, err := New(cfg, zap.NewNop()); !errors.Is(err, ErrEnvironment) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want ErrEnvironment", err)
 	}
 }
 
-// Proxies dial repeatedly while the coordinator starts: each connection is served, none is accepted and then reset.
+// Proxies dial repeatedly while the coordinator starts. Each accepted connection is served; none is accepted and then reset.
 func TestDialDuringStartIsNotReset(t *testing.T) {
-	free, err := emulator.NewAddress() // held, so that no other process listens there between two starts
+	reserved, err := emulator.NewAddress() // no other process can listen there between two starts
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(free.Release)
+	t.Cleanup(reserved.Release)
 	cfg := testConfig(t, "127.0.0.1:1", 256)
-	cfg.Listen = free.String()
+	cfg.Listen = reserved.String()
 	for start := range 500 {
 		began, results := make(chan struct{}, 4), make(chan error, 4)
 		for range cap(results) {
@@ -175,30 +176,30 @@
 		for range cap(began) {
 			receive(t, "dial", began)
 		}
-		n, err := New(cfg, zap.NewNop())
+		coordinator, err := New(cfg, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		for range cap(results) {
 			if err := receive(t, "answer", results); err != nil {
-				t.Errorf("start %d: %v", start, err)
+				t.Errorf("start %d: got error %v, want PONG", start, err)
 			}
 		}
-		n.server.close()
-		n.checker.Close()
-		n.mailbox.Close()
+		coordinator.server.close()
+		coordinator.checker.Close()
+		coordinator.mailbox.Close()
 		if t.Failed() {
 			return
 		}
 	}
 }
 
-// On shutdown a peer that does not read causes a delay of half a second at most, and the others receive complete messages.
+// On shutdown, a peer that does not read causes a delay of less than half a second, and other peers receive complete messages.
 func TestShutdownWithUnsentBytes(t *testing.T) {
 	srv := startServer(t, 256)
 	receive(t, "watch", srv.discovery.calls)
-	stuck, reading := srv.subscribe(1), srv.subscribe(2)
-	stuck.receiveUntil(1, "replace 1")
+	stalled, reading := srv.subscribe(1), srv.subscribe(2)
+	stalled.receiveUntil(1, "replace 1")
 	reading.receiveUntil(2, "replace 1")
 	loop := *srv.coordinator.server.loop.Load()
 	connections, unsent := make(chan map[policyapi.ProxyID]*connection, 1), make(chan int, 1)
@@ -207,18 +208,18 @@
 	}
 	onLoop(func() {
 		all := map[policyapi.ProxyID]*connection{}
-		for l := range srv.coordinator.server.streams {
-			all[l.session.Proxy] = l
+		for c := range srv.coordinator.server.streams {
+			all[c.session.Proxy] = c
 		}
 		connections <- all
 	})
-	all := receive(t, "links", connections)
-	part := []byte(strings.Repeat("x", maxUnsentBytes/8))
+	all := receive(t, "connections", connections)
+	chunk := []byte(strings.Repeat("x", maxUnsentBytes/8))
 	for unsentBytes, end := 0, time.Now().Add(testTimeout); unsentBytes == 0; unsentBytes = receive(t, "loop", unsent) {
-		srv.coordinator.server.send(all[1], proxyproto.OutboundMessage{Proxy: 1, Bytes: part})
+		srv.coordinator.server.send(all[1], proxyproto.OutboundMessage{Proxy: 1, Bytes: chunk})
 		onLoop(func() { unsent <- all[1].conn.OutboundBuffered() })
 		if time.Now().After(end) {
-			t.Fatal("all bytes are taken")
+			t.Fatal("the sockets accept all bytes, want some unsent")
 		}
 	}
 	const messages = 100
@@ -232,11 +233,11 @@
 			if strings.HasPrefix(m, "CONFIG") {
 				continue
 			}
-			t.Fatalf("message %d: %q, %v", i, m, err)
+			t.Fatalf("message %d: got %q, error %v; want PONG", i, m, err)
 		}
 	}
 	if err := receive(t, "end", srv.ended); err != nil || time.Since(began) > 400*time.Millisecond { // SIGKILL comes after 0.7 s
-		t.Errorf("%v after %s", err, time.Since(began))
+		t.Errorf("got error %v after %s, want none within 400 ms", err, time.Since(began))
 	}
 	srv.ended <- nil
 }
--- a/proxyserver/discovery.go
+++ b/proxyserver/discovery.go
@@ -15,8 +15,8 @@
 	"porthub/proxyproto"
 )
 
-// Bounds on discovery's responses. The times follow from the protocol: a line arrives every 2 s, a response sooner, and a change counts
-// as delivered after 6 s in any case.
+// Limits on the responses of discovery. The timeouts follow from the protocol: a line arrives every 2 s, a response sooner, and a
+// change counts as delivered after 6 s in any case.
 const (
 	// maxListBytes bounds a snapshot or a line: ten thousand endpoints take half of it.
 	maxListBytes = 4 << 20
@@ -24,43 +24,43 @@
 	lineTimeout = 2500 * time.Millisecond
 	// watchTimeout is the time without a line after which a watch is canceled.
 	watchTimeout = 4500 * time.Millisecond
-	// initialLineBytes is the buffer that a watch begins with.
+	// initialLineBytes is the initial size of the line buffer of a watch.
 	initialLineBytes = 16 << 10
-	// maxConcurrentCalls bounds the descriptors: an open watch, the one that is to replace it, a snapshot.
+	// maxConcurrentCalls bounds the descriptors that calls use: an open watch, the one that is to replace it, and a snapshot.
 	maxConcurrentCalls = 3
 )
 
 var (
-	errNoResponse   = fmt.Errorf("no response for %s", lineTimeout)
-	errWatchSilent  = fmt.Errorf("no line for %s", watchTimeout)
-	errNotASnapshot = errors.New("a snapshot was requested, discovery sent a delta")
+	errNoResponse   = fmt.Errorf("no response from discovery for %s", lineTimeout)
+	errWatchSilent  = fmt.Errorf("no line from discovery for %s", watchTimeout)
+	errNotASnapshot = errors.New("discovery sent a delta, want a snapshot")
 )
 
-// statusError is a response other than 200.
+// statusError is a response with a status other than 200 OK.
 type statusError struct{ status string }
 
-func (e *statusError) Error() string { return "discovery responded " + e.status }
+func (e *statusError) Error() string { return "discovery responded with status " + e.status }
 
 // discoveryEventKind is the kind of a discoveryEvent.
 type discoveryEventKind int
 
 const (
-	// listReceived: the snapshot, or a line of a watch.
+	// listReceived means that a snapshot or a line of a watch was received.
 	listReceived discoveryEventKind = iota
-	// watchOpened: a watch has its response, lines follow.
+	// watchOpened means that the response of a watch has begun and lines follow.
 	watchOpened
-	// lineOverdue: an open watch has missed a line.
+	// lineOverdue means that no line of an open watch has arrived for lineTimeout.
 	lineOverdue
-	// callFailed: the call has ended.
+	// callFailed means that the call has ended with an error.
 	callFailed
 )
 
-// discoveryEvent is a result of a call to discovery, or its end.
+// discoveryEvent reports a result of a call to discovery, or its failure.
 type discoveryEvent struct {
 	call int // the call's number
 	kind discoveryEventKind
-	list proxyproto.EndpointList // if listReceived
-	err  error                   // if callFailed
+	list proxyproto.EndpointList // set if kind is listReceived
+	err  error                   // set if kind is callFailed
 }
 
 // discoveryClient makes calls to discovery and delivers their results. Its methods may be called from any goroutine.
@@ -80,11 +80,11 @@
 	}
 }
 
-// call makes a call after a delay, once there is a slot for it, and delivers its failure. It runs in a goroutine of its own, which the
-// watcher starts and ends by the context.
+// call makes a call after a delay, once a slot is free, and delivers its failure. The watcher runs it in a separate goroutine,
+// and ends it by canceling the context.
 func (d *discoveryClient) call(ctx context.Context, number int, delay time.Duration, do func(context.Context) error) {
 	err := d.callInSlot(ctx, delay, do)
-	if err != nil && ctx.Err() == nil { // otherwise its result has been delivered, or is no longer needed
+	if err != nil && ctx.Err() == nil { // otherwise the result has been delivered or is no longer needed
 		d.deliver(discoveryEvent{call: number, kind: callFailed, err: err})
 	}
 }
@@ -108,7 +108,7 @@
 	return do(ctx)
 }
 
-// fetchSnapshot requests the complete list and delivers it.
+// fetchSnapshot requests and delivers the complete list.
 func (d *discoveryClient) fetchSnapshot(ctx context.Context, address string, number int) error {
 	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// get makes a GET request. The caller closes the response's body.
+// get makes a GET request. The caller must close the response's body.
 func (d *discoveryClient) get(ctx context.Context, address, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
@@ -179,7 +179,8 @@
 	})
 }
 
-// readLines delivers a watch's lines and calls onLine for each, also for the empty ones that only show that the watch is alive.
+// readLines delivers the lines of a watch. It calls onLine for each, including the empty lines that only show that the watch is
+// alive.
 func (d *discoveryClient) readLines(ctx context.Context, body io.Reader, number int, onLine func()) error {
 	lines := bufio.NewScanner(body)
 	lines.Buffer(make([]byte, 0, initialLineBytes), maxListBytes)
--- a/proxyserver/endpoints.go
+++ b/proxyserver/endpoints.go
@@ -9,32 +9,32 @@
 	"porthub/proxyproto"
 )
 
-// endpointStore contains the endpoint list that was applied last. It is owned by the owner, except for the addresses.
+// endpointStore contains the endpoint list that was applied last. It is used by the owner only, except for the addresses.
 type endpointStore struct {
 	version   policyapi.ListVersion
 	endpoints map[policyapi.EndpointID]policyapi.Endpoint
-	// withdrawn are the endpoints that were listed as draining or removed, with the start times of those processes.
+	// withdrawn contains the endpoints that were listed as draining or removed, with the start times of their processes.
 	withdrawn map[policyapi.EndpointID]policyapi.Microseconds
 	addresses addressTable
 }
 
-// addressTable contains the addresses for health checks of endpoints. The owner sets them, health checks look them up.
+// addressTable contains the health-check addresses of endpoints. The owner sets them, and health checks look them up.
 type addressTable struct {
-	mu         sync.Mutex // guards byEndpoint; the map itself is never changed after set
+	mu         sync.Mutex // guards byEndpoint; the map itself is not modified after set
 	byEndpoint map[policyapi.EndpointID]string
 }
 
-func (b *addressTable) lookup(id policyapi.EndpointID) (address string, has bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	address, has = b.byEndpoint[id]
+func (t *addressTable) lookup(id policyapi.EndpointID) (address string, has bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	address, has = t.byEndpoint[id]
 	return address, has
 }
 
-func (b *addressTable) set(byEndpoint map[policyapi.EndpointID]string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.byEndpoint = byEndpoint
+func (t *addressTable) set(byEndpoint map[policyapi.EndpointID]string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.byEndpoint = byEndpoint
 }
 
 func newEndpointStore() *endpointStore {
@@ -76,7 +76,7 @@
 	for id := range s.endpoints {
 		address := addresses[id]
 		if address == "" {
-			address = s.addresses.byEndpoint[id] // only the owner sets it
+			address = s.addresses.byEndpoint[id] // without the lock, since only the owner sets the map
 		}
 		if address != "" {
 			merged[id] = address
@@ -85,14 +85,14 @@
 	s.addresses.set(merged)
 }
 
-// forget drops the state of endpoints that messages may no longer name.
-func (s *endpointStore) forget(forgotten []policyapi.EndpointID) {
-	for _, id := range forgotten {
+// discard discards the state of endpoints that messages may no longer name.
+func (s *endpointStore) discard(expired []policyapi.EndpointID) {
+	for _, id := range expired {
 		delete(s.withdrawn, id)
 	}
 }
 
-// cachedList returns the list last applied as an update of kind Cached.
+// cachedList returns the list that was applied last, as an update of kind Cached.
 func (s *endpointStore) cachedList() policyapi.EndpointUpdate {
 	update := policyapi.EndpointUpdate{Version: s.version, Kind: policyapi.Cached}
 	for _, id := range slices.Sorted(maps.Keys(s.endpoints)) {
@@ -101,20 +101,21 @@
 	return update
 }
 
-// reconcile returns a list's update in the form in which it is applied: endpoints whose entries can't be read stay, and withdrawn ones
-// are not restored by an older list.
+// reconcile returns the update that a list results in: endpoints whose entries can't be read are retained, and withdrawn
+// endpoints are not restored by an older list.
 func (s *endpointStore) reconcile(list proxyproto.EndpointList) policyapi.EndpointUpdate {
 	return s.retainWithdrawn(s.retainUnreadable(list))
 }
 
-// retainUnreadable prevents that an endpoint counts as removed because its entry in a snapshot can't be read.
+// retainUnreadable returns the update of a list, changed so that endpoints do not count as removed because their entries in a
+// snapshot can't be read.
 func (s *endpointStore) retainUnreadable(list proxyproto.EndpointList) policyapi.EndpointUpdate {
 	update := list.Update
 	if update.Kind != policyapi.Snapshot {
 		return update
 	}
 	if list.HasUnnamed {
-		update.Kind = policyapi.Delta // the entry without a name may be that of any missing endpoint: none is removed
+		update.Kind = policyapi.Delta // the entry without a name may belong to any missing endpoint, so none is removed
 		return update
 	}
 	for _, id := range list.Unreadable {
@@ -125,8 +126,8 @@
 	return update
 }
 
-// retainWithdrawn prevents that a list with a lower version than the present one, from a discovery that lags behind or has restarted,
-// restores an endpoint that was listed as draining or removed, unless the endpoint has been started since.
+// retainWithdrawn marks withdrawn endpoints as draining in an update with a lower version than the current list, such as one from
+// a discovery that lags behind or has restarted. Endpoints that have been started since they were withdrawn stay ready.
 func (s *endpointStore) retainWithdrawn(update policyapi.EndpointUpdate) policyapi.EndpointUpdate {
 	for i, e := range update.Endpoints {
 		startedAt, isWithdrawn := s.withdrawn[e.ID]
--- a/proxyserver/fakediscovery_test.go
+++ b/proxyserver/fakediscovery_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// fakeDiscovery responds to each watch with the lines that the test sends.
+// fakeDiscovery is a discovery that responds to each watch with the lines that the test sends.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu         sync.Mutex
 	watches    map[chan string]bool
-	rejectNext int // how many of the next calls fail
-	calls      chan string
+	rejectNext int         // number of further calls that are refused
+	calls      chan string // the version that each watch requests, or "refused"
 }
 
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
@@ -65,6 +65,7 @@
 	}
 }
 
+// send sends a line to all watches. The empty line ends them.
 func (d *fakeDiscovery) send(line string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,35 +89,36 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, complete, strings.Join(hosts, ","))
 }
 
-// discoveryCall is a call to manualDiscovery, which responds when the test makes it, or never.
+// discoveryCall is a call to a manualDiscovery. It gets only the response that the test sends.
 type discoveryCall struct {
 	uri     string
-	respond chan int    // the status
-	lines   chan string // closed: the response ends
+	respond chan int    // receives the status of the response
+	lines   chan string // lines of the response; closing the channel ends the response
 	done    <-chan struct{}
 }
 
-func (a *discoveryCall) accept(lines ...string) {
-	a.respond <- http.StatusOK
+// accept responds with the status 200 and some lines.
+func (c *discoveryCall) accept(lines ...string) {
+	c.respond <- http.StatusOK
 	for _, l := range lines {
-		a.lines <- l
+		c.lines <- l
 	}
 }
 
-// sendHeartbeats sends the empty lines of an open watch, more often than the protocol does, until the test ends.
-func (a *discoveryCall) sendHeartbeats(t *testing.T) {
+// sendHeartbeats sends the empty lines of an open watch until the test ends, more often than the protocol requires.
+func (c *discoveryCall) sendHeartbeats(t *testing.T) {
 	ended := make(chan struct{})
 	t.Cleanup(func() { close(ended) })
 	go func() {
 		for {
 			select {
-			case <-a.done:
+			case <-c.done:
 				return
 			case <-ended:
 				return
 			case <-time.After(lineTimeout / 10):
 				select {
-				case a.lines <- "":
+				case c.lines <- "":
 				default:
 				}
 			}
@@ -124,7 +126,7 @@
 	}()
 }
 
-// manualDiscovery is a discovery whose calls the test answers one by one.
+// manualDiscovery is a discovery to whose calls the test responds one by one.
 type manualDiscovery struct {
 	*httptest.Server
 	calls chan *discoveryCall
@@ -157,13 +159,14 @@
 	return discovery
 }
 
-func (h *manualDiscovery) address() string { return strings.TrimPrefix(h.URL, "http://") }
+func (d *manualDiscovery) address() string { return strings.TrimPrefix(d.URL, "http://") }
 
-func (h *manualDiscovery) nextCall(t *testing.T, uri string) *discoveryCall {
+// nextCall returns the next call, which must be for the given URI.
+func (d *manualDiscovery) nextCall(t *testing.T, uri string) *discoveryCall {
 	t.Helper()
-	call := receive(t, "call for "+uri, h.calls)
+	call := receive(t, "call for "+uri, d.calls)
 	if call.uri != uri {
-		t.Fatalf("call for %s, want %s", call.uri, uri)
+		t.Fatalf("got a call for %s, want %s", call.uri, uri)
 	}
 	return call
 }
--- a/proxyserver/fleet_test.go
+++ b/proxyserver/fleet_test.go
@@ -18,41 +18,41 @@
 	testGracePeriod       = 3 * time.Second // as in testConfig
 )
 
-// tableClient is a proxy's stream with its table.
+// tableClient is a proxy's stream and the table that the proxy has.
 type tableClient struct {
 	*client
 	proxy int
 	table map[string]bool
 }
 
-// apply applies a message and acknowledges its ack id.
-func (h *tableClient) apply(message string) {
+// apply applies a message to the table and acknowledges its ack id.
+func (c *tableClient) apply(message string) {
 	words := strings.Split(message, " ")
 	fields := map[string]string{}
 	for i := 1; i+1 < len(words); i += 2 {
 		fields[words[i]] = words[i+1]
 	}
 	if fields["replace"] != "" {
-		h.table = map[string]bool{}
+		c.table = map[string]bool{}
 	}
 	for _, row := range strings.FieldsFunc(fields["rows"], func(r rune) bool { return r == ',' }) {
 		id, weight, _ := strings.Cut(row, ":")
-		h.table[id] = weight != "0"
+		c.table[id] = weight != "0"
 	}
-	if mark := fields["stamp"]; mark != "" {
-		h.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", h.proxy, mark))
+	if ackID := fields["stamp"]; ackID != "" {
+		c.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", c.proxy, ackID))
 	}
 }
 
-// waitForTable applies messages until the table is as wanted.
-func (h *tableClient) waitForTable(what string, isComplete func(table map[string]bool) bool) {
-	h.t.Helper()
-	for !isComplete(h.table) {
-		message, err := h.receive()
+// waitForTable applies messages until isComplete returns true for the table.
+func (c *tableClient) waitForTable(what string, isComplete func(table map[string]bool) bool) {
+	c.t.Helper()
+	for !isComplete(c.table) {
+		message, err := c.receive()
 		if err != nil {
-			h.t.Fatalf("proxy %d: the stream ended before %s", h.proxy, what)
+			c.t.Fatalf("proxy %d: the stream ended before %s", c.proxy, what)
 		}
-		h.apply(message)
+		c.apply(message)
 	}
 }
 
@@ -66,7 +66,8 @@
 	return false
 }
 
-// startFleet starts many coordinators that follow one discovery, each with a few proxies that have an old table.
+// startFleet starts coordinatorCount coordinators that follow one discovery, each with proxiesPerCoordinator proxies with an old
+// table.
 func startFleet(t *testing.T, discovery *fakeDiscovery) (proxies []*tableClient) {
 	for i := range coordinatorCount {
 		cfg := testConfig(t, discovery.address(), 64)
@@ -92,8 +93,9 @@
 	return proxies
 }
 
-// Forty coordinators with three proxies each follow one discovery: the proxies' old tables are replaced, and a drain reaches every proxy
-// within the grace period. Then all watches end at once, the next calls are refused, and endpoints drain and are removed.
+// Forty coordinators with three proxies each follow one discovery: the proxies' old tables are replaced, and a drain reaches
+// every proxy within the grace period. The same holds for a drain and a removal after all watches have ended at once and the next
+// calls were refused.
 func TestDrainReachesAllProxiesOfManyCoordinators(t *testing.T) {
 	discovery := newFakeDiscovery(t)
 	discovery.calls = make(chan string, 100*coordinatorCount)
@@ -102,16 +104,16 @@
 		receive(t, "watch", discovery.calls)
 	}
 	discovery.send(listMessage(42, false, hostEntry("s-3", "Ready"), hostEntry("s-4", "Ready")))
-	for _, h := range proxies {
-		h.waitForTable("its first table", func(table map[string]bool) bool { return hasEndpoint(table) && !table["old"] })
+	for _, proxy := range proxies {
+		proxy.waitForTable("its first table", func(table map[string]bool) bool { return hasEndpoint(table) && !table["old"] })
 	}
 	listedAt := time.Now()
 	discovery.send(listMessage(43, false, hostEntry("s-1", "Terminating")))
-	for _, h := range proxies {
-		h.waitForTable("the drain", func(table map[string]bool) bool { return hasEndpoint(table) && !table["s-1"] })
+	for _, proxy := range proxies {
+		proxy.waitForTable("the drain", func(table map[string]bool) bool { return hasEndpoint(table) && !table["s-1"] })
 	}
 	if took := time.Since(listedAt); took > testGracePeriod {
-		t.Errorf("the drain reached the last proxy after %s", took)
+		t.Errorf("the drain reached the last proxy after %s, want at most %s", took, testGracePeriod)
 	}
 	discovery.mu.Lock()
 	discovery.rejectNext = 2 * coordinatorCount
@@ -124,25 +126,25 @@
 	}
 	for range coordinatorCount {
 		if from := receive(t, "watch", discovery.calls); from != "43" {
-			t.Fatalf("watched from %q", from)
+			t.Fatalf("got a watch from version %q, want 43", from)
 		}
 	}
 	listedAt = time.Now()
 	discovery.send(listMessage(45, false, hostEntry("s-2", "Terminating"), hostEntry("s-3", "Gone")))
-	for _, h := range proxies {
-		h.waitForTable("drain and removal", func(table map[string]bool) bool { return !table["s-2"] && !table["s-3"] && table["s-4"] })
+	for _, proxy := range proxies {
+		proxy.waitForTable("drain and removal", func(table map[string]bool) bool { return !table["s-2"] && !table["s-3"] && table["s-4"] })
 	}
 	if took := time.Since(listedAt); took > testGracePeriod {
-		t.Errorf("drain and removal reached the last proxy after %s", took)
+		t.Errorf("drain and removal reached the last proxy after %s, want at most %s", took, testGracePeriod)
 	}
 }
 
-// The last endpoints of a zone drain, and the class is local to the zone: the proxies are sent its empty table.
+// When the last endpoints of a zone drain, and a class may use endpoints of its own zone only, the proxies are sent an empty table.
 func TestLastEndpointsOfAZoneDrain(t *testing.T) {
 	discovery := newManualDiscovery(t)
-	srv := startServerAt(t, discovery.address(), 256, func(n *Coordinator) {
-		n.cfg.Start.Classes[0].LocalZoneOnly = true
-		n.module.instance = policy.New(n.cfg.Start)
+	srv := startServerAt(t, discovery.address(), 256, func(c *Coordinator) {
+		c.cfg.Start.Classes[0].LocalZoneOnly = true
+		c.module.instance = policy.New(c.cfg.Start)
 	})
 	watch := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	watch.accept(listMessage(42, false, hostEntry("s-3", "Ready")))
@@ -152,7 +154,7 @@
 	proxy.waitForTable("the drain", func(table map[string]bool) bool { return !hasEndpoint(table) })
 }
 
-// A drain in an entry with otherwise invalid fields: the endpoint is still withdrawn from the tables.
+// A drain in an entry whose other fields are invalid still withdraws the endpoint from the tables.
 func TestDrainWithUnusableFields(t *testing.T) {
 	for name, entry := range map[string]string{
 		"site": `{"host":"s-1","dial":"h:1","site":"nowhere","health":"Terminating","share":1,"born_ms":0}`,
--- a/proxyserver/handover.go
+++ b/proxyserver/handover.go
@@ -2,11 +2,12 @@
 
 import "porthub/policyapi"
 
-// maxBacklog bounds the inputs that wait in the event loop while the owner's lane is full: connects, disconnects and acknowledgements.
-// Beyond it the loop blocks, so that no connection can add more.
+// maxBacklog bounds the inputs that wait in the event loop while the owner's lane is full: connects, disconnects and
+// acknowledgements. When it is exceeded the loop blocks, so that connections can't add more.
 const maxBacklog = laneCapacity
 
-// deliver sends a peer's event to the owner. Load reports are dropped while the owner's lane is full; other events never are.
+// deliver sends a peer's event to the owner. Load reports are dropped while the owner's lane is full; other events are never
+// dropped.
 func (s *server) deliver(c *connection, event policyapi.Event) {
 	switch event.(type) {
 	case policyapi.EndpointLoad, policyapi.ProxyLoad:
@@ -21,8 +22,8 @@
 	}
 }
 
-// enqueue sends the owner an input that must not be lost. While the owner's lane is full the loop continues to answer PING, to close
-// connections and to check timeouts, and sends the backlog later, in order.
+// enqueue sends the owner an input that must not be lost. While the owner's lane is full, inputs wait in the backlog and are sent
+// later, in order; the event loop continues to answer PING, to close connections and to check timeouts.
 func (s *server) enqueue(in input) {
 	if len(s.backlog) == 0 && s.mailbox.TryPutUrgent(in) {
 		return
--- a/proxyserver/harness_test.go
+++ b/proxyserver/harness_test.go
@@ -21,17 +21,18 @@
 // testTimeout bounds the wait for expected events; no test waits for it to expire.
 const testTimeout = 10 * time.Second
 
+// receive returns the next value from a channel. It fails the test if there is none within testTimeout.
 func receive[T any](t *testing.T, what string, from <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
 	case <-time.After(testTimeout):
-		t.Fatal("no " + what)
+		t.Fatalf("no %s within %s", what, testTimeout)
 	}
 	return v
 }
 
-// testServer is a running coordinator with its discovery.
+// testServer is a running coordinator with its discovery and its logs.
 type testServer struct {
 	t           *testing.T
 	coordinator *Coordinator
@@ -56,6 +57,7 @@
 	return cfg
 }
 
+// startServer runs a coordinator with a fakeDiscovery until the test ends.
 func startServer(t *testing.T, sockets int, customize ...func(*Coordinator)) *testServer {
 	discovery := newFakeDiscovery(t)
 	srv := startServerAt(t, discovery.address(), sockets, customize...)
@@ -63,6 +65,7 @@
 	return srv
 }
 
+// startServerAt runs a coordinator with a discovery at an address until the test ends.
 func startServerAt(t *testing.T, discovery string, sockets int, customize ...func(*Coordinator)) *testServer {
 	srv := &testServer{t: t, cfg: testConfig(t, discovery, sockets), ended: make(chan error, 1)}
 	core, logs := observer.New(zap.InfoLevel)
@@ -84,22 +87,22 @@
 	return srv
 }
 
-func (r *testServer) dial() *client {
-	c, err := net.Dial("tcp", r.coordinator.Addr())
+func (s *testServer) dial() *client {
+	c, err := net.Dial("tcp", s.coordinator.Addr())
 	if err != nil {
-		r.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _ = c.Close() })
-	return &client{Conn: c, t: r.t}
+	s.t.Cleanup(func() { _ = c.Close() })
+	return &client{Conn: c, t: s.t}
 }
 
-func (r *testServer) subscribe(proxy int) *client {
-	c := r.dial()
+func (s *testServer) subscribe(proxy int) *client {
+	c := s.dial()
 	c.send(fmt.Sprintf("SUBSCRIBE sidecar %d az a share 20 standing 1", proxy))
 	return c
 }
 
-func (r *testServer) logged(text string) bool { return r.logs.FilterMessageSnippet(text).Len() > 0 }
+func (s *testServer) logged(text string) bool { return s.logs.FilterMessageSnippet(text).Len() > 0 }
 
 // client is a connection to the coordinator.
 type client struct {
@@ -109,16 +112,16 @@
 }
 
 func (c *client) send(text string) {
-	_, _ = c.Write(resp.Append(nil, strings.Split(text, " ")...)) // a closed connection shows in receive
+	_, _ = c.Write(resp.Append(nil, strings.Split(text, " ")...)) // receive reports a closed connection
 }
 
-// receive returns the next message; io.EOF at the connection's end, also by a reset.
+// receive returns the next message. It returns io.EOF if the connection was closed or reset.
 func (c *client) receive() (string, error) {
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	for {
 		words, n, err := resp.Parse(c.buf, proxyproto.IncomingLimits)
 		if err != nil {
-			c.t.Fatalf("%v: %q", err, c.buf)
+			c.t.Fatalf("invalid message: %v: %q", err, c.buf)
 		}
 		if n > 0 {
 			text := resp.Text(words, 1<<20)
@@ -130,7 +133,7 @@
 		c.buf = append(c.buf, more[:n]...)
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			c.t.Fatal("no message")
+			c.t.Fatal("no message within the timeout")
 		}
 		if n == 0 && err != nil {
 			return "", io.EOF
@@ -148,11 +151,11 @@
 func (c *client) expectPong() {
 	c.t.Helper()
 	if message, err := c.receive(); message != "PONG" || err != nil {
-		c.t.Fatalf("%q, %v, want PONG", message, err)
+		c.t.Fatalf("got message %q, error %v; want PONG", message, err)
 	}
 }
 
-// pingPastMessages sends PING and receives messages until PONG.
+// pingPastMessages sends PING and skips messages until PONG.
 func (c *client) pingPastMessages() {
 	c.t.Helper()
 	c.send("PING")
@@ -167,16 +170,16 @@
 	}
 }
 
-// receiveUntil receives messages, acknowledging each ack id, until one contains the text.
+// receiveUntil receives messages, acknowledging each ack id, until one contains the text, and returns that message.
 func (c *client) receiveUntil(proxy int, text string) string {
 	c.t.Helper()
 	for {
 		m, err := c.receive()
 		if err != nil {
-			c.t.Fatalf("the stream ended before %q", text)
+			c.t.Fatalf("the stream ended before a message with %q", text)
 		}
-		if _, mark, has := strings.Cut(m, " stamp "); has {
-			c.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", proxy, mark))
+		if _, ackID, has := strings.Cut(m, " stamp "); has {
+			c.send(fmt.Sprintf("ACK sidecar %d version %s lag_ms 12.5", proxy, ackID))
 		}
 		if strings.Contains(m, text) {
 			return m
@@ -200,13 +203,13 @@
 	return coordinator, ctx
 }
 
-// acceptUntil accepts inputs until the resulting events are as wanted, and returns them.
+// acceptUntil accepts inputs until found returns true for the resulting events, and returns the events.
 func acceptUntil(ctx context.Context, t *testing.T, coordinator *Coordinator, what string, found func([]policyapi.Event) bool) []policyapi.Event {
 	t.Helper()
 	var batch []policyapi.Event
 	for end := time.Now().Add(testTimeout); !found(batch); {
 		if time.Now().After(end) {
-			t.Fatalf("no %s: %+v", what, batch)
+			t.Fatalf("no %s within the timeout, got events %+v", what, batch)
 		}
 		for _, e := range coordinator.mailbox.Next(ctx, nil, func() <-chan time.Time { return time.After(10 * time.Millisecond) }) {
 			batch = coordinator.accept(ctx, batch, e)
@@ -215,10 +218,11 @@
 	return batch
 }
 
+// versions returns the versions of the endpoint updates in a batch.
 func versions(batch []policyapi.Event) (versions []policyapi.ListVersion) {
 	for _, ev := range batch {
-		if l, is := ev.(policyapi.EndpointUpdate); is {
-			versions = append(versions, l.Version)
+		if update, is := ev.(policyapi.EndpointUpdate); is {
+			versions = append(versions, update.Version)
 		}
 	}
 	return versions
--- a/proxyserver/listen.go
+++ b/proxyserver/listen.go
@@ -19,11 +19,11 @@
 	s.booted = make(chan struct{})
 	s.ended = make(chan error, 1)
 	s.streams = map[*connection]bool{}
-	// The event loop; it ends with close, or by an error.
+	// The event loop runs until close is called or an error occurs.
 	go func() {
-		// A single event loop accepts connections in its own goroutine, one at a time, so that OnOpen can enforce the limit at each.
-		// With a separate acceptor gnet accepts all pending connections before it calls a handler, and stops for good once
-		// descriptors run out.
+		// A single event loop accepts connections in its own goroutine, one at a time, so that OnOpen can enforce the limit at
+		// each. With a separate acceptor, gnet accepts all pending connections before it calls a handler, and stops permanently
+		// once descriptors run out.
 		s.ended <- gnet.Run(s, "tcp://"+addr, gnet.WithNumEventLoop(1), gnet.WithReusePort(true), gnet.WithReuseAddr(true),
 			gnet.WithTicker(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(s.log.Sugar()))
 	}()
@@ -35,9 +35,10 @@
 	}
 }
 
-// reserveAddress checks that an address is free and returns it with its port. A single event loop accepts connections itself only with
-// SO_REUSEPORT, with which gnet does not notice another listener. The socket that is bound here does not listen: a client that connects
-// before gnet listens is refused and retries, and is not accepted and then reset.
+// reserveAddress checks that an address is free and returns it with its port. The check is necessary because a single event loop
+// accepts connections itself only with SO_REUSEPORT, with which gnet does not detect another listener. The socket that is bound
+// for the check does not listen: a client that connects before gnet listens is refused and retries, instead of being accepted and
+// then reset.
 func reserveAddress(text string) (string, error) {
 	addr, err := net.ResolveTCPAddr("tcp", text)
 	if err != nil {
--- a/proxyserver/loop.go
+++ b/proxyserver/loop.go
@@ -10,8 +10,8 @@
 	"porthub/proxyproto"
 )
 
-// step waits for inputs or a timer and lets the decision module process them. It takes at least Host.BatchInterval, the least time
-// between two batches.
+// step waits for inputs or a timer and passes the resulting events to the decision module. It takes at least Host.BatchInterval,
+// the minimum time between two batches.
 func (c *Coordinator) step(ctx context.Context) error {
 	began := time.Now()
 	c.inputs = c.mailbox.Next(ctx, c.inputs[:0], c.wait)
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// wait returns a channel for the time until the next timer, or until the next status line; nil if a timer is due.
+// wait returns a channel that receives when the next timer or the next status line is due. It returns nil if a timer is due now.
 func (c *Coordinator) wait() <-chan time.Time {
 	now := c.clock.Now()
 	until := statusInterval
@@ -52,14 +52,14 @@
 	return c.clock.After(until)
 }
 
-// accept adds the events that follow from an input to a batch.
+// accept appends the events that follow from an input to a batch.
 func (c *Coordinator) accept(ctx context.Context, batch []policyapi.Event, in input) []policyapi.Event {
 	switch event := in.event.(type) {
 	case policyapi.ProxyConnected:
 		return c.acceptConnected(batch, in.connection, event)
 	case policyapi.ProxyDisconnected:
 		if c.streams[event.Proxy] != in.connection {
-			return batch // its stream was replaced before
+			return batch // another stream has replaced this one
 		}
 		delete(c.streams, event.Proxy)
 		c.publisher.Disconnect(event.Proxy)
@@ -67,7 +67,7 @@
 	case policyapi.Acknowledged:
 		id, isCurrent := c.publisher.Acknowledge(event.AckID)
 		if c.streams[event.Proxy] != in.connection || !isCurrent {
-			return batch // from a stream that was replaced, or for a decision module that has failed
+			return batch // from a replaced stream, or for a decision module that has failed
 		}
 		event.AckID = id
 		return append(batch, event)
@@ -83,7 +83,8 @@
 	}
 }
 
-// acceptConnected registers a new stream, which may connect before the end of the proxy's old one is detected.
+// acceptConnected registers a new stream. If the end of the proxy's old stream has not been detected yet, the new stream replaces
+// it.
 func (c *Coordinator) acceptConnected(batch []policyapi.Event, conn *connection, event policyapi.ProxyConnected) []policyapi.Event {
 	if old := c.streams[event.Proxy]; old != nil {
 		batch = append(batch, policyapi.ProxyDisconnected{Proxy: event.Proxy})
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// execute carries out an order that does not concern tables and streams; the publisher applies the others.
+// execute carries out an order that concerns neither tables nor streams. The publisher applies the other orders.
 func (c *Coordinator) execute(ctx context.Context, now policyapi.Microseconds, order policyapi.Order) {
 	switch o := order.(type) {
 	case policyapi.Log:
@@ -133,7 +134,7 @@
 	}
 }
 
-// send sends a message on its proxy's stream, if that is still connected.
+// send sends a message on its proxy's stream if the stream is still connected.
 func (c *Coordinator) send(message proxyproto.OutboundMessage) {
 	conn := c.streams[message.Proxy]
 	if conn == nil {
@@ -148,8 +149,8 @@
 	c.server.send(conn, message)
 }
 
-// restartModule resets the state that belongs to a failed decision module and returns the first batch of its successor: the endpoint
-// list and the connected proxies.
+// restartModule resets the state that belongs to a failed decision module and returns the first batch of its successor: the
+// endpoint list and the connected proxies.
 func (c *Coordinator) restartModule() []policyapi.Event {
 	c.timers.clear()
 	c.watcher.reset()
@@ -163,12 +164,12 @@
 	return batch
 }
 
-// applyList applies an endpoint list of discovery and returns the update for the decision module.
+// applyList applies an endpoint list from discovery and returns the update for the decision module.
 func (c *Coordinator) applyList(list proxyproto.EndpointList) policyapi.EndpointUpdate {
 	update := c.endpoints.reconcile(list)
 	c.endpoints.apply(update, list.HealthCheckAddresses)
-	forgotten := c.server.applyList(update)
-	c.publisher.DiscardEndpoints(forgotten)
-	c.endpoints.forget(forgotten)
+	expired := c.server.applyList(update)
+	c.publisher.DiscardEndpoints(expired)
+	c.endpoints.discard(expired)
 	return update
 }
--- a/proxyserver/module.go
+++ b/proxyserver/module.go
@@ -13,8 +13,8 @@
 // second is a second in the units of policyapi.
 const second policyapi.Microseconds = 1_000_000
 
-// moduleFailureWindow is the time after a panic of the decision module within which another one ends the program. It is long enough
-// for the successor to have received the list and all proxies twice.
+// moduleFailureWindow is the time after a panic of the decision module within which another panic ends the program. It is long
+// enough for the new instance to receive the list and all proxies twice.
 const moduleFailureWindow = 10 * second
 
 // policyModule runs the decision module and replaces it after a panic.
@@ -22,18 +22,18 @@
 	settings  *policyapi.Start
 	log       *zap.Logger
 	instance  *policy.Instance
-	onRestart func() []policyapi.Event // resets the host and returns the new instance's first batch
+	onRestart func() []policyapi.Event // resets the host's state and returns the new instance's first batch
 
 	hasFailed bool
-	failedAt  policyapi.Microseconds // if hasFailed: the last failure
+	failedAt  policyapi.Microseconds // time of the last failure, if hasFailed
 }
 
 func newPolicyModule(settings *policyapi.Start, log *zap.Logger, onRestart func() []policyapi.Event) *policyModule {
 	return &policyModule{settings: settings, log: log, instance: policy.New(*settings), onRestart: onRestart}
 }
 
-// step passes the decision module a batch and returns its orders. If the module panics, a new instance takes over, as after a restart
-// of the program, but the streams stay connected. A second panic within moduleFailureWindow is an error.
+// step passes the decision module a batch and returns its orders. If the module panics, a new instance takes over, as after a
+// restart of the program, but the streams stay connected. A second panic within moduleFailureWindow is an error.
 func (m *policyModule) step(now policyapi.Microseconds, batch []policyapi.Event) (orders []policyapi.Order, err error) {
 	defer func() {
 		cause := recover()
--- a/proxyserver/module_test.go
+++ b/proxyserver/module_test.go
@@ -11,23 +11,23 @@
 	"porthub/policyapi"
 )
 
-// A panic of the decision module ends no stream: a new instance takes over and sends the tables again. A second panic soon after ends
-// the program.
+// After a panic of the decision module the streams stay connected, and a new instance takes over and sends the tables again. A
+// second panic within moduleFailureWindow is returned as an error.
 func TestModuleFailureKeepsStreams(t *testing.T) {
-	srv := startServer(t, 256, func(n *Coordinator) { n.module.instance = nil })
+	srv := startServer(t, 256, func(c *Coordinator) { c.module.instance = nil })
 	proxy := srv.subscribe(1)
 	proxy.receiveUntil(1, "replace 1")
 	if !srv.logged("decision module panicked") {
 		t.Error("the panic is not logged")
 	}
-	n := &policyModule{settings: &srv.cfg.Start, log: zap.NewNop(), hasFailed: true, failedAt: 5}
-	if _, err := n.step(6, []policyapi.Event{policyapi.TimerFired{}}); err == nil {
-		t.Error("a second panic is no error")
+	module := &policyModule{settings: &srv.cfg.Start, log: zap.NewNop(), hasFailed: true, failedAt: 5}
+	if _, err := module.step(6, []policyapi.Event{policyapi.TimerFired{}}); err == nil {
+		t.Error("a second panic within moduleFailureWindow returns no error")
 	}
 }
 
-// A decision module takes over from one that has failed: it receives the connected proxies, the calls to discovery made for its
-// predecessor are canceled, and acknowledgements to its predecessor's ack ids are ignored.
+// A new instance of the decision module takes over from a failed one: it receives the connected proxies, the calls to discovery
+// for the failed instance are canceled, and acknowledgements of the failed instance's ack ids are ignored.
 func TestModuleRestart(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -40,7 +40,7 @@
 	if err := coordinator.process(ctx, []policyapi.Event{cached}); err != nil {
 		t.Fatal(err)
 	}
-	nextAckID := func() (id string) { // of the next table message
+	nextAckID := func() (id string) { // ack id of the next message with a table
 		t.Helper()
 		for coordinator.stats.messages = 0; coordinator.stats.messages == 0; {
 			if err := coordinator.step(ctx); err != nil {
@@ -50,7 +50,7 @@
 		message, err := proxy.receive()
 		_, stamp, has := strings.Cut(message, " stamp ")
 		if err != nil || !has || !strings.Contains(message, "replace 1") {
-			t.Fatalf("%q, %v", message, err)
+			t.Fatalf("got message %q, error %v; want a table with an ack id", message, err)
 		}
 		return strings.Fields(stamp)[0]
 	}
@@ -58,22 +58,22 @@
 	coordinator.module.instance = nil // panics with the next batch
 	second := nextAckID()
 	if second == first {
-		t.Fatalf("two ack ids are %s", first)
+		t.Fatalf("got ack id %s from both instances, want different ones", first)
 	}
 	receive(t, "end of the call", snapshot.done)
 	proxy.send(fmt.Sprintf("ACK sidecar 7 version %s lag_ms 1", first))
 	proxy.send(fmt.Sprintf("ACK sidecar 7 version %s lag_ms 2", second))
 	got := acceptUntil(ctx, t, coordinator, "acknowledgement", func(b []policyapi.Event) bool { return len(b) > 0 })
-	if a, is := got[0].(policyapi.Acknowledged); !is || len(got) != 1 || a.AckID != 1 || a.Delay != 2000 {
-		t.Errorf("events %+v", got)
+	if ack, is := got[0].(policyapi.Acknowledged); !is || len(got) != 1 || ack.AckID != 1 || ack.Delay != 2000 {
+		t.Errorf("got events %+v, want only the acknowledgement of ack id 1 after 2 ms", got)
 	}
 	restarted := coordinator.module.restart()
-	if j, is := restarted[1].(policyapi.ProxyConnected); !is || j != (policyapi.ProxyConnected{Proxy: 7, Zone: "a", Weight: 20}) {
-		t.Errorf("first batch %+v", restarted[1:])
+	if connected, is := restarted[1].(policyapi.ProxyConnected); !is || connected != (policyapi.ProxyConnected{Proxy: 7, Zone: "a", Weight: 20}) {
+		t.Errorf("got first batch %+v after the list, want proxy 7", restarted[1:])
 	}
 }
 
-// The decision module panics with the batch that reports a drain: its successor sends tables without the endpoint.
+// The decision module panics with the batch that reports a drain: the new instance sends tables without the endpoint.
 func TestDrainSurvivesModuleFailure(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -95,7 +95,7 @@
 					t.Fatal(err)
 				}
 				if time.Now().After(end) {
-					t.Fatalf("no %s, the table is %v", what, proxy.table)
+					t.Fatalf("no %s within the timeout, got table %v", what, proxy.table)
 				}
 			}
 			message, err := proxy.receive()
--- a/proxyserver/process.go
+++ b/proxyserver/process.go
@@ -5,7 +5,7 @@
 	"os"
 )
 
-// residentKB returns the resident memory of the process in KiB; 0 if it is not available.
+// residentKB returns the resident memory of the process in KiB, or 0 if it is not available.
 func residentKB() int {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -18,7 +18,7 @@
 	return pages * os.Getpagesize() / 1024
 }
 
-// openDescriptors returns the number of open file descriptors of the process; 0 if it is not available.
+// openDescriptors returns the number of open file descriptors of the process, or 0 if it is not available.
 func openDescriptors() int {
 	dir, err := os.Open("/proc/self/fd")
 	if err != nil {
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -22,62 +22,62 @@
 	// tickInterval is how often the event loop checks timeouts. The protocol requires that an invalid client is closed within three
 	// seconds.
 	tickInterval = 100 * time.Millisecond
-	// maxUnidentifiedBytes bounds the first message of a connection, which has about a hundred bytes.
+	// maxUnidentifiedBytes bounds the first message of a connection. A valid one has about a hundred bytes.
 	maxUnidentifiedBytes = 4 << 10
-	// maxUnsentBytes bounds the bytes that a peer has not accepted yet: no message is larger than half of that.
+	// maxUnsentBytes bounds the bytes that a peer has not accepted yet. No message is larger than half of it.
 	maxUnsentBytes = 2 * proxyproto.MaxMessageBytes
-	// minLogInterval is the least time between log lines that peers can cause.
+	// minLogInterval is the minimum time between two log lines that peers can cause.
 	minLogInterval = time.Second
-	// maxLoggedMessage is the number of bytes of a peer's message that are logged.
+	// maxLoggedMessage is the maximum number of bytes of a peer's message that are logged.
 	maxLoggedMessage = 200
-	// shutdownTimeout leaves time before SIGKILL, which may follow SIGTERM after 0.7 s.
+	// shutdownTimeout bounds the time for closing all connections, since SIGKILL may follow SIGTERM after 0.7 s.
 	shutdownTimeout = 500 * time.Millisecond
 )
 
-// server is the event loop of the coordinator's address. Fields without a comment are used by the loop only.
+// server is the event loop that serves the coordinator's address. Fields without a note on their use are used by the loop only.
 type server struct {
 	gnet.BuiltinEventEngine
-	addr           string                         // fixed once it listens
-	mailbox        *mailbox.Mailbox[input]        // the owner's
+	addr           string                         // fixed once the server listens
+	mailbox        *mailbox.Mailbox[input]        // mailbox of the owner
 	log            *zap.Logger                    // used by any goroutine
 	maxConnections int                            // fixed
 	engine         gnet.Engine                    // set before booted is closed
-	booted         chan struct{}                  // closed once it listens
-	ended          chan error                     // gets the loop's result
+	booted         chan struct{}                  // closed once the server listens
+	ended          chan error                     // receives the result of the event loop
 	loop           atomic.Pointer[gnet.EventLoop] // set with the first connection
 
-	validatorMu sync.Mutex // guards validator: the owner applies endpoint lists
+	validatorMu sync.Mutex // guards validator, to which the owner applies endpoint lists
 	validator   *proxyproto.Validator
 
 	connections       int
-	unidentified      []*connection // by age; also some that are identified or closed by now
+	unidentified      []*connection // oldest first; may include connections that are identified or closed by now
 	streams           map[*connection]bool
-	backlog           []input // for the owner, while its lane is full
+	backlog           []input // inputs for the owner that did not fit into its lane
 	malformedLoggedAt time.Time
 
 	counters counters
 }
 
-// counters are written by the event loop and read by the owner, for the status line.
+// counters are written by the event loop and read by the owner for the status line.
 type counters struct {
-	open        atomic.Int64 // connections
-	rejected    atomic.Int64 // connections
+	open        atomic.Int64 // open connections
+	rejected    atomic.Int64 // rejected connections
 	evicted     atomic.Int64 // connections closed in favour of a new one
 	stalled     atomic.Int64 // connections closed because the peer did not read
-	malformed   atomic.Int64 // messages
-	lostReports atomic.Int64
-	pendingAcks atomic.Int64 // of all streams
-	unsentBytes atomic.Int64 // not accepted by the sockets yet
+	malformed   atomic.Int64 // malformed messages that were ignored
+	lostReports atomic.Int64 // load reports dropped because the owner's lane was full
+	pendingAcks atomic.Int64 // pending acknowledgements of all streams
+	unsentBytes atomic.Int64 // bytes that the sockets have not accepted yet
 }
 
-// OnBoot records the engine; from then on connections are accepted.
+// OnBoot records the engine. From then on, connections are accepted.
 func (s *server) OnBoot(engine gnet.Engine) gnet.Action {
 	s.engine = engine
 	close(s.booted)
 	return gnet.None
 }
 
-// OnTick checks timeouts. It runs in a goroutine of gnet's and hands the work to the event loop.
+// OnTick checks timeouts. gnet calls it in a separate goroutine, so that it passes the work to the event loop.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
 	if loop := s.loop.Load(); loop != nil {
 		_ = (*loop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -114,13 +114,13 @@
 	}
 	c.receivedAt = time.Now()
 	taken, action := s.receive(c, buf)
-	if taken > 0 { // Discard(0) discards everything: the first part of a message would be lost
+	if taken > 0 { // Discard(0) would discard everything, including the first part of an incomplete message
 		_, _ = conn.Discard(taken)
 	}
 	return action
 }
 
-// receive takes the complete messages at the front of a buffer and returns their size.
+// receive processes the complete messages at the front of a buffer and returns their total size.
 func (s *server) receive(c *connection, buf []byte) (taken int, action gnet.Action) {
 	for taken < len(buf) {
 		limits := proxyproto.IncomingLimits
@@ -161,7 +161,7 @@
 	return gnet.None
 }
 
-// ignoreMalformed counts a malformed message and logs it, unless another one was logged just before.
+// ignoreMalformed counts a malformed message and logs it, unless another one was logged within minLogInterval.
 func (s *server) ignoreMalformed(words [][]byte, err error) {
 	s.counters.malformed.Add(1)
 	now := time.Now()
@@ -172,8 +172,9 @@
 	s.log.Info("malformed message ignored", zap.Error(err), zap.String("message", resp.Text(words, maxLoggedMessage)))
 }
 
-// closeRejected closes a connection that is rejected or whose bytes are not valid messages. On a stream the boundaries of messages are
-// lost, so its proxy counts as disconnected. Only an unidentified peer is sent NACK, which is not a message of streams.
+// closeRejected closes a connection that is rejected or whose bytes are not valid messages. After invalid bytes on a stream the
+// boundaries of its messages are unknown, and its proxy counts as disconnected. NACK is sent to unidentified peers only, since
+// the protocol does not have it on streams.
 func (s *server) closeRejected(c *connection, err error) gnet.Action {
 	s.counters.rejected.Add(1)
 	s.log.Debug("connection closed", zap.Error(err), zap.Int("proxy", int(c.session.Proxy)))
@@ -185,11 +186,11 @@
 
 // send writes a message to a stream. It may be called from any goroutine.
 func (s *server) send(c *connection, message proxyproto.OutboundMessage) {
-	// The callback runs on the event loop once the message has been written, or could not be.
+	// The callback runs on the event loop once the message has been written or the write has failed.
 	_ = c.conn.AsyncWrite(message.Bytes, func(conn gnet.Conn, err error) error {
 		if err != nil {
-			// gnet has closed the connection, before or because of this write, and OnClose reports it to the owner. The proxy did not
-			// get the message, so no acknowledgement is pending. gnet ignores the callback's result.
+			// gnet has closed the connection, before or because of this write, and OnClose reports it to the owner. The proxy did
+			// not get the message, so no acknowledgement is pending. gnet ignores the callback's result.
 			return err
 		}
 		s.sent(c, conn, message)
@@ -197,7 +198,7 @@
 	})
 }
 
-// sent records a message that was written, and closes the connection if the peer does not read.
+// sent records that a message was written, and closes the connection if more than maxUnsentBytes are unsent.
 func (s *server) sent(c *connection, conn gnet.Conn, message proxyproto.OutboundMessage) {
 	if c.closed {
 		return
@@ -217,16 +218,16 @@
 // closeConnection closes a connection. It may be called from any goroutine.
 func (s *server) closeConnection(c *connection) { _ = c.conn.Close() }
 
-// applyList updates the endpoints that messages may name, and returns those that they may no longer name. It may be called from any
-// goroutine.
+// applyList updates the endpoints that messages may name, and returns the endpoints that they may no longer name. It may be
+// called from any goroutine.
 func (s *server) applyList(update policyapi.EndpointUpdate) []policyapi.EndpointID {
 	s.validatorMu.Lock()
 	defer s.validatorMu.Unlock()
 	return s.validator.Apply(update)
 }
 
-// close writes what the sockets accept at once, closes all connections and waits for the event loop's end, at most shutdownTimeout. It
-// does not wait for gnet's Stop, which polls for the end only every half second.
+// close writes as much as the sockets accept at once, closes all connections and waits for the end of the event loop, for at most
+// shutdownTimeout. It does not wait for gnet's Stop, which polls for the end only every half second.
 func (s *server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/proxyserver/server_test.go
+++ b/proxyserver/server_test.go
@@ -17,47 +17,47 @@
 	"porthub/resp"
 )
 
-// Each invalid client is sent NACK or closed in time; a stream that can't be parsed is closed without NACK.
+// Invalid clients are sent NACK or closed within three seconds. A stream with bytes that can't be parsed is closed without NACK.
 func TestInvalidClientsAreClosed(t *testing.T) {
 	srv := startServer(t, 256)
 	began := time.Now()
 	clients := map[string]*client{}
 	for name, text := range map[string]string{
 		"HTTP":               "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
-		"noise":              "\x00\xff\x13\x37",
-		"silence":            "",
+		"binary data":        "\x00\xff\x13\x37",
+		"no data":            "",
 		"incomplete message": "*3\r\n$9\r\nSUBSC",
 		"impossible length":  "*2\r\n$99999999999\r\n",
 		"message too long":   "*2\r\n$1000000\r\n" + strings.Repeat("x", 8000),
 		"CONFIG":             string(resp.Append(nil, "CONFIG", "drop", "s-1")),
-		"report first":       string(resp.Append(nil, "RATE", "sidecar", "1")),
+		"no identification":  string(resp.Append(nil, "RATE", "sidecar", "1")),
 		"unknown proxy":      string(resp.Append(nil, "SUBSCRIBE", "sidecar", "500", "az", "a", "share", "1", "standing", "1")),
 		"unknown zone":       string(resp.Append(nil, "SOURCE", "az", "z")),
-		"endless lines":      strings.Repeat("*1\r\n", 100),
-		"PING, then silence": string(resp.Append(nil, "PING")),
+		"nested arrays":      strings.Repeat("*1\r\n", 100),
+		"PING, then no data": string(resp.Append(nil, "PING")),
 	} {
 		clients[name] = srv.dial()
 		_, _ = clients[name].Write([]byte(text))
 	}
 	for name, c := range clients {
 		m, err := c.receive()
-		if name == "PING, then silence" {
+		if name == "PING, then no data" {
 			if m != "PONG" {
-				t.Errorf("%s: %q", name, m)
+				t.Errorf("%s: got %q, want PONG", name, m)
 			}
 			m, err = c.receive()
 		}
 		if err == nil && m != "NACK" {
-			t.Errorf("%s: %q, %v", name, m, err)
+			t.Errorf("%s: got %q, error %v; want NACK or a closed connection", name, m, err)
 		}
 		if err == nil {
 			if _, err = c.receive(); !errors.Is(err, io.EOF) {
-				t.Errorf("%s: not closed", name)
+				t.Errorf("%s: the connection is not closed", name)
 			}
 		}
 	}
 	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("took %s", took)
+		t.Errorf("all clients were closed after %s, want at most 3 s", took)
 	}
 	stream := srv.subscribe(3)
 	stream.receiveUntil(3, "replace 1")
@@ -73,22 +73,22 @@
 	}
 }
 
-// A proxy can connect while hundreds of clients open connections and send nothing, and the limit on connections is kept.
-func TestConnectionLimitLetsProxiesIn(t *testing.T) {
+// A proxy can connect while 160 clients open connections and send nothing, and the limit on connections is not exceeded.
+func TestProxyConnectsAtConnectionLimit(t *testing.T) {
 	const maxConnections = 8
 	srv := startServer(t, reservedDescriptors+maxConnections)
 	var silent []*client
 	for range 20 * maxConnections {
 		conn, err := net.Dial("tcp", srv.coordinator.Addr())
 		if err != nil {
-			continue // refused, which is an end too
+			continue // a refused connection counts as closed
 		}
 		silent = append(silent, &client{Conn: conn, t: t})
 	}
 	proxy := srv.subscribe(1)
 	proxy.receiveUntil(1, "replace 1")
 	if open := srv.coordinator.server.counters.open.Load(); open > maxConnections {
-		t.Errorf("%d connections, limit %d", open, maxConnections)
+		t.Errorf("got %d open connections, want at most %d", open, maxConnections)
 	}
 	if srv.coordinator.server.counters.evicted.Load() == 0 {
 		t.Error("no connection was evicted")
@@ -109,12 +109,13 @@
 	proxy.receiveUntil(9, "replace 1")
 }
 
-// A peer that does not read is closed once maxUnsentBytes are queued for it, and others still receive their messages.
+// The connection of a peer that does not read is closed once more than maxUnsentBytes are queued for it, and other peers still
+// receive their messages.
 func TestStalledPeerIsClosed(t *testing.T) {
 	srv := startServer(t, 256)
 	receive(t, "watch", srv.discovery.calls)
-	stuck := srv.subscribe(1)
-	stuck.receiveUntil(1, "replace 1")
+	stalled := srv.subscribe(1)
+	stalled.receiveUntil(1, "replace 1")
 	other := srv.subscribe(2)
 	other.receiveUntil(2, "replace 1")
 	connections := make(chan *connection, 1)
@@ -132,7 +133,7 @@
 	for end := time.Now().Add(testTimeout); srv.coordinator.server.counters.stalled.Load() == 0; {
 		srv.coordinator.server.send(stalledConnection, largeMessage)
 		if time.Now().After(end) {
-			t.Fatal("it is not closed")
+			t.Fatal("the connection of the stalled peer is not closed")
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -140,7 +141,7 @@
 	other.receiveUntil(2, "s-3")
 }
 
-// While the owner accepts nothing, PING is still answered, and no connect or disconnect is lost.
+// While the owner's lane is full, PING is still answered, and no connect or disconnect is lost.
 func TestEventLoopRunsWhileLaneIsFull(t *testing.T) {
 	coordinator, ctx := newSteppedCoordinator(t, newManualDiscovery(t).address(), 256)
 	filled := 0
@@ -149,34 +150,35 @@
 	}
 	srv := &testServer{t: t, coordinator: coordinator}
 	connecting, pinging := srv.subscribe(7), srv.dial()
-	connecting.ping() // its reply shows that the message before it was taken off the socket
+	connecting.ping() // the reply shows that the message before PING has been read
 	pinging.ping()
 	_ = connecting.Close()
 	got := acceptUntil(ctx, t, coordinator, "ProxyDisconnected", func(b []policyapi.Event) bool { return len(b) >= filled+2 })
 	if connected, is := got[filled].(policyapi.ProxyConnected); !is || connected.Proxy != 7 || got[filled+1] != (policyapi.ProxyDisconnected{Proxy: 7}) {
-		t.Errorf("after %d events: %+v", filled, got[filled:])
+		t.Errorf("after %d events that filled the lane: got %+v, want the connect and the disconnect of proxy 7", filled, got[filled:])
 	}
 }
 
-// With all connections identified, a stream that is silent while an acknowledgement is pending is closed for a new one; others are not.
+// If all connections are identified, a stream that is silent while an acknowledgement is pending is closed in favour of a new
+// connection. Other streams are not closed.
 func TestSilentStreamIsEvicted(t *testing.T) {
 	const maxConnections = 2
 	srv := startServer(t, reservedDescriptors+maxConnections)
 	receive(t, "watch", srv.discovery.calls)
 	silent, responsive := srv.subscribe(1), srv.subscribe(2)
 	if m, err := silent.receive(); err != nil || !strings.Contains(m, "stamp") {
-		t.Fatal(m, err)
+		t.Fatalf("got message %q, error %v; want one with an ack id", m, err)
 	}
 	responsive.receiveUntil(2, "replace 1")
 	rejected := srv.dial()
 	if m, err := rejected.receive(); m != "NACK" || err != nil {
-		t.Fatalf("%q, %v: a connection over the limit is accepted", m, err)
+		t.Fatalf("connection over the limit: got %q, error %v; want NACK", m, err)
 	}
-	silent.pingPastMessages() // it is still connected: it may yet acknowledge
+	silent.pingPastMessages() // it is still connected, since it may yet acknowledge
 	done := make(chan struct{})
 	loop := *srv.coordinator.server.loop.Load()
 	_ = loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		for c := range srv.coordinator.server.streams { // as if everything had been long ago
+		for c := range srv.coordinator.server.streams { // makes all times older than silenceTimeout
 			c.receivedAt = c.receivedAt.Add(-2 * silenceTimeout)
 			c.ackPendingSince = c.ackPendingSince.Add(-2 * silenceTimeout)
 		}
--- a/proxyserver/snapshot_test.go
+++ b/proxyserver/snapshot_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// A snapshot that was requested before the watch reported a drain, and arrives after it, is ignored.
+// A snapshot that was requested before a drain is reported on the watch, and arrives after it, is ignored.
 func TestSnapshotOlderThanWatchIsIgnored(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -25,19 +25,20 @@
 		return slices.Contains(versions(b), 51) && !coordinator.watcher.snapshotCall.isPending()
 	})
 	if v := versions(got); len(v) != 1 || coordinator.endpoints.version != 51 {
-		t.Errorf("updates %v, at version %d", v, coordinator.endpoints.version)
+		t.Errorf("got updates %v at version %d, want only version 51", v, coordinator.endpoints.version)
 	}
 	if coordinator.endpoints.endpoints["s-2"].Status != policyapi.Draining || coordinator.endpoints.endpoints["s-3"].ID == "" || !coordinator.server.validator.IsKnown("s-3") {
-		t.Errorf("a draining endpoint is back, or a new one is missing: %+v", coordinator.endpoints.endpoints)
+		t.Errorf("got list %+v, want s-2 draining, and s-3 listed and known to the validator", coordinator.endpoints.endpoints)
 	}
-	coordinator.watcher.requestSnapshot(ctx, 0) // a newer one is accepted
+	coordinator.watcher.requestSnapshot(ctx, 0) // a newer snapshot is accepted
 	snapshot = discovery.nextCall(t, "/discovery/hosts")
 	snapshot.accept(listMessage(52, true, hostEntry("s-1", "Ready")))
 	close(snapshot.lines)
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Equal(versions(b), []policyapi.ListVersion{52}) })
 }
 
-// Discovery's address changes while a snapshot is requested at the old one: its response is ignored, and the new address is called.
+// Discovery's address changes while a snapshot is requested from the old address: the response of the old address is ignored, and
+// the snapshot is requested from the new address.
 func TestSnapshotOfOldAddressIsIgnored(t *testing.T) {
 	discovery, second := newManualDiscovery(t), newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -54,12 +55,12 @@
 	close(replacement.lines)
 	got := acceptUntil(ctx, t, coordinator, "list", func(b []policyapi.Event) bool { return len(b) > 0 })
 	if v := versions(got); !slices.Equal(v, []policyapi.ListVersion{55}) || coordinator.endpoints.endpoints["s-9"].ID != "" {
-		t.Errorf("updates %v, list %v", v, coordinator.endpoints.endpoints)
+		t.Errorf("got updates %v, list %v; want only version 55, without s-9", v, coordinator.endpoints.endpoints)
 	}
 }
 
-// A change has an invalid entry: a snapshot is requested. The entry is invalid there, too, and its endpoint stays unchanged; an endpoint
-// that is missing is removed.
+// An invalid entry in a change causes a request for a snapshot. If the entry is invalid in the snapshot, too, its endpoint stays
+// unchanged, while an endpoint that the snapshot lacks is removed.
 func TestUnreadableEntryRequestsSnapshot(t *testing.T) {
 	const unreadable = `{"host":"s-2","site":"nowhere","health":"Ready"}`
 	discovery := newManualDiscovery(t)
@@ -74,29 +75,30 @@
 	close(snapshot.lines)
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 43) })
 	if _, has := coordinator.endpoints.endpoints["s-1"]; has || coordinator.endpoints.endpoints["s-2"].Status != policyapi.Ready || coordinator.endpoints.endpoints["s-2"].Zone != "a" || len(coordinator.endpoints.endpoints) != 2 {
-		t.Errorf("list %+v", coordinator.endpoints.endpoints)
+		t.Errorf("got list %+v, want s-2 unchanged and s-3", coordinator.endpoints.endpoints)
 	}
-	snapshot = discovery.nextCall(t, "/discovery/hosts") // it is still due
+	snapshot = discovery.nextCall(t, "/discovery/hosts") // a snapshot is still due
 	snapshot.accept(listMessage(44, true, `{"host":7}`, hostEntry("s-4", "Ready")))
 	close(snapshot.lines)
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 44) })
 	if len(coordinator.endpoints.endpoints) != 3 {
-		t.Errorf("any endpoint may be the one without a name, list %+v", coordinator.endpoints.endpoints)
+		t.Errorf("got list %+v, want three endpoints, since any of them may be the one without a name", coordinator.endpoints.endpoints)
 	}
 	calls := coordinator.watcher.lastCall
-	discovery.nextCall(t, "/discovery/hosts").respond <- http.StatusServiceUnavailable // and is requested until it can be read
-	acceptUntil(ctx, t, coordinator, "refusal", func([]policyapi.Event) bool { return coordinator.watcher.lastCall > calls })
+	// A snapshot is requested until all its entries can be read.
+	discovery.nextCall(t, "/discovery/hosts").respond <- http.StatusServiceUnavailable
+	acceptUntil(ctx, t, coordinator, "retry", func([]policyapi.Event) bool { return coordinator.watcher.lastCall > calls })
 	snapshot = discovery.nextCall(t, "/discovery/hosts")
 	snapshot.accept(listMessage(45, true, hostEntry("s-4", "Ready")))
 	close(snapshot.lines)
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 45) })
 	if len(coordinator.endpoints.endpoints) != 1 || coordinator.watcher.snapshotCall.isPending() || coordinator.watcher.snapshotDue {
-		t.Errorf("list %+v", coordinator.endpoints.endpoints)
+		t.Errorf("got list %+v, want only s-4 and no further snapshot due", coordinator.endpoints.endpoints)
 	}
 }
 
-// The decision module fails while a snapshot is due for an entry that could not be read: the snapshot still arrives. (Regression: the
-// restart of the module canceled it, and nothing requested it again before the next list.)
+// The decision module fails while a snapshot is due for an entry that could not be read: the snapshot still arrives. Regression:
+// the restart of the module canceled the request, and it was not repeated before the next list.
 func TestSnapshotThatIsDueSurvivesModuleRestart(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -112,7 +114,8 @@
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 43) })
 }
 
-// Discovery restarts with lower versions: a snapshot is requested and accepted, and changes are watched from its version on.
+// After discovery has restarted with lower versions, a snapshot is requested and accepted, and changes are watched from its
+// version on.
 func TestDiscoveryVersionReset(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -126,15 +129,15 @@
 	close(snapshot.lines)
 	acceptUntil(ctx, t, coordinator, "snapshot", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 4) })
 	if coordinator.endpoints.endpoints["s-1"].Status != policyapi.Draining || coordinator.endpoints.version != 4 {
-		t.Errorf("at version %d: list %+v", coordinator.endpoints.version, coordinator.endpoints.endpoints)
+		t.Errorf("got version %d, list %+v; want version 4 with s-1 draining", coordinator.endpoints.version, coordinator.endpoints.endpoints)
 	}
 	next := discovery.nextCall(t, "/discovery/hosts?watch=1&from=4")
 	next.accept(listMessage(5, false, hostEntry("s-2", "Terminating")))
 	acceptUntil(ctx, t, coordinator, "change", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 5) })
 }
 
-// A discovery that lags behind sends an older snapshot: endpoints that were listed as draining or removed are not restored by it,
-// unless they have been started since.
+// An older snapshot from a discovery that lags behind does not restore endpoints that were listed as draining or removed, unless
+// they have been started since.
 func TestOlderListDoesNotRestoreWithdrawn(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -152,12 +155,12 @@
 		"s-4": policyapi.Ready,
 	} {
 		if coordinator.endpoints.endpoints[id].Status != want {
-			t.Errorf("%s has status %d, want %d", id, coordinator.endpoints.endpoints[id].Status, want)
+			t.Errorf("%s: got status %d, want %d", id, coordinator.endpoints.endpoints[id].Status, want)
 		}
 	}
 	watch.lines <- listMessage(46, false, hostEntry("s-1", "Ready"))
 	acceptUntil(ctx, t, coordinator, "newer change", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 46) })
 	if coordinator.endpoints.endpoints["s-1"].Status != policyapi.Ready {
-		t.Error("a newer list does not restore it")
+		t.Error("a newer list does not restore s-1")
 	}
 }
--- a/proxyserver/stats.go
+++ b/proxyserver/stats.go
@@ -9,7 +9,7 @@
 	"porthub/policylog"
 )
 
-// statusInterval is the time between two status lines of the log.
+// statusInterval is the time between two status lines in the log.
 const statusInterval = 5 * second
 
 // stats are the owner's counts since the last status line.
@@ -22,7 +22,8 @@
 	bytes        int
 }
 
-// logStatus writes the status line once in each statusInterval: the decision module's view of the state and the host's counts.
+// logStatus logs the status line once in each statusInterval. It contains the state of the decision module and the counts of the
+// host.
 func (c *Coordinator) logStatus(now policyapi.Microseconds) {
 	if now-c.stats.since < statusInterval {
 		return
@@ -71,10 +72,10 @@
 	c.stats = stats{since: now}
 }
 
-// roundForLog rounds to two decimals.
+// roundForLog rounds a value to two decimals.
 func roundForLog(v float64) float64 { return math.Round(100*v) / 100 }
 
-// logPolicy logs a line of the decision module by its event, with its figures as fields.
+// logPolicy logs a line of the decision module with the line's event as the message and its values as fields.
 func (c *Coordinator) logPolicy(line string) {
 	entry := policylog.Parse(line)
 	fields := []zap.Field{zap.String("text", entry.Text)}
--- a/proxyserver/timers.go
+++ b/proxyserver/timers.go
@@ -9,14 +9,14 @@
 // timer is a timer that the decision module has set.
 type timer struct {
 	at    policyapi.Microseconds
-	order int // number of the timer in the order in which timers were set
+	order int // position in the order in which timers were set
 	token policyapi.TimerToken
 }
 
 // timerQueue contains the timers of the decision module, ordered by time, and for the same time by when they were set.
 type timerQueue struct {
 	heap  timerHeap
-	count int // of timers that were ever set
+	count int // number of timers that were ever set
 }
 
 // set adds a timer.
@@ -25,7 +25,7 @@
 	heap.Push(&q.heap, timer{at, q.count, token})
 }
 
-// next returns when the first timer fires; false if none is set.
+// next returns the time at which the first timer fires, or false if no timer is set.
 func (q *timerQueue) next() (at policyapi.Microseconds, has bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -33,7 +33,7 @@
 	return q.heap[0].at, true
 }
 
-// popDue removes the first timer if it is due.
+// popDue removes the first timer and returns its token if it is due.
 func (q *timerQueue) popDue(now policyapi.Microseconds) (policyapi.TimerToken, bool) {
 	if len(q.heap) == 0 || q.heap[0].at > now {
 		return 0, false
@@ -42,7 +42,7 @@
 	return first.token, true
 }
 
-// clear drops all timers.
+// clear removes all timers.
 func (q *timerQueue) clear() { q.heap = nil }
 
 // timerHeap implements heap.Interface.
--- a/proxyserver/watcher.go
+++ b/proxyserver/watcher.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// minBackoff and maxBackoff bound the delay of a call after a failed one, without its jitter. The longest delay and the time that
-	// a call can take leave time for another call within the 6 s after which a change counts as delivered.
+	// minBackoff and maxBackoff bound the delay between a failed call and the next one, without its jitter. The longest delay and
+	// the time that a call can take leave time for another call within the 6 s after which a change counts as delivered.
 	minBackoff = time.Second
 	maxBackoff = 1500 * time.Millisecond
-	// maxBackoffDoublings bounds the shift of minBackoff, so that it cannot overflow; maxBackoff is reached before.
+	// maxBackoffDoublings bounds the shift of minBackoff, so that it can't overflow. The delay reaches maxBackoff earlier.
 	maxBackoffDoublings = 4
 	// overdueJitter spreads the calls of many coordinators that miss a line of the same discovery at the same time.
 	overdueJitter = 750 * time.Millisecond
 )
 
-// discoveryWatcher follows discovery: it maintains a watch while changes are wanted, requests snapshots, and turns the results of its
-// calls into events for the decision module. It is used by the owner only.
+// discoveryWatcher follows discovery: it maintains a watch while changes are wanted, requests snapshots, and turns the results of
+// its calls into events for the decision module. It is used by the owner only.
 type discoveryWatcher struct {
 	log       *zap.Logger
 	client    *discoveryClient
 	endpoints *endpointStore
-	// settings.PollsList decides whether the decision module requests changes and is informed of failures; otherwise the watcher
-	// follows discovery from the start and retries.
+	// If settings.PollsList is set, the decision module requests changes and receives an event for each failure. Otherwise the
+	// watcher follows discovery from the start and retries by itself.
 	settings *policyapi.Start
-	random   *rand.Rand // of the jitter, so that many coordinators do not call at once
+	random   *rand.Rand // source of the jitter that keeps many coordinators from calling at once
 	// applyList applies a list and returns the update for the decision module.
 	applyList func(proxyproto.EndpointList) policyapi.EndpointUpdate
 
-	address             string // of discovery, host:port
+	address             string // address of discovery, host:port
 	enabled             bool   // changes are wanted, and no failure has been reported to the decision module since
 	lastCall            int    // number of the last call
-	consecutiveFailures int    // of calls
+	consecutiveFailures int    // calls that have failed since the last successful one
 	watches             map[int]*watch
 	snapshotCall        snapshotCall
-	snapshotDue         bool // the watcher itself needs a snapshot and requests it until it arrives
+	snapshotDue         bool // the watcher needs a snapshot and requests it until it arrives
 	versionReset        bool // discovery's versions went back: the next snapshot is accepted with any version
 }
 
@@ -51,12 +51,12 @@
 	address string
 	from    policyapi.ListVersion // the call requests the changes after this version
 	open    bool                  // the response has begun
-	overdue bool                  // it has missed a line
+	overdue bool                  // no line has arrived for lineTimeout
 }
 
 // snapshotCall is the call for a snapshot.
 type snapshotCall struct {
-	cancel context.CancelFunc // nil: there is none
+	cancel context.CancelFunc // nil if no call is pending
 	number int
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// follow starts a watch; changes are wanted from now on.
+// follow starts a watch. From now on changes are wanted.
 func (w *discoveryWatcher) follow(ctx context.Context) {
 	w.enabled = true
 	w.startWatch(ctx, 0)
@@ -93,8 +93,8 @@
 	w.enabled = false
 }
 
-// reset drops the requests of a decision module that has failed. If the module does not request changes, the open watch stays. A
-// snapshot that the watcher itself needs stays requested: no decision module asks for it.
+// reset cancels the requests of a decision module that has failed. If the module does not request changes, the open watch
+// continues. A snapshot that the watcher needs stays requested, since the new decision module does not request it.
 func (w *discoveryWatcher) reset() {
 	if w.settings.PollsList {
 		w.disable()
@@ -115,8 +115,8 @@
 	}
 }
 
-// startWatch requests, after a delay, the changes since the version last applied. An open watch continues until this one is open; one
-// without a response is canceled, since its address or version may be out of date.
+// startWatch requests, after a delay, the changes since the version that was applied last. An open watch continues until the new
+// one is open. A watch without a response is canceled, since its address or version may be out of date.
 func (w *discoveryWatcher) startWatch(ctx context.Context, delay time.Duration) {
 	for number, old := range w.watches {
 		if !old.open {
@@ -134,7 +134,7 @@
 	})
 }
 
-// cancelWatch ends a watch: further results of it are ignored.
+// cancelWatch ends a watch. Its further results are ignored.
 func (w *discoveryWatcher) cancelWatch(number int) {
 	w.watches[number].cancel()
 	delete(w.watches, number)
@@ -146,7 +146,7 @@
 	}
 }
 
-// newestWatch returns the watch that was started last; false if there is none.
+// newestWatch returns the number of the watch that was started last, or false if there is none.
 func (w *discoveryWatcher) newestWatch() (number int, has bool) {
 	for n := range w.watches {
 		number = max(number, n)
@@ -154,7 +154,7 @@
 	return number, number > 0 // calls are numbered from 1 on
 }
 
-// requestSnapshot requests a snapshot after a delay, in place of an earlier request that is pending.
+// requestSnapshot requests a snapshot after a delay. It replaces a pending request.
 func (w *discoveryWatcher) requestSnapshot(ctx context.Context, delay time.Duration) {
 	w.cancelSnapshot()
 	w.lastCall++
@@ -176,8 +176,8 @@
 
 func (c *snapshotCall) isPending() bool { return c.cancel != nil }
 
-// backoff counts a failed call and returns the delay before the next one: it grows with each failure in a row up to maxBackoff, and
-// has a jitter.
+// backoff counts a failed call and returns the delay before the next one. The delay grows with each consecutive failure up to
+// maxBackoff, and has a jitter.
 func (w *discoveryWatcher) backoff() time.Duration {
 	w.consecutiveFailures++
 	delay := min(maxBackoff, minBackoff<<min(w.consecutiveFailures-1, maxBackoffDoublings))
--- a/proxyserver/watcher_test.go
+++ b/proxyserver/watcher_test.go
@@ -10,11 +10,12 @@
 	"porthub/proxyproto"
 )
 
-// Discovery ends a watch, refuses a call and sends an invalid line: each time the watch is started again from the version last applied.
+// After discovery has ended a watch, refused a call or sent an invalid line, the watch is started again from the version that was
+// applied last.
 func TestWatchIsRetriedAfterFailures(t *testing.T) {
 	srv := startServer(t, 256)
 	if from := receive(t, "watch", srv.discovery.calls); from != "41" {
-		t.Fatal(from)
+		t.Fatalf("got a watch from version %q, want 41", from)
 	}
 	proxy := srv.subscribe(1)
 	srv.discovery.send(listMessage(50, false, hostEntry("s-3", "Ready")))
@@ -22,25 +23,25 @@
 	srv.discovery.mu.Lock()
 	srv.discovery.rejectNext = 1
 	srv.discovery.mu.Unlock()
-	srv.discovery.send("") // ends
+	srv.discovery.send("") // ends the watch
 	if got := receive(t, "call", srv.discovery.calls); got != "refused" {
-		t.Fatal(got)
+		t.Fatalf("got call %q, want a refused one", got)
 	}
 	if from := receive(t, "watch", srv.discovery.calls); from != "50" {
-		t.Errorf("watched again from %q", from)
+		t.Errorf("got a watch from version %q, want 50", from)
 	}
 	srv.discovery.send("{what")
 	if from := receive(t, "watch", srv.discovery.calls); from != "50" {
-		t.Errorf("watched again from %q", from)
+		t.Errorf("got a watch from version %q, want 50", from)
 	}
 	srv.discovery.send(listMessage(51, false, hostEntry("s-3", "Gone")))
 	proxy.receiveUntil(1, "s-3:0")
 }
 
-// If the decision module does not poll, the watcher starts the watch itself, retries after a delay when it fails, and continues through
-// a panic of the module.
+// If the decision module does not poll, the watcher starts the watch by itself, retries after a delay when the watch fails, and
+// continues after a panic of the module.
 func TestWatchWithoutPolling(t *testing.T) {
-	srv := startServer(t, 256, func(n *Coordinator) { n.cfg.Start.PollsList, n.module.instance = false, nil })
+	srv := startServer(t, 256, func(c *Coordinator) { c.cfg.Start.PollsList, c.module.instance = false, nil })
 	receive(t, "watch", srv.discovery.calls)
 	proxy := srv.subscribe(1)
 	proxy.receiveUntil(1, "replace 1")
@@ -49,27 +50,27 @@
 	began := time.Now()
 	srv.discovery.send("")
 	if from := receive(t, "watch", srv.discovery.calls); from != "50" || time.Since(began) < minBackoff/2 {
-		t.Errorf("from %q after %s", from, time.Since(began))
+		t.Errorf("got a watch from version %q after %s, want 50 after at least %s", from, time.Since(began), minBackoff/2)
 	}
 }
 
-// A watch that opens and ends without a line, again and again, is not started again without a delay.
+// A watch that repeatedly opens and ends without a line is started again only after a delay.
 func TestWatchThatEndsAtOnceIsBackedOff(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	startServerAt(t, discovery.address(), 256)
 	const calls = 5
 	began := time.Now()
 	for range calls {
-		a := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
-		a.accept()
-		close(a.lines)
+		call := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
+		call.accept()
+		close(call.lines)
 	}
 	if took := time.Since(began); took < (calls-1)*200*time.Millisecond {
-		t.Errorf("%d calls within %s", calls, took)
+		t.Errorf("got %d calls within %s, want an average of at least 200 ms between two calls", calls, took)
 	}
 }
 
-// A call without a response fails as soon as the response is overdue.
+// A call without a response fails once the response is overdue.
 func TestUnansweredCallTimesOut(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -78,13 +79,13 @@
 	coordinator.watcher.startWatch(ctx, 0)
 	call := discovery.nextCall(t, "/discovery/hosts?watch=1&from=41")
 	got := acceptUntil(ctx, t, coordinator, "failure", func(b []policyapi.Event) bool { return len(b) > 0 })
-	if l, is := got[0].(policyapi.EndpointUpdate); !is || l.Kind != policyapi.Failed || time.Since(began) > watchTimeout {
-		t.Errorf("%+v after %s", got, time.Since(began))
+	if update, is := got[0].(policyapi.EndpointUpdate); !is || update.Kind != policyapi.Failed || time.Since(began) > watchTimeout {
+		t.Errorf("got events %+v after %s, want a failure within %s", got, time.Since(began), watchTimeout)
 	}
 	receive(t, "end of the call", call.done)
 }
 
-// A silent watch is replaced by another while it is still open, long before it is given up.
+// An open watch without lines is replaced by another one before it is canceled.
 func TestOverdueWatchIsReplaced(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	srv := startServerAt(t, discovery.address(), 256)
@@ -95,14 +96,14 @@
 	next := discovery.nextCall(t, "/discovery/hosts?watch=1&from=45")
 	select {
 	case <-silent.done:
-		t.Error("it was given up before its replacement was started")
+		t.Error("the silent watch was canceled before its replacement was started")
 	default:
 	}
-	next.respond <- http.StatusServiceUnavailable // and is retried while the silent one is the only one
+	next.respond <- http.StatusServiceUnavailable // the call is retried while the silent watch is the only open one
 	next = discovery.nextCall(t, "/discovery/hosts?watch=1&from=45")
 	select {
 	case <-silent.done:
-		t.Error("it was given up before its replacement was open")
+		t.Error("the silent watch was canceled before its replacement was open")
 	default:
 	}
 	next.accept(listMessage(46, false, hostEntry("s-3", "Terminating")))
@@ -110,8 +111,8 @@
 	receive(t, "end of the silent watch", silent.done)
 }
 
-// A watch has replaced another while a line of the old one still waits for the owner: the line is ignored, its change comes with the new
-// watch, which began at the version before it.
+// A watch replaces another one while a line of the old watch still waits for the owner: the line is ignored, and its change
+// arrives on the new watch, which starts at the version before the change.
 func TestLineOfReplacedWatchIsIgnored(t *testing.T) {
 	discovery := newManualDiscovery(t)
 	coordinator, ctx := newSteppedCoordinator(t, discovery.address(), 256)
@@ -125,42 +126,43 @@
 	late := discoveryEvent{call: 1, kind: listReceived, list: proxyproto.EndpointList{Update: update}}
 	coordinator.watcher.handle(ctx, nil, discoveryEvent{call: 2, kind: watchOpened})
 	if batch := coordinator.watcher.handle(ctx, nil, late); len(batch) > 0 || coordinator.endpoints.version != 41 {
-		t.Fatalf("a canceled watch brought %+v", batch)
+		t.Fatalf("got events %+v from a canceled watch, want none", batch)
 	}
 	next.accept(listMessage(42, false, hostEntry("s-1", "Terminating")))
 	acceptUntil(ctx, t, coordinator, "change", func(b []policyapi.Event) bool { return slices.Contains(versions(b), 42) })
 	if coordinator.endpoints.endpoints["s-1"].Status != policyapi.Draining {
-		t.Errorf("the drain is lost: %+v", coordinator.endpoints.endpoints)
+		t.Errorf("got list %+v, want s-1 draining", coordinator.endpoints.endpoints)
 	}
 }
 
-// Many coordinators whose calls are refused at once do not retry at once; delays stay within the bound that lets a change come before it
-// counts as delivered.
+// Many coordinators whose calls are refused at the same time do not retry at the same time. The delays are short enough for a
+// change to arrive before it counts as delivered.
 func TestBackoffIsJitteredAndBounded(t *testing.T) {
 	const coordinators, attempts, deliveredAfter = 300, 8, 6 * time.Second
 	firstDelays := map[time.Duration]int{} // by tenths of a second
 	for seed := range uint64(coordinators) {
 		cfg := testConfig(t, "127.0.0.1:1", 256)
 		cfg.Start.Seed = seed
-		n := &discoveryWatcher{random: newRandom(seed)}
+		watcher := &discoveryWatcher{random: newRandom(seed)}
 		for attempt := range attempts {
-			delay := n.backoff()
+			delay := watcher.backoff()
 			if attempt == 0 {
 				firstDelays[delay/(100*time.Millisecond)]++
 			}
 			if delay < minBackoff/2 || lineTimeout+delay >= deliveredAfter {
-				t.Fatalf("a delay of %s", delay)
+				t.Fatalf("got a delay of %s, want at least %s and less than %s", delay, minBackoff/2, deliveredAfter-lineTimeout)
 			}
 		}
 	}
 	for tenth, n := range firstDelays {
 		if n > coordinators/5 {
-			t.Errorf("%d of %d retry %d tenths of a second after a refusal", n, coordinators, tenth)
+			t.Errorf("%d of %d coordinators retry %d tenths of a second after a refusal, want at most a fifth", n, coordinators, tenth)
 		}
 	}
 }
 
-// Discovery's address changes: the watch there takes over from the version last applied, and no failure is reported.
+// When discovery's address changes, a watch at the new address continues from the version that was applied last, and no failure is
+// reported.
 func TestDiscoveryAddressChanges(t *testing.T) {
 	srv := startServer(t, 256)
 	receive(t, "watch", srv.discovery.calls)
@@ -172,7 +174,7 @@
 	cfg.Discovery = second.address()
 	srv.coordinator.Reload(cfg)
 	if from := receive(t, "watch", second.calls); from != "60" {
-		t.Errorf("from %q", from)
+		t.Errorf("got a watch from version %q, want 60", from)
 	}
 	second.send(listMessage(61, false, hostEntry("s-3", "Terminating")))
 	proxy.receiveUntil(1, "s-3:0")
@@ -180,11 +182,11 @@
 	second.send(listMessage(62, false, hostEntry("s-4", "Ready")))
 	proxy.receiveUntil(1, "s-4")
 	if srv.logged("discovery watch ended") {
-		t.Error("a failure is logged though there was none")
+		t.Error("the end of a watch is logged, want no failure")
 	}
 }
 
-// The watch at a new address is refused while the old one is open: the new address is tried again.
+// If the watch at a new address is refused while the old one is open, the new address is tried again.
 func TestOldWatchStaysWhileNewAddressFails(t *testing.T) {
 	discovery, second := newManualDiscovery(t), newManualDiscovery(t)
 	srv := startServerAt(t, discovery.address(), 256)
@@ -203,14 +205,15 @@
 		t.Fatal("the old watch ended before the new one is open")
 	default:
 	}
-	old.lines <- listMessage(43, false, hostEntry("s-4", "Ready")) // it counts until the new one is open
+	old.lines <- listMessage(43, false, hostEntry("s-4", "Ready")) // the old watch is used until the new one is open
 	proxy.receiveUntil(1, "s-4")
 	retry.accept(listMessage(44, false, hostEntry("s-3", "Terminating")))
 	proxy.receiveUntil(1, "s-3:0")
 	receive(t, "end of the old watch", old.done)
 }
 
-// Discovery's address changes twice, and the first new address never responds: the call there is canceled before the second one responds.
+// If discovery's address changes twice and the first new address does not respond, the call there is canceled before the second new
+// address responds.
 func TestAddressChangesDuringDial(t *testing.T) {
 	discovery, second, third := newManualDiscovery(t), newManualDiscovery(t), newManualDiscovery(t)
 	srv := startServerAt(t, discovery.address(), 256)
@@ -227,7 +230,7 @@
 	last := receive(t, "call of the third", third.calls)
 	receive(t, "end of the second's call", hanging.done)
 	if took := time.Since(called); took >= lineTimeout {
-		t.Errorf("the call was canceled only after %s", took)
+		t.Errorf("the call was canceled after %s, want less than %s", took, lineTimeout)
 	}
 	select {
 	case <-old.done:
--- a/proxyserver/watchevents.go
+++ b/proxyserver/watchevents.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// handleWatchOpened ends the older watches, which the opened one replaces.
+// handleWatchOpened ends the older watches, which the newly opened one replaces.
 func (w *discoveryWatcher) handleWatchOpened(opened *watch, number int) {
 	opened.open = true
 	w.consecutiveFailures = 0
@@ -43,7 +43,7 @@
 	}
 }
 
-// handleOverdue starts another watch, unless there is one already.
+// handleOverdue starts another watch, unless a newer one is already started.
 func (w *discoveryWatcher) handleOverdue(ctx context.Context, overdue *watch, number int) {
 	overdue.overdue = true
 	if newest, _ := w.newestWatch(); newest == number {
@@ -52,6 +52,8 @@
 	}
 }
 
+// handleLine handles a line of a watch. If a delta has a lower version than the one from which the watch was requested, discovery's
+// versions went back, and a snapshot is requested.
 func (w *discoveryWatcher) handleLine(ctx context.Context, batch []policyapi.Event, source *watch, list proxyproto.EndpointList) []policyapi.Event {
 	source.overdue = false
 	if update := list.Update; update.Kind == policyapi.Delta && update.Version < source.from {
@@ -64,9 +66,10 @@
 	return w.accept(ctx, batch, list)
 }
 
-// handleWatchEnded handles the end of a watch. If another one is open at the current address and not overdue, there is nothing to do. If
-// the other one is at an older address it will end soon, and the current address is retried meanwhile. If no watch is left, the
-// failure is reported to the decision module if it polls the list, and otherwise the watcher retries.
+// handleWatchEnded handles the end of a watch. If another watch has no response yet, or is open at the current address and not
+// overdue, nothing is done. If the other watch is overdue or at an older address, it is expected to end soon, and the current
+// address is retried. If no watch is left, the failure is reported to the decision module if the module polls the list; otherwise
+// the watcher retries.
 func (w *discoveryWatcher) handleWatchEnded(ctx context.Context, batch []policyapi.Event, event discoveryEvent) []policyapi.Event {
 	w.log.Info("discovery watch ended", zap.Error(event.err))
 	w.cancelWatch(event.call)
@@ -101,11 +104,13 @@
 	w.versionReset = false
 	batch = w.accept(ctx, batch, event.list)
 	if wasReset && w.enabled {
-		w.startWatch(ctx, 0) // from the version of the snapshot
+		w.startWatch(ctx, 0) // starts at the version of the snapshot
 	}
 	return batch
 }
 
+// handleSnapshotFailed requests the snapshot again if the watcher needs it, and otherwise reports the failure to the decision
+// module.
 func (w *discoveryWatcher) handleSnapshotFailed(ctx context.Context, batch []policyapi.Event, err error) []policyapi.Event {
 	if w.snapshotDue {
 		w.log.Info("discovery snapshot failed, retrying", zap.Error(err))
@@ -116,14 +121,14 @@
 	return append(batch, policyapi.EndpointUpdate{Kind: policyapi.Failed})
 }
 
-// accept applies a list and appends its update to a batch. If some entries can't be read, the others are applied and a snapshot is
-// requested.
+// accept applies a list and appends its update to a batch. If some of its entries can't be read, the others are applied and a
+// snapshot is requested.
 func (w *discoveryWatcher) accept(ctx context.Context, batch []policyapi.Event, list proxyproto.EndpointList) []policyapi.Event {
 	for _, dropped := range list.Dropped {
 		w.log.Warn("endpoint list entry ignored", zap.Error(dropped))
 	}
 	if list.Update.Kind == policyapi.Delta && list.Update.Version < w.endpoints.version {
-		return batch // a new watch can start at a version older than what the watch before it delivered
+		return batch // a new watch can start at an older version than the previous watch has delivered
 	}
 	update := w.applyList(list)
 	if len(list.Dropped) > 0 && !w.snapshotCall.isPending() {
