--- a/proxyproto/doc.go
+++ b/proxyproto/doc.go
@@ -1,6 +1,6 @@
-// Package proxyproto implements the operators' protocol between a coordinator and its proxies and collectors. It decodes and
-// validates incoming messages into events of package policyapi, and encodes orders of the decision module as one message for each
-// proxy's stream. It also reads the coordinator's configuration and discovery's endpoint lists.
+// Package proxyproto implements the protocol of the operators' platform between a coordinator and its proxies and collectors. It
+// decodes and validates incoming messages into events of package policyapi, and encodes orders of the decision module as one
+// message for each proxy's stream. It also reads the coordinator's configuration and discovery's endpoint lists.
 //
 // Start with [Session], which turns messages into events, and [Publisher], which turns orders into messages; [Validator] contains
 // the names that messages may use. [ReadConfig] and [ReadEndpointList] decode JSON.
--- a/proxyproto/fleetmodel_test.go
+++ b/proxyproto/fleetmodel_test.go
@@ -23,19 +23,19 @@
 	slowdown float64 // factor by which the channel is slower than the settings state
 	ackLoss  float64 // fraction of acknowledgements that are lost
 
-	now         policyapi.Microseconds
-	module      *policy.Instance
-	publisher   *proxyproto.Publisher
-	timers      map[policyapi.Microseconds][]policyapi.TimerToken
-	scheduled   actionHeap
-	actionCount int
-	batch       []policyapi.Event
-	oracle      *oracle
-	proxies     map[policyapi.ProxyID]*connectedProxy
-	everSeen    map[policyapi.ProxyID]*modelProxy // all proxies that have ever connected
-	list        map[policyapi.EndpointID]policyapi.Endpoint
-	version     policyapi.ListVersion
-	failing     map[policyapi.EndpointID]bool // endpoints whose attempts all fail
+	now          policyapi.Microseconds
+	module       *policy.Instance
+	publisher    *proxyproto.Publisher
+	timers       map[policyapi.Microseconds][]policyapi.TimerToken
+	scheduled    actionHeap
+	actionCount  int
+	batch        []policyapi.Event
+	oracle       *oracle
+	proxies      map[policyapi.ProxyID]*connectedProxy
+	knownProxies map[policyapi.ProxyID]*modelProxy // all proxies that have ever connected
+	list         map[policyapi.EndpointID]policyapi.Endpoint
+	version      policyapi.ListVersion
+	failing      map[policyapi.EndpointID]bool // endpoints whose attempts all fail
 
 	queueEmptyAt policyapi.Microseconds // when the last message leaves the channel
 	inQueue      []queuedMessage
@@ -90,7 +90,7 @@
 
 func newFleetModel(t testing.TB, settings policyapi.Start, seed uint64) *fleetModel {
 	m := &fleetModel{t: t, random: rand.New(rand.NewPCG(seed, 29)), settings: settings, slowdown: 1, now: 1000 * second, oracle: newOracle(settings.Rules, settings.Classes),
-		proxies: map[policyapi.ProxyID]*connectedProxy{}, everSeen: map[policyapi.ProxyID]*modelProxy{}, list: map[policyapi.EndpointID]policyapi.Endpoint{},
+		proxies: map[policyapi.ProxyID]*connectedProxy{}, knownProxies: map[policyapi.ProxyID]*modelProxy{}, list: map[policyapi.EndpointID]policyapi.Endpoint{},
 		failing: map[policyapi.EndpointID]bool{}}
 	m.oracle.expected = m.describeOrders
 	m.restartCoordinator()
@@ -170,11 +170,11 @@
 // connect connects a proxy's stream. A proxy that was connected before keeps its tables; a new one has its default table, or
 // earlierTable from another coordinator.
 func (m *fleetModel) connect(id policyapi.ProxyID, zone policyapi.Zone, load float64, earlierTable ...policyapi.EndpointID) {
-	p := m.everSeen[id]
+	p := m.knownProxies[id]
 	isNew := p == nil && len(earlierTable) == 0
 	if p == nil {
 		p = newModelProxy(id, zone, m.classes())
-		m.everSeen[id] = p
+		m.knownProxies[id] = p
 	}
 	if isNew {
 		p.setTables(m.defaultTable(zone)...)
--- a/proxyproto/modelproxy_test.go
+++ b/proxyproto/modelproxy_test.go
@@ -20,7 +20,7 @@
 	classes     []string
 	tables      []map[policyapi.EndpointID]float64 // by class
 	ejected     map[policyapi.EndpointID]bool
-	lastMessage string // the last message it has applied
+	lastMessage string // last message that the proxy has applied
 }
 
 func newModelProxy(id policyapi.ProxyID, zone policyapi.Zone, classes []string) *modelProxy {
--- a/proxyproto/oracle_test.go
+++ b/proxyproto/oracle_test.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	second policyapi.Microseconds = 1_000_000
-	slack                         = 300_000 * policyapi.Microseconds(1) // tolerance of the protocol on the time limits of the rules
+	second    policyapi.Microseconds = 1_000_000
+	tolerance                        = 300_000 * policyapi.Microseconds(1) // tolerance of the protocol on the time limits of the rules
 )
 
 // finding is one violation of a rule.
@@ -29,7 +29,7 @@
 // listedEndpoint is an endpoint as last delivered to the coordinator.
 type listedEndpoint struct {
 	endpoint policyapi.Endpoint
-	since    policyapi.Microseconds // when it last became ready, stopped being ready, or began to drain
+	since    policyapi.Microseconds // when the endpoint last became ready, stopped being ready, or began to drain
 	// drained is set once the endpoint is listed as draining. With soft removal, only a drain withdraws an endpoint.
 	drained bool
 }
@@ -84,6 +84,7 @@
 	}
 }
 
+// applyEndpoint records the listed state of one endpoint.
 func (o *oracle) applyEndpoint(now policyapi.Microseconds, e policyapi.Endpoint) {
 	l := o.endpoints[e.ID]
 	if l == nil {
@@ -121,7 +122,7 @@
 	for class, settings := range o.classes {
 		for _, id := range p.endpoints(class) {
 			since, withdrawn := o.withdrawnSince(id)
-			deadline := max(since, connected) + o.rules.DrainGracePeriod*o.factor + slack
+			deadline := max(since, connected) + o.rules.DrainGracePeriod*o.factor + tolerance
 			if withdrawn && now > deadline && p.offers(class, id) {
 				o.findings = append(o.findings, finding{"drain", now, p.id, settings.Name, fmt.Sprintf(
 					"%s is offered %.2f s after the grace period (withdrawn at %.2f s, connected at %.2f s); %s; last message: %.300s", id,
@@ -132,6 +133,7 @@
 	}
 }
 
+// checkEmptyTable checks that a class of a proxy is not without an endpoint for longer than allowed while a usable one is listed.
 func (o *oracle) checkEmptyTable(now, connected policyapi.Microseconds, p *modelProxy, class int) {
 	key := emptyTableKey{p.id, class}
 	if p.offersAny(class) || !o.hasUsableEndpoint(now, p.zone, o.classes[class]) {
@@ -143,7 +145,7 @@
 		o.emptySince[key] = now
 		since = now
 	}
-	if now > max(since, connected)+o.rules.EmptyTableLimit*o.factor+slack {
+	if now > max(since, connected)+o.rules.EmptyTableLimit*o.factor+tolerance {
 		o.findings = append(o.findings, finding{"empty", now, p.id, o.classes[class].Name, fmt.Sprintf(
 			"no endpoint since %.2f s; %s; last message: %.300s", float64(since)/float64(second), o.expected(p.id, class), p.lastMessage)})
 	}
@@ -175,7 +177,7 @@
 	for _, step := range []struct {
 		at   policyapi.Microseconds
 		want int
-	}{{20 * second, 0}, {23 * second, 0}, {23*second + slack, 0}, {23*second + slack + 1, 2}} {
+	}{{20 * second, 0}, {23 * second, 0}, {23*second + tolerance, 0}, {23*second + tolerance + 1, 2}} {
 		o.findings = nil
 		if o.check(step.at, 0, p); len(o.findings) != step.want {
 			t.Errorf("got %d findings at %d µs, want %d: %v", len(o.findings), step.at, step.want, o.findings)
--- a/proxyproto/outbound.go
+++ b/proxyproto/outbound.go
@@ -67,7 +67,7 @@
 			part.classes = append(part.classes, other)
 			done[other] = true
 			if complete {
-				s.sentAdmissions[other] = nil // a proxy drops the levels of a table that is replaced
+				s.sentAdmissions[other] = nil // a proxy discards the levels of a table that is replaced
 			}
 		}
 		part.rows = t.rows(complete, changes.changedWeights[t])
--- a/proxyproto/sequences_test.go
+++ b/proxyproto/sequences_test.go
@@ -20,12 +20,12 @@
 	firstSequence = flag.Uint64("first-sequence", 1, "seed of the first sequence")
 )
 
-// deployment contains the settings of a sequence and its initial endpoints and proxies.
+// deployment contains the settings of a sequence and the numbers of its endpoints and proxies.
 type deployment struct {
 	initialSettings policyapi.Start
 	perZone         int  // initial endpoints of each zone
 	maxProxies      int  // maximum number of proxies
-	tight           bool // the channel can't carry the tables of all proxies within half of the grace period
+	slowChannel     bool // the channel can't carry the tables of all proxies within half of the grace period
 }
 
 // sequence is a random sequence of fleet events at one coordinator. Its deployment and events are drawn from a seed.
@@ -123,7 +123,7 @@
 		MessageWindow:       10 * second,
 		HealthChecksAllowed: r.IntN(2) == 0,
 	}
-	d.tight = 2*float64(d.maxProxies)*allTablesLines/d.initialSettings.Channel.LinesPerSecond > drainSeconds+2.5
+	d.slowChannel = 2*float64(d.maxProxies)*allTablesLines/d.initialSettings.Channel.LinesPerSecond > drainSeconds+2.5
 }
 
 func newSequence(t testing.TB, seed uint64) *sequence {
@@ -187,7 +187,7 @@
 		return
 	}
 	zone := s.settings.Zones[s.random.IntN(len(s.settings.Zones))]
-	if p := s.everSeen[id]; p != nil {
+	if p := s.knownProxies[id]; p != nil {
 		zone = p.zone
 	}
 	load := 20 * s.random.Float64()
@@ -224,7 +224,7 @@
 func (s *sequence) randomAction() {
 	count := 1 + s.random.IntN(3)
 	if s.random.IntN(6) == 0 {
-		count = 100 // in general all endpoints of a zone
+		count = 100 // more endpoints than most zones have
 	}
 	action := s.random.IntN(16)
 	if (action <= 8 || action == 15) && !s.mayChange() {
@@ -324,7 +324,7 @@
 
 // restart restarts the coordinator, whose proxies reconnect within a second, or replaces only its decision module.
 func (s *sequence) restart() {
-	if s.tight {
+	if s.slowChannel {
 		return // the tables of all proxies could not be sent again in time
 	}
 	if s.random.IntN(2) == 0 {
--- a/proxyproto/session.go
+++ b/proxyproto/session.go
@@ -83,9 +83,9 @@
 // Session is the protocol state of one connection. It is not safe for concurrent use.
 type Session struct {
 	Role        Role
-	Zone        policyapi.Zone    // of a collector or stream
-	Proxy       policyapi.ProxyID // of a stream
-	pendingAcks []policyapi.AckID // on the wire, oldest first
+	Zone        policyapi.Zone    // zone of the collector or proxy
+	Proxy       policyapi.ProxyID // proxy of a stream
+	pendingAcks []policyapi.AckID // ack ids on the wire, oldest first
 }
 
 // AckRequested records that an ack id, as on the wire, was sent on this stream: the proxy can acknowledge only recorded ones.
--- a/proxyproto/validator.go
+++ b/proxyproto/validator.go
@@ -23,7 +23,7 @@
 	proxyCount int
 	maxLatency float64                       // largest valid mean latency in milliseconds
 	endpoints  map[policyapi.EndpointID]bool // true: listed; false: removed, but messages may still name it
-	removed    []policyapi.EndpointID        // the oldest first
+	removed    []policyapi.EndpointID        // oldest first
 }
 
 // NewValidator returns a Validator for the zones, classes and proxies of the settings, without endpoints.
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// identificationTimeout is how long a connection may stay unidentified, by the protocol.
+	// identificationTimeout is the time within which the protocol requires a connection to identify itself.
 	identificationTimeout = time.Second
 	// tickInterval is how often the event loop checks timeouts. The protocol requires that an invalid client is closed within three
 	// seconds.
