--- a/proxyproto/messagereader.go
+++ b/proxyproto/messagereader.go
@@ -146,8 +146,8 @@
 // shorten truncates a peer's text to the maxLoggedBytes that an error quotes.
 func shorten(text string) string { return text[:min(len(text), maxLoggedBytes)] }
 
-// parseDecimal parses a decimal number. It rejects the other forms that strconv.ParseFloat accepts, such as NaN and hexadecimal
-// numbers.
+// parseDecimal parses a decimal number. It rejects the other forms that strconv.ParseFloat accepts, such as NaN, hexadecimal
+// numbers and underscores.
 func parseDecimal(text string) (float64, bool) {
 	if text == "" || strings.Trim(text, "+-.0123456789eE") != "" {
 		return 0, false
