--- a/solver/activation_test.go
+++ b/solver/activation_test.go
@@ -9,8 +9,8 @@
 	"porthub/solver"
 )
 
-// Solutions become active only on what lasts or is urgent, inactive only after a while, move a bounded number of tables in
-// a round, and are reached.
+// Solutions become active only if the overload lasts or is urgent and inactive only after several calm rounds. They change a
+// bounded number of tables per round, and all tables reach the solution.
 func TestActivation(t *testing.T) {
 	demands := make([]float64, 40)
 	for i := range demands {
@@ -20,15 +20,16 @@
 	overloaded := evenFleet([]float64{10, 10, 4}, demands...)
 	activation := solver.NewActivation()
 	if round := activation.Step(overloaded, false); round.Active || len(round.Notes) != 0 {
-		t.Error("active after one round")
+		t.Errorf("after one overloaded round: active %t, notes %v, want inactive without notes", round.Active, round.Notes)
 	}
 	if round := activation.Step(calm, false); round.Active {
-		t.Error("active after a calm round")
+		t.Error("active after a calm round, want inactive")
 	}
 	activation.Step(overloaded, false)
 	round := activation.Step(overloaded, false)
 	if !round.Active || len(round.Notes) != 1 || round.ChangedTables == 0 || round.ChangedTables > 10 {
-		t.Errorf("active %t, %v, moved %d", round.Active, round.Notes, round.ChangedTables)
+		t.Errorf("after two overloaded rounds: active %t, notes %v, %d changed tables; want active, one note, 1 to 10 tables",
+			round.Active, round.Notes, round.ChangedTables)
 	}
 	for range 8 {
 		round = activation.Step(overloaded, false)
@@ -38,52 +39,53 @@
 		load += 0.5 * round.Tables[solver.TableKey{Consumer: overloaded.Consumers[u].Name}].Weights["n2"]
 	}
 	if round.ChangedTables != 0 || load > 4*1.05 {
-		t.Errorf("after ten rounds %d tables still move and the weak endpoint is offered %.2f of 4", round.ChangedTables, load)
+		t.Errorf("after ten overloaded rounds: %d changed tables, want 0; endpoint n2 is offered %.2f, want at most 5%% above its capacity of 4",
+			round.ChangedTables, load)
 	}
-	// Load that hovers at the threshold rarely changes the mode.
+	// Load that oscillates about the threshold rarely changes the mode.
 	changes := 0
 	for i := range 600 {
 		f := evenFleet([]float64{10, 10, 4 + 2.8*math.Abs(math.Sin(float64(i)/3))}, demands...)
 		changes += len(activation.Step(f, false).Notes)
 	}
 	if changes > 2 {
-		t.Errorf("%d changes in 600 rounds of hovering load", changes)
+		t.Errorf("%d changes of mode in 600 rounds of oscillating load, want at most 2", changes)
 	}
 	for range 3 {
 		round = activation.Step(calm, true)
 	}
 	if !round.Active {
-		t.Error("inactive while an endpoint is on trial")
+		t.Error("inactive while an endpoint is on trial, want active")
 	}
 	for range 3 {
 		round = activation.Step(calm, false)
 	}
 	if round.Active || len(round.Tables) != 0 {
-		t.Error("active though all is calm")
+		t.Errorf("after three calm rounds: active %t, %d tables, want inactive without tables", round.Active, len(round.Tables))
 	}
 	calm.Endpoints[0].Failing = []bool{true}
 	if round := activation.Step(calm, true); !round.Active {
-		t.Error("inactive while a table names an endpoint that fails the class")
+		t.Error("inactive while a table gives weight to an endpoint that fails the class, want active")
 	}
 }
 
-// A consumer has demand of a class that it wants no table for, which Check allows: the solution gives it one. (Regression:
-// comparing it with the table that is not there panicked once solutions were active.)
+// A consumer may have demand for a class without a desired table; the solution then gives it one. Comparing that table with the
+// missing desired one used to panic once solutions were active.
 func TestActivationWithoutWantedTable(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 4}, 8, 8)
 	f.Consumers[1].Desired = nil
 	if err := f.Check(); err != nil {
 		t.Fatal(err)
 	}
-	f.Endpoints[2].Failing = []bool{true} // and in the table of the first: solutions apply at once
+	f.Endpoints[2].Failing = []bool{true} // it is in the first consumer's table, so that solutions apply at once
 	round := solver.NewActivation().Step(f, false)
 	if table := round.Tables[solver.TableKey{Consumer: f.Consumers[1].Name}]; !round.Active || len(table.Weights) == 0 {
-		t.Errorf("active %t, tables %v", round.Active, round.Tables)
+		t.Errorf("active %t, tables %v; want active and a table with weights for the second consumer", round.Active, round.Tables)
 	}
 }
 
-// The same fleet moves the same tables, a thousand times. (Regression: the load that a table moves was added up in the order of a
-// map; of tables that gain as much, the last bits of the sum decided which moved.)
+// The same fleet always changes the same tables. The load that a table moves used to be summed in the iteration order of a map,
+// and for tables that move equal load, the rounding of the sum decided which of them changed.
 func TestSameTablesAreMoved(t *testing.T) {
 	limits, demands := make([]float64, 30), make([]float64, 40)
 	for i := range limits {
@@ -102,7 +104,7 @@
 			want = maps.Clone(round.Tables)
 		}
 		if len(round.Tables) == 0 || len(round.Tables) == len(demands) || !reflect.DeepEqual(round.Tables, want) {
-			t.Fatalf("%d tables have moved, others than with the same fleet before, or none is left", len(round.Tables))
+			t.Fatalf("%d of %d tables have changed; want some but not all, and the same as in the first run", len(round.Tables), len(demands))
 		}
 	}
 }
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// maxBusySeconds is the number of busy seconds from which on an endpoint's histogram is halved.
+	// maxBusySeconds is the number of busy seconds above which an endpoint's histogram is halved.
 	maxBusySeconds = 20.0
-	// minBusySeconds is the number of busy seconds from which on a capacity is known.
+	// minBusySeconds is the number of busy seconds needed to estimate a capacity.
 	minBusySeconds = 3.0
-	// maxCostResponses is the number of responses from which on a class's cost is halved.
+	// maxCostResponses is the number of responses above which the latency sums of a class are halved.
 	maxCostResponses = 400.0
-	// priorResponses is the number of responses for which the mean cost of all classes counts in each class's.
+	// priorResponses is the number of responses that the mean latency of all classes counts for in the cost of each class.
 	priorResponses = 30
-	// queueingUtilization is the utilization below which answers are assumed not to have waited.
+	// queueingUtilization is the utilization below which requests are assumed not to have queued, so that their latency
+	// reflects their cost.
 	queueingUtilization = 0.6
-	// minUtilization is the utilization up to which nothing is learned.
+	// minUtilization is the utilization that an observation must exceed to be used.
 	minUtilization = 0.08
 )
 
-// CapacityEstimator learns what endpoints can do, from requests done per busy second in a histogram by utilization, and
-// what a request of each class costs relative to the others, from how long it takes where requests do not wait.
+// CapacityEstimator estimates the capacity of endpoints from the requests that they complete per busy second, and the cost of a
+// request of each class relative to the others from its latency at endpoints where requests do not queue.
 type CapacityEstimator struct {
 	classes   int
 	endpoints map[policyapi.EndpointID]*throughput
-	latencies []weightedSum // by class: responses, and their latency in microseconds
+	latencies []weightedSum // by class: number of responses, and the sum of their latencies in microseconds
 }
 
-// weightedSum sums values and their weight.
+// weightedSum is a sum of weighted values, with the sum of their weights.
 type weightedSum struct{ weight, sum float64 }
 
 func (s *weightedSum) add(weight, value float64) {
@@ -37,7 +38,7 @@
 	s.sum += value
 }
 
-// halve halves the weight of the values so far, so that older ones fade.
+// halve halves both sums, so that older values count less than newer ones.
 func (s *weightedSum) halve() {
 	s.weight /= 2
 	s.sum /= 2
@@ -50,7 +51,7 @@
 	return total
 }
 
-// throughput is the histogram of an endpoint: busy seconds, and the requests done in them, by quarter of utilization.
+// throughput is an endpoint's histogram of busy seconds, and of the requests completed in them, by quarter of utilization.
 type throughput [4]weightedSum
 
 func (t *throughput) add(utilization, busySeconds, done float64) {
@@ -62,7 +63,7 @@
 	}
 }
 
-// NewCapacityEstimator returns an estimator for a number of request classes without observations.
+// NewCapacityEstimator returns an estimator without observations for the given number of request classes.
 func NewCapacityEstimator(classes int) *CapacityEstimator {
 	return &CapacityEstimator{
 		classes:   classes,
@@ -71,8 +72,9 @@
 	}
 }
 
-// Observe records what all gateways observed at an endpoint in a time: its utilization, below 0 if it reports none, and its
-// load by class. Nothing is learned from an endpoint that is warming up: it would count as slow for a long time.
+// Observe records what all gateways observed at an endpoint during a number of seconds: its utilization, negative if it reports
+// none, and its load by class. Observations of an endpoint that is warming up (warm is false) are ignored, because they would
+// lower its estimated capacity long after it has warmed up.
 func (e *CapacityEstimator) Observe(endpoint policyapi.EndpointID, seconds, utilization float64, warm bool, loads []policyapi.EndpointClassLoad) {
 	if !(utilization > minUtilization) || !warm || seconds <= 0 {
 		return
@@ -105,13 +107,13 @@
 	}
 }
 
-// ResetEndpoint drops the records of an endpoint, because another process has its address.
+// ResetEndpoint discards the observations of an endpoint. Callers use it when another process has taken the endpoint's address.
 func (e *CapacityEstimator) ResetEndpoint(endpoint policyapi.EndpointID) {
 	delete(e.endpoints, endpoint)
 }
 
-// Capacity returns what an endpoint can do when warmed up, in requests of mean cost per second, or NaN while too little is
-// known.
+// Capacity returns the capacity of an endpoint when warmed up, in requests of mean cost per second, or NaN if there are too few
+// observations.
 func (e *CapacityEstimator) Capacity(endpoint policyapi.EndpointID) float64 {
 	t := e.endpoints[endpoint]
 	if t == nil {
@@ -124,7 +126,7 @@
 	return all.sum / all.weight
 }
 
-// Costs returns what requests of each class cost relative to the mean of all, which is 1.
+// Costs returns the cost of a request of each class relative to the mean of all classes, which is 1.
 func (e *CapacityEstimator) Costs() []float64 {
 	costs := make([]float64, e.classes)
 	for class := range costs {
--- a/solver/certificate.go
+++ b/solver/certificate.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// fullAdmission is the admitted part from which on all of a demand counts as admitted.
+	// fullAdmission is the admitted fraction above which a demand counts as fully admitted.
 	fullAdmission = 1 - 1e-6
-	// negligibleRejection is the rejected part of a class's demand that is too small to need a reason.
+	// negligibleRejection is the rejected fraction of a class's demand up to which no reason is given.
 	negligibleRejection = 1e-6
-	// nowherePart is the part of the rejected demand without an open endpoint that makes this the reason.
-	nowherePart = 0.99
+	// noEndpointFraction is the fraction of a class's rejected demand above which the lack of an open endpoint is the reason.
+	noEndpointFraction = 0.99
 )
 
-// solution returns the solution of placements, with its certificate.
+// solution returns the solution that consists of the placements, with its certificate.
 func (p *problem) solution(placements [][]placement) Solution {
 	result := p.emptySolution()
 	certificate := &result.Certificate
@@ -40,36 +40,37 @@
 	return result
 }
 
-// bound returns the priority weight per second that no placement exceeds: the dual's value at the present prices.
+// bound returns an upper bound on the priority weight per second of any placement: the value of the dual at the current prices,
+// or the priority of all demand if that is lower.
 func (p *problem) bound() float64 {
 	bound := 0.0
 	for i, limit := range p.limit {
 		bound += limit * p.price[i]
 	}
-	profit := make([]float64, len(p.targets)) // the most by which a request's priority exceeds its price
+	profit := make([]float64, len(p.targets)) // largest excess of a request's priority over its price
 	for i, target := range p.targets {
 		profit[i] = math.Inf(-1)
 		for _, endpoint := range target.endpoints {
 			profit[i] = max(profit[i], p.priority[target.class]-p.fleet.Endpoints[endpoint].cost(target.class)*p.price[endpoint])
 		}
 	}
-	all := 0.0
+	totalPriority := 0.0
 	for _, demand := range p.demands {
 		bound += demand.rate * max(0, profit[demand.target])
-		all += demand.rate * p.priority[demand.class]
+		totalPriority += demand.rate * p.priority[demand.class]
 	}
-	return min(bound, all)
+	return min(bound, totalPriority)
 }
 
-// rejectionReason describes why demand was rejected.
+// rejectionReason describes why demand was rejected. rejected is in requests per second by class.
 func (p *problem) rejectionReason(rejected []float64) string {
 	demanded := make([]float64, len(rejected))
-	nowhere := make([]float64, len(rejected)) // without an open endpoint
+	withoutEndpoint := make([]float64, len(rejected)) // demand that has no open endpoint
 	for i := range p.demands {
 		d := &p.demands[i]
 		demanded[d.class] += d.rate
-		if p.choice(d) == 0 {
-			nowhere[d.class] += d.rate
+		if p.openCount(d) == 0 {
+			withoutEndpoint[d.class] += d.rate
 		}
 	}
 	var reasons []string
@@ -78,7 +79,7 @@
 			continue
 		}
 		reason := "the capacity of the endpoints open to it is used by classes of a higher priority for their cost"
-		if nowhere[class] > nowherePart*rate {
+		if withoutEndpoint[class] > noEndpointFraction*rate {
 			reason = "no open endpoint"
 		}
 		reasons = append(reasons, fmt.Sprintf("%s: %.3g of %.3g requests/s rejected: %s", p.fleet.Classes[class].Name, rate, demanded[class], reason))
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -10,60 +10,63 @@
 )
 
 const (
-	// minLogOdds is the log of how much likelier the failures must be from a failing endpoint: a thousand times.
+	// minLogOdds is the natural logarithm of the likelihood ratio that ejects an endpoint: its failures must be about a
+	// thousand times likelier from a failing endpoint than from a healthy one.
 	minLogOdds = 7
 	// minFailures is the number of failures below which no endpoint is ejected.
 	minFailures = 4
-	// minBaseline is the least part of failures that is taken as normal, maxBaseline the part from which on nothing is
-	// concluded.
+	// minBaseline is the lowest failure rate that counts as normal. If the baseline reaches maxBaseline, too much fails
+	// elsewhere to single out an endpoint.
 	minBaseline = 0.03
 	maxBaseline = 0.5
-	// maxFailurePart bounds the part of failures in the odds.
-	maxFailurePart = 0.99
-	// firstBackoff is the time in microseconds until the first trial; it doubles up to maxBackoff, and after a time of
-	// maxBackoff without an ejection it is reset.
+	// maxFailureRate bounds the failure rate from which the odds are computed, so that they stay finite.
+	maxFailureRate = 0.99
+	// firstBackoff is the time in microseconds until the first trial. It doubles with each further ejection up to maxBackoff
+	// and is reset after a period of maxBackoff without an ejection.
 	firstBackoff policyapi.Microseconds = 4_000_000
 	maxBackoff   policyapi.Microseconds = 32_000_000
-	// trialAttempts is the number of attempts in a trial, maxTrialFailures the part of them that may fail.
-	trialAttempts    = 5
-	maxTrialFailures = 0.3
-	// panicThreshold is the part of endpoints healthy for a class below which its ejections are ignored.
+	// trialAttempts is the number of attempts in a trial, maxTrialFailureRate the fraction of them that may fail.
+	trialAttempts       = 5
+	maxTrialFailureRate = 0.3
+	// panicThreshold is the fraction of endpoints healthy for a class below which the ejections of the class are ignored.
 	panicThreshold = 0.2
-	// minPeerAttempts is the number of attempts from which on an endpoint counts as a peer, minPeers the number of peers.
+	// minPeerAttempts is the number of attempts that an endpoint needs to count as a peer, minPeers the number of peers needed
+	// to compare with.
 	minPeerAttempts = 2
 	minPeers        = 2
 )
 
-// ClassStatus is the health of an endpoint for a class.
+// ClassStatus is the health status of an endpoint for a request class.
 type ClassStatus int
 
-// The statuses.
+// The values of ClassStatus.
 const (
 	ClassHealthy ClassStatus = iota
-	ClassOnTrial             // a part of its weight, until it has served a few requests
-	ClassFailing             // ejected for the class: no weight
+	ClassOnTrial             // gets a fraction of its weight until it has served a few requests
+	ClassFailing             // ejected for the class: gets no weight
 )
 
-// ClassHealth decides which endpoint fails which request class while it serves others, from what gateways observed at it in
-// each round. It stores two counts for each pair of them, halved each round.
+// ClassHealth decides which endpoints fail a request class while they serve others, from the attempts and failures that gateways
+// observe in each round. It stores these two counts for each pair of endpoint and class and halves them each round.
 //
-// A pair is compared with its peers' failures of the same class (the lower quartile, which stays low while up to three
-// quarters of them fail) and with the endpoint's failures of other classes (one that fails everything is ejected by the
-// decision module). It is ejected once its counts are a thousand times likelier from a failing endpoint
-// than from one that fails as its peers do. Where a class is down everywhere its peers are down, too, and none is ejected.
-// It is not safe for concurrent use. Times are microseconds.
+// The failure rate of a pair is compared with two baselines: that of the same class at other endpoints (the lower quartile, which
+// stays low while up to three quarters of them fail), and that of other classes at the same endpoint (an endpoint that fails
+// everything is ejected by the decision module). The pair is ejected once its counts are a thousand times likelier from a failing
+// endpoint than from one that fails at the baseline rate. If a class fails everywhere, the baseline is high and no endpoint is
+// ejected. A ClassHealth is not safe for concurrent use. Times are microseconds.
 type ClassHealth struct {
-	classes int
-	pairs   map[pair]*record
-	panics  []bool // by class: its ejections are ignored
+	classes   int
+	records   map[recordKey]*record
+	panicking []bool // by class: whether its ejections are ignored
 }
 
-type pair struct {
+// recordKey identifies a pair of endpoint and class.
+type recordKey struct {
 	endpoint policyapi.EndpointID
 	class    int
 }
 
-// counts are numbers of attempts; those of a record fade.
+// counts are the numbers of attempts and of failed attempts. They are fractional because ClassHealth halves them each round.
 type counts struct {
 	attempts, failures float64
 }
@@ -73,33 +76,34 @@
 	c.failures += float64(load.Failures)
 }
 
-// record is the state of a pair.
+// record is the state of a pair of endpoint and class.
 type record struct {
-	counts
-	trial          counts
+	counts                // halved each round
+	trial          counts // of the current trial
 	status         ClassStatus
-	since, retryAt policyapi.Microseconds
+	since, retryAt policyapi.Microseconds // when status changed, and when the next trial may start
 	backoff        policyapi.Microseconds
 }
 
-// NewClassHealth returns a ClassHealth for a number of request classes without observations.
+// NewClassHealth returns a ClassHealth without observations for the given number of request classes.
 func NewClassHealth(classes int) *ClassHealth {
-	return &ClassHealth{classes: classes, pairs: map[pair]*record{}, panics: make([]bool, classes)}
+	return &ClassHealth{classes: classes, records: map[recordKey]*record{}, panicking: make([]bool, classes)}
 }
 
-// EndRound ends a round. loads is what gateways observed since the last one, ready the endpoints that are ready. It
-// returns a line for the log for each change, with its reason.
+// EndRound ends a round and updates the statuses. loads are the attempts and failures that gateways observed in the round, ready
+// lists the endpoints that are ready. It returns log lines that state, with the reason, which endpoints start to fail a class or
+// serve it again, and for which classes ejections start or stop being ignored.
 func (h *ClassHealth) EndRound(now policyapi.Microseconds, loads []policyapi.EndpointClassLoad, ready []policyapi.EndpointID) (notes []string) {
 	h.count(loads)
-	h.forgetUnlisted(ready)
+	h.removeNotReady(ready)
 	for class := range h.classes {
-		peers := h.peerFailures(class, ready)
+		peerRate := h.peerFailureRate(class, ready)
 		for _, endpoint := range ready {
-			r := h.pairs[pair{endpoint, class}]
+			r := h.records[recordKey{endpoint, class}]
 			if r == nil {
 				continue
 			}
-			if note := h.evaluate(now, pair{endpoint, class}, r, peers); note != "" {
+			if note := h.evaluate(now, recordKey{endpoint, class}, r, peerRate); note != "" {
 				notes = append(notes, note)
 			}
 		}
@@ -110,8 +114,9 @@
 	return notes
 }
 
+// count halves the counts of earlier rounds and adds those of the current one.
 func (h *ClassHealth) count(loads []policyapi.EndpointClassLoad) {
-	for _, r := range h.pairs {
+	for _, r := range h.records {
 		r.attempts /= 2
 		r.failures /= 2
 	}
@@ -119,11 +124,11 @@
 		if load.Attempts <= 0 || int(load.Class) < 0 || int(load.Class) >= h.classes {
 			continue
 		}
-		key := pair{load.Endpoint, int(load.Class)}
-		r := h.pairs[key]
+		key := recordKey{load.Endpoint, int(load.Class)}
+		r := h.records[key]
 		if r == nil {
 			r = &record{}
-			h.pairs[key] = r
+			h.records[key] = r
 		}
 		r.add(load)
 		if r.status == ClassOnTrial {
@@ -132,39 +137,40 @@
 	}
 }
 
-// forgetUnlisted drops the endpoints that are not ready: an endpoint that comes back at an address is evaluated from the start.
-func (h *ClassHealth) forgetUnlisted(ready []policyapi.EndpointID) {
+// removeNotReady discards the records of endpoints that are not ready: if one becomes ready again, it is evaluated anew.
+func (h *ClassHealth) removeNotReady(ready []policyapi.EndpointID) {
 	listed := map[policyapi.EndpointID]bool{}
 	for _, endpoint := range ready {
 		listed[endpoint] = true
 	}
-	for p := range h.pairs {
-		if !listed[p.endpoint] {
-			delete(h.pairs, p)
+	for key := range h.records {
+		if !listed[key.endpoint] {
+			delete(h.records, key)
 		}
 	}
 }
 
-// peerFailures returns the part of failures that a class has at the best endpoints, 1 if there are too few peers.
-func (h *ClassHealth) peerFailures(class int, ready []policyapi.EndpointID) float64 {
-	var parts []float64
+// peerFailureRate returns the lower quartile of the failure rates of a class at the ready endpoints, or 1 if there are too few of
+// them with attempts.
+func (h *ClassHealth) peerFailureRate(class int, ready []policyapi.EndpointID) float64 {
+	var rates []float64
 	for _, endpoint := range ready {
-		if r := h.pairs[pair{endpoint, class}]; r != nil && r.attempts >= minPeerAttempts {
-			parts = append(parts, r.failures/r.attempts)
+		if r := h.records[recordKey{endpoint, class}]; r != nil && r.attempts >= minPeerAttempts {
+			rates = append(rates, r.failures/r.attempts)
 		}
 	}
-	if len(parts) < minPeers {
+	if len(rates) < minPeers {
 		return 1
 	}
-	slices.Sort(parts)
-	return parts[(len(parts)-1)/4]
+	slices.Sort(rates)
+	return rates[(len(rates)-1)/4]
 }
 
-// otherFailures returns the part of failures that an endpoint has with all other classes, 1 if it is not known to serve any.
-func (h *ClassHealth) otherFailures(p pair) float64 {
+// otherClassFailureRate returns the failure rate of all other classes together at the endpoint of key, or 1 if none has attempts.
+func (h *ClassHealth) otherClassFailureRate(key recordKey) float64 {
 	var others counts
 	for class := range h.classes {
-		if r := h.pairs[pair{p.endpoint, class}]; r != nil && class != p.class {
+		if r := h.records[recordKey{key.endpoint, class}]; r != nil && class != key.class {
 			others.attempts += r.attempts
 			others.failures += r.failures
 		}
@@ -175,8 +181,9 @@
 	return others.failures / others.attempts
 }
 
-// evaluate updates the status of a pair and returns a note if it fails or serves again.
-func (h *ClassHealth) evaluate(now policyapi.Microseconds, p pair, r *record, peers float64) (note string) {
+// evaluate updates the status of a pair. It returns a log line if a healthy pair is ejected or one on trial becomes healthy,
+// otherwise "".
+func (h *ClassHealth) evaluate(now policyapi.Microseconds, key recordKey, r *record, peerRate float64) (note string) {
 	switch r.status {
 	case ClassFailing:
 		if now >= r.retryAt {
@@ -184,29 +191,32 @@
 		}
 		return ""
 	case ClassOnTrial:
-		return r.evaluateTrial(now, p, peers)
+		return r.evaluateTrial(now, key, peerRate)
 	default:
-		return h.evaluateHealthy(now, p, r, peers)
+		return h.evaluateHealthy(now, key, r, peerRate)
 	}
 }
 
-func (r *record) evaluateTrial(now policyapi.Microseconds, p pair, peers float64) (note string) {
+// evaluateTrial ends a trial that has enough attempts or failures: the pair becomes healthy or is ejected again.
+func (r *record) evaluateTrial(now policyapi.Microseconds, key recordKey, peerRate float64) (note string) {
 	if r.trial.attempts < trialAttempts && r.trial.failures < minFailures {
 		return ""
 	}
-	if r.trial.failures > max(maxTrialFailures, peers)*r.trial.attempts {
+	if r.trial.failures > max(maxTrialFailureRate, peerRate)*r.trial.attempts {
 		r.eject(now)
 		return ""
 	}
 	r.status = ClassHealthy
 	r.since = now
-	return fmt.Sprintf("%s serves class %d again: %.0f of %.0f attempts failed", p.endpoint, p.class, r.trial.failures, r.trial.attempts)
+	return fmt.Sprintf("%s serves class %d again: %.0f of %.0f attempts failed", key.endpoint, key.class, r.trial.failures, r.trial.attempts)
 }
 
-func (h *ClassHealth) evaluateHealthy(now policyapi.Microseconds, p pair, r *record, peers float64) (note string) {
-	if r.attempts >= 1 && r.isOutlier(max(minBaseline, peers, h.otherFailures(p))) {
+// evaluateHealthy ejects a pair that is an outlier and resets the backoff of one that has been healthy for maxBackoff.
+func (h *ClassHealth) evaluateHealthy(now policyapi.Microseconds, key recordKey, r *record, peerRate float64) (note string) {
+	if r.attempts >= 1 && r.isOutlier(max(minBaseline, peerRate, h.otherClassFailureRate(key))) {
 		r.eject(now)
-		return fmt.Sprintf("%s fails class %d: %.0f of %.0f attempts failed, a part of %.2f at its peers", p.endpoint, p.class, r.failures, r.attempts, peers)
+		return fmt.Sprintf("%s fails class %d: %.0f of %.0f attempts failed, a fraction of %.2f at its peers",
+			key.endpoint, key.class, r.failures, r.attempts, peerRate)
 	}
 	if now-r.since > maxBackoff {
 		r.backoff = 0
@@ -214,8 +224,7 @@
 	return ""
 }
 
-// isOutlier reports whether so many failures are far likelier from a failing endpoint than from one with a baseline part of
-// failures.
+// isOutlier reports whether the counts are far likelier from a failing endpoint than from one that fails at the baseline rate.
 func (r *record) isOutlier(baseline float64) bool {
 	if r.failures < minFailures || !(baseline < maxBaseline) || r.failures/r.attempts <= baseline {
 		return false
@@ -223,12 +232,13 @@
 	return r.logOdds(baseline) > minLogOdds
 }
 
-// logOdds returns the log of how much likelier the counts are at their own part of failures than at the baseline.
+// logOdds returns the logarithm of the likelihood ratio of the counts: at their own failure rate over at the baseline rate.
 func (c *counts) logOdds(baseline float64) float64 {
-	part := min(maxFailurePart, c.failures/c.attempts)
-	return c.failures*math.Log(part/baseline) + (c.attempts-c.failures)*math.Log((1-part)/(1-baseline))
+	rate := min(maxFailureRate, c.failures/c.attempts)
+	return c.failures*math.Log(rate/baseline) + (c.attempts-c.failures)*math.Log((1-rate)/(1-baseline))
 }
 
+// eject marks the pair as failing and schedules its next trial after a doubled backoff.
 func (r *record) eject(now policyapi.Microseconds) {
 	r.backoff = min(maxBackoff, max(firstBackoff, 2*r.backoff))
 	r.status = ClassFailing
@@ -236,65 +246,65 @@
 	r.retryAt = now + r.backoff
 }
 
-// updatePanic ignores the ejections of a class where too few endpoints are left for it: the fault is then more likely a common
-// one than one of the endpoints.
+// updatePanic makes the ejections of a class ignored while too few endpoints are healthy for it: a common cause is then likelier
+// than a fault of each endpoint. It returns a log line if that changes, otherwise "".
 func (h *ClassHealth) updatePanic(class int, ready []policyapi.EndpointID) (note string) {
-	left := 0
+	healthy := 0
 	for _, endpoint := range ready {
-		if r := h.pairs[pair{endpoint, class}]; r == nil || r.status != ClassFailing {
-			left++
+		if r := h.records[recordKey{endpoint, class}]; r == nil || r.status != ClassFailing {
+			healthy++
 		}
 	}
-	panics := float64(left) < panicThreshold*float64(len(ready))
-	if panics == h.panics[class] {
+	panicking := float64(healthy) < panicThreshold*float64(len(ready))
+	if panicking == h.panicking[class] {
 		return ""
 	}
-	h.panics[class] = panics
-	return fmt.Sprintf("ejections for class %d ignored: %t, %d of %d endpoints healthy", class, panics, left, len(ready))
+	h.panicking[class] = panicking
+	return fmt.Sprintf("ejections for class %d ignored: %t, %d of %d endpoints healthy", class, panicking, healthy, len(ready))
 }
 
-// ResetEndpoint drops the records of an endpoint, because another process has its address.
+// ResetEndpoint discards the records of an endpoint. Callers use it when another process has taken the endpoint's address.
 func (h *ClassHealth) ResetEndpoint(endpoint policyapi.EndpointID) {
 	for class := range h.classes {
-		delete(h.pairs, pair{endpoint, class})
+		delete(h.records, recordKey{endpoint, class})
 	}
 }
 
-// Status returns the status of an endpoint for a class.
+// Status returns the status of an endpoint for a class. It is ClassHealthy while the ejections of the class are ignored.
 func (h *ClassHealth) Status(endpoint policyapi.EndpointID, class int) ClassStatus {
-	r := h.pairs[pair{endpoint, class}]
-	if r == nil || h.panics[class] {
+	r := h.records[recordKey{endpoint, class}]
+	if r == nil || h.panicking[class] {
 		return ClassHealthy
 	}
 	return r.status
 }
 
-// Ejection is the ejection of an endpoint for a class.
+// Ejection is the ejection of an endpoint for a class, as stored for the next start of the process.
 type Ejection struct {
 	Endpoint policyapi.EndpointID   `json:"node"`
 	Class    int                    `json:"kind"`
 	Backoff  policyapi.Microseconds `json:"backoff_us"`
 }
 
-// Ejections returns the ejections, with those on trial, in the order of endpoints and classes.
+// Ejections returns all ejections, including those on trial, ordered by endpoint and class.
 func (h *ClassHealth) Ejections() (ejections []Ejection) {
-	for p, r := range h.pairs {
+	for key, r := range h.records {
 		if r.status != ClassHealthy {
-			ejections = append(ejections, Ejection{p.endpoint, p.class, r.backoff})
+			ejections = append(ejections, Ejection{key.endpoint, key.class, r.backoff})
 		}
 	}
 	slices.SortFunc(ejections, func(a, b Ejection) int { return cmp.Or(cmp.Compare(a.Endpoint, b.Endpoint), a.Class-b.Class) })
 	return ejections
 }
 
-// Restore puts the endpoints of earlier ejections on trial: a few requests soon show whether they still fail. The backoff
-// of one that does continues.
+// Restore puts the endpoints that an earlier process ejected on trial: a few requests show whether they still fail. If one does,
+// its backoff continues to double.
 func (h *ClassHealth) Restore(now policyapi.Microseconds, ejections []Ejection) {
 	for _, e := range ejections {
 		if e.Class < 0 || e.Class >= h.classes {
 			continue
 		}
 		backoff := min(max(e.Backoff, firstBackoff), maxBackoff)
-		h.pairs[pair{e.Endpoint, e.Class}] = &record{status: ClassOnTrial, since: now, backoff: backoff}
+		h.records[recordKey{e.Endpoint, e.Class}] = &record{status: ClassOnTrial, since: now, backoff: backoff}
 	}
 }
--- a/solver/classhealth_test.go
+++ b/solver/classhealth_test.go
@@ -8,11 +8,18 @@
 	"porthub/solver"
 )
 
-// classLoads returns a second of attempts at each endpoint for each class, of which the part given fails.
-func classLoads(endpoints []policyapi.EndpointID, classes, attempts int, failures func(node policyapi.EndpointID, kind int) float64) (loads []policyapi.EndpointClassLoad) {
-	for _, id := range endpoints {
-		for k := range classes {
-			loads = append(loads, policyapi.EndpointClassLoad{Endpoint: id, Class: policyapi.RequestClass(k), Attempts: attempts, Failures: int(math.Round(float64(attempts) * failures(id, k)))})
+// classLoads returns the loads of one round with a number of attempts at each endpoint for each class, of which the fraction
+// that failureRate returns has failed.
+func classLoads(endpoints []policyapi.EndpointID, classes, attempts int,
+	failureRate func(endpoint policyapi.EndpointID, class int) float64) (loads []policyapi.EndpointClassLoad) {
+	for _, endpoint := range endpoints {
+		for class := range classes {
+			loads = append(loads, policyapi.EndpointClassLoad{
+				Endpoint: endpoint,
+				Class:    policyapi.RequestClass(class),
+				Attempts: attempts,
+				Failures: int(math.Round(float64(attempts) * failureRate(endpoint, class))),
+			})
 		}
 	}
 	return loads
@@ -22,46 +29,49 @@
 	endpoints := []policyapi.EndpointID{"a", "b", "c", "d", "e"}
 	const second = policyapi.Microseconds(1_000_000)
 	for name, c := range map[string]struct {
-		attempts int
-		failures func(policyapi.EndpointID, int) float64
-		fails    []policyapi.EndpointID // class 1 within 10 s
+		attempts    int // per endpoint, class and second
+		failureRate func(endpoint policyapi.EndpointID, class int) float64
+		ejected     []policyapi.EndpointID // for class 1 after 10 s
 	}{
-		"one endpoint fails one class": {5, func(b policyapi.EndpointID, k int) float64 { return partIf(b == "a" && k == 1, 0.9) }, []policyapi.EndpointID{"a"}},
-		"three of five do":             {5, func(b policyapi.EndpointID, k int) float64 { return partIf(b <= "c" && k == 1, 1) }, []policyapi.EndpointID{"a", "b", "c"}},
-		"the class is down":            {5, func(_ policyapi.EndpointID, k int) float64 { return partIf(k == 1, 1) }, nil},
-		"an endpoint fails everything": {5, func(b policyapi.EndpointID, _ int) float64 { return partIf(b == "a", 1) }, nil},
-		"all fail a little":            {10, func(policyapi.EndpointID, int) float64 { return 0.2 }, nil},
-		"few attempts, no failures":    {1, func(b policyapi.EndpointID, k int) float64 { return partIf(b == "a" && k == 1, 0) }, nil},
-		"one attempt a second fails":   {1, func(b policyapi.EndpointID, k int) float64 { return partIf(b == "a" && k == 1, 1) }, nil},
+		"one endpoint fails one class": {5,
+			func(e policyapi.EndpointID, class int) float64 { return rateIf(e == "a" && class == 1, 0.9) }, []policyapi.EndpointID{"a"}},
+		"three of five endpoints fail one class": {5,
+			func(e policyapi.EndpointID, class int) float64 { return rateIf(e <= "c" && class == 1, 1) },
+			[]policyapi.EndpointID{"a", "b", "c"}},
+		"all endpoints fail one class":       {5, func(_ policyapi.EndpointID, class int) float64 { return rateIf(class == 1, 1) }, nil},
+		"one endpoint fails all classes":     {5, func(e policyapi.EndpointID, _ int) float64 { return rateIf(e == "a", 1) }, nil},
+		"all endpoints fail a fifth":         {10, func(policyapi.EndpointID, int) float64 { return 0.2 }, nil},
+		"one attempt per second, none fails": {1, func(e policyapi.EndpointID, class int) float64 { return rateIf(e == "a" && class == 1, 0) }, nil},
+		"one attempt per second, all fail":   {1, func(e policyapi.EndpointID, class int) float64 { return rateIf(e == "a" && class == 1, 1) }, nil},
 	} {
 		health := solver.NewClassHealth(3)
 		for s := range 10 {
-			health.EndRound(policyapi.Microseconds(s)*second, classLoads(endpoints, 3, c.attempts, c.failures), endpoints)
+			health.EndRound(policyapi.Microseconds(s)*second, classLoads(endpoints, 3, c.attempts, c.failureRate), endpoints)
 		}
-		for _, b := range endpoints {
-			want := false
-			for _, f := range c.fails {
-				want = want || f == b
+		for _, endpoint := range endpoints {
+			ejected := false
+			for _, e := range c.ejected {
+				ejected = ejected || e == endpoint
 			}
-			for k := range 3 {
-				if got := health.Status(b, k) != solver.ClassHealthy; got != (want && k == 1) {
-					t.Errorf("%s: %s class %d ejected: %t", name, b, k, got)
+			for class := range 3 {
+				if got, want := health.Status(endpoint, class) != solver.ClassHealthy, ejected && class == 1; got != want {
+					t.Errorf("%s: endpoint %s, class %d: ejected %t, want %t", name, endpoint, class, got, want)
 				}
 			}
 		}
 	}
 }
 
-// partIf returns p if the condition holds, else 0.
-func partIf(condition bool, p float64) float64 {
+// rateIf returns rate if the condition holds, otherwise 0.
+func rateIf(condition bool, rate float64) float64 {
 	if condition {
-		return p
+		return rate
 	}
 	return 0
 }
 
-// An ejected endpoint is put on trial, later each time that it fails again, and serves again once it passes. Endpoints
-// failing one after the other never leave a class without any.
+// An ejected endpoint is put on trial, with a longer backoff each time that it fails again, and is healthy once it passes. If
+// endpoints start to fail a class one after the other, some endpoint always stays open for it.
 func TestEjectionTrials(t *testing.T) {
 	endpoints := []policyapi.EndpointID{"a", "b", "c", "d"}
 	health := solver.NewClassHealth(2)
@@ -77,26 +87,27 @@
 			trials++
 		}
 		previous = status
-		notes += len(health.EndRound(policyapi.Microseconds(s)*second, classLoads(endpoints, 2, 5, func(b policyapi.EndpointID, k int) float64 {
-			return partIf(b == "a" && k == 1 && failing, 1)
+		notes += len(health.EndRound(policyapi.Microseconds(s)*second, classLoads(endpoints, 2, 5, func(e policyapi.EndpointID, class int) float64 {
+			return rateIf(e == "a" && class == 1 && failing, 1)
 		}), endpoints))
 	}
 	if trials < 2 || trials > 6 || previous != solver.ClassHealthy || notes > 4 {
-		t.Errorf("%d trials, in the end %v, %d notes", trials, previous, notes)
+		t.Errorf("%d trials, last status %v, %d notes; want 2 to 6 trials, status %v, at most 4 notes",
+			trials, previous, notes, solver.ClassHealthy)
 	}
 	health = solver.NewClassHealth(2)
 	for s := range 40 {
-		health.EndRound(policyapi.Microseconds(s)*second, classLoads(endpoints, 2, 20, func(b policyapi.EndpointID, k int) float64 {
-			return partIf(k == 1 && int(b[0]-'a') <= s/8, 1)
+		health.EndRound(policyapi.Microseconds(s)*second, classLoads(endpoints, 2, 20, func(e policyapi.EndpointID, class int) float64 {
+			return rateIf(class == 1 && int(e[0]-'a') <= s/8, 1)
 		}), endpoints)
-		left := 0
-		for _, b := range endpoints {
-			if health.Status(b, 1) != solver.ClassFailing {
-				left++
+		open := 0
+		for _, endpoint := range endpoints {
+			if health.Status(endpoint, 1) != solver.ClassFailing {
+				open++
 			}
 		}
-		if left == 0 {
-			t.Fatalf("at %d s no endpoint is left", s)
+		if open == 0 {
+			t.Fatalf("at %d s all endpoints are ejected for class 1, want at least one open", s)
 		}
 	}
 }
--- a/solver/doc.go
+++ b/solver/doc.go
@@ -1,17 +1,17 @@
-// Package solver moves weights and limits admission so that no endpoint is offered more work than it can do. It applies the
-// price mechanism of the paper to single endpoints and request classes: a price for each endpoint, a
-// Newton-Exact-Diagonal step on prices, and F-NORM as the last step. It is pure: no I/O, no clock, and no state but what
-// is passed in.
+// Package solver computes weights and admission limits with which no endpoint is offered more work than it can do. It applies
+// the price mechanism of the algorithm's paper to single endpoints and request classes: each endpoint has a price,
+// Newton-Exact-Diagonal steps adjust the prices, and F-NORM removes the remaining overload. The package is pure: it does no I/O,
+// reads no clock, and keeps no state except in the values that callers hold.
 //
-// Solve is given the weights that the decision module wants. Where they keep every limit they are returned unchanged.
-// Otherwise the solution is the nearest one within the limits, by relative entropy: a weight is multiplied by
-// exp(-β·cost·price of its endpoint), and what even that can't place is rejected, the lowest priority first.
-// docs/solver.md has the mathematics.
+// Solve takes the weights that the decision module desires. If they respect every limit, Solve returns them unchanged.
+// Otherwise the solution is the nearest one within the limits by relative entropy: each weight is multiplied by
+// exp(-β·cost·price of its endpoint), and demand that still can't be placed is rejected, the lowest priority first.
+// docs/solver.md describes the mathematics.
 //
-// ClassHealth decides which endpoint fails which request class, CapacityEstimator and OvershootEstimator learn what
-// endpoints can do and how much comes beyond the plan, and Activation decides when a solution replaces the module's
-// weights, so that it neither oscillates nor moves everything at once.
+// ClassHealth decides which endpoints fail which request classes. CapacityEstimator estimates the capacity of endpoints, and
+// OvershootEstimator how far their load exceeds the plan. Activation decides when a solution replaces the module's weights, so
+// that weights neither oscillate nor all move at once.
 //
-// A reader starts with [Solve]. [Fleet] is its input and must pass [Fleet.Check]. Solve may be called concurrently for different
-// fleets; the types that learn are not safe for concurrent use.
+// Start reading with [Solve]. Its input, [Fleet], must pass [Fleet.Check]. Solve may be called concurrently for different
+// fleets; the stateful types are not safe for concurrent use.
 package solver
--- a/solver/fleet.go
+++ b/solver/fleet.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// unlimitedCapacity is the capacity from which on a stated one makes no sense, and the one assumed in a fleet of
-	// which no capacity is known: whether it is overloaded can't be determined.
+	// unlimitedCapacity is the value from which a stated capacity is implausible. It is also the capacity assumed for the
+	// endpoints of a fleet in which none is known: whether such a fleet is overloaded can't be determined.
 	unlimitedCapacity = 1e9
-	// maxCapacityRatio is the largest multiple of the median capacity that makes sense.
+	// maxCapacityRatio is the largest plausible multiple of the median capacity.
 	maxCapacityRatio = 1000
 )
 
@@ -19,22 +19,22 @@
 	Name string `json:"name"`
 	Zone string `json:"zone"`
 	Pod  int    `json:"pod"`
-	// Capacity is the work per second that it can do now, less than when warmed up if it is warming up.
+	// Capacity is the work per second that the endpoint can do now. While it is warming up, that is less than when warmed up.
 	Capacity float64 `json:"capacity"`
-	// Limit is the part of Capacity that all consumers together may offer it; 0 means 1. It is below 1 for an endpoint
-	// that is warming up.
+	// Limit is the fraction of Capacity that all consumers together may offer; 0 means 1. It is below 1 for an endpoint that
+	// is warming up.
 	Limit float64 `json:"limit,omitempty"`
-	// Cost is the work of a request of each class; without it each is 1.
+	// Cost is the work of a request, by class. If it is empty, each request costs 1.
 	Cost []float64 `json:"cost,omitempty"`
-	// Failing reports by class whether it fails that class's requests; nil: none.
+	// Failing reports, by class, whether the endpoint fails requests of the class. If it is empty, it fails none.
 	Failing []bool `json:"failing,omitempty"`
-	Closed  bool   `json:"closed,omitempty"` // draining or removed: it must get nothing
+	Closed  bool   `json:"closed,omitempty"` // draining or removed: gets no load
 }
 
 // fails reports whether the endpoint fails a class.
 func (e *Endpoint) fails(class int) bool { return len(e.Failing) > 0 && e.Failing[class] }
 
-// cost returns the work of a request of a class; a cost that is no positive number counts as 1.
+// cost returns the work of a request of a class. A cost that is not a finite number above 0 counts as 1.
 func (e *Endpoint) cost(class int) float64 {
 	if len(e.Cost) == 0 || !(e.Cost[class] > 0) || math.IsInf(e.Cost[class], 0) {
 		return 1
@@ -46,11 +46,11 @@
 type Class struct {
 	Name           string   `json:"name"`
 	PriorityWeight float64  `json:"payoff"`
-	AllowedZones   []string `json:"only_zones,omitempty"` // empty: all
-	LocalZoneOnly  bool     `json:"own_zone,omitempty"`   // only in the consumer's zone
+	AllowedZones   []string `json:"only_zones,omitempty"` // zones of the endpoints that may serve it; empty: all zones
+	LocalZoneOnly  bool     `json:"own_zone,omitempty"`   // only endpoints in the consumer's zone may serve it
 }
 
-// Share is the weight of an endpoint in a table, relative to the others.
+// Share is the weight of an endpoint in a table, relative to the other weights in the table.
 type Share struct {
 	Endpoint int     `json:"node"` // index in Fleet.Endpoints
 	Weight   float64 `json:"weight"`
@@ -61,8 +61,8 @@
 	Name    string    `json:"name"`
 	Zone    string    `json:"zone"`
 	Demand  []float64 `json:"demand"` // requests per second by class
-	Desired [][]Share `json:"want"`   // the decision module's tables by class
-	// Pod restricts a class to a pod while an endpoint there is open; 0, or without it: all pods.
+	Desired [][]Share `json:"want"`   // the decision module's tables, by class
+	// Pod restricts a class to a pod while an endpoint of the pod is open. 0 means all pods, and so does an empty slice.
 	Pod []int `json:"pod,omitempty"`
 }
 
@@ -71,11 +71,12 @@
 	Endpoints []Endpoint `json:"nodes"`
 	Classes   []Class    `json:"kinds"`
 	Consumers []Consumer `json:"users"`
-	// CrossZonePenalty divides the weight of endpoints in other zones among those that the module does not want; 0 means 1.
+	// CrossZonePenalty divides the prior weight of endpoints in other zones, by which load is placed on endpoints that are not
+	// in the desired table; 0 means 1.
 	CrossZonePenalty float64 `json:"cross,omitempty"`
 }
 
-// open reports whether a class may go to an endpoint from a zone.
+// open reports whether a consumer in a zone may send requests of a class to an endpoint.
 func (f Fleet) open(endpoint, class int, zone string) bool {
 	e, c := &f.Endpoints[endpoint], &f.Classes[class]
 	if e.Closed || e.fails(class) {
@@ -87,8 +88,8 @@
 	return len(c.AllowedZones) == 0 || slices.Contains(c.AllowedZones, e.Zone)
 }
 
-// limits returns the work per second that each endpoint may be offered, and the endpoints whose capacity makes no sense: it
-// counts as the median of the others. A capacity of 0 makes sense.
+// limits returns the work per second that each endpoint may be offered, and the indexes of the endpoints whose capacity is
+// implausible and was replaced by the median of the known ones. A capacity of 0 is plausible.
 func (f Fleet) limits() (limits []float64, guessed []int) {
 	median := f.medianCapacity()
 	for i, e := range f.Endpoints {
@@ -108,10 +109,10 @@
 	return limits, guessed
 }
 
-// plausible reports whether the endpoint's capacity is a number in the range of capacities.
+// plausible reports whether the endpoint's capacity is at least 0 and below unlimitedCapacity.
 func (e *Endpoint) plausible() bool { return e.Capacity >= 0 && e.Capacity < unlimitedCapacity }
 
-// medianCapacity returns the median of the known capacities.
+// medianCapacity returns the median of the plausible capacities above 0, or unlimitedCapacity if there are none.
 func (f Fleet) medianCapacity() float64 {
 	var capacities []float64
 	for _, e := range f.Endpoints {
@@ -126,7 +127,7 @@
 	return capacities[len(capacities)/2]
 }
 
-// byPriority returns the classes by their priority weight for their mean cost, the highest first.
+// byPriority returns the classes ordered by the ratio of priority weight to mean cost, the highest first.
 func (f Fleet) byPriority() []int {
 	order := make([]int, len(f.Classes))
 	value := make([]float64, len(f.Classes))
@@ -142,14 +143,14 @@
 	return order
 }
 
-// Limits returns the work per second that each endpoint of a fleet may be offered, as Solve takes it.
+// Limits returns the work per second that each endpoint of a fleet may be offered. Solve uses the same limits.
 func Limits(f Fleet) []float64 {
 	limits, _ := f.limits()
 	return limits
 }
 
-// OpenEndpoints returns the indexes of the endpoints that a class of a consumer may go to, as Solve takes them: those of
-// its pod while one of them is open.
+// OpenEndpoints returns the indexes of the endpoints that may serve the requests of a consumer for a class, which are those that
+// Solve uses: the endpoints of the pod that the consumer is restricted to if one of them is open, otherwise those of all pods.
 func OpenEndpoints(f Fleet, consumer, class int) []int {
 	p := newProblem(&f)
 	p.limit = Limits(f)
--- a/solver/overshoot.go
+++ b/solver/overshoot.go
@@ -3,24 +3,24 @@
 import "slices"
 
 const (
-	// minPlanned is the planned rate, in requests per second, below which an endpoint's count is too noisy to use.
+	// minPlanned is the planned rate, in attempts per second, below which the ratio of an endpoint is too noisy to use.
 	minPlanned = 2.0
-	// maxOvershoot bounds the factor.
+	// maxOvershoot is the largest factor.
 	maxOvershoot = 3.0
-	// overshootDecay multiplies the factor in each round, so that it falls once less comes.
+	// overshootDecay multiplies the factor in each round, so that it falls when the overshoot does.
 	overshootDecay = 0.9
 )
 
-// OvershootEstimator learns by how much more requests come to endpoints than their tables plan. Gateways avoid endpoints
-// that have failed them for a while, and send their part to the others; they and their clients retry. When much of a fleet
-// fails or is full that doubles what an endpoint gets, and one that is warming up is overloaded by a part that was meant
-// for it. The zero value has a factor of 1. It is not safe for concurrent use.
+// OvershootEstimator estimates the factor by which the requests that arrive at endpoints exceed the plan of their tables.
+// Gateways avoid endpoints with recent failures for a while and send the load of these to other endpoints; gateways and their
+// clients also retry. While much of a fleet fails or is full, that doubles the load of an endpoint, so that one that is warming up
+// is overloaded even by the share planned for it. The zero value has a factor of 1. It is not safe for concurrent use.
 type OvershootEstimator struct{ factor float64 }
 
-// EndpointOutcome is what was planned for an endpoint and what came to it, in attempts per second of one round.
+// EndpointOutcome holds the planned and the actual rate of an endpoint, in attempts per second of one round.
 type EndpointOutcome struct{ Planned, Actual float64 }
 
-// Observe records the outcomes of endpoints that serve.
+// Observe records the outcomes of one round for the endpoints in service.
 func (e *OvershootEstimator) Observe(outcomes []EndpointOutcome) {
 	var ratios []float64
 	for _, o := range outcomes {
@@ -33,7 +33,7 @@
 		return
 	}
 	slices.Sort(ratios)
-	// The busiest quarter counts: the endpoints that are avoided make up for it in the mean of all.
+	// Only the busiest quarter counts: a mean over all would be lowered by the endpoints that gateways avoid.
 	busiest := ratios[len(ratios)-1-len(ratios)/4:]
 	sum := 0.0
 	for _, ratio := range busiest {
@@ -42,5 +42,5 @@
 	e.factor = min(maxOvershoot, max(e.factor, sum/float64(len(busiest))))
 }
 
-// Factor returns the factor, at least 1.
+// Factor returns the current factor, from 1 to maxOvershoot.
 func (e *OvershootEstimator) Factor() float64 { return max(1, e.factor) }
--- a/solver/place.go
+++ b/solver/place.go
@@ -6,21 +6,21 @@
 )
 
 const (
-	// minShare is the smallest part of a demand that gets an entry of its own in a table.
+	// minShare is the smallest fraction of a demand that gets its own entry in a table.
 	minShare = 0.01
-	// overfill is how far over its limit an endpoint may be filled where almost all demand fits: half of what the
-	// operators allow.
+	// overfill is the fraction by which an endpoint may be filled beyond its limit if almost all demand fits: half of the
+	// overload that operators accept.
 	overfill = 0.025
 )
 
-// placement is what one demand puts on one endpoint, in requests per second.
+// placement is the rate of one demand on one endpoint.
 type placement struct {
 	endpoint int
-	rate     float64
+	rate     float64 // requests per second
 }
 
-// place turns prices into weights: it drops shares that are too small, applies F-NORM, and then fills up endpoints that
-// still have free capacity.
+// place converts prices into weights: it drops shares below minShare, applies F-NORM, and then places the remaining demand on
+// endpoints with free capacity.
 func (p *problem) place() Solution {
 	placements := make([][]placement, len(p.demands))
 	load := make([]float64, len(p.limit))
@@ -40,16 +40,16 @@
 	p.normalize(placements, load)
 	p.fill(placements, load, 1)
 	if unplaced, total := p.unplaced(placements); unplaced > 0 && unplaced < 2*overfill*total {
-		// Almost all fits: it is likelier that all of it does than that limits are exact.
+		// Almost all demand fits. It is likelier that all of it does than that the limits are exact.
 		p.fill(placements, load, 1+overfill)
 	}
 	return p.solution(placements)
 }
 
-// rateMap holds the rates of one demand by endpoint. It is reused for all demands.
+// rateMap holds the rates of one demand by endpoint. One rateMap is reused for all demands.
 type rateMap struct {
 	rates []float64
-	used  []int // endpoints with a rate
+	used  []int // endpoints whose rate is not 0
 }
 
 func newRateMap(endpoints int) *rateMap { return &rateMap{rates: make([]float64, endpoints)} }
@@ -68,23 +68,23 @@
 	m.used = m.used[:0]
 }
 
-// demandRates adds the rates of a demand at the present prices.
+// demandRates adds the rates of a demand at the current prices to rates.
 func (p *problem) demandRates(d *demand, rates *rateMap) {
 	t, factor := &p.targets[d.target], p.factor[d.class]
 	scale := d.rate * d.admitted / d.partition
-	for _, share := range d.wanted {
+	for _, share := range d.desired {
 		rates.add(share.Endpoint, scale*share.Weight*factor[share.Endpoint])
 	}
-	if d.unwanted <= 0 || d.unwanted*t.partition <= minShare*d.partition {
+	if d.priorWeight <= 0 || d.priorWeight*t.partition <= minShare*d.partition {
 		return
 	}
 	for n, endpoint := range t.endpoints {
-		rates.add(endpoint, scale*d.unwanted*t.prior[n]*factor[endpoint])
+		rates.add(endpoint, scale*d.priorWeight*t.prior[n]*factor[endpoint])
 	}
 }
 
-// trim returns the placements of at least minShare of the total, in the order of endpoints, scaled to the total. If most
-// of the total is in smaller ones, the 1/minShare largest are returned instead.
+// trim returns the placements of at least minShare of the total, ordered by endpoint and scaled so that they sum to the total. If
+// smaller ones make up most of the total, it returns the 1/minShare largest placements instead.
 func trim(rates *rateMap, total float64) (placements []placement) {
 	slices.Sort(rates.used)
 	sum := 0.0
@@ -104,7 +104,7 @@
 	return placements
 }
 
-// largest returns the largest placements, in the order of endpoints.
+// largest returns the largest placements, up to count, ordered by endpoint.
 func largest(rates *rateMap, count int) (placements []placement) {
 	for _, endpoint := range rates.used {
 		placements = append(placements, placement{endpoint, rates.rates[endpoint]})
@@ -117,7 +117,7 @@
 	return placements
 }
 
-// normalize is the paper's F-NORM: what an endpoint is offered is divided by its overload.
+// normalize applies the paper's F-NORM: it divides the placements on an overloaded endpoint by the ratio of load to limit.
 func (p *problem) normalize(placements [][]placement, load []float64) {
 	for i := range placements {
 		for n := range placements[i] {
@@ -132,6 +132,7 @@
 	}
 }
 
+// placedRate returns the sum of the rates of placements.
 func placedRate(placements []placement) (sum float64) {
 	for _, pl := range placements {
 		sum += pl.rate
@@ -139,7 +140,7 @@
 	return sum
 }
 
-// unplaced returns the demand that is not placed, and all demand.
+// unplaced returns the unplaced demand and the total demand, in requests per second.
 func (p *problem) unplaced(placements [][]placement) (unplaced, total float64) {
 	for i, d := range p.demands {
 		unplaced += max(0, d.rate-placedRate(placements[i]))
--- a/solver/prices.go
+++ b/solver/prices.go
@@ -5,19 +5,20 @@
 const (
 	// gamma is the step size of the paper.
 	gamma = 0.4
-	// maxStep bounds a price step to what halves or doubles a weight, so that falling capacities and moving prices do not
-	// chase each other.
+	// maxStep bounds the change of a weight's exponent in one price step, which then changes a weight by a factor of at most
+	// about e. Without a bound, prices oscillate while capacities fall.
 	maxStep = 1.0
 	// maxExponent bounds exponents, so that factors stay above 0.
 	maxExponent = 600
-	// minElasticity keeps the load of an endpoint that is a consumer's only one from having a slope of 0.
+	// minElasticity is the lowest elasticity assumed for the load of an endpoint: the load of a consumer's only endpoint would
+	// otherwise have a slope of 0.
 	minElasticity = 0.1
 	// minSlope keeps divisors above 0.
 	minSlope = 1e-300
 )
 
-// evaluate finds the load that all demands bring each endpoint at the present prices, and its slope in the endpoint's own
-// price, and returns the residual.
+// evaluate computes the load that all demands put on each endpoint at the current prices, and the slope of that load in the
+// endpoint's own price. It returns the residual.
 func (p *problem) evaluate(beta float64) float64 {
 	p.updateFactors(beta)
 	clear(p.load)
@@ -25,20 +26,21 @@
 	for i := range p.targets {
 		t := &p.targets[i]
 		t.partition = 0
-		t.unwanted = 0
+		t.priorRate = 0
 		for n, endpoint := range t.endpoints {
 			t.partition += t.prior[n] * p.factor[t.class][endpoint]
 		}
 	}
 	for i := range p.demands {
-		p.loadWanted(&p.demands[i], beta)
+		p.addDesiredLoad(&p.demands[i], beta)
 	}
 	for i := range p.targets {
-		p.loadUnwanted(&p.targets[i])
+		p.addPriorLoad(&p.targets[i])
 	}
 	return p.residual(beta)
 }
 
+// updateFactors computes exp(-β·cost·price) for each class and endpoint.
 func (p *problem) updateFactors(beta float64) {
 	for class := range p.factor {
 		for i := range p.fleet.Endpoints {
@@ -47,12 +49,12 @@
 	}
 }
 
-// loadWanted finds the admitted part of a demand, adds the load on endpoints that it wants, and adds the rest to its
-// target.
-func (p *problem) loadWanted(d *demand, beta float64) {
+// addDesiredLoad computes the admitted fraction of a demand, adds the load on the endpoints in its desired table, and adds the
+// rate that is placed by prior weights to its target.
+func (p *problem) addDesiredLoad(d *demand, beta float64) {
 	t, factor := &p.targets[d.target], p.factor[d.class]
-	d.partition = d.unwanted * t.partition
-	for _, share := range d.wanted {
+	d.partition = d.priorWeight * t.partition
+	for _, share := range d.desired {
 		d.partition += share.Weight * factor[share.Endpoint]
 	}
 	if d.partition <= 0 {
@@ -62,28 +64,28 @@
 	rejected := math.Exp(-min(maxExponent, beta*p.priority[d.class]))
 	d.admitted = p.floor + (1-p.floor)*d.partition/(d.partition+rejected)
 	scale := d.rate * d.admitted / d.partition
-	t.unwanted += scale * d.unwanted
-	for _, share := range d.wanted {
+	t.priorRate += scale * d.priorWeight
+	for _, share := range d.desired {
 		cost := p.fleet.Endpoints[share.Endpoint].cost(d.class)
 		rate := scale * share.Weight * factor[share.Endpoint]
 		p.load[share.Endpoint] += cost * rate
-		// What leaves the endpoint goes to the consumer's others or is rejected.
+		// A higher price moves load to the consumer's other endpoints or rejects it.
 		p.slope[share.Endpoint] += cost * cost * rate * max(minElasticity, 1-rate/d.rate)
 	}
 }
 
-// loadUnwanted adds the load of all demands of a target on endpoints by their prior.
-func (p *problem) loadUnwanted(t *target) {
+// addPriorLoad adds the load that all demands of a target place by prior weights.
+func (p *problem) addPriorLoad(t *target) {
 	for n, endpoint := range t.endpoints {
 		cost := p.fleet.Endpoints[endpoint].cost(t.class)
-		rate := t.unwanted * t.prior[n] * p.factor[t.class][endpoint]
+		rate := t.priorRate * t.prior[n] * p.factor[t.class][endpoint]
 		p.load[endpoint] += cost * rate
 		p.slope[endpoint] += cost * cost * rate
 	}
 }
 
-// residual returns the largest overload, as a part of the limit. A price on an endpoint with free capacity is as wrong,
-// where it matters.
+// residual returns the largest error of the prices, as a fraction of a limit. The error of an overloaded endpoint is its overload.
+// The error of an endpoint with free capacity and a price above 0 is its free fraction, or β times the price if that is smaller.
 func (p *problem) residual(beta float64) (worst float64) {
 	for i, load := range p.load {
 		if p.limit[i] <= 0 {
@@ -98,8 +100,8 @@
 	return worst
 }
 
-// step takes the paper's price step on every endpoint, p = max(0, p - γ·G/H), bounded by maxStep. An endpoint without a
-// slope keeps its price.
+// step applies the paper's price step, p = max(0, p - γ·G/H), to every endpoint, bounded by maxStep. The price of an endpoint
+// whose load has no slope does not change.
 func (p *problem) step(beta float64) {
 	for i := range p.price {
 		if p.slope[i] <= 0 || p.limit[i] <= 0 {
@@ -107,7 +109,7 @@
 		}
 		excess := p.load[i] - p.limit[i]
 		move := gamma * excess / (beta * p.slope[i])
-		inverseCost := p.load[i] / max(p.slope[i], minSlope) // one over the mean cost
+		inverseCost := p.load[i] / max(p.slope[i], minSlope) // reciprocal of the mean cost
 		if limit := maxStep * inverseCost / beta; math.Abs(move) > limit {
 			move = math.Copysign(limit, move)
 		}
--- a/solver/problem.go
+++ b/solver/problem.go
@@ -3,29 +3,29 @@
 import "slices"
 
 const (
-	// unwantedPart is the part of a demand's weight on endpoints that the module does not want while all prices are 0; it
-	// is below minShare and so never placed before prices rise.
-	unwantedPart = 1e-3
-	// floorPart is the part of its demand that each consumer is admitted of each class, less where demand is far over
-	// capacity: no gateway starves.
-	floorPart = 0.02
-	// tiny keeps divisors above 0.
-	tiny = 1e-12
+	// priorFraction is the fraction of a demand's weight that is spread over all open endpoints by their prior weights. It is
+	// below minShare, so that endpoints outside the desired table get no entry before prices rise.
+	priorFraction = 1e-3
+	// floorFraction is the fraction of a consumer's demand for each class that is admitted at any price, so that no gateway
+	// starves. It is reduced where the total demand exceeds the capacity.
+	floorFraction = 0.02
+	// minDivisor keeps divisors above 0.
+	minDivisor = 1e-12
 )
 
-// problem is the state of one Solve.
+// problem is the state of one call of Solve.
 type problem struct {
 	fleet    *Fleet
 	limit    []float64 // work per second by endpoint
 	priority []float64 // priority weight by class
-	floor    float64   // part of each demand that is admitted at any price
+	floor    float64   // fraction of each demand that is admitted at any price
 	demands  []demand
 	targets  []target
 
 	price  []float64
 	factor [][]float64 // by class and endpoint: exp(-β·cost·price)
-	load   []float64   // work per second at the present prices
-	slope  []float64   // of the load by its own price, over β
+	load   []float64   // work per second by endpoint at the current prices
+	slope  []float64   // by endpoint: decrease of load per increase of the endpoint's own price, divided by β
 }
 
 // demand is the demand of one consumer for one class.
@@ -33,30 +33,32 @@
 	consumer, class int
 	target          int     // index in problem.targets
 	rate            float64 // requests per second
-	wanted          []Share // open endpoints that the module wants; weights sum to 1 - unwanted
-	unwanted        float64 // weight of all open endpoints, by their prior
+	desired         []Share // open endpoints of the desired table, with weights that sum to 1 - priorWeight
+	priorWeight     float64 // total weight that is spread over all open endpoints by their prior weights
 
-	partition float64 // of the last evaluation: the endpoints' part of the partition sum
-	admitted  float64 // of the last evaluation: part of rate
+	// Results of the last evaluation.
+	partition float64 // sum of the endpoints' weights, each multiplied by its factor
+	admitted  float64 // admitted fraction of rate
 }
 
-// target is the set of endpoints that a class may go to from a zone, with the prior weights of those that are not wanted.
+// target is the set of endpoints that may serve a class for consumers of a zone, with their prior weights.
 type target struct {
 	class     int
-	endpoints []int     // in order
-	prior     []float64 // sums to 1
+	endpoints []int     // ascending
+	prior     []float64 // prior weights by position in endpoints; they sum to 1
 
-	partition float64 // of the last evaluation: sum of prior·factor
-	unwanted  float64 // of the last evaluation: sum over demands of rate·admitted·unwanted/partition
+	// Results of the last evaluation.
+	partition float64 // sum of prior·factor
+	priorRate float64 // sum over demands of rate·admitted·priorWeight/partition
 }
 
-// contains reports whether an endpoint is in the set.
+// contains reports whether an endpoint is in the target.
 func (t *target) contains(endpoint int) bool {
 	_, found := slices.BinarySearch(t.endpoints, endpoint)
 	return found
 }
 
-// targetKey identifies a target. pod 0 means all pods.
+// targetKey identifies a target. A pod of 0 means all pods.
 type targetKey struct {
 	class int
 	zone  string
@@ -86,7 +88,7 @@
 	return p
 }
 
-// prepare finds the limits, demands and targets. It returns the endpoints whose capacity was guessed.
+// prepare computes the limits, demands, targets and the floor. It returns the endpoints whose capacity was guessed.
 func (p *problem) prepare() (guessed []int) {
 	p.limit, guessed = p.fleet.limits()
 	penalty := p.fleet.CrossZonePenalty
@@ -115,40 +117,41 @@
 	for _, limit := range p.limit {
 		capacity += limit
 	}
-	p.floor = floorPart * min(1, capacity/max(work, tiny))
+	p.floor = floorFraction * min(1, capacity/max(work, minDivisor))
 	return guessed
 }
 
 func (p *problem) newDemand(consumer, class, targetIndex int) demand {
 	c, t := &p.fleet.Consumers[consumer], &p.targets[targetIndex]
-	d := demand{consumer: consumer, class: class, target: targetIndex, rate: c.Demand[class], unwanted: unwantedPart}
+	d := demand{consumer: consumer, class: class, target: targetIndex, rate: c.Demand[class], priorWeight: priorFraction}
 	if class < len(c.Desired) {
-		d.wanted = p.openShares(c.Desired[class], t)
+		d.desired = p.openShares(c.Desired[class], t)
 	}
-	if len(d.wanted) == 0 {
-		d.unwanted = 1
+	if len(d.desired) == 0 {
+		d.priorWeight = 1
 	}
 	if len(t.endpoints) == 0 {
-		d.unwanted = 0
+		d.priorWeight = 0
 	}
 	return d
 }
 
-// openShares returns the shares of endpoints in a target, with weights that sum to 1 - unwantedPart.
-func (p *problem) openShares(wanted []Share, t *target) (shares []Share) {
+// openShares returns the desired shares above 0 of endpoints in a target, with weights that sum to 1 - priorFraction.
+func (p *problem) openShares(desired []Share, t *target) (shares []Share) {
 	total := 0.0
-	for _, share := range wanted {
+	for _, share := range desired {
 		if share.Weight > 0 && p.limit[share.Endpoint] > 0 && t.contains(share.Endpoint) {
 			shares = append(shares, share)
 			total += share.Weight
 		}
 	}
 	for i := range shares {
-		shares[i].Weight *= (1 - unwantedPart) / total
+		shares[i].Weight *= (1 - priorFraction) / total
 	}
 	return shares
 }
 
+// meanCost returns the mean cost of a request of the target's class at its endpoints.
 func (p *problem) meanCost(t *target) (mean float64) {
 	for _, endpoint := range t.endpoints {
 		mean += p.fleet.Endpoints[endpoint].cost(t.class) / float64(len(t.endpoints))
@@ -156,7 +159,7 @@
 	return mean
 }
 
-// newTarget returns the target of a key. A pod without an open endpoint does not restrict it.
+// newTarget returns the target of a key. If the key's pod has no open endpoint, the target has those of all pods.
 func (p *problem) newTarget(key targetKey, crossZonePenalty float64) target {
 	t := p.podTarget(key, crossZonePenalty)
 	if len(t.endpoints) == 0 && key.pod != 0 {
@@ -166,6 +169,7 @@
 	return t
 }
 
+// podTarget returns the target of a key, which has no endpoints if none of the pod is open.
 func (p *problem) podTarget(key targetKey, crossZonePenalty float64) target {
 	t := target{class: key.class}
 	total := 0.0
--- a/solver/solve.go
+++ b/solver/solve.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// tolerance is the overload at which prices are good enough: F-NORM removes the rest.
+	// tolerance is the residual up to which prices are accepted; F-NORM removes the remaining overload.
 	tolerance = 0.005
-	// maxSteps bounds the price steps at one sharpness, and lastStepsFactor times as many at the last.
+	// maxSteps is the largest number of price steps at one sharpness. The last sharpness gets lastStepsFactor times as many.
 	maxSteps        = 60
 	lastStepsFactor = 3
 )
 
-// sharpness holds the values of β times the least priority weight, from soft to sharp. A soft optimum is found in a few
-// steps from anywhere, and its prices are a good start for the next.
+// sharpness holds the successive values of β times the lowest priority weight. At a low β, the optimum is found in a few steps
+// from any prices, and its prices are a good start for the next value.
 var sharpness = [...]float64{3, 6, 12, 24, 48}
 
-// Solve returns the weights and admissions for a fleet, which must pass Check. warm may hold the prices of an earlier
-// solution of a similar fleet, by endpoint: a warm start takes fewer steps.
+// Solve returns the weights and admissions for a fleet, which must pass Check. warm may hold the prices of an earlier solution
+// of a similar fleet, by endpoint; starting from them takes fewer steps. It may be nil.
 func Solve(f Fleet, warm []float64) Solution {
 	p := newProblem(&f)
 	guessed := p.prepare()
@@ -44,7 +44,7 @@
 	return s
 }
 
-// warmStart takes over the prices of an earlier solution; it reports false if there are none for this fleet.
+// warmStart sets the prices to those of an earlier solution. It reports false if their number is not that of the endpoints.
 func (p *problem) warmStart(prices []float64) bool {
 	if len(prices) != len(p.fleet.Endpoints) {
 		return false
@@ -65,8 +65,8 @@
 	return lowest
 }
 
-// findPrices takes price steps until the residual is within tolerance, at least one and at most limit, and returns their
-// number.
+// findPrices takes price steps until the residual is within tolerance, at least one and at most limit, and returns the number
+// of steps.
 func (p *problem) findPrices(beta float64, limit int) (steps int) {
 	for steps < limit {
 		residual := p.evaluate(beta)
--- a/solver/solve_test.go
+++ b/solver/solve_test.go
@@ -13,11 +13,11 @@
 	"porthub/testutil"
 )
 
-// TestMain fixes the draws of property tests.
+// TestMain runs the tests with fixed random draws for the property tests.
 func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
 
-// On random fleets of all hard cases no endpoint is offered more than its limit, what fits is placed, and the placed
-// priority is near the exact optimum.
+// On random fleets of all hard cases, no endpoint is offered more than 5 % above its limit, demand that fits is placed, and the
+// placed priority is near the exact optimum.
 func TestRandomFleets(t *testing.T) {
 	for seed := range uint64(3) {
 		m, err := fleets.Measure(320, 100+seed, true, true)
@@ -25,25 +25,28 @@
 			t.Fatal(err)
 		}
 		if m.WorstOverload > 1.05 || m.Unplaced > 1e-3 || m.PriorityRatio.Median < 0.98 || m.PriorityRatio.Worst < 0.90 || m.Optima < 300 || m.Feasible < 200 {
-			t.Errorf("seed %d: %+v, ratio %+v", seed, m, m.PriorityRatio)
+			t.Errorf("seed %d: %+v, priority ratio %+v; want worst overload <= 1.05, unplaced <= 0.001, "+
+				"ratio >= 0.98 (median) and >= 0.90 (worst), >= 300 optima, >= 200 feasible fleets", 100+seed, m, m.PriorityRatio)
 		}
 		if m.MinAdmitted <= 0 {
-			t.Error("a consumer with open endpoints starves")
+			t.Errorf("seed %d: smallest admitted fraction of a consumer with open endpoints = %v, want above 0", 100+seed, m.MinAdmitted)
 		}
 		if w := m.Baselines[fleets.DesiredWeights]; w.Median > m.PriorityRatio.Median {
-			t.Errorf("the wanted tables alone do better: %+v", w)
+			t.Errorf("seed %d: median ratio of the desired tables = %v, want at most that of the solutions, %v",
+				100+seed, w.Median, m.PriorityRatio.Median)
 		}
 	}
 }
 
-// For any fleet limits are kept, weights are valid, the certificate adds up and its bound holds.
+// For any fleet, endpoints are offered at most 5 % above their limits, weights are valid, the certificate matches the solution,
+// its bound holds, and the solution is deterministic.
 func TestSolutionInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
 		solution := solver.Solve(f, nil)
 		limit := solver.Limits(f)
 		if over := fleets.Overload(f, solution); over > 1.05 {
-			t.Fatalf("offered %.4f of a limit", over)
+			t.Fatalf("an endpoint is offered %.4f of its limit, want at most 1.05", over)
 		}
 		priority := 0.0
 		for consumer := range f.Consumers {
@@ -51,46 +54,49 @@
 				sum := 0.0
 				for _, l := range solution.Weights[consumer][class] {
 					if !(l.Weight > 0) || l.Weight > 1+1e-9 {
-						t.Fatalf("weight %v", l.Weight)
+						t.Fatalf("consumer %d, class %d: weight %v, want above 0 and at most 1", consumer, class, l.Weight)
 					}
 					sum += l.Weight
 				}
 				if a := solution.Admit[consumer][class]; a < 0 || a > 1 || rate > 0 && a > 0 && math.Abs(sum-1) > 1e-6 && !(sum == 0 && a <= 1e-6) {
-					t.Fatalf("consumer %d, class %d: admitted %v, weights sum to %v", consumer, class, a, sum)
+					t.Fatalf("consumer %d, class %d: admitted %v, want 0 to 1; weights sum to %v, want 1 if any demand is admitted",
+						consumer, class, a, sum)
 				}
 				priority += rate * solution.Admit[consumer][class] * f.Classes[class].PriorityWeight
 			}
 		}
 		c := solution.Certificate
 		if math.Abs(priority-c.PlacedPriority) > 1e-6*(1+priority) || c.PlacedPriority > c.Bound*1.03+1e-9 {
-			t.Fatalf("priority %v, certificate %v, bound %v", priority, c.PlacedPriority, c.Bound)
+			t.Fatalf("placed priority %v by admissions, %v in the certificate, want equal; bound %v, want at most 3 %% less than the placed priority",
+				priority, c.PlacedPriority, c.Bound)
 		}
 		for j, p := range c.Prices {
 			if p < 0 || math.IsNaN(p) || math.IsInf(p, 0) || c.Limit[j] != limit[j] {
-				t.Fatalf("price %v, limit %v of %v", p, c.Limit[j], limit[j])
+				t.Fatalf("endpoint %d: price %v, want finite and at least 0; limit %v in the certificate, want %v", j, p, c.Limit[j], limit[j])
 			}
 		}
 		if again := solver.Solve(f, nil); !reflect.DeepEqual(solution, again) {
-			t.Fatal("two solutions of one fleet differ")
+			t.Fatalf("solving the same fleet twice gives %+v and %+v, want equal solutions", solution, again)
 		}
 		if warm := solver.Solve(f, c.Prices); fleets.Overload(f, warm) > 1.05 {
-			t.Fatal("a warm start breaks a limit")
+			t.Fatalf("after a warm start an endpoint is offered %.4f of its limit, want at most 1.05", fleets.Overload(f, warm))
 		}
 	})
 }
 
-// drawFleet draws a small fleet with implausible values.
+// drawFleet draws a small fleet, some of whose capacities and costs are implausible.
 func drawFleet(t *rapid.T) (f solver.Fleet) {
 	number := func(name string, from, to int) int { return rapid.IntRange(from, to).Draw(t, name) }
-	zones, classes := number("zones", 1, 3), number("kinds", 1, 3)
+	zones, classes := number("zones", 1, 3), number("classes", 1, 3)
 	for c := range classes {
-		class := solver.Class{Name: fmt.Sprint("k", c), PriorityWeight: float64(number("payoff", 1, 5)), LocalZoneOnly: number("own", 0, 9) == 0}
-		if number("bound", 0, 5) == 0 {
+		class := solver.Class{Name: fmt.Sprint("k", c), PriorityWeight: float64(number("priority", 1, 5)),
+			LocalZoneOnly: number("local zone only", 0, 9) == 0}
+		if number("bound to a zone", 0, 5) == 0 {
 			class.AllowedZones = []string{"z0"}
 		}
 		f.Classes = append(f.Classes, class)
 	}
-	for i := range number("nodes", 1, 8) {
+	for i := range number("endpoints", 1, 8) {
 		endpoint := solver.Endpoint{Name: fmt.Sprint("n", i), Zone: fmt.Sprint("z", i%zones), Pod: number("pod", 1, 3),
 			Capacity: rapid.SampledFrom([]float64{0, 0.01, 1, 2, 5, 10, 1e9, math.NaN(), math.Inf(1), -1}).Draw(t, "capacity"),
 			Closed:   number("closed", 0, 5) == 0, Limit: rapid.SampledFrom([]float64{0, 0.3, 0.7, 1}).Draw(t, "limit")}
@@ -103,25 +109,25 @@
 		}
 		f.Endpoints = append(f.Endpoints, endpoint)
 	}
-	for u := range number("users", 1, 6) {
+	for u := range number("consumers", 1, 6) {
 		consumer := solver.Consumer{Name: fmt.Sprint("u", u), Zone: fmt.Sprint("z", number("zone", 0, zones-1))}
 		for range classes {
 			consumer.Demand = append(consumer.Demand, rapid.SampledFrom([]float64{0, 0.001, 0.5, 2, 9, 400}).Draw(t, "demand"))
 			var shares []solver.Share
 			for i := range f.Endpoints {
-				if number("line", 0, 2) > 0 {
+				if number("listed", 0, 2) > 0 {
 					shares = append(shares, solver.Share{Endpoint: i, Weight: rapid.SampledFrom([]float64{0, 0.01, 1, 30}).Draw(t, "weight")})
 				}
 			}
 			consumer.Desired = append(consumer.Desired, shares)
-			consumer.Pod = append(consumer.Pod, number("user pod", 0, 3))
+			consumer.Pod = append(consumer.Pod, number("consumer pod", 0, 3))
 		}
 		f.Consumers = append(f.Consumers, consumer)
 	}
 	return f
 }
 
-// evenFleet returns a fleet with one zone and one class, in which all endpoints are wanted alike.
+// evenFleet returns a fleet with one zone and one class, in which all endpoints have equal desired weights.
 func evenFleet(capacities []float64, demands ...float64) (f solver.Fleet) {
 	f.Classes = []solver.Class{{Name: "view", PriorityWeight: 1}}
 	var shares []solver.Share
@@ -135,21 +141,22 @@
 	return f
 }
 
-func TestWantedWeightsWithinLimitsAreUntouched(t *testing.T) {
+func TestDesiredWeightsWithinLimitsAreUntouched(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 10}, 9, 9)
 	f.Consumers[0].Desired[0] = []solver.Share{{Endpoint: 0, Weight: 3}, {Endpoint: 1, Weight: 1}}
 	s := solver.Solve(f, nil)
 	if !s.Untouched || s.Weights[0][0][0] != (solver.Share{Endpoint: 0, Weight: 0.75}) || len(s.Weights[0][0]) != 2 {
-		t.Errorf("%+v", s.Weights)
+		t.Errorf("untouched %t, weights %+v; want the desired weights unchanged, 0.75 and 0.25", s.Untouched, s.Weights)
 	}
-	f.Consumers[0].Demand[0] = 12 // 9 of it and 3 of the other consumer's on the first endpoint: over its limit
+	f.Consumers[0].Demand[0] = 12 // the first endpoint would be offered 9 by it and 3 by the other consumer, with a limit of 10
 	if s := solver.Solve(f, nil); s.Untouched || s.Admit[0][0] != 1 || s.Weights[0][0][0].Weight >= 0.75 {
-		t.Errorf("%+v %+v", s.Weights, s.Certificate)
+		t.Errorf("untouched %t, weights %+v, certificate %+v; want all demand admitted and less than 0.75 for the first endpoint",
+			s.Untouched, s.Weights, s.Certificate)
 	}
 }
 
-// Where not all fits, the class of the highest priority is served first, no consumer starves, and one with much demand is
-// not served at the cost of others.
+// If not all demand fits, the class of the highest priority is served first and no consumer starves: consumers with little and with
+// much demand for the other class are admitted the same fraction of it.
 func TestShedByPriority(t *testing.T) {
 	f := evenFleet([]float64{10, 10}, 10, 30)
 	f.Classes = append(f.Classes, solver.Class{Name: "save", PriorityWeight: 2})
@@ -160,16 +167,17 @@
 	s := solver.Solve(f, nil)
 	for u := range f.Consumers {
 		if s.Admit[u][1] < 0.97 {
-			t.Errorf("consumer %d is admitted %.2f of the class of twice the priority", u, s.Admit[u][1])
+			t.Errorf("consumer %d: admitted fraction of the class of twice the priority = %.2f, want at least 0.97", u, s.Admit[u][1])
 		}
 	}
 	a, b := s.Admit[0][0], s.Admit[1][0]
 	if a < 0.15 || b < 0.15 || math.Abs(a-b) > 0.05 || s.Certificate.Shed[0] < 25 {
-		t.Errorf("admitted %.2f and %.2f of the other class, %.1f rejected", a, b, s.Certificate.Shed[0])
+		t.Errorf("admitted fractions of the other class = %.2f and %.2f, want equal and at least 0.15; %.1f requests/s rejected, want at least 25",
+			a, b, s.Certificate.Shed[0])
 	}
 }
 
-// A class that is bound to a zone with one endpoint left is served there, and other classes move away.
+// A class that is restricted to a zone with one open endpoint is served there, and other classes move to other zones.
 func TestZoneBoundClassWithOneEndpointLeft(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 10, 10}, 20)
 	f.Endpoints[2].Zone, f.Endpoints[3].Zone = "b", "b"
@@ -179,21 +187,21 @@
 	f.Endpoints[3].Closed = true
 	s := solver.Solve(f, nil)
 	if s.Admit[0][1] < 0.97 || s.Admit[0][0] < 0.97 || fleets.Overload(f, s) > 1.05 {
-		t.Errorf("admitted %v, load %v", s.Admit, s.Certificate.Load)
+		t.Errorf("admitted %v, load %v; want at least 0.97 of both classes and no load above 1.05 of a limit", s.Admit, s.Certificate.Load)
 	}
 }
 
 func TestFleetOfOneEndpoint(t *testing.T) {
 	s := solver.Solve(evenFleet([]float64{10}, 8, 8), nil)
 	if a, b := s.Admit[0][0], s.Admit[1][0]; math.Abs(a-b) > 0.01 || math.Abs(a-10.0/16) > 0.03 {
-		t.Errorf("admitted %v and %v of a demand of 16 where 10 can be done", a, b)
+		t.Errorf("admitted %v and %v of a demand of 16 with a capacity of 10, want 0.625 for both consumers", a, b)
 	}
 	if err := (solver.Fleet{}).Check(); err == nil {
-		t.Error("an empty fleet is valid")
+		t.Error("Check of an empty fleet returns nil, want an error")
 	}
 }
 
-// While the capacity of an endpoint falls in every round, loads stay within the limits and its weight only falls.
+// While the capacity of an endpoint falls in each round, loads stay within 5 % of the limits and its weight never rises.
 func TestFallingCapacityDoesNotOscillate(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 10, 10}, 12, 12)
 	var prices []float64
@@ -203,7 +211,7 @@
 		s := solver.Solve(f, prices)
 		prices = s.Certificate.Prices
 		if over := fleets.Overload(f, s); over > 1.05 {
-			t.Fatalf("round %d: %.3f of a limit", round, over)
+			t.Fatalf("round %d: an endpoint is offered %.3f of its limit, want at most 1.05", round, over)
 		}
 		w := 0.0
 		for _, l := range s.Weights[0][0] {
@@ -217,6 +225,6 @@
 		last = w
 	}
 	if turns > 0 || last > 0.12 {
-		t.Errorf("the weight turned %d times and ended at %.3f", turns, last)
+		t.Errorf("the weight changed direction %d times, want never; it ended at %.3f, want at most 0.12", turns, last)
 	}
 }
--- a/solver/tables.go
+++ b/solver/tables.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// movedPart is the part of all tables that may change in a round, minMoved the least number of them.
-	movedPart = 0.25
-	minMoved  = 4
-	// weightMargin and admitMargin are the relative change of a weight and the change of an admission that are not worth a
-	// message.
+	// maxMovedFraction is the fraction of all tables that may change in a round. minMovedTables may change in any case.
+	maxMovedFraction = 0.25
+	minMovedTables   = 4
+	// weightMargin is the relative change of a weight, and admitMargin the change of an admission, up to which no message is
+	// sent.
 	weightMargin = 0.15
 	admitMargin  = 0.05
 )
@@ -23,25 +23,25 @@
 	Class    int
 }
 
-// Table is a table that replaces the wanted one.
+// Table is a table that replaces the desired one.
 type Table struct {
 	Weights map[string]float64 // by endpoint name; they sum to 1
-	Admit   float64            // part of the demand that is admitted, 0 to 1
+	Admit   float64            // admitted fraction of the demand, 0 to 1
 }
 
-// tableChange is a table that should change.
+// tableChange is a pending change of a table.
 type tableChange struct {
-	key  TableKey
-	to   Table
-	gain float64 // requests per second that move
+	key       TableKey
+	to        Table
+	movedRate float64 // requests per second that move to other endpoints
 }
 
-// moveTables brings the tables nearer to a solution, those first that move the most load, a bounded number in a round. It
-// returns their number.
+// moveTables changes tables to those of a solution: a bounded number in each round, those that move the most load first. It
+// returns the number of changed tables.
 func (a *Activation) moveTables(f Fleet, solution Solution) int {
 	changes, total := a.tableChanges(f, solution)
-	slices.SortStableFunc(changes, func(x, y tableChange) int { return cmp.Compare(y.gain, x.gain) })
-	limit := max(minMoved, int(movedPart*float64(total)))
+	slices.SortStableFunc(changes, func(x, y tableChange) int { return cmp.Compare(y.movedRate, x.movedRate) })
+	limit := max(minMovedTables, int(maxMovedFraction*float64(total)))
 	changes = changes[:min(len(changes), limit)]
 	for _, change := range changes {
 		a.tables[change.key] = change.to
@@ -49,8 +49,8 @@
 	return len(changes)
 }
 
-// tableChanges returns the tables that should change and the number of all tables. It drops those of consumers that are
-// removed, or have no demand or no open endpoint: these are as wanted.
+// tableChanges returns the tables that differ from a solution and the number of all tables of the solution. It deletes the tables
+// of consumers that are removed or have no demand or no open endpoint; for these, the desired tables apply.
 func (a *Activation) tableChanges(f Fleet, solution Solution) (changes []tableChange, total int) {
 	solved := map[TableKey]bool{}
 	for i := range f.Consumers {
@@ -64,11 +64,11 @@
 			solved[key] = true
 			current, ok := a.tables[key]
 			if !ok {
-				current = wantedTable(f, consumer, class)
+				current = desiredTable(f, consumer, class)
 			}
 			to := solvedTable(f, solution, i, class)
 			if !similar(current, to) {
-				changes = append(changes, tableChange{key, to, rate * movedLoad(current, to)})
+				changes = append(changes, tableChange{key, to, rate * movedFraction(current, to)})
 			}
 		}
 	}
@@ -80,6 +80,7 @@
 	return changes, total
 }
 
+// solvedTable returns the table of a consumer for a class in a solution.
 func solvedTable(f Fleet, solution Solution, consumer, class int) Table {
 	table := Table{Weights: map[string]float64{}, Admit: solution.Admit[consumer][class]}
 	for _, share := range solution.Weights[consumer][class] {
@@ -88,23 +89,24 @@
 	return table
 }
 
-func wantedTable(f Fleet, consumer *Consumer, class int) Table {
+// desiredTable returns the desired table of a consumer for a class. It has no weights if the consumer has no such table.
+func desiredTable(f Fleet, consumer *Consumer, class int) Table {
 	table := Table{Weights: map[string]float64{}, Admit: 1}
 	if class >= len(consumer.Desired) {
-		return table // it wants none
+		return table
 	}
 	total := 0.0
 	for _, share := range consumer.Desired[class] {
 		total += share.Weight
 	}
 	for _, share := range consumer.Desired[class] {
-		table.Weights[f.Endpoints[share.Endpoint].Name] += share.Weight / max(total, tiny)
+		table.Weights[f.Endpoints[share.Endpoint].Name] += share.Weight / max(total, minDivisor)
 	}
 	return table
 }
 
-// similar reports whether two tables differ so little that a message is not worth it. Tables of different endpoints never
-// are similar.
+// similar reports whether two tables differ too little to justify a message. Tables with different sets of endpoints are never
+// similar, and neither are one that admits all demand and one that does not.
 func similar(a, b Table) bool {
 	if math.Abs(a.Admit-b.Admit) > admitMargin || (a.Admit < 1) != (b.Admit < 1) || len(a.Weights) != len(b.Weights) {
 		return false
@@ -118,10 +120,10 @@
 	return true
 }
 
-// movedLoad returns the part of a table's load that moves from one table to another: half the sum of the weights'
-// differences.
-func movedLoad(from, to Table) (sum float64) {
-	for _, name := range slices.Sorted(maps.Keys(to.Weights)) { // in order, so that the same tables give the same sum
+// movedFraction returns the fraction of a table's load that moves to other endpoints if one table replaces another: half the sum
+// of the absolute differences of the weights.
+func movedFraction(from, to Table) (sum float64) {
+	for _, name := range slices.Sorted(maps.Keys(to.Weights)) { // in a fixed order: rounding depends on the order of summation
 		sum += math.Abs(to.Weights[name]-from.Weights[name]) / 2
 	}
 	for _, name := range slices.Sorted(maps.Keys(from.Weights)) {
--- a/solver/untouched.go
+++ b/solver/untouched.go
@@ -1,8 +1,8 @@
 package solver
 
-// untouched returns the wanted weights if they keep every limit as they are.
+// untouched returns a solution with the desired weights if they respect every limit; otherwise ok is false.
 func (p *problem) untouched() (solution Solution, ok bool) {
-	load, ok := p.wantedLoad()
+	load, ok := p.desiredLoad()
 	if !ok {
 		return Solution{}, false
 	}
@@ -23,17 +23,17 @@
 	return s, true
 }
 
-// wantedLoad returns the work per second that the wanted weights bring each endpoint; ok is false if a demand has no
-// weights, or has some on endpoints that it may not go to.
-func (p *problem) wantedLoad() (load []float64, ok bool) {
+// desiredLoad returns the work per second that the desired weights put on each endpoint. ok is false if a demand has no weights,
+// or has weights on endpoints that may not serve it.
+func (p *problem) desiredLoad() (load []float64, ok bool) {
 	load = make([]float64, len(p.limit))
 	for _, d := range p.demands {
-		wanted := p.fleet.Consumers[d.consumer].Desired
-		if d.class >= len(wanted) {
+		desired := p.fleet.Consumers[d.consumer].Desired
+		if d.class >= len(desired) {
 			return nil, false
 		}
 		total := 0.0
-		for _, share := range wanted[d.class] {
+		for _, share := range desired[d.class] {
 			if share.Weight > 0 && !p.targets[d.target].contains(share.Endpoint) {
 				return nil, false
 			}
@@ -42,17 +42,17 @@
 		if total <= 0 {
 			return nil, false
 		}
-		for _, share := range wanted[d.class] {
+		for _, share := range desired[d.class] {
 			load[share.Endpoint] += d.rate * share.Weight / total * p.fleet.Endpoints[share.Endpoint].cost(d.class)
 		}
 	}
 	return load, true
 }
 
-// normalized returns the shares above 0, with weights that sum to 1.
-func normalized(wanted []Share) (shares []Share) {
+// normalized returns the shares with a weight above 0, scaled so that the weights sum to 1.
+func normalized(desired []Share) (shares []Share) {
 	total := 0.0
-	for _, share := range wanted {
+	for _, share := range desired {
 		if share.Weight > 0 {
 			shares = append(shares, share)
 			total += share.Weight
