--- a/solver/fill.go
+++ b/solver/fill.go
@@ -69,8 +69,8 @@
 	unplaced := map[int]float64{} // requests per second by target
 	for _, i := range demands {
 		d := &f.demands[i]
-		if rate := f.unplacedRate(i); rate > negligibleFraction*d.rate {
-			unplaced[d.target] += rate
+		if missing := f.unplacedRate(i); missing > negligibleFraction*d.rate {
+			unplaced[d.target] += missing
 		}
 	}
 	for _, index := range slices.Sorted(maps.Keys(unplaced)) {
--- a/solver/fleets/baselines.go
+++ b/solver/fleets/baselines.go
@@ -2,7 +2,7 @@
 
 import "porthub/solver"
 
-// Baseline is a simple way of filling tables, to compare solutions with.
+// Baseline is a simple way to choose weights, with which solutions are compared.
 type Baseline string
 
 // The baselines.
@@ -12,29 +12,30 @@
 	DesiredWeights  Baseline = "the tables wanted alone"
 )
 
-// baselineRate is what a baseline sends to an endpoint that may serve it, in requests per second.
+// baselineRate is the rate of a class that a baseline sends to an open endpoint.
 type baselineRate struct {
 	endpoint, class int
-	rate            float64
+	rate            float64 // requests per second
 }
 
-// ServedPriority returns the priority weight per second that a baseline serves without rejecting anything: an endpoint
-// that is offered more than its limit serves its limit, of every class alike, and one that is not open serves nothing.
+// ServedPriority returns the priority weight per second that endpoints serve by the weights of a baseline, which admits all demand.
+// An endpoint that is offered more than its limit serves the same fraction of each class up to its limit. An endpoint that is not
+// open for a class serves none of it.
 func ServedPriority(f solver.Fleet, baseline Baseline) float64 {
 	limits := solver.Limits(f)
 	rates, load := baselineLoad(f, baseline, limits)
 	served := 0.0
 	for _, r := range rates {
-		part := 1.0
+		fraction := 1.0
 		if load[r.endpoint] > limits[r.endpoint] {
-			part = limits[r.endpoint] / load[r.endpoint]
+			fraction = limits[r.endpoint] / load[r.endpoint]
 		}
-		served += r.rate * part * f.Classes[r.class].PriorityWeight
+		served += r.rate * fraction * f.Classes[r.class].PriorityWeight
 	}
 	return served
 }
 
-// baselineLoad returns what a baseline sends to open endpoints, and the load of all endpoints.
+// baselineLoad returns the rates that a baseline sends to open endpoints, and the load of all endpoints.
 func baselineLoad(f solver.Fleet, baseline Baseline, limits []float64) (rates []baselineRate, load []float64) {
 	load = make([]float64, len(f.Endpoints))
 	for consumer := range f.Consumers {
@@ -63,13 +64,13 @@
 	return rates, load
 }
 
-// baselineWeights returns the weights by endpoint of a consumer's table.
+// baselineWeights returns the weights, by endpoint, of a consumer's table for a class.
 func baselineWeights(f solver.Fleet, baseline Baseline, consumer, class int, open []bool, limits []float64) []float64 {
 	weights := make([]float64, len(f.Endpoints))
 	if baseline == DesiredWeights {
-		if wanted := f.Consumers[consumer].Desired; class < len(wanted) {
-			for _, share := range wanted[class] {
-				if !f.Endpoints[share.Endpoint].Closed { // any baseline follows drains
+		if desired := f.Consumers[consumer].Desired; class < len(desired) {
+			for _, share := range desired[class] {
+				if !f.Endpoints[share.Endpoint].Closed { // every baseline respects drains
 					weights[share.Endpoint] += share.Weight
 				}
 			}
--- a/solver/fleets/doc.go
+++ b/solver/fleets/doc.go
@@ -1,6 +1,6 @@
-// Package fleets draws random fleets of all hard cases, finds the exact optimum of small ones, and measures solutions of
-// package solver on them, for tests, measurements and the command line.
+// Package fleets generates random fleets of all hard cases, computes the exact optimum of small ones, and measures the solutions
+// of package solver on them. Tests, measurements and the command line use it; the coordinator does not.
 //
-// [Draw] makes one random fleet, [Optimum] solves a small one by linear programming, and [Measure] runs the solver on many. All
-// draws come from the seeds given. No coordinator uses the package.
+// [Draw] generates one random fleet, [Optimum] solves a small fleet by linear programming, and [Measure] runs the solver on many
+// fleets. All random numbers derive from the seeds that callers pass.
 package fleets
--- a/solver/fleets/large.go
+++ b/solver/fleets/large.go
@@ -11,14 +11,14 @@
 
 const (
 	largeZones = 3
-	// largeTable is the number of endpoints in each consumer's table, all of its zone.
+	// largeTable is the number of endpoints in each consumer's table. All are in the consumer's zone.
 	largeTable = 12
 	// largeCost is the mean work of a request.
 	largeCost = 0.16
 )
 
-// Large returns a fleet of a size, each consumer with a table of its own. utilization is the demand over what fits when it
-// is spread evenly.
+// Large returns a fleet of the given size in which each consumer has its own table. utilization is the ratio of the demanded work to
+// the total capacity.
 func Large(endpoints, consumers, classes int, utilization float64) solver.Fleet {
 	rng := rand.New(rand.NewPCG(uint64(endpoints), uint64(consumers)))
 	var f solver.Fleet
@@ -59,6 +59,7 @@
 	return f
 }
 
+// drawLargeTable draws the table of a consumer in a zone.
 func drawLargeTable(rng *rand.Rand, endpoints []solver.Endpoint, zone int) (shares []solver.Share) {
 	inZone := len(endpoints) / largeZones
 	for len(shares) < min(largeTable, inZone) {
--- a/solver/fleets/measure.go
+++ b/solver/fleets/measure.go
@@ -7,51 +7,51 @@
 	"porthub/solver"
 )
 
-// Measurement sums up solutions of many random fleets.
+// Measurement summarizes the solutions of many random fleets.
 type Measurement struct {
 	Fleets   int `json:"fleets"`
-	Feasible int `json:"feasible"` // of them, by how they were drawn
-	// WorstOverload is the largest load of an endpoint by its limit.
+	Feasible int `json:"feasible"` // fleets whose demand fits, see RandomFleet.Fits
+	// WorstOverload is the largest ratio of an endpoint's load to its limit.
 	WorstOverload float64 `json:"worst_overload"`
-	// Unplaced is the largest part of a feasible fleet's demand that was not placed.
+	// Unplaced is the largest fraction of a feasible fleet's demand that was not placed.
 	Unplaced      float64   `json:"unplaced_when_feasible"`
-	PriorityRatio *Ratio    `json:"payoff_ratio,omitempty"` // of the placed priority to the exact optimum
+	PriorityRatio *Ratio    `json:"payoff_ratio,omitempty"` // ratio of the placed priority to the exact optimum
 	Milliseconds  Quantiles `json:"ms"`
 	Steps         Quantiles `json:"steps"`
-	Untouched     int       `json:"untouched"`
-	WorstCase     string    `json:"worst_case"`       // of the worst ratio
+	Untouched     int       `json:"untouched"`        // fleets whose desired weights were returned unchanged
+	WorstCase     string    `json:"worst_case"`       // case of the fleet with the worst priority ratio
 	Optima        int       `json:"optima,omitempty"` // fleets whose optimum was found
-	// PriorityRatioWhenShed is the ratio over the fleets in which something had to be rejected.
+	// PriorityRatioWhenShed is the priority ratio over the fleets that are not feasible.
 	PriorityRatioWhenShed *Ratio `json:"payoff_ratio_when_shed,omitempty"`
-	// Baselines are the ratios of baselines on the same fleets.
+	// Baselines holds the ratios of the priority served by each baseline on the same fleets.
 	Baselines map[Baseline]*Ratio `json:"ways,omitempty"`
-	// MinAdmitted is the smallest part of its demand for a class that a consumer with an open endpoint was admitted.
+	// MinAdmitted is the smallest fraction of its demand for a class that a consumer with an open endpoint was admitted.
 	MinAdmitted float64 `json:"least_let_in"`
 }
 
-// Ratio sums up ratios over fleets.
+// Ratio summarizes a ratio over fleets.
 type Ratio struct {
 	Median float64 `json:"median"`
 	Worst  float64 `json:"worst"`
 }
 
-// Quantiles holds quantiles, in the unit that its field names.
+// Quantiles holds the median and the 99th percentile of a quantity, in the unit of that quantity.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 }
 
-// samples are the values by fleet that a Measurement sums up.
+// samples holds the values by fleet that a Measurement summarizes.
 type samples struct {
 	milliseconds, steps    []float64
-	ratios, rejectedRatios []float64
-	worstRatio             float64 // the least of ratios
+	ratios, rejectedRatios []float64 // priority ratios of all fleets, and of those that are not feasible
+	worstRatio             float64   // the lowest of ratios
 	baselines              map[Baseline][]float64
 }
 
-// Measure solves n random fleets of a seed. With optimum it finds the exact optimum of each as well; with baselines it
-// computes those, relative to the optimum or, without it, to the solution. It returns the error of a fleet that is
-// malformed.
+// Measure solves n random fleets of a seed. If optimum is set, it also computes the exact optimum of each fleet. If baselines is
+// set, it also computes the priority that each baseline serves, relative to the optimum or, without it, to the solution. It
+// returns an error if a fleet is malformed.
 func Measure(n int, seed uint64, optimum, baselines bool) (Measurement, error) {
 	measurement := Measurement{Fleets: n, MinAdmitted: 1}
 	collected := samples{baselines: map[Baseline][]float64{}}
@@ -74,11 +74,11 @@
 			}
 		}
 	}
-	measurement.sumUp(collected)
+	measurement.summarize(collected)
 	return measurement, nil
 }
 
-// solve solves a fleet and returns its placed priority.
+// solve solves a fleet, records the results and returns the placed priority.
 func (m *Measurement) solve(d RandomFleet, s *samples) (placed float64) {
 	start := time.Now()
 	solution := solver.Solve(d.Fleet, nil)
@@ -96,7 +96,8 @@
 	return solution.Certificate.PlacedPriority
 }
 
-// compareOptimum compares the placed priority with the optimum and returns this; ok is false if there is none.
+// compareOptimum records the ratio of the placed priority to the optimum and returns the optimum. ok is false if the optimum was
+// not found or is 0.
 func (m *Measurement) compareOptimum(d RandomFleet, placed float64, s *samples) (optimum float64, ok bool) {
 	optimum, err := Optimum(d.Fleet)
 	if err != nil || optimum <= 0 {
@@ -115,7 +116,8 @@
 	return optimum, true
 }
 
-func (m *Measurement) sumUp(s samples) {
+// summarize computes the quantiles and ratios from the samples.
+func (m *Measurement) summarize(s samples) {
 	m.Milliseconds = quantiles(s.milliseconds)
 	m.Steps = quantiles(s.steps)
 	m.PriorityRatio = ratioOf(s.ratios)
@@ -129,7 +131,7 @@
 	}
 }
 
-// ratioOf returns nil for no values.
+// ratioOf returns the median and the lowest of values, or nil if there are none.
 func ratioOf(values []float64) *Ratio {
 	if len(values) == 0 {
 		return nil
@@ -138,6 +140,7 @@
 	return &Ratio{Median: values[len(values)/2], Worst: values[0]}
 }
 
+// quantiles returns the median and the 99th percentile of values, or zeros if there are none.
 func quantiles(values []float64) Quantiles {
 	if len(values) == 0 {
 		return Quantiles{}
--- a/solver/fleets/optimum.go
+++ b/solver/fleets/optimum.go
@@ -10,19 +10,19 @@
 	"porthub/solver"
 )
 
-// simplexTolerance is the tolerance of the linear program.
+// simplexTolerance is the tolerance of the simplex method.
 const simplexTolerance = 1e-9
 
-// demandGroup is the demand for a class from all consumers that may go to the same endpoints.
+// demandGroup is the total demand for a class of all consumers that have the same open endpoints.
 type demandGroup struct {
 	class     int
 	endpoints []int
 	rate      float64 // requests per second
 }
 
-// Optimum returns the highest priority weight per second that any placement reaches, by a linear program. Its variables are
-// what each class places on each endpoint, summed over consumers that may go to the same endpoints: the priority does
-// not depend on who is served. It returns an error if the program can't be solved.
+// Optimum returns the highest priority weight per second of any placement, computed by a linear program. Its variables are the
+// rates that each class places on each endpoint, summed over the consumers with the same open endpoints, because the priority does
+// not depend on which of them is served. It returns an error if the program can't be solved.
 func Optimum(f solver.Fleet) (float64, error) {
 	groups := demandGroups(f)
 	variables := 0
@@ -32,7 +32,8 @@
 	if variables == 0 {
 		return 0, nil
 	}
-	// Rows: the demand of each group, then the limit of each endpoint; each has a slack variable, which is basic at first.
+	// The rows are the demand of each group, then the limit of each endpoint. Each row has a slack variable, which is in the
+	// initial basis.
 	rows := len(groups) + len(f.Endpoints)
 	matrix := mat.NewDense(rows, variables+rows, nil)
 	objective := make([]float64, variables+rows)
@@ -57,11 +58,12 @@
 	}
 	best, _, err := lp.Simplex(objective, matrix, bounds, simplexTolerance, basic)
 	if err != nil {
-		return 0, fmt.Errorf("linear program of %d variables and %d rows: %w", variables, rows, err)
+		return 0, fmt.Errorf("solving a linear program of %d variables and %d rows: %w", variables, rows, err)
 	}
 	return -best, nil
 }
 
+// demandGroups returns the demand of all consumers, grouped by class and open endpoints.
 func demandGroups(f solver.Fleet) (groups []*demandGroup) {
 	for consumer := range f.Consumers {
 		for class, rate := range f.Consumers[consumer].Demand {
--- a/solver/fleets/scale.go
+++ b/solver/fleets/scale.go
@@ -6,32 +6,32 @@
 	"porthub/solver"
 )
 
-// weightMargin is the relative change of a weight that counts as one.
+// weightMargin is the relative change of a weight above which the weight counts as changed.
 const weightMargin = 0.15
 
-// ScaleMeasurement is one measurement of MeasureScale.
+// ScaleMeasurement is the result of MeasureScale for one fleet.
 type ScaleMeasurement struct {
 	Endpoints   int     `json:"nodes"`
 	Consumers   int     `json:"users"`
 	Classes     int     `json:"kinds"`
-	Utilization float64 `json:"use"` // demand over what fits
-	// Without the prices of an earlier solution, and with them after one endpoint was removed.
+	Utilization float64 `json:"use"` // ratio of the demanded work to the total capacity
+	// Cold is a solution without earlier prices, warm is one with the prices of the cold solution after one endpoint was closed.
 	ColdMilliseconds float64 `json:"cold_ms"`
 	ColdSteps        int     `json:"cold_steps"`
 	WarmMilliseconds float64 `json:"warm_ms"`
 	WarmSteps        int     `json:"warm_steps"`
-	ChangedWeights   int     `json:"changed"` // by more than weightMargin after the loss
-	Weights          int     `json:"weights"` // after the loss
-	ChangedTables    int     `json:"tables"`
-	AffectedTables   int     `json:"touched"` // that had the lost endpoint
-	Overload         float64 `json:"overload"`
+	ChangedWeights   int     `json:"changed"`  // weights that differ by more than weightMargin after the loss
+	Weights          int     `json:"weights"`  // weights after the loss
+	ChangedTables    int     `json:"tables"`   // tables with a changed weight
+	AffectedTables   int     `json:"touched"`  // tables that had the lost endpoint
+	Overload         float64 `json:"overload"` // largest ratio of an endpoint's load to its limit after the loss
 }
 
-// lostEndpoint is the endpoint that MeasureScale closes.
+// lostEndpoint is the index of the endpoint that MeasureScale closes.
 const lostEndpoint = 0
 
-// MeasureScale measures time and steps on fleets from a hundred endpoints and consumers to a thousand and three thousand,
-// calm and overloaded, and what the loss of one endpoint changes.
+// MeasureScale measures the time and steps of the solver, and the changes that the loss of one endpoint causes, on fleets from 100
+// endpoints and 100 consumers to 1,000 endpoints and 3,000 consumers, with and without overload.
 func MeasureScale() (measurements []ScaleMeasurement) {
 	for _, size := range []struct{ endpoints, consumers, classes int }{{100, 100, 3}, {100, 300, 3}, {300, 1000, 3}, {1000, 3000, 8}} {
 		for _, utilization := range []float64{0.8, 1.5} {
@@ -43,6 +43,7 @@
 	return measurements
 }
 
+// measure solves a fleet before and after the loss of one endpoint.
 func (m *ScaleMeasurement) measure(f solver.Fleet) {
 	start := time.Now()
 	before := solver.Solve(f, nil)
@@ -63,7 +64,7 @@
 	}
 }
 
-// compare counts the changes of one table.
+// compare adds the changes of one table to the measurement.
 func (m *ScaleMeasurement) compare(before, after []solver.Share) {
 	previous := map[int]float64{}
 	for _, share := range before {
--- a/solver/fleets/verify.go
+++ b/solver/fleets/verify.go
@@ -7,7 +7,7 @@
 	"porthub/solver"
 )
 
-// cost returns the work of a request of a class at an endpoint.
+// cost returns the work of a request of a class at an endpoint, which is 1 if the endpoint has no costs.
 func cost(f solver.Fleet, endpoint, class int) float64 {
 	costs := f.Endpoints[endpoint].Cost
 	if len(costs) == 0 {
@@ -16,8 +16,8 @@
 	return costs[class]
 }
 
-// Overload returns the largest load of an endpoint by its limit, from a solution's weights and admissions and not from its
-// certificate. It is infinite if an endpoint gets load that it may not get.
+// Overload returns the largest ratio of an endpoint's load to its limit, computed from the weights and admissions of a solution
+// and not from its certificate. It is infinite if a weight is on an endpoint that is not open for it.
 func Overload(f solver.Fleet, s solver.Solution) float64 {
 	load := make([]float64, len(f.Endpoints))
 	for consumer := range f.Consumers {
@@ -41,7 +41,7 @@
 	return worst
 }
 
-// Unplaced returns the part of all demand that is not served.
+// Unplaced returns the fraction of the total demand that is not served.
 func Unplaced(f solver.Fleet, s solver.Solution) float64 {
 	total, unplaced := 0.0, 0.0
 	for consumer := range f.Consumers {
@@ -57,16 +57,16 @@
 	return unplaced / max(total, 1e-12)
 }
 
-// minAdmitted returns the smallest part of its demand for a class that a consumer with an open endpoint is admitted, at
-// most 1.
+// minAdmitted returns the smallest fraction of its demand for a class that a consumer with an open endpoint is admitted, or 1 if
+// there is no such demand.
 func minAdmitted(f solver.Fleet, s solver.Solution) float64 {
-	least := 1.0
+	lowest := 1.0
 	for consumer := range f.Consumers {
 		for class, rate := range f.Consumers[consumer].Demand {
 			if rate > 0 && len(solver.OpenEndpoints(f, consumer, class)) > 0 {
-				least = min(least, s.Admit[consumer][class])
+				lowest = min(lowest, s.Admit[consumer][class])
 			}
 		}
 	}
-	return least
+	return lowest
 }
