--- a/degradation/admission.go
+++ b/degradation/admission.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// MinAdmittedFraction is the part of a class's own demand that is admitted first where its share allows it: of a class that is
-	// rejected completely the demand is no longer observable, and its callers retry.
+	// MinAdmittedFraction is the fraction of its demand, as far as its share allows it, that each class is admitted before the
+	// rest is divided by priority: if a class is rejected completely, its demand can no longer be observed and its callers retry.
 	MinAdmittedFraction = 0.1
-	// shareSteps is the number of steps of AdmittedShare.
+	// shareSteps is the number of steps to which AdmittedShare rounds.
 	shareSteps = 20
-	// fullShare is the part of the demand that counts as all of it.
+	// fullShare is the admitted fraction from which a demand counts as fully admitted.
 	fullShare = 0.999
 )
 
-// DivideAdmission divides the admitted work among the request classes. total is the admitted work (requests per second
-// times their cost); by class, demand is the work demanded, priority its priority weight, and share the most of total that
-// it may use. Each class first gets MinAdmittedFraction of what it may use. Of the rest, classes of higher priority go first, and
-// those of equal priority get the same part of what they may still use. What no class may use stays unused.
+// DivideAdmission divides the admitted work among the request classes and returns the admitted work of each. total is the admitted
+// work of all (requests per second times their cost). By class, demand is the demanded work, priority the priority weight, and share
+// the largest fraction of total that the class may use. Each class first gets MinAdmittedFraction of what it may use. The rest goes
+// to classes in the order of priority; classes of equal priority get the same fraction of what they may still use. Work that no
+// class may use stays unused.
 func DivideAdmission(total float64, demand, priority, share []float64) []float64 {
 	usable := make([]float64, len(demand))
 	admitted := make([]float64, len(demand))
@@ -59,26 +60,26 @@
 	return size
 }
 
-// divideEqually admits the same part of what each class may still use, and returns the work that remains.
+// divideEqually admits the same fraction of what each class may still use, and returns the work that remains.
 func divideEqually(remaining float64, classes []int, usable, admitted []float64) float64 {
-	wanted := 0.0
+	unmet := 0.0
 	for _, class := range classes {
-		wanted += usable[class] - admitted[class]
+		unmet += usable[class] - admitted[class]
 	}
-	part := 1.0
-	if wanted > remaining {
-		part = remaining / wanted
+	fraction := 1.0
+	if unmet > remaining {
+		fraction = remaining / unmet
 	}
 	for _, class := range classes {
-		more := part * (usable[class] - admitted[class])
-		admitted[class] += more
-		remaining -= more
+		additional := fraction * (usable[class] - admitted[class])
+		admitted[class] += additional
+		remaining -= additional
 	}
 	return max(0, remaining)
 }
 
-// AdmittedShare returns the admitted part of a class's demand, in steps of a twentieth and at least one of them, so that it
-// does not change with each report.
+// AdmittedShare returns the admitted fraction of a class's demand, rounded down to a multiple of 1/20 but at least 1/20. The rounding
+// keeps it from changing with each report.
 func AdmittedShare(admitted, demand float64) float64 {
 	if demand <= 0 || admitted >= demand*fullShare {
 		return 1
--- a/degradation/check.go
+++ b/degradation/check.go
@@ -10,15 +10,17 @@
 const (
 	// maxLevels is the largest number of levels.
 	maxLevels = 16
-	// minTableEndpoints is the least limit on a table's endpoints: with fewer a failing one takes too much traffic along.
+	// minTableEndpoints is the smallest limit on the endpoints of a table. With fewer, one failing endpoint affects too much of
+	// the traffic.
 	minTableEndpoints = 3
 	// maxIntervalFactor is the largest factor on the report period.
 	maxIntervalFactor = 10
-	// minReportsToLeave is the number of reports that must have come at a level before it may be left.
+	// minReportsToLeave is the number of reports that must arrive at a level before it may be left.
 	minReportsToLeave = 2
 )
 
-// minLeave is the least threshold for leaving a level by each trigger: values that a calm fleet has.
+// minLeave holds the smallest valid leave threshold of each trigger. A fleet without problems may have these values, so that a
+// lower threshold could prevent a level from being left.
 var minLeave = [TriggerCount]float64{
 	TriggerLoad:           0.1,
 	TriggerLostCapacity:   0.01,
@@ -27,13 +29,13 @@
 	TriggerPublicationLag: 0.02,
 }
 
-// allLevels is the Finding.Level of findings that concern the levels together.
+// allLevels is the Finding.Level of findings that concern the list of levels and not one of them.
 const allLevels = -1
 
-// Finding is a fault in settings.
+// Finding describes an error in settings.
 type Finding struct {
-	Level   int    // index of the level, from 0; -1 for all together
-	Key     string // of the level's configuration
+	Level   int    // index of the level in Settings.Levels, or -1 if the finding concerns the whole list
+	Key     string // key in the configuration of the level
 	Problem string
 	Remedy  string
 }
@@ -45,8 +47,8 @@
 	*f = append(*f, Finding{level, key, problem, remedy})
 }
 
-// Check returns the faults of the settings: levels that could never be left or entered, that would oscillate, or that would
-// leave admitted work unused.
+// Check returns the errors in the settings: values out of range, and levels that could never be left or entered, that would
+// oscillate, or that would leave admitted work unused.
 func (s Settings) Check() []Finding {
 	var found findings
 	if len(s.Levels) > maxLevels {
@@ -55,7 +57,8 @@
 	names := map[string]bool{"": true, NormalLevel: true}
 	for i, l := range s.Levels {
 		if names[l.Name] {
-			found.add(i, "name", fmt.Sprintf("%q is empty, %q or appears twice", l.Name, NormalLevel), "give each level a unique name")
+			found.add(i, "name", fmt.Sprintf("%q is empty, reserved (%q) or appears twice", l.Name, NormalLevel),
+				"give each level a unique name")
 		}
 		names[l.Name] = true
 		s.checkTriggers(i, &found)
@@ -65,13 +68,14 @@
 	return found
 }
 
+// checkTriggers checks the thresholds of all triggers of the level with an index.
 func (s Settings) checkTriggers(i int, found *findings) {
 	triggers := 0
 	for t := range TriggerCount {
 		enter, leave := s.Levels[i].Enter[t], s.Levels[i].Leave[t]
 		switch {
 		case !isThreshold(enter) || !isThreshold(leave):
-			found.add(i, "enter."+t.String(), fmt.Sprintf("is %v, left at %v", enter, leave), "both must be 0 or more")
+			found.add(i, "enter."+t.String(), fmt.Sprintf("is %v and leave is %v", enter, leave), "both must be 0 or more")
 		case enter > 0:
 			triggers++
 			s.checkTrigger(i, t, found)
@@ -80,20 +84,24 @@
 		}
 	}
 	if triggers == 0 {
-		found.add(i, "enter", "has no trigger", "set one of load, lost, unreachable, shed, behind; use enter.load 1000 for a level that only operators set")
+		found.add(i, "enter", "has no trigger",
+			"set one of load, lost, unreachable, shed, behind; use enter.load 1000 for a level that only operators set")
 	}
 }
 
+// isThreshold reports whether v is finite and at least 0.
 func isThreshold(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// checkTrigger checks the thresholds of a trigger that a level goes by.
+// checkTrigger checks the thresholds of one trigger of a level, whose enter threshold is above 0.
 func (s Settings) checkTrigger(i int, t Trigger, found *findings) {
 	enter, leave := s.Levels[i].Enter[t], s.Levels[i].Leave[t]
 	if leave >= enter {
-		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is not below enter, %v: the level would oscillate", leave, enter), "set it below enter")
+		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is not below enter, %v: the level would oscillate", leave, enter),
+			"set it below enter")
 	}
 	if leave < minLeave[t] {
-		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is never reached in normal operation: the level can't be left", leave), fmt.Sprintf("%v or more", minLeave[t]))
+		found.add(i, "leave."+t.String(), fmt.Sprintf("%v is never reached in normal operation: the level can't be left", leave),
+			fmt.Sprintf("%v or more", minLeave[t]))
 	}
 	if t != TriggerLoad && enter > 1 {
 		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is never reached", enter), "at most 1")
@@ -102,11 +110,13 @@
 		return
 	}
 	if milder := s.Levels[i-1]; milder.Enter[t] > enter {
-		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is below that of %q, %v, which is less severe", enter, milder.Name, milder.Enter[t]),
+		found.add(i, "enter."+t.String(), fmt.Sprintf("%v is below that of %q, %v, which is less severe",
+			enter, milder.Name, milder.Enter[t]),
 			"more severe levels must not be entered earlier")
 	}
 }
 
+// checkDelays checks the delays of the level with an index.
 func (s Settings) checkDelays(i int, found *findings) {
 	l := s.Levels[i]
 	if l.EnterDelay < 0 {
@@ -118,11 +128,12 @@
 	}
 }
 
-// reportTime returns the time in which minReportsToLeave reports come at the level with an index.
+// reportTime returns the time in which minReportsToLeave reports arrive at the level with an index.
 func (s Settings) reportTime(i int) policyapi.Microseconds {
 	return minReportsToLeave * s.Period * policyapi.Microseconds(max(1, s.Levels[i].Bounds.ReportIntervalFactor))
 }
 
+// checkBounds checks the bounds of the level with an index.
 func (s Settings) checkBounds(i int, found *findings) {
 	bounds := s.Levels[i].Bounds
 	if len(bounds.Share) != len(s.Classes) || len(bounds.RetryPolicy) != len(s.Classes) {
@@ -130,7 +141,7 @@
 		return
 	}
 	s.checkClassBounds(i, found)
-	if !isPart(bounds.CrossZoneFactor) {
+	if !isFraction(bounds.CrossZoneFactor) {
 		found.add(i, "cross", fmt.Sprintf("is %v", bounds.CrossZoneFactor), "0 to 1")
 	}
 	if bounds.MaxEndpoints != 0 && bounds.MaxEndpoints < minTableEndpoints {
@@ -146,19 +157,22 @@
 		return
 	}
 	if milder := s.Levels[i-1]; bounds.ReportIntervalFactor < milder.Bounds.ReportIntervalFactor {
-		found.add(i, "report_stretch", fmt.Sprintf("%d is below that of %q", bounds.ReportIntervalFactor, milder.Name), "more severe levels must limit as much or more")
+		found.add(i, "report_stretch", fmt.Sprintf("%d is below that of %q", bounds.ReportIntervalFactor, milder.Name),
+			"more severe levels must limit as much or more")
 	}
 }
 
+// checkClassBounds checks the bounds by request class of the level with an index.
 func (s Settings) checkClassBounds(i int, found *findings) {
 	bounds := s.Levels[i].Bounds
 	sum := 0.0
 	for class, share := range bounds.Share {
-		if !isPart(share) {
+		if !isFraction(share) {
 			found.add(i, "kinds."+s.Classes[class]+".share", fmt.Sprintf("is %v", share), "0 to 1")
 		}
 		if bounds.RetryPolicy[class] < 0 || bounds.RetryPolicy[class] > maxRetryPolicy {
-			found.add(i, "kinds."+s.Classes[class]+".second_try", fmt.Sprintf("is %d", bounds.RetryPolicy[class]), fmt.Sprintf("0 to %d", maxRetryPolicy))
+			found.add(i, "kinds."+s.Classes[class]+".second_try", fmt.Sprintf("is %d", bounds.RetryPolicy[class]),
+				fmt.Sprintf("0 to %d", maxRetryPolicy))
 		}
 		sum += share
 	}
@@ -167,5 +181,5 @@
 	}
 }
 
-// isPart reports whether v is a fraction from 0 to 1; NaN is not.
-func isPart(v float64) bool { return v >= 0 && v <= 1 }
+// isFraction reports whether v is from 0 to 1. It is false for NaN.
+func isFraction(v float64) bool { return v >= 0 && v <= 1 }
--- a/degradation/check_test.go
+++ b/degradation/check_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestCheckFindings(t *testing.T) {
-	for text, spoil := range map[string]func(*Settings){
+	for want, invalidate := range map[string]func(*Settings){
 		"would oscillate":  func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 1 },
 		"can't be left":    func(s *Settings) { s.Levels[0].Leave[TriggerLoad] = 0 },
 		"is never reached": func(s *Settings) { s.Levels[0].Enter[TriggerLostCapacity] = 1.2 },
@@ -28,16 +28,16 @@
 		"both must be":             func(s *Settings) { s.Levels[0].Enter[TriggerLoad] = math.NaN() },
 	} {
 		s := twoLevels()
-		spoil(&s)
+		invalidate(&s)
 		var problems []string
 		for _, f := range s.Check() {
 			problems = append(problems, f.Problem+": "+f.Remedy)
 		}
-		if !strings.Contains(strings.Join(problems, "\n"), text) {
-			t.Errorf("%q is not found: %v", text, problems)
+		if !strings.Contains(strings.Join(problems, "\n"), want) {
+			t.Errorf("findings = %q, want one that contains %q", problems, want)
 		}
 	}
 	if f := twoLevels().Check(); len(f) > 0 {
-		t.Errorf("valid settings: %v", f)
+		t.Errorf("findings of valid settings = %v, want none", f)
 	}
 }
--- a/degradation/controller.go
+++ b/degradation/controller.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// unknownTimeout is how long a trigger of unknown value prevents leaving a level: one that never becomes known must
-	// not do so for ever.
+	// unknownTimeout is how long an unknown value of a trigger prevents leaving a level. Without the timeout, a trigger whose
+	// value never becomes known would keep the level for ever.
 	unknownTimeout = 60 * second
-	// reentryFactor is the multiple of a level's leave delay within which entering it again doubles the delay.
+	// reentryFactor is the multiple of a level's current leave delay within which entering the level again doubles the delay.
 	reentryFactor = 10
 	// maxBackoff is the largest factor on a level's leave delay.
 	maxBackoff = 8
@@ -20,44 +20,44 @@
 // FleetScope is the scope of all zones together, in place of a zone.
 const FleetScope policyapi.Zone = ""
 
-// beforeStart is the time of the last change of a scope that has never changed.
+// beforeStart is the time of the last change of a scope whose level has never changed.
 const beforeStart = policyapi.Microseconds(-1 << 62)
 
 // Controller decides the level of the fleet and of each zone. It is not safe for concurrent use.
 type Controller struct {
 	settings       Settings
-	scopeNames     []policyapi.Zone // the fleet first
+	scopeNames     []policyapi.Zone // FleetScope, then the zones as configured
 	scopes         map[policyapi.Zone]*scope
-	overrides      []Override // the oldest first
+	overrides      []Override // oldest first
 	lastOverrideID int
 }
 
 // scope is the state of the fleet or of one zone.
 type scope struct {
 	signals   Signals
-	lastKnown [TriggerCount]policyapi.Microseconds // when the signal was last known, or first found unknown
+	lastKnown [TriggerCount]policyapi.Microseconds // when the value was last known, or first updated if it never was
 
-	// The level by the signals alone. It goes on beneath overrides, so that they leave no trace when they end.
+	// The automatic level, by the signals alone. It is updated during overrides, too, so that they have no effect after their end.
 	level  int
 	since  policyapi.Microseconds
 	reason string
 	levels []levelState // by index in Settings.Levels
 
-	// The level with overrides.
+	// The level in force, which overrides may change.
 	effectiveLevel int
 	effectiveSince policyapi.Microseconds
 }
 
 // levelState is the state of one level in one scope.
 type levelState struct {
-	triggered condition // one of its triggers is at or above its Enter threshold
-	clear     condition // all its triggers are at or below their Leave thresholds
+	triggered condition // one of the level's triggers is at or above its Enter threshold
+	clear     condition // all triggers of the level are at or below their Leave thresholds
 	wasLeft   bool
 	leftAt    policyapi.Microseconds
-	backoff   policyapi.Microseconds // factor on its LeaveDelay
+	backoff   policyapi.Microseconds // factor on LeaveDelay
 }
 
-// condition records since when a condition holds without a break.
+// condition records whether a condition holds and since when it has held without interruption.
 type condition struct {
 	holds bool
 	since policyapi.Microseconds
@@ -70,7 +70,7 @@
 	c.holds = holds
 }
 
-// NewController returns a Controller at normal service. The settings must have no findings by Check.
+// NewController returns a Controller at normal service. Check must return no findings for the settings.
 func NewController(settings Settings) *Controller {
 	c := &Controller{
 		settings:   settings,
@@ -97,8 +97,8 @@
 	Reason   string
 }
 
-// Step updates the scopes by their current signals, ends overrides whose time is over, and returns the changes. A scope
-// without signals keeps its level unless an override changes it.
+// Step removes expired overrides, updates the levels by the current signals of each scope, and returns the changes. A scope without
+// signals keeps its level unless an override changes it.
 func (c *Controller) Step(now policyapi.Microseconds, signals map[policyapi.Zone]Signals) (changes []Change) {
 	c.overrides = slices.DeleteFunc(c.overrides, func(o Override) bool { return o.Until <= now })
 	for _, zone := range c.scopeNames {
@@ -117,7 +117,7 @@
 	return changes
 }
 
-// stepScope moves a scope by its signals.
+// stepScope updates the automatic level of a scope by its signals.
 func (c *Controller) stepScope(now policyapi.Microseconds, s *scope, signals Signals) {
 	s.signals = signals
 	for t := range TriggerCount {
@@ -135,8 +135,8 @@
 	}
 }
 
-// updateLevels updates the conditions of all levels. It returns the severest level that is to be entered and why, or the
-// current level if it is severer.
+// updateLevels updates the conditions of all levels of a scope. It returns the severest level to enter and the reason, or the current
+// level if none is severer.
 func (c *Controller) updateLevels(now policyapi.Microseconds, s *scope) (level int, reason string) {
 	level = s.level
 	for i, settings := range c.settings.Levels {
@@ -152,7 +152,7 @@
 	return level, reason
 }
 
-// triggeredBy returns the first trigger at or above its threshold for a level.
+// triggeredBy returns the first trigger that is at or above its enter threshold for a level.
 func triggeredBy(level Level, signals Signals) (trigger Trigger, ok bool) {
 	for t := range TriggerCount {
 		if level.Enter[t] > 0 && signals.Known[t] && signals.Values[t] >= level.Enter[t] {
@@ -162,8 +162,8 @@
 	return 0, false
 }
 
-// isClear reports whether all triggers of a level are at or below their lower thresholds. An unknown one is not, until
-// unknownTimeout.
+// isClear reports whether all triggers of a level are at or below their leave thresholds. A trigger of unknown value counts as clear
+// only after unknownTimeout.
 func isClear(now policyapi.Microseconds, level Level, s *scope) bool {
 	for t := range TriggerCount {
 		switch {
@@ -179,7 +179,8 @@
 	return true
 }
 
-// enter enters a level, over all between: the wait at each of them would cost what the level is to save.
+// enter enters a level directly, without passing through those between: waiting at each of them would delay the protection that the
+// level gives.
 func (c *Controller) enter(now policyapi.Microseconds, s *scope, level int, reason string) {
 	state := &s.levels[level-1]
 	leaveDelay := c.settings.Levels[level-1].LeaveDelay
@@ -193,7 +194,8 @@
 	s.reason = reason
 }
 
-// leave leaves the current level for the next lower one: the load that it admits must show before the next step.
+// leave changes to the next less severe level and not further, so that the additional load that it admits is measured before the
+// next change.
 func (c *Controller) leave(now policyapi.Microseconds, s *scope) {
 	state := &s.levels[s.level-1]
 	state.wasLeft = true
@@ -203,8 +205,8 @@
 	s.since = now
 }
 
-// leavesAt returns when a scope's level is left if its triggers stay clear; ok is false at normal service and while they
-// are not clear.
+// leavesAt returns when a scope leaves its automatic level if the triggers of the level stay clear. ok is false at normal service and
+// while the triggers are not clear.
 func (c *Controller) leavesAt(s *scope) (at policyapi.Microseconds, ok bool) {
 	if s.level == 0 || !s.levels[s.level-1].clear.holds {
 		return 0, false
@@ -215,7 +217,7 @@
 	return max(state.clear.since+leaveDelay, s.since+c.settings.reportTime(i)), true
 }
 
-// Level returns the level of a zone's gateways: the severer one of the zone's and the fleet's.
+// Level returns the level of the gateways in a zone, which is the severer of the zone's and the fleet's.
 func (c *Controller) Level(zone policyapi.Zone) int {
 	level := c.scopes[FleetScope].effectiveLevel
 	if s := c.scopes[zone]; s != nil {
--- a/degradation/override.go
+++ b/degradation/override.go
@@ -8,17 +8,17 @@
 	"porthub/policyapi"
 )
 
-// Action is what an override does.
+// Action is the kind of an override.
 type Action string
 
-// The actions.
+// The values of Action.
 const (
-	ForceLevel  Action = "force"  // the level is in force
-	ForbidLevel Action = "forbid" // the level and severer ones are not in force
-	HoldLevel   Action = "hold"   // the level that is in force when the override is set stays
+	ForceLevel  Action = "force"  // sets the level
+	ForbidLevel Action = "forbid" // forbids the level and all severer ones
+	HoldLevel   Action = "hold"   // keeps the level in force when the override is set
 )
 
-// Override is an operator's override of the level of a scope, until a time.
+// Override is an operator's override of the level of a scope until a given time.
 type Override struct {
 	ID     int                    `json:"id" cbor:"id"`
 	Action Action                 `json:"do" cbor:"do"`
@@ -28,7 +28,7 @@
 	Reason string                 `json:"reason" cbor:"reason"`
 }
 
-// maxOverrideDuration bounds overrides: one that is forgotten must end by itself.
+// maxOverrideDuration is the longest duration of an override, so that one that operators do not clear ends anyway.
 const maxOverrideDuration = 24 * 3600 * second
 
 // The errors of SetOverride and ClearOverride.
@@ -40,9 +40,9 @@
 	ErrUnknownOverride = errors.New("no such override")
 )
 
-// SetOverride sets an override and returns it with its ID, and with its level if it holds the current level. It replaces an
-// override with the same action of the same scope. It returns ErrReasonRequired, ErrInvalidEnd, ErrUnknownZone or
-// ErrUnknownLevel if the override is invalid.
+// SetOverride adds an override and returns it with its ID. If its action is HoldLevel, its level is set to the current one. An
+// earlier override of the same scope with the same action is replaced. SetOverride returns ErrReasonRequired, ErrInvalidEnd,
+// ErrUnknownZone or ErrUnknownLevel if the override is invalid.
 func (c *Controller) SetOverride(now policyapi.Microseconds, o Override) (Override, error) {
 	if err := c.checkOverride(now, o); err != nil {
 		return o, err
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// validLevel reports whether an override's action is known and its level can be forced or forbidden.
+// validLevel reports whether the action of an override is known and its level is valid for the action.
 func (c *Controller) validLevel(o Override) bool {
 	inRange := o.Level >= 0 && o.Level <= len(c.settings.Levels)
 	switch o.Action {
@@ -86,7 +86,7 @@
 	}
 }
 
-// ClearOverride removes an override and returns it, or ErrUnknownOverride.
+// ClearOverride removes an override and returns it. It returns ErrUnknownOverride if there is none with the ID.
 func (c *Controller) ClearOverride(id int) (Override, error) {
 	i := slices.IndexFunc(c.overrides, func(o Override) bool { return o.ID == id })
 	if i < 0 {
@@ -97,11 +97,11 @@
 	return o, nil
 }
 
-// Overrides returns the overrides, the oldest first. The result must not be changed.
+// Overrides returns the overrides, oldest first. Callers must not modify the result.
 func (c *Controller) Overrides() []Override { return c.overrides }
 
-// override returns a scope's level with its overrides: force takes precedence over hold, and a forbidden level is not
-// reached by either.
+// override returns the level of a scope with its overrides applied, and the reason. Force takes precedence over hold, and forbid
+// over both.
 func (c *Controller) override(zone policyapi.Zone, s *scope) (level int, reason string) {
 	level = s.level
 	reason = s.reason
--- a/degradation/settings.go
+++ b/degradation/settings.go
@@ -7,30 +7,40 @@
 // NormalLevel is the name of level 0, normal service.
 const NormalLevel = "usual"
 
-// maxRetryPolicy is the retry policy that leaves retries as they are, see Bounds.RetryPolicy.
+// maxRetryPolicy is the most permissive retry policy. As a bound, it does not limit retries; see Bounds.RetryPolicy.
 const maxRetryPolicy = policyapi.RetryTwice
 
-// Level is the settings of one level.
+// Level holds the settings of one level.
 type Level struct {
-	Name       string                 `cbor:"Name" json:"Name"`
-	Enter      [TriggerCount]float64  `cbor:"Enter" json:"Enter"`         // at or above it the level is entered; 0: it does not go by the trigger
-	Leave      [TriggerCount]float64  `cbor:"Leave" json:"Leave"`         // at or below it the level may be left
-	EnterDelay policyapi.Microseconds `cbor:"EnterHeld" json:"EnterHeld"` // how long a trigger must be above Enter without a break
-	LeaveDelay policyapi.Microseconds `cbor:"LeaveHeld" json:"LeaveHeld"` // how long all triggers must be below Leave without a break
+	Name string `cbor:"Name" json:"Name"`
+	// Enter holds the thresholds at or above which the level is entered. A trigger with a threshold of 0 does not apply.
+	Enter [TriggerCount]float64 `cbor:"Enter" json:"Enter"`
+	// Leave holds the thresholds at or below which the level may be left.
+	Leave [TriggerCount]float64 `cbor:"Leave" json:"Leave"`
+	// EnterDelay is how long a trigger must stay at or above Enter before the level is entered.
+	EnterDelay policyapi.Microseconds `cbor:"EnterHeld" json:"EnterHeld"`
+	// LeaveDelay is how long all triggers must stay at or below Leave before the level is left.
+	LeaveDelay policyapi.Microseconds `cbor:"LeaveHeld" json:"LeaveHeld"`
 	Bounds     Bounds                 `cbor:"Bounds" json:"Bounds"`
 }
 
-// Bounds limit service at a level. None of them sends requests to an endpoint that the rules exclude.
+// Bounds limits service at a level. No bound makes an endpoint that the rules exclude eligible for requests.
 type Bounds struct {
-	Share                []float64               `cbor:"Share" json:"Share"`         // by class: the most of the admitted work that it may use, 0 to 1
-	RetryPolicy          []policyapi.RetryPolicy `cbor:"SecondTry" json:"SecondTry"` // by class: the most permissive retry policy, 0 to 3; 3: no limit
-	CrossZoneFactor      float64                 `cbor:"Cross" json:"Cross"`         // factor on weights in other zones where the own one has capacity; 1: none
-	MaxEndpoints         int                     `cbor:"Lines" json:"Lines"`         // of a class in one gateway's table; 0: no limit
-	MaxHealthChecks      float64                 `cbor:"Probes" json:"Probes"`       // per second; 0: no limit
-	ReportIntervalFactor int                     `cbor:"Stretch" json:"Stretch"`     // on the report period; 1: none
+	// Share is the largest fraction of the admitted work that each class may use, 0 to 1.
+	Share []float64 `cbor:"Share" json:"Share"`
+	// RetryPolicy is the most permissive retry policy of each class, 0 to 3. 3 does not limit retries.
+	RetryPolicy []policyapi.RetryPolicy `cbor:"SecondTry" json:"SecondTry"`
+	// CrossZoneFactor multiplies the weights of endpoints in other zones if the gateway's own zone has capacity; 1: no limit.
+	CrossZoneFactor float64 `cbor:"Cross" json:"Cross"`
+	// MaxEndpoints is the largest number of endpoints of a class in the table of one gateway; 0: no limit.
+	MaxEndpoints int `cbor:"Lines" json:"Lines"`
+	// MaxHealthChecks is the largest number of health checks per second; 0: no limit.
+	MaxHealthChecks float64 `cbor:"Probes" json:"Probes"`
+	// ReportIntervalFactor multiplies the report period; 1: no change.
+	ReportIntervalFactor int `cbor:"Stretch" json:"Stretch"`
 }
 
-// Unbounded returns the bounds of normal service for a number of classes: none.
+// Unbounded returns the bounds of normal service for a number of classes, which limit nothing.
 func Unbounded(classes int) Bounds {
 	b := Bounds{CrossZoneFactor: 1, ReportIntervalFactor: 1}
 	for range classes {
@@ -42,7 +52,7 @@
 
 // Settings are the settings of a Controller.
 type Settings struct {
-	Levels  []Level                `cbor:"Levels" json:"Levels"` // by severity, the least severe first
+	Levels  []Level                `cbor:"Levels" json:"Levels"` // by severity, least severe first
 	Zones   []policyapi.Zone       `cbor:"Zones" json:"Zones"`
 	Classes []string               `cbor:"Kinds" json:"Kinds"`
 	Period  policyapi.Microseconds `cbor:"Period" json:"Period"` // of load reports
@@ -50,12 +60,12 @@
 
 // Fallback is the level that gateways apply to their tables while they reach no coordinator.
 type Fallback struct {
-	Level    int                    `cbor:"Level" json:"Level"` // 0: there is none
-	After    policyapi.Microseconds `cbor:"After" json:"After"` // after the last contact to a coordinator
-	Duration policyapi.Microseconds `cbor:"For" json:"For"`     // from then on; afterwards the table applies unchanged again
+	Level    int                    `cbor:"Level" json:"Level"` // 0: no fallback
+	After    policyapi.Microseconds `cbor:"After" json:"After"` // time without contact to a coordinator until the fallback applies
+	Duration policyapi.Microseconds `cbor:"For" json:"For"`     // how long it applies; then the table applies unchanged again
 }
 
-// LevelName returns the name of a level.
+// LevelName returns the name of a level, which is NormalLevel for a level out of range.
 func (s Settings) LevelName(level int) string {
 	if level <= 0 || level > len(s.Levels) {
 		return NormalLevel
@@ -63,7 +73,7 @@
 	return s.Levels[level-1].Name
 }
 
-// LevelNamed returns the level with a name; ok is false if there is none.
+// LevelNamed returns the level with the given name. ok is false if there is none.
 func (s Settings) LevelNamed(name string) (level int, ok bool) {
 	if name == NormalLevel {
 		return 0, true
@@ -76,7 +86,7 @@
 	return 0, false
 }
 
-// Bounds returns the bounds of a level.
+// Bounds returns the bounds of a level, which limit nothing for a level out of range.
 func (s Settings) Bounds(level int) Bounds {
 	if level <= 0 || level > len(s.Levels) {
 		return Unbounded(len(s.Classes))
@@ -84,8 +94,8 @@
 	return s.Levels[level-1].Bounds
 }
 
-// MaxChanges returns the largest number of changes of one scope's level in a time, whatever the signals are: a level is
-// left only after its LeaveDelay, which doubles, and can be entered once more each time that it is left.
+// MaxChanges returns the largest possible number of changes of a scope's level within a duration, whatever the signals are: a level
+// is left only after its LeaveDelay, which doubles, and can be entered again once each time that it is left.
 func (s Settings) MaxChanges(length policyapi.Microseconds) int {
 	departures := 0
 	for _, l := range s.Levels {
--- a/degradation/snapshot.go
+++ b/degradation/snapshot.go
@@ -6,9 +6,9 @@
 	"porthub/policyapi"
 )
 
-// Snapshot is the state of a Controller for the next start of the process.
+// Snapshot is the state of a Controller, as stored for the next start of the process.
 type Snapshot struct {
-	Levels    map[policyapi.Zone]string `cbor:"levels" json:"Levels"` // by name: the settings may change meanwhile
+	Levels    map[policyapi.Zone]string `cbor:"levels" json:"Levels"` // by name, because the settings may change before the next start
 	Overrides []SavedOverride           `cbor:"words,omitempty" json:"Words"`
 }
 
@@ -32,8 +32,9 @@
 	return snapshot
 }
 
-// Restore restores the levels and overrides of an earlier process. A level counts as just entered and is left by fresh
-// signals alone. Levels and overrides that no longer exist are discarded; notes says which, for the log.
+// Restore restores the levels and overrides of an earlier process. A restored level counts as entered now and is left only by signals
+// from now on. Levels that are no longer configured, and overrides that have expired or whose level or zone is no longer configured,
+// are discarded; notes has a log line for each of them.
 func (c *Controller) Restore(now policyapi.Microseconds, snapshot Snapshot) (notes []string) {
 	for _, zone := range c.scopeNames {
 		name, ok := snapshot.Levels[zone]
@@ -51,7 +52,8 @@
 		o := saved.Override
 		level, ok := c.settings.LevelNamed(saved.LevelName)
 		if !ok || o.Until <= now || c.scopes[o.Zone] == nil {
-			notes = append(notes, fmt.Sprintf("override %d (%s %s) is not restored", o.ID, o.Action, saved.LevelName))
+			notes = append(notes, fmt.Sprintf("override %d (%s %s) is not restored: it has expired, or its level or zone is not configured",
+				o.ID, o.Action, saved.LevelName))
 			continue
 		}
 		o.Level = level
@@ -61,7 +63,7 @@
 	return notes
 }
 
-// restore enters a level without evidence of the triggers.
+// restore sets the level of a scope whose signals are not known yet.
 func (s *scope) restore(now policyapi.Microseconds, level int) {
 	s.level = level
 	s.since = now
--- a/degradation/status.go
+++ b/degradation/status.go
@@ -11,23 +11,23 @@
 	Zone           policyapi.Zone         `json:"zone"` // empty: the fleet
 	Level          int                    `json:"level"`
 	Name           string                 `json:"name"`
-	Since          policyapi.Microseconds `json:"since_us"` // 0: it has never changed
+	Since          policyapi.Microseconds `json:"since_us"` // when the level last changed; 0: never
 	Reason         string                 `json:"why"`
-	AutomaticLevel int                    `json:"by_itself"` // without overrides
-	EndConditions  []string               `json:"ends"`      // what prevents leaving the level, and until when
+	AutomaticLevel int                    `json:"by_itself"` // the level without overrides
+	EndConditions  []string               `json:"ends"`      // what prevents leaving the level, and for how long if that is known
 	Signals        []Signal               `json:"figures"`
 }
 
-// Signal is a trigger's value in a scope, with the thresholds of the scope's level.
+// Signal is the value of a trigger in a scope, with the thresholds that apply at the scope's level.
 type Signal struct {
 	Trigger string  `json:"reason"`
 	Value   float64 `json:"value"`
 	Known   bool    `json:"known"`
-	Enter   float64 `json:"enter"` // of the next severer level; 0: it does not go by this trigger
-	Leave   float64 `json:"leave"` // of the current level
+	Enter   float64 `json:"enter"` // threshold of the next severer level; 0: the trigger does not apply, or there is no such level
+	Leave   float64 `json:"leave"` // threshold of the current level; 0 at normal service
 }
 
-// Scopes returns the status of all scopes, the fleet first.
+// Scopes returns the status of all scopes, first the fleet's.
 func (c *Controller) Scopes(now policyapi.Microseconds) (statuses []ScopeStatus) {
 	for _, zone := range c.scopeNames {
 		s := c.scopes[zone]
@@ -36,7 +36,7 @@
 			Zone:           zone,
 			Level:          s.effectiveLevel,
 			Name:           c.settings.LevelName(s.effectiveLevel),
-			Since:          max(0, s.effectiveSince), // beforeStart is no time
+			Since:          max(0, s.effectiveSince), // 0 instead of beforeStart
 			Reason:         reason,
 			AutomaticLevel: s.level,
 			EndConditions:  c.endConditions(now, zone, s),
@@ -46,6 +46,7 @@
 	return statuses
 }
 
+// signals returns the signals of a scope with their thresholds.
 func (c *Controller) signals(s *scope) (signals []Signal) {
 	for t := range TriggerCount {
 		signal := Signal{Trigger: t.String(), Value: s.signals.Values[t], Known: s.signals.Known[t]}
@@ -60,7 +61,7 @@
 	return signals
 }
 
-// endConditions describes what prevents a scope from leaving its level: its triggers, its leave delay, and overrides.
+// endConditions describes what prevents a scope from leaving its level: triggers that are not clear, the leave delay, and overrides.
 func (c *Controller) endConditions(now policyapi.Microseconds, zone policyapi.Zone, s *scope) (conditions []string) {
 	if s.level > 0 {
 		conditions = triggerConditions(c.settings.Levels[s.level-1], s.signals)
@@ -76,6 +77,7 @@
 	return conditions
 }
 
+// triggerConditions describes the triggers that prevent leaving a level.
 func triggerConditions(level Level, signals Signals) (conditions []string) {
 	for t := range TriggerCount {
 		switch {
--- a/degradation/table.go
+++ b/degradation/table.go
@@ -9,24 +9,24 @@
 	"porthub/policyapi"
 )
 
-// minLocalPart is the part of the weight of warmed-up endpoints in the gateway's zone from which on CrossZoneFactor
-// applies: with less the zone is short of endpoints, and the limit would overload those that it has.
-const minLocalPart = 0.5
+// minLocalFraction is the smallest fraction of the weight of warmed-up endpoints that must be in the gateway's zone for
+// CrossZoneFactor to apply. With less, the zone has too few endpoints, and the limit would overload them.
+const minLocalFraction = 0.5
 
 // TableEndpoint is an endpoint in a gateway's table.
 type TableEndpoint struct {
 	Endpoint  policyapi.EndpointID
 	Weight    float64
 	Local     bool // in the gateway's zone
-	Open      bool // the rules allow it requests
+	Open      bool // the rules allow requests to it
 	WarmingUp bool
 }
 
-// warm reports whether the endpoint is open and warmed up, so that its weight is a share of ordinary traffic.
+// warm reports whether the endpoint is open and warmed up, so that it gets its full share of the traffic.
 func (e TableEndpoint) warm() bool { return e.Open && !e.WarmingUp }
 
-// LimitCrossZone returns a table with CrossZoneFactor applied to the endpoints of other zones. The part of endpoints that
-// are warming up does not grow. The table given is not changed.
+// LimitCrossZone returns a table with CrossZoneFactor applied to the weights of endpoints in other zones. The traffic share of
+// endpoints that are warming up does not increase. The input table is not modified.
 func (b Bounds) LimitCrossZone(table []TableEndpoint) []TableEndpoint {
 	local, total := 0.0, 0.0
 	for _, e := range table {
@@ -38,7 +38,7 @@
 			local += e.Weight
 		}
 	}
-	if b.CrossZoneFactor >= 1 || total == 0 || local < minLocalPart*total {
+	if b.CrossZoneFactor >= 1 || total == 0 || local < minLocalFraction*total {
 		return table
 	}
 	limited := slices.Clone(table)
@@ -50,9 +50,9 @@
 	return limitWarmingUp(table, limited)
 }
 
-// LimitEndpoints returns a gateway's table with at most MaxEndpoints warmed-up endpoints, each gateway with others by a
-// hash, so that all gateways together still reach all of them. Endpoints that are warming up stay, their part does not
-// grow, and those that are not open stay. The table given is not changed.
+// LimitEndpoints returns a gateway's table with at most MaxEndpoints warmed-up endpoints; the others get a weight of 0. A hash
+// selects different endpoints for each gateway, so that all gateways together still use all of them. Endpoints that are warming up
+// stay and their traffic share does not increase; those that are not open stay, too. The input table is not modified.
 func (b Bounds) LimitEndpoints(gateway string, table []TableEndpoint) []TableEndpoint {
 	var warm []int
 	for i, e := range table {
@@ -70,7 +70,7 @@
 	for _, i := range warm[b.MaxEndpoints:] {
 		limited[i].Weight = 0
 	}
-	// The choice was by weight already: those chosen get equal weights, else heavy ones would count twice.
+	// The selection was already by weight. The selected endpoints get equal weights, otherwise weight would count twice.
 	mean := 0.0
 	for _, i := range warm[:b.MaxEndpoints] {
 		mean += table[i].Weight / float64(b.MaxEndpoints)
@@ -81,15 +81,15 @@
 	return limitWarmingUp(table, limited)
 }
 
-// rendezvousRank returns the rank of an endpoint in weighted rendezvous hashing: the lowest ranks are chosen, and an
-// endpoint of twice the weight is chosen twice as likely.
+// rendezvousRank returns the rank of an endpoint in weighted rendezvous hashing. The endpoints with the lowest ranks are selected;
+// twice the weight makes an endpoint twice as likely to have the lowest rank.
 func rendezvousRank(gateway string, e TableEndpoint) float64 {
 	uniform := (float64(crc32.ChecksumIEEE([]byte(gateway+"\x00"+string(e.Endpoint)))) + 1) / (1 << 32)
 	return -math.Log(uniform) / e.Weight
 }
 
-// limitWarmingUp scales the weights of endpoints that are warming up as the sum of the warmed-up ones has changed, so that
-// their part does not grow. It changes and returns after.
+// limitWarmingUp limits the weights of endpoints that are warming up to their weights in before, scaled by the ratio of the warmed-up
+// endpoints' weights in after and before, so that their traffic share does not increase. It modifies and returns after.
 func limitWarmingUp(before, after []TableEndpoint) []TableEndpoint {
 	warmBefore, warmAfter := 0.0, 0.0
 	for i, e := range before {
--- a/degradation/trigger.go
+++ b/degradation/trigger.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// Trigger identifies a figure by which levels are entered and left.
+// Trigger identifies a measured quantity by which levels are entered and left.
 type Trigger int
 
-// The triggers.
+// The values of Trigger.
 const (
-	TriggerLoad           Trigger = iota // demanded work by capacity; 1 is full
-	TriggerLostCapacity                  // part of the capacity of the last minutes that is closed, ejected or removed
-	TriggerUnreachable                   // part of the known gateways that are disconnected
-	TriggerShedReports                   // part of the lines of load reports that is not taken
-	TriggerPublicationLag                // lines in flight by their limit, or delay of acknowledgements by the grace period: the larger
-	TriggerCount                         // the number of triggers
+	TriggerLoad           Trigger = iota // ratio of demanded work to capacity; 1 is full
+	TriggerLostCapacity                  // fraction of the capacity of the last minutes that is closed, ejected or removed
+	TriggerUnreachable                   // fraction of the known gateways that are disconnected
+	TriggerShedReports                   // fraction of the lines of load reports that is discarded
+	TriggerPublicationLag                // larger of lines in flight / their limit and acknowledgement delay / drain grace period
+	TriggerCount                         // number of triggers
 )
 
 var triggerNames = [TriggerCount]string{"load", "lost", "unreachable", "shed", "behind"}
 
 func (t Trigger) String() string { return triggerNames[t] }
 
-// ParseTrigger returns the trigger with a name; ok is false if there is none.
+// ParseTrigger returns the trigger with the given name. ok is false if there is none.
 func ParseTrigger(name string) (trigger Trigger, ok bool) {
 	for t, n := range triggerNames {
 		if n == name {
@@ -29,14 +29,14 @@
 	return 0, false
 }
 
-// Signals are the values of the triggers in one scope. An unknown value enters no level, and for unknownTimeout it lets
-// none be left.
+// Signals holds the values of the triggers in one scope. An unknown value causes no level to be entered and, for unknownTimeout,
+// prevents levels with the trigger from being left.
 type Signals struct {
 	Values [TriggerCount]float64
 	Known  [TriggerCount]bool
 }
 
-// Set sets the value of a trigger; NaN leaves it unknown.
+// Set sets the value of a trigger. NaN leaves it unchanged, so that it stays unknown if it was not set before.
 func (s *Signals) Set(t Trigger, value float64) {
 	if math.IsNaN(value) {
 		return
