--- a/routing/acknowledge.go
+++ b/routing/acknowledge.go
@@ -6,14 +6,14 @@
 	"porthub/policyapi"
 )
 
-// Ack records that a gateway has acknowledged a version of a document and returns the messages that are complete by it.
-// Only messages in flight count: ok is false for any other version but the one last acknowledged.
+// Ack records that a gateway has acknowledged a version of a document. It returns the messages that this completes, which are then
+// no longer in flight. ok is false if the version is neither that of a message in flight nor the last acknowledged one.
 func (d *Delivery) Ack(now policyapi.Microseconds, document int, version string) (complete []Message, ok bool) {
 	index := slices.IndexFunc(d.inFlight, func(m Message) bool { return m.Version == version })
 	if index < 0 {
 		return nil, version == d.acknowledged[document].Version
 	}
-	// A gateway may skip versions that a later one has replaced: they count as acknowledged, too.
+	// A gateway may skip versions that a later one has replaced. They count as acknowledged, too.
 	for i := range d.inFlight[:index+1] {
 		d.inFlight[i].Acknowledged[document] = true
 	}
@@ -27,9 +27,9 @@
 	return complete, true
 }
 
-// Reject records that a gateway has rejected a message and returns after which time everything is sent again, longer with
-// each rejection: the gateway may have read at a bad moment, and it goes on using the last version that it accepted.
-// ok is false for a message that is not in flight.
+// Reject records that a gateway has rejected a message, and returns the time until a full resync, which grows with each consecutive
+// rejection. A resync can succeed because the gateway may have failed to read the message for a temporary reason. Until then, the
+// gateway continues to use the last version that it accepted. ok is false if the message is not in flight.
 func (d *Delivery) Reject(now policyapi.Microseconds, nonce string) (backoff policyapi.Microseconds, ok bool) {
 	if !slices.ContainsFunc(d.inFlight, func(m Message) bool { return m.Version == nonce }) {
 		return 0, false
@@ -40,10 +40,10 @@
 	return backoff, true
 }
 
-// VerifyChecksum compares the checksum that a gateway reports with the one that it should have, once nothing is in flight.
-// If they differ, ok is false and everything is sent again, after a longer time with each mismatch. versions are those of
-// the documents that the checksum covers, empty if the gateway does not report them: a checksum of earlier documents
-// arrives late, over another connection of the gateway, and proves nothing.
+// VerifyChecksum compares the checksum that a gateway reports with the expected one, unless messages are in flight or a full resync
+// is scheduled. If they differ, ok is false and a full resync is scheduled, after a longer time with each consecutive mismatch.
+// versions are the versions of the documents that the checksum covers, empty if the gateway does not report them. A checksum of
+// earlier versions is ignored: it arrives late over another connection of the gateway.
 func (d *Delivery) VerifyChecksum(now policyapi.Microseconds, sum uint64, versions [DocumentCount]string) (want uint64, ok bool) {
 	outdated := versions != [DocumentCount]string{} && versions != d.lastVersions
 	if sum == 0 || outdated || len(d.inFlight) > 0 || d.resyncAt > 0 || len(d.sent.Clusters) == 0 {
@@ -59,15 +59,15 @@
 	return want, false
 }
 
-// resyncBackoff returns the time before everything is sent again after a number of failures in a row, from 1 on.
+// resyncBackoff returns the time until a full resync after a number of consecutive failures, which is at least 1.
 func resyncBackoff(failures int) policyapi.Microseconds {
 	return min(firstResync<<min(failures-1, maxResyncDoublings), maxResync)
 }
 
-// RetryAt returns when everything is sent again; ok is false if nothing asks for it.
+// RetryAt returns when the next full resync is due. ok is false if none is scheduled.
 func (d *Delivery) RetryAt() (at policyapi.Microseconds, ok bool) { return d.resyncAt, d.resyncAt > 0 }
 
-// StartRetry reports whether the time has come to send everything again, and if so invalidates what the gateway has.
+// StartRetry reports whether a full resync is due. If it is, the next snapshot is sent completely.
 func (d *Delivery) StartRetry(now policyapi.Microseconds) bool {
 	if d.resyncAt == 0 || now < d.resyncAt {
 		return false
--- a/routing/changes.go
+++ b/routing/changes.go
@@ -2,12 +2,13 @@
 
 import "porthub/policyapi"
 
-// ChangeCost returns the number of lines in a message that brings a gateway from one snapshot to another: endpoints that
-// are added, changed or removed, and a line for each route that is.
+// ChangeCost returns the number of lines in a message that updates a gateway from one snapshot to another: one for each endpoint and
+// each route that is added, changed or removed.
 func ChangeCost(from, to Snapshot) (lines int) {
 	return clusterChangeCost(from.Clusters, to.Clusters) + routeChangeCost(from.Routes, to.Routes)
 }
 
+// clusterChangeCost returns the number of endpoints that are added, changed or removed in all clusters.
 func clusterChangeCost(from, to []Cluster) (lines int) {
 	remaining := map[string]Cluster{}
 	for _, c := range from {
@@ -23,6 +24,7 @@
 	return lines
 }
 
+// routeChangeCost returns the number of routes that are added, changed or removed.
 func routeChangeCost(from, to []Route) (lines int) {
 	remaining := map[string]Route{}
 	for _, r := range from {
@@ -37,7 +39,7 @@
 	return lines + len(remaining)
 }
 
-// changeCost counts the endpoints in which two sorted clusters differ.
+// changeCost returns the number of endpoints in which two sorted clusters differ.
 func (c Cluster) changeCost(other Cluster) (lines int) {
 	if c.sharesEndpoints(other) {
 		return 0
@@ -58,8 +60,8 @@
 	return lines + len(c.Endpoints) - i + len(other.Endpoints) - j
 }
 
-// IsUrgentChange reports whether the rules limit the delay of a change: an endpoint that gets requests by from gets none by
-// to because it is closed, or a class that had no open endpoint gets one.
+// IsUrgentChange reports whether the rules limit the delay of a change. They do if from is empty, if an endpoint that gets requests
+// in from gets none in to because it is closed, or if a class without an open endpoint in from has one in to.
 func IsUrgentChange(from, to Snapshot, closed func(policyapi.EndpointID) bool) bool {
 	if len(from.Clusters) == 0 {
 		return true
@@ -86,6 +88,7 @@
 	return false
 }
 
+// openEndpoints returns the set of endpoints of the cluster that are not withheld.
 func (c Cluster) openEndpoints() map[policyapi.EndpointID]bool {
 	open := map[policyapi.EndpointID]bool{}
 	for _, e := range c.Endpoints {
--- a/routing/checksum.go
+++ b/routing/checksum.go
@@ -7,27 +7,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// WeightScale is the weight in published documents of a Weight of 1.
+// WeightScale is the weight in published documents that corresponds to a ClusterEndpoint.Weight of 1.
 const WeightScale = 10_000
 
 // maxPublishedWeight is the largest weight in published documents.
 const maxPublishedWeight = 1 << 31
 
-// Gateways get shares in units of 1/shareScale and the times of a fallback in milliseconds: checksums are computed from
-// the same units.
+// Published documents have shares in units of 1/shareScale and the times of a fallback in milliseconds. Checksums are computed from
+// values in these units, so that gateways compute the same ones.
 const (
 	shareScale                 = 1e4
 	microsecondsPerMillisecond = 1000
 )
 
-// publishedWeight returns a weight as published documents have it, a whole number.
+// publishedWeight returns a weight as it is published: scaled by WeightScale, rounded, and from 1 to maxPublishedWeight.
 func publishedWeight(w float64) uint64 {
 	return uint64(min(max(1, math.Round(w*WeightScale)), maxPublishedWeight))
 }
 
+// publishedShare returns a share as it is published, in units of 1/shareScale.
 func publishedShare(share float64) uint64 { return uint64(math.Round(share * shareScale)) }
 
-// checksumRecord is the encoding of one record of a snapshot: texts end with a zero byte, numbers are little-endian.
+// checksumRecord is the encoding of one record of a snapshot: texts end with a zero byte, numbers are 64-bit little-endian.
 type checksumRecord []byte
 
 func (r checksumRecord) text(s string) checksumRecord { return append(append(r, s...), 0) }
@@ -45,11 +46,11 @@
 
 func (r checksumRecord) sum() uint64 { return xxhash.Sum64(r) }
 
-// Checksum returns the checksum of a snapshot as published: the sum over all clusters, endpoints and routes, so that their
-// order does not count. A gateway can compute it from what it has received.
+// Checksum returns the checksum of a published snapshot: the sum of the hashes of all clusters, endpoints, routes and fallbacks, so
+// that their order does not matter. A gateway can compute it from the documents that it has received.
 func Checksum(s Snapshot) uint64 {
 	sum := uint64(0)
-	var buffer checksumRecord // reused: the checksum of every gateway is computed often
+	var buffer checksumRecord // reused for all records, because checksums are computed often
 	for _, c := range s.Clusters {
 		buffer = buffer[:0].text("cluster").text(c.Class)
 		sum += buffer.sum()
@@ -60,8 +61,8 @@
 		}
 	}
 	for _, r := range s.Routes {
-		// A rate is published as tokens per interval and read back with up to a hundredth of error: only whether there is
-		// one counts.
+		// A rate is published as tokens per interval, and the rate that a gateway reads from it may differ by up to 1 %. The
+		// checksum therefore covers only whether there is a rate.
 		buffer = buffer[:0].text("route").text(r.Class).flag(r.Rate >= 0).number(publishedShare(r.Share)).
 			number(uint64(r.RetryPolicy)).number(uint64(r.Timeout))
 		sum += buffer.sum()
--- a/routing/delivery_test.go
+++ b/routing/delivery_test.go
@@ -8,13 +8,15 @@
 	"porthub/policyapi"
 )
 
-// snapshotWith returns a snapshot of one class with endpoints a, b, c ... of the weights given; below 0 is withheld and 0 is
-// left out.
+// snapshotWith returns a snapshot of one class with the endpoints a, b, c and so on, which have the given weights. An endpoint with a
+// negative weight is withheld, one with a weight of 0 is omitted.
 func snapshotWith(weights ...float64) Snapshot {
 	c := Cluster{Class: "view"}
 	for i, w := range weights {
 		if w != 0 {
-			c.Endpoints = append(c.Endpoints, ClusterEndpoint{Endpoint: policyapi.EndpointID(rune('a' + i)), Zone: "z", Weight: max(w, -w), Withheld: w < 0})
+			c.Endpoints = append(c.Endpoints, ClusterEndpoint{
+				Endpoint: policyapi.EndpointID(rune('a' + i)), Zone: "z", Weight: max(w, -w), Withheld: w < 0,
+			})
 		}
 	}
 	return Snapshot{Clusters: []Cluster{c}, Routes: []Route{{Class: "view", Rate: UnlimitedRate, Share: 1}}}
@@ -25,51 +27,55 @@
 func notUrgent() bool { return false }
 func isUrgent() bool  { return true }
 
-// Routine changes in a burst leave messages for a drain, and the last of them is sent when it may, with its AckID.
+// A burst of routine changes leaves messages for urgent ones such as drains. The first urgent message reports the AckID of the last
+// deferred change, and a change that exceeds the budget is sent when it is due.
 func TestUrgentChangeAfterBurst(t *testing.T) {
 	delivery := NewDelivery("e", Budget{MaxMessages: 20, Window: 10 * second})
 	delivery.Connect()
 	now, sent, offered := second, 0, 1.0
 	for ; now < 6*second; now += second / 20 {
-		if result, _ := delivery.Offer(now, snapshotWith(offered, 1), policyapi.AckID(int(offered)), unlimitedCapacity, notUrgent); result == OfferSend {
+		ackID := policyapi.AckID(int(offered))
+		if result, _ := delivery.Offer(now, snapshotWith(offered, 1), ackID, unlimitedCapacity, notUrgent); result == OfferSend {
 			sent++
 		}
 		offered++
 	}
 	if sent != 16 {
-		t.Errorf("%d routine messages in five seconds, want 16", sent)
+		t.Errorf("%d routine messages sent in five seconds, want 16", sent)
 	}
-	if result, m := delivery.Offer(now, snapshotWith(-offered, 1), NoAckID, unlimitedCapacity, isUrgent); result != OfferSend || m.AckID != policyapi.AckID(int(offered-1)) {
-		t.Errorf("a drain: %v, %+v", result, m)
+	lastAckID := policyapi.AckID(int(offered - 1))
+	result, m := delivery.Offer(now, snapshotWith(-offered, 1), NoAckID, unlimitedCapacity, isUrgent)
+	if result != OfferSend || m.AckID != lastAckID {
+		t.Errorf("Offer of a drain = %v, %+v; want %v with AckID %d", result, m, OfferSend, lastAckID)
 	}
 	for i := range 6 {
 		result, _ := delivery.Offer(now, snapshotWith(-offered, float64(2+i)), NoAckID, unlimitedCapacity, isUrgent)
 		if want := i < 3; (result == OfferSend) != want {
-			t.Errorf("urgent one %d after it: %v", i+1, result)
+			t.Errorf("Offer of urgent change %d after the drain = %v, want it sent: %t", i+1, result, want)
 		}
 	}
 	at, deferred := delivery.DueAt()
 	if !deferred || at <= now {
-		t.Fatalf("the deferred change is due at %d, %t", at, deferred)
+		t.Fatalf("DueAt = %d, %t; want a time after %d and true", at, deferred, now)
 	}
 	if result, _ := delivery.Offer(at, snapshotWith(-offered, 7), NoAckID, unlimitedCapacity, isUrgent); result != OfferSend {
-		t.Errorf("and is not sent then: %v", result)
+		t.Errorf("Offer of the deferred change when it is due = %v, want %v", result, OfferSend)
 	}
 }
 
-// deliveryModel drives a Delivery and checks its invariants after each result.
+// deliveryModel calls a Delivery with drawn inputs and checks its invariants after each result.
 type deliveryModel struct {
 	t        *rapid.T
 	delivery *Delivery
 	now      policyapi.Microseconds
 
 	sentAt       []policyapi.Microseconds
-	urgentSentAt []policyapi.Microseconds // of the urgent ones among them
-	requested    policyapi.AckID          // the last one offered
-	reported     policyapi.AckID          // the newest one acknowledged
+	urgentSentAt []policyapi.Microseconds // times in sentAt of urgent changes
+	requested    policyapi.AckID          // last AckID offered
+	reported     policyapi.AckID          // newest AckID acknowledged
 }
 
-// The budget of a deliveryModel, and the part of it that is reserved for urgent changes.
+// The budget of a deliveryModel, and the messages of it that are reserved for urgent changes.
 const (
 	modelMaxMessages   = 10
 	modelWindow        = 10 * second
@@ -88,7 +94,7 @@
 	return m
 }
 
-// inWindow counts the times that are in the window that ends now.
+// inWindow returns how many of the times are in the window that ends now.
 func (m *deliveryModel) inWindow(times []policyapi.Microseconds) (n int) {
 	for _, at := range times {
 		if m.now-at <= modelWindow {
@@ -98,7 +104,8 @@
 	return n
 }
 
-// offer offers a snapshot and checks that no window has too many messages and that an urgent change waits only for urgent ones.
+// offer offers a snapshot. It fails if a window has more messages than the budget, or if an urgent change is deferred although urgent
+// changes have not used the reserve.
 func (m *deliveryModel) offer(snapshot Snapshot, ackID policyapi.AckID, urgent bool) {
 	result, message := m.delivery.Offer(m.now, snapshot, ackID, unlimitedCapacity, func() bool { return urgent })
 	switch result {
@@ -111,11 +118,12 @@
 		}
 	case OfferDeferred:
 		if urgentSent := m.inWindow(m.urgentSentAt); urgent && urgentSent < modelUrgentReserve {
-			m.t.Fatalf("an urgent change is deferred after %d urgent ones, %d in all", urgentSent, m.inWindow(m.sentAt))
+			m.t.Fatalf("an urgent change is deferred with %d urgent messages in the window, %d in all; want it sent while fewer than %d are urgent",
+				urgentSent, m.inWindow(m.sentAt), modelUrgentReserve)
 		}
 	}
 	if n := m.inWindow(m.sentAt); n > modelMaxMessages {
-		m.t.Fatalf("%d messages in a window", n)
+		m.t.Fatalf("%d messages in a window, want at most %d", n, modelMaxMessages)
 	}
 }
 
@@ -128,7 +136,7 @@
 		}
 		complete, known := m.delivery.Ack(m.now, document, inFlight[len(inFlight)-1].Version)
 		if !known {
-			m.t.Fatal("a message in flight is not known")
+			m.t.Fatalf("Ack of a message in flight, %s, returns ok = false", inFlight[len(inFlight)-1].Version)
 		}
 		for _, message := range complete {
 			m.reported = max(m.reported, message.AckID)
@@ -136,11 +144,11 @@
 	}
 }
 
-// drawnStep lets some time pass and offers, acknowledges or rejects something; number becomes the AckID of an offer.
+// drawnStep advances the time and offers a snapshot, or acknowledges or rejects a message. number becomes the AckID of an offer.
 func (m *deliveryModel) drawnStep(number int) {
-	m.now += policyapi.Microseconds(rapid.Int64Range(0, int64(second)).Draw(m.t, "gap"))
+	m.now += policyapi.Microseconds(rapid.Int64Range(0, int64(second)).Draw(m.t, "elapsed"))
 	urgent := rapid.IntRange(0, 9).Draw(m.t, "urgent") == 0
-	switch rapid.IntRange(0, 5).Draw(m.t, "what") {
+	switch rapid.IntRange(0, 5).Draw(m.t, "action") {
 	case 0, 1, 2:
 		m.requested = policyapi.AckID(number)
 		m.offer(snapshotWith(float64(rapid.IntRange(1, 4).Draw(m.t, "weight"))), m.requested, urgent)
@@ -151,29 +159,29 @@
 			m.delivery.Reject(m.now, inFlight[0].Version)
 		}
 	case 5:
-		m.delivery.Ack(m.now, 0, "e.9999")
+		m.delivery.Ack(m.now, 0, "e.9999") // a version that was never sent
 	}
 	if m.delivery.StartRetry(m.now) && !m.delivery.Invalidated() {
-		m.t.Fatal("a retry that does not invalidate")
+		m.t.Fatal("Invalidated = false after StartRetry returned true, want true")
 	}
 }
 
-// However snapshots are offered, acknowledged and rejected, no window has more messages than its budget, no AckID is lost,
-// and an urgent change waits only if urgent ones have used up the window.
+// However snapshots are offered, acknowledged and rejected, no window has more messages than its budget, no AckID is lost, and an
+// urgent change is deferred only if urgent ones have used their reserve.
 func TestDeliveryInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newDeliveryModel(t)
 		for number := range rapid.IntRange(1, 120).Draw(t, "steps") {
 			m.drawnStep(number)
 		}
-		// In the end time passes and everything is acknowledged: the last AckID has been reported.
+		// Once the window has passed and all messages are acknowledged, the last AckID must have been reported.
 		for range 4 {
 			m.now += modelWindow + second
 			m.offer(m.delivery.Sent(), NoAckID, false)
 			m.acknowledgeLast()
 		}
 		if m.reported != m.requested {
-			t.Fatalf("AckID %d was requested, %d reported", m.requested, m.reported)
+			t.Fatalf("newest reported AckID = %d, want the last one offered, %d", m.reported, m.requested)
 		}
 	})
 }
@@ -194,19 +202,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := IsUrgentChange(c.from, c.to, closed); got != c.want {
-				t.Errorf("urgent: %t, want %t", got, c.want)
+				t.Errorf("IsUrgentChange = %t, want %t", got, c.want)
 			}
 		})
 	}
 }
 
-// After wrong checksums and rejections everything is sent again, later each time, and after a right one nothing is.
+// Wrong checksums and rejections cause a full resync, each after a longer time. A correct checksum causes none.
 func TestResyncBackoff(t *testing.T) {
 	delivery := NewDelivery("e", Budget{})
 	delivery.Connect()
 	now, snapshot := second, snapshotWith(1, 2)
 	if result, _ := delivery.Offer(now, snapshot, NoAckID, unlimitedCapacity, notUrgent); result != OfferSend {
-		t.Fatalf("after a connect: %v", result)
+		t.Fatalf("Offer after Connect = %v, want %v", result, OfferSend)
 	}
 	acknowledge := func() {
 		for document := range DocumentCount {
@@ -220,7 +228,7 @@
 	lastWait := policyapi.Microseconds(0)
 	for i := range 4 {
 		if _, ok := delivery.VerifyChecksum(now, Checksum(snapshot)+1, [DocumentCount]string{}); ok {
-			t.Fatal("a wrong checksum is accepted")
+			t.Fatal("VerifyChecksum of a wrong checksum returns ok = true, want false")
 		}
 		from := now
 		for !delivery.StartRetry(now) {
@@ -228,46 +236,49 @@
 		}
 		wait := now - from
 		if wait <= lastWait {
-			t.Errorf("resync %d: after %d us, not later than the one before", i, wait)
+			t.Errorf("resync %d after %d us, want more than the %d us of the one before", i, wait, lastWait)
 		}
 		lastWait = wait
-		if result, m := delivery.Offer(now, snapshot, NoAckID, unlimitedCapacity, notUrgent); result != OfferSend || m.Changed != [DocumentCount]bool{true, true} {
-			t.Fatalf("invalidated: %v %+v", result, m)
+		result, m := delivery.Offer(now, snapshot, NoAckID, unlimitedCapacity, notUrgent)
+		if result != OfferSend || m.Changed != [DocumentCount]bool{true, true} {
+			t.Fatalf("Offer of the same snapshot when a resync is due = %v, %+v; want %v with all documents", result, m, OfferSend)
 		}
 		acknowledge()
 	}
 	if _, ok := delivery.VerifyChecksum(now, Checksum(snapshot), [DocumentCount]string{}); !ok || delivery.StartRetry(now+60*second) {
-		t.Error("the right checksum is not accepted, or everything is sent again")
+		t.Errorf("VerifyChecksum of the correct checksum: ok = %t, want true, and no resync within 60 s", ok)
 	}
 	if result, _ := delivery.Offer(now, snapshot, NoAckID, unlimitedCapacity, notUrgent); result != OfferUnchanged {
-		t.Errorf("nothing has changed: %v", result)
+		t.Errorf("Offer of an unchanged snapshot = %v, want %v", result, OfferUnchanged)
 	}
 	delivery.Offer(now, snapshotWith(3), NoAckID, unlimitedCapacity, notUrgent)
 	if _, known := delivery.Reject(now, "other.1"); known {
-		t.Error("a rejection of an unknown message counts")
+		t.Error("Reject of a message that was never sent returns ok = true, want false")
 	}
 	if backoff, known := delivery.Reject(now, delivery.Unacknowledged()[0].Version); !known || backoff != 2*second {
-		t.Errorf("a rejection: %d, %t", backoff, known)
+		t.Errorf("Reject of a message in flight = %d us, %t; want %d us, true", backoff, known, 2*second)
 	}
 }
 
-// Without capacity for lines in flight a routine change and a first snapshot are deferred with their AckID; an urgent
-// change is not.
+// Without capacity for lines in flight, routine changes and the first snapshot of a connection are deferred with their AckID. Other
+// urgent changes are sent.
 func TestNoCapacityInFlight(t *testing.T) {
 	delivery := NewDelivery("e", Budget{MaxMessages: 20, Window: 10 * second})
 	delivery.Connect()
 	now := second
 	if result, _ := delivery.Offer(now, snapshotWith(1, 2), 5, 1, isUrgent); result != OfferDeferred {
-		t.Errorf("a first snapshot: %v", result)
+		t.Errorf("Offer of the first snapshot without capacity = %v, want %v", result, OfferDeferred)
 	}
 	at, deferred := delivery.DueAt()
-	if result, m := delivery.Offer(at, snapshotWith(1, 2), NoAckID, unlimitedCapacity, notUrgent); !deferred || result != OfferSend || m.AckID != 5 {
-		t.Errorf("with capacity: %v, %+v", result, m)
+	result, m := delivery.Offer(at, snapshotWith(1, 2), NoAckID, unlimitedCapacity, notUrgent)
+	if !deferred || result != OfferSend || m.AckID != 5 {
+		t.Errorf("Offer of the first snapshot with capacity = %v, %+v, deferred before: %t; want %v with AckID 5, true",
+			result, m, deferred, OfferSend)
 	}
 	if result, _ := delivery.Offer(at, snapshotWith(1, 3), 6, 0, notUrgent); result != OfferDeferred {
-		t.Errorf("routine: %v", result)
+		t.Errorf("Offer of a routine change without capacity = %v, want %v", result, OfferDeferred)
 	}
 	if result, m := delivery.Offer(at, snapshotWith(1, 4), NoAckID, 0, isUrgent); result != OfferSend || m.AckID != 6 {
-		t.Errorf("urgent: %v, %+v", result, m)
+		t.Errorf("Offer of an urgent change without capacity = %v, %+v; want %v with AckID 6", result, m, OfferSend)
 	}
 }
--- a/routing/eligibility.go
+++ b/routing/eligibility.go
@@ -7,16 +7,16 @@
 	"porthub/policyapi"
 )
 
-// EndpointEligibility is what the rules allow an endpoint now, whatever weight a pinned version has for it.
+// EndpointEligibility describes what the rules currently allow for an endpoint, whatever its weight in a pinned version.
 type EndpointEligibility struct {
-	Closed    bool    // draining, removed or ejected for the class: no weight
-	Weight    float64 // in the table by the decision module; 0: it has none there
-	WarmingUp bool    // its share must not exceed the share by Weight; with Weight 0 it gets none
+	Closed    bool    // draining, removed or ejected for the class: gets no weight
+	Weight    float64 // current weight in the decision module's table; 0: not in that table
+	WarmingUp bool    // gets at most the share of its current weight, and no weight if that is 0
 }
 
-// Mask restricts pinned weights to what the rules allow: closed endpoints get none, and the share of one that is warming
-// up, relative to the warmed-up ones, is no larger than by the current weights. It returns the number of endpoints that
-// were masked, and ok false if no warmed-up endpoint is left.
+// Mask restricts pinned weights to what the rules allow. Closed endpoints get no weight. The share of an endpoint that is warming
+// up, relative to the warmed-up endpoints, does not exceed its share by the current weights. masked is the number of endpoints that
+// get no weight for these reasons. ok is false if no warmed-up endpoint has a weight.
 func Mask(pinned Weights, eligibility func(policyapi.EndpointID) EndpointEligibility) (weights Weights, masked int, ok bool) {
 	weights = Weights{}
 	pinnedSum, currentSum := 0.0, 0.0 // sums of the warmed-up endpoints' weights
@@ -43,7 +43,8 @@
 			masked++
 			continue
 		}
-		// Its current weight, scaled as the weights of the warmed-up endpoints are.
+		// The pinned and the current weights may differ in scale. The smaller of the current weight and its equivalent in the scale
+		// of the pinned weights applies.
 		weights[id] = min(e.Weight, e.Weight*pinnedSum/currentSum)
 	}
 	return weights, masked, pinnedSum > 0
--- a/routing/offer.go
+++ b/routing/offer.go
@@ -9,20 +9,20 @@
 // OfferResult is the decision about a snapshot offered to a Delivery.
 type OfferResult int
 
-// The results of Offer.
+// The values of OfferResult.
 const (
-	OfferUnchanged    OfferResult = iota // it was sent last
-	OfferAcknowledged                    // it is acknowledged already, and so is its AckID
-	OfferPiggybacked                     // it is in flight, and its AckID goes with the last message in flight
-	OfferDeferred                        // it must wait; the caller offers the then current snapshot at DueAt
-	OfferSend                            // send it now
+	OfferUnchanged    OfferResult = iota // the snapshot is the one sent last, and there is no AckID to report
+	OfferAcknowledged                    // the snapshot is acknowledged already: report its AckID
+	OfferPiggybacked                     // the snapshot is in flight: its AckID is reported with the last message in flight
+	OfferDeferred                        // the snapshot may not be sent yet: offer the then current one at DueAt
+	OfferSend                            // send the message now
 )
 
-// Offer decides whether the snapshot that a gateway should have from now on is sent, and returns the message to send or
-// acknowledge. ackID is to be reported once the snapshot is acknowledged; the message returned has the newest one that
-// was offered, which may be an earlier, deferred one. capacity is the number of lines that may be added to those in
-// flight to all gateways. urgent reports whether rules wait for the change, see IsUrgentChange; it is called only if
-// messages or capacity are short. An urgent change does not wait for capacity, unless it is the first one.
+// Offer decides whether a snapshot, the current configuration of a gateway, is sent now. It returns the message to send or to report
+// as acknowledged. ackID is reported once the snapshot is acknowledged; the returned message has the newest AckID that was offered,
+// which may be that of an earlier, deferred change. capacity is the number of lines that may be added to those in flight to all
+// gateways. urgent reports whether the change is urgent, see IsUrgentChange; it is called only if messages or capacity are scarce.
+// An urgent change does not wait for capacity unless it is the first snapshot of the connection.
 func (d *Delivery) Offer(now policyapi.Microseconds, snapshot Snapshot, ackID policyapi.AckID, capacity int, urgent func() bool) (OfferResult, Message) {
 	m := Message{AckID: ackID, SentAt: now, Changed: d.changedDocuments(snapshot)}
 	if m.Changed == ([DocumentCount]bool{}) {
@@ -43,6 +43,7 @@
 	return OfferSend, d.send(m, snapshot)
 }
 
+// changedDocuments reports which documents of a snapshot must be sent.
 func (d *Delivery) changedDocuments(snapshot Snapshot) [DocumentCount]bool {
 	return [DocumentCount]bool{
 		d.invalidated || !snapshot.SameClusters(d.sent),
@@ -50,7 +51,8 @@
 	}
 }
 
-// offerUnchanged ends a deferral. AckIDs only grow, so the newer of the offered and the deferred one covers both.
+// offerUnchanged returns the result for a snapshot that equals the last one sent, and ends a deferral. AckIDs only grow, so that the
+// newer of the offered and the deferred one stands for both.
 func (d *Delivery) offerUnchanged(m Message, snapshot Snapshot) (OfferResult, Message) {
 	m.AckID = max(m.AckID, d.deferred.ackID)
 	d.endDeferral()
@@ -65,7 +67,7 @@
 	return OfferAcknowledged, m
 }
 
-// deferUntil defers a change. Its AckID goes with the next message, which has a snapshot at least as new.
+// deferUntil defers a change. Its AckID is reported with the next message, whose snapshot is at least as new.
 func (d *Delivery) deferUntil(at policyapi.Microseconds, ackID policyapi.AckID) {
 	d.deferred.pending = true
 	d.deferred.until = at
@@ -77,7 +79,7 @@
 	d.deferred.ackID = NoAckID
 }
 
-// send puts a message in flight and returns it with its version.
+// send adds a message to those in flight and returns it with its version and AckID.
 func (d *Delivery) send(m Message, snapshot Snapshot) Message {
 	m.AckID = max(m.AckID, d.deferred.ackID)
 	d.endDeferral()
--- a/routing/pins.go
+++ b/routing/pins.go
@@ -10,19 +10,19 @@
 	"porthub/policyapi"
 )
 
-// The errors of Pin and Unpin, beside ErrUnknownVersion.
+// Errors returned by VersionStore.Pin and VersionStore.Unpin, in addition to ErrUnknownVersion.
 var (
 	ErrReasonRequired = errors.New("a pin needs a reason")
 	ErrUnknownPin     = errors.New("no such pin")
 )
 
-// Scope is what a pin applies to: a table, all tables of a zone, or the fleet.
+// Scope is what a pin applies to: one table, all tables of the gateways in a zone, or all tables of the fleet.
 type Scope struct {
-	Table policyapi.TableID `json:"table"` // AnyTable: see Zone
-	Zone  policyapi.Zone    `json:"zone"`  // empty, with AnyTable: the fleet
+	Table policyapi.TableID `json:"table"` // a table, or AnyTable
+	Zone  policyapi.Zone    `json:"zone"`  // with AnyTable: a zone, or empty for the fleet
 }
 
-// AnyTable in a Scope means all tables.
+// AnyTable is the Scope.Table of a pin of all tables of a zone or of the fleet.
 const AnyTable policyapi.TableID = -1
 
 func (s Scope) String() string {
@@ -48,8 +48,8 @@
 	}
 }
 
-// contains reports whether a table is in scope for gateways of a zone. A gateway that is bound to no table yet has -1, which
-// equals AnyTable: it is in scope of its own zone and of the fleet only.
+// contains reports whether the scope includes a table at the gateways of a zone. The table of a gateway that is not bound to one yet
+// is -1, which equals AnyTable: only the scopes of its own zone and of the fleet include it.
 func (s Scope) contains(table policyapi.TableID, zone policyapi.Zone) bool {
 	if s.Table != AnyTable {
 		return s.Table == table
@@ -57,21 +57,21 @@
 	return s.Zone == "" || s.Zone == zone
 }
 
-// Pin fixes tables at an earlier state: at a version of one table, or at what all tables in scope had at a time.
+// Pin fixes tables at an earlier state: one table at a version, or all tables in scope at the state that was in force at a time.
 type Pin struct {
 	ID       int                    `json:"id"`
 	Scope    Scope                  `json:"scope"`
-	Version  Version                `json:"version,omitempty"` // of a table; 0: see At
-	At       policyapi.Microseconds `json:"at_us,omitempty"`   // the state that was in force then
+	Version  Version                `json:"version,omitempty"` // version of Scope.Table; 0: At applies
+	At       policyapi.Microseconds `json:"at_us,omitempty"`   // time whose state is pinned if Version is 0
 	PinnedAt policyapi.Microseconds `json:"since_us"`
 	Reason   string                 `json:"reason"`
-	// versions are those that the pin fixes, determined when it was set: a version created later, even with the same
-	// time, is not among them.
+	// versions holds the pinned version of each table. They are determined when the pin is set, so that versions created later, even
+	// with the same time, are not included.
 	versions map[policyapi.TableID]Version
 }
 
-// Pin pins what is in scope from now on, in place of an earlier pin of the same scope, and returns the pin with its ID.
-// It returns ErrReasonRequired without a reason and ErrUnknownVersion if the version to pin is not stored.
+// Pin adds a pin, replacing an earlier one of the same scope, and returns it with its ID. It returns ErrReasonRequired if the reason
+// is empty, and ErrUnknownVersion if the version to pin is not stored.
 func (s *VersionStore) Pin(now policyapi.Microseconds, pin Pin) (Pin, error) {
 	if err := s.checkPin(pin); err != nil {
 		return pin, err
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// versionsOf returns the versions that a pin fixes.
+// versionsOf returns the versions that a pin fixes, by table.
 func (s *VersionStore) versionsOf(pin Pin) map[policyapi.TableID]Version {
 	versions := map[policyapi.TableID]Version{}
 	for table, entries := range s.tables {
@@ -122,7 +122,7 @@
 	return versions
 }
 
-// Unpin removes a pin and returns it, or ErrUnknownPin.
+// Unpin removes a pin and returns it. It returns ErrUnknownPin if there is none with the ID.
 func (s *VersionStore) Unpin(id int) (Pin, error) {
 	i := slices.IndexFunc(s.pins, func(p Pin) bool { return p.ID == id })
 	if i < 0 {
@@ -133,10 +133,10 @@
 	return pin, nil
 }
 
-// Pins returns the pins, the oldest first. The result must not be changed.
+// Pins returns the pins, oldest first. Callers must not modify the result.
 func (s *VersionStore) Pins() []Pin { return s.pins }
 
-// pinnedVersions returns the versions of a table that pins need.
+// pinnedVersions returns the set of versions of a table that pins fix.
 func (s *VersionStore) pinnedVersions(table policyapi.TableID) map[Version]bool {
 	pinned := map[Version]bool{}
 	for _, p := range s.pins {
@@ -145,7 +145,8 @@
 	return pinned
 }
 
-// pinFor returns the narrowest pin of a table for gateways of a zone, of several the latest; nil if there is none.
+// pinFor returns the pin with the narrowest scope that includes a table at the gateways of a zone. It returns the newest if there are
+// several, and nil if there is none.
 func (s *VersionStore) pinFor(table policyapi.TableID, zone policyapi.Zone) (narrowest *Pin) {
 	for i := range s.pins {
 		pin := &s.pins[i]
@@ -159,9 +160,10 @@
 	return narrowest
 }
 
-// Effective returns the weights of a table for a class at gateways of a zone: current, or those of the narrowest pin
-// restricted to what eligibility allows. Where the pin leaves no endpoint that is allowed and not warming up, current
-// applies. pin is nil without a pin. overruled describes how the rules overruled the pin; it is empty if they did not.
+// Effective returns the weights of a table for a class at the gateways of a zone: current, or those of the pin with the narrowest
+// scope, restricted to what eligibility allows. If the restriction leaves no warmed-up endpoint, or if the table had no version at
+// the pinned time, current applies. pin is nil if there is none in scope. overruled states that current applies in spite of the pin,
+// or that endpoints are masked, with the reason; otherwise it is empty.
 func (s *VersionStore) Effective(table policyapi.TableID, class policyapi.RequestClass, zone policyapi.Zone, current Weights,
 	eligibility func(policyapi.EndpointID) EndpointEligibility) (weights Weights, pin *Pin, overruled string) {
 	pin = s.pinFor(table, zone)
@@ -182,15 +184,15 @@
 	return weights, pin, overruled
 }
 
-// PinnedVersion is a pin with the states that it fixes, as stored for the next start of the process.
+// PinnedVersion is a pin with the weights that it fixes, as stored for the next start of the process.
 type PinnedVersion struct {
 	Pin     Pin                           `json:"pin"`
-	Weights map[policyapi.TableID]Weights `json:"holds"`
-	// Overrides holds what the weight solver had set in place of Weights.
+	Weights map[policyapi.TableID]Weights `json:"holds"` // the decision module's weights
+	// Overrides holds the weights that the weight solver had set in place of Weights, by table and class.
 	Overrides map[policyapi.TableID]map[policyapi.RequestClass]Weights `json:"acting,omitempty"`
 }
 
-// Snapshot returns the pins and their states for the next start of the process.
+// Snapshot returns the pins and their weights, to be stored for the next start of the process.
 func (s *VersionStore) Snapshot() (snapshot []PinnedVersion) {
 	for _, pin := range s.pins {
 		snapshot = append(snapshot, s.pinnedVersion(pin))
@@ -198,6 +200,7 @@
 	return snapshot
 }
 
+// pinnedVersion returns a pin with the weights that it fixes.
 func (s *VersionStore) pinnedVersion(pin Pin) PinnedVersion {
 	stored := PinnedVersion{Pin: pin, Weights: map[policyapi.TableID]Weights{}}
 	for table, version := range pin.versions {
@@ -220,7 +223,7 @@
 	return stored
 }
 
-// Restore adds the pins of an earlier process. Their states become the first versions of their tables.
+// Restore adds the pins of an earlier process. The weights that they fix become the first versions of their tables.
 func (s *VersionStore) Restore(now policyapi.Microseconds, snapshot []PinnedVersion) {
 	for _, stored := range snapshot {
 		pin := stored.Pin
--- a/routing/state.go
+++ b/routing/state.go
@@ -9,11 +9,11 @@
 // Weights are the weights of a table by endpoint, each above 0.
 type Weights map[policyapi.EndpointID]float64
 
-// State is the immutable state of a table, a persistent radix tree: a state that is derived from another one shares the
+// State is an immutable state of a table. It is a persistent radix tree: a state that is derived from another one shares the
 // unchanged parts with it. The zero State is empty.
 type State struct{ tree *iradix.Tree[float64] }
 
-// treeOrEmpty returns the tree of the state, an empty one for the zero State.
+// treeOrEmpty returns the tree of the state, which is empty for the zero State.
 func (s State) treeOrEmpty() *iradix.Tree[float64] {
 	if s.tree == nil {
 		return iradix.New[float64]()
@@ -21,8 +21,8 @@
 	return s.tree
 }
 
-// With returns a state that has exactly the weights given and shares unchanged parts with s. Weights that are not above 0
-// are left out.
+// With returns a state that has exactly the given weights and shares its unchanged parts with s. Weights that are not above 0 are
+// omitted.
 func (s State) With(w Weights) State {
 	tree := s.treeOrEmpty()
 	txn := tree.Txn()
@@ -47,7 +47,7 @@
 	return w
 }
 
-// Entries returns the weights of the state in the order of endpoint ids.
+// Entries returns the weights of the state, ordered by endpoint ID.
 func (s State) Entries() []EndpointWeight { return Diff(State{}, s).Set }
 
 // Len returns the number of endpoints in the state.
@@ -58,7 +58,7 @@
 	return s.tree.Len()
 }
 
-// forEach calls f for every endpoint in the order of ids.
+// forEach calls f for each endpoint, ordered by ID.
 func (s State) forEach(f func(policyapi.EndpointID, float64)) {
 	if s.tree == nil {
 		return
@@ -69,6 +69,7 @@
 	}
 }
 
+// weight returns the weight of an endpoint. ok is false if the state does not have the endpoint.
 func (s State) weight(id policyapi.EndpointID) (weight float64, ok bool) {
 	if s.tree == nil {
 		return 0, false
@@ -82,17 +83,16 @@
 	Weight   float64              `json:"weight"`
 }
 
-// Delta leads from one state to another: entries that are added or changed, and endpoints that are removed, each in the
-// order of endpoint ids.
+// Delta is the difference from one state to another.
 type Delta struct {
-	Set     []EndpointWeight
-	Removed []policyapi.EndpointID
+	Set     []EndpointWeight       // added or changed entries, ordered by endpoint ID
+	Removed []policyapi.EndpointID // removed endpoints, ordered by ID
 }
 
 // Size returns the number of changes.
 func (d Delta) Size() int { return len(d.Set) + len(d.Removed) }
 
-// Diff returns the delta from one state to another.
+// Diff returns the delta from the state from to the state to.
 func Diff(from, to State) (delta Delta) {
 	to.forEach(func(id policyapi.EndpointID, weight float64) {
 		if previous, ok := from.weight(id); !ok || previous != weight {
@@ -107,7 +107,7 @@
 	return delta
 }
 
-// Apply returns the state that a delta leads to from s.
+// Apply returns the state that results from applying a delta to s.
 func (s State) Apply(delta Delta) State {
 	txn := s.treeOrEmpty().Txn()
 	for _, e := range delta.Set {
--- a/routing/versions.go
+++ b/routing/versions.go
@@ -9,18 +9,19 @@
 	"porthub/policyapi"
 )
 
-// ErrUnknownVersion means that a table has no such version, or none from such a time.
+// ErrUnknownVersion is wrapped by errors for a version that is not stored, or for a time from which a table has no version.
 var ErrUnknownVersion = errors.New("no such version")
 
-// Version numbers the states of one table from 1 on. Versions of different tables are unrelated.
+// Version is the number of a state of one table, counted from 1. Versions of different tables are unrelated.
 type Version uint64
 
 // VersionEntry is one version of a table.
 type VersionEntry struct {
 	Version   Version
 	CreatedAt policyapi.Microseconds
-	State     State // by the decision module
-	// Overrides holds what the weight solver sets in place of State, for the request classes that it changes.
+	State     State // weights of the decision module
+	// Overrides holds the weights that the weight solver sets in place of State, by request class. Classes that the solver does
+	// not change have no entry.
 	Overrides map[policyapi.RequestClass]State
 }
 
@@ -47,15 +48,15 @@
 
 // VersionStore stores the versions of all tables and the pins of operators. It is not safe for concurrent use.
 type VersionStore struct {
-	maxVersions int                    // of one table, unless pins need more
-	maxAge      policyapi.Microseconds // of a version that is neither the last nor pinned
-	tables      map[policyapi.TableID][]VersionEntry
-	latest      map[policyapi.TableID]Version
-	pins        []Pin
+	maxVersions int                                  // of one table; pinned versions may exceed it
+	maxAge      policyapi.Microseconds               // of a version that is neither the last nor pinned
+	tables      map[policyapi.TableID][]VersionEntry // oldest first
+	latest      map[policyapi.TableID]Version        // last assigned version
+	pins        []Pin                                // oldest first
 	lastPinID   int
 }
 
-// minVersions is the least number of versions that a store keeps of a table: the last and one to go back to.
+// minVersions is the smallest limit on the versions of a table: the last one and one for a rollback.
 const minVersions = 2
 
 // NewVersionStore returns an empty store that keeps up to maxVersions versions of each table for up to maxAge.
@@ -68,8 +69,8 @@
 	}
 }
 
-// Put sets the weights of a table from now on and the overrides of some classes, and returns the table's version: a new
-// one unless nothing has changed. The oldest versions that no pin needs are dropped.
+// Put sets the current weights of a table and the overrides of some classes. It returns the version of the table, which is a new one
+// unless nothing has changed. Old versions that are not pinned are dropped.
 func (s *VersionStore) Put(now policyapi.Microseconds, table policyapi.TableID, weights Weights, overrides map[policyapi.RequestClass]Weights) Version {
 	entries := s.tables[table]
 	var last VersionEntry
@@ -85,7 +86,7 @@
 	return next.Version
 }
 
-// next returns the version that follows e with the weights given.
+// next returns the entry that follows e, with the given version, weights and overrides.
 func (e VersionEntry) next(version Version, now policyapi.Microseconds, weights Weights, overrides map[policyapi.RequestClass]Weights) VersionEntry {
 	next := VersionEntry{Version: version, CreatedAt: now, State: e.State.With(weights)}
 	if len(overrides) == 0 {
@@ -98,7 +99,7 @@
 	return next
 }
 
-// dropOld removes the oldest entries that are too old or too many, but neither those that pins need nor the last one.
+// dropOld removes expired entries and, if there are more than maxVersions, the oldest ones. It keeps the last entry and pinned ones.
 func (s *VersionStore) dropOld(now policyapi.Microseconds, table policyapi.TableID, entries []VersionEntry) []VersionEntry {
 	pinned := s.pinnedVersions(table)
 	for i := 0; i < len(entries)-1; {
@@ -112,13 +113,13 @@
 	return entries
 }
 
-// Tables returns the tables that have versions, in order.
+// Tables returns the IDs of the tables that have versions, in ascending order.
 func (s *VersionStore) Tables() []policyapi.TableID { return slices.Sorted(maps.Keys(s.tables)) }
 
-// Versions returns the stored versions of a table, the oldest first. The result must not be changed.
+// Versions returns the stored versions of a table, oldest first. Callers must not modify the result.
 func (s *VersionStore) Versions(table policyapi.TableID) []VersionEntry { return s.tables[table] }
 
-// Get returns a version of a table, or ErrUnknownVersion if it is not stored.
+// Get returns a version of a table. It returns ErrUnknownVersion if the version is not stored.
 func (s *VersionStore) Get(table policyapi.TableID, version Version) (VersionEntry, error) {
 	for _, e := range s.tables[table] {
 		if e.Version == version {
@@ -128,7 +129,7 @@
 	return VersionEntry{}, fmt.Errorf("%w: table %d has no version %d: %s", ErrUnknownVersion, table, version, s.versionRange(table))
 }
 
-// versionRange describes the stored versions of a table.
+// versionRange describes the stored versions of a table for an error message.
 func (s *VersionStore) versionRange(table policyapi.TableID) string {
 	entries := s.tables[table]
 	if len(entries) == 0 {
@@ -137,7 +138,7 @@
 	return fmt.Sprintf("it has %d to %d", entries[0].Version, entries[len(entries)-1].Version)
 }
 
-// versionAt returns the version that was in force at a time.
+// versionAt returns the version that was in force at a time. ok is false if there is none that old.
 func versionAt(entries []VersionEntry, at policyapi.Microseconds) (entry VersionEntry, ok bool) {
 	for _, e := range slices.Backward(entries) {
 		if e.CreatedAt <= at {
--- a/routing/versions_test.go
+++ b/routing/versions_test.go
@@ -23,16 +23,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := ChangeCost(c.from, c.to); got != c.want {
-				t.Errorf("%d lines, want %d", got, c.want)
+				t.Errorf("ChangeCost = %d lines, want %d", got, c.want)
 			}
 			if same := Checksum(c.from) == Checksum(c.to); same != (c.want == 0) {
-				t.Errorf("equal checksums: %t", same)
+				t.Errorf("equal checksums: %t, want %t", same, c.want == 0)
 			}
 		})
 	}
 }
 
-// Deltas lead from any state to any other, and later states do not change earlier ones.
+// Applying the delta between any two states to the first results in the second, and deriving states does not change earlier ones.
 func TestStateDeltas(t *testing.T) {
 	states, weights := []State{{}}, []Weights{{}}
 	for i := range 40 {
@@ -46,15 +46,15 @@
 	}
 	for i := range states {
 		if !maps.Equal(states[i].Weights(), weights[i]) || states[i].Len() != len(weights[i]) {
-			t.Fatalf("state %d has changed since", i)
+			t.Fatalf("state %d has the weights %v after later states were derived, want %v", i, states[i].Weights(), weights[i])
 		}
 		for j := range states {
 			d := Diff(states[i], states[j])
 			if got := states[i].Apply(d); !maps.Equal(got.Weights(), weights[j]) {
-				t.Fatalf("the delta from %d leads not to %d", i, j)
+				t.Fatalf("state %d after applying the delta to state %d = %v, want %v", i, j, got.Weights(), weights[j])
 			}
 			if i == j && d.Size() != 0 {
-				t.Fatalf("%d lines from %d to itself", d.Size(), i)
+				t.Fatalf("the delta from state %d to itself has %d changes, want none", i, d.Size())
 			}
 		}
 	}
@@ -71,20 +71,20 @@
 		}
 	}
 	if v := store.Put(10*second, 1, Weights{"a": 10}, nil); v != 10 {
-		t.Errorf("the same weights again are version %d", v)
+		t.Errorf("Put of unchanged weights returns version %d, want 10", v)
 	}
 	if _, err := store.Get(1, 2); err != nil {
-		t.Error("a pinned version was dropped")
+		t.Errorf("Get of the pinned version 2 = %v, want no error", err)
 	}
 	if _, err := store.Get(1, 3); !errors.Is(err, ErrUnknownVersion) || !strings.Contains(err.Error(), "2 to 10") {
-		t.Errorf("version 3: %v", err)
+		t.Errorf("Get of the dropped version 3 = %v, want ErrUnknownVersion that states the range 2 to 10", err)
 	}
 	if n := len(store.Versions(1)); n > 5 {
-		t.Errorf("%d versions kept", n)
+		t.Errorf("%d versions are stored, want at most 4 and the pinned one", n)
 	}
 	store.Put(1000*second, 1, Weights{"a": 11}, nil)
 	if got := store.Versions(1); len(got) != 2 || got[0].Version != 2 {
-		t.Errorf("old versions stay: %v", got)
+		t.Errorf("versions after the others have expired = %v, want the pinned version 2 and the last", got)
 	}
 }
 
@@ -106,7 +106,7 @@
 		{Pin{Scope: Scope{Table: AnyTable}, Version: 1, Reason: "r"}, ErrUnknownVersion},
 	} {
 		if _, err := store.Pin(6*second, c.pin); !errors.Is(err, c.want) {
-			t.Errorf("%+v: %v", c.pin, err)
+			t.Errorf("Pin(%+v) = %v, want %v", c.pin, err, c.want)
 		}
 	}
 	fleet, err := store.Pin(6*second, Pin{Scope: Scope{Table: AnyTable}, At: 2 * second, Reason: "worse since"})
@@ -114,28 +114,29 @@
 		t.Fatal(err)
 	}
 	if w, _, _ := store.Effective(1, 0, "z", current, eligible); !maps.Equal(w, Weights{"a": 1, "b": 1}) {
-		t.Errorf("pinned, but the weights are %v", w)
+		t.Errorf("weights with a pin of the fleet = %v, want those of version 1", w)
 	}
 	if w, _, overruled := store.Effective(2, 0, "z", Weights{"c": 1}, eligible); !maps.Equal(w, Weights{"c": 1}) || overruled == "" {
-		t.Errorf("younger than the pin: %v, %q", w, overruled)
+		t.Errorf("weights of a table without a version at the pinned time = %v, overruled %q; want the current weights and a reason",
+			w, overruled)
 	}
 	// The narrower pin takes precedence.
 	if _, err := store.Pin(7*second, Pin{Scope: Scope{Table: 1}, Version: 2, Reason: "this one is fine"}); err != nil {
 		t.Fatal(err)
 	}
 	if w, _, _ := store.Effective(1, 0, "z", Weights{"x": 1}, eligible); !maps.Equal(w, current) {
-		t.Errorf("the table's own pin: %v", w)
+		t.Errorf("weights with pins of the fleet and of the table = %v, want those of the table's pin, %v", w, current)
 	}
 	if _, err := store.Unpin(fleet.ID); err != nil {
-		t.Error(err)
+		t.Errorf("Unpin = %v, want no error", err)
 	}
 	if _, err := store.Unpin(fleet.ID); !errors.Is(err, ErrUnknownPin) {
-		t.Error(err)
+		t.Errorf("second Unpin of the same pin = %v, want ErrUnknownPin", err)
 	}
 }
 
-// Whatever is pinned, closed endpoints get no weight, those warming up get no larger share than they have now, and current
-// weights apply where the rules leave no endpoint.
+// Whatever is pinned, closed endpoints get no weight, endpoints that are warming up get no larger share than by the current weights,
+// and current weights apply if the rules leave no endpoint.
 func TestMaskPinnedVersion(t *testing.T) {
 	store := NewVersionStore(10, 1000*second)
 	store.Put(1*second, 1, Weights{"a": 1, "b": 1, "cold": 1, "gone": 5, "new": 1}, nil)
@@ -148,7 +149,7 @@
 	}
 	w, _, overruled := store.Effective(1, 0, "z", current, eligibility)
 	if w["gone"] != 0 || w["new"] != 0 || w["a"] != 1 || overruled == "" {
-		t.Errorf("%v, %q", w, overruled)
+		t.Errorf("weights = %v, overruled %q; want 1 for a, none for gone and new, and a reason", w, overruled)
 	}
 	sum := func(w Weights) (s float64) {
 		for _, x := range w {
@@ -157,11 +158,13 @@
 		return s
 	}
 	if share, before := w["cold"]/sum(w), current["cold"]/sum(current); share == 0 || share > before*1.0001 {
-		t.Errorf("the share of the endpoint that is warming up is %.4f, now %.4f", share, before)
+		t.Errorf("share of the endpoint that is warming up = %.4f, want above 0 and at most the current %.4f", share, before)
 	}
-	w, pin, overruled := store.Effective(1, 0, "z", current, func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{Closed: true} })
+	allClosed := func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{Closed: true} }
+	w, pin, overruled := store.Effective(1, 0, "z", current, allClosed)
 	if !maps.Equal(w, current) || pin == nil || overruled == "" {
-		t.Errorf("with no endpoint left: %v, %q", w, overruled)
+		t.Errorf("with all endpoints closed: weights %v, pin %v, overruled %q; want the current weights, the pin and a reason",
+			w, pin, overruled)
 	}
 }
 
@@ -183,38 +186,39 @@
 	}
 }
 
-// Overrides of a class are part of versions, of pins and of their snapshot.
+// Overrides of a class are part of versions, of pins, and of the snapshot of pins.
 func TestOverridesAreVersioned(t *testing.T) {
 	store := NewVersionStore(10, 1000*second)
 	w := Weights{"a": 1, "b": 1}
 	store.Put(1*second, 1, w, nil)
 	overrides := map[policyapi.RequestClass]Weights{2: {"b": 1}}
 	if v := store.Put(2*second, 1, w, overrides); v != 2 {
-		t.Errorf("weights with overrides are version %d", v)
+		t.Errorf("Put with new overrides returns version %d, want 2", v)
 	}
 	if v := store.Put(3*second, 1, w, overrides); v != 2 {
-		t.Errorf("the same weights again are version %d", v)
+		t.Errorf("Put with the same overrides returns version %d, want 2", v)
 	}
 	if _, err := store.Pin(4*second, Pin{Scope: Scope{Table: 1}, Version: 2, Reason: "r"}); err != nil {
 		t.Fatal(err)
 	}
 	if v := store.Put(5*second, 1, w, nil); v != 3 {
-		t.Errorf("weights without overrides are version %d", v)
+		t.Errorf("Put without overrides returns version %d, want 3", v)
 	}
 	restored := NewVersionStore(10, 1000*second)
 	restored.Restore(6*second, store.Snapshot())
+	eligible := func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{} }
 	for name, store := range map[string]*VersionStore{"original": store, "restored": restored} {
 		for class, want := range map[policyapi.RequestClass]Weights{0: w, 2: overrides[2]} {
-			if got, _, overruled := store.Effective(1, class, "z", Weights{"c": 1}, func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{} }); !maps.Equal(got, want) || overruled != "" {
-				t.Errorf("%s, class %d: %v, %q", name, class, got, overruled)
+			if got, _, overruled := store.Effective(1, class, "z", Weights{"c": 1}, eligible); !maps.Equal(got, want) || overruled != "" {
+				t.Errorf("%s store, class %d: weights %v, overruled %q; want weights %v and no reason", name, class, got, overruled, want)
 			}
 		}
 	}
 }
 
-// A gateway that is bound to no table, which its table -1 says, is in scope of the pins of its own zone and of the fleet only.
-// (Regression: -1 is AnyTable too, so that every zone's pin applied to it.)
-func TestPinsOfOtherZonesSpareUnboundGateways(t *testing.T) {
+// Only the pins of its own zone and of the fleet apply to a gateway that is not bound to a table, whose table is -1. -1 equals
+// AnyTable, so that the pins of all zones used to apply to it.
+func TestPinsOfOtherZonesDoNotApplyToUnboundGateways(t *testing.T) {
 	store := NewVersionStore(10, 1000*second)
 	store.Put(1*second, 1, Weights{"a": 1}, nil)
 	if _, err := store.Pin(2*second, Pin{Scope: Scope{Table: AnyTable, Zone: "b"}, At: second, Reason: "worse since"}); err != nil {
@@ -223,9 +227,9 @@
 	eligible := func(policyapi.EndpointID) EndpointEligibility { return EndpointEligibility{} }
 	current := Weights{"c": 1}
 	if _, pin, overruled := store.Effective(AnyTable, 0, "a", current, eligible); pin != nil || overruled != "" {
-		t.Errorf("zone a: pin %+v, %q", pin, overruled)
+		t.Errorf("unbound gateway in zone a: pin %+v, overruled %q; want none, because only zone b is pinned", pin, overruled)
 	}
 	if _, pin, _ := store.Effective(AnyTable, 0, "b", current, eligible); pin == nil {
-		t.Error("zone b: its pin does not apply")
+		t.Error("unbound gateway in zone b: no pin, want the pin of zone b")
 	}
 }
