--- a/degradation/check.go
+++ b/degradation/check.go
@@ -68,7 +68,7 @@
 	return found
 }
 
-// checkTriggers checks the thresholds of all triggers of the level with an index.
+// checkTriggers checks the thresholds of all triggers of the level with index i.
 func (s Settings) checkTriggers(i int, found *findings) {
 	triggers := 0
 	for t := range TriggerCount {
@@ -92,7 +92,7 @@
 // isThreshold reports whether v is finite and at least 0.
 func isThreshold(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 
-// checkTrigger checks the thresholds of one trigger of a level, whose enter threshold is above 0.
+// checkTrigger checks the thresholds of trigger t of the level with index i. The enter threshold must be above 0.
 func (s Settings) checkTrigger(i int, t Trigger, found *findings) {
 	enter, leave := s.Levels[i].Enter[t], s.Levels[i].Leave[t]
 	if leave >= enter {
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkDelays checks the delays of the level with an index.
+// checkDelays checks the delays of the level with index i.
 func (s Settings) checkDelays(i int, found *findings) {
 	l := s.Levels[i]
 	if l.EnterDelay < 0 {
@@ -128,12 +128,12 @@
 	}
 }
 
-// reportTime returns the time in which minReportsToLeave reports arrive at the level with an index.
+// reportTime returns the time in which minReportsToLeave reports arrive at the level with index i.
 func (s Settings) reportTime(i int) policyapi.Microseconds {
 	return minReportsToLeave * s.Period * policyapi.Microseconds(max(1, s.Levels[i].Bounds.ReportIntervalFactor))
 }
 
-// checkBounds checks the bounds of the level with an index.
+// checkBounds checks the bounds of the level with index i.
 func (s Settings) checkBounds(i int, found *findings) {
 	bounds := s.Levels[i].Bounds
 	if len(bounds.Share) != len(s.Classes) || len(bounds.RetryPolicy) != len(s.Classes) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// checkClassBounds checks the bounds by request class of the level with an index.
+// checkClassBounds checks the bounds by request class of the level with index i.
 func (s Settings) checkClassBounds(i int, found *findings) {
 	bounds := s.Levels[i].Bounds
 	sum := 0.0
--- a/degradation/controller.go
+++ b/degradation/controller.go
@@ -92,7 +92,7 @@
 
 // Change is a change of a scope's level.
 type Change struct {
-	Zone     policyapi.Zone // or FleetScope
+	Zone     policyapi.Zone // a zone, or FleetScope
 	From, To int
 	Reason   string
 }
--- a/degradation/override.go
+++ b/degradation/override.go
@@ -22,7 +22,7 @@
 type Override struct {
 	ID     int                    `json:"id" cbor:"id"`
 	Action Action                 `json:"do" cbor:"do"`
-	Zone   policyapi.Zone         `json:"zone" cbor:"zone"` // or FleetScope
+	Zone   policyapi.Zone         `json:"zone" cbor:"zone"` // a zone, or FleetScope
 	Level  int                    `json:"level" cbor:"level"`
 	Until  policyapi.Microseconds `json:"until_us" cbor:"until_us"`
 	Reason string                 `json:"reason" cbor:"reason"`
@@ -31,7 +31,7 @@
 // maxOverrideDuration is the longest duration of an override, so that one that operators do not clear ends anyway.
 const maxOverrideDuration = 24 * 3600 * second
 
-// The errors of SetOverride and ClearOverride.
+// Errors returned by Controller.SetOverride and Controller.ClearOverride.
 var (
 	ErrReasonRequired  = errors.New("an override of a level needs a reason")
 	ErrInvalidEnd      = errors.New("an override of a level needs an end, a day away at most")
--- a/degradation/settings.go
+++ b/degradation/settings.go
@@ -50,15 +50,15 @@
 	return b
 }
 
-// Settings are the settings of a Controller.
+// Settings holds the settings of a Controller.
 type Settings struct {
 	Levels  []Level                `cbor:"Levels" json:"Levels"` // by severity, least severe first
 	Zones   []policyapi.Zone       `cbor:"Zones" json:"Zones"`
 	Classes []string               `cbor:"Kinds" json:"Kinds"`
-	Period  policyapi.Microseconds `cbor:"Period" json:"Period"` // of load reports
+	Period  policyapi.Microseconds `cbor:"Period" json:"Period"` // period of load reports
 }
 
-// Fallback is the level that gateways apply to their tables while they reach no coordinator.
+// Fallback is the level that gateways apply to their tables while they have no contact to a coordinator.
 type Fallback struct {
 	Level    int                    `cbor:"Level" json:"Level"` // 0: no fallback
 	After    policyapi.Microseconds `cbor:"After" json:"After"` // time without contact to a coordinator until the fallback applies
--- a/solver/activation.go
+++ b/solver/activation.go
@@ -7,8 +7,8 @@
 	// limit. Solutions apply after enterRounds such rounds in a row.
 	enterOverload = 1.15
 	enterRounds   = 2
-	// leaveOverload is the load, as a fraction of the limit, that no endpoint may reach for the desired weights to count as
-	// within the limits. Solutions stop applying after leaveRounds such rounds in a row.
+	// leaveOverload is the load, as a fraction of the limit, below which all endpoints must be for the desired weights to count
+	// as within the limits. Solutions stop applying after leaveRounds such rounds in a row.
 	leaveOverload = 0.95
 	leaveRounds   = 3
 )
@@ -155,8 +155,8 @@
 	return failing
 }
 
-// addEndpoint adds the load of an endpoint, as a fraction of its limit. An endpoint that is warming up and would be offered more
-// than its capacity is urgent.
+// addEndpoint adds the load of an endpoint, as a fraction of its limit. It sets urgentReason if the endpoint is warming up and would
+// be offered more than its capacity.
 func (w *desiredLoad) addEndpoint(e *Endpoint, utilization float64) {
 	if utilization > w.worst {
 		w.worst = utilization
--- a/solver/doc.go
+++ b/solver/doc.go
@@ -1,7 +1,7 @@
 // Package solver computes weights and admission limits with which no endpoint is offered more work than it can do. It applies
-// the price mechanism of the algorithm's paper to single endpoints and request classes: each endpoint has a price,
-// Newton-Exact-Diagonal steps adjust the prices, and F-NORM removes the remaining overload. The package is pure: it does no I/O,
-// reads no clock, and keeps no state except in the values that callers hold.
+// the price mechanism of the paper on Newton-Exact-Diagonal (NED) rate allocation to single endpoints and request classes: each
+// endpoint has a price, NED steps adjust the prices, and F-NORM removes the remaining overload. The package is pure: it does no
+// I/O, reads no clock, and keeps no state except in the values that callers hold.
 //
 // Solve takes the weights that the decision module desires. If they respect every limit, Solve returns them unchanged.
 // Otherwise the solution is the nearest one within the limits by relative entropy: each weight is multiplied by
--- a/solver/fleets/baselines.go
+++ b/solver/fleets/baselines.go
@@ -5,7 +5,7 @@
 // Baseline is a simple way to choose weights, with which solutions are compared.
 type Baseline string
 
-// The baselines.
+// The values of Baseline.
 const (
 	EvenWeights     Baseline = "even weights"
 	CapacityWeights Baseline = "weights by capacity"
--- a/solver/fleets/cases.go
+++ b/solver/fleets/cases.go
@@ -8,7 +8,7 @@
 	"porthub/solver"
 )
 
-// The hard cases.
+// The names of the hard cases.
 const (
 	casePlain               = "plain"
 	caseZoneLost            = "hall lost"
