--- a/xds/codec.go
+++ b/xds/codec.go
@@ -8,15 +8,16 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ErrInvalidMessage is wrapped by every error about a text or message that is not what its type demands.
+// ErrInvalidMessage is wrapped by every error for malformed text or an invalid message.
 var ErrInvalidMessage = errors.New("no xDS message")
 
-// Encode writes a message as protobuf JSON.
+// Encode returns a message as protobuf JSON, with the field names of the .proto files.
 func Encode(m proto.Message) ([]byte, error) {
 	return protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
 }
 
-// Decode reads protobuf JSON. Unknown fields are ignored: a newer peer may send more. The error wraps ErrInvalidMessage.
+// Decode parses protobuf JSON into a message. Unknown fields are ignored, since a newer peer may send additional ones. The
+// error wraps ErrInvalidMessage.
 func Decode(text []byte, into proto.Message) error {
 	if err := (protojson.UnmarshalOptions{DiscardUnknown: true}).Unmarshal(text, into); err != nil {
 		return fmt.Errorf("%w: %s: %w", ErrInvalidMessage, into.ProtoReflect().Descriptor().Name(), err)
--- a/xds/doc.go
+++ b/xds/doc.go
@@ -1,14 +1,16 @@
-// Package xds converts routing tables, acknowledgements and load reports to published xDS v3 messages and back. The
-// message types are Envoy's, from github.com/envoyproxy/go-control-plane; texts are protobuf JSON.
+// Package xds converts routing tables, acknowledgements and load reports to xDS v3 messages and back. The message types
+// are Envoy's, from github.com/envoyproxy/go-control-plane. Messages are encoded as protobuf JSON or in the protobuf wire
+// format.
 //
-//   - Clusters are ClusterLoadAssignment resources, one for each request class, named by the class. Localities are
-//     zones, load_balancing_weight is an endpoint's weight times WeightScale, DRAINING is a withheld endpoint.
-//   - Routes are one RouteConfiguration with a route for each class: the header x-request-kind selects it, retry_policy
-//     is the retry policy, a local rate limit in the route's own filter settings is an admitted rate, a runtime fraction
-//     an admitted share.
-//   - Acknowledgements are DiscoveryRequest messages, load reports are LoadStatsRequest messages.
+//   - Clusters are ClusterLoadAssignment resources, one for each request class and named after it. Localities are zones,
+//     load_balancing_weight is an endpoint's weight times WeightScale, and a withheld endpoint has the health status
+//     DRAINING.
+//   - Routes are in one RouteConfiguration, with one route for each class. A route matches the header x-request-kind and
+//     has the retry policy in retry_policy, an admitted rate as a local rate limit in typed_per_filter_config, and an
+//     admitted share as the runtime fraction of its match.
+//   - Acknowledgements are DiscoveryRequest messages, and load reports are LoadStatsRequest messages.
 //
-// The package is pure: it opens no sockets and starts no goroutines.
+// The package opens no sockets and starts no goroutines.
 //
-// A message that breaks the protocol is an error that wraps [ErrInvalidMessage] and names the field.
+// Errors for invalid messages wrap [ErrInvalidMessage] and name the invalid field or resource.
 package xds
--- a/xds/document.go
+++ b/xds/document.go
@@ -11,7 +11,7 @@
 	"porthub/routing"
 )
 
-// Document is a decoded document. By its Type, a type URL, Clusters or Routes are set.
+// Document is a decoded DiscoveryResponse. Its Type, a type URL, determines whether Clusters or Routes is set.
 type Document struct {
 	Type     string
 	Version  string
@@ -20,9 +20,9 @@
 	Routes   []routing.Route
 }
 
-// ParseDocument decodes the text of a document as a gateway does. For a truncated text or an invalid document the error
-// wraps ErrInvalidMessage; the document then has the type, version and nonce if they could be read, so that the gateway
-// can reject it by its nonce.
+// ParseDocument decodes a DiscoveryResponse in protobuf JSON, as a gateway does. If the text is truncated or a resource is
+// invalid, the error wraps ErrInvalidMessage. The returned document still has the type, version and nonce if they could
+// be decoded, so that the gateway can reject the document by its nonce.
 func ParseDocument(text []byte) (Document, error) {
 	response := &discoveryv3.DiscoveryResponse{}
 	if err := Decode(text, response); err != nil {
@@ -31,7 +31,7 @@
 	return ParseResponse(response)
 }
 
-// ParseResponse converts a message to a document. Errors are those of ParseDocument.
+// ParseResponse converts a message to a document. It returns the same errors as ParseDocument.
 func ParseResponse(response *discoveryv3.DiscoveryResponse) (Document, error) {
 	d := Document{Type: response.TypeUrl, Version: response.VersionInfo, Nonce: response.Nonce}
 	for i, resource := range response.Resources {
@@ -42,7 +42,7 @@
 	return d, nil
 }
 
-// add converts one resource and appends it.
+// add converts one resource and appends it to the clusters or routes.
 func (d *Document) add(index int, resource *anypb.Any) error {
 	switch d.Type {
 	case EndpointType:
@@ -62,7 +62,7 @@
 		}
 		d.Routes = append(d.Routes, routes...)
 	default:
-		return fmt.Errorf("%w: type %q is not known", ErrInvalidMessage, d.Type)
+		return fmt.Errorf("%w: unknown type URL %q", ErrInvalidMessage, d.Type)
 	}
 	return nil
 }
--- a/xds/endpoint_delta.go
+++ b/xds/endpoint_delta.go
@@ -13,12 +13,13 @@
 	"porthub/routing"
 )
 
-// endpointResource names an endpoint's resource in incremental responses: class/zone/address.
-func endpointResource(class string, endpoint routing.ClusterEndpoint) string {
+// endpointResourceName returns the name of an endpoint's resource in incremental responses: CLASS/ZONE/ADDRESS.
+func endpointResourceName(class string, endpoint routing.ClusterEndpoint) string {
 	return class + "/" + string(endpoint.Zone) + "/" + string(endpoint.Endpoint)
 }
 
-// endpointVersion identifies weight and withholding, all that can change of a resource.
+// endpointVersion returns the version of an endpoint's resource. It consists of all that can change: the weight and whether
+// the endpoint is withheld.
 func endpointVersion(endpoint routing.ClusterEndpoint) string {
 	if endpoint.Withheld {
 		return fmt.Sprintf("%d.w", publishedWeight(endpoint))
@@ -26,25 +27,25 @@
 	return fmt.Sprintf("%d", publishedWeight(endpoint))
 }
 
-// EndpointVersions returns the versions of all endpoints of a snapshot by resource name, in the form of
+// EndpointVersions returns the resource versions of all endpoints of a snapshot by resource name, as they are sent in
 // initial_resource_versions.
 func EndpointVersions(snapshot routing.Snapshot) map[string]string {
 	versions := map[string]string{}
 	for _, cluster := range snapshot.Clusters {
 		for _, endpoint := range cluster.Endpoints {
-			versions[endpointResource(cluster.Class, endpoint)] = endpointVersion(endpoint)
+			versions[endpointResourceName(cluster.Class, endpoint)] = endpointVersion(endpoint)
 		}
 	}
 	return versions
 }
 
-// NewEndpointDelta returns what takes a gateway from the resource versions given to a snapshot's clusters.
+// NewEndpointDelta returns the changes from the resource versions that a gateway has to the clusters of a snapshot.
 func NewEndpointDelta(version, nonce string, from map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	response := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: LbEndpointType, Nonce: nonce}
 	present := map[string]bool{}
 	for _, cluster := range to.Clusters {
 		for _, endpoint := range cluster.Endpoints {
-			name := endpointResource(cluster.Class, endpoint)
+			name := endpointResourceName(cluster.Class, endpoint)
 			present[name] = true
 			if from[name] == endpointVersion(endpoint) {
 				continue
@@ -76,13 +77,13 @@
 	return &discoveryv3.Resource{Name: name, Version: endpointVersion(endpoint), Resource: resource}, nil
 }
 
-// ApplyEndpointDelta returns the clusters to which a delta leads, one for each class and in the order of classes. The
-// snapshot from which it starts is not changed. The error for an invalid resource wraps ErrInvalidMessage.
+// ApplyEndpointDelta returns the clusters that result from applying a delta to a snapshot: one for each class, in the order
+// of classes. The snapshot is not modified. The error for an invalid resource wraps ErrInvalidMessage.
 func ApplyEndpointDelta(classes []string, from routing.Snapshot, delta *discoveryv3.DeltaDiscoveryResponse) ([]routing.Cluster, error) {
 	endpoints := map[string]routing.ClusterEndpoint{}
 	for _, cluster := range from.Clusters {
 		for _, endpoint := range cluster.Endpoints {
-			endpoints[endpointResource(cluster.Class, endpoint)] = endpoint
+			endpoints[endpointResourceName(cluster.Class, endpoint)] = endpoint
 		}
 	}
 	for _, name := range delta.RemovedResources {
@@ -101,7 +102,7 @@
 func parseEndpointResource(resource *discoveryv3.Resource) (routing.ClusterEndpoint, error) {
 	parts := strings.SplitN(resource.Name, "/", 3)
 	if len(parts) != 3 {
-		return routing.ClusterEndpoint{}, fmt.Errorf("%w: resource name %q is not kind/zone/address", ErrInvalidMessage, resource.Name)
+		return routing.ClusterEndpoint{}, fmt.Errorf("%w: resource name %q is not of the form CLASS/ZONE/ADDRESS", ErrInvalidMessage, resource.Name)
 	}
 	message := &endpointv3.LbEndpoint{}
 	if err := resource.GetResource().UnmarshalTo(message); err != nil {
@@ -110,7 +111,7 @@
 	return parseLbEndpoint(message, parts[2], parts[1]), nil
 }
 
-// clustersOf groups endpoints by the class in their resource names.
+// clustersOf groups endpoints by the class in their resource names, which are the keys of endpoints.
 func clustersOf(classes []string, endpoints map[string]routing.ClusterEndpoint) ([]routing.Cluster, error) {
 	clusters := make([]routing.Cluster, len(classes))
 	index := map[string]int{}
@@ -122,7 +123,7 @@
 		class, _, _ := strings.Cut(name, "/")
 		i, ok := index[class]
 		if !ok {
-			return nil, fmt.Errorf("%w: resource %q is of no known kind", ErrInvalidMessage, name)
+			return nil, fmt.Errorf("%w: resource %q has an unknown request class", ErrInvalidMessage, name)
 		}
 		clusters[i].Endpoints = append(clusters[i].Endpoints, endpoint)
 	}
--- a/xds/endpoint_delta_test.go
+++ b/xds/endpoint_delta_test.go
@@ -8,8 +8,8 @@
 	"porthub/xds"
 )
 
-// The same change gives the same message each time: removed resources are in the order of their names. (Regression: they came in
-// the order of a map.)
+// Removed resources are sorted by name, so that the same change always gives the same message. They used to be in the
+// random order of a map.
 func TestEndpointDeltaRemovesInOrder(t *testing.T) {
 	from := map[string]string{}
 	for _, name := range []string{"view/a", "view/b", "view/c", "save/a", "save/b", "save/c", "save/d"} {
@@ -21,7 +21,7 @@
 			t.Fatal(err)
 		}
 		if !slices.IsSorted(delta.RemovedResources) || len(delta.RemovedResources) != len(from) {
-			t.Fatalf("removed %v", delta.RemovedResources)
+			t.Fatalf("removed %v, want all resources, sorted by name", delta.RemovedResources)
 		}
 	}
 }
--- a/xds/endpoints.go
+++ b/xds/endpoints.go
@@ -16,11 +16,11 @@
 	"porthub/routing"
 )
 
-// maxWeight bounds a published weight well below the range of its type, so that weights can be added.
+// maxWeight limits a published weight to half the range of its type, uint32, which leaves room to add weights.
 const maxWeight = 1 << 31
 
-// NewEndpointDocument returns the document with a gateway's clusters. An endpoint whose ID is no address and port is an
-// error.
+// NewEndpointDocument returns the document with a gateway's clusters. It returns an error if the ID of an endpoint is not
+// an address and port.
 func NewEndpointDocument(version, nonce string, clusters []routing.Cluster) (*discoveryv3.DiscoveryResponse, error) {
 	response := &discoveryv3.DiscoveryResponse{VersionInfo: version, TypeUrl: EndpointType, Nonce: nonce}
 	for _, cluster := range clusters {
@@ -37,7 +37,8 @@
 	return response, nil
 }
 
-// newAssignment has a locality for each run of endpoints in one zone: clusters are sorted by zone.
+// newAssignment converts a cluster. It starts a new locality whenever the zone changes, since a cluster's endpoints are
+// sorted by zone.
 func newAssignment(cluster routing.Cluster) (*endpointv3.ClusterLoadAssignment, error) {
 	assignment := &endpointv3.ClusterLoadAssignment{ClusterName: cluster.Class}
 	var locality *endpointv3.LocalityLbEndpoints
@@ -96,15 +97,15 @@
 	}
 }
 
-// Address converts host:port to its message.
+// Address converts host:port to an Address message.
 func Address(hostport string) (*corev3.Address, error) {
 	host, port, err := net.SplitHostPort(hostport)
 	if err != nil {
-		return nil, fmt.Errorf("%q is no address:port", hostport)
+		return nil, fmt.Errorf("address %q is not host:port", hostport)
 	}
 	number, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("%q is no address:port", hostport)
+		return nil, fmt.Errorf("address %q: the port is not a number from 0 to 65535", hostport)
 	}
 	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
 		Address:       host,
--- a/xds/fuzz_test.go
+++ b/xds/fuzz_test.go
@@ -8,33 +8,33 @@
 	"porthub/routing"
 )
 
-// Whatever a document or report holds, reading it ends in values or an error.
+// FuzzRead parses arbitrary documents. Each one is either rejected with an error or has no negative weights.
 func FuzzRead(f *testing.F) {
-	m, err := NewEndpointDocument("v", "n", []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
+	endpointDocument, err := NewEndpointDocument("v", "n", []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	text, err := Encode(m)
+	endpoints, err := Encode(endpointDocument)
 	if err != nil {
 		f.Fatal(err)
 	}
-	r, err := NewRouteDocument("v", "n", []routing.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
+	routeDocument, err := NewRouteDocument("v", "n", []routing.Route{{Class: "view", Rate: 3, Share: 0.5, RetryPolicy: 2}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	routes, err := Encode(r)
+	routes, err := Encode(routeDocument)
 	if err != nil {
 		f.Fatal(err)
 	}
-	for _, seed := range [][]byte{text, routes, text[:len(text)/2], []byte(`{"type_url": "x", "resources": [{}]}`), []byte(`null`), {0xff}} {
+	for _, seed := range [][]byte{endpoints, routes, endpoints[:len(endpoints)/2], []byte(`{"type_url": "x", "resources": [{}]}`), []byte(`null`), {0xff}} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if d, err := ParseDocument(text); err == nil {
-			for _, c := range d.Clusters {
-				for _, l := range c.Endpoints {
-					if l.Weight < 0 {
-						t.Errorf("weight %v", l.Weight)
+		if document, err := ParseDocument(text); err == nil {
+			for _, cluster := range document.Clusters {
+				for _, endpoint := range cluster.Endpoints {
+					if endpoint.Weight < 0 {
+						t.Errorf("weight %v, want no negative weight", endpoint.Weight)
 					}
 				}
 			}
@@ -42,6 +42,7 @@
 	})
 }
 
+// FuzzReport parses arbitrary load reports. Each one is either rejected with an error or has plausible counts and latencies.
 func FuzzReport(f *testing.F) {
 	text, err := Encode(NewLoadReport(Node{Name: "gw", Zone: "a", ReportNumber: 1}, 1e9, []ClassReport{{Class: "view", Arrived: 3,
 		Endpoints: []EndpointReport{{Address: "127.0.0.1:1", Zone: "a", Attempts: 3, Metrics: map[string]float64{"util": 1}, MetricSamples: 1}}}}))
@@ -52,21 +53,21 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		m := &loadv3.LoadStatsRequest{}
-		if Decode(text, m) != nil {
+		request := &loadv3.LoadStatsRequest{}
+		if Decode(text, request) != nil {
 			return
 		}
-		_, _, kinds, err := ParseLoadReport(m)
+		_, _, classes, err := ParseLoadReport(request)
 		if err != nil {
 			return
 		}
-		for _, k := range kinds {
-			if k.Arrived < 0 || k.Rejected < 0 || k.Failures < 0 {
-				t.Errorf("%+v", k)
+		for _, class := range classes {
+			if class.Arrived < 0 || class.Rejected < 0 || class.Failures < 0 {
+				t.Errorf("class report %+v, want no negative counts", class)
 			}
-			for _, e := range k.Endpoints {
-				if e.Attempts < 0 || e.Failures > e.Attempts || e.MeanLatency < 0 {
-					t.Errorf("%+v", e)
+			for _, endpoint := range class.Endpoints {
+				if endpoint.Attempts < 0 || endpoint.Failures > endpoint.Attempts || endpoint.MeanLatency < 0 {
+					t.Errorf("endpoint report %+v, want no negative values and no more failures than attempts", endpoint)
 				}
 			}
 		}
--- a/xds/node.go
+++ b/xds/node.go
@@ -17,24 +17,24 @@
 
 // Bounds on the fields of a node that a gateway sends.
 const (
-	maxNodeName     = 200       // bytes: the name becomes that of a directory
-	maxReportNumber = 1 << 53   // JSON numbers are exact below it
+	maxNodeName     = 200       // bytes; the name is also used as a directory name
+	maxReportNumber = 1 << 53   // JSON numbers are float64, which represents smaller integers exactly
 	maxWaitLimit    = 600_000.0 // ms
-	maxUsualRate    = 1e7       // requests a second
+	maxUsualRate    = 1e7       // requests per second
 )
 
-// Node is how a gateway identifies itself.
+// Node identifies a gateway and describes its state in the messages that it sends.
 type Node struct {
 	Name         string
 	Zone         string
-	InitialTable bool    // it has nothing but its initial table
-	UsualRate    float64 // requests a second
-	ReportNumber uint64  // of the report that the message carries, from 1
-	Checksum     uint64  // routing.Checksum of all that it has applied; 0: not given
-	// Versions are those of endpoints and routes that the checksum covers; empty: not given.
+	InitialTable bool    // the gateway has only its initial table
+	UsualRate    float64 // usual number of requests per second; 0 if unknown
+	ReportNumber uint64  // number of the load report in the message, counted from 1; 0 if there is none
+	Checksum     uint64  // routing.Checksum of the applied tables; 0 if not given
+	// Versions are the versions of the endpoints and routes that Checksum covers; empty if not given.
 	Versions [routing.DocumentCount]string
-	Polls    bool          // it polls for its tables; otherwise it reads files
-	MaxWait  time.Duration // longest wait of a poll; 0: the response is sent at once
+	Polls    bool          // the gateway polls for its tables; otherwise it reads files
+	MaxWait  time.Duration // how long a poll waits for a change at most; 0 requests a response at once
 }
 
 func (n Node) message() *corev3.Node {
@@ -55,7 +55,7 @@
 			fields[metaVersions] = []any{n.Versions[0], n.Versions[1]}
 		}
 	}
-	metadata, _ := structpb.NewStruct(fields) // fails only for other types of values
+	metadata, _ := structpb.NewStruct(fields) // fails only for value types that are not used here
 	return &corev3.Node{
 		Id:            n.Name,
 		Cluster:       "gateways",
@@ -91,7 +91,7 @@
 		return Node{}, err
 	}
 	if math.IsNaN(node.UsualRate) || node.UsualRate < 0 || node.UsualRate > maxUsualRate {
-		return Node{}, fmt.Errorf("%w: node.metadata.%s is %v", ErrInvalidMessage, metaUsualRate, node.UsualRate)
+		return Node{}, fmt.Errorf("%w: node.metadata.%s is %v: it must be 0 to 10000000", ErrInvalidMessage, metaUsualRate, node.UsualRate)
 	}
 	return node, nil
 }
@@ -101,7 +101,7 @@
 		return fmt.Errorf("%w: node.id is missing or longer than 200 bytes", ErrInvalidMessage)
 	}
 	if strings.ContainsFunc(name, func(r rune) bool { return !isNameRune(r) }) {
-		return fmt.Errorf("%w: node.id %q: only letters, digits, - _ and . are taken", ErrInvalidMessage, name)
+		return fmt.Errorf("%w: node.id %q: only letters, digits, '-', '_' and '.' are allowed", ErrInvalidMessage, name)
 	}
 	if name[0] == '.' {
 		return fmt.Errorf("%w: node.id %q begins with a dot", ErrInvalidMessage, name)
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// isNameRune allows what is safe in the name of a directory.
+// isNameRune reports whether a rune is safe in a directory name.
 func isNameRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
@@ -129,7 +129,8 @@
 	return 0, fmt.Errorf("%w: node.metadata.%s is %v: it must be 0 to 600000", ErrInvalidMessage, metaMaxWait, ms)
 }
 
-// parseChecksum returns the checksum and the versions that it covers; each may be missing.
+// parseChecksum returns the checksum and the versions that it covers, which are zero if they are missing. Versions without
+// a checksum are ignored.
 func parseChecksum(metadata map[string]*structpb.Value) (checksum uint64, versions [routing.DocumentCount]string, err error) {
 	text := metadata[metaChecksum].GetStringValue()
 	if text == "" {
@@ -137,14 +138,16 @@
 	}
 	checksum, err = strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		return 0, versions, fmt.Errorf("%w: node.metadata.%s is %q, no number of base 16", ErrInvalidMessage, metaChecksum, text)
+		return 0, versions, fmt.Errorf("%w: node.metadata.%s is %q: it must be a hexadecimal number of at most 64 bits",
+			ErrInvalidMessage, metaChecksum, text)
 	}
 	values := metadata[metaVersions].GetListValue().GetValues()
 	if len(values) == 0 {
 		return checksum, versions, nil
 	}
 	if len(values) != routing.DocumentCount {
-		return 0, versions, fmt.Errorf("%w: node.metadata.%s names %d versions, not those of endpoints and routes", ErrInvalidMessage, metaVersions, len(values))
+		return 0, versions, fmt.Errorf("%w: node.metadata.%s has %d versions: it must have two, those of endpoints and routes",
+			ErrInvalidMessage, metaVersions, len(values))
 	}
 	for document, value := range values {
 		versions[document] = value.GetStringValue()
@@ -152,11 +155,12 @@
 	return checksum, versions, nil
 }
 
-// invalidArgument is google.rpc.Code INVALID_ARGUMENT.
+// invalidArgument is the code INVALID_ARGUMENT of google.rpc.Code.
 const invalidArgument = 3
 
-// NewAcknowledgement returns the request that names the version of a document that a gateway has applied. With a
-// rejection, the reason why the document with the nonce could not be applied, it is a negative acknowledgement.
+// NewAcknowledgement returns the request that acknowledges the version of a document that a gateway has applied. If
+// rejection is not empty, the request is a negative acknowledgement: rejection is the reason why the document with the
+// nonce could not be applied.
 func NewAcknowledgement(node Node, typeURL, version, nonce, rejection string) *discoveryv3.DiscoveryRequest {
 	request := &discoveryv3.DiscoveryRequest{
 		Node:          node.message(),
--- a/xds/orca.go
+++ b/xds/orca.go
@@ -6,13 +6,14 @@
 	"strings"
 )
 
-// ORCAHeader is the response header in which endpoints report their load (ORCA, TEXT format).
+// ORCAHeader is the response header in which endpoints report their load, in the TEXT format of ORCA (Open Request Cost
+// Aggregation).
 const ORCAHeader = "endpoint-load-metrics"
 
-// maxMetric bounds a load metric.
+// maxMetric is the exclusive upper bound of a load metric.
 const maxMetric = 1e9
 
-// metricNames maps ORCA's names to ours.
+// metricNames maps the ORCA names of load metrics to the names in load reports.
 var metricNames = map[string]string{
 	"cpu_utilization":     "util",
 	"rps_fractional":      "qps",
@@ -24,8 +25,8 @@
 	return fmt.Sprintf("TEXT cpu_utilization=%.4g, named_metrics.queue=%.4g", util, queue)
 }
 
-// ParseORCA returns the load metrics in the header's value: util, queue and qps. Unknown and malformed ones are left out;
-// the map is nil if none is left.
+// ParseORCA returns the load metrics in the header's value: util, queue and qps. Unknown and malformed metrics are skipped.
+// The map is nil if there are no others.
 func ParseORCA(header string) map[string]float64 {
 	list, ok := strings.CutPrefix(header, "TEXT ")
 	if !ok {
@@ -35,7 +36,7 @@
 	for _, pair := range strings.Split(list, ",") {
 		key, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		value, err := strconv.ParseFloat(text, 64)
-		if err != nil || !(value >= 0 && value < maxMetric) { // also for NaN
+		if err != nil || !(value >= 0 && value < maxMetric) { // NaN is skipped as well
 			continue
 		}
 		name, ok := metricNames[key]
--- a/xds/parse_report.go
+++ b/xds/parse_report.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	maxCount         = 10_000_000 // of anything in one report: receivers add counts up
+	maxCount         = 10_000_000 // upper limit of each count in a report, because receivers add counts up
 	maxMeanLatencyMS = 1e6
 )
 
-// ParseLoadReport converts a report. Counts above ten million are an error. Errors wrap ErrInvalidMessage.
+// ParseLoadReport converts a load report. The interval is the longest of all classes. It returns an error that wraps
+// ErrInvalidMessage if the node or a mean latency is invalid, or a count is above ten million.
 func ParseLoadReport(request *loadv3.LoadStatsRequest) (node Node, interval time.Duration, classes []ClassReport, err error) {
 	node, err = ParseNode(request.Node)
 	if err != nil {
@@ -53,13 +54,13 @@
 			report.Endpoints = append(report.Endpoints, endpoint)
 		}
 	}
-	if !hasArrivals { // a plain proxy does not report arrivals: what it sent and what it rejected
+	if !hasArrivals { // a plain proxy reports only the requests that it sent and those that it rejected
 		report.Arrived = attempts + report.Rejected
 	}
 	return report, nil
 }
 
-// parseTotals reads the counts of the gateway itself, and reports whether arrivals are among them.
+// parseTotals reads the totals of the gateway itself, and reports whether arrivals are among them.
 func (r *ClassReport) parseTotals(metrics []*endpointv3.EndpointLoadMetricStats) (hasArrivals bool, err error) {
 	for _, metric := range metrics {
 		switch metric.MetricName {
@@ -78,7 +79,7 @@
 
 func parseCount(count uint64) (int, error) {
 	if count > maxCount {
-		return 0, fmt.Errorf("%w: a count of %d", ErrInvalidMessage, count)
+		return 0, fmt.Errorf("%w: a count is %d: it must be at most 10000000", ErrInvalidMessage, count)
 	}
 	return int(count), nil
 }
@@ -113,8 +114,8 @@
 	}
 	mean := metric.TotalMetricValue / samples
 	if metric.MetricName == metricLatency {
-		if !(mean >= 0 && mean < maxMeanLatencyMS) { // also for NaN
-			return fmt.Errorf("%w: %s: a mean latency of %v ms", ErrInvalidMessage, r.Address, mean)
+		if !(mean >= 0 && mean < maxMeanLatencyMS) { // NaN is invalid as well
+			return fmt.Errorf("%w: %s: mean latency is %v ms: it must be at least 0 and below 1000000 ms", ErrInvalidMessage, r.Address, mean)
 		}
 		r.MeanLatency = time.Duration(mean * float64(time.Millisecond))
 		return nil
--- a/xds/parse_routes.go
+++ b/xds/parse_routes.go
@@ -13,6 +13,7 @@
 	"porthub/routing"
 )
 
+// maxRetryPolicy is the highest valid retry policy.
 const maxRetryPolicy = policyapi.RetryTwice
 
 func parseRoutes(configuration *routev3.RouteConfiguration) (routes []routing.Route, err error) {
@@ -47,7 +48,7 @@
 			return parsed, fmt.Errorf("%w: route %s: %w", ErrInvalidMessage, route.Name, err)
 		}
 	}
-	if settings := route.TypedPerFilterConfig[rateFilter]; settings != nil {
+	if settings := route.TypedPerFilterConfig[rateLimitFilter]; settings != nil {
 		parsed.Rate, err = parseRateLimit(settings)
 		if err != nil {
 			return parsed, fmt.Errorf("%w: route %s: %w", ErrInvalidMessage, route.Name, err)
@@ -56,6 +57,7 @@
 	return parsed, nil
 }
 
+// parseRetryPolicy is the inverse of newRetryPolicy.
 func parseRetryPolicy(retry *routev3.RetryPolicy) policyapi.RetryPolicy {
 	if retry == nil {
 		return policyapi.NoRetry
@@ -70,25 +72,25 @@
 func parseFallback(fields map[string]*structpb.Value) (routing.Fallback, error) {
 	number := func(key string) float64 { return fields[key].GetNumberValue() }
 	fallback := routing.Fallback{
-		After:       milliseconds(number(fallbackAfter)),
-		Duration:    milliseconds(number(fallbackDuration)),
+		After:       fromMilliseconds(number(fallbackAfter)),
+		Duration:    fromMilliseconds(number(fallbackDuration)),
 		Share:       number(fallbackShare),
 		RetryPolicy: policyapi.RetryPolicy(number(fallbackRetryPolicy)),
 	}
-	shareValid := fallback.Share >= 0 && fallback.Share <= 1 // not for NaN
+	shareValid := fallback.Share >= 0 && fallback.Share <= 1 // false for NaN
 	retryValid := fallback.RetryPolicy >= 0 && fallback.RetryPolicy <= maxRetryPolicy
 	if !shareValid || !retryValid || fallback.After < 0 || fallback.Duration < 0 {
-		return routing.Fallback{}, fmt.Errorf("a fallback of %+v", fallback)
+		return routing.Fallback{}, fmt.Errorf("invalid fallback %+v: share must be 0 to 1, second_try 0 to 3, and after_ms and for_ms at least 0", fallback)
 	}
 	return fallback, nil
 }
 
-// milliseconds converts a number of them.
-func milliseconds(ms float64) policyapi.Microseconds {
+// fromMilliseconds converts milliseconds to microseconds.
+func fromMilliseconds(ms float64) policyapi.Microseconds {
 	return policyapi.Microseconds(ms) * microsecondsPerMillisecond
 }
 
-// parseRateLimit returns a rate in requests a second.
+// parseRateLimit returns the rate of a token bucket, in requests per second.
 func parseRateLimit(settings *anypb.Any) (float64, error) {
 	limit := &ratev3.LocalRateLimit{}
 	if err := settings.UnmarshalTo(limit); err != nil {
@@ -96,7 +98,7 @@
 	}
 	interval := limit.GetTokenBucket().GetFillInterval().AsDuration().Seconds()
 	if interval <= 0 {
-		return routing.UnlimitedRate, fmt.Errorf("a bucket without a fill interval")
+		return routing.UnlimitedRate, fmt.Errorf("token bucket: fill_interval is missing or not above 0")
 	}
 	rate := float64(limit.TokenBucket.GetTokensPerFill().GetValue()) / interval
 	if rate < minRate {
--- a/xds/report.go
+++ b/xds/report.go
@@ -11,7 +11,7 @@
 	"porthub/policyapi"
 )
 
-// ClassReport is what a gateway observed of one request class in an interval, in requests.
+// ClassReport counts the requests of one class that a gateway handled in an interval.
 type ClassReport struct {
 	Class     string
 	Arrived   int
@@ -20,23 +20,22 @@
 	Endpoints []EndpointReport
 }
 
-// EndpointReport is what a gateway observed at one endpoint in an interval, in attempts.
+// EndpointReport has the counts and measurements of the attempts that a gateway made at one endpoint in an interval.
 type EndpointReport struct {
 	Address       string
 	Zone          string
-	Attempts      int // that ended
-	Failures      int // of them
-	InFlight      int
+	Attempts      int                // completed attempts
+	Failures      int                // completed attempts that failed
+	InFlight      int                // attempts in progress
 	MeanLatency   time.Duration      // of successful attempts
-	Metrics       map[string]float64 // means of the load metrics in responses, by the names of ParseORCA
-	MetricSamples int                // responses with load metrics
+	Metrics       map[string]float64 // means of the load metrics in responses, by the names that ParseORCA returns
+	MetricSamples int                // number of responses with load metrics
 }
 
 // endpointMetrics are the load metrics of an EndpointReport, in the order in which they are sent.
 var endpointMetrics = []string{"util", "queue", "qps"}
 
-// NewLoadReport returns the report of what a gateway met in an interval. An endpoint whose address is no address and
-// port is left out.
+// NewLoadReport returns a gateway's load report for an interval. Endpoints whose address is not host:port are left out.
 func NewLoadReport(node Node, interval time.Duration, classes []ClassReport) *loadv3.LoadStatsRequest {
 	request := &loadv3.LoadStatsRequest{Node: node.message()}
 	for _, class := range classes {
@@ -60,7 +59,7 @@
 			DroppedCount: uint64(class.Rejected),
 		}}
 	}
-	// What arrives at the gateway itself is reported for its own locality, which is always present.
+	// The totals of the gateway itself are reported in its own locality, which is therefore always present.
 	builder.locality(zone).LoadMetricStats = []*endpointv3.EndpointLoadMetricStats{
 		{MetricName: metricArrived, NumRequestsFinishedWithMetric: uint64(class.Arrived), TotalMetricValue: float64(class.Arrived)},
 		{MetricName: metricFailures, NumRequestsFinishedWithMetric: uint64(class.Arrived), TotalMetricValue: float64(class.Failures)},
@@ -88,7 +87,7 @@
 }
 
 func (b *clusterStatsBuilder) add(report EndpointReport) {
-	locality := b.locality(report.Zone) // also if the endpoint is left out
+	locality := b.locality(report.Zone) // added even if the endpoint is left out
 	address, err := Address(report.Address)
 	if err != nil {
 		return
@@ -131,7 +130,7 @@
 	return stats
 }
 
-// NewLoadReportResponse returns the response to a report: all clusters are wanted, once a period.
+// NewLoadReportResponse returns the response to a load report. It requests reports of all clusters, one in each period.
 func NewLoadReportResponse(period policyapi.Microseconds) *loadv3.LoadStatsResponse {
 	return &loadv3.LoadStatsResponse{
 		SendAllClusters:           true,
--- a/xds/route_delta.go
+++ b/xds/route_delta.go
@@ -12,8 +12,9 @@
 	"porthub/routing"
 )
 
-// RouteVersions returns the versions of all routes of a snapshot by resource name, in the form of
-// initial_resource_versions. In incremental responses each class's route is a RouteConfiguration named by the class.
+// RouteVersions returns the resource versions of all routes of a snapshot by resource name, as they are sent in
+// initial_resource_versions. In incremental responses the route of each class is a RouteConfiguration of its own, named
+// after the class.
 func RouteVersions(snapshot routing.Snapshot) map[string]string {
 	versions := map[string]string{}
 	for _, route := range snapshot.Routes {
@@ -22,7 +23,7 @@
 	return versions
 }
 
-// routeVersion identifies all that can change of a route.
+// routeVersion returns the version of a route's resource. It consists of all that can change.
 func routeVersion(r routing.Route) string {
 	version := fmt.Sprintf("%g.%g.%d.%d", r.Rate, r.Share, r.RetryPolicy, r.Timeout)
 	if r.Fallback.Duration <= 0 {
@@ -32,7 +33,7 @@
 	return version + fmt.Sprintf("-%d.%d.%g.%d", f.After, f.Duration, f.Share, f.RetryPolicy)
 }
 
-// NewRouteDelta returns what takes a gateway from the resource versions given to a snapshot's routes.
+// NewRouteDelta returns the changes from the resource versions that a gateway has to the routes of a snapshot.
 func NewRouteDelta(version, nonce string, from map[string]string, to routing.Snapshot) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	response := &discoveryv3.DeltaDiscoveryResponse{SystemVersionInfo: version, TypeUrl: RouteType, Nonce: nonce}
 	present := map[string]bool{}
@@ -67,8 +68,9 @@
 	return &discoveryv3.Resource{Name: route.Class, Version: routeVersion(route), Resource: resource}, nil
 }
 
-// ApplyRouteDelta returns the routes to which a delta leads, of the classes given and in their order. The routes from
-// which it starts are not changed. The error for an invalid resource wraps ErrInvalidMessage.
+// ApplyRouteDelta returns the routes that result from applying a delta to other routes, which are not modified. The result
+// has only routes of the given classes, in the order of classes. The error for an invalid resource wraps
+// ErrInvalidMessage.
 func ApplyRouteDelta(classes []string, from []routing.Route, delta *discoveryv3.DeltaDiscoveryResponse) ([]routing.Route, error) {
 	byClass := map[string]routing.Route{}
 	for _, route := range from {
@@ -103,7 +105,7 @@
 		return routing.Route{}, err
 	}
 	if len(routes) != 1 || routes[0].Class != resource.Name || !slices.Contains(classes, resource.Name) {
-		return routing.Route{}, fmt.Errorf("%w: resource %q is not the one route of a known kind", ErrInvalidMessage, resource.Name)
+		return routing.Route{}, fmt.Errorf("%w: resource %q is not a single route of the known request class that it is named after", ErrInvalidMessage, resource.Name)
 	}
 	return routes[0], nil
 }
--- a/xds/routes.go
+++ b/xds/routes.go
@@ -20,10 +20,10 @@
 	"porthub/routing"
 )
 
-// rateFilter is the key of a route's local rate limit.
-const rateFilter = "envoy.filters.http.local_ratelimit"
+// rateLimitFilter is the name of Envoy's local rate limit filter. A route's rate limit is stored under this name.
+const rateLimitFilter = "envoy.filters.http.local_ratelimit"
 
-// Keys of FallbackMetadata.
+// Keys of the metadata under FallbackMetadata.
 const (
 	fallbackAfter       = "after_ms"
 	fallbackDuration    = "for_ms"
@@ -33,24 +33,25 @@
 
 const microsecondsPerMillisecond = 1000
 
-// What a retry policy retries. A connection that was never made is proof that the first attempt did not run.
+// Values of retry_on. retryUnsent lists the failures that prove that the first attempt was not executed: the connection
+// was not established or the stream was refused.
 const (
 	retryUnsent = "connect-failure,refused-stream"
 	retryAny    = "5xx,reset,connect-failure,refused-stream"
 )
 
-// How a rate becomes a token bucket, which has integer tokens and an interval.
+// Parameters of the conversion from a rate to a token bucket, which has an integer number of tokens and a fill interval.
 const (
-	// fillInterval is how often a bucket is filled, if a fill then has minFillTokens.
+	// fillInterval is the fill interval of a bucket if a fill then has at least minFillTokens; otherwise it is longer.
 	fillInterval = 100 * time.Millisecond
-	// minFillTokens keeps the rounding of tokens within a hundredth of the rate.
+	// minFillTokens keeps the error from rounding tokens within 1% of the rate.
 	minFillTokens = 100
-	// minRate is the lowest rate above 0, in requests a second: a gateway reads less as 0.
+	// minRate is the lowest rate above 0, in requests per second. A gateway treats a lower rate as 0.
 	minRate         = 1e-3
 	maxFillInterval = time.Hour
 )
 
-// NewRouteDocument returns the document with a gateway's routes. A retry policy that does not exist is an error.
+// NewRouteDocument returns the document with a gateway's routes. It returns an error for an unknown retry policy.
 func NewRouteDocument(version, nonce string, routes []routing.Route) (*discoveryv3.DiscoveryResponse, error) {
 	configuration, err := newRouteConfiguration(RouteConfigurationName, routes)
 	if err != nil {
@@ -105,7 +106,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("route %s: %w", r.Class, err)
 		}
-		route.TypedPerFilterConfig = map[string]*anypb.Any{rateFilter: settings}
+		route.TypedPerFilterConfig = map[string]*anypb.Any{rateLimitFilter: settings}
 	}
 	return route, nil
 }
@@ -119,11 +120,11 @@
 	case policyapi.RetryOnce, policyapi.RetryTwice:
 		return &routev3.RetryPolicy{RetryOn: retryAny, NumRetries: wrapperspb.UInt32(uint32(r.RetryPolicy - 1))}, nil
 	default:
-		return nil, fmt.Errorf("route %s: no such retry policy: %d", r.Class, r.RetryPolicy)
+		return nil, fmt.Errorf("route %s: unknown retry policy %d", r.Class, r.RetryPolicy)
 	}
 }
 
-// newMatch selects a class's requests, and of them the admitted share.
+// newMatch returns a match for the requests of a class, limited to the admitted share.
 func newMatch(r routing.Route) *routev3.RouteMatch {
 	match := &routev3.RouteMatch{
 		PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/"},
@@ -159,7 +160,7 @@
 	return &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{FallbackMetadata: fields}}, nil
 }
 
-// newRateLimit returns the token bucket for a rate in requests a second.
+// newRateLimit returns the local rate limit for a rate in requests per second.
 func newRateLimit(rate float64) *ratev3.LocalRateLimit {
 	interval := fillInterval
 	tokens := rate * fillInterval.Seconds()
@@ -169,14 +170,14 @@
 	}
 	tokensPerFill := uint32(math.Round(tokens))
 	if rate == 0 {
-		// A bucket can't have 0 tokens; this is the lowest rate that it can have.
+		// A bucket can't have 0 tokens per fill. This is the lowest rate that it can have.
 		tokensPerFill = 1
 		interval = maxFillInterval
 	}
 	return &ratev3.LocalRateLimit{
 		StatPrefix: "admission",
 		TokenBucket: &typev3.TokenBucket{
-			MaxTokens:     uint32(max(1, math.Ceil(rate/4))), // bursts of a quarter of a second
+			MaxTokens:     uint32(max(1, math.Ceil(rate/4))), // allows bursts of a quarter of a second
 			TokensPerFill: wrapperspb.UInt32(tokensPerFill),
 			FillInterval:  durationpb.New(interval),
 		},
@@ -185,10 +186,12 @@
 	}
 }
 
+// always returns a fraction of 100%.
 func always() *corev3.RuntimeFractionalPercent {
 	return &corev3.RuntimeFractionalPercent{DefaultValue: &typev3.FractionalPercent{Numerator: 100}}
 }
 
+// denominators maps the denominators of a FractionalPercent to their values.
 var denominators = map[typev3.FractionalPercent_DenominatorType]float64{
 	typev3.FractionalPercent_HUNDRED:      100,
 	typev3.FractionalPercent_TEN_THOUSAND: 1e4,
--- a/xds/shared.go
+++ b/xds/shared.go
@@ -10,11 +10,11 @@
 	"porthub/routing"
 )
 
-// SharedResponse is a response without the version and nonce of the gateway that it goes to. Gateways that are to have
-// the same tables share one: its resources are built once, and so is each encoding of them. It is safe for concurrent
-// use.
+// SharedResponse is a response to several gateways. It lacks the version and nonce, which are specific to a gateway and
+// added when the response is sent. Gateways with the same tables share one, so that its resources are built only once and
+// encoded only once in each format. It is safe for concurrent use.
 type SharedResponse struct {
-	// One of the two is set.
+	// Exactly one of full and delta is set.
 	full  *discoveryv3.DiscoveryResponse
 	delta *discoveryv3.DeltaDiscoveryResponse
 
@@ -22,7 +22,7 @@
 	binary encoding
 }
 
-// encoding is a body that is made on first use.
+// encoding is an encoded message that is computed on first use.
 type encoding struct {
 	once sync.Once
 	body []byte
@@ -34,31 +34,31 @@
 	return e.body, e.err
 }
 
-// ShareEndpointDocument returns the response with all clusters.
+// ShareEndpointDocument returns the shared form of the response of NewEndpointDocument.
 func ShareEndpointDocument(clusters []routing.Cluster) (*SharedResponse, error) {
 	m, err := NewEndpointDocument("", "", clusters)
 	return &SharedResponse{full: m}, err
 }
 
-// ShareRouteDocument returns the response with all routes.
+// ShareRouteDocument returns the shared form of the response of NewRouteDocument.
 func ShareRouteDocument(routes []routing.Route) (*SharedResponse, error) {
 	m, err := NewRouteDocument("", "", routes)
 	return &SharedResponse{full: m}, err
 }
 
-// ShareEndpointDelta returns the response of NewEndpointDelta.
+// ShareEndpointDelta returns the shared form of the response of NewEndpointDelta.
 func ShareEndpointDelta(from map[string]string, to routing.Snapshot) (*SharedResponse, error) {
 	m, err := NewEndpointDelta("", "", from, to)
 	return &SharedResponse{delta: m}, err
 }
 
-// ShareRouteDelta returns the response of NewRouteDelta.
+// ShareRouteDelta returns the shared form of the response of NewRouteDelta.
 func ShareRouteDelta(from map[string]string, to routing.Snapshot) (*SharedResponse, error) {
 	m, err := NewRouteDelta("", "", from, to)
 	return &SharedResponse{delta: m}, err
 }
 
-// Message returns the response to one gateway. Its resources are shared: it must not be changed.
+// Message returns the response to one gateway. Its resources are shared, so it must not be modified.
 func (s *SharedResponse) Message(version, nonce string) proto.Message {
 	if s.delta != nil {
 		return &discoveryv3.DeltaDiscoveryResponse{
@@ -77,15 +77,15 @@
 	}
 }
 
-// unaddressed is the message without version and nonce.
-func (s *SharedResponse) unaddressed() proto.Message {
+// withoutVersion returns the message without version and nonce.
+func (s *SharedResponse) withoutVersion() proto.Message {
 	if s.delta != nil {
 		return s.delta
 	}
 	return s.full
 }
 
-// ResourceCount returns the number of resources, removed ones included.
+// ResourceCount returns the number of resources, including removed ones.
 func (s *SharedResponse) ResourceCount() int {
 	if s.delta != nil {
 		return len(s.delta.Resources) + len(s.delta.RemovedResources)
@@ -93,9 +93,9 @@
 	return len(s.full.Resources)
 }
 
-// Encode writes the response to one gateway as protobuf JSON.
+// Encode returns the response to one gateway as protobuf JSON.
 func (s *SharedResponse) Encode(version, nonce string) ([]byte, error) {
-	body, err := s.json.get(func() ([]byte, error) { return Encode(s.unaddressed()) })
+	body, err := s.json.get(func() ([]byte, error) { return Encode(s.withoutVersion()) })
 	if err != nil {
 		return nil, err
 	}
@@ -107,14 +107,14 @@
 	if err != nil {
 		return nil, err
 	}
-	// Two objects are joined to one. The shared one is never empty: it has its type.
+	// Join the two JSON objects by replacing "}{" with a comma. The shared object is never empty, since it has a type URL.
 	return append(append(head[:len(head)-1], ','), body[1:]...), nil
 }
 
-// EncodeBinary writes the response to one gateway in the protobuf wire format, in which the concatenation of two
-// messages is their merge.
+// EncodeBinary returns the response to one gateway in the protobuf wire format. In this format, the concatenation of two
+// messages is their merge, so the shared message is appended to one that has only the version and nonce.
 func (s *SharedResponse) EncodeBinary(version, nonce string) ([]byte, error) {
-	body, err := s.binary.get(func() ([]byte, error) { return proto.Marshal(s.unaddressed()) })
+	body, err := s.binary.get(func() ([]byte, error) { return proto.Marshal(s.withoutVersion()) })
 	if err != nil {
 		return nil, err
 	}
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -16,7 +16,8 @@
 	"porthub/routing"
 )
 
-func encoded(t *testing.T, m proto.Message, err error) []byte {
+// mustEncode encodes the message that a constructor returned, and fails the test if the constructor or the encoding failed.
+func mustEncode(t *testing.T, m proto.Message, err error) []byte {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -39,9 +40,9 @@
 
 func TestEndpointDocumentRoundTrip(t *testing.T) {
 	m, err := NewEndpointDocument("v1", "n1", testClusters)
-	d, err := ParseDocument(encoded(t, m, err))
+	d, err := ParseDocument(mustEncode(t, m, err))
 	if err != nil || d.Version != "v1" || d.Nonce != "n1" || !reflect.DeepEqual(d.Clusters, testClusters) {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("parsed %+v, error %v; want version v1, nonce n1 and the clusters that were encoded", d, err)
 	}
 }
 
@@ -54,16 +55,16 @@
 					{Class: "save", Rate: -1, Share: 0.25},
 				}
 				m, err := NewRouteDocument("v2", "n2", routes)
-				d, err := ParseDocument(encoded(t, m, err))
+				d, err := ParseDocument(mustEncode(t, m, err))
 				if err != nil || len(d.Routes) != 2 {
-					t.Fatalf("%+v, %v", d, err)
+					t.Fatalf("parsed %+v, error %v; want two routes", d, err)
 				}
 				got := d.Routes[0]
 				if got.RetryPolicy != retryPolicy || got.Timeout != 2_500_000 || math.Abs(got.Rate-rate) > 0.01*math.Abs(rate) {
-					t.Errorf("parsed %+v", got)
+					t.Errorf("parsed %+v, want the route that was encoded, with its rate within 1%%", got)
 				}
 				if d.Routes[1].Share != 0.25 {
-					t.Errorf("share parsed as %v", d.Routes[1].Share)
+					t.Errorf("parsed share %v, want 0.25", d.Routes[1].Share)
 				}
 			})
 		}
@@ -72,10 +73,10 @@
 
 func TestParseDocumentRejectsEveryTruncation(t *testing.T) {
 	m, err := NewEndpointDocument("v1", "n1", testClusters)
-	text := encoded(t, m, err)
+	text := mustEncode(t, m, err)
 	for n := range len(text) {
 		if _, err := ParseDocument(text[:n]); !errors.Is(err, ErrInvalidMessage) {
-			t.Fatalf("cut at %d of %d: %v, want ErrInvalidMessage", n, len(text), err)
+			t.Fatalf("document truncated to %d of %d bytes: error %v, want ErrInvalidMessage", n, len(text), err)
 		}
 	}
 }
@@ -83,7 +84,7 @@
 func TestNewEndpointDocumentRejectsAddressWithoutPort(t *testing.T) {
 	clusters := []routing.Cluster{{Class: "k", Endpoints: []routing.ClusterEndpoint{{Endpoint: "nowhere"}}}}
 	if _, err := NewEndpointDocument("v", "n", clusters); err == nil {
-		t.Error("no error")
+		t.Error("an endpoint without a port was encoded, want an error")
 	}
 }
 
@@ -92,13 +93,13 @@
 	classes := []ClassReport{{Class: "view", Arrived: 20, Rejected: 3, Failures: 2, Endpoints: []EndpointReport{
 		{Address: "127.0.0.1:1", Zone: "a", Attempts: 10, Failures: 2, InFlight: 1, MeanLatency: 150 * time.Millisecond, Metrics: map[string]float64{"util": 0.5, "queue": 2}, MetricSamples: 8},
 		{Address: "127.0.0.1:2", Zone: "b", Attempts: 7, Failures: 7}}}}
-	got, interval, read, err := ParseLoadReport(NewLoadReport(node, 2*time.Second, classes))
-	if err != nil || got != node || interval != 2*time.Second || !reflect.DeepEqual(read, classes) {
-		t.Errorf("%+v %v %+v %v", got, interval, read, err)
+	gotNode, interval, gotClasses, err := ParseLoadReport(NewLoadReport(node, 2*time.Second, classes))
+	if err != nil || gotNode != node || interval != 2*time.Second || !reflect.DeepEqual(gotClasses, classes) {
+		t.Errorf("parsed node %+v, interval %v, classes %+v, error %v; want the report that was encoded", gotNode, interval, gotClasses, err)
 	}
 }
 
-// plainReport is the report of a proxy that names neither arrivals nor load metrics.
+// plainReport is the report of a plain proxy, which has neither arrivals nor load metrics.
 const plainReport = `{"node": {"id": "envoy-1", "locality": {"zone": "a"}}, "cluster_stats": [{"cluster_name": "view", "load_report_interval": "1s",
 	"total_dropped_requests": "2", "upstream_locality_stats": [{"locality": {"zone": "a"}, "upstream_endpoint_stats": [
 	{"address": {"socket_address": {"address": "127.0.0.1", "port_value": 1}}, "total_successful_requests": "5", "total_error_requests": "1"}]}]}]}`
@@ -115,7 +116,7 @@
 func TestParseLoadReportOfPlainProxy(t *testing.T) {
 	classes, err := parseReport(plainReport)
 	if err != nil || classes[0].Arrived != 8 || classes[0].Endpoints[0].Attempts != 6 {
-		t.Errorf("%+v %v", classes, err)
+		t.Errorf("parsed %+v, error %v; want 6 attempts, and 8 arrivals: 6 attempts and 2 rejected requests", classes, err)
 	}
 }
 
@@ -127,7 +128,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := parseReport(strings.Replace(plainReport, c.valid, c.invalid, 1)); !errors.Is(err, ErrInvalidMessage) {
-				t.Errorf("%v, want ErrInvalidMessage", err)
+				t.Errorf("error %v, want ErrInvalidMessage", err)
 			}
 		})
 	}
@@ -143,12 +144,12 @@
 		"":                                                  nil,
 	} {
 		if got := ParseORCA(header); !reflect.DeepEqual(got, want) {
-			t.Errorf("%q: %v", header, got)
+			t.Errorf("ParseORCA(%q) = %v, not the expected metrics", header, got)
 		}
 	}
 }
 
-// A shared response decodes to the one built for a gateway alone, in both encodings, full and incremental.
+// A shared response decodes to the message for one gateway, in both encodings, for complete and incremental responses.
 func TestSharedResponseEncodings(t *testing.T) {
 	from := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}}
 	to := routing.Snapshot{Clusters: []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:2", Zone: "a", Weight: 0.5}}}}}
@@ -164,24 +165,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, s := range map[string]*SharedResponse{"full": full, "delta": delta, "empty": empty} {
-		for _, v := range []string{"e.1", `quoted "and\ worse`} {
-			want := s.Message(v, v+"n")
-			text, err := s.Encode(v, v+"n")
+	for name, shared := range map[string]*SharedResponse{"full": full, "delta": delta, "empty": empty} {
+		for _, version := range []string{"e.1", `quoted "and\ worse`} {
+			want := shared.Message(version, version+"n")
+			text, err := shared.Encode(version, version+"n")
 			got := proto.Clone(want)
 			proto.Reset(got)
 			if err == nil {
 				err = Decode(text, got)
 			}
 			if err != nil || !proto.Equal(got, want) {
-				t.Errorf("%s %s as JSON: %v, %v", name, v, got, err)
+				t.Errorf("%s response with version %s as JSON: decoded %v, error %v; want the message for one gateway", name, version, got, err)
 			}
-			body, err := s.EncodeBinary(v, v+"n")
+			body, err := shared.EncodeBinary(version, version+"n")
 			if err == nil {
 				err = proto.Unmarshal(body, got)
 			}
 			if err != nil || !proto.Equal(got, want) {
-				t.Errorf("%s %s binary: %v, %v", name, v, got, err)
+				t.Errorf("%s response with version %s in binary: decoded %v, error %v; want the message for one gateway", name, version, got, err)
 			}
 		}
 	}
--- a/xdsfile/doc.go
+++ b/xdsfile/doc.go
@@ -4,9 +4,9 @@
 //	DIR/GATEWAY/eds.json   ClusterLoadAssignment, one resource for each request class
 //	DIR/GATEWAY/rds.json   RouteConfiguration
 //
-// Endpoints are written before routes. Whoever opens a file reads one complete document whatever happens to the writer:
-// the text is written to a hidden file in the same directory and renamed over the old one.
+// Endpoints are written before routes. A reader that opens a file gets one complete document, even if the writer is
+// killed: the text is written to a hidden file in the same directory, which is then renamed over the old one.
 //
-// A [Publisher] queues publications and writes them with a fixed number of goroutines, which Close ends. It is safe for
-// concurrent use, Publish never waits for the disk, and a document that could not be written is written again later.
+// A [Publisher] queues publications and writes them with a fixed number of goroutines, which Close stops. It is safe for
+// concurrent use. Publish never waits for the disk, and writes that fail are retried.
 package xdsfile
--- a/xdsfile/publisher.go
+++ b/xdsfile/publisher.go
@@ -16,46 +16,46 @@
 	"porthub/xds"
 )
 
-// The names of a gateway's files.
+// Names of a gateway's files.
 const (
 	EndpointFile = "eds.json"
 	RouteFile    = "rds.json"
 )
 
 const (
-	minBackoff       = 100 * time.Millisecond
-	maxBackoff       = 2 * time.Second
-	maxBackoffDouble = 6 // doublings after which maxBackoff is reached for certain
+	minBackoff          = 100 * time.Millisecond
+	maxBackoff          = 2 * time.Second
+	maxBackoffDoublings = 6 // limits the shift of minBackoff; maxBackoff is reached earlier
 )
 
-var errGatewayName = errors.New("is not valid as a directory name")
+var errGatewayName = errors.New("the name is not valid as a directory name")
 
-// Publisher writes documents. A gateway's later publication replaces an earlier one that still waits, so a slow disk
-// costs at most one waiting publication for each gateway. It is safe for concurrent use.
+// Publisher writes documents to files. A publication replaces an earlier one of the same gateway that is still queued, so
+// that at most one publication is queued for each gateway if the disk is slow. It is safe for concurrent use.
 type Publisher struct {
 	dir       string
 	onFailure func(coordinator.Gateway, error)
 	writers   sync.WaitGroup
 
-	mu       sync.Mutex // guards what follows, and all gateway states
-	wake     *sync.Cond // signals a longer queue, or closed
+	mu       sync.Mutex // guards the fields below and all gateway states
+	cond     *sync.Cond // signaled when the queue grows and when closed is set
 	gateways map[coordinator.Gateway]*gatewayState
 	queue    []coordinator.Gateway
 	closed   bool
 	stats    Stats
 }
 
-// gatewayState is what is to be written for one gateway: always of the last publication, those documents that are not
-// written yet. A document that could not be written stays dirty whatever is published after it.
+// gatewayState holds a gateway's last publication and which of its documents are dirty, that is, still to be written. A
+// document that could not be written stays dirty even if a later publication does not change it.
 type gatewayState struct {
 	publication coordinator.Publish
 	dirty       [routing.DocumentCount]bool
 	queued      bool
-	writing     bool // by one writer: a gateway's documents are written in order
-	failures    int  // consecutive
+	writing     bool // one writer at a time works on a gateway, so that its documents are written in order
+	failures    int  // consecutive failed attempts
 }
 
-// markDirty adds documents to those that are to be written.
+// markDirty marks the changed documents as dirty.
 func (s *gatewayState) markDirty(documents [routing.DocumentCount]bool) {
 	for document, changed := range documents {
 		s.dirty[document] = s.dirty[document] || changed
@@ -64,26 +64,26 @@
 
 // Stats counts writes since the start.
 type Stats struct {
-	Files      int   `cbor:"Files" json:"Files"`       // written
-	Bytes      int64 `cbor:"Bytes" json:"Bytes"`       // in them
-	Unchanged  int   `cbor:"Same" json:"Same"`         // not written: they had that content already
-	Superseded int   `cbor:"Merged" json:"Merged"`     // publications replaced by a later one before they were written
-	Failures   int   `cbor:"Failed" json:"Failed"`     // attempts that failed
-	Unsynced   int   `cbor:"Unsynced" json:"Unsynced"` // files renamed without waiting for the disk
+	Files      int   `cbor:"Files" json:"Files"`       // files written
+	Bytes      int64 `cbor:"Bytes" json:"Bytes"`       // bytes written
+	Unchanged  int   `cbor:"Same" json:"Same"`         // files not written because they already had the content
+	Superseded int   `cbor:"Merged" json:"Merged"`     // publications replaced by later ones before they were written
+	Failures   int   `cbor:"Failed" json:"Failed"`     // failed attempts to write a publication
+	Unsynced   int   `cbor:"Unsynced" json:"Unsynced"` // files replaced without syncing them to disk
 }
 
-// Open creates the directory, removes what a killed writer left behind, and starts the writers, which Close ends. The
-// function onFailure is called with each failure to write; the Publisher retries until it succeeds or something newer is
-// published.
+// Open creates the directory, removes the temporary files of writers that were killed, and starts the writers, which Close
+// stops. It calls onFailure after each failed attempt to write a publication. The Publisher retries until an attempt
+// succeeds or something newer is published.
 func Open(dir string, writers int, onFailure func(coordinator.Gateway, error)) (*Publisher, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("front: %w", err)
+		return nil, fmt.Errorf("create the table directory: %w", err)
 	}
 	if _, err := RemoveTemporaryFiles(dir); err != nil {
-		return nil, fmt.Errorf("front: %w", err)
+		return nil, fmt.Errorf("remove temporary files from the table directory: %w", err)
 	}
 	p := &Publisher{dir: dir, onFailure: onFailure, gateways: map[coordinator.Gateway]*gatewayState{}}
-	p.wake = sync.NewCond(&p.mu)
+	p.cond = sync.NewCond(&p.mu)
 	for range max(1, writers) {
 		p.writers.Go(p.runWriter)
 	}
@@ -111,8 +111,8 @@
 	p.enqueue(publication.Gateway, state)
 }
 
-// enqueue queues a gateway unless it is queued, or a writer works on it and will enqueue it again. The caller holds the
-// mutex.
+// enqueue queues a gateway that has dirty documents, unless it is already queued or a writer is working on it: finish
+// enqueues it again. The caller holds the mutex.
 func (p *Publisher) enqueue(gateway coordinator.Gateway, state *gatewayState) {
 	hasWork := state.dirty != [routing.DocumentCount]bool{}
 	if state.queued || state.writing || !hasWork || p.closed {
@@ -120,32 +120,32 @@
 	}
 	state.queued = true
 	p.queue = append(p.queue, gateway)
-	p.wake.Signal()
+	p.cond.Signal()
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (p *Publisher) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stats
 }
 
-// Close ends the writers. Writes in progress are finished, queued ones are dropped.
+// Close stops the writers. Writes in progress are completed, queued publications are dropped.
 func (p *Publisher) Close() {
 	p.mu.Lock()
 	p.closed = true
-	p.wake.Broadcast()
+	p.cond.Broadcast()
 	p.mu.Unlock()
 	p.writers.Wait()
 }
 
-// next waits for the first gateway of the queue and returns its publication, with the documents to write as Changed. It
-// reports false once the Publisher is closed.
+// next waits until a gateway is queued, removes the first one from the queue and returns its publication, with Changed set
+// to the documents to write. It returns false once the Publisher is closed.
 func (p *Publisher) next() (coordinator.Publish, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.queue) == 0 && !p.closed {
-		p.wake.Wait()
+		p.cond.Wait()
 	}
 	if p.closed {
 		return coordinator.Publish{}, false
@@ -175,7 +175,7 @@
 	}
 }
 
-// finish records the outcome of a write, and schedules a retry after a failure.
+// finish records the result of writing a publication and, after a failure, schedules a retry.
 func (p *Publisher) finish(publication coordinator.Publish, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -189,7 +189,7 @@
 	p.stats.Failures++
 	state.markDirty(publication.Changed)
 	state.failures++
-	backoff := min(minBackoff<<min(state.failures, maxBackoffDouble), maxBackoff)
+	backoff := min(minBackoff<<min(state.failures, maxBackoffDoublings), maxBackoff)
 	time.AfterFunc(backoff, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -200,10 +200,10 @@
 func (p *Publisher) writeDocuments(publication coordinator.Publish) error {
 	name := string(publication.Gateway)
 	if strings.ContainsAny(name, "/\\") || name == "" || name[0] == '.' {
-		return fmt.Errorf("front: %q %w", name, errGatewayName)
+		return fmt.Errorf("gateway %q: %w", name, errGatewayName)
 	}
 	dir := filepath.Join(p.dir, name)
-	if err := os.MkdirAll(dir, 0o755); err != nil { // each time: somebody may have removed it
+	if err := os.MkdirAll(dir, 0o755); err != nil { // for each publication, since the directory may have been removed
 		return err
 	}
 	if publication.Changed[coordinator.EndpointsDocument] {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-// writeDocument replaces a file unless it has that content already.
+// writeDocument replaces a file unless it already has the same content.
 func (p *Publisher) writeDocument(path string, message proto.Message, sync bool) error {
 	text, err := xds.Encode(message)
 	if err != nil {
--- a/xdsfile/replace.go
+++ b/xdsfile/replace.go
@@ -8,9 +8,9 @@
 	"github.com/google/renameio/v2"
 )
 
-// ReplaceFile replaces a file without waiting for the disk: after the process is killed there is the old file or the new
-// one. The temporary file is in the same directory, since a rename from another file system might be a copy, of which a
-// reader could see a part.
+// ReplaceFile replaces a file without syncing it to disk. If the process is killed, either the old file or the new one
+// remains. The temporary file is in the same directory, since a rename from another file system might be a copy, and a
+// reader could see only a part of it.
 func ReplaceFile(path string, text []byte) error {
 	temporary, err := os.CreateTemp(filepath.Dir(path), "."+filepath.Base(path)+"*")
 	if err != nil {
@@ -37,13 +37,14 @@
 	return err
 }
 
-// replaceFileSynced replaces a file after its content is on the disk: a loss of power leaves the old file or the new one.
+// replaceFileSynced syncs the new content to disk before it replaces a file. After a power failure, either the old file or
+// the new one remains.
 func replaceFileSynced(path string, text []byte) error {
 	return renameio.WriteFile(path, text, 0o644, renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// RemoveTemporaryFiles removes the hidden files of writers that were killed before their rename, and returns their
-// number.
+// RemoveTemporaryFiles removes the temporary files of writers that were killed before they renamed them. It returns the
+// number of removed files.
 func RemoveTemporaryFiles(dir string) (removed int, err error) {
 	for _, name := range []string{EndpointFile, RouteFile} {
 		paths, err := filepath.Glob(filepath.Join(dir, "*", "."+name+"*"))
