--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,6 +16,7 @@
 	"porthub/xdsfile"
 )
 
+// writeEndpoints replaces the file with the endpoints in a gateway's directory.
 func writeEndpoints(t *testing.T, dir, version string) {
 	t.Helper()
 	clusters := []routing.Cluster{{Class: "view", Endpoints: []routing.ClusterEndpoint{{Endpoint: "127.0.0.1:1", Zone: "a", Weight: 1}}}}
@@ -43,16 +44,16 @@
 			reader := client.NewReader(tableDir, "gw")
 			reader.ChunkSize = chunkSize
 			if updates := reader.Poll(); len(updates) != 0 {
-				t.Fatalf("%v before the first file", updates)
+				t.Fatalf("Poll before the first file: %v, want no updates", updates)
 			}
 			for _, version := range []string{"v1", "v2"} {
 				writeEndpoints(t, dir, version)
 				updates := reader.Poll()
 				if len(updates) != 1 || updates[0].Err != nil || updates[0].Document.Version != version {
-					t.Fatalf("%v, want one update to %s", updates, version)
+					t.Fatalf("Poll after a change: %v, want one update to version %s", updates, version)
 				}
 				if updates := reader.Poll(); len(updates) != 0 {
-					t.Fatalf("%v for an unchanged file", updates)
+					t.Fatalf("Poll for an unchanged file: %v, want no updates", updates)
 				}
 			}
 		})
@@ -65,7 +66,7 @@
 	tables.Apply(client.Update{Document: xds.Document{Type: xds.EndpointType, Version: "v1", Clusters: clusters}})
 	tables.Apply(client.Update{Document: xds.Document{Type: xds.EndpointType, Version: "v2"}, Err: xds.ErrInvalidMessage})
 	if tables.EndpointVersion != "v1" || len(tables.Snapshot.Clusters) != 1 || tables.Applied != 1 || tables.Rejected != 1 {
-		t.Errorf("%+v", tables)
+		t.Errorf("tables %+v, want version v1 with one applied and one rejected document", tables)
 	}
 }
 
@@ -80,12 +81,12 @@
 	err := link.Join(context.Background(), client.Tables{})
 	var rejected *client.RejectedError
 	if !errors.Is(err, client.ErrRejected) || !errors.As(err, &rejected) || rejected.StatusCode != http.StatusConflict {
-		t.Errorf("%v, want a RejectedError with 409", err)
+		t.Errorf("Join: error %v, want a RejectedError with status 409", err)
 	}
 	if link.LastResponse().IsZero() {
-		t.Error("a rejection is a response as well")
+		t.Error("LastResponse is the zero time after a rejection, want the time of the rejection")
 	}
 	if _, err := client.Status(context.Background(), addr); !errors.Is(err, client.ErrRejected) {
-		t.Errorf("%v, want ErrRejected", err)
+		t.Errorf("Status: error %v, want ErrRejected", err)
 	}
 }
--- a/client/example_test.go
+++ b/client/example_test.go
@@ -26,7 +26,7 @@
 	],
 }`
 
-// startCoordinator runs a coordinator in this process, whose files are below dir.
+// startCoordinator starts a coordinator in this process, with all of its files in dir.
 func startCoordinator(dir string) (addr, tableDir string, stop func(), err error) {
 	listPath := filepath.Join(dir, "endpoints.json")
 	if err := os.WriteFile(listPath, []byte(exampleEndpoints), 0o600); err != nil {
@@ -47,7 +47,7 @@
 	return d.Addr(), tableDir, func() { cancel(); <-ended }, nil
 }
 
-// followTables applies and acknowledges updates until there are tables for endpoints and routes.
+// followTables applies and acknowledges updates until the gateway has endpoints and routes.
 func followTables(ctx context.Context, link *client.Link, reader *client.Reader, tables *client.Tables) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,12 +59,12 @@
 			}
 		}
 		if tables.EndpointVersion != "" && tables.RouteVersion != "" {
-			cancel() // a gateway goes on; the example has seen enough
+			cancel() // a real gateway continues; the example ends here
 		}
 	})
 }
 
-// A gateway joins a coordinator, applies and acknowledges the tables that it gets as files, and reports its load.
+// A gateway joins a coordinator, applies and acknowledges the tables that it reads from files, and reports its load.
 func Example() {
 	dir, err := os.MkdirTemp("", "porthub-example")
 	if err != nil {
--- a/client/link.go
+++ b/client/link.go
@@ -18,7 +18,7 @@
 type Link struct {
 	addr         string
 	httpClient   *http.Client
-	lastResponse atomic.Int64 // nanoseconds since 1970; 0: none yet
+	lastResponse atomic.Int64 // Unix time in nanoseconds; 0 before the first response
 
 	// mu guards node and reportNumber, and keeps messages in order.
 	mu           sync.Mutex
@@ -26,7 +26,7 @@
 	reportNumber uint64
 }
 
-// NewLink returns a link that connects with its first message.
+// NewLink returns a link that connects when it sends its first message.
 func NewLink(o Options) *Link {
 	timeout := o.Timeout
 	if timeout == 0 {
@@ -35,8 +35,8 @@
 	return &Link{node: o.Node, addr: o.Coordinator, httpClient: o.httpClient(timeout, timeout)}
 }
 
-// post sends one message and decodes its response into response, unless that is nil. A response with status 400 or above
-// is a RejectedError.
+// post sends one message and decodes the response into response, unless response is nil. It returns a RejectedError for a
+// status of 400 or above.
 func (l *Link) post(ctx context.Context, path string, message, response proto.Message) error {
 	body, statusCode, err := post(ctx, l.httpClient, l.addr, path, message)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	l.lastResponse.Store(time.Now().UnixNano())
 	if statusCode >= http.StatusBadRequest {
-		return rejected(statusCode, body)
+		return newRejectedError(statusCode, body)
 	}
 	if response != nil && statusCode == http.StatusOK {
 		return xds.Decode(body, response)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Join announces the gateway to the coordinator, with the versions of its tables.
+// Join registers the gateway with the coordinator and sends the versions of its tables.
 func (l *Link) Join(ctx context.Context, tables Tables) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +65,7 @@
 	return l.post(ctx, xds.RoutePath, routes, nil)
 }
 
-// Acknowledge acknowledges an update that was applied to the tables, or rejects it if it is invalid.
+// Acknowledge acknowledges an update that was applied to the tables, or rejects the update if it is invalid.
 func (l *Link) Acknowledge(ctx context.Context, u Update, tables Tables) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,8 +95,8 @@
 	return response.GetLoadReportingInterval().AsDuration(), nil
 }
 
-// LastResponse returns when the coordinator last responded, or the zero time. A gateway without a response for long
-// applies its routes' fallback: see routing.Fallback.
+// LastResponse returns the time of the coordinator's last response, rejections included, or the zero time if there was none.
+// A gateway that has had no response for a while applies the fallback of its routes: see routing.Fallback.
 func (l *Link) LastResponse() time.Time {
 	if at := l.lastResponse.Load(); at > 0 {
 		return time.Unix(0, at)
--- a/client/poller.go
+++ b/client/poller.go
@@ -15,17 +15,18 @@
 
 const (
 	pollDialTimeout = 2 * time.Second
-	// pollMargin is how much longer than its longest wait a poll may take.
+	// pollMargin is the time that a poll may take in addition to its maximum wait.
 	pollMargin     = 10 * time.Second
 	minPollBackoff = 100 * time.Millisecond
 	maxPollBackoff = 2 * time.Second
 )
 
 // Poller gets a gateway's tables by long polls, to which the coordinator responds when there is something new. Endpoints and
-// routes are polled on a connection each; load reports go over a Link. Each document is for one goroutine.
+// routes are polled over a connection each. Load reports are sent over a Link. Each document must be polled by one goroutine
+// only.
 type Poller struct {
-	// Deltas requests the changes of single endpoints and routes; otherwise complete documents are sent. It is true for a
-	// new Poller and must not change while it polls.
+	// Deltas requests only the endpoints and routes that changed, instead of complete documents. It is true for a new Poller
+	// and must not be changed while the Poller is polling.
 	Deltas bool
 
 	node      xds.Node
@@ -34,15 +35,15 @@
 	documents [routing.DocumentCount]polledDocument
 }
 
-// polledDocument is the state of one document's polls. It belongs to the goroutine that polls for it.
+// polledDocument is the state of polling one document. It is used only by the goroutine that polls the document.
 type polledDocument struct {
-	httpClient *http.Client
-	snapshot   routing.Snapshot // that deltas have led to
-	nonce      string           // of the last delta applied
-	stateAll   bool             // the coordinator does not know the nonce: versions of all resources are to be sent
+	httpClient   *http.Client
+	snapshot     routing.Snapshot // result of all deltas applied
+	nonce        string           // nonce of the last delta applied
+	sendVersions bool             // send the versions of all resources, since the coordinator does not know the nonce
 }
 
-// resourceNames are the paths and type URLs of a document.
+// resourceNames holds the paths and type URLs of a document.
 type resourceNames struct {
 	path      string
 	typeURL   string
@@ -55,13 +56,13 @@
 	coordinator.RoutesDocument:    {xds.RoutePath, xds.RouteType, xds.RouteDeltaPath, xds.RouteType},
 }
 
-// NewPoller returns a poller for the tables of the request classes given. Each poll waits for maxWait at most.
+// NewPoller returns a poller for the tables of the given request classes. Each poll waits for at most maxWait.
 func NewPoller(o Options, classes []string, maxWait time.Duration) *Poller {
 	p := &Poller{node: o.Node, addr: o.Coordinator, classes: classes, Deltas: true}
 	p.node.Polls = true
 	p.node.MaxWait = maxWait
 	for i := range p.documents {
-		p.documents[i] = polledDocument{httpClient: o.httpClient(pollDialTimeout, maxWait+pollMargin), stateAll: true}
+		p.documents[i] = polledDocument{httpClient: o.httpClient(pollDialTimeout, maxWait+pollMargin), sendVersions: true}
 	}
 	return p
 }
@@ -74,7 +75,7 @@
 }
 
 // Follow polls for one document until the context ends and calls handle with each update. The function tables returns
-// the gateway's current tables. After a failure it waits, twice as long each time, for 2 s at most.
+// the gateway's current tables. After each consecutive failure Follow waits twice as long, up to 2 s.
 func (p *Poller) Follow(ctx context.Context, document coordinator.Document, tables func() Tables, handle func(Update)) {
 	backoff := minPollBackoff
 	for ctx.Err() == nil {
@@ -94,7 +95,7 @@
 	}
 }
 
-// poll makes one poll. It reports false if there was nothing new.
+// poll sends one poll. It returns false if there is nothing new.
 func (p *Poller) poll(ctx context.Context, document coordinator.Document, tables Tables) (update Update, ok bool, err error) {
 	if p.Deltas {
 		return p.pollDelta(ctx, document)
@@ -120,6 +121,7 @@
 	return update, true, nil
 }
 
+// pollDelta sends one poll for a delta and applies the delta. It returns false if there is nothing new.
 func (p *Poller) pollDelta(ctx context.Context, document coordinator.Document) (update Update, ok bool, err error) {
 	names := namesByDocument[document]
 	state := &p.documents[document]
@@ -127,8 +129,8 @@
 	if err != nil {
 		return Update{}, false, err
 	}
-	if statusCode == http.StatusConflict && !state.stateAll {
-		state.stateAll = true // the nonce is not known to the coordinator
+	if statusCode == http.StatusConflict && !state.sendVersions {
+		state.sendVersions = true // the coordinator does not know the nonce
 		return Update{}, false, nil
 	}
 	if changed, err := isChanged(statusCode, body); !changed {
@@ -139,7 +141,7 @@
 		return Update{}, false, err
 	}
 	if err := p.applyDelta(document, delta); err != nil {
-		state.stateAll = true
+		state.sendVersions = true
 		return Update{}, false, err
 	}
 	update = Update{
@@ -157,7 +159,7 @@
 	return update, true, nil
 }
 
-// isChanged reports whether a poll's response has a document. An error is a [RejectedError].
+// isChanged reports whether a poll's response contains a document or a delta. The error is a [RejectedError].
 func isChanged(statusCode int, body []byte) (bool, error) {
 	switch statusCode {
 	case http.StatusOK:
@@ -165,10 +167,11 @@
 	case http.StatusNotModified:
 		return false, nil
 	default:
-		return false, rejected(statusCode, body)
+		return false, newRejectedError(statusCode, body)
 	}
 }
 
+// deltaRequest returns the request for the changes of a document since the last delta applied.
 func (p *Poller) deltaRequest(document coordinator.Document) *discoveryv3.DeltaDiscoveryRequest {
 	state := &p.documents[document]
 	request := &discoveryv3.DeltaDiscoveryRequest{
@@ -176,10 +179,10 @@
 		TypeUrl:       namesByDocument[document].deltaType,
 		ResponseNonce: state.nonce,
 	}
-	if !state.stateAll {
+	if !state.sendVersions {
 		return request
 	}
-	// A nonce of an earlier coordinator means nothing to this one.
+	// The nonce may be that of an earlier coordinator process, which the current one does not know.
 	request.ResponseNonce = ""
 	request.InitialResourceVersions = xds.EndpointVersions(state.snapshot)
 	if document == coordinator.RoutesDocument {
@@ -188,7 +191,8 @@
 	return request
 }
 
-// applyDelta applies a delta to the state, or returns an error and leaves the state unchanged if any part of it is invalid.
+// applyDelta applies a delta to the state of a document. If any part of the delta is invalid, it returns an error and leaves
+// the state unchanged.
 func (p *Poller) applyDelta(document coordinator.Document, delta *discoveryv3.DeltaDiscoveryResponse) error {
 	state := &p.documents[document]
 	next := state.snapshot
@@ -199,10 +203,10 @@
 		next.Clusters, err = xds.ApplyEndpointDelta(p.classes, next, delta)
 	}
 	if err != nil {
-		return fmt.Errorf("delta %s: %w", delta.Nonce, err)
+		return fmt.Errorf("apply delta %s: %w", delta.Nonce, err)
 	}
 	state.snapshot = next
 	state.nonce = delta.Nonce
-	state.stateAll = false
+	state.sendVersions = false
 	return nil
 }
--- a/client/reader.go
+++ b/client/reader.go
@@ -19,14 +19,15 @@
 // Reader reads a gateway's tables from its directory. It is not safe for concurrent use.
 type Reader struct {
 	dir string
-	// ChunkSize is the number of bytes read at once, and ChunkDelay the wait after each chunk; 0 reads a file at once.
-	// A slow reader still gets one complete document: it reads the file that it opened, whatever is renamed over it.
+	// ChunkSize is the number of bytes read at once, and ChunkDelay the wait after each chunk. If ChunkSize is 0, files are
+	// read at once. A slow reader still gets one complete document, because it reads the file that it opened even if another
+	// one is renamed over it.
 	ChunkSize  int
 	ChunkDelay time.Duration
-	seen       map[string]fileIdentity // by file name
+	seen       map[string]fileIdentity // last file read, by file name
 }
 
-// fileIdentity distinguishes a file from the next that is renamed over it.
+// fileIdentity distinguishes a file from another one that is renamed over it.
 type fileIdentity struct {
 	inode   uint64
 	modTime time.Time
@@ -38,7 +39,7 @@
 	return &Reader{dir: filepath.Join(tableDir, gateway), seen: map[string]fileIdentity{}}
 }
 
-// Poll reads the files that changed since the last call, endpoints before routes. A missing file is no update.
+// Poll reads the files that changed since the last call, endpoints before routes. There is no update for a missing file.
 func (r *Reader) Poll() (updates []Update) {
 	for _, name := range []string{xdsfile.EndpointFile, xdsfile.RouteFile} {
 		path := filepath.Join(r.dir, name)
@@ -68,6 +69,7 @@
 	return identity
 }
 
+// read reads and decodes a file, and returns the identity of the file that it opened.
 func (r *Reader) read(path string) (update Update, identity fileIdentity) {
 	start := time.Now()
 	update.Source = path
@@ -77,7 +79,7 @@
 		return update, identity
 	}
 	defer func() { _ = file.Close() }()
-	// The identity is that of the opened file, not of one that was renamed over it since.
+	// The identity must be that of the opened file, not that of another one renamed over it since.
 	if info, err := file.Stat(); err == nil {
 		identity = identityOf(info)
 		update.Written = info.ModTime()
@@ -93,6 +95,7 @@
 	return update, identity
 }
 
+// readAll reads a file, in chunks if ChunkSize is set.
 func (r *Reader) readAll(file io.Reader) ([]byte, error) {
 	if r.ChunkSize <= 0 {
 		return io.ReadAll(file)
@@ -112,12 +115,12 @@
 	}
 }
 
-// Follow calls handle with each batch of updates until the context ends. It reads the directory on change notifications,
-// and every interval in any case.
+// Follow calls handle with each batch of updates until the context ends. It checks the files after each change notification
+// for the directory, and once per interval in case there are no notifications.
 func (r *Reader) Follow(ctx context.Context, interval time.Duration, handle func([]Update)) {
 	var changes chan fsnotify.Event
 	watcher, err := fsnotify.NewWatcher()
-	if err == nil { // otherwise the interval alone has to do
+	if err == nil { // without notifications, the files are checked once per interval
 		defer func() { _ = watcher.Close() }()
 		changes = watcher.Events
 	}
@@ -126,7 +129,7 @@
 	defer ticker.Stop()
 	for {
 		if !watching && watcher != nil {
-			watching = watcher.Add(r.dir) == nil // the directory exists from the first publication on
+			watching = watcher.Add(r.dir) == nil // fails until the first publication creates the directory
 		}
 		if updates := r.Poll(); len(updates) > 0 {
 			handle(updates)
--- a/client/status.go
+++ b/client/status.go
@@ -9,7 +9,8 @@
 	"porthub/coordinator"
 )
 
-// Status requests the status of the coordinator at an address. A response other than 200 matches ErrRejected.
+// Status requests the status of the coordinator at an address. For a status code other than 200, the error matches
+// ErrRejected.
 func Status(ctx context.Context, addr string) (coordinator.Status, error) {
 	var status coordinator.Status
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/tables", nil)
@@ -25,7 +26,7 @@
 		return status, &RejectedError{StatusCode: response.StatusCode, Message: http.StatusText(response.StatusCode)}
 	}
 	if err := json.NewDecoder(response.Body).Decode(&status); err != nil {
-		return status, fmt.Errorf("the coordinator's answer: %w", err)
+		return status, fmt.Errorf("decode the coordinator's status: %w", err)
 	}
 	return status, nil
 }
--- a/client/tables.go
+++ b/client/tables.go
@@ -8,30 +8,31 @@
 	"porthub/xds"
 )
 
-// Tables are a gateway's current routing tables. The zero value has none.
+// Tables holds a gateway's current routing tables. The zero value has no tables.
 type Tables struct {
 	Snapshot        routing.Snapshot
-	EndpointVersion string // of the clusters; empty: none was applied
-	RouteVersion    string // of the routes; empty: none was applied
+	EndpointVersion string // version of the applied clusters; empty if there are none
+	RouteVersion    string // version of the applied routes; empty if there are none
 	Applied         int    // documents applied
 	Rejected        int    // documents that could not be decoded
 }
 
-// Update is one document that was received.
+// Update is a document that was read from a file or received in response to a poll.
 type Update struct {
-	Source   string // path of the file, or of the poll
+	Source   string // path of the file, or HTTP path of the poll
 	Document xds.Document
-	Err      error         // why the document is invalid; the tables stay as they are
-	Written  time.Time     // modification time of the file, or when the response to the poll came
-	Size     int           // bytes
-	Elapsed  time.Duration // for reading and decoding
+	Err      error         // why the document could not be read; the tables stay unchanged
+	Written  time.Time     // modification time of the file, or time at which the poll's response was received
+	Size     int           // in bytes
+	Elapsed  time.Duration // time for reading and decoding, including the wait of a poll; 0 for deltas
 }
 
 func (u Update) String() string {
 	return fmt.Sprintf("%s: %s, %d bytes, %v", u.Source, u.Document.Version, u.Size, u.Err)
 }
 
-// Apply replaces the part of the tables that the update holds. An invalid update changes nothing but the count.
+// Apply replaces the clusters or routes with those of the update. An invalid update changes only the count of rejected
+// documents.
 func (t *Tables) Apply(u Update) {
 	if u.Err != nil {
 		t.Rejected++
@@ -48,7 +49,7 @@
 	}
 }
 
-// identify adds to the node what it has applied.
+// identify sets the fields of a node that describe the applied tables.
 func (t *Tables) identify(node *xds.Node) {
 	node.InitialTable = t.EndpointVersion == ""
 	node.Checksum = 0
--- a/client/transport.go
+++ b/client/transport.go
@@ -15,18 +15,18 @@
 
 const (
 	defaultTimeout = 2 * time.Second
-	// maxResponseBytes bounds the largest table several times over.
+	// maxResponseBytes is several times the size of the largest table.
 	maxResponseBytes = 64 << 20
-	// idleTimeout keeps the connection: the coordinator takes its end for the gateway's departure.
+	// idleTimeout is long, because the coordinator considers a gateway disconnected when its connection ends.
 	idleTimeout = time.Hour
 )
 
 // Options configure a Link or a Poller.
 type Options struct {
 	Node        xds.Node
-	Coordinator string        // address and port
-	Timeout     time.Duration // of one message and its response; 0: 2 s. A Poller takes its own.
-	// Dial replaces the plain dialer, for tests that cut the connection.
+	Coordinator string        // host:port
+	Timeout     time.Duration // for one message and its response; 0 means 2 s. A Poller does not use it.
+	// Dial replaces the default dialer. Tests use it to break connections.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
@@ -71,6 +71,7 @@
 	return body, response.StatusCode, err
 }
 
-func rejected(statusCode int, body []byte) error {
+// newRejectedError returns the error for a response with a status of 400 or above, or an unexpected one to a poll.
+func newRejectedError(statusCode int, body []byte) error {
 	return &RejectedError{StatusCode: statusCode, Message: string(bytes.TrimSpace(body))}
 }
--- a/xds/endpoint_delta.go
+++ b/xds/endpoint_delta.go
@@ -102,7 +102,8 @@
 func parseEndpointResource(resource *discoveryv3.Resource) (routing.ClusterEndpoint, error) {
 	parts := strings.SplitN(resource.Name, "/", 3)
 	if len(parts) != 3 {
-		return routing.ClusterEndpoint{}, fmt.Errorf("%w: resource name %q is not of the form CLASS/ZONE/ADDRESS", ErrInvalidMessage, resource.Name)
+		return routing.ClusterEndpoint{}, fmt.Errorf("%w: resource name %q is not of the form CLASS/ZONE/ADDRESS",
+			ErrInvalidMessage, resource.Name)
 	}
 	message := &endpointv3.LbEndpoint{}
 	if err := resource.GetResource().UnmarshalTo(message); err != nil {
--- a/xds/node.go
+++ b/xds/node.go
@@ -91,7 +91,8 @@
 		return Node{}, err
 	}
 	if math.IsNaN(node.UsualRate) || node.UsualRate < 0 || node.UsualRate > maxUsualRate {
-		return Node{}, fmt.Errorf("%w: node.metadata.%s is %v: it must be 0 to 10000000", ErrInvalidMessage, metaUsualRate, node.UsualRate)
+		return Node{}, fmt.Errorf("%w: node.metadata.%s is %v: it must be 0 to 10000000",
+			ErrInvalidMessage, metaUsualRate, node.UsualRate)
 	}
 	return node, nil
 }
--- a/xds/parse_report.go
+++ b/xds/parse_report.go
@@ -115,7 +115,8 @@
 	mean := metric.TotalMetricValue / samples
 	if metric.MetricName == metricLatency {
 		if !(mean >= 0 && mean < maxMeanLatencyMS) { // NaN is invalid as well
-			return fmt.Errorf("%w: %s: mean latency is %v ms: it must be at least 0 and below 1000000 ms", ErrInvalidMessage, r.Address, mean)
+			return fmt.Errorf("%w: %s: mean latency is %v ms: it must be at least 0 and below 1000000 ms",
+				ErrInvalidMessage, r.Address, mean)
 		}
 		r.MeanLatency = time.Duration(mean * float64(time.Millisecond))
 		return nil
--- a/xds/parse_routes.go
+++ b/xds/parse_routes.go
@@ -80,7 +80,9 @@
 	shareValid := fallback.Share >= 0 && fallback.Share <= 1 // false for NaN
 	retryValid := fallback.RetryPolicy >= 0 && fallback.RetryPolicy <= maxRetryPolicy
 	if !shareValid || !retryValid || fallback.After < 0 || fallback.Duration < 0 {
-		return routing.Fallback{}, fmt.Errorf("invalid fallback %+v: share must be 0 to 1, second_try 0 to 3, and after_ms and for_ms at least 0", fallback)
+		return routing.Fallback{}, fmt.Errorf(
+			"invalid fallback %+v: share must be 0 to 1, second_try 0 to 3, and after_ms and for_ms at least 0",
+			fallback)
 	}
 	return fallback, nil
 }
--- a/xds/route_delta.go
+++ b/xds/route_delta.go
@@ -105,7 +105,8 @@
 		return routing.Route{}, err
 	}
 	if len(routes) != 1 || routes[0].Class != resource.Name || !slices.Contains(classes, resource.Name) {
-		return routing.Route{}, fmt.Errorf("%w: resource %q is not a single route of the known request class that it is named after", ErrInvalidMessage, resource.Name)
+		return routing.Route{}, fmt.Errorf("%w: resource %q must have exactly one route, of the known request class with the same name",
+			ErrInvalidMessage, resource.Name)
 	}
 	return routes[0], nil
 }
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -61,7 +61,7 @@
 				}
 				got := d.Routes[0]
 				if got.RetryPolicy != retryPolicy || got.Timeout != 2_500_000 || math.Abs(got.Rate-rate) > 0.01*math.Abs(rate) {
-					t.Errorf("parsed %+v, want the route that was encoded, with its rate within 1%%", got)
+					t.Errorf("parsed %+v, want %+v with the rate within 1%%", got, routes[0])
 				}
 				if d.Routes[1].Share != 0.25 {
 					t.Errorf("parsed share %v, want 0.25", d.Routes[1].Share)
@@ -95,7 +95,8 @@
 		{Address: "127.0.0.1:2", Zone: "b", Attempts: 7, Failures: 7}}}}
 	gotNode, interval, gotClasses, err := ParseLoadReport(NewLoadReport(node, 2*time.Second, classes))
 	if err != nil || gotNode != node || interval != 2*time.Second || !reflect.DeepEqual(gotClasses, classes) {
-		t.Errorf("parsed node %+v, interval %v, classes %+v, error %v; want the report that was encoded", gotNode, interval, gotClasses, err)
+		t.Errorf("parsed node %+v, interval %v, classes %+v, error %v; want the report that was encoded",
+			gotNode, interval, gotClasses, err)
 	}
 }
 
@@ -144,7 +145,7 @@
 		"":                                                  nil,
 	} {
 		if got := ParseORCA(header); !reflect.DeepEqual(got, want) {
-			t.Errorf("ParseORCA(%q) = %v, not the expected metrics", header, got)
+			t.Errorf("ParseORCA(%q) = %v, want %v", header, got, want)
 		}
 	}
 }
@@ -175,14 +176,16 @@
 				err = Decode(text, got)
 			}
 			if err != nil || !proto.Equal(got, want) {
-				t.Errorf("%s response with version %s as JSON: decoded %v, error %v; want the message for one gateway", name, version, got, err)
+				t.Errorf("%s response with version %s as JSON: decoded %v, error %v; want the message for one gateway",
+					name, version, got, err)
 			}
 			body, err := shared.EncodeBinary(version, version+"n")
 			if err == nil {
 				err = proto.Unmarshal(body, got)
 			}
 			if err != nil || !proto.Equal(got, want) {
-				t.Errorf("%s response with version %s in binary: decoded %v, error %v; want the message for one gateway", name, version, got, err)
+				t.Errorf("%s response with version %s in binary: decoded %v, error %v; want the message for one gateway",
+					name, version, got, err)
 			}
 		}
 	}
--- a/xdspoll/bench_test.go
+++ b/xdspoll/bench_test.go
@@ -16,31 +16,32 @@
 	"porthub/xds"
 )
 
-// large is a gateway's snapshot: three classes with so many endpoints each.
-func large(lines, version int) routing.Snapshot {
-	var s routing.Snapshot
-	for k := range 3 {
-		c := routing.Cluster{Class: fmt.Sprint("kind-", k)}
-		for i := range lines {
-			l := routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", 1000+i)), Zone: "hala-a", Weight: 1}
-			if i == version%lines {
-				l.Weight = 1.5
+// largeSnapshot returns a snapshot of three classes with the given number of endpoints each. The endpoint whose weight
+// differs from the others depends on the version.
+func largeSnapshot(endpoints, version int) routing.Snapshot {
+	var snapshot routing.Snapshot
+	for class := range 3 {
+		cluster := routing.Cluster{Class: fmt.Sprint("kind-", class)}
+		for i := range endpoints {
+			endpoint := routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", 1000+i)), Zone: "hala-a", Weight: 1}
+			if i == version%endpoints {
+				endpoint.Weight = 1.5
 			}
-			c.Endpoints = append(c.Endpoints, l)
+			cluster.Endpoints = append(cluster.Endpoints, endpoint)
 		}
-		c.Sort()
-		s.Clusters = append(s.Clusters, c)
+		cluster.Sort()
+		snapshot.Clusters = append(snapshot.Clusters, cluster)
 	}
-	return s
+	return snapshot
 }
 
-// BenchmarkChange is what a change of one weight costs a gateway, as a complete document or as a delta: bytes of the text and the time to
-// read and apply it, for which a single-threaded gateway pauses.
+// BenchmarkChange measures what a change of weights costs a gateway, as a complete document and as a delta: the size of the
+// message, and the time to decode and apply it, during which a single-threaded gateway pauses.
 func BenchmarkChange(b *testing.B) {
-	for _, lines := range []int{18, 100, 400} {
-		from, to := large(lines, 1), large(lines, 2)
-		kinds := []string{"kind-0", "kind-1", "kind-2"}
-		whole, err := xds.NewEndpointDocument("v", "n", to.Clusters)
+	for _, endpoints := range []int{18, 100, 400} {
+		from, to := largeSnapshot(endpoints, 1), largeSnapshot(endpoints, 2)
+		classes := []string{"kind-0", "kind-1", "kind-2"}
+		document, err := xds.NewEndpointDocument("v", "n", to.Clusters)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -48,12 +49,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for name, m := range map[string]proto.Message{"whole": whole, "delta": delta} {
-			text, err := xds.Encode(m)
+		for name, message := range map[string]proto.Message{"whole": document, "delta": delta} {
+			text, err := xds.Encode(message)
 			if err != nil {
 				b.Fatal(err)
 			}
-			b.Run(fmt.Sprintf("%d_lines_%s", lines, name), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%d_lines_%s", endpoints, name), func(b *testing.B) {
 				for b.Loop() {
 					if name == "whole" {
 						if _, err := xds.ParseDocument(text); err != nil {
@@ -61,51 +62,53 @@
 						}
 						continue
 					}
-					d := proto.Clone(delta)
-					proto.Reset(d)
-					if err := xds.Decode(text, d); err != nil {
+					decoded := proto.Clone(delta)
+					proto.Reset(decoded)
+					if err := xds.Decode(text, decoded); err != nil {
 						b.Fatal(err)
 					}
-					if _, err := xds.ApplyEndpointDelta(kinds, from, delta); err != nil {
+					if _, err := xds.ApplyEndpointDelta(classes, from, delta); err != nil {
 						b.Fatal(err)
 					}
 				}
 				b.ReportMetric(float64(len(text)), "bytes")
-				b.ReportMetric(float64(proto.Size(m)), "bytes-binary")
+				b.ReportMetric(float64(proto.Size(message)), "bytes-binary")
 			})
 		}
 	}
 }
 
-// BenchmarkWake holds ten thousand polls and wakes them at once: memory for each, and the time until one is answered.
+// BenchmarkWake has ten thousand pending polls and answers all of them at once. It measures the memory of each poll and the
+// time until its response.
 func BenchmarkWake(b *testing.B) {
-	const many = 10_000
+	const polls = 10_000
 	for b.Loop() {
-		took := make([]time.Duration, many)
+		latencies := make([]time.Duration, polls)
 		var before, after runtime.MemStats
-		runtime.GC() // twice: the last round's polls are freed
+		runtime.GC() // twice, to free the polls of the last iteration
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		h := NewHub(many, 1)
-		var began time.Time
-		var answered sync.WaitGroup
-		for i := range many {
-			answered.Add(1)
-			h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Document: coordinator.EndpointsDocument, MaxWait: time.Minute,
-				Respond: func(*Response, error) { took[i] = time.Since(began); answered.Done() }})
+		hub := NewHub(polls, 1)
+		var start time.Time
+		var pending sync.WaitGroup
+		for i := range polls {
+			pending.Add(1)
+			hub.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Document: coordinator.EndpointsDocument, MaxWait: time.Minute,
+				Respond: func(*Response, error) { latencies[i] = time.Since(start); pending.Done() }})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		s := large(18, 1)
-		began = time.Now()
-		for i := range many {
-			h.Publish(coordinator.Publish{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Version: "e.1", Nonce: "e.1", Snapshot: s, Changed: [2]bool{true, true}})
+		snapshot := largeSnapshot(18, 1)
+		start = time.Now()
+		for i := range polls {
+			hub.Publish(coordinator.Publish{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Version: "e.1", Nonce: "e.1",
+				Snapshot: snapshot, Changed: [2]bool{true, true}})
 		}
-		answered.Wait()
-		runtime.KeepAlive(h)
-		slices.Sort(took)
-		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/many, "bytes/poll")
-		b.ReportMetric(float64(took[many/2].Microseconds())/1000, "ms-p50")
-		b.ReportMetric(float64(took[many*99/100].Microseconds())/1000, "ms-p99")
+		pending.Wait()
+		runtime.KeepAlive(hub)
+		slices.Sort(latencies)
+		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/polls, "bytes/poll")
+		b.ReportMetric(float64(latencies[polls/2].Microseconds())/1000, "ms-p50")
+		b.ReportMetric(float64(latencies[polls*99/100].Microseconds())/1000, "ms-p99")
 	}
 }
--- a/xdspoll/gateway.go
+++ b/xdspoll/gateway.go
@@ -8,36 +8,36 @@
 	"porthub/routing"
 )
 
-// gatewayState is what a gateway may be sent, and its polls that wait. The Hub's mutex guards it.
+// gatewayState holds a gateway's last publications and its pending polls. The Hub's mutex guards it.
 type gatewayState struct {
-	publication coordinator.Publish           // the last
-	version     [routing.DocumentCount]string // of the last change of each document
-	changed     [routing.DocumentCount]uint64 // number of the publication with that change
-	count       uint64                        // of publications
-	history     []base                        // the last publications, the newest last
-	byNonce     map[string]base               // of history
-	waiters     map[*waiter]bool
+	publication coordinator.Publish           // the last publication
+	version     [routing.DocumentCount]string // version of the last publication that changed each document
+	changed     [routing.DocumentCount]uint64 // number of the last publication that changed each document
+	count       uint64                        // number of publications so far
+	history     []base                        // the last publications, the newest one last
+	byNonce     map[string]base               // the publications of history, by nonce
+	waiters     map[*waiter]bool              // pending polls
 }
 
-// base is a publication from which a delta may start.
+// base is a publication that a delta can start from.
 type base struct {
 	nonce    string
 	number   uint64
 	snapshot routing.Snapshot
 }
 
-// waiter is a poll that waits for something new.
+// waiter is a pending poll.
 type waiter struct {
-	request  Request
-	timer    *time.Timer
-	answered bool // or cancelled
+	request Request
+	timer   *time.Timer
+	done    bool // no longer pending: answered, expired or cancelled
 }
 
 func newGatewayState() *gatewayState {
 	return &gatewayState{byNonce: map[string]base{}, waiters: map[*waiter]bool{}}
 }
 
-// publish records a publication and retains up to deltaBases earlier ones as bases of deltas.
+// publish records a publication and keeps up to deltaBases earlier ones as bases for deltas.
 func (g *gatewayState) publish(p coordinator.Publish, deltaBases int) {
 	g.count++
 	for document, changed := range p.Changed {
@@ -56,9 +56,9 @@
 	}
 }
 
-// hasUpdate reports whether there is something to send to a poll. What is published again without a difference is sent as
-// an empty delta: the core waits for its acknowledgement. (A gateway that reconnected and needed no change would
-// otherwise not acknowledge, and count as unresponsive until something changed.)
+// hasUpdate reports whether there is something to send in response to a poll. A publication without any difference is sent
+// as an empty delta, because the core waits for its acknowledgement. Otherwise a gateway that reconnected and needed no
+// change would not acknowledge it, and would count as unresponsive until something changed.
 func (g *gatewayState) hasUpdate(r Request) bool {
 	version := g.version[r.Document]
 	if version == "" {
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -9,35 +9,35 @@
 	"porthub/coordinator"
 )
 
-// Hub responds to polls. It is safe for concurrent use.
+// Hub responds to the polls of all gateways. It is safe for concurrent use.
 type Hub struct {
-	deltaBases int // earlier publications of a gateway that deltas may start from
-	maxPending int
-	responses  *lru.Cache[string, *sharedEntry]
+	deltaBases int                              // number of earlier publications of each gateway that deltas can start from
+	maxPending int                              // limit of pending
+	responses  *lru.Cache[string, *sharedEntry] // by sharedKey
 
-	mu       sync.Mutex // guards what follows, and all gateway states
+	mu       sync.Mutex // guards the fields below and all gateway states
 	gateways map[coordinator.Gateway]*gatewayState
-	pending  int // polls that wait
+	pending  int // number of pending polls
 	stats    Stats
 }
 
 // Stats counts responses since the start.
 type Stats struct {
-	Pending   int   `json:"held"` // polls that wait now
-	Documents int   `json:"whole"`
-	Deltas    int   `json:"deltas"`
-	Unchanged int   `json:"quiet"` // responses that there is nothing new
-	Resources int   `json:"lines"` // in responses
-	Bytes     int64 `json:"bytes"`
-	Rejected  int   `json:"full"` // polls over the limit
+	Pending   int   `json:"held"`   // polls that are pending now
+	Documents int   `json:"whole"`  // responses with a complete document
+	Deltas    int   `json:"deltas"` // responses with a delta
+	Unchanged int   `json:"quiet"`  // responses without content, because nothing changed
+	Resources int   `json:"lines"`  // endpoints and routes in responses, including removed ones
+	Bytes     int64 `json:"bytes"`  // size of responses
+	Rejected  int   `json:"full"`   // polls rejected because too many were pending
 }
 
-// NewHub returns a hub that lets maxPending polls wait at once and keeps deltaBases earlier publications of each gateway
-// for deltas.
+// NewHub returns a hub that allows maxPending polls to be pending at once and keeps deltaBases earlier publications of each
+// gateway as bases for deltas.
 func NewHub(maxPending, deltaBases int) *Hub {
 	responses, err := lru.New[string, *sharedEntry](maxSharedEntries)
 	if err != nil {
-		panic(err) // only for a size below 1
+		panic(err) // New fails only for a size below 1
 	}
 	return &Hub{
 		deltaBases: deltaBases,
@@ -47,7 +47,7 @@
 	}
 }
 
-// Stats returns the counts.
+// Stats returns the current counts.
 func (h *Hub) Stats() Stats {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,7 +63,7 @@
 	h.stats.Bytes += int64(bytes)
 }
 
-// gateway returns a gateway's state. The caller holds the mutex.
+// gateway returns a gateway's state, which it creates if there is none. The caller holds the mutex.
 func (h *Hub) gateway(name coordinator.Gateway) *gatewayState {
 	g := h.gateways[name]
 	if g == nil {
@@ -73,15 +73,15 @@
 	return g
 }
 
-// Publish records a publication and responds to the polls that wait for it, each by a goroutine of its own that ends with its
-// response: building and encoding is spread over all cores and does not hold up the caller.
+// Publish records a publication and responds to the polls that are waiting for it. Each response is built and sent by a
+// goroutine of its own, which ends with the response: the work is spread over all cores and does not delay the caller.
 func (h *Hub) Publish(p coordinator.Publish) {
 	for _, w := range h.publish(p) {
 		go h.respond(w.request)
 	}
 }
 
-// publish returns the polls that are due a response.
+// publish records a publication, and removes and returns the pending polls that it answers.
 func (h *Hub) publish(p coordinator.Publish) (due []*waiter) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -96,30 +96,31 @@
 	return due
 }
 
-// remove removes a waiting poll, and reports whether it was still waiting. The caller holds the mutex.
+// remove removes a poll from the pending ones, and reports whether it was still pending. The caller holds the mutex.
 func (h *Hub) remove(gateway *gatewayState, w *waiter) bool {
-	if w.answered {
+	if w.done {
 		return false
 	}
-	w.answered = true
+	w.done = true
 	w.timer.Stop()
 	delete(gateway.waiters, w)
 	h.pending--
 	return true
 }
 
-// pollResult is what is done about a new poll.
+// pollResult is how a new poll is handled.
 type pollResult int
 
 const (
-	pollAnswered  pollResult = iota // there is something new
-	pollUnchanged                   // there is nothing new and the poll does not wait
-	pollWaiting
-	pollRejected // too many wait
+	pollAnswered  pollResult = iota // the response has something new
+	pollUnchanged                   // the response is empty: there is nothing new and the poll does not wait
+	pollPending                     // the poll waits for something new
+	pollRejected                    // too many polls are pending
 )
 
-// Poll responds at once if there is something new. Otherwise the poll waits for it, until MaxWait has passed or cancel is called;
-// after that it gets no response. Poll reports false, and does not respond, if too many polls wait already.
+// Poll responds at once if there is something new. Otherwise the poll is pending until something new is published or MaxWait
+// has passed. A pending poll gets no response after cancel is called. If too many polls are pending already, Poll returns
+// false and does not respond.
 func (h *Hub) Poll(r Request) (cancel func(), ok bool) {
 	result, cancel := h.admit(r)
 	switch result {
@@ -131,6 +132,7 @@
 	return cancel, result != pollRejected
 }
 
+// admit determines how a poll is handled, and adds it to the pending polls if it has to wait.
 func (h *Hub) admit(request Request) (result pollResult, cancel func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -149,7 +151,7 @@
 	gateway.waiters[waiting] = true
 	h.pending++
 	waiting.timer = time.AfterFunc(request.MaxWait, func() { h.expire(gateway, waiting) })
-	return pollWaiting, func() {
+	return pollPending, func() {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.remove(gateway, waiting)
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -18,87 +18,94 @@
 	"porthub/xds"
 )
 
-// TestMain fixes the draws of property tests.
+// TestMain runs the property tests with fixed random draws.
 func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 300) }
 
-func publication(gw string, n int, lines ...int) coordinator.Publish {
-	c := routing.Cluster{Class: "view"}
-	for _, i := range lines {
-		c.Endpoints = append(c.Endpoints, routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", i)), Zone: "a", Weight: 1})
+// publication returns the nth publication to a gateway, with endpoints on the given ports. Only the first one changes the
+// routes.
+func publication(gateway string, n int, ports ...int) coordinator.Publish {
+	cluster := routing.Cluster{Class: "view"}
+	for _, port := range ports {
+		cluster.Endpoints = append(cluster.Endpoints,
+			routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(fmt.Sprintf("127.0.0.1:%d", port)), Zone: "a", Weight: 1})
 	}
-	c.Sort()
-	v := fmt.Sprintf("e.%d", n)
-	return coordinator.Publish{Gateway: coordinator.Gateway(gw), Version: v, Nonce: v, Snapshot: routing.Snapshot{Clusters: []routing.Cluster{c},
+	cluster.Sort()
+	version := fmt.Sprintf("e.%d", n)
+	return coordinator.Publish{Gateway: coordinator.Gateway(gateway), Version: version, Nonce: version, Snapshot: routing.Snapshot{Clusters: []routing.Cluster{cluster},
 		Routes: []routing.Route{{Class: "view", Rate: routing.UnlimitedRate, Share: 1}}}, Changed: [2]bool{true, n == 1}}
 }
 
-func messageOf(t *Response) proto.Message {
-	if t == nil {
+// messageOf returns the message of a response, or nil if there is nothing new.
+func messageOf(r *Response) proto.Message {
+	if r == nil {
 		return nil
 	}
-	return t.Message()
+	return r.Message()
 }
 
+// response holds what a Hub passed to Respond.
 type response struct {
-	m   proto.Message
-	err error
+	message proto.Message
+	err     error
 }
 
-func startPoll(t *testing.T, h *Hub, r Request) (chan response, func()) {
+// startPoll starts a poll and returns the channel that receives the response, and the function that cancels the poll.
+func startPoll(t *testing.T, h *Hub, request Request) (chan response, func()) {
 	t.Helper()
-	ch := make(chan response, 2)
-	r.Respond = func(t *Response, err error) { ch <- response{messageOf(t), err} }
-	cancel, ok := h.Poll(r)
+	responses := make(chan response, 2)
+	request.Respond = func(r *Response, err error) { responses <- response{messageOf(r), err} }
+	cancel, ok := h.Poll(request)
 	if !ok {
-		t.Fatal("rejected")
+		t.Fatal("the poll was rejected, want a response or a pending poll")
 	}
-	return ch, cancel
+	return responses, cancel
 }
 
-func receive(t *testing.T, ch chan response) response {
+// receive waits for a response.
+func receive(t *testing.T, responses chan response) response {
 	t.Helper()
 	select {
-	case x := <-ch:
-		return x
+	case r := <-responses:
+		return r
 	case <-time.After(10 * time.Second):
-		t.Fatal("no answer within 10 s")
+		t.Fatal("no response within 10 s")
 		return response{}
 	}
 }
 
 func TestDocumentPolls(t *testing.T) {
-	h := NewHub(10, 3)
-	r := Request{Gateway: "gw", Document: coordinator.EndpointsDocument, MaxWait: time.Minute}
-	ch, _ := startPoll(t, h, r)
-	h.Publish(publication("other", 1, 1))
-	h.Publish(publication("gw", 1, 1, 2))
-	m := receive(t, ch).m.(*discoveryv3.DiscoveryResponse)
-	if m.VersionInfo != "e.1" || h.Stats().Pending != 0 {
-		t.Errorf("%v, %+v", m, h.Stats())
+	hub := NewHub(10, 3)
+	request := Request{Gateway: "gw", Document: coordinator.EndpointsDocument, MaxWait: time.Minute}
+	responses, _ := startPoll(t, hub, request)
+	hub.Publish(publication("other", 1, 1))
+	hub.Publish(publication("gw", 1, 1, 2))
+	message := receive(t, responses).message.(*discoveryv3.DiscoveryResponse)
+	if message.VersionInfo != "e.1" || hub.Stats().Pending != 0 {
+		t.Errorf("received %v, stats %+v; want version e.1 and no pending polls", message, hub.Stats())
 	}
-	r.Version = "e.1"
-	r.MaxWait = 20 * time.Millisecond
-	ch, _ = startPoll(t, h, r)
-	if x := receive(t, ch); x.m != nil || x.err != nil {
-		t.Errorf("%v for an unchanged document", x)
+	request.Version = "e.1"
+	request.MaxWait = 20 * time.Millisecond
+	responses, _ = startPoll(t, hub, request)
+	if r := receive(t, responses); r.message != nil || r.err != nil {
+		t.Errorf("received %v for an unchanged document, want an empty response", r)
 	}
-	r.MaxWait = time.Minute
-	ch, cancel := startPoll(t, h, r)
+	request.MaxWait = time.Minute
+	responses, cancel := startPoll(t, hub, request)
 	cancel()
-	h.Publish(publication("gw", 2, 1))
+	hub.Publish(publication("gw", 2, 1))
 	select {
-	case x := <-ch:
-		t.Errorf("cancelled, and answered with %v", x)
+	case r := <-responses:
+		t.Errorf("received %v for a cancelled poll, want no response", r)
 	case <-time.After(20 * time.Millisecond):
 	}
-	// Routes have not changed since the first publication: their poll waits.
-	ch, _ = startPoll(t, h, Request{Gateway: "gw", Document: coordinator.RoutesDocument, Version: "e.1", MaxWait: 20 * time.Millisecond})
-	if x := receive(t, ch); x.m != nil {
-		t.Errorf("%v for unchanged routes", x.m)
+	// Routes have not changed since the first publication, so the poll for them gets an empty response.
+	responses, _ = startPoll(t, hub, Request{Gateway: "gw", Document: coordinator.RoutesDocument, Version: "e.1", MaxWait: 20 * time.Millisecond})
+	if r := receive(t, responses); r.message != nil {
+		t.Errorf("received %v for unchanged routes, want an empty response", r.message)
 	}
 }
 
-// deltaGateway is a gateway that polls for deltas of its endpoints.
+// deltaGateway simulates a gateway that polls for deltas of its endpoints.
 type deltaGateway struct {
 	t      *testing.T
 	hub    *Hub
@@ -106,21 +113,21 @@
 	nonce  string
 }
 
-// poll polls with the gateway's nonce, or with the versions that it has.
+// poll polls with the gateway's nonce and the given resource versions, and returns the response.
 func (g *deltaGateway) poll(versions map[string]string) response {
 	g.t.Helper()
-	ch, cancel := startPoll(g.t, g.hub, Request{Gateway: "gw", Document: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce,
+	responses, cancel := startPoll(g.t, g.hub, Request{Gateway: "gw", Document: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce,
 		Versions: versions, MaxWait: time.Millisecond})
 	defer cancel()
-	return receive(g.t, ch)
+	return receive(g.t, responses)
 }
 
 // apply applies a response, which must be a delta, and returns the number of resources in it.
-func (g *deltaGateway) apply(x response) int {
+func (g *deltaGateway) apply(r response) int {
 	g.t.Helper()
-	delta, ok := x.m.(*discoveryv3.DeltaDiscoveryResponse)
+	delta, ok := r.message.(*discoveryv3.DeltaDiscoveryResponse)
 	if !ok {
-		g.t.Fatalf("no delta: %v", x)
+		g.t.Fatalf("received %v, want a delta", r)
 	}
 	clusters, err := xds.ApplyEndpointDelta([]string{"view"}, g.tables, delta)
 	if err != nil {
@@ -135,17 +142,18 @@
 func (g *deltaGateway) requirePublished(p coordinator.Publish) {
 	g.t.Helper()
 	if !slices.EqualFunc(g.tables.Clusters, p.Snapshot.Clusters, routing.Cluster.Equal) {
-		g.t.Fatalf("applied %v, published %v", g.tables.Clusters, p.Snapshot.Clusters)
+		g.t.Fatalf("the gateway has clusters %v, want the published %v", g.tables.Clusters, p.Snapshot.Clusters)
 	}
 }
 
-// Whatever deltas a gateway misses, repeats or gets late, they lead to what was published.
+// Deltas lead to the published clusters even if the gateway misses a response, the base of a delta is no longer kept, or the
+// coordinator was restarted.
 func TestEndpointDeltas(t *testing.T) {
 	g := &deltaGateway{t: t, hub: NewHub(10, 3)}
 	p := publication("gw", 1, 1, 2, 3, 4, 5, 6)
 	g.hub.Publish(p)
 	if n := g.apply(g.poll(nil)); n != 6 {
-		t.Errorf("%d endpoints in the first delta", n)
+		t.Errorf("%d endpoints in the first delta, want 6", n)
 	}
 	g.requirePublished(p)
 	g.hub.Publish(publication("gw", 2, 1, 2, 3, 4, 5, 7))
@@ -153,113 +161,113 @@
 	p = publication("gw", 3, 1, 2, 3, 4, 7)
 	g.hub.Publish(p)
 	if n := g.apply(g.poll(nil)); n != 3 {
-		t.Errorf("%d endpoints with 5 and 6 removed and 7 added", n)
+		t.Errorf("%d endpoints in the delta, want 3: 5 and 6 removed and 7 added", n)
 	}
 	g.requirePublished(p)
-	if x := g.poll(nil); x.m != nil || x.err != nil {
-		t.Errorf("%v for an unchanged document", x)
+	if r := g.poll(nil); r.message != nil || r.err != nil {
+		t.Errorf("received %v for an unchanged document, want an empty response", r)
 	}
-	for n := 4; n < 12; n++ { // so many that its base is dropped
+	for n := 4; n < 12; n++ { // more publications than are kept as bases
 		p = publication("gw", n, 1, n)
 		g.hub.Publish(p)
 	}
-	if x := g.poll(nil); !errors.Is(x.err, ErrUnknownBase) {
-		t.Errorf("from a base that was dropped: %v", x)
+	if r := g.poll(nil); !errors.Is(r.err, ErrUnknownBase) {
+		t.Errorf("received %v for a base that is no longer kept, want ErrUnknownBase", r)
 	}
 	g.apply(g.poll(xds.EndpointVersions(g.tables)))
 	g.requirePublished(p)
-	// A restarted coordinator knows neither the nonce nor removed endpoints.
+	// A restarted coordinator has neither the nonce nor the endpoints that were removed.
 	g.hub = NewHub(10, 3)
 	p = publication("gw", 1, 9)
 	g.hub.Publish(p)
-	if x := g.poll(nil); !errors.Is(x.err, ErrUnknownBase) {
-		t.Errorf("from the nonce of an earlier process: %v", x)
+	if r := g.poll(nil); !errors.Is(r.err, ErrUnknownBase) {
+		t.Errorf("received %v for the nonce of an earlier process, want ErrUnknownBase", r)
 	}
 	g.apply(g.poll(xds.EndpointVersions(g.tables)))
 	g.requirePublished(p)
 }
 
-// Ten thousand waiting polls are answered at once, each one time; a poll over the limit is rejected.
+// Ten thousand pending polls are answered at once, each of them once. A poll over the limit is rejected.
 func TestManyPendingPolls(t *testing.T) {
-	const many = 10_000
-	h := NewHub(many, 2)
-	var answered sync.WaitGroup
-	for i := range many {
-		answered.Add(1)
-		_, ok := h.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Document: coordinator.EndpointsDocument, MaxWait: time.Minute,
-			Respond: func(m *Response, err error) {
-				if m == nil || err != nil {
-					t.Errorf("%v, %v", m, err)
+	const polls = 10_000
+	hub := NewHub(polls, 2)
+	var pending sync.WaitGroup
+	for i := range polls {
+		pending.Add(1)
+		_, ok := hub.Poll(Request{Gateway: coordinator.Gateway(fmt.Sprint("gw-", i)), Document: coordinator.EndpointsDocument, MaxWait: time.Minute,
+			Respond: func(r *Response, err error) {
+				if r == nil || err != nil {
+					t.Errorf("received %v, error %v; want a document", r, err)
 				}
-				answered.Done()
+				pending.Done()
 			}})
 		if !ok {
-			t.Fatal("rejected before the limit")
+			t.Fatal("a poll within the limit was rejected")
 		}
 	}
-	if _, ok := h.Poll(Request{Gateway: "one more", MaxWait: time.Minute, Respond: func(*Response, error) {}}); ok || h.Stats().Rejected != 1 {
-		t.Error("a poll over the limit waits")
+	if _, ok := hub.Poll(Request{Gateway: "one more", MaxWait: time.Minute, Respond: func(*Response, error) {}}); ok || hub.Stats().Rejected != 1 {
+		t.Error("a poll over the limit was not rejected, or not counted as rejected")
 	}
-	for i := range many {
-		h.Publish(publication(fmt.Sprint("gw-", i), 1, 1, 2))
+	for i := range polls {
+		hub.Publish(publication(fmt.Sprint("gw-", i), 1, 1, 2))
 	}
-	answered.Wait()
-	if s := h.Stats(); s.Pending != 0 || s.Documents != many {
-		t.Errorf("%+v", s)
+	pending.Wait()
+	if stats := hub.Stats(); stats.Pending != 0 || stats.Documents != polls {
+		t.Errorf("stats %+v, want 10000 documents and no pending polls", stats)
 	}
 }
 
-// What is published again without a difference is sent as an empty delta: the core waits for its acknowledgement.
+// A publication without any difference is sent as an empty delta, because the core waits for its acknowledgement.
 func TestUnchangedPublicationIsAnEmptyDelta(t *testing.T) {
-	h := NewHub(10, 3)
-	h.Publish(publication("gw", 1, 1, 2))
-	for n, doc := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
-		r := Request{Gateway: "gw", Document: doc, MaxWait: time.Minute, Delta: true, Nonce: fmt.Sprintf("e.%d", 1+n)}
-		ch, _ := startPoll(t, h, r)
+	hub := NewHub(10, 3)
+	hub.Publish(publication("gw", 1, 1, 2))
+	for n, document := range []coordinator.Document{coordinator.EndpointsDocument, coordinator.RoutesDocument} {
+		request := Request{Gateway: "gw", Document: document, MaxWait: time.Minute, Delta: true, Nonce: fmt.Sprintf("e.%d", 1+n)}
+		responses, _ := startPoll(t, hub, request)
 		p := publication("gw", 2+n, 1, 2)
 		p.Changed = [2]bool{n == 0, n == 1}
-		h.Publish(p)
-		m, ok := receive(t, ch).m.(*discoveryv3.DeltaDiscoveryResponse)
-		if !ok || len(m.Resources)+len(m.RemovedResources) > 0 || m.Nonce != p.Nonce {
-			t.Errorf("%v: received %v", doc, m)
+		hub.Publish(p)
+		delta, ok := receive(t, responses).message.(*discoveryv3.DeltaDiscoveryResponse)
+		if !ok || len(delta.Resources)+len(delta.RemovedResources) > 0 || delta.Nonce != p.Nonce {
+			t.Errorf("document %v: received %v, want an empty delta with the nonce of the publication", document, delta)
 		}
 	}
 }
 
-// Only the route that changed is sent, and one that was removed is named.
+// A delta of routes has only the routes that changed and the names of those that were removed.
 func TestRouteDeltas(t *testing.T) {
 	classes := []string{"view", "save", "old"}
-	publish := func(n int, rates ...float64) coordinator.Publish {
+	routePublication := func(n int, rates ...float64) coordinator.Publish {
 		p := publication("gw", n, 1)
 		p.Changed, p.Snapshot.Routes = [2]bool{false, true}, nil
-		for i, r := range rates {
-			p.Snapshot.Routes = append(p.Snapshot.Routes, routing.Route{Class: classes[i], Rate: r, Share: 1, Timeout: 1e6})
+		for i, rate := range rates {
+			p.Snapshot.Routes = append(p.Snapshot.Routes, routing.Route{Class: classes[i], Rate: rate, Share: 1, Timeout: 1e6})
 		}
 		return p
 	}
-	h := NewHub(10, 3)
-	h.Publish(publish(1, 10, routing.UnlimitedRate, 5))
+	hub := NewHub(10, 3)
+	hub.Publish(routePublication(1, 10, routing.UnlimitedRate, 5))
 	var routes []routing.Route
 	for n, want := range []struct{ set, removed, total int }{{3, 0, 3}, {1, 0, 3}, {1, 1, 2}} {
-		r := Request{Gateway: "gw", Document: coordinator.RoutesDocument, MaxWait: time.Minute, Delta: true}
+		request := Request{Gateway: "gw", Document: coordinator.RoutesDocument, MaxWait: time.Minute, Delta: true}
 		if n > 0 {
-			r.Nonce = fmt.Sprintf("e.%d", n)
-			h.Publish([]coordinator.Publish{{}, publish(2, 20, routing.UnlimitedRate, 5), publish(3, 20, 0)}[n])
+			request.Nonce = fmt.Sprintf("e.%d", n)
+			hub.Publish([]coordinator.Publish{{}, routePublication(2, 20, routing.UnlimitedRate, 5), routePublication(3, 20, 0)}[n])
 		}
-		ch, _ := startPoll(t, h, r)
-		m, ok := receive(t, ch).m.(*discoveryv3.DeltaDiscoveryResponse)
-		if !ok || len(m.Resources) != want.set || len(m.RemovedResources) != want.removed {
-			t.Fatalf("step %d: received %v", n, m)
+		responses, _ := startPoll(t, hub, request)
+		delta, ok := receive(t, responses).message.(*discoveryv3.DeltaDiscoveryResponse)
+		if !ok || len(delta.Resources) != want.set || len(delta.RemovedResources) != want.removed {
+			t.Fatalf("step %d: received %v, want %d set and %d removed routes", n, delta, want.set, want.removed)
 		}
 		var err error
-		if routes, err = xds.ApplyRouteDelta(classes, routes, m); err != nil || len(routes) != want.total {
-			t.Fatalf("step %d: applied %v, %v", n, routes, err)
+		if routes, err = xds.ApplyRouteDelta(classes, routes, delta); err != nil || len(routes) != want.total {
+			t.Fatalf("step %d: the gateway has routes %v, error %v; want %d routes", n, routes, err, want.total)
 		}
 	}
 	if routes[0].Rate != 20 || routes[1].Rate != 0 || routes[0].Timeout != 1e6 {
-		t.Errorf("applied %+v", routes)
+		t.Errorf("the gateway has routes %+v, want rates 20 and 0 and the timeout of 1 s", routes)
 	}
 	if _, err := xds.ApplyRouteDelta(classes[:1], nil, &discoveryv3.DeltaDiscoveryResponse{Resources: []*discoveryv3.Resource{{Name: "view"}}}); err == nil {
-		t.Error("an empty resource is applied")
+		t.Error("a delta with an empty resource was applied, want an error")
 	}
 }
--- a/xdspoll/model_test.go
+++ b/xdspoll/model_test.go
@@ -16,11 +16,11 @@
 	"porthub/xds"
 )
 
-// model is one coordinator's versions and hub, and two gateways that poll for deltas: a small state machine whose steps
-// are taken in every order to a stated depth.
+// model is a state machine that consists of the versions and the hub of one coordinator, and two gateways that poll for
+// deltas. The tests run its steps in various orders.
 type model struct {
 	t              interface{ Errorf(string, ...any) }
-	ignoreRemovals bool // the gateways ignore removed endpoints
+	ignoreRemovals bool // the gateways ignore removed endpoints, a fault that the model must detect
 	hub            *Hub
 	versions       *routing.VersionStore
 	now            policyapi.Microseconds
@@ -34,49 +34,49 @@
 	failed         bool
 }
 
-// polledGateway is a gateway: its tables, and the response in flight to it.
+// polledGateway is the state of a gateway, and the response that is on its way to it.
 type polledGateway struct {
-	tables     routing.Snapshot
-	nonce      string
-	stateAll   bool
-	inFlight   *response
-	closedThen map[policyapi.EndpointID]bool // the closed endpoints when the response was built
+	tables       routing.Snapshot
+	nonce        string
+	sendVersions bool
+	inFlight     *response
+	closedAtPoll map[policyapi.EndpointID]bool // the closed endpoints when the response was built
 }
 
 var modelClasses = []string{"view"}
 
 func newModel(t interface{ Errorf(string, ...any) }, ignoreRemovals bool) *model {
-	m := &model{t: t, ignoreRemovals: ignoreRemovals, hub: NewHub(10, 1), versions: routing.NewVersionStore(8, 1e9), closed: map[policyapi.EndpointID]bool{},
-		current: routing.Weights{"127.0.0.1:1": 1, "127.0.0.1:2": 1}}
+	m := &model{t: t, ignoreRemovals: ignoreRemovals, hub: NewHub(10, 1), versions: routing.NewVersionStore(8, 1e9),
+		closed: map[policyapi.EndpointID]bool{}, current: routing.Weights{"127.0.0.1:1": 1, "127.0.0.1:2": 1}}
 	for i := range m.gateways {
-		m.gateways[i] = &polledGateway{stateAll: true}
+		m.gateways[i] = &polledGateway{sendVersions: true}
 	}
 	m.publish()
 	return m
 }
 
-// publish sends the effective tables to both gateways.
+// publish publishes the effective tables to both gateways.
 func (m *model) publish() {
 	m.now++
 	m.publications++
 	m.versions.Put(m.now, 1, m.current, nil)
-	w, _, _ := m.versions.Effective(1, 0, "a", m.current, func(b policyapi.EndpointID) routing.EndpointEligibility {
-		return routing.EndpointEligibility{Closed: m.closed[b], Weight: m.current[b]}
+	weights, _, _ := m.versions.Effective(1, 0, "a", m.current, func(endpoint policyapi.EndpointID) routing.EndpointEligibility {
+		return routing.EndpointEligibility{Closed: m.closed[endpoint], Weight: m.current[endpoint]}
 	})
-	c := routing.BuildCluster("view", w, func(policyapi.EndpointID) (policyapi.Zone, bool) { return "a", true },
-		func(b policyapi.EndpointID) bool { return m.closed[b] })
-	m.last = routing.Snapshot{Clusters: []routing.Cluster{c}}
-	v := fmt.Sprintf("%d.%d", m.epoch, m.publications)
+	cluster := routing.BuildCluster("view", weights, func(policyapi.EndpointID) (policyapi.Zone, bool) { return "a", true },
+		func(endpoint policyapi.EndpointID) bool { return m.closed[endpoint] })
+	m.last = routing.Snapshot{Clusters: []routing.Cluster{cluster}}
+	version := fmt.Sprintf("%d.%d", m.epoch, m.publications)
 	for i := range m.gateways {
-		m.hub.Publish(coordinator.Publish{Gateway: coordinator.Gateway(fmt.Sprint(i)), Version: v, Nonce: v, Snapshot: m.last,
+		m.hub.Publish(coordinator.Publish{Gateway: coordinator.Gateway(fmt.Sprint(i)), Version: version, Nonce: version, Snapshot: m.last,
 			Changed: [2]bool{true, true}})
 	}
 }
 
-// steps are all that can happen; a step that makes no sense now changes nothing.
+// steps are the possible steps of the model. A step that is not possible in the current state changes nothing.
 var steps = []struct {
 	name string
-	do   func(m *model)
+	run  func(m *model)
 }{
 	{"change", func(m *model) {
 		m.current = maps.Clone(m.current)
@@ -113,49 +113,52 @@
 	{"lose 0", func(m *model) { m.gateways[0].inFlight = nil }},
 }
 
-// poll polls; an earlier answer that has not come is given up, as a client does whose time is up.
+// poll makes gateway i poll. A response that is still on its way is discarded, as by a client whose request timed out.
 func (m *model) poll(i int) {
 	g := m.gateways[i]
-	r := Request{Gateway: coordinator.Gateway(fmt.Sprint(i)), Document: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce}
-	if g.stateAll {
-		r.Versions = xds.EndpointVersions(g.tables)
+	request := Request{Gateway: coordinator.Gateway(fmt.Sprint(i)), Document: coordinator.EndpointsDocument, Delta: true, Nonce: g.nonce}
+	if g.sendVersions {
+		request.Versions = xds.EndpointVersions(g.tables)
 	}
-	r.Respond = func(t *Response, err error) { g.inFlight = &response{messageOf(t), err} }
-	m.hub.Poll(r)
-	g.closedThen = m.closed
+	request.Respond = func(r *Response, err error) { g.inFlight = &response{messageOf(r), err} }
+	m.hub.Poll(request)
+	g.closedAtPoll = m.closed
 }
 
+// deliver delivers the response on its way to gateway i, which applies it. It fails the test if the gateway then sends
+// requests to an endpoint that was closed when the response was built.
 func (m *model) deliver(i int) {
 	g := m.gateways[i]
 	if g.inFlight == nil {
 		return
 	}
-	a := g.inFlight
+	received := g.inFlight
 	g.inFlight = nil
-	if errors.Is(a.err, ErrUnknownBase) {
-		g.stateAll = true
+	if errors.Is(received.err, ErrUnknownBase) {
+		g.sendVersions = true
 		return
 	}
-	d, ok := a.m.(*discoveryv3.DeltaDiscoveryResponse)
+	delta, ok := received.message.(*discoveryv3.DeltaDiscoveryResponse)
 	if !ok {
 		return
 	}
 	if m.ignoreRemovals {
-		d = &discoveryv3.DeltaDiscoveryResponse{Nonce: d.Nonce, Resources: d.Resources}
+		delta = &discoveryv3.DeltaDiscoveryResponse{Nonce: delta.Nonce, Resources: delta.Resources}
 	}
-	clusters, err := xds.ApplyEndpointDelta(modelClasses, g.tables, d)
+	clusters, err := xds.ApplyEndpointDelta(modelClasses, g.tables, delta)
 	if err != nil {
-		m.fail("gateway %d: %v", i, err)
+		m.fail("gateway %d could not apply a delta: %v", i, err)
 		return
 	}
-	g.tables.Clusters, g.nonce, g.stateAll = clusters, d.Nonce, false
-	for _, l := range clusters[0].Endpoints {
-		if g.closedThen[l.Endpoint] && !l.Withheld {
-			m.fail("gateway %d sends to %s, which was closed when its response was built", i, l.Endpoint)
+	g.tables.Clusters, g.nonce, g.sendVersions = clusters, delta.Nonce, false
+	for _, endpoint := range clusters[0].Endpoints {
+		if g.closedAtPoll[endpoint.Endpoint] && !endpoint.Withheld {
+			m.fail("gateway %d sends requests to %s, which was closed when the response was built", i, endpoint.Endpoint)
 		}
 	}
 }
 
+// fail records a failure, and fails the test unless failures are expected because gateways ignore removed endpoints.
 func (m *model) fail(format string, args ...any) {
 	m.failed = true
 	if !m.ignoreRemovals {
@@ -163,7 +166,7 @@
 	}
 }
 
-// settle delivers everything, and compares what the gateways have with the last publication.
+// settle delivers all responses, and compares the gateways' tables with the last publication.
 func (m *model) settle() {
 	for i, g := range m.gateways {
 		for range 4 {
@@ -171,59 +174,61 @@
 			m.deliver(i)
 		}
 		if !slices.EqualFunc(g.tables.Clusters, m.last.Clusters, routing.Cluster.Equal) {
-			m.fail("gateway %d has %v, published was %v", i, g.tables.Clusters, m.last.Clusters)
+			m.fail("gateway %d has clusters %v, want the published %v", i, g.tables.Clusters, m.last.Clusters)
 		}
 	}
 }
 
-const depth = 5
+// sequenceLength is the number of steps in each sequence of TestEveryOrderOfSteps.
+const sequenceLength = 5
 
-// Every order of steps to the stated depth converges and never shows an endpoint that the rules forbid.
+// After every sequence of five steps, the gateways converge to the published tables, and they never send requests to an
+// endpoint that was closed when the response was built. The search finds gateways that ignore removed endpoints.
 func TestEveryOrderOfSteps(t *testing.T) {
 	search := func(ignoreRemovals bool) (sequences, failures int) {
-		var path [depth]int
+		var sequence [sequenceLength]int
 		for {
 			m := newModel(t, ignoreRemovals)
-			for _, s := range path {
-				steps[s].do(m)
+			for _, step := range sequence {
+				steps[step].run(m)
 			}
 			m.settle()
 			if sequences++; m.failed {
 				if failures++; !ignoreRemovals {
 					var names []string
-					for _, s := range path {
-						names = append(names, steps[s].name)
+					for _, step := range sequence {
+						names = append(names, steps[step].name)
 					}
-					t.Fatalf("after %v", names)
+					t.Fatalf("failed after the steps %v", names)
 				}
 			}
-			i := depth - 1
+			i := sequenceLength - 1
 			for ; i >= 0; i-- {
-				if path[i]++; path[i] < len(steps) {
+				if sequence[i]++; sequence[i] < len(steps) {
 					break
 				}
-				path[i] = 0
+				sequence[i] = 0
 			}
 			if i < 0 || ignoreRemovals && failures > 0 {
 				return sequences, failures
 			}
 		}
 	}
-	n, _ := search(false)
-	if n != 100_000 {
-		t.Errorf("%d sequences", n)
+	sequences, _ := search(false)
+	if sequences != 100_000 {
+		t.Errorf("%d sequences were run, want 100000", sequences)
 	}
 	if _, failures := search(true); failures == 0 {
-		t.Error("gateways that ignore removed endpoints are not found")
+		t.Error("gateways that ignore removed endpoints led to no failure, want at least one")
 	}
 }
 
-// Long random courses converge as well.
-func TestLongRandomCourses(t *testing.T) {
+// The gateways converge to the published tables after long random sequences of steps as well.
+func TestLongRandomSequences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, false)
-		for _, s := range rapid.SliceOfN(rapid.IntRange(0, len(steps)-1), 10, 60).Draw(t, "steps") {
-			steps[s].do(m)
+		for _, step := range rapid.SliceOfN(rapid.IntRange(0, len(steps)-1), 10, 60).Draw(t, "steps") {
+			steps[step].run(m)
 		}
 		m.settle()
 	})
--- a/xdspoll/respond.go
+++ b/xdspoll/respond.go
@@ -6,7 +6,7 @@
 	"porthub/xds"
 )
 
-// respond completes a poll with the last publication.
+// respond responds to a poll with the gateway's last publication.
 func (h *Hub) respond(r Request) {
 	h.mu.Lock()
 	g := h.gateway(r.Gateway)
@@ -66,6 +66,7 @@
 	return response, endpoints, err
 }
 
+// deltaFrom returns the changes of a document between two snapshots.
 func (h *Hub) deltaFrom(document coordinator.Document, from, to routing.Snapshot) (*xds.SharedResponse, error) {
 	if document == coordinator.RoutesDocument {
 		return xds.ShareRouteDelta(xds.RouteVersions(from), to)
@@ -75,6 +76,7 @@
 	})
 }
 
+// deltaFromVersions returns the changes of a document from the resource versions that a gateway has to a snapshot.
 func deltaFromVersions(document coordinator.Document, versions map[string]string, to routing.Snapshot) (*xds.SharedResponse, error) {
 	if document == coordinator.RoutesDocument {
 		return xds.ShareRouteDelta(versions, to)
--- a/xdspoll/shared.go
+++ b/xdspoll/shared.go
@@ -9,11 +9,12 @@
 	"porthub/xds"
 )
 
-// maxSharedEntries bounds the shared responses: a fleet's groups of gateways, each from a few earlier states.
+// maxSharedEntries limits the cached responses. There is one for each group of gateways of a fleet and each of the few
+// earlier states that the group's gateways have.
 const maxSharedEntries = 512
 
-// sharedEntry is a response with the clusters that it was built from. As long as the entry exists the clusters do, so no
-// others can be at their addresses.
+// sharedEntry is a cached response and the clusters that it was built from. The entry keeps the clusters in memory, so that
+// their addresses, which identify them in the key, can't be reused.
 type sharedEntry struct {
 	from     []routing.Cluster
 	to       []routing.Cluster
@@ -22,8 +23,8 @@
 	err      error
 }
 
-// sharedResponse builds a response once for all gateways that go from the same clusters to the same. The core passes the
-// same slices to all gateways of one zone with one table, so the address of a slice is its identity.
+// sharedResponse builds a response once for all gateways that have the same clusters and need the same new ones. The core
+// passes the same slices to all gateways of one zone with one table, so the address of a slice identifies its content.
 func (h *Hub) sharedResponse(from, to []routing.Cluster, build func() (*xds.SharedResponse, error)) (*xds.SharedResponse, error) {
 	entry := &sharedEntry{from: from, to: to}
 	if cached, ok, _ := h.responses.PeekOrAdd(sharedKey(from, to), entry); ok {
@@ -33,6 +34,7 @@
 	return entry.response, entry.err
 }
 
+// sharedKey returns the cache key of a response, made of the addresses of its clusters.
 func sharedKey(from, to []routing.Cluster) string {
 	var key strings.Builder
 	for _, clusters := range [][]routing.Cluster{from, to} {
