--- a/client/poller.go
+++ b/client/poller.go
@@ -75,7 +75,8 @@
 }
 
 // Follow polls for one document until the context ends and calls handle with each update. The function tables returns
-// the gateway's current tables. After each consecutive failure Follow waits twice as long, up to 2 s.
+// the gateway's current tables. After a failure Follow waits before it polls again, twice as long after each consecutive
+// failure, up to 2 s.
 func (p *Poller) Follow(ctx context.Context, document coordinator.Document, tables func() Tables, handle func(Update)) {
 	backoff := minPollBackoff
 	for ctx.Err() == nil {
--- a/client/reader.go
+++ b/client/reader.go
@@ -24,7 +24,7 @@
 	// one is renamed over it.
 	ChunkSize  int
 	ChunkDelay time.Duration
-	seen       map[string]fileIdentity // last file read, by file name
+	seen       map[string]fileIdentity // identity of the file that was read last, by file name
 }
 
 // fileIdentity distinguishes a file from another one that is renamed over it.
--- a/xds/node.go
+++ b/xds/node.go
@@ -34,7 +34,7 @@
 	// Versions are the versions of the endpoints and routes that Checksum covers; empty if not given.
 	Versions [routing.DocumentCount]string
 	Polls    bool          // the gateway polls for its tables; otherwise it reads files
-	MaxWait  time.Duration // how long a poll waits for a change at most; 0 requests a response at once
+	MaxWait  time.Duration // maximum time that a poll waits for a change; 0 requests a response at once
 }
 
 func (n Node) message() *corev3.Node {
--- a/xds/report.go
+++ b/xds/report.go
@@ -15,7 +15,7 @@
 type ClassReport struct {
 	Class     string
 	Arrived   int
-	Rejected  int // by admission control
+	Rejected  int // rejected by admission control
 	Failures  int
 	Endpoints []EndpointReport
 }
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -12,7 +12,7 @@
 // Hub responds to the polls of all gateways. It is safe for concurrent use.
 type Hub struct {
 	deltaBases int                              // number of earlier publications of each gateway that deltas can start from
-	maxPending int                              // limit of pending
+	maxPending int                              // maximum number of pending polls
 	responses  *lru.Cache[string, *sharedEntry] // by sharedKey
 
 	mu       sync.Mutex // guards the fields below and all gateway states
--- a/xdspoll/request.go
+++ b/xdspoll/request.go
@@ -19,7 +19,7 @@
 	Gateway  coordinator.Gateway
 	Document coordinator.Document
 	Version  string        // applied by the gateway; empty if there is none
-	MaxWait  time.Duration // how long to wait for something new; 0 requests a response at once
+	MaxWait  time.Duration // maximum time to wait for something new; 0 requests a response at once
 	// Delta requests single endpoints or routes instead of a complete document: those that differ from the publication
 	// with this Nonce or, if it is unknown, from these Versions, which are resource versions by resource name.
 	Delta    bool
--- a/xdspoll/shared.go
+++ b/xdspoll/shared.go
@@ -9,8 +9,8 @@
 	"porthub/xds"
 )
 
-// maxSharedEntries limits the cached responses. There is one for each group of gateways of a fleet and each of the few
-// earlier states that the group's gateways have.
+// maxSharedEntries limits the number of cached responses. A fleet needs one for each group of gateways with the same tables
+// and each of the few earlier states that these gateways have.
 const maxSharedEntries = 512
 
 // sharedEntry is a cached response and the clusters that it was built from. The entry keeps the clusters in memory, so that
