--- a/capture/bench_test.go
+++ b/capture/bench_test.go
@@ -38,7 +38,7 @@
 			}
 			w.Close()
 			s := w.Stats()
-			b.ReportMetric(float64(s.BusyUS)/float64(s.Records)/float64(len(inputs)), "us/input")
+			b.ReportMetric(float64(s.BusyMicroseconds)/float64(s.Records)/float64(len(inputs)), "us/input")
 			b.ReportMetric(float64(s.Bytes)/float64(s.Records)/float64(len(inputs)), "bytes/input")
 		})
 	}
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -14,8 +14,8 @@
 	QueueLength  int           // records that wait to be written; what exceeds it becomes a gap
 }
 
-// Defaults returns the limits with zero fields set to their defaults.
-func (l Limits) Defaults() Limits {
+// WithDefaults returns the limits with zero fields set to their defaults.
+func (l Limits) WithDefaults() Limits {
 	if l.MaxBytes == 0 {
 		l.MaxBytes = 1 << 30
 	}
@@ -33,14 +33,14 @@
 
 // Stats are a writer's counts since its start.
 type Stats struct {
-	Records   int64  `json:"records"` // written to the file system
-	Bytes     int64  `json:"bytes"`
-	Lost      int64  `json:"lost"` // records in gaps
-	Gaps      int64  `json:"gaps"`
-	Failed    int64  `json:"failed"` // failed writes
-	Removed   int64  `json:"segments_removed"`
-	BusyUS    int64  `json:"busy_us"` // microseconds spent on encoding and writing
-	LastError string `json:"why,omitempty"`
+	Records          int64  `json:"records"` // written to the file system
+	Bytes            int64  `json:"bytes"`
+	Lost             int64  `json:"lost"` // records in gaps
+	Gaps             int64  `json:"gaps"`
+	Failed           int64  `json:"failed"` // failed writes
+	Removed          int64  `json:"segments_removed"`
+	BusyMicroseconds int64  `json:"busy_us"` // microseconds spent on encoding and writing
+	LastError        string `json:"why,omitempty"`
 }
 
 const (
@@ -81,7 +81,7 @@
 // with the next records, which become a gap until it succeeds. Close must be called: it ends the goroutine that NewWriter
 // starts.
 func NewWriter(dir string, limits Limits) *Writer {
-	limits = limits.Defaults()
+	limits = limits.WithDefaults()
 	w := &Writer{queue: make(chan *Record, limits.QueueLength), done: make(chan struct{})}
 	w.output.nextSeq = 1
 	w.output.segments = newSegmentWriter(dir, limits, func() { w.updateStats(func(s *Stats) { s.Removed++ }) })
@@ -127,7 +127,7 @@
 		batch := w.gather(first)
 		start := time.Now()
 		w.writeBatch(batch)
-		w.updateStats(func(s *Stats) { s.BusyUS += time.Since(start).Microseconds() })
+		w.updateStats(func(s *Stats) { s.BusyMicroseconds += time.Since(start).Microseconds() })
 	}
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -23,13 +23,13 @@
 	"porthub/xdspoll"
 )
 
-// Options are what a daemon is made of. Log, Clock and Tap may be left out.
+// Options are what a daemon is made of. Log, Clock and OnStep may be left out.
 type Options struct {
 	Config config.Config
 	Log    *zap.Logger
 	Clock  clock.Clock
-	// Tap is called after each step, by the goroutine that owns the core: with the time, the inputs and the core.
-	Tap func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core)
+	// OnStep is called after each step, by the goroutine that owns the core: with the time, the inputs and the core.
+	OnStep func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core)
 }
 
 // Daemon is a running coordinator.
@@ -74,7 +74,7 @@
 
 // New opens the daemon's folders and its listener; Addr is where it listens. Its error wraps ErrEnvironment.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.Tap, stepTimes: hdrhistogram.New(1, maxStepTime, stepTimeDigits)}
+	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.OnStep, stepTimes: hdrhistogram.New(1, maxStepTime, stepTimeDigits)}
 	if d.clock == nil {
 		d.clock = clock.New()
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -144,7 +144,7 @@
 	})
 }
 
-// A snapshot that is damaged, cut off or of another format is an ErrSnapshot and ignored; the list alone is enough to start.
+// A snapshot that is damaged, cut off or of another format is an ErrInvalidSnapshot and ignored; the list alone is enough to start.
 func TestUnreadableSnapshotIsIgnored(t *testing.T) {
 	for name, damage := range map[string]func([]byte) []byte{
 		"cut off":        func(b []byte) []byte { return b[:10] },
@@ -170,7 +170,7 @@
 			if err := os.WriteFile(path, damage(text), 0o644); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := ReadSnapshot(filepath.Join(r.dir, "state")); !errors.Is(err, ErrSnapshot) {
+			if _, err := ReadSnapshot(filepath.Join(r.dir, "state")); !errors.Is(err, ErrInvalidSnapshot) {
 				t.Errorf("read: %v", err)
 			}
 			r.start(nil)
--- a/daemon/harness_test.go
+++ b/daemon/harness_test.go
@@ -67,7 +67,7 @@
 
 func (r *testDaemon) start(clock clk.Clock) {
 	r.t.Helper()
-	d, err := New(Options{Config: r.config, Clock: clock, Tap: func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core) {
+	d, err := New(Options{Config: r.config, Clock: clock, OnStep: func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.steps = append(r.steps, recordedStep{now, append([]coordinator.Input(nil), inputs...), append([]policyapi.Order(nil), core.Orders()...)})
--- a/daemon/snapshotfile.go
+++ b/daemon/snapshotfile.go
@@ -31,8 +31,8 @@
 	snapshotHeadLength = len(snapshotMagic) + 8
 )
 
-// ErrSnapshot is a snapshot that can't be read.
-var ErrSnapshot = errors.New("snapshot")
+// ErrInvalidSnapshot is a snapshot that can't be read.
+var ErrInvalidSnapshot = errors.New("snapshot")
 
 type savedList struct {
 	Version   policyapi.ListVersion `json:"version"`
@@ -43,7 +43,7 @@
 	return crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli))
 }
 
-// ReadSnapshot reads the snapshot of a state folder. Its error wraps fs.ErrNotExist if there is none, and ErrSnapshot if it
+// ReadSnapshot reads the snapshot of a state folder. Its error wraps fs.ErrNotExist if there is none, and ErrInvalidSnapshot if it
 // is damaged or of another format.
 func ReadSnapshot(dir string) (s recovery.Snapshot, err error) {
 	file, err := os.ReadFile(filepath.Join(dir, snapshotName))
@@ -51,19 +51,19 @@
 		return s, err
 	}
 	if len(file) < snapshotHeadLength || string(file[:len(snapshotMagic)]) != snapshotMagic {
-		return s, fmt.Errorf("%w: %s is not a snapshot, or is truncated", ErrSnapshot, snapshotName)
+		return s, fmt.Errorf("%w: %s is not a snapshot, or is truncated", ErrInvalidSnapshot, snapshotName)
 	}
 	format := binary.LittleEndian.Uint32(file[len(snapshotMagic):])
 	sum := binary.LittleEndian.Uint32(file[len(snapshotMagic)+4:])
 	body := file[snapshotHeadLength:]
 	if format != recovery.Format {
-		return s, fmt.Errorf("%w: it has format %d, this build (%s) reads %d", ErrSnapshot, format, Build(), recovery.Format)
+		return s, fmt.Errorf("%w: it has format %d, this build (%s) reads %d", ErrInvalidSnapshot, format, Build(), recovery.Format)
 	}
 	if snapshotChecksum(body) != sum {
-		return s, fmt.Errorf("%w: checksum mismatch", ErrSnapshot)
+		return s, fmt.Errorf("%w: checksum mismatch", ErrInvalidSnapshot)
 	}
 	if err := cbor.Unmarshal(body, &s); err != nil {
-		return s, fmt.Errorf("%w: %w", ErrSnapshot, err)
+		return s, fmt.Errorf("%w: %w", ErrInvalidSnapshot, err)
 	}
 	return s, nil
 }
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -27,12 +27,12 @@
 
 // SamplingStatus is the response to GET /intake: how much of the load reports is used, and the estimates by them.
 type SamplingStatus struct {
-	Now       policyapi.Microseconds         `json:"now_us"`
-	Sampling  loadreport.Stats               `json:"intake"`
-	Deferred  int64                          `json:"deferred"` // reports that were rejected with 429
-	Inbox     int                            `json:"inbox"`    // items that wait for the core
-	StepTimes Latencies                      `json:"step_us"`
-	Endpoints []coordinator.EndpointEstimate `json:"nodes"`
+	Now           policyapi.Microseconds         `json:"now_us"`
+	Sampling      loadreport.Stats               `json:"intake"`
+	Deferred      int64                          `json:"deferred"` // reports that were rejected with 429
+	MailboxLength int                            `json:"inbox"`    // items that wait for the core
+	StepTimes     Latencies                      `json:"step_us"`
+	Endpoints     []coordinator.EndpointEstimate `json:"nodes"`
 }
 
 // Latencies are those of a histogram, in microseconds.
@@ -71,12 +71,12 @@
 func (d *Daemon) samplingResponse(c *coordinator.Core) []byte {
 	stats, endpoints := c.Estimates()
 	return encodeResponse(SamplingStatus{
-		Now:       c.Now(),
-		Sampling:  stats,
-		Deferred:  d.server.deferredReports.Load(),
-		Inbox:     d.mailbox.Len(),
-		StepTimes: latencies(d.stepTimes),
-		Endpoints: endpoints,
+		Now:           c.Now(),
+		Sampling:      stats,
+		Deferred:      d.server.deferredReports.Load(),
+		MailboxLength: d.mailbox.Len(),
+		StepTimes:     latencies(d.stepTimes),
+		Endpoints:     endpoints,
 	})
 }
 
