--- a/capture/digest.go
+++ b/capture/digest.go
@@ -53,7 +53,7 @@
 }
 
 func hashNumber(hash *xxhash.Digest, number uint64) {
-	var text [8]byte
-	binary.LittleEndian.PutUint64(text[:], number)
-	_, _ = hash.Write(text[:])
+	var buffer [8]byte
+	binary.LittleEndian.PutUint64(buffer[:], number)
+	_, _ = hash.Write(buffer[:])
 }
--- a/capture/encoding.go
+++ b/capture/encoding.go
@@ -140,9 +140,9 @@
 }
 
 // UnmarshalCBOR decodes a step. Its errors are [ErrFormat] or those of the CBOR decoder.
-func (s *Step) UnmarshalCBOR(text []byte) error {
+func (s *Step) UnmarshalCBOR(data []byte) error {
 	var encoded encodedStep
-	if err := cbor.Unmarshal(text, &encoded); err != nil {
+	if err := cbor.Unmarshal(data, &encoded); err != nil {
 		return err
 	}
 	inputs, err := decodeValues[coordinator.Input](encoded.Inputs)
@@ -175,9 +175,9 @@
 		return err
 	}
 	header := b.buffer.Bytes()[start : start+recordHeaderSize]
-	text := b.buffer.Bytes()[start+recordHeaderSize:]
-	binary.LittleEndian.PutUint32(header, uint32(len(text)))
-	binary.LittleEndian.PutUint32(header[4:], crc32.Checksum(text, crcTable))
+	data := b.buffer.Bytes()[start+recordHeaderSize:]
+	binary.LittleEndian.PutUint32(header, uint32(len(data)))
+	binary.LittleEndian.PutUint32(header[4:], crc32.Checksum(data, crcTable))
 	b.records++
 	return nil
 }
@@ -193,13 +193,13 @@
 	if available := len(body) - recordHeaderSize; uint64(size) > uint64(available) {
 		return nil, body, fmt.Errorf("%w: a record of %d bytes in %d", ErrFormat, size, available)
 	}
-	text := body[recordHeaderSize : recordHeaderSize+size]
+	data := body[recordHeaderSize : recordHeaderSize+size]
 	rest = body[recordHeaderSize+size:]
-	if crc32.Checksum(text, crcTable) != checksum {
+	if crc32.Checksum(data, crcTable) != checksum {
 		return nil, rest, fmt.Errorf("%w: a record's checksum is wrong", ErrFormat)
 	}
 	record = &Record{}
-	if err := cbor.Unmarshal(text, record); err != nil {
+	if err := cbor.Unmarshal(data, record); err != nil {
 		return nil, rest, fmt.Errorf("%w: %w", ErrFormat, err)
 	}
 	if record.Start != nil && record.Start.Format > Format {
--- a/capture/helpers_test.go
+++ b/capture/helpers_test.go
@@ -139,16 +139,16 @@
 		waitWritten(w, r.Seq)
 	})
 	w.Close()
-	text, err := os.ReadFile(listSegments(t, dir)[0].Path)
+	data, err := os.ReadFile(listSegments(t, dir)[0].Path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
-func writeFile(t *testing.T, path string, text []byte) {
+func writeFile(t *testing.T, path string, data []byte) {
 	t.Helper()
-	if err := os.WriteFile(path, text, 0o644); err != nil {
+	if err := os.WriteFile(path, data, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -177,7 +177,7 @@
 		r.addDamage(Damage{Segment: info.Path, Problem: fmt.Sprintf("%d segments before it are missing", missing)})
 		r.expectedSeq = 0
 	}
-	if damage, ok := segment.checkHead(); !ok {
+	if damage, ok := segment.checkHeader(); !ok {
 		r.addDamage(damage)
 	}
 	return nil
--- a/capture/reader_test.go
+++ b/capture/reader_test.go
@@ -15,12 +15,12 @@
 // A segment cut off anywhere, as a killed process leaves it, opens and returns all records before the cut.
 func TestTruncatedSegmentKeepsRecordsBeforeTheCut(t *testing.T) {
 	dir := t.TempDir()
-	text := writeBlockPerRecord(t, dir, 2, 60)
+	data := writeBlockPerRecord(t, dir, 2, 60)
 	all, _ := readAll(t, dir)
 	path := filepath.Join(t.TempDir(), "00000001.cap")
 	before := 0
-	for n := 0; n <= len(text); n += 1 + n/900 {
-		writeFile(t, path, text[:n])
+	for n := 0; n <= len(data); n += 1 + n/900 {
+		writeFile(t, path, data[:n])
 		got, r := readAll(t, path)
 		for i, record := range got {
 			if record.Seq != all[i].Seq || record.Gap != nil {
@@ -40,12 +40,12 @@
 // A flipped bit anywhere costs its block and no more, is reported, and never gives a record that was not written.
 func TestFlippedBitCostsOneBlock(t *testing.T) {
 	dir := t.TempDir()
-	text := writeBlockPerRecord(t, dir, 3, 40)
+	data := writeBlockPerRecord(t, dir, 3, 40)
 	all, _ := readAll(t, dir)
 	path := filepath.Join(t.TempDir(), "00000001.cap")
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 300 {
-		damaged := slices.Clone(text)
+		damaged := slices.Clone(data)
 		position := rng.IntN(len(damaged))
 		damaged[position] ^= 1 << rng.IntN(8)
 		writeFile(t, path, damaged)
--- a/capture/segment.go
+++ b/capture/segment.go
@@ -14,9 +14,9 @@
 // The layout of a segment: its magic and then blocks, each a header and a body that is a zstd frame. All numbers are
 // little-endian.
 const (
-	segmentSuffix   = ".cap"
-	segmentMagic    = "PHCAP01\n"
-	segmentHeadSize = int64(len(segmentMagic))
+	segmentSuffix     = ".cap"
+	segmentMagic      = "PHCAP01\n"
+	segmentHeaderSize = int64(len(segmentMagic))
 
 	blockMagic      = 0x314b4c42        // "BLK1"
 	blockHeaderSize = 4 + 4 + 4 + 4 + 8 // magic, checksum, length of the body, records, number of the first record
@@ -73,12 +73,12 @@
 }
 
 // parseBlockHeader reads a header; ok is false if no block begins there.
-func parseBlockHeader(text []byte) (header blockHeader, ok bool) {
-	if binary.LittleEndian.Uint32(text) != blockMagic {
+func parseBlockHeader(data []byte) (header blockHeader, ok bool) {
+	if binary.LittleEndian.Uint32(data) != blockMagic {
 		return blockHeader{}, false
 	}
 	return blockHeader{
-		checksum: binary.LittleEndian.Uint32(text[4:]),
-		bodySize: int64(binary.LittleEndian.Uint32(text[8:])),
+		checksum: binary.LittleEndian.Uint32(data[4:]),
+		bodySize: int64(binary.LittleEndian.Uint32(data[8:])),
 	}, true
 }
--- a/capture/segment_reader.go
+++ b/capture/segment_reader.go
@@ -38,17 +38,17 @@
 
 func (s *segmentReader) atEnd() bool { return s.offset >= s.size }
 
-// checkHead moves behind the segment's magic; ok is false if it is not there.
-func (s *segmentReader) checkHead() (damage Damage, ok bool) {
-	s.offset = segmentHeadSize
-	head := make([]byte, segmentHeadSize)
+// checkHeader moves behind the segment's magic; ok is false if it is not there.
+func (s *segmentReader) checkHeader() (damage Damage, ok bool) {
+	s.offset = segmentHeaderSize
+	head := make([]byte, segmentHeaderSize)
 	if _, err := s.file.ReadAt(head, 0); err == nil && string(head) == segmentMagic {
 		return Damage{}, true
 	}
-	if s.size < segmentHeadSize {
+	if s.size < segmentHeaderSize {
 		return Damage{Segment: s.path, Bytes: s.size, Problem: "no head", Truncated: true}, false
 	}
-	return Damage{Segment: s.path, Bytes: segmentHeadSize, Problem: "another head: no capture, or a damaged one"}, false
+	return Damage{Segment: s.path, Bytes: segmentHeaderSize, Problem: "another head: no capture, or a damaged one"}, false
 }
 
 // readBlock reads the block at an offset: its decompressed body and its size in the file. Its errors are of type
@@ -69,14 +69,14 @@
 	if offset+size > s.size {
 		return nil, 0, &DamageError{Problem: "it ends within a block", Truncated: true}
 	}
-	text := make([]byte, size-checksummedFrom)
-	if _, err := s.file.ReadAt(text, offset+checksummedFrom); err != nil {
+	data := make([]byte, size-checksummedFrom)
+	if _, err := s.file.ReadAt(data, offset+checksummedFrom); err != nil {
 		return nil, 0, &DamageError{Problem: err.Error(), cause: err}
 	}
-	if crc32.Checksum(text, crcTable) != header.checksum {
+	if crc32.Checksum(data, crcTable) != header.checksum {
 		return nil, 0, &DamageError{Problem: "a block's checksum is wrong"}
 	}
-	body, err = s.decoder.DecodeAll(text[blockHeaderSize-checksummedFrom:], nil)
+	body, err = s.decoder.DecodeAll(data[blockHeaderSize-checksummedFrom:], nil)
 	if err != nil {
 		return nil, 0, &DamageError{Problem: "a block can't be decompressed: " + err.Error(), cause: err}
 	}
--- a/capture/segment_writer.go
+++ b/capture/segment_writer.go
@@ -17,8 +17,8 @@
 	dir     string
 	limits  Limits
 	encoder *zstd.Encoder
-	// removed is called for each segment that is removed.
-	removed func()
+	// onRemove is called for each segment that is onRemove.
+	onRemove func()
 
 	file   *os.File // nil: the next block begins a segment
 	number int      // of the newest segment
@@ -26,12 +26,12 @@
 	opened time.Time
 }
 
-func newSegmentWriter(dir string, limits Limits, removed func()) *segmentWriter {
+func newSegmentWriter(dir string, limits Limits, onRemove func()) *segmentWriter {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		panic(err) // only invalid options are errors
 	}
-	return &segmentWriter{dir: dir, limits: limits, encoder: encoder, removed: removed}
+	return &segmentWriter{dir: dir, limits: limits, encoder: encoder, onRemove: onRemove}
 }
 
 // append writes a block and returns its size in bytes. After an error no part of the block is left in the segment, or
@@ -45,9 +45,9 @@
 			return 0, err
 		}
 	}
-	text := body.buffer.Bytes()
-	block := make([]byte, blockHeaderSize, blockHeaderSize+len(text)/4)
-	block = s.encoder.EncodeAll(text, block)
+	data := body.buffer.Bytes()
+	block := make([]byte, blockHeaderSize, blockHeaderSize+len(data)/4)
+	block = s.encoder.EncodeAll(data, block)
 	putBlockHeader(block, body.records, firstRecord)
 	if size := int64(len(block)); s.size+size > s.limits.SegmentBytes {
 		s.enforceLimit(size) // room for a segment was made when it began: this block takes more
@@ -70,7 +70,7 @@
 // used again: one that can't grow any more is left for another.
 func (s *segmentWriter) discardPartialBlock() {
 	err := s.file.Truncate(s.size)
-	if err == nil && s.size <= segmentHeadSize {
+	if err == nil && s.size <= segmentHeaderSize {
 		_, err = s.file.Seek(s.size, io.SeekStart)
 		if err == nil {
 			return
@@ -109,7 +109,7 @@
 		return err
 	}
 	s.file = file
-	s.size = segmentHeadSize
+	s.size = segmentHeaderSize
 	s.opened = time.Now()
 	s.enforceLimit(s.limits.SegmentBytes)
 	return nil
@@ -128,7 +128,7 @@
 }
 
 // enforceLimit removes the oldest segments, but not the newest, until the capture and some more bytes fit into the limit.
-func (s *segmentWriter) enforceLimit(more int64) {
+func (s *segmentWriter) enforceLimit(additional int64) {
 	segments, err := Segments(s.dir)
 	if err != nil {
 		return
@@ -138,12 +138,12 @@
 		total += segment.Bytes
 	}
 	for _, segment := range segments {
-		if total+more <= s.limits.MaxBytes || segment.Number == s.number {
+		if total+additional <= s.limits.MaxBytes || segment.Number == s.number {
 			return
 		}
 		if os.Remove(segment.Path) == nil {
 			total -= segment.Bytes
-			s.removed()
+			s.onRemove()
 		}
 	}
 }
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -66,11 +66,11 @@
 	mu    sync.Mutex // guards stats
 	stats Stats
 
-	output gapTracker // used by the writing goroutine only
+	output outputState // used by the writing goroutine only
 }
 
-// gapTracker is the state of the writing goroutine.
-type gapTracker struct {
+// outputState is the state of the writing goroutine.
+type outputState struct {
 	segments *segmentWriter
 	retryAt  time.Time // no writes until then
 	nextSeq  uint64    // number expected of the next batch
@@ -182,7 +182,7 @@
 }
 
 // extendGap makes a batch, named by its first record, part of the gap.
-func (g *gapTracker) extendGap(first uint64) {
+func (g *outputState) extendGap(first uint64) {
 	if g.gapFrom == 0 {
 		g.gapFrom = first
 	}
--- a/daemon/build.go
+++ b/daemon/build.go
@@ -2,10 +2,11 @@
 
 import "runtime/debug"
 
-// revisionLength is how much of a revision's hash names a build.
+// revisionLength is the number of characters of the VCS revision in a build's name.
 const revisionLength = 12
 
-// Build names the running build by its version and revision.
+// Build returns the name of the running build: its module version, its VCS revision and whether the source was modified. It
+// returns "unknown" if the binary has no build information.
 func Build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/daemon/connection.go
+++ b/daemon/connection.go
@@ -13,38 +13,40 @@
 	"porthub/http1"
 )
 
-// Bounds on what one peer may cost.
+// Limits on the resources that one peer can use.
 const (
-	maxHeadBytes   = 16 << 10        // of a request's head
-	maxBodyBytes   = 4 << 20         // of its body: a report on a thousand endpoints takes a tenth
-	maxUnsentBytes = 1 << 20         // of responses that a peer has not read
-	requestTimeout = 5 * time.Second // a request that has begun must be complete within this
+	maxHeadBytes   = 16 << 10        // of a request's head: the request line and the headers
+	maxBodyBytes   = 4 << 20         // of a request's body; a report on a thousand endpoints needs a tenth of this
+	maxUnsentBytes = 1 << 20         // of responses that the peer has not read yet
+	requestTimeout = 5 * time.Second // from the first byte of a request until it is complete
 )
 
-// connection is one connection of a peer. Its event loop owns it, but for conn and the atomic fields.
+// connection is the state of one connection of a peer. Its event loop owns it: other goroutines use only id, gnetConn, the
+// atomic fields and, once the connection is a gateway's link, polls.
 type connection struct {
 	id             coordinator.ConnID
 	gnetConn       gnet.Conn
-	addressCount   *atomic.Int64 // connections of its address
-	requestBeganAt time.Time     // when the request that is not complete yet began; zero: there is none
-	requests       int           // that came on it
-	busy           atomic.Bool   // a request is with the core, or a poll is waiting
-	cancelPoll     atomic.Pointer[func()]
+	addressCount   *atomic.Int64          // number of connections from the peer's address
+	requestBeganAt time.Time              // when the incomplete request in the buffer began; zero if there is none
+	requests       int                    // number of requests received
+	busy           atomic.Bool            // a response is pending: the next request is not read yet
+	cancelPoll     atomic.Pointer[func()] // cancels the last poll; nil if there was none
 
-	gateway    coordinator.Gateway // empty until it has named itself
-	polls      bool
-	announced  bool      // the core has been informed that it is its gateway's link
-	reportedAt time.Time // when its last report was accepted
+	gateway    coordinator.Gateway // empty until a gateway's message is accepted
+	polls      bool                // the gateway polls for its tables instead of reading files
+	announced  bool                // GatewayConnected for this connection was queued for the core
+	reportedAt time.Time           // when the last load report was accepted
 }
 
-// OnTraffic reads complete requests from a connection, one at a time: the next one is read once the last has its response.
+// OnTraffic reads and serves the complete requests of a connection, one at a time: a request is read only after the previous
+// one was answered.
 func (s *server) OnTraffic(c gnet.Conn) gnet.Action {
 	conn, ok := c.Context().(*connection)
 	if !ok {
 		return gnet.Close
 	}
 	if c.OutboundBuffered() > maxUnsentBytes {
-		return gnet.Close // it does not read its responses
+		return gnet.Close // the peer does not read its responses
 	}
 	for !conn.busy.Load() {
 		if action, more := s.readRequest(c, conn); !more {
@@ -52,12 +54,13 @@
 		}
 	}
 	if c.InboundBuffered() > maxHeadBytes+maxBodyBytes {
-		return gnet.Close // it goes on sending without waiting for responses
+		return gnet.Close // the peer keeps sending without waiting for responses
 	}
 	return gnet.None
 }
 
-// readRequest reads and serves the connection's next request; more is false if there is none, or if it must be closed.
+// readRequest reads and serves the connection's next request. more is false if no complete request is buffered or the
+// connection must be closed.
 func (s *server) readRequest(c gnet.Conn, conn *connection) (action gnet.Action, more bool) {
 	buffered, err := c.Peek(-1)
 	if err != nil || len(buffered) == 0 {
@@ -95,7 +98,7 @@
 	return s.rejectAndClose(c, http.StatusBadRequest, err.Error())
 }
 
-// checkRequestTimeout closes a connection whose request has not become complete in time.
+// checkRequestTimeout closes a connection whose request is still incomplete after requestTimeout.
 func (s *server) checkRequestTimeout(conn *connection) gnet.Action {
 	if time.Since(conn.requestBeganAt) > requestTimeout {
 		s.countRejection(conn.gnetConn.RemoteAddr().String(), "incomplete request")
@@ -104,14 +107,15 @@
 	return gnet.None
 }
 
-// rejectAndClose responds with an error and closes the connection: the boundaries of later requests on the connection are unknown.
+// rejectAndClose responds with an error and closes the connection: after a malformed request it is unknown where the next one
+// begins.
 func (s *server) rejectAndClose(c gnet.Conn, status int, reason string) gnet.Action {
 	s.countRejection(c.RemoteAddr().String(), reason)
 	_, _ = c.Write(http1.EncodeResponse(status, "text/plain", []byte(reason+"\n"), true))
 	return gnet.Close
 }
 
-// respond sends a response and lets the connection's next request be read. It may be called by any goroutine.
+// respond sends a response and allows the connection's next request to be read. It may be called by any goroutine.
 func (s *server) respond(conn *connection, status int, contentType string, body []byte) {
 	conn.busy.Store(false)
 	_ = conn.gnetConn.AsyncWrite(http1.EncodeResponse(status, contentType, body, false), func(c gnet.Conn, err error) error {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -12,10 +12,11 @@
 	"porthub/routing"
 )
 
-// operation is an operator's request; it runs in the loop that owns the core and returns the response's body.
+// operation carries out an operator's request on the core and returns the response's body. It runs in the loop that owns the
+// core.
 type operation func(*coordinator.Core) []byte
 
-// requestError is a request that can't be carried out, with the HTTP status of the response.
+// requestError reports why a request can't be carried out, with the HTTP status of the response.
 type requestError struct {
 	status int
 	err    error
@@ -27,7 +28,7 @@
 
 func badRequest(err error) error { return &requestError{http.StatusBadRequest, err} }
 
-// operation reads an operator's request. Its error is a *requestError.
+// operation returns the operation that a request specifies. Its error is a *requestError.
 func (d *Daemon) operation(request *http.Request, body []byte) (operation, error) {
 	switch request.Method + " " + request.URL.Path {
 	case "GET /tables/versions":
@@ -52,7 +53,7 @@
 	return nil, &requestError{http.StatusNotFound, fmt.Errorf("no handler for %s %s", request.Method, request.URL.Path)}
 }
 
-// readBody reads a request's JSON; it rejects fields that are not known.
+// readBody decodes a JSON request body and rejects unknown fields. Its error is a *requestError.
 func readBody[T any](body []byte) (request T, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -69,11 +70,11 @@
 	Tables []TableVersions        `json:"tables"`
 }
 
-// TableVersions is the versions of one table.
+// TableVersions lists the versions of one table.
 type TableVersions struct {
 	Table    policyapi.TableID `json:"table"`
-	Zone     policyapi.Zone    `json:"zone,omitempty"` // of the gateways bound to it
-	Gateways int               `json:"gateways"`
+	Zone     policyapi.Zone    `json:"zone,omitempty"` // of the connected gateways that use the table
+	Gateways int               `json:"gateways"`       // number of connected gateways that use the table
 	Versions []TableVersion    `json:"versions"`
 }
 
@@ -82,12 +83,12 @@
 	Version   routing.Version          `json:"version"`
 	At        policyapi.Microseconds   `json:"at_us"`
 	Endpoints []routing.EndpointWeight `json:"lines"`
-	// Overrides is what the solver had in their place, by request class.
+	// Overrides holds the weights that the solver set in place of Endpoints, by request class.
 	Overrides map[string][]routing.EndpointWeight `json:"acting,omitempty"`
 }
 
 // PinRequest is the body of POST /tables/pin. Exactly one of table, zone and fleet is set, and at most one of version and
-// ago_us; with neither it pins what is in effect.
+// ago_us; with neither, the version in effect is pinned.
 type PinRequest struct {
 	Table   *policyapi.TableID     `json:"table"`
 	Zone    policyapi.Zone         `json:"zone"`
@@ -117,7 +118,7 @@
 	return encodeResponse(response)
 }
 
-// pin is the pin that a request names; its time is still missing.
+// pin returns the requested pin. Its time is not set yet: ago_us counts from the core's time.
 func (r PinRequest) pin() (routing.Pin, error) {
 	pin := routing.Pin{Scope: routing.Scope{Table: routing.AnyTable, Zone: r.Zone}, Version: r.Version, Reason: r.Reason}
 	scopes := 0
@@ -188,11 +189,11 @@
 		}
 	}
 	for _, table := range c.Versions().Tables() {
-		one := TableVersions{Table: table, Zone: zones[table], Gateways: gateways[table]}
+		history := TableVersions{Table: table, Zone: zones[table], Gateways: gateways[table]}
 		for _, entry := range c.Versions().Versions(table) {
-			one.Versions = append(one.Versions, tableVersion(c, entry))
+			history.Versions = append(history.Versions, tableVersion(c, entry))
 		}
-		versions.Tables = append(versions.Tables, one)
+		versions.Tables = append(versions.Tables, history)
 	}
 	return versions
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -23,56 +23,59 @@
 	"porthub/xdspoll"
 )
 
-// Options are what a daemon is made of. Log, Clock and OnStep may be left out.
+// Options configure a Daemon. Log, Clock and OnStep may be nil.
 type Options struct {
 	Config config.Config
 	Log    *zap.Logger
 	Clock  clock.Clock
-	// OnStep is called after each step, by the goroutine that owns the core: with the time, the inputs and the core.
+	// OnStep is called after each step with its time, its inputs and the core, by the goroutine that owns the core.
 	OnStep func(now policyapi.Microseconds, inputs []coordinator.Input, core *coordinator.Core)
 }
 
-// Daemon is a running coordinator.
+// Daemon is a coordinator process: the core, its listener, the sources of its inputs and the destinations of its outputs.
+// New opens it and Run runs it.
 type Daemon struct {
 	config config.Config
 	log    *zap.Logger
 	clock  clock.Clock
 	onStep func(policyapi.Microseconds, []coordinator.Input, *coordinator.Core)
 
-	// What the core is given and what carries its outputs out; each is safe for use by other goroutines.
+	// Sources of the core's inputs and destinations of its outputs. All are safe for concurrent use.
 	mailbox      *mailbox.Mailbox[mailboxItem]
 	files        *xdsfile.Publisher
 	polls        *xdspoll.Hub
-	fileSource   *file.Source // nil: there is no file
+	fileSource   *file.Source // nil if no endpoint list file is configured
 	registries   []*eureka.Client
 	healthChecks *healthcheck.Checker
 	server       *server
 	state        *stateStore
-	// reportIntervalFactor is how many report periods gateways are requested to wait between two reports.
+	// reportIntervalFactor is the number of report periods that gateways are asked to wait between two load reports.
 	reportIntervalFactor atomic.Int64
 
-	// What follows is of the goroutine that runs Run.
+	// The fields below are used only by the goroutine that runs Run.
 	core         *coordinator.Core
 	coreSettings coordinator.Settings
 	recorder     *recorder
-	tracer       *tracer                 // nil: off
-	stepTimes    *hdrhistogram.Histogram // of the core, microseconds
-	arrivedAt    time.Time               // when the first input of this step came; zero: not known
-	snapshotAt   policyapi.Microseconds  // of the last snapshot
-	logTail      []coordinator.LogRecord
+	tracer       *tracer                 // nil if tracing is off
+	stepTimes    *hdrhistogram.Histogram // durations of core steps, in microseconds
+	arrivedAt    time.Time               // when the first input of the current step arrived; zero if unknown
+	snapshotAt   policyapi.Microseconds  // time of the last snapshot
+	logTail      []coordinator.LogRecord // recent log entries, for overviews
 	overview     overviewCache
 }
 
-// ErrEnvironment is a failure of the machine around the daemon: a port that is taken, a folder that can't be made.
-var ErrEnvironment = errors.New("environment")
+// ErrEnvironment reports a failure of the machine that the daemon runs on, such as a port that is in use or a directory that
+// can't be created.
+var ErrEnvironment = errors.New("environment failure")
 
-// The step times' histogram: up to a minute, with two significant digits.
+// The range and the precision of the histogram of step times.
 const (
-	maxStepTime    = 60_000_000 // microseconds
-	stepTimeDigits = 2
+	maxStepTime    = 60_000_000 // microseconds: one minute
+	stepTimeDigits = 2          // significant decimal digits
 )
 
-// New opens the daemon's folders and its listener; Addr is where it listens. Its error wraps ErrEnvironment.
+// New creates the daemon's directories and opens its listener. Addr returns the address that it listens on. Errors of New wrap
+// ErrEnvironment.
 func New(o Options) (*Daemon, error) {
 	d := &Daemon{config: o.Config, log: o.Log, clock: o.Clock, onStep: o.OnStep, stepTimes: hdrhistogram.New(1, maxStepTime, stepTimeDigits)}
 	if d.clock == nil {
@@ -86,7 +89,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrEnvironment, err)
 		}
 	}
-	d.mailbox = newInbox(o.Config)
+	d.mailbox = newMailbox(o.Config)
 	d.state = newStateStore(d.config.StateDir, d.log)
 	d.coreSettings = coreSettings(o.Config, d.clock.Now())
 	d.core = coordinator.New(d.coreSettings)
@@ -98,11 +101,11 @@
 	return d, nil
 }
 
-// newInbox makes the mailbox of the core. Its normal lane has a place for a request of each connection: none has two in
-// flight, so none that polls or acknowledges is rejected for what others have sent. (At ten thousand gateways a step of half a
-// second filled 8,192 places, and those that found none came a second later: drains were at 171% of the grace period.)
-// Reports are deferred long before, by package loadreport.
-func newInbox(c config.Config) *mailbox.Mailbox[mailboxItem] {
+// newMailbox creates the mailbox of the core. Its normal lane has room for one request of each connection. A connection has at
+// most one request in flight, so polls and acknowledgements are never rejected because of other gateways' requests. (With a
+// capacity of 8,192 and ten thousand gateways, a step of half a second filled the lane, rejected gateways retried a second
+// later, and drains took 171% of the grace period.) Reports are deferred well before that, by package loadreport.
+func newMailbox(c config.Config) *mailbox.Mailbox[mailboxItem] {
 	var stamp func(mailboxItem) mailboxItem
 	if tracingEnabled(c.Trace) {
 		stamp = func(item mailboxItem) mailboxItem {
@@ -113,7 +116,7 @@
 	return mailbox.New(urgentCapacity, max(normalCapacity, c.Limits.Connections), stamp)
 }
 
-// connectSources creates the sources of inputs other than the gateways.
+// connectSources creates the sources of inputs other than the gateways: the endpoint list file, registries and health checks.
 func (d *Daemon) connectSources() {
 	if path := d.config.Registry.File.Path; path != "" {
 		version := policyapi.ListVersion(0)
@@ -137,7 +140,7 @@
 	})
 }
 
-// open opens the folder of the gateways' files, tracing, the sources and, last, the listener.
+// open opens the directory of the gateways' files, the tracer, the sources and, last, the listener.
 func (d *Daemon) open() (err error) {
 	files := d.config.Delivery.Files
 	d.files, err = xdsfile.Open(files.Dir, files.Writers, func(gateway coordinator.Gateway, err error) {
@@ -158,22 +161,23 @@
 	return nil
 }
 
-// Addr is the address that gateways and tools connect to.
+// Addr returns the address that gateways and tools connect to.
 func (d *Daemon) Addr() string { return d.server.addr }
 
-// FileStats counts what was written for gateways that read files.
+// FileStats returns counts of the files written for gateways.
 func (d *Daemon) FileStats() xdsfile.Stats { return d.files.Stats() }
 
-// shutdownTimeout is how long the end waits for files that are being written; a second is all there is for an end.
+// shutdownTimeout limits how long shutdown waits for files that are being written: the whole shutdown must end
+// within a second.
 const shutdownTimeout = 300 * time.Millisecond
 
-// close ends what New has opened, after the loop.
+// close closes what New opened, after the loop has ended.
 func (d *Daemon) close() {
 	d.server.close()
 	d.healthChecks.Close()
 	d.mailbox.Close()
 	closed := make(chan struct{})
-	go func() { // ends once the files are written, or with the process
+	go func() { // ends when the files are written or the process exits
 		defer close(closed)
 		d.recorder.close(d.core.Steps())
 		if d.tracer != nil {
@@ -184,7 +188,7 @@
 		}
 		d.files.Close()
 	}()
-	select { // a slow disk must not hold up the end: an unfinished file is removed at the next start
+	select { // a slow disk must not delay shutdown: the next start removes an unfinished file
 	case <-closed:
 	case <-time.After(shutdownTimeout):
 	}
--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -12,12 +12,13 @@
 
 	"porthub/config"
 	"porthub/coordinator"
-	standin "porthub/emulator/eureka"
+	eurekaemulator "porthub/emulator/eureka"
 	"porthub/policyapi"
 	"porthub/xds"
 )
 
-// A gateway connects, reads its files, acknowledges them, reports, and follows a drain.
+// A gateway connects, reads its files, acknowledges them, reports load, and gets tables without an endpoint that is draining.
+// Nothing is written while nothing changes, and the gateway is disconnected when its connection ends.
 func TestListToAcknowledgementAndDrain(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	g := r.connectGateway("gw-1", "a")
@@ -46,23 +47,23 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if after := r.daemon.FileStats(); after.Files > before.Files+4 {
-		t.Errorf("%d files written while nothing changed", after.Files-before.Files)
+		t.Errorf("%d files were written while nothing changed, want at most 4", after.Files-before.Files)
 	}
 	if err := g.link.Join(context.Background(), g.state); err != nil {
 		t.Error(err)
 	}
 	g.link.Close()
-	r.waitFor("the end of the connection to disconnect the gateway", func() bool { return !r.status("gw-1").Connected })
+	r.waitFor("the gateway to be disconnected after its connection ended", func() bool { return !r.status("gw-1").Connected })
 }
 
-// One scenario through the daemon on loopback, with real files and connections, and once more through the library
-// alone: the same orders, one by one.
+// The inputs of a scenario that ran through the daemon, with real files and connections on loopback, give the same orders, one by
+// one, when they are passed to a core without the daemon.
 func TestSameOrdersThroughLibraryAndDaemon(t *testing.T) {
 	clock := &manualClock{now: 1_000_000_000_000, waiters: map[chan time.Time]policyapi.Microseconds{}}
 	r := startTestDaemon(t, clock)
 	first := clock.Now()
 	count := func() int { r.mu.Lock(); defer r.mu.Unlock(); return len(r.steps) }
-	r.waitFor("the list", func() bool { return len(r.endpoints()) == 3 })
+	r.waitFor("the endpoint list", func() bool { return len(r.endpoints()) == 3 })
 	a, b := r.connectGateway("gw-1", "a"), r.connectGateway("gw-2", "b")
 	for round := range 12 {
 		steps := count()
@@ -84,7 +85,7 @@
 	core := coordinator.New(coordinator.Settings{Start: r.config.Start(), Epoch: "library", SilenceTimeout: policyapi.Microseconds(r.config.Gateways.SilenceTimeout), SolverEnabled: true})
 	orders, tables := 0, 0
 	for i, s := range r.steps {
-		// Versions are named after the start; what was acknowledged is the same message.
+		// A version begins with the epoch of its start: the acknowledgement must name the version of this core.
 		inputs := make([]coordinator.Input, len(s.inputs))
 		for j, in := range s.inputs {
 			if ack, is := in.(coordinator.DocumentAck); is {
@@ -108,12 +109,12 @@
 		}
 	}
 	if orders < 30 || tables < 6 {
-		t.Errorf("only %d orders, %d of them weights: the scenario shows too little", orders, tables)
+		t.Errorf("the scenario gave %d orders, %d of them weights; want at least 30 and 6", orders, tables)
 	}
 }
 
-// A coordinator that restarts has its last list at once; the gateway goes on by its files meanwhile, and then gets those of
-// the new start.
+// A restarted coordinator uses the saved endpoint list at once, even if the list's file is gone. The gateway keeps its files
+// meanwhile and then gets tables of the new start. An unfinished file that a killed writer left is removed.
 func TestRestartServesTheSavedList(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	g := r.connectGateway("gw-1", "a")
@@ -121,22 +122,22 @@
 		g.sync(t)
 		return g.state.Snapshot.OpenEndpoints("view") == 3 || g.state.Snapshot.OpenEndpoints("view") == 2
 	})
-	r.waitFor("the saved list", func() bool { _, err := os.Stat(filepath.Join(r.dir, "state", listName)); return err == nil })
+	r.waitFor("the saved endpoint list", func() bool { _, err := os.Stat(filepath.Join(r.dir, "state", listName)); return err == nil })
 	old := g.state.EndpointVersion
 	g.link.Close()
 	r.stop()
 	if err := os.Remove(filepath.Join(r.dir, "nodes.json")); err != nil {
 		t.Fatal(err)
 	}
-	left := filepath.Join(r.dir, "tables", "gw-1", ".eds.json123456")
-	if err := os.WriteFile(left, []byte(`{"version_info": "ha`), 0o600); err != nil {
+	leftover := filepath.Join(r.dir, "tables", "gw-1", ".eds.json123456")
+	if err := os.WriteFile(leftover, []byte(`{"version_info": "ha`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	r.start(nil)
-	if _, err := os.Stat(left); !os.IsNotExist(err) {
-		t.Errorf("the unfinished file of a killed writer is still there: %v", err)
+	if _, err := os.Stat(leftover); !os.IsNotExist(err) {
+		t.Errorf("the unfinished file of a killed writer was not removed: %v", err)
 	}
-	r.waitFor("the list of the last start", func() bool { return len(r.endpoints()) == 3 })
+	r.waitFor("the endpoint list of the last start", func() bool { return len(r.endpoints()) == 3 })
 	again := r.connectGateway("gw-1", "a")
 	r.waitFor("tables of this start", func() bool {
 		again.sync(t)
@@ -144,10 +145,11 @@
 	})
 }
 
-// A snapshot that is damaged, cut off or of another format is an ErrInvalidSnapshot and ignored; the list alone is enough to start.
+// A snapshot that is damaged, truncated or of another format is ignored, and reading it returns ErrInvalidSnapshot. The saved
+// list alone is enough to start.
 func TestUnreadableSnapshotIsIgnored(t *testing.T) {
 	for name, damage := range map[string]func([]byte) []byte{
-		"cut off":        func(b []byte) []byte { return b[:10] },
+		"truncated":      func(b []byte) []byte { return b[:10] },
 		"flipped bit":    func(b []byte) []byte { b[len(b)-3] ^= 4; return b },
 		"another format": func(b []byte) []byte { b[len(snapshotMagic)]++; return b },
 		"empty":          func([]byte) []byte { return nil },
@@ -171,25 +173,26 @@
 				t.Fatal(err)
 			}
 			if _, err := ReadSnapshot(filepath.Join(r.dir, "state")); !errors.Is(err, ErrInvalidSnapshot) {
-				t.Errorf("read: %v", err)
+				t.Errorf("ReadSnapshot: %v, want ErrInvalidSnapshot", err)
 			}
 			r.start(nil)
 			again := r.connectGateway("gw-1", "a")
-			r.waitFor("tables all the same", func() bool { again.sync(t); return again.state.Snapshot.OpenEndpoints("view") > 0 })
+			r.waitFor("tables after the restart", func() bool { again.sync(t); return again.state.Snapshot.OpenEndpoints("view") > 0 })
 		})
 	}
 }
 
-// With a registry in place of the file, endpoints appear and drain by it, and the coordinator registers itself.
+// With a registry in place of the endpoint list's file, endpoints are listed and drained as the registry reports, and the
+// coordinator registers itself.
 func TestRegistryWithoutAFile(t *testing.T) {
-	reg := standin.New()
+	reg := eurekaemulator.New()
 	peer, err := reg.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer peer.Close()
 	put := func(id string, port int, status string) {
-		reg.Put(standin.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: port, Status: status, Metadata: map[string]string{"zone": "a"}})
+		reg.Put(eurekaemulator.Instance{App: "CALC", ID: id, IP: "127.0.0.1", Port: port, Status: status, Metadata: map[string]string{"zone": "a"}})
 	}
 	put("c-1", 9001, "UP")
 	put("c-2", 9002, "UP")
@@ -199,11 +202,11 @@
 			Registration: config.Registration{App: "porthub", ID: "p-0", IP: "127.0.0.1", Port: 7070}}}
 	})
 	g := r.connectGateway("gw-1", "a")
-	r.waitFor("tables with both", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 2 })
+	r.waitFor("tables with both endpoints", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 2 })
 	put("c-2", 9002, "OUT_OF_SERVICE")
-	r.waitFor("tables with one", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 1 })
-	r.waitFor("our own entry", func() bool { return reg.Has("PORTHUB", "p-0") })
+	r.waitFor("tables with one endpoint", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") == 1 })
+	r.waitFor("the coordinator's own registration", func() bool { return reg.Has("PORTHUB", "p-0") })
 	if s := r.endpointDecisions().Registries["eureka"]; s.Requests == 0 || s.Snapshots == 0 {
-		t.Errorf("%+v", s)
+		t.Errorf("registry statistics are %+v, want at least one request and one snapshot", s)
 	}
 }
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -1,15 +1,17 @@
-// Package daemon runs a coordinator: sockets, files and clocks around the core (package coordinator), and no decision of its
-// own. Gateways and tools speak HTTP/1.1 to gnet event loops; one goroutine owns the core and steps it with the inputs that
-// have arrived; files, health checks, registries and saved state have goroutines of their own and never hold it up.
+// Package daemon runs a coordinator process. It connects the core (package coordinator) to sockets, files and clocks, and makes
+// no decisions itself. Gateways and tools send HTTP/1.1 requests, which gnet event loops read. One goroutine owns the core and
+// steps it with the inputs that have arrived. Files, health checks, registries and saved state are handled by other goroutines,
+// which never block the core.
 //
-// Everything that waits is bounded: a connection's buffer by the largest request, the mailbox by its length (what does not fit
-// is rejected with 503 and may be sent again), a gateway's publications by one that waits, health checks by their number.
+// All queues and buffers are bounded: a connection's buffer by the maximum request size, the mailbox by its capacity (a request
+// that does not fit is rejected with 503 and may be retried), the publications to a gateway by one pending publication, and
+// health checks by the number of concurrent checks.
 //
 // The files by concern:
 //
-//   - daemon.go, settings.go: what a daemon is made of; loop.go: the loop that owns the core, and its outputs
-//   - server.go, connection.go: the listener, and how requests are read; exchange.go, links.go: what they ask for, and which
-//     connection is a gateway's link
+//   - daemon.go, settings.go: the Daemon and its settings; loop.go: the loop that owns the core and carries out its outputs
+//   - server.go, connection.go: the listener and the reading of requests; exchange.go, links.go: the handling of requests, and
+//     which connection is a gateway's link
 //   - control.go, levels.go, endpoints.go, status.go: the control API
-//   - statestore.go, snapshotfile.go, restore.go: state for the next start; recorder.go: captures; trace.go: spans
+//   - statestore.go, snapshotfile.go, restore.go: the state saved for the next start; recorder.go: captures; trace.go: spans
 package daemon
--- a/daemon/endpoints.go
+++ b/daemon/endpoints.go
@@ -8,7 +8,7 @@
 	"porthub/registry/eureka"
 )
 
-// Endpoints is the response to GET /nodes: what membership has decided of each endpoint.
+// Endpoints is the response to GET /nodes: the decision of package membership on each endpoint.
 type Endpoints struct {
 	Now        policyapi.Microseconds  `json:"now_us"`
 	Decisions  []membership.Decision   `json:"nodes"`
@@ -21,7 +21,7 @@
 	Reason   string               `json:"reason"`
 }
 
-// EndpointResponse is the response to both.
+// EndpointResponse is the response to POST /nodes/drain and /nodes/undrain. Error is empty if the command succeeded.
 type EndpointResponse struct {
 	Error string `json:"error,omitempty"`
 }
@@ -59,7 +59,8 @@
 	}, nil
 }
 
-// endpointResponse records a command that was carried out, and saves a snapshot, so that the drain survives a crash.
+// endpointResponse returns the response to a command that ended with err. If it succeeded, endpointResponse records it and
+// saves a snapshot, so that the drain survives a crash.
 func (d *Daemon) endpointResponse(c *coordinator.Core, err error, command capture.Command) []byte {
 	if err != nil {
 		return encodeResponse(EndpointResponse{Error: err.Error()})
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -25,7 +25,7 @@
 	protobufType = "application/x-protobuf"
 )
 
-// busyReason is the response's text when the mailbox is full.
+// busyReason is the text of the response to a request that does not fit into the mailbox.
 const busyReason = "busy"
 
 // exchange is one request and its response.
@@ -36,7 +36,8 @@
 	body       []byte
 }
 
-// serve handles one request. The response is sent at once or after the core has taken the input.
+// serve handles one request. The response is sent at once, after the core has processed the input or, for a poll, when the hub
+// has something to deliver.
 func (s *server) serve(conn *connection, request *http.Request, body []byte) {
 	conn.busy.Store(true)
 	x := &exchange{server: s, connection: conn, request: request, body: body}
@@ -67,13 +68,13 @@
 	x.server.respond(x.connection, status, contentType, body)
 }
 
-// fail responds with an error, which is counted as a rejection.
+// fail responds with an error and counts a rejection.
 func (x *exchange) fail(status int, reason string) {
 	x.server.countRejection(x.request.Method+" "+x.request.URL.Path, reason)
 	x.respond(status, textType, []byte(reason+"\n"))
 }
 
-// query has the loop that owns the core make the response.
+// query queues an operation with enqueue and responds with its result.
 func (x *exchange) query(enqueue func(mailboxItem) bool, run operation) {
 	item := mailboxItem{query: run, reply: func(text []byte) { x.respond(http.StatusOK, jsonType, text) }}
 	if !enqueue(item) {
@@ -81,7 +82,7 @@
 	}
 }
 
-// serveOperation has an operator's request carried out.
+// serveOperation handles an operator's request of the control API.
 func (x *exchange) serveOperation() {
 	daemon := x.server.daemon
 	run, err := daemon.operation(x.request, x.body)
@@ -95,7 +96,7 @@
 		return
 	}
 	enqueue := daemon.mailbox.TryPut
-	if x.request.Method == http.MethodPost { // an operator's command does not wait behind reports
+	if x.request.Method == http.MethodPost { // an operator's command must not wait behind reports
 		enqueue = daemon.mailbox.TryPutUrgent
 	}
 	x.query(enqueue, run)
@@ -105,7 +106,7 @@
 	return strings.HasPrefix(x.request.Header.Get("Content-Type"), protobufType)
 }
 
-// read decodes the body, protobuf or its JSON form.
+// read decodes the body, which is protobuf or its JSON form according to the content type.
 func (x *exchange) read(message proto.Message) error {
 	if !x.isProtobuf() {
 		return xds.Decode(x.body, message)
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// serveDiscovery takes a gateway's acknowledgement of a document, and its poll for the next one.
+// serveDiscovery handles a gateway's acknowledgement of a document and, if the gateway polls, its poll for the next version.
 func (x *exchange) serveDiscovery(document coordinator.Document) {
 	message := &discoveryv3.DiscoveryRequest{}
 	var node xds.Node
@@ -138,7 +139,7 @@
 	})
 }
 
-// serveDelta handles a poll for changes of single endpoints or routes.
+// serveDelta handles a poll for the endpoints or routes that have changed, with the acknowledgement of the previous response.
 func (x *exchange) serveDelta(document coordinator.Document, typeURL string) {
 	message := &discoveryv3.DeltaDiscoveryRequest{}
 	var node xds.Node
@@ -161,7 +162,8 @@
 	})
 }
 
-// submitAck submits an acknowledgement with what the gateway states of itself.
+// submitAck submits an acknowledgement, with the checksum of the gateway's tables and the versions that it covers. It calls done
+// once the core has processed it.
 func (x *exchange) submitAck(node xds.Node, ack coordinator.DocumentAck, done func()) {
 	ack.Gateway = coordinator.Gateway(node.Name)
 	ack.Checksum = node.Checksum
@@ -172,7 +174,7 @@
 	}, done)
 }
 
-// queuePoll leaves a poll with the hub until there is something to deliver.
+// queuePoll registers a poll with the hub, which responds when there is something to deliver or the poll's wait is over.
 func (x *exchange) queuePoll(request xdspoll.Request) {
 	hub := x.server.daemon.polls
 	request.MaxWait = min(request.MaxWait, duration(x.server.daemon.config.Delivery.Poll.MaxWait))
@@ -185,7 +187,7 @@
 	x.connection.cancelPoll.Store(&cancel)
 }
 
-// respondToPoll responds to a poll; the hub calls it, from any goroutine.
+// respondToPoll responds to a poll. The hub calls it, from any goroutine, with a nil delivery and no error if nothing is new.
 func (x *exchange) respondToPoll(delivery *xdspoll.Response, err error) {
 	if errors.Is(err, xdspoll.ErrUnknownBase) {
 		x.respond(http.StatusConflict, textType, []byte(err.Error()+"\n"))
@@ -212,8 +214,8 @@
 	x.respond(http.StatusOK, contentType, body)
 }
 
-// serveReport takes a load report. A gateway whose last report is recent is deferred while the core is behind, so that the
-// others' reports come first.
+// serveReport handles a load report. While the core is behind, reports of a gateway whose last one is recent are deferred, so
+// that other gateways' reports are accepted first.
 func (x *exchange) serveReport() {
 	message := &loadv3.LoadStatsRequest{}
 	var report coordinator.LoadReport
@@ -246,7 +248,7 @@
 	}, func() { x.respond(http.StatusOK, jsonType, text) })
 }
 
-// convertReport converts a load report of the protocol to the core's.
+// convertReport converts an xDS load report to the core's input.
 func convertReport(message *loadv3.LoadStatsRequest) (xds.Node, coordinator.LoadReport, error) {
 	node, interval, classes, err := xds.ParseLoadReport(message)
 	if err != nil {
--- a/daemon/harness_test.go
+++ b/daemon/harness_test.go
@@ -20,18 +20,19 @@
 	"porthub/xds"
 )
 
-// testDaemon is a daemon in folders of its own, with an endpoint list of three endpoints in two zones.
+// testDaemon is a daemon in a temporary directory, with an endpoint list of three endpoints in two zones.
 type testDaemon struct {
 	t      *testing.T
 	daemon *Daemon
 	config config.Config
 	dir    string
-	stop   func()
+	stop   func() // stops the daemon and waits for its end
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards steps
 	steps []recordedStep
 }
 
+// recordedStep is a step of the core with its inputs and orders.
 type recordedStep struct {
 	now    policyapi.Microseconds
 	inputs []coordinator.Input
@@ -76,16 +77,17 @@
 		r.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		if err := d.Run(ctx); err != nil {
 			r.t.Error(err)
 		}
 	}()
-	r.daemon, r.stop = d, func() { cancel(); <-ended }
+	r.daemon, r.stop = d, func() { cancel(); <-done }
 }
 
+// write replaces a file in the test's directory atomically.
 func (r *testDaemon) write(name, text string) {
 	r.t.Helper()
 	path := filepath.Join(r.dir, name)
@@ -97,12 +99,12 @@
 	}
 }
 
-// waitFor waits for something that usually takes a small part of ten seconds.
+// waitFor waits until ok returns true, and fails the test after 10 s. What it waits for usually takes a fraction of that.
 func (r *testDaemon) waitFor(what string, ok func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatalf("not within 10 s: %s", what)
+			r.t.Fatalf("waited 10 s for %s", what)
 		}
 	}
 }
@@ -129,7 +131,7 @@
 	return s.Endpoints
 }
 
-// post sends an operator's request.
+// post posts an operator's request and returns the response.
 func (r *testDaemon) post(path string, body any) (answer EndpointResponse) {
 	r.t.Helper()
 	text, _ := json.Marshal(body)
@@ -157,7 +159,7 @@
 	return n
 }
 
-// connectGateway is the smallest gateway: it reads, answers and reports.
+// testGateway is a minimal gateway: it reads its files, acknowledges them and reports load.
 type testGateway struct {
 	link   *client.Link
 	reader *client.Reader
@@ -175,7 +177,7 @@
 	return g
 }
 
-// sync reads and acknowledges what is new, and sends a report if there is one.
+// sync reads new tables, applies and acknowledges them, and sends the report if there is one.
 func (g *testGateway) sync(t *testing.T, report ...xds.ClassReport) {
 	t.Helper()
 	for _, u := range g.reader.Poll() {
@@ -191,11 +193,11 @@
 	}
 }
 
-// manualClock advances when the test sets it.
+// manualClock is a clock that advances only when the test sets it.
 type manualClock struct {
 	mu      sync.Mutex
 	now     policyapi.Microseconds
-	waiters map[chan time.Time]policyapi.Microseconds
+	waiters map[chan time.Time]policyapi.Microseconds // when each channel of After fires
 }
 
 func (c *manualClock) Now() policyapi.Microseconds {
--- a/daemon/levels.go
+++ b/daemon/levels.go
@@ -9,11 +9,11 @@
 	"porthub/policyapi"
 )
 
-// LevelRequest is the body of POST /levels/say: an override of the levels of service.
+// LevelRequest is the body of POST /levels/say: an override of the service levels.
 type LevelRequest struct {
 	Action   degradation.Action     `json:"do"`    // force, forbid or hold
-	Zone     policyapi.Zone         `json:"zone"`  // empty: the fleet
-	Level    string                 `json:"level"` // of force and forbid: its name
+	Zone     policyapi.Zone         `json:"zone"`  // empty: the whole fleet
+	Level    string                 `json:"level"` // name of the level to force or forbid
 	Duration policyapi.Microseconds `json:"for_us"`
 	Reason   string                 `json:"reason"`
 }
@@ -24,7 +24,7 @@
 	Reason string `json:"reason"`
 }
 
-// LevelResponse is the response to both.
+// LevelResponse is the response to POST /levels/say and /levels/unsay. Error is empty if the command succeeded.
 type LevelResponse struct {
 	Override degradation.Override `json:"word"`
 	Error    string               `json:"error,omitempty"`
@@ -57,7 +57,8 @@
 	}, nil
 }
 
-// levelResponse records a command that was carried out, and saves a snapshot, so that the override survives a crash.
+// levelResponse returns the response to a command that ended with err. If it succeeded, levelResponse records it and saves a
+// snapshot, so that the override survives a crash.
 func (d *Daemon) levelResponse(c *coordinator.Core, override degradation.Override, err error, command capture.Command) []byte {
 	if err != nil {
 		return encodeResponse(LevelResponse{Override: override, Error: err.Error()})
--- a/daemon/links.go
+++ b/daemon/links.go
@@ -11,9 +11,9 @@
 	"porthub/xds"
 )
 
-// submit queues what a gateway sent for the core, after GatewayConnected if it is the first message of its link, and calls done
-// once the core has taken it. input makes the core's input, given the gateway's link. A connection keeps the gateway that it
-// began with. A gateway that polls may have several connections: the first that is open is its link.
+// submit queues a gateway's message for the core, after a GatewayConnected if it is the first message of the gateway's link, and
+// calls done once the core has processed it. input makes the core's input from the ID of the gateway's link. A connection belongs
+// to the gateway that first used it. A gateway that polls may have several connections: the first open one is its link.
 func (x *exchange) submit(node xds.Node, input func(link coordinator.ConnID) coordinator.Input, done func()) {
 	server := x.server
 	conn := x.connection
@@ -51,9 +51,9 @@
 	conn.gateway = name
 }
 
-// claimLink returns the connection that is a gateway's link, conn itself if there is none yet. It is one atomic step: two polls
-// of one gateway may come at once, on two event loops, and must not each replace the other. ok is false if the gateway's link
-// is of the other way of delivery.
+// claimLink returns the connection that is a gateway's link, and makes conn the link if there is none yet or if the gateway,
+// which reads files, has connected again. It is atomic: two polls of one gateway may arrive at the same time on two event loops,
+// and must not replace each other. ok is false if the gateway's link uses the other delivery method.
 func (s *server) claimLink(name coordinator.Gateway, conn *connection) (link *connection, ok bool) {
 	ok = true
 	link, _ = s.links.Compute(name, func(open *connection, exists bool) (*connection, xsync.ComputeOp) {
@@ -65,14 +65,14 @@
 			return open, xsync.CancelOp
 		case open.polls:
 			return open, xsync.CancelOp
-		default: // a later link of a gateway that reads files
+		default: // a gateway that reads files has connected again
 			return conn, xsync.UpdateOp
 		}
 	})
 	return link, ok
 }
 
-// removeLink removes a connection as its gateway's link, if it is that.
+// removeLink removes a gateway's link if conn is the link.
 func (s *server) removeLink(name coordinator.Gateway, conn *connection) {
 	s.links.Compute(name, func(open *connection, exists bool) (*connection, xsync.ComputeOp) {
 		if exists && open == conn {
@@ -82,7 +82,7 @@
 	})
 }
 
-// polls reports whether a gateway's link is one that polls.
+// polls reports whether a gateway has a link and gets its tables by polls.
 func (s *server) polls(gateway coordinator.Gateway) bool {
 	link, ok := s.links.Load(gateway)
 	return ok && link.polls
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -15,35 +15,35 @@
 	"porthub/policyapi"
 )
 
-// mailboxItem is what the loop takes from the mailbox at a time.
+// mailboxItem is one item of the mailbox: inputs for the core, or an operation to run on it.
 type mailboxItem struct {
-	arrivedAt time.Time // when it was put in; zero where tracing is off
+	arrivedAt time.Time // when the item was queued; zero if tracing is off
 	inputs    []coordinator.Input
-	query     func(*coordinator.Core) []byte // instead of inputs: makes a response of the core's state
-	reply     func([]byte)                   // called after the step; what query returned, or nil
+	query     func(*coordinator.Core) []byte // set instead of inputs: runs after the step and returns the response
+	reply     func([]byte)                   // called after the step with the result of query, or nil
 }
 
-// urgentCapacity bounds the mailbox's urgent lane, normalCapacity is the least bound of the normal one.
+// urgentCapacity is the capacity of the mailbox's urgent lane, normalCapacity the minimum capacity of its normal lane.
 const (
 	urgentCapacity = 8192
 	normalCapacity = 8192
 )
 
-// submit hands the core inputs that must not be lost.
+// submit queues inputs that must not be lost. It waits while the mailbox's urgent lane is full.
 func (d *Daemon) submit(inputs ...coordinator.Input) {
 	d.mailbox.PutUrgent(mailboxItem{inputs: inputs})
 }
 
-// ErrCoreFailed is a panic of the core.
+// ErrCoreFailed reports that the core panicked.
 var ErrCoreFailed = errors.New("the core failed")
 
-// Run steps the core until the context ends; it owns the core, and no other goroutine touches it. A panic of the core ends
-// Run with an error that wraps ErrCoreFailed and has the input's position; gateways continue with their files.
+// Run steps the core until the context is done. The goroutine that calls Run owns the core: no other one uses it. If the core
+// panics, Run returns an error that wraps ErrCoreFailed and names the step; gateways continue with their files.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var sources sync.WaitGroup
-	defer sources.Wait() // a registry client deregisters at the end
+	defer sources.Wait() // registry clients deregister when the context is done
 	defer cancel()       // runs before the wait above
 	d.startSources(ctx, &sources)
 	go d.state.run(ctx)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// startSources starts the goroutines of the endpoint list and the registries; they end with the context.
+// startSources starts the goroutines that read the endpoint list's file and the registries. They end when the context is done.
 func (d *Daemon) startSources(ctx context.Context, sources *sync.WaitGroup) {
 	if d.fileSource != nil {
 		go d.fileSource.Run(ctx)
@@ -85,7 +85,7 @@
 	}
 }
 
-// coreFailed logs a panic with the step and the types of its inputs.
+// coreFailed logs a panic of the core with the step and the types of the step's inputs, and returns it as an error.
 func (d *Daemon) coreFailed(p any, inputs []coordinator.Input) error {
 	types := make([]string, len(inputs))
 	for i, in := range inputs {
@@ -96,7 +96,7 @@
 	return fmt.Errorf("%w at step %d: %v", ErrCoreFailed, d.core.Steps(), p)
 }
 
-// deadline fires when the core wants its next step; nil: it wants it now.
+// deadline returns a channel that fires when the core's next step is due, or nil if the step is due already.
 func (d *Daemon) deadline() <-chan time.Time {
 	wait := d.core.NextDeadline() - d.clock.Now()
 	if wait <= 0 {
@@ -112,7 +112,7 @@
 	return inputs
 }
 
-// firstArrival is when the first of the items was put in; zero: not known.
+// firstArrival returns when the first of the items was queued, or zero if that is unknown.
 func firstArrival(items []mailboxItem) (first time.Time) {
 	for _, item := range items {
 		if !item.arrivedAt.IsZero() && (first.IsZero() || item.arrivedAt.Before(first)) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// step passes the inputs to the core and carries out its outputs.
+// step steps the core with the inputs, records the step and carries out the outputs.
 func (d *Daemon) step(inputs []coordinator.Input) {
 	now := d.clock.Now()
 	began := time.Now()
@@ -143,7 +143,7 @@
 	_ = d.stepTimes.RecordValue(max(1, time.Since(began).Microseconds()))
 	d.recorder.recordStep(now, inputs, d.core.Orders(), outputs)
 	if d.tracer != nil {
-		d.tracer.step(d.arrivedAt, began, d.core, inputs, outputs)
+		d.tracer.recordStep(d.arrivedAt, began, d.core, inputs, outputs)
 	}
 	listChanged := false
 	for _, out := range outputs {
@@ -159,7 +159,7 @@
 	}
 }
 
-// execute carries out one output.
+// execute carries out one output of the core.
 func (d *Daemon) execute(out coordinator.Output) {
 	switch o := out.(type) {
 	case coordinator.Publish:
@@ -195,7 +195,7 @@
 	}
 }
 
-// logEntry writes an entry of the core to the log, and keeps it for overviews unless it is for debugging.
+// logEntry logs an entry of the core, and keeps it for overviews unless its level is debug.
 func (d *Daemon) logEntry(entry coordinator.LogEntry) {
 	if entry.Level > coordinator.LogDebug {
 		d.logTail = coordinator.AppendLog(d.logTail, d.core.Now(), entry)
@@ -223,7 +223,7 @@
 	}
 }
 
-// duration converts a length of time of the core or of the configuration, which are in microseconds.
+// duration converts a duration of the core or of the configuration, both of which are in microseconds.
 func duration[T ~int64](d T) time.Duration { return time.Duration(d) * time.Microsecond }
 
 func microsecondsSince(t time.Time) policyapi.Microseconds {
--- a/daemon/pinned_test.go
+++ b/daemon/pinned_test.go
@@ -13,7 +13,7 @@
 	"porthub/testutil"
 )
 
-// documents are what the control API takes and answers, each with every field set.
+// documents returns the request and response types of the control API, each with every field set.
 func documents(t *testing.T) map[string]any {
 	t.Helper()
 	return map[string]any{
@@ -26,7 +26,7 @@
 	}
 }
 
-// The documents of the control API have the keys of the build before the renames.
+// The JSON keys of the control API stay the same when Go types and fields are renamed: operators' tools depend on them.
 func TestControlAPIKeysArePinned(t *testing.T) {
 	for name, document := range documents(t) {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,8 @@
 	}
 }
 
-// A snapshot that the build before the renames wrote is read to the same value.
+// A snapshot that an earlier build wrote, before Go fields were renamed, is read to the same value, and is written as the same
+// bytes.
 func TestPinnedSnapshotReads(t *testing.T) {
 	testutil.RequireKeys(t, "cbor", reflect.TypeFor[recovery.Snapshot]())
 	want := testutil.Filled[recovery.Snapshot](t)
@@ -56,11 +57,12 @@
 	testutil.Golden(t, snapshotName, text)
 	got, err := ReadSnapshot(filepath.Join("testdata", "golden"))
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 }
 
-// A list that the build before the renames saved is read to the same value.
+// An endpoint list that an earlier build saved, before Go fields were renamed, is read to the same value, and is written as the
+// same bytes.
 func TestPinnedListReads(t *testing.T) {
 	testutil.RequireKeys(t, "json", reflect.TypeFor[savedList]())
 	want := savedList{Version: 7, Endpoints: []policyapi.Endpoint{testutil.Filled[policyapi.Endpoint](t)}}
@@ -71,6 +73,6 @@
 	testutil.Golden(t, listName, text)
 	got, err := readList(filepath.Join("testdata", "golden"))
 	if err != nil || !reflect.DeepEqual(*got, want) {
-		t.Errorf("%+v, %v, want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 }
--- a/daemon/recorder.go
+++ b/daemon/recorder.go
@@ -12,16 +12,16 @@
 	"porthub/policyapi"
 )
 
-// captureName is the folder of captures in the state folder, where the configuration names no other.
+// captureName is the name of the capture's directory in the state directory, unless another directory is configured.
 const captureName = "capture"
 
-// recorder records what the core is given and what it orders. It never waits for the disk. The goroutine that owns the core
-// owns it too.
+// recorder records the core's inputs and the decision module's orders in a capture. It never waits for the disk. Only the
+// goroutine that owns the core may use it.
 type recorder struct {
-	writer  *capture.Writer // nil: captures are off
+	writer  *capture.Writer // nil if captures are off
 	log     *zap.Logger
-	gaps    int64 // as last logged
-	failing bool  // as last logged
+	gaps    int64 // number of gaps when last logged
+	failing bool  // whether writes failed when last logged
 }
 
 func newRecorder(c config.Capture, stateDir string, log *zap.Logger) *recorder {
@@ -61,7 +61,7 @@
 	r.logLosses()
 }
 
-// logLosses logs once when records begin to be lost and when they are written again.
+// logLosses logs once for each change in the number of gaps, and when writes begin to fail or succeed again.
 func (r *recorder) logLosses() {
 	stats := r.writer.Stats()
 	failing := stats.LastError != ""
@@ -70,11 +70,11 @@
 	}
 	r.gaps = stats.Gaps
 	r.failing = failing
-	r.log.Warn("capture", zap.String("text", "records are missing, or are being lost"), zap.Int64("gaps", stats.Gaps), zap.Int64("lost", stats.Lost),
+	r.log.Warn("capture", zap.String("text", "records were lost, or can't be written"), zap.Int64("gaps", stats.Gaps), zap.Int64("lost", stats.Lost),
 		zap.String("error", stats.LastError))
 }
 
-// stats counts what was recorded; nil: captures are off.
+// stats returns the counts of the capture's writer, or nil if captures are off.
 func (r *recorder) stats() *capture.Stats {
 	if r.writer == nil {
 		return nil
--- a/daemon/restore.go
+++ b/daemon/restore.go
@@ -13,8 +13,8 @@
 	"porthub/recovery"
 )
 
-// restore hands the core the state that an earlier start has saved, as far as it is still valid, and returns the first
-// inputs. It records the start with what was restored.
+// restore restores the state that the previous process saved, as far as it is still valid, and returns the inputs of the first
+// step. It records the start and the restored state in the capture.
 func (d *Daemon) restore(now policyapi.Microseconds, settings coordinator.Settings) []coordinator.Input {
 	start := &capture.Start{Format: capture.Format, Build: settings.Build, WallTime: int64(now), Settings: settings}
 	defer func() { d.recorder.record(&capture.Record{Start: start}) }()
@@ -30,7 +30,7 @@
 		return inputs
 	}
 	if err != nil {
-		d.log.Warn("snapshot", zap.String("text", "unreadable: started without it"), zap.Error(err))
+		d.log.Warn("snapshot", zap.String("text", "the snapshot can't be read: starting without it"), zap.Error(err))
 		return inputs
 	}
 	var classes []string
@@ -41,7 +41,7 @@
 	if len(inputs) == 0 && len(state.Endpoints) > 0 {
 		inputs = append(inputs, cachedList(state.Version, state.Endpoints))
 	}
-	recorded := state // the core discards state as evidence comes; the record has it as it began
+	recorded := state // the core may change the state later; the capture records it as restored
 	recorded.Discarded = slices.Clone(state.Discarded)
 	start.Restored = &recorded
 	d.core.Restore(now, state)
@@ -52,7 +52,7 @@
 func (d *Daemon) restoreList() []coordinator.Input {
 	list, err := readList(d.config.StateDir)
 	if err != nil {
-		d.log.Warn("saved_list", zap.String("text", "can't be read: started without it"), zap.Error(err))
+		d.log.Warn("saved_list", zap.String("text", "the saved endpoint list can't be read: starting without it"), zap.Error(err))
 		return nil
 	}
 	if list == nil {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -18,37 +18,38 @@
 	"porthub/http1"
 )
 
-// Times for the listener to come up, and for its end.
+// Limits on how long the listener may take to start and to stop.
 const (
 	listenTimeout = 10 * time.Second
 	stopTimeout   = 700 * time.Millisecond
 )
 
-// readBufferBytes is how much is read from a connection at once.
+// readBufferBytes is the maximum number of bytes read from a connection at once.
 const readBufferBytes = 64 << 10
 
-// rejectionInterval is the least time between two reports of rejections to the core.
+// rejectionInterval is the minimum time between two reports of rejections to the core.
 const rejectionInterval = time.Second
 
-// server speaks HTTP/1.1 on gnet's event loops, which are goroutines of gnet's: they begin in listen and end in close. Each
-// connection is served by one of them.
+// server serves HTTP/1.1 on gnet's event loops. Their goroutines start in listen and end in close. Each connection is served by
+// one event loop.
 type server struct {
 	gnet.BuiltinEventEngine
 	daemon  *Daemon
-	addr    string
+	addr    string // the bound address; empty if unknown
 	engine  gnet.Engine
-	booted  chan struct{}
-	stopped chan error
+	booted  chan struct{} // closed when the listener is open
+	stopped chan error    // gets the error that gnet.Run returned
 
-	lastID      atomic.Uint64
+	lastID      atomic.Uint64 // of the last connection
 	connections *xsync.Map[coordinator.ConnID, *connection]
-	byAddress   *xsync.Map[string, *atomic.Int64] // number of connections
-	// links has each gateway's connection that counts as its link. One that polls may have more: they carry polls alone.
+	byAddress   *xsync.Map[string, *atomic.Int64] // number of open connections by remote host
+	// links holds the connection that is each gateway's link. A gateway that polls may have further connections, which carry
+	// only polls: their end does not disconnect it.
 	links *xsync.Map[coordinator.Gateway, *connection]
 
-	deferredReports      atomic.Int64 // reports that were deferred with 429
-	rejected             atomic.Int64 // since the last PeerRejected
-	rejectionsReportedAt atomic.Int64 // nanoseconds since 1970
+	deferredReports      atomic.Int64 // load reports that were deferred with 429
+	rejected             atomic.Int64 // error responses since the last PeerRejected
+	rejectionsReportedAt atomic.Int64 // time of the last PeerRejected, in nanoseconds since 1970
 }
 
 func listen(d *Daemon, addr string) (*server, error) {
@@ -85,7 +86,7 @@
 	_ = s.engine.Stop(ctx)
 }
 
-// OnBoot finds out which port was bound.
+// OnBoot determines the address that was bound: the port may have been chosen by the system.
 func (s *server) OnBoot(engine gnet.Engine) gnet.Action {
 	s.engine = engine
 	if fd, err := engine.Dup(); err == nil {
@@ -95,7 +96,8 @@
 	return gnet.None
 }
 
-// listenerAddress is the address of a listener's file descriptor, which it closes; empty: not known.
+// listenerAddress returns the address of a listener's file descriptor and closes the descriptor. It returns an empty string if
+// the address is unknown.
 func listenerAddress(fd int) string {
 	f := os.NewFile(uintptr(fd), "listener")
 	defer func() { _ = f.Close() }()
@@ -107,7 +109,7 @@
 	return l.Addr().String()
 }
 
-// OnOpen admits a connection, unless there are too many in all or of its address.
+// OnOpen accepts a connection unless there are too many in total or from its address.
 func (s *server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	host, _, err := net.SplitHostPort(c.RemoteAddr().String())
 	if err != nil {
@@ -127,7 +129,8 @@
 	return nil, gnet.None
 }
 
-// OnClose disconnects a gateway if the connection was its link. If the mailbox is full the core detects the silence by itself.
+// OnClose releases a connection and, if it was a gateway's link, disconnects the gateway. If the mailbox is full, that input is
+// dropped and the core detects that the gateway is silent.
 func (s *server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	conn, ok := c.Context().(*connection)
 	if !ok {
@@ -145,10 +148,10 @@
 	return gnet.None
 }
 
-// OnTick wakes all connections, so that those whose request has not become complete in time are closed.
+// OnTick wakes all connections, so that those with a request that is incomplete after requestTimeout are closed.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
 	s.connections.Range(func(_ coordinator.ConnID, conn *connection) bool {
-		_ = conn.gnetConn.Wake(nil) // its own event loop checks requestBeganAt
+		_ = conn.gnetConn.Wake(nil) // the connection's event loop checks requestBeganAt
 		return true
 	})
 	return requestTimeout / 2, gnet.None
@@ -161,13 +164,13 @@
 	}
 }
 
-// offerInput queues an input for the core that may be lost when the mailbox is full.
+// offerInput queues an input for the core, or drops it if the mailbox is full.
 func (s *server) offerInput(in coordinator.Input) {
 	s.daemon.mailbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
 }
 
-// countRejection counts an error response to a peer, and reports it to the core once a second at most: a peer that sends
-// garbage at full speed must not fill the mailbox.
+// countRejection counts an error response to a peer, and reports the count to the core at most once per rejectionInterval: a
+// peer that sends malformed requests at full speed must not fill the mailbox.
 func (s *server) countRejection(from, reason string) {
 	s.rejected.Add(1)
 	now := time.Now().UnixNano()
--- a/daemon/server_test.go
+++ b/daemon/server_test.go
@@ -33,7 +33,7 @@
 	return response.StatusCode, string(all)
 }
 
-// dialAndSend opens a connection, which the test's end closes, and sends a text.
+// dialAndSend opens a connection and sends a text. The connection is closed when the test ends.
 func (r *testDaemon) dialAndSend(text string) net.Conn {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.daemon.Addr())
@@ -47,18 +47,19 @@
 	return c
 }
 
-// Peers that send malformed requests, too much or too slowly get a clear error or are closed, and no other waits for them.
+// Peers that send malformed, too large or incomplete requests get an error response or are disconnected. Other peers are served
+// meanwhile.
 func TestMalformedAndSlowRequests(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	t.Run("malformed bodies", func(t *testing.T) { testMalformedBodies(t, r) })
 	t.Run("malformed heads and sizes", func(t *testing.T) { testMalformedHeads(t, r) })
-	t.Run("a request that never ends", func(t *testing.T) {
+	t.Run("incomplete request", func(t *testing.T) {
 		slow := r.dialAndSend("POST /v3/disc")
-		g := r.connectGateway("gw-1", "a") // is served meanwhile
-		r.waitFor("tables in spite of the bad peers", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") > 0 })
+		g := r.connectGateway("gw-1", "a") // must be served meanwhile
+		r.waitFor("tables while another peer's request is incomplete", func() bool { g.sync(t); return g.state.Snapshot.OpenEndpoints("view") > 0 })
 		_ = slow.SetReadDeadline(time.Now().Add(50 * time.Second))
 		if _, err := slow.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("%v, want it closed", err)
+			t.Errorf("read from the connection with an incomplete request: %v, want EOF", err)
 		}
 	})
 	t.Run("pipelined requests", func(t *testing.T) { testPipelinedRequests(t, r) })
@@ -79,7 +80,7 @@
 		{"/elsewhere", `{}`, 404, "/elsewhere"},
 	} {
 		if code, answer := r.postText(c.path, c.body); code != c.code || !strings.Contains(answer, c.answer) {
-			t.Errorf("%s %s: %d %q", c.path, c.body, code, answer)
+			t.Errorf("%s %s: got %d %q, want %d with %q in the body", c.path, c.body, code, answer, c.code, c.answer)
 		}
 	}
 }
@@ -95,12 +96,12 @@
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		n, _ := conn.Read(answer)
 		if !strings.Contains(string(answer[:n]), c.want) {
-			t.Errorf("%s: %q", c.name, answer[:n])
+			t.Errorf("%s: got response %q, want status %s", c.name, answer[:n], c.want)
 		}
 	}
 }
 
-// testPipelinedRequests sends requests without waiting for responses: all of them are answered, in order.
+// testPipelinedRequests sends requests without waiting for responses: all of them must be answered.
 func testPipelinedRequests(t *testing.T, r *testDaemon) {
 	const requests = 50
 	c := r.dialAndSend(strings.Repeat("GET /nothing HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", requests))
@@ -111,26 +112,27 @@
 		n, err := c.Read(buf)
 		all.Write(buf[:n])
 		if err != nil {
-			t.Fatalf("%d answers of %d, then %v", strings.Count(all.String(), "404 Not Found"), requests, err)
+			t.Fatalf("got %d responses of %d, then %v", strings.Count(all.String(), "404 Not Found"), requests, err)
 		}
 	}
 }
 
-// A second connection under a name replaces the first; the first is closed, and its end disconnects nothing.
+// A second connection under a gateway's name replaces the first one as the gateway's link. The end of the first connection does
+// not disconnect the gateway.
 func TestSecondConnectionReplacesTheFirst(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	first := r.connectGateway("gw-1", "a")
-	r.waitFor("the first to be connected with tables", func() bool { first.sync(t); return r.status("gw-1").Connected && first.state.EndpointVersion != "" })
+	r.waitFor("the first connection to get tables", func() bool { first.sync(t); return r.status("gw-1").Connected && first.state.EndpointVersion != "" })
 	second := r.connectGateway("gw-1", "a")
-	r.waitFor("the second to be connected with tables", func() bool {
+	r.waitFor("the second connection to get tables", func() bool {
 		second.sync(t)
 		s := r.status("gw-1")
 		return s.Connected && s.Unacknowledged == 0 && second.state.EndpointVersion == s.Confirmed[0]
 	})
 }
 
-// More connections than an address may have are rejected, until another has ended; a connection that has had its requests is
-// closed.
+// Connections over the limit of an address are rejected until another one has ended. A connection that exceeds its limit of
+// requests is closed.
 func TestConnectionLimits(t *testing.T) {
 	r := startTestDaemon(t, nil, func(c *config.Config) { c.Limits.PerAddress, c.Limits.Requests = 3, 4 })
 	dial := func() net.Conn {
@@ -159,20 +161,20 @@
 	first := dial()
 	for i := range 4 {
 		if status := request(first); !strings.Contains(status, "200") {
-			t.Fatalf("request %d: %q", i, status)
+			t.Fatalf("request %d: got %q, want 200", i, status)
 		}
 	}
 	second, third := dial(), dial()
 	if !strings.Contains(request(second), "200") || !strings.Contains(request(third), "200") {
-		t.Error("three connections are allowed, and not served")
+		t.Error("requests on the second and third connection of an address did not both get 200; the limit is three")
 	}
 	if status := request(dial()); !strings.Contains(status, "503") {
-		t.Errorf("a fourth connection: %q", status)
+		t.Errorf("fourth connection: got %q, want 503", status)
 	}
 	if status := request(first); !strings.Contains(status, "429") {
-		t.Errorf("a fifth request: %q", status)
+		t.Errorf("fifth request on the first connection: got %q, want 429", status)
 	}
-	r.waitFor("another connection to be admitted", func() bool { return strings.Contains(request(dial()), "200") })
+	r.waitFor("another connection to be accepted", func() bool { return strings.Contains(request(dial()), "200") })
 }
 
 // pollingGateway is a gateway that gets its tables by polls for both documents and acknowledges them.
@@ -239,23 +241,24 @@
 	return false
 }
 
-// A gateway that polls gets complete tables and deltas, follows a removal, and shares its name with no gateway of files.
+// A gateway that polls gets complete tables and deltas, which reflect a removed endpoint, and no files. A gateway that reads
+// files can't connect under the same name. When the link ends, another connection of the gateway becomes its link.
 func TestPollingGateway(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	g := r.connectPollingGateway("gw-1", "a")
-	r.waitFor("tables by polls, acknowledged", func() bool {
+	r.waitFor("acknowledged tables by polls", func() bool {
 		g.report(t)
 		s := r.status("gw-1")
 		tables := g.tables().Snapshot
 		return tables.OpenEndpoints("view") >= 2 && len(tables.Routes) == 2 && s.Unacknowledged == 0 && s.Confirmed[0] != ""
 	})
 	if _, err := os.Stat(filepath.Join(r.dir, "tables", "gw-1")); !os.IsNotExist(err) {
-		t.Errorf("it polls, and has files: %v", err)
+		t.Errorf("the directory of a polling gateway's files: %v, want that it does not exist", err)
 	}
 	other := client.NewLink(client.Options{Node: xds.Node{Name: "gw-1", Zone: "a"}, Coordinator: r.daemon.Addr()})
 	t.Cleanup(other.Close)
 	if err := other.Join(context.Background(), client.Tables{}); err == nil || !strings.Contains(err.Error(), "409") {
-		t.Errorf("a gateway of files under the same name: %v", err)
+		t.Errorf("joining with file delivery under the name of a polling gateway: %v, want 409", err)
 	}
 	r.write("nodes.json", strings.Replace(threeEndpoints, `"127.0.0.1:9001", `, "", 1))
 	r.waitFor("tables without the removed endpoint", func() bool {
@@ -264,14 +267,14 @@
 	})
 	since := r.status("gw-1").Since
 	g.link.Close()
-	r.waitFor("a poll to become the link", func() bool {
+	r.waitFor("a polling connection to become the link", func() bool {
 		s := r.status("gw-1")
 		return s.Connected && s.Since > since
 	})
 }
 
-// A request that does not become complete in time is rejected: what is logged names the peer and the reason, in this order.
-// (Regression: the two were swapped.)
+// The PeerRejected input for an incomplete request has the peer's address in From and the reason in Reason. (Regression: the two
+// were swapped.)
 func TestIncompleteRequestNamesItsPeer(t *testing.T) {
 	r := startTestDaemon(t, nil)
 	c := r.dialAndSend("GET /nothing HT")
@@ -282,7 +285,7 @@
 			for _, in := range step.inputs {
 				if rejected, is := in.(coordinator.PeerRejected); is {
 					if rejected.From != c.LocalAddr().String() || rejected.Reason != "incomplete request" {
-						t.Errorf("%+v, from %s", rejected, c.LocalAddr())
+						t.Errorf("got %+v, want the reason \"incomplete request\" from %s", rejected, c.LocalAddr())
 					}
 					return true
 				}
--- a/daemon/settings.go
+++ b/daemon/settings.go
@@ -13,7 +13,7 @@
 	"porthub/xds"
 )
 
-// coreSettings are the core's settings by the configuration. The epoch names this start by its time.
+// coreSettings returns the core's settings for a configuration. The epoch identifies this start by its time.
 func coreSettings(c config.Config, now policyapi.Microseconds) coordinator.Settings {
 	var sources []string
 	for _, registry := range c.Registry.Eureka {
@@ -59,7 +59,8 @@
 	return o
 }
 
-// healthCheckOptions are those of our own endpoints: an endpoint's ID is its address, and its responses have its metrics in a header.
+// healthCheckOptions returns the options of health checks over HTTP: an endpoint's ID is its address, and its response carries
+// load metrics in the ORCA header.
 func healthCheckOptions(c config.HealthChecks) healthcheck.Options {
 	return healthcheck.Options{
 		Timeout:       duration(c.Timeout),
@@ -73,7 +74,8 @@
 	}
 }
 
-// loadMetrics converts metrics by their ORCA names to those by the module's; others are dropped. nil: none.
+// loadMetrics converts metrics from their ORCA names to the decision module's names and drops all others. It returns nil if
+// there are none.
 func loadMetrics(orca map[string]float64) policyapi.LoadMetrics {
 	var metrics policyapi.LoadMetrics
 	for name, value := range orca {
--- a/daemon/statestore.go
+++ b/daemon/statestore.go
@@ -13,14 +13,14 @@
 // snapshotInterval is the time between two snapshots.
 const snapshotInterval = time.Second
 
-// stateStore writes what the next start needs, by a goroutine of its own: a slow disk must not hold up the core. Of what
-// waits to be written only the last is kept.
+// stateStore saves the state for the next start. It writes in its own goroutine, so that a slow disk does not block the core.
+// Of the lists and snapshots that wait to be written, only the latest of each is kept.
 type stateStore struct {
-	dir       string // empty: nothing is saved
+	dir       string // state directory; empty: nothing is saved
 	log       *zap.Logger
 	lists     chan policyapi.EndpointUpdate
 	snapshots chan recovery.Snapshot
-	failing   bool // as last logged; of run's goroutine
+	failing   bool // whether writes failed when last logged; used only by run
 }
 
 func newStateStore(dir string, log *zap.Logger) *stateStore {
@@ -31,7 +31,7 @@
 
 func (s *stateStore) saveSnapshot(snapshot recovery.Snapshot) { replacePending(s.snapshots, snapshot) }
 
-// replacePending puts a value into a channel of one place, instead of the one that waits there.
+// replacePending sends a value to a channel of capacity 1, in place of the value that is pending there.
 func replacePending[T any](pending chan T, value T) {
 	for {
 		select {
@@ -46,7 +46,7 @@
 	}
 }
 
-// run writes what is to be saved until the context ends.
+// run writes lists and snapshots until the context is done.
 func (s *stateStore) run(ctx context.Context) {
 	for {
 		select {
@@ -62,7 +62,7 @@
 	}
 }
 
-// logResult logs when saving begins to fail and when it works again.
+// logResult logs when writes begin to fail and when they succeed again.
 func (s *stateStore) logResult(err error) {
 	failing := err != nil
 	if failing == s.failing {
@@ -70,13 +70,13 @@
 	}
 	s.failing = failing
 	if failing {
-		s.log.Warn("state", zap.String("text", "can't be saved: the next start will be without it"), zap.Error(err))
+		s.log.Warn("state", zap.String("text", "the state can't be saved: the next start will not have it"), zap.Error(err))
 		return
 	}
-	s.log.Info("state", zap.String("text", "is saved again"))
+	s.log.Info("state", zap.String("text", "the state is saved again"))
 }
 
-// saveSnapshot has a snapshot written if the last one is older than snapshotInterval, or in any case if force is set.
+// saveSnapshot queues a snapshot to be written if the last one is at least snapshotInterval old, or if force is set.
 func (d *Daemon) saveSnapshot(now policyapi.Microseconds, force bool) {
 	if d.config.StateDir == "" {
 		return
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -20,22 +20,23 @@
 	coordinator.Status
 	FileDelivery xdsfile.Stats `json:"front"`
 	PollDelivery xdspoll.Stats `json:"poll"`
-	StepTimes    Latencies     `json:"step_us"` // of the core
-	// Capture counts what was recorded; nil: it is off.
+	StepTimes    Latencies     `json:"step_us"` // durations of core steps
+	// Capture holds the counts of the capture's writer; nil if captures are off.
 	Capture *capture.Stats `json:"capture,omitempty"`
 }
 
-// SamplingStatus is the response to GET /intake: how much of the load reports is used, and the estimates by them.
+// SamplingStatus is the response to GET /intake: how much of the load reports is used, and the
+// estimates based on them.
 type SamplingStatus struct {
 	Now           policyapi.Microseconds         `json:"now_us"`
 	Sampling      loadreport.Stats               `json:"intake"`
-	Deferred      int64                          `json:"deferred"` // reports that were rejected with 429
-	MailboxLength int                            `json:"inbox"`    // items that wait for the core
+	Deferred      int64                          `json:"deferred"` // reports that were deferred with 429
+	MailboxLength int                            `json:"inbox"`    // items that wait in the mailbox's normal lane
 	StepTimes     Latencies                      `json:"step_us"`
 	Endpoints     []coordinator.EndpointEstimate `json:"nodes"`
 }
 
-// Latencies are those of a histogram, in microseconds.
+// Latencies summarizes a histogram of durations, in microseconds.
 type Latencies struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -56,7 +57,7 @@
 	return text
 }
 
-// The following run in the loop that owns the core.
+// The functions below run in the loop that owns the core.
 
 func (d *Daemon) statusResponse(c *coordinator.Core) []byte {
 	return encodeResponse(Status{
@@ -80,19 +81,19 @@
 	})
 }
 
-// overviewCache has the last overview, which is sent until the next one may be made: with thousands of gateways one
-// takes a good part of a step.
+// overviewCache holds the last overview, which is sent until it expires: with thousands of gateways, making an overview takes a
+// considerable part of a step.
 type overviewCache struct {
-	text   []byte
-	nextAt time.Time
+	text      []byte
+	expiresAt time.Time
 }
 
 func (d *Daemon) overviewResponse(c *coordinator.Core) []byte {
 	began := time.Now()
-	if began.Before(d.overview.nextAt) {
+	if began.Before(d.overview.expiresAt) {
 		return d.overview.text
 	}
 	d.overview.text = encodeResponse(coordinator.LoggedOverview{Overview: c.Overview(), Log: d.logTail})
-	d.overview.nextAt = began.Add(duration(loadreport.OverviewInterval(microsecondsSince(began))))
+	d.overview.expiresAt = began.Add(duration(loadreport.OverviewInterval(microsecondsSince(began))))
 	return d.overview.text
 }
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -18,33 +18,33 @@
 	"porthub/coordinator"
 )
 
-// tracer follows publications from the input that caused them to the gateway's acknowledgement, as OpenTelemetry spans: a step
-// with the inputs that it was given, and below it each publication, which ends when the gateway has acknowledged it. Only the
-// goroutine that owns the core uses it.
+// tracer traces publications from the inputs that caused them to the gateway's acknowledgement, as OpenTelemetry spans. The span
+// of a step counts its inputs and has a child span for each publication, which ends when the gateway has acknowledged it. Only
+// the goroutine that owns the core may use a tracer.
 type tracer struct {
 	provider *sdktrace.TracerProvider
 	tracer   trace.Tracer
 	inFlight map[coordinator.Gateway][]publicationSpan
-	count    int      // of the spans in flight
-	file     *os.File // nil: spans are not written to a file
+	count    int      // number of spans in flight
+	file     *os.File // nil if spans are not written to a file
 }
 
 // publicationSpan is the span of a publication in flight.
 type publicationSpan struct {
 	version        string
-	unacknowledged [2]bool // by document
+	unacknowledged [2]bool // by document: true until the gateway acknowledges it
 	span           trace.Span
 }
 
-// maxTracedPublications bounds the publications that are followed at a time; more are not followed.
+// maxTracedPublications is the maximum number of publications traced at a time; further ones are not traced.
 const maxTracedPublications = 20000
 
-// exportTimeout bounds an export of spans to the configured endpoint.
+// exportTimeout limits the time of one export of spans to the configured endpoint.
 const exportTimeout = 2 * time.Second
 
 func tracingEnabled(c config.Trace) bool { return c.File != "" || c.Endpoint != "" }
 
-// newTracer returns nil if tracing is off.
+// newTracer returns a tracer that exports to the configured file and endpoint, or nil if tracing is off.
 func newTracer(c config.Trace) (*tracer, error) {
 	if !tracingEnabled(c) {
 		return nil, nil
@@ -79,9 +79,9 @@
 	return t, nil
 }
 
-// step follows a step: acknowledgements end what they confirm, publications begin. arrivedAt is when the first of the inputs
-// came, zero if that is not known.
-func (t *tracer) step(arrivedAt, began time.Time, core *coordinator.Core, inputs []coordinator.Input, outputs []coordinator.Output) {
+// recordStep records a step: it ends the spans of publications that the inputs acknowledge, and starts a span for each new
+// publication. arrivedAt is when the first of the inputs arrived, zero if that is unknown.
+func (t *tracer) recordStep(arrivedAt, began time.Time, core *coordinator.Core, inputs []coordinator.Input, outputs []coordinator.Output) {
 	for _, in := range inputs {
 		switch in := in.(type) {
 		case coordinator.DocumentAck:
@@ -118,7 +118,7 @@
 	span.End()
 }
 
-// inputCounts are attributes that count the inputs of a step by their names.
+// inputCounts returns span attributes that count the inputs of a step by name.
 func inputCounts(inputs []coordinator.Input) (attributes []attribute.KeyValue) {
 	counts := map[string]int{}
 	for _, in := range inputs {
@@ -141,8 +141,8 @@
 	t.count++
 }
 
-// inputName is the name of an input in the step's span: its attribute "told.NAME" counts the inputs of that type. Names are
-// written out because they leave the program: readers of the spans must not notice that a Go type was renamed.
+// inputName returns the name of an input in the step's span, whose attribute "told.NAME" counts the inputs of that type. The
+// names are written out because they leave the process: they must stay the same when a Go type is renamed.
 func inputName(in coordinator.Input) string {
 	switch in.(type) {
 	case coordinator.EndpointUpdate:
@@ -167,7 +167,8 @@
 	return "Other"
 }
 
-// acknowledge ends what an acknowledgement confirms: the version, and for its document all before it.
+// acknowledge records an acknowledgement. It covers the acknowledged version of its document and all earlier ones. The span of a
+// publication ends once all its documents are acknowledged. A rejection is added to all spans of the gateway as an event.
 func (t *tracer) acknowledge(ack coordinator.DocumentAck) {
 	spans := t.inFlight[ack.Gateway]
 	if ack.Error != "" {
@@ -197,7 +198,7 @@
 	}
 }
 
-// abandon ends the spans that a gateway will no longer acknowledge.
+// abandon ends the spans of publications that a gateway will not acknowledge any more, with an error status.
 func (t *tracer) abandon(gateway coordinator.Gateway, reason string) {
 	for _, p := range t.inFlight[gateway] {
 		p.span.SetStatus(codes.Error, reason)
@@ -207,7 +208,7 @@
 	delete(t.inFlight, gateway)
 }
 
-// close exports what is left, within the timeout.
+// close ends all spans in flight and exports the spans that are left, within the timeout.
 func (t *tracer) close(timeout time.Duration) {
 	for gateway := range t.inFlight {
 		t.abandon(gateway, "the coordinator stopped")
--- a/daemon/trace_test.go
+++ b/daemon/trace_test.go
@@ -19,7 +19,7 @@
 	"porthub/coordinator"
 )
 
-// spanCollector is an OTLP endpoint that counts the spans it gets by name.
+// spanCollector is an OTLP endpoint that counts the spans it receives by name.
 type spanCollector struct {
 	addr string
 
@@ -34,7 +34,7 @@
 		body, _ := io.ReadAll(request.Body)
 		m := &collectorv1.ExportTraceServiceRequest{}
 		if err := proto.Unmarshal(body, m); err != nil || request.URL.Path != "/v1/traces" {
-			t.Errorf("%s: %v", request.URL.Path, err)
+			t.Errorf("request to %s: decoding error %v; want a valid export to /v1/traces", request.URL.Path, err)
 		}
 		c.add(m)
 	}))
@@ -55,7 +55,7 @@
 	}
 }
 
-// span is a span as the trace file has it.
+// span is a span as the trace file stores it.
 type span struct {
 	Name        string
 	SpanContext struct{ TraceID, SpanID string }
@@ -77,7 +77,7 @@
 	return false
 }
 
-// readSpans reads a trace file: the spans of steps by their ID, and all others.
+// readSpans reads a trace file and returns the spans of steps by span ID, and all other spans.
 func readSpans(t *testing.T, path string) (steps map[string]span, others []span) {
 	t.Helper()
 	f, err := os.Open(path)
@@ -102,7 +102,8 @@
 	return steps, others
 }
 
-// A publication is followed from the list to the gateway's acknowledgement, in a file and at an endpoint.
+// A publication is traced from the endpoint list that caused it to the gateway's acknowledgement. The spans are written to a file
+// and sent to an endpoint.
 func TestTrace(t *testing.T) {
 	collector := startSpanCollector(t)
 	path := filepath.Join(t.TempDir(), "spans.json")
@@ -122,24 +123,24 @@
 	r.stop = func() {}
 
 	steps, publishes := readSpans(t, path)
-	followed := 0
+	traced := 0
 	for _, p := range publishes {
 		parent, has := steps[p.Parent.SpanID]
 		if !has || parent.SpanContext.TraceID != p.SpanContext.TraceID {
-			t.Errorf("a publication without its step: %+v", p)
+			t.Errorf("the span of a publication has no step as its parent: %+v", p)
 		}
 		if parent.hasAttribute("told.List") && len(p.Events) > 0 && p.Status.Code != "Error" {
-			followed++
+			traced++
 		}
 	}
 	collector.mu.Lock()
 	defer collector.mu.Unlock()
-	if followed == 0 || collector.counts["step"] == 0 || collector.counts["publish"] == 0 {
-		t.Errorf("%d publications are followed from the list to an acknowledgement; the endpoint has %v", followed, collector.counts)
+	if traced == 0 || collector.counts["step"] == 0 || collector.counts["publish"] == 0 {
+		t.Errorf("%d publications are traced from the list to an acknowledgement, the endpoint received %v; want at least one of each", traced, collector.counts)
 	}
 }
 
-// Span attributes name inputs as the builds before did, whatever their Go types are called.
+// The names of inputs in span attributes stay the same when Go types are renamed: readers of spans depend on them.
 func TestInputNamesArePinned(t *testing.T) {
 	for name, in := range map[string]coordinator.Input{
 		"List": coordinator.EndpointUpdate{}, "Told": coordinator.RegistryUpdate{}, "Join": coordinator.GatewayConnected{},
@@ -147,7 +148,7 @@
 		"Probed": coordinator.HealthCheckResult{}, "Refused": coordinator.PeerRejected{}, "Failed": coordinator.PublishFailed{},
 	} {
 		if got := inputName(in); got != name {
-			t.Errorf("%T is named %q, want %q", in, got, name)
+			t.Errorf("the name of a %T is %q, want %q", in, got, name)
 		}
 	}
 }
