--- a/capture/bench_test.go
+++ b/capture/bench_test.go
@@ -9,8 +9,8 @@
 	"porthub/policyapi"
 )
 
-// BenchmarkRecord is the cost of one round of reports in a capture, at a fleet's size: each gateway reports on all
-// endpoints of its zone for three request classes.
+// BenchmarkRecord measures the cost of recording one round of load reports for several sizes of the fleet. Each gateway reports
+// on the endpoints of its zone, a third of all and at most 20, for three request classes.
 func BenchmarkRecord(b *testing.B) {
 	for _, size := range [][2]int{{18, 15}, {100, 300}} {
 		b.Run(fmt.Sprintf("%d_nodes_%d_gateways", size[0], size[1]), func(b *testing.B) {
--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -10,33 +10,34 @@
 	"porthub/policyapi"
 )
 
-// Failures met so far, captured by `porthub chaos only:FAULT --seconds 14 --keep DIR` from DIR/fleet-0/state/capture, are
-// replayed to identical decisions. After an intended change of decisions they are captured again, and the commit says
-// which departed and where.
+// Captures of known failures replay to identical decisions. They were recorded by
+// `porthub chaos only:FAULT --seconds 14 --keep DIR` and are copies of DIR/fleet-0/state/capture. After an intended change of
+// decisions they must be recorded again, and the commit must say which of them differed and where.
 func TestCapturedCases(t *testing.T) {
 	cases, err := filepath.Glob(filepath.Join("testdata", "cases", "*"))
 	if err != nil || len(cases) < 8 {
-		t.Fatalf("%d cases, %v", len(cases), err)
+		t.Fatalf("got %d cases, error %v; want at least 8 cases", len(cases), err)
 	}
 	for _, path := range cases {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			v := replayCapture(t, path)
 			if v.Mismatches > 0 {
-				t.Errorf("%d of %d steps differ, first %+v", v.Mismatches, v.Steps, v.FirstMismatch)
+				t.Errorf("%d of %d steps differ, want none; the first is %+v", v.Mismatches, v.Steps, v.FirstMismatch)
 			}
 			if v.Steps < 100 || v.Orders < 30 || v.PublishingSteps < 3 || v.Incomplete() || len(v.Gaps) > 0 {
-				t.Errorf("the case says too little, or is damaged: %+v", v)
+				t.Errorf("the case is too short, incomplete or has gaps: got %+v, want at least 100 steps, 30 orders and 3 publishing steps", v)
 			}
 		})
 	}
 }
 
-// Explain of an endpoint that dies in a lost zone: the list's status, the order, each gateway's table without it.
+// Explain of an endpoint in a lost zone reports its status in the endpoint list, the orders, the tables sent to gateways and
+// their acknowledgements. After the endpoint is removed, only disconnected gateways still have it.
 func TestExplain(t *testing.T) {
 	path := filepath.Join("testdata", "cases", "zone_loss")
 	first, last, err := TimeRange(openCapture(t, path))
 	if err != nil || last-first < 8*second {
-		t.Fatalf("%d to %d, %v", first, last, err)
+		t.Fatalf("the time range is %d to %d, error %v; want at least 8 s", first, last, err)
 	}
 	endpoint, removedAt := firstRemovedEndpoint(t, path)
 	explain := func(at policyapi.Microseconds) Explanation {
@@ -49,16 +50,16 @@
 	}
 	before := explain(first + 3*second)
 	if len(before.Gateways) == 0 || !strings.Contains(before.Answer, "the endpoint list has it as ready") || !before.Gateways[0].Confirmed {
-		t.Errorf("before: %q, %+v", before.Answer, before.Gateways)
+		t.Errorf("before the removal: got answer %q, gateways %+v; want the endpoint as ready and a confirmed table", before.Answer, before.Gateways)
 	}
 	after := explain(removedAt + 2*second)
-	for _, table := range after.Gateways { // the gateways of the zone have died with it
+	for _, table := range after.Gateways { // the gateways of the lost zone are disconnected
 		if !table.Disconnected {
-			t.Errorf("after: %q, %+v", after.Answer, table)
+			t.Errorf("after the removal: got answer %q, gateway %+v; want only disconnected gateways", after.Answer, table)
 		}
 	}
 	if !strings.Contains(after.Answer, "gone") {
-		t.Errorf("after: %q", after.Answer)
+		t.Errorf("after the removal: got answer %q, want the endpoint as gone", after.Answer)
 	}
 	count := map[EventKind]int{}
 	for _, event := range after.Events {
@@ -66,19 +67,19 @@
 	}
 	for _, kind := range []EventKind{StartEvent, ListEvent, OrderEvent, PublishEvent, AckEvent, ReportEvent} {
 		if count[kind] == 0 {
-			t.Errorf("the explanation has no event of kind %s: %v", kind, count)
+			t.Errorf("the explanation has no event of kind %s: got counts %v", kind, count)
 		}
 	}
 	if explanation := explain(last); explanation.Endpoint != endpoint {
-		t.Error(explanation)
+		t.Error("the explanation at the last step is of another endpoint:", explanation)
 	}
 	if _, err := Explain(openCapture(t, path), endpoint, first-second); !errors.Is(err, ErrNothingRecorded) {
-		t.Errorf("a time before the first record: %v, want %v", err, ErrNothingRecorded)
+		t.Errorf("a time before the first step: got error %v, want %v", err, ErrNothingRecorded)
 	}
 }
 
-// firstRemovedEndpoint finds the endpoint that leaves the list first, and when. Of several at once it is the one that
-// sorts first.
+// firstRemovedEndpoint returns the endpoint that is removed from the list first, and when. If several are removed at once, it
+// returns the one with the lowest ID.
 func firstRemovedEndpoint(t *testing.T, path string) (endpoint policyapi.EndpointID, at policyapi.Microseconds) {
 	t.Helper()
 	listed := map[policyapi.EndpointID]bool{}
@@ -108,7 +109,7 @@
 		}
 	}
 	if endpoint == "" {
-		t.Fatal("no endpoint leaves the list")
+		t.Fatal("no endpoint is removed from the list")
 	}
 	return endpoint, at
 }
--- a/capture/crash_test.go
+++ b/capture/crash_test.go
@@ -16,21 +16,22 @@
 	"porthub/coordinator"
 )
 
-// The environment of a child process, see TestChildProcess.
+// Environment variables of a child process, see TestChildProcess.
 const (
 	childDirVariable   = "PORTHUB_CAPTURE_CHILD" // directory of the capture
 	childSeedVariable  = "PORTHUB_CAPTURE_SEED"  // of the scenario
-	childLimitVariable = "PORTHUB_CAPTURE_LIMIT" // bytes of the largest file; absent: no limit
+	childLimitVariable = "PORTHUB_CAPTURE_LIMIT" // limit on a file's size in bytes; unset: no limit
 )
 
-// TestChildProcess is the child of the tests below: it writes a scenario and prints which record the file system has.
+// TestChildProcess is the child process of the tests below. It records a scenario and prints the number of the last record in the
+// file system whenever that changes.
 func TestChildProcess(t *testing.T) {
 	dir := os.Getenv(childDirVariable)
 	if dir == "" {
-		t.Skip("only as another test's child")
+		t.Skip("runs only as a child process of other tests")
 	}
 	if n, err := strconv.Atoi(os.Getenv(childLimitVariable)); err == nil {
-		// No file may be larger: what a full disk does to a write, with a part of it written.
+		// The limit acts as a full disk does: a write fails after a part of it was written.
 		signal.Ignore(syscall.SIGXFSZ)
 		limit := syscall.Rlimit{Cur: uint64(n), Max: uint64(n)}
 		if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &limit); err != nil {
@@ -69,8 +70,8 @@
 	return cmd, bufio.NewScanner(out)
 }
 
-// Killed at random points: no record that the file system had is lost, the capture opens, and what is read replays to
-// the same orders. PORTHUB_KILLS sets how many points; CI takes few.
+// A process that is killed at a random point loses no record that was in the file system: the capture opens, has no gap and
+// replays to the same orders. PORTHUB_KILLS sets the number of kills; the default is small because CI runs it.
 func TestKilledWriterLosesNoWrittenRecord(t *testing.T) {
 	kills := 12
 	if n, err := strconv.Atoi(os.Getenv("PORTHUB_KILLS")); err == nil {
@@ -82,7 +83,7 @@
 	dir := t.TempDir()
 	for kill := range kills {
 		if kill%10 == 0 {
-			dir = t.TempDir() // ten starts beside each other
+			dir = t.TempDir() // each capture has the starts of ten processes
 		}
 		child, output := startChild(t, dir, kill)
 		time.Sleep(time.Duration(rng.IntN(300_000)) * time.Microsecond)
@@ -99,15 +100,15 @@
 		last, result, err := replayLastStart(r, fmt.Sprint("e", kill))
 		r.Close()
 		if err != nil || len(result.Gaps) > 0 || result.Incomplete() || last < written || result.Mismatches > 0 {
-			t.Fatalf("kill %d: record %d was written, %d is the last, %+v, %v", kill, written, last, result, err)
+			t.Fatalf("kill %d: record %d was written, the last one read is %d, got %+v, error %v; want all written records without gaps or mismatches", kill, written, last, result, err)
 		}
 		truncated += len(result.Damages)
 		orders += result.Orders
 	}
-	t.Logf("%d kills, %d truncated ends, %d orders replayed", kills, truncated, orders)
+	t.Logf("%d kills, %d truncated segments, %d replayed orders", kills, truncated, orders)
 }
 
-// lastWritten reads a child's output up to its end: the last record that the file system had.
+// lastWritten reads a child's output to its end and returns the number of the last record that was in the file system.
 func lastWritten(output *bufio.Scanner) uint64 {
 	written := uint64(0)
 	for output.Scan() {
@@ -118,7 +119,7 @@
 	return written
 }
 
-// replayLastStart replays a capture. Last is the number of its last record if that belongs to the epoch, otherwise 0.
+// replayLastStart replays a capture. last is the number of the capture's last record if that belongs to the epoch, otherwise 0.
 func replayLastStart(r *Reader, epoch string) (last uint64, result ReplayResult, err error) {
 	current := ""
 	result, err = Replay(r, "test", func(record *Record, _ *coordinator.Core, _ []coordinator.Output) bool {
@@ -134,8 +135,8 @@
 	return last, result, err
 }
 
-// A full disk, with a part of a write written: the process goes on, the gaps are noted, and everything that is no gap
-// reads as it was written.
+// On a full disk, where a write may fail after a part of it was written, the process continues. The lost records are recorded as
+// gaps, and all other records can be read.
 func TestFullDiskLeavesGaps(t *testing.T) {
 	dir := t.TempDir()
 	child, output := startChild(t, dir, 1, childLimitVariable+"=9000")
@@ -146,20 +147,20 @@
 		}
 	}
 	if err := child.Wait(); err != nil {
-		t.Fatalf("the process did not go on: %v", err)
+		t.Fatalf("the process did not continue after a failed write: %v", err)
 	}
 	var gaps, lost, failed int
 	if n, _ := fmt.Sscanf(end, "end %d %d %d", &gaps, &lost, &failed); n != 3 || failed == 0 {
-		t.Fatalf("no write failed: %q", end)
+		t.Fatalf("the child's last line is %q, want at least one failed write", end)
 	}
 	got, r := readAll(t, dir)
-	noted := 0
+	recordedGaps := 0
 	for _, record := range got {
 		if record.Gap != nil {
-			noted++
+			recordedGaps++
 		}
 	}
-	if len(got) < 100 || noted == 0 || len(r.Damages) > 0 {
-		t.Errorf("%d records, %d gaps noted, %d by the writer, %v", len(got), noted, gaps, r.Damages)
+	if len(got) < 100 || recordedGaps == 0 || len(r.Damages) > 0 {
+		t.Errorf("got %d records, %d gaps of them, %d gaps counted by the writer, damages %v; want at least 100 records, a gap and no damage", len(got), recordedGaps, gaps, r.Damages)
 	}
 }
--- a/capture/digest.go
+++ b/capture/digest.go
@@ -10,8 +10,8 @@
 	"porthub/routing"
 )
 
-// Digest condenses what a step published: for each message its gateway, its version and its weights. It is 0 if nothing
-// was published.
+// Digest returns a hash of what a step published: for each publication its gateway, its version, its weights and the rates and
+// shares of its routes. It returns 0 if nothing was published.
 func Digest(outputs []coordinator.Output) uint64 {
 	hash := xxhash.New()
 	published := false
--- a/capture/doc.go
+++ b/capture/doc.go
@@ -6,6 +6,6 @@
 // the orders, and [Explain] reports why an endpoint received traffic at a given time. The on-disk format is described in
 // docs/capture-format.md.
 //
-// A Writer has a goroutine of its own, which ends with Close, and is safe for concurrent use. A Reader is for one goroutine.
-// A damaged block is a [DamageError]; a record that this build can't decode is an error that wraps [ErrFormat].
+// A Writer has its own goroutine, which ends with Close, and is safe for concurrent use; a Reader is not. Damaged blocks are
+// skipped and listed in the Reader's Damages. A record that this build can't decode is an error that wraps [ErrFormat].
 package capture
--- a/capture/encoding.go
+++ b/capture/encoding.go
@@ -13,7 +13,7 @@
 	"porthub/policyapi"
 )
 
-// The names of inputs and orders in records. They are part of the format: a name once given stays.
+// The names of inputs and orders in records. They are part of the format: an existing name must not change.
 var recordNames, recordTypes = indexNames(map[string]any{
 	"list":    coordinator.EndpointUpdate{},
 	"told":    coordinator.RegistryUpdate{},
@@ -50,10 +50,10 @@
 	return names, types
 }
 
-// A step is written in one pass with its inputs as they are, and read in two: the name of an input decides the type
-// that its bytes are decoded into.
+// A step is encoded in one pass and decoded in two: the name of an input or order determines the type that its bytes are
+// decoded into.
 type (
-	// taggedValue is an input or order as it is read.
+	// taggedValue is an input or order to be decoded.
 	taggedValue struct {
 		_     struct{} `cbor:",toarray"`
 		Name  string
@@ -66,7 +66,7 @@
 		Digest uint64                 `cbor:"digest,omitempty"`
 		Log    []coordinator.LogEntry `cbor:"notes,omitempty"`
 	}
-	// outgoingValue is an input or order as it is written.
+	// outgoingValue is an input or order to be encoded.
 	outgoingValue struct {
 		_     struct{} `cbor:",toarray"`
 		Name  string
@@ -124,7 +124,7 @@
 	for _, tagged := range values {
 		valueType, known := recordTypes[tagged.Name]
 		if !known {
-			return nil, fmt.Errorf("%w: %q is not known here: a newer build wrote it", ErrFormat, tagged.Name)
+			return nil, fmt.Errorf("%w: unknown input or order %q, written by a newer build", ErrFormat, tagged.Name)
 		}
 		decoded := reflect.New(valueType)
 		if err := cbor.Unmarshal(tagged.Value, decoded.Interface()); err != nil {
@@ -132,14 +132,14 @@
 		}
 		value, ok := decoded.Elem().Interface().(T)
 		if !ok {
-			return nil, fmt.Errorf("%w: %s is not valid at this place", ErrFormat, tagged.Name)
+			return nil, fmt.Errorf("%w: %s is an order among inputs, or an input among orders", ErrFormat, tagged.Name)
 		}
 		out = append(out, value)
 	}
 	return out, nil
 }
 
-// UnmarshalCBOR decodes a step. Its errors are [ErrFormat] or those of the CBOR decoder.
+// UnmarshalCBOR decodes a step. Its errors wrap [ErrFormat] or are those of the CBOR decoder.
 func (s *Step) UnmarshalCBOR(data []byte) error {
 	var encoded encodedStep
 	if err := cbor.Unmarshal(data, &encoded); err != nil {
@@ -157,7 +157,8 @@
 	return nil
 }
 
-// recordHeaderSize is the size, in bytes, of the header of each record of a block: its length and its CRC-32C, 4 bytes each.
+// recordHeaderSize is the size, in bytes, of the header of each record in a block: the record's length and its CRC-32C, 4 bytes
+// each.
 const recordHeaderSize = 4 + 4
 
 // blockBody is the uncompressed body of a block.
@@ -166,7 +167,7 @@
 	records int
 }
 
-// add appends a record with its header; a record that can't be encoded leaves no trace.
+// add appends a record with its header. If the record can't be encoded, the body is left unchanged.
 func (b *blockBody) add(r *Record) error {
 	start := b.buffer.Len()
 	b.buffer.Write(make([]byte, recordHeaderSize))
@@ -182,16 +183,16 @@
 	return nil
 }
 
-// decodeRecord takes the first record off a block's body and returns the rest. The block's checksum has matched before,
-// so whatever is wrong here was written that way.
+// decodeRecord decodes the first record of a block's body and returns the rest of the body. The block's checksum has been
+// verified, so any error here was in the block when it was written.
 func decodeRecord(body []byte) (record *Record, rest []byte, err error) {
 	if len(body) < recordHeaderSize {
-		return nil, body, fmt.Errorf("%w: a block ends within a record", ErrFormat)
+		return nil, body, fmt.Errorf("%w: the block ends within a record's header", ErrFormat)
 	}
 	size := binary.LittleEndian.Uint32(body)
 	checksum := binary.LittleEndian.Uint32(body[4:])
 	if available := len(body) - recordHeaderSize; uint64(size) > uint64(available) {
-		return nil, body, fmt.Errorf("%w: a record of %d bytes in %d", ErrFormat, size, available)
+		return nil, body, fmt.Errorf("%w: the length of a record is %d bytes, but only %d are left in its block", ErrFormat, size, available)
 	}
 	data := body[recordHeaderSize : recordHeaderSize+size]
 	rest = body[recordHeaderSize+size:]
--- a/capture/explanation.go
+++ b/capture/explanation.go
@@ -9,17 +9,17 @@
 	"porthub/policyapi"
 )
 
-// maxEventsPerKind bounds an explanation: a flapping endpoint has hundreds of events.
+// maxEventsPerKind limits the events of each kind in an explanation: a flapping endpoint has hundreds.
 const maxEventsPerKind = 8
 
-// explain sums up the history: which gateways had the endpoint in their tables at a time, and why.
+// explain summarizes the history: which gateways had the endpoint in their tables at a time, and why.
 func (h *endpointHistory) explain(at policyapi.Microseconds) Explanation {
 	gateways := h.gatewayTables()
 	return Explanation{Endpoint: h.endpoint, At: at, Events: h.lastEvents(), Gateways: gateways, Answer: h.answer(at, gateways)}
 }
 
-// gatewayTables lists the gateways that had the endpoint in their tables: by the version that they acknowledged or, if
-// that is without it, by the one in flight.
+// gatewayTables returns the gateways that had the endpoint in their tables: in the version that they had acknowledged or, if
+// that does not contain the endpoint, in the version in flight.
 func (h *endpointHistory) gatewayTables() []GatewayTable {
 	var out []GatewayTable
 	for _, name := range slices.Sorted(maps.Keys(h.gateways)) {
@@ -45,6 +45,7 @@
 	return out
 }
 
+// answer returns the explanation in one sentence.
 func (h *endpointHistory) answer(at policyapi.Microseconds, gateways []GatewayTable) string {
 	switch {
 	case !h.known:
@@ -62,8 +63,8 @@
 	}
 }
 
-// countOutdated counts the gateways that no table without the endpoint could be sent to, and those that had not yet
-// acknowledged one.
+// countOutdated counts the gateways that could not be sent a table without the endpoint because they were disconnected, and
+// those that had been sent one and had not acknowledged it yet.
 func (h *endpointHistory) countOutdated(gateways []GatewayTable) (disconnected, unconfirmed int) {
 	for _, table := range gateways {
 		switch {
@@ -83,7 +84,7 @@
 	return "the endpoint list has it as " + statusText(h.listed.Status)
 }
 
-// listedAt is when the list last changed for the endpoint; 0 if it never did.
+// listedAt returns when the endpoint list last changed for the endpoint, or 0 if it never did.
 func (h *endpointHistory) listedAt() policyapi.Microseconds {
 	for _, event := range slices.Backward(h.events) {
 		if event.Kind == ListEvent {
@@ -93,7 +94,7 @@
 	return 0
 }
 
-// tablesText names the tables of the decision module in which the endpoint has a weight.
+// tablesText lists the tables of the decision module in which the endpoint has a positive weight.
 func (h *endpointHistory) tablesText() string {
 	var parts []string
 	for _, table := range slices.Sorted(maps.Keys(h.weights)) {
@@ -107,7 +108,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// lastEvents keeps the last few events of each kind, in order.
+// lastEvents returns the last maxEventsPerKind events of each kind, in order.
 func (h *endpointHistory) lastEvents() []Event {
 	var out []Event
 	count := map[EventKind]int{}
--- a/capture/export.go
+++ b/capture/export.go
@@ -8,14 +8,14 @@
 	"porthub/policyapi"
 )
 
-// ExportedRecord is a record as `porthub capture export` prints it. Its fields are in the order of their keys.
+// ExportedRecord is a record as `porthub capture export` prints it. The fields are sorted by JSON key.
 type ExportedRecord struct {
 	Command   *Command                `json:"command,omitempty"`
 	End       *End                    `json:"end,omitempty"`
 	Gap       *Gap                    `json:"gap,omitempty"`
-	Inputs    []NamedValue            `json:"in,omitzero"` // nil but in a step
+	Inputs    []NamedValue            `json:"in,omitzero"` // nil unless the record is a step
 	Now       *policyapi.Microseconds `json:"now_us,omitempty"`
-	Orders    []NamedValue            `json:"out,omitzero"` // nil but in a step
+	Orders    []NamedValue            `json:"out,omitzero"` // nil unless the record is a step
 	Published string                  `json:"published,omitempty"`
 	Seq       uint64                  `json:"record"`
 	Start     *Start                  `json:"start,omitempty"`
@@ -55,7 +55,7 @@
 	return out
 }
 
-// exportValues is never nil: a step without inputs has an empty array in JSON.
+// exportValues returns values with their names. It never returns nil: a step without inputs has an empty array in JSON.
 func exportValues[T any](values []T) []NamedValue {
 	out := make([]NamedValue, len(values))
 	for i, value := range values {
--- a/capture/helpers_test.go
+++ b/capture/helpers_test.go
@@ -29,19 +29,19 @@
 	}}
 }
 
-// scenarioZones are the zones of the scenario's endpoints and gateways, in turn.
+// scenarioZones are the zones that the scenario's endpoints and gateways are assigned in turn.
 var scenarioZones = []policyapi.Zone{"a", "b"}
 
-// scenario drives a core through a random course of lists with drains, connections, late and repeated reports,
-// acknowledgements and pins. It is the same for the same seed.
+// scenario drives a core with random inputs: endpoint lists with drains, connections, late and repeated reports and
+// acknowledgements. The same seed gives the same inputs.
 type scenario struct {
 	rng       *rand.Rand
 	core      *coordinator.Core
-	acks      []coordinator.Input // of the step before
-	sequences map[int]uint64      // of reports, by gateway
+	acks      []coordinator.Input // of publications of the previous step
+	sequences map[int]uint64      // of the last report, by gateway
 }
 
-// runScenario runs a scenario and hands each record over.
+// runScenario runs a scenario and passes each record to record. Every 40 steps an operator pins the tables.
 func runScenario(seed uint64, epoch string, steps int, record func(*Record)) {
 	settings := testSettings(epoch)
 	s := &scenario{rng: rand.New(rand.NewPCG(seed, 7)), core: coordinator.New(settings), sequences: map[int]uint64{}}
@@ -97,7 +97,7 @@
 	s.sequences[g]++
 	sequence := s.sequences[g]
 	if s.rng.IntN(10) == 0 {
-		sequence -= min(sequence, 2) // late, or a repeat
+		sequence -= min(sequence, 2) // a late or repeated report
 	}
 	endpoint := policyapi.EndpointID(fmt.Sprintf("n%d:1", s.rng.IntN(6)))
 	return coordinator.LoadReport{Gateway: gatewayName(g), Conn: coordinator.ConnID(g + 1), Sequence: sequence, Interval: second,
@@ -107,7 +107,7 @@
 		}}}}}
 }
 
-// acknowledge has the gateways acknowledge most of what was published, in the next step.
+// acknowledge makes the gateways acknowledge most publications in the next step.
 func (s *scenario) acknowledge(outputs []coordinator.Output) {
 	for _, output := range outputs {
 		message, ok := output.(coordinator.Publish)
@@ -123,7 +123,7 @@
 	}
 }
 
-// waitWritten waits until the file system has a record.
+// waitWritten waits until a record is in the file system.
 func waitWritten(w *Writer, seq uint64) {
 	for w.Written() < seq {
 		time.Sleep(100 * time.Microsecond)
@@ -162,7 +162,7 @@
 	return segments
 }
 
-// openCapture opens a capture for the time of the test.
+// openCapture opens a capture and closes it when the test ends.
 func openCapture(t *testing.T, path string) *Reader {
 	t.Helper()
 	r, err := Open(path)
--- a/capture/history.go
+++ b/capture/history.go
@@ -9,34 +9,34 @@
 	"porthub/routing"
 )
 
-// endpointHistory collects what bears on one endpoint while a capture is replayed.
+// endpointHistory collects the events and the state that concern one endpoint while a capture is replayed.
 type endpointHistory struct {
 	endpoint policyapi.EndpointID
 	events   []Event
-	listed   *policyapi.Endpoint // its last entry in the list; nil: never listed
-	known    bool                // false: records are missing since the last start
+	listed   *policyapi.Endpoint // its last entry in the endpoint list; nil if it was never listed
+	known    bool                // false if records are missing since the last start
 
 	// Since the last start or gap:
 	weights      map[policyapi.TableID]float64
 	gateways     map[coordinator.Gateway]*gatewayHistory
-	observations map[string]string // the last state that each registry reported, as text
+	observations map[string]string // the last state reported by each registry, as text
 }
 
-// gatewayHistory is what a gateway was sent of the endpoint, and what it reported.
+// gatewayHistory is what a gateway was sent, acknowledged and reported for the endpoint.
 type gatewayHistory struct {
-	sent         *sentTable // nil: nothing yet
-	acknowledged *sentTable // nil: nothing yet
-	attempts     int        // in its last report
-	failures     int        // in its last report
+	sent         *sentTable // nil if no table was sent yet
+	acknowledged *sentTable // nil if no table was acknowledged yet
+	attempts     int        // number in its last report
+	failures     int        // number in its last report
 	disconnected bool
 }
 
 // sentTable is a version of a gateway's table, reduced to the endpoint.
 type sentTable struct {
 	version string
-	since   policyapi.Microseconds // when the endpoint's weight became positive, or ceased to be
-	classes []string               // in which its weight is positive
-	weights []float64              // by class, as a part of the sum of its cluster
+	since   policyapi.Microseconds // when the endpoint's weight became positive or zero
+	classes []string               // classes in which the endpoint's weight is positive
+	weights []float64              // by class, as a fraction of the sum of the cluster's weights
 }
 
 // contains reports whether the endpoint has a positive weight.
@@ -59,7 +59,7 @@
 	return h
 }
 
-// reset forgets the state of the coordinator and its gateways. The list outlives a start.
+// reset clears the state of the coordinator and its gateways. The entry in the endpoint list is kept: it applies across starts.
 func (h *endpointHistory) reset() {
 	h.weights = map[policyapi.TableID]float64{}
 	h.gateways = map[coordinator.Gateway]*gatewayHistory{}
@@ -164,7 +164,7 @@
 	}
 }
 
-// observeAck notes an acknowledgement of the version that was sent last.
+// observeAck records the first acknowledgement of the version that was sent last.
 func (h *endpointHistory) observeAck(at instant, ack coordinator.DocumentAck) {
 	if ack.Error != "" || ack.Document != coordinator.EndpointsDocument {
 		return
@@ -213,7 +213,7 @@
 	}
 }
 
-// addNote notes a log entry that names the endpoint.
+// addNote adds an event for a log entry that names the endpoint.
 func (h *endpointHistory) addNote(at instant, text string) {
 	if strings.Contains(text, string(h.endpoint)) {
 		h.add(at, NoteEvent, "%s", text)
@@ -250,7 +250,7 @@
 	h.add(at, ListEvent, "the endpoint list (version %d): %s in %s%s", version, statusText(endpoint.Status), endpoint.Zone, started)
 }
 
-// observeRegistry records the endpoint's state by a registry, if that has changed.
+// observeRegistry adds an event if the state that a registry reports for the endpoint has changed.
 func (h *endpointHistory) observeRegistry(at instant, update coordinator.RegistryUpdate) {
 	text := "does not list it"
 	for _, observation := range update.Observations {
@@ -271,7 +271,7 @@
 	return [...]string{"ready", "draining", "gone"}[min(max(status, 0), 2)]
 }
 
-// observeReport notes a report if attempts began or ended, or failures began.
+// observeReport adds an event if attempts began or ended, or failures began.
 func (h *endpointHistory) observeReport(at instant, report coordinator.LoadReport) {
 	attempts := 0
 	failures := 0
@@ -294,14 +294,14 @@
 	g.failures = failures
 }
 
-// observePublish notes a table that contains the endpoint where the one before did not, or the other way round.
+// observePublish adds an event if a gateway's new table contains the endpoint and the previous one did not, or the reverse.
 func (h *endpointHistory) observePublish(at instant, message coordinator.Publish) {
 	if !message.Changed[coordinator.EndpointsDocument] {
 		return
 	}
 	g := h.gateway(message.Gateway)
 	before := g.sent
-	g.sent = h.reduce(message.Version, message.Snapshot)
+	g.sent = h.weightsIn(message.Version, message.Snapshot)
 	g.sent.since = at.now
 	if before.contains() && g.sent.contains() {
 		g.sent.since = before.since
@@ -311,8 +311,8 @@
 	}
 }
 
-// reduce extracts the endpoint's weights from a snapshot.
-func (h *endpointHistory) reduce(version string, snapshot routing.Snapshot) *sentTable {
+// weightsIn returns the endpoint's weights in a snapshot.
+func (h *endpointHistory) weightsIn(version string, snapshot routing.Snapshot) *sentTable {
 	table := &sentTable{version: version}
 	for _, cluster := range snapshot.Clusters {
 		sum := 0.0
@@ -334,5 +334,5 @@
 	return table
 }
 
-// seconds converts a duration of the core.
+// seconds converts a duration of the core to seconds.
 func seconds(d policyapi.Microseconds) float64 { return float64(d) / 1e6 }
--- a/capture/pinned_test.go
+++ b/capture/pinned_test.go
@@ -18,7 +18,7 @@
 	"porthub/testutil"
 )
 
-// filledRecords has a record of each kind with every field set, so that the golden files show every key.
+// filledRecords returns a record of each kind with every field set, so that the golden files contain every key.
 func filledRecords(t *testing.T) map[string]*Record {
 	t.Helper()
 	return map[string]*Record{
@@ -52,7 +52,8 @@
 	}
 }
 
-// The bytes of each kind of record are as the build before the renames wrote them, and read back to the same value.
+// The encoding of each kind of record stays the same when Go types and fields are renamed, and the golden files are read
+// to the same values.
 func TestRecordBytesArePinned(t *testing.T) {
 	for name, record := range filledRecords(t) {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +65,7 @@
 			var back Record
 			err := cbor.Unmarshal(testutil.ReadGolden(t, name+".cbor"), &back)
 			if err != nil || !reflect.DeepEqual(&back, record) {
-				t.Errorf("read back: %+v, %v, want %+v", back, err, record)
+				t.Errorf("decoding the golden file: got %+v, error %v, want %+v", back, err, record)
 			}
 			diagnosed, err := cbor.Diagnose(got.Bytes())
 			if err != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// What capture export prints of each kind of record has the keys of the build before the renames.
+// The JSON keys that `porthub capture export` prints stay the same when Go types and fields are renamed.
 func TestExportedKeysArePinned(t *testing.T) {
 	records := filledRecords(t)
 	for _, name := range slices.Sorted(maps.Keys(records)) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// The golden records show each kind of input and order that a record can have.
+// The golden records contain every type of input and order that a record can have.
 func TestEveryRecordedTypeIsPinned(t *testing.T) {
 	shown := map[reflect.Type]bool{}
 	for _, v := range filledInputs(t) {
@@ -98,12 +99,12 @@
 	}
 	for of, name := range recordNames {
 		if !shown[of] {
-			t.Errorf("%s (%s) is in no golden record", name, of)
+			t.Errorf("%s (%s) is missing in the golden records", name, of)
 		}
 	}
 }
 
-// No field that is stored or exported goes by its Go name.
+// All fields of stored and exported types have explicit keys, so that a rename of a Go field does not change the format.
 func TestRecordedTypesNameTheirKeys(t *testing.T) {
 	recorded := slices.Collect(maps.Keys(recordNames))
 	for _, v := range []any{Start{}, Command{}, Gap{}, End{}, coordinator.LogEntry{}} {
@@ -115,7 +116,8 @@
 	testutil.RequireKeys(t, "json", reflect.TypeFor[ReplayResult](), reflect.TypeFor[Explanation](), reflect.TypeFor[Stats]())
 }
 
-// The events of the decision module are in no capture of today, but they are what a replay hands it.
+// The events of the decision module have explicit keys too. Captures do not contain them, but a replay passes them to the
+// decision module.
 func TestEventsNameTheirKeys(t *testing.T) {
 	for _, v := range []any{policyapi.Start{}, policyapi.EndpointUpdate{}, policyapi.TimerFired{}, policyapi.HealthCheckResult{}, policyapi.PeerMessage{}, policyapi.ProxyConnected{}, policyapi.ProxyDisconnected{}, policyapi.EndpointLoad{},
 		policyapi.EndpointClassLoad{}, policyapi.ProxyLoad{}, policyapi.Acknowledged{}, policyapi.SliceLoad{}, policyapi.SliceAssigned{}, policyapi.SliceWeight{}} {
@@ -124,7 +126,7 @@
 	}
 }
 
-// What replay and explain print as JSON has the keys of the build before the renames.
+// The JSON keys that replay, explain and capture status print stay the same when Go types and fields are renamed.
 func TestPrintedKeysArePinned(t *testing.T) {
 	for name, v := range map[string]any{"verdict": testutil.Filled[ReplayResult](t), "explanation": testutil.Filled[Explanation](t), "stats": testutil.Filled[Stats](t)} {
 		text, err := json.MarshalIndent(v, "", "  ")
@@ -135,10 +137,10 @@
 	}
 }
 
-// pinnedCapture is a capture of three starts that the build before the renames wrote.
+// pinnedCapture is a capture of three starts that an earlier build wrote, before Go types and fields were renamed.
 var pinnedCapture = filepath.Join("testdata", "pinned")
 
-// plainText is a record as capture export prints it: the keys of maps are in order.
+// plainText returns a record as `porthub capture export` prints it, with the keys of maps sorted.
 func plainText(t *testing.T, r *Record) []byte {
 	t.Helper()
 	text, err := json.Marshal(r.Export())
@@ -148,7 +150,7 @@
 	return text
 }
 
-// A capture that the build before the renames wrote is read to the same records and replays to the same orders.
+// A capture that an earlier build wrote is read to the same records and replays to the same orders.
 func TestPinnedCaptureReplays(t *testing.T) {
 	const starts, steps = 3, 120
 	if testutil.Updating() {
@@ -168,15 +170,15 @@
 		runScenario(uint64(start+50), "pinned", steps, func(r *Record) { seq++; r.Seq = seq; want = append(want, r) })
 	}
 	if len(reader.Damages) > 0 || len(records) != len(want) {
-		t.Fatalf("%d records, want %d; %v", len(records), len(want), reader.Damages)
+		t.Fatalf("got %d records, want %d without damages; damages %v", len(records), len(want), reader.Damages)
 	}
 	for i := range want {
 		if got, want := plainText(t, records[i]), plainText(t, want[i]); !bytes.Equal(got, want) {
-			t.Fatalf("record %d reads\n%s\nwant\n%s", i, got, want)
+			t.Fatalf("record %d: got\n%s\nwant\n%s", i, got, want)
 		}
 	}
 	result := replayCapture(t, pinnedCapture)
 	if result.Mismatches > 0 || result.Steps != starts*steps || result.Orders < 100 || result.Incomplete() {
-		t.Errorf("%+v", result)
+		t.Errorf("got %+v, want all steps of 3 starts, at least 100 orders, no mismatches and no missing records", result)
 	}
 }
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -12,26 +12,27 @@
 	"porthub/policyapi"
 )
 
-// Damage is a part of a segment that can't be read. What it contained is lost; reading goes on after it.
+// Damage describes a part of a segment that can't be read. Its content is lost; reading continues after it.
 type Damage struct {
 	Segment string `json:"segment"`
 	Offset  int64  `json:"offset"`
 	Bytes   int64  `json:"bytes"`
 	Problem string `json:"what"`
-	// Truncated is the end of a segment as a killed process leaves it: nothing that was written completely is lost.
+	// Truncated reports whether the part is the incomplete end of a segment, as after a kill of the writing process: no record
+	// that was written completely is lost.
 	Truncated bool `json:"torn"`
 }
 
-// Reader reads a capture block by block: it may be larger than memory. It is not safe for concurrent use.
+// Reader reads a capture block by block, since a capture may be larger than memory. It is not safe for concurrent use.
 type Reader struct {
 	segments []Segment
 	index    int // of the segment being read
 	segment  *segmentReader
 	decoder  *zstd.Decoder
 
-	pending     []byte  // what is left of the block being read
-	expectedSeq uint64  // number of the next record; 0: unknown
-	deferred    *Record // returned by the next call: a gap went before it
+	pending     []byte  // the rest of the block being read
+	expectedSeq uint64  // number of the next record; 0 if unknown
+	deferred    *Record // the record after a gap that was returned; the next call returns it
 
 	// Damages found so far.
 	Damages []Damage
@@ -40,8 +41,8 @@
 	Bytes   int64
 }
 
-// Open opens a directory of segments, or a single segment. The caller must close the reader. A directory that holds no
-// segments is an [ErrNoSegments].
+// Open opens a directory of segments, or a single segment. The caller must close the reader. If a directory holds
+// no segments, the error wraps [ErrNoSegments].
 func Open(path string) (*Reader, error) {
 	segments, err := segmentsAt(path)
 	if err != nil {
@@ -81,7 +82,7 @@
 	r.decoder.Close()
 }
 
-// All iterates over the records from here on. It ends after the last record, or after the first error.
+// All iterates over the remaining records. It ends after the last record, or after the first error.
 func (r *Reader) All() iter.Seq2[*Record, error] {
 	return func(yield func(*Record, error) bool) {
 		for {
@@ -96,8 +97,8 @@
 	}
 }
 
-// Next returns the next record, or io.EOF after the last one. Where records are missing it returns a [Gap] in their
-// place. Its other errors are [ErrFormat] and those of the file system.
+// Next returns the next record, or io.EOF after the last one. Where records are missing, it returns a [Gap] in
+// their place. Its other errors wrap [ErrFormat] or are those of the file system.
 func (r *Reader) Next() (*Record, error) {
 	if record := r.deferred; record != nil {
 		r.deferred = nil
@@ -161,7 +162,7 @@
 	}
 }
 
-// nextSegment opens the next segment and checks its head.
+// nextSegment opens the next segment and checks its header. It returns io.EOF after the last segment.
 func (r *Reader) nextSegment() error {
 	r.index++
 	if r.index >= len(r.segments) {
@@ -183,7 +184,8 @@
 	return nil
 }
 
-// segmentsMissingBefore counts the numbers between a segment and the one read before it. Writers number from 1.
+// segmentsMissingBefore counts the numbers that are missing between a segment and the previous one. Writers number segments
+// from 1.
 func (r *Reader) segmentsMissingBefore(index int) int {
 	if index == 0 || r.segments[index-1].Number <= 0 {
 		return 0
@@ -193,7 +195,7 @@
 
 func (r *Reader) addDamage(damage Damage) { r.Damages = append(r.Damages, damage) }
 
-// TimeRange reads the rest of a capture and returns the times of its first and last step; both are 0 if there is none.
+// TimeRange reads the rest of a capture and returns the times of its first and last step; both are 0 if there is no step.
 func TimeRange(r *Reader) (first, last policyapi.Microseconds, err error) {
 	for record, err := range r.All() {
 		if err != nil {
--- a/capture/record.go
+++ b/capture/record.go
@@ -8,12 +8,12 @@
 	"porthub/routing"
 )
 
-// Format is the version of the format that is written. Records of a newer one are not read.
+// Format is the version of the record format that this build writes. Records of a newer format can't be read.
 const Format = 1
 
 // Record is one record of a capture. Exactly one of its pointers is set.
 type Record struct {
-	Seq     uint64   `cbor:"seq"` // counts from 1 in each start of the process
+	Seq     uint64   `cbor:"seq"` // number of the record, from 1 in each process
 	Start   *Start   `cbor:"start,omitempty"`
 	Step    *Step    `cbor:"step,omitempty"`
 	Command *Command `cbor:"command,omitempty"`
@@ -21,7 +21,7 @@
 	End     *End     `cbor:"end,omitempty"`
 }
 
-// Start is the first record of a process.
+// Start is the first record of a process, with what determines the initial state of its core.
 type Start struct {
 	Format   int                  `cbor:"format" json:"Format"`
 	Build    string               `cbor:"build" json:"Build"`  // another build may decide differently
@@ -40,10 +40,10 @@
 	Log    []coordinator.LogEntry
 }
 
-// Command is an operator's command between two steps. One of its parts is set; Reason goes with any of them.
+// Command is an operator's command between two steps. Exactly one field is set apart from Reason.
 type Command struct {
 	Pin     *routing.Pin         `cbor:"pin,omitempty" json:"Pin"`
-	Unpin   int                  `cbor:"unpin,omitempty" json:"Unpin"` // the number of the pin to remove
+	Unpin   int                  `cbor:"unpin,omitempty" json:"Unpin"` // number of the pin to remove
 	Drain   policyapi.EndpointID `cbor:"drain,omitempty" json:"Drain"`
 	Undrain policyapi.EndpointID `cbor:"undrain,omitempty" json:"Undrain"`
 	Reason  string               `cbor:"reason,omitempty" json:"Reason"`
@@ -52,14 +52,14 @@
 	ClearOverride int                   `cbor:"unsay,omitempty" json:"Unsay"`
 }
 
-// Gap takes the place of missing records: the inputs of that time are unknown.
+// Gap takes the place of missing records. The inputs and commands in them are unknown.
 type Gap struct {
-	From   uint64 `cbor:"from" json:"From"`
-	To     uint64 `cbor:"to" json:"To"` // 0 if unknown: up to the next record
+	From   uint64 `cbor:"from" json:"From"` // number of the first missing record
+	To     uint64 `cbor:"to" json:"To"`     // number of the last missing record; 0 if unknown: the gap extends to the next record
 	Reason string `cbor:"why" json:"Why"`
 }
 
-// End is the last record of a process that shut down by itself.
+// End is the last record of a process that was not killed.
 type End struct {
 	Steps uint64 `cbor:"steps" json:"Steps"`
 }
--- a/capture/replay.go
+++ b/capture/replay.go
@@ -14,15 +14,15 @@
 	Starts          int       `json:"starts"`
 	Steps           int       `json:"steps"`
 	Orders          int       `json:"orders"`
-	PublishingSteps int       `json:"messages"` // steps whose publications were compared
+	PublishingSteps int       `json:"messages"` // compared steps that published something
 	Mismatches      int       `json:"differing_steps"`
-	Skipped         int       `json:"skipped_steps"` // after a gap, until the next start
+	Skipped         int       `json:"skipped_steps"` // steps after a gap, until the next start; they are not compared
 	Gaps            []Gap     `json:"gaps,omitempty"`
 	FirstMismatch   *Mismatch `json:"first,omitempty"`
-	Builds          []string  `json:"builds"` // that wrote the capture
-	Build           string    `json:"build"`  // that replayed it
+	Builds          []string  `json:"builds"` // builds that wrote the capture
+	Build           string    `json:"build"`  // build that replayed the capture
 	Damages         []Damage  `json:"damages,omitempty"`
-	Unfinished      int       `json:"starts_without_an_end"` // killed, or still running
+	Unfinished      int       `json:"starts_without_an_end"` // starts of processes that were killed or are still running
 	Bytes           int64     `json:"bytes"`
 }
 
@@ -31,16 +31,17 @@
 	Start    string                 `json:"start"` // epoch of the core
 	Seq      uint64                 `json:"record"`
 	Now      policyapi.Microseconds `json:"now_us"`
-	Order    int                    `json:"order"` // position; -1: the orders are the same and the publications are not
+	Order    int                    `json:"order"` // position of the first different order; -1 if only the publications differ
 	Recorded string                 `json:"recorded"`
 	Replayed string                 `json:"replayed"`
 	Inputs   []string               `json:"inputs"`
 }
 
-// maxInputText is how many bytes of each input a mismatch shows: the endpoint list of a large fleet would hide the rest.
+// maxInputText is the number of bytes of each input that a mismatch shows: the endpoint list of a large fleet would hide the
+// rest.
 const maxInputText = 400
 
-// SameBuild reports whether all of the capture was written by the build that replayed it.
+// SameBuild reports whether the whole capture was written by the build that replayed it.
 func (v ReplayResult) SameBuild() bool {
 	return !slices.ContainsFunc(v.Builds, func(b string) bool { return b != v.Build })
 }
@@ -50,13 +51,13 @@
 	return slices.ContainsFunc(v.Damages, func(d Damage) bool { return !d.Truncated })
 }
 
-// Watcher is called after each record with the core as it then is; core is nil where its state is unknown. Replay ends
-// when it returns false.
+// Watcher is called after each record with the core and its outputs for the record; core is nil while its state is unknown.
+// Replay ends when the watcher returns false.
 type Watcher func(r *Record, core *coordinator.Core, outputs []coordinator.Output) (more bool)
 
 // Replay runs a capture through the core of this build and compares the orders one by one. After a gap the state of the
-// core is unknown: nothing is compared until the next start. The watcher may be nil. The result is valid up to the place
-// of an error.
+// core is unknown: nothing is compared until the next start. The watcher may be nil. If Replay returns an
+// error, the counts of the result cover the records before it.
 func Replay(r *Reader, build string, watch Watcher) (ReplayResult, error) {
 	replay := replayer{result: ReplayResult{Build: build}}
 	for record, err := range r.All() {
@@ -79,12 +80,12 @@
 // replayer is the state of a replay.
 type replayer struct {
 	result  ReplayResult
-	core    *coordinator.Core // nil: its state is unknown
-	running bool              // the recorded process has started and not ended
+	core    *coordinator.Core // nil while its state is unknown
+	running bool              // the recorded process has started and has not ended
 	epoch   string
 }
 
-// apply hands a record to the core and returns what the core puts out.
+// apply applies a record to the core and returns the outputs of its step.
 func (p *replayer) apply(record *Record) []coordinator.Output {
 	switch {
 	case record.Start != nil:
@@ -141,8 +142,7 @@
 	return outputs
 }
 
-// applyCommand repeats an operator's command. Only commands that succeeded are recorded, so their errors are of no
-// interest.
+// applyCommand repeats an operator's command. Only commands that succeeded are recorded, so errors are ignored.
 func applyCommand(core *coordinator.Core, c Command) {
 	switch {
 	case c.Pin != nil:
@@ -160,7 +160,7 @@
 	}
 }
 
-// compareStep returns nil if the replayed orders and publications are those of the record.
+// compareStep compares the replayed orders and publications with those of the record. It returns nil if they are the same.
 func compareStep(record *Record, replayed []policyapi.Order, digest uint64) *Mismatch {
 	recorded := record.Step.Orders
 	mismatch := &Mismatch{Seq: record.Seq, Now: record.Step.Now, Order: -1}
@@ -171,8 +171,8 @@
 		mismatch.Recorded = orderText(recorded, i)
 		mismatch.Replayed = orderText(replayed, i)
 	case digest != record.Step.Digest:
-		mismatch.Recorded = fmt.Sprintf("publications %x", record.Step.Digest)
-		mismatch.Replayed = fmt.Sprintf("publications %x", digest)
+		mismatch.Recorded = fmt.Sprintf("publications with digest %x", record.Step.Digest)
+		mismatch.Replayed = fmt.Sprintf("publications with digest %x", digest)
 	default:
 		return nil
 	}
@@ -183,7 +183,7 @@
 	return mismatch
 }
 
-// firstDifference returns the position of the first order that is not the same in both lists.
+// firstDifference returns the position of the first order that differs between two lists.
 func firstDifference(a, b []policyapi.Order) (position int, differ bool) {
 	for i := range max(len(a), len(b)) {
 		if i >= len(a) || i >= len(b) || !reflect.DeepEqual(a[i], b[i]) {
@@ -195,7 +195,7 @@
 
 func orderText(orders []policyapi.Order, i int) string {
 	if i >= len(orders) {
-		return fmt.Sprintf("nothing: %d orders in all", len(orders))
+		return fmt.Sprintf("no order: the step has only %d orders", len(orders))
 	}
 	return fmt.Sprintf("%T %+v", orders[i], orders[i])
 }
--- a/capture/replay_test.go
+++ b/capture/replay_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What was appended comes back, record by record, over several segments and starts, and replays to the same orders.
+// Appended records are read back one by one, over several segments and starts, and replay to the same orders.
 func TestRoundTripOverSegmentsAndStarts(t *testing.T) {
 	dir := t.TempDir()
 	var want []*Record
@@ -21,20 +21,20 @@
 	}
 	got, r := readAll(t, dir)
 	if len(r.Damages) > 0 || len(got) != len(want) {
-		t.Fatalf("%d records of %d, %v", len(got), len(want), r.Damages)
+		t.Fatalf("got %d records of %d, damages %v", len(got), len(want), r.Damages)
 	}
 	for i := range want {
 		if want[i].Step != nil && !sameStep(want[i], got[i]) {
-			t.Fatalf("record %d: %+v, want %+v", i, got[i].Step, want[i].Step)
+			t.Fatalf("record %d: got %+v, want %+v", i, got[i].Step, want[i].Step)
 		}
 	}
 	result := replayCapture(t, dir)
 	if result.Starts != 3 || result.Mismatches != 0 || result.Orders < 500 || result.Unfinished != 3 {
-		t.Errorf("%+v", result)
+		t.Errorf("got %+v, want 3 unfinished starts, at least 500 orders and no mismatches", result)
 	}
 }
 
-// sameStep compares numbers, times and inputs; no inputs are the same as an empty slice of them.
+// sameStep compares the numbers, times and inputs of two steps. A nil slice of inputs equals an empty one.
 func sameStep(want, got *Record) bool {
 	if want.Seq != got.Seq || want.Step.Now != got.Step.Now || len(want.Step.Inputs) != len(got.Step.Inputs) {
 		return false
@@ -42,7 +42,7 @@
 	return len(want.Step.Inputs) == 0 || reflect.DeepEqual(want.Step.Inputs, got.Step.Inputs)
 }
 
-// A record of orders that the core does not give is found; the rest is replayed nevertheless.
+// A step whose recorded orders differ from the replayed ones is reported as a mismatch, and the replay continues after it.
 func TestReplayReportsMismatch(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{})
@@ -66,6 +66,6 @@
 	}
 	first := result.FirstMismatch
 	if first == nil || first.Seq != changed || first.Order != 1 || result.SameBuild() {
-		t.Errorf("record %d was changed: %+v", changed, first)
+		t.Errorf("order 1 of record %d was changed: got first mismatch %+v", changed, first)
 	}
 }
--- a/capture/segment.go
+++ b/capture/segment.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// The layout of a segment: its magic and then blocks, each a header and a body that is a zstd frame. All numbers are
-// little-endian.
+// The layout of a segment: its magic and then blocks. Each block has a header and a body, which is a zstd frame. All numbers
+// are little-endian.
 const (
 	segmentSuffix     = ".cap"
 	segmentMagic      = "PHCAP01\n"
@@ -20,21 +20,21 @@
 
 	blockMagic      = 0x314b4c42        // "BLK1"
 	blockHeaderSize = 4 + 4 + 4 + 4 + 8 // magic, checksum, length of the body, records, number of the first record
-	checksummedFrom = 4 + 4             // the checksum covers all that follows it in the block
-	maxBlockSize    = 256 << 20         // bytes of a body, compressed or not: a damaged length must not take all memory
+	checksummedFrom = 4 + 4             // offset in a block: the checksum covers all bytes from here on
+	maxBlockSize    = 256 << 20         // bytes of a body, compressed or not: a damaged length must not exhaust memory
 )
 
-// crcTable is of CRC-32C, which processors compute in hardware.
+// crcTable is the table of CRC-32C, which processors compute in hardware.
 var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
 // Segment is one file of a capture.
 type Segment struct {
-	Number int
+	Number int // by the file's name; 0 if the segment was opened by its path
 	Path   string
 	Bytes  int64
 }
 
-// Segments lists the segments of a directory, the oldest first. Other files are passed over.
+// Segments lists the segments of a directory, the oldest first. Other files are ignored.
 func Segments(dir string) ([]Segment, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return out, nil
 }
 
-// blockHeader is the part of a block's header that reading needs.
+// blockHeader holds the fields of a block's header that the reader uses.
 type blockHeader struct {
 	checksum uint32
 	bodySize int64
@@ -72,7 +72,7 @@
 	binary.LittleEndian.PutUint32(block[4:], crc32.Checksum(block[checksummedFrom:], crcTable))
 }
 
-// parseBlockHeader reads a header; ok is false if no block begins there.
+// parseBlockHeader parses a block's header. ok is false if data does not begin with the magic of a block.
 func parseBlockHeader(data []byte) (header blockHeader, ok bool) {
 	if binary.LittleEndian.Uint32(data) != blockMagic {
 		return blockHeader{}, false
--- a/capture/segment_reader.go
+++ b/capture/segment_reader.go
@@ -16,7 +16,7 @@
 type segmentReader struct {
 	path    string
 	file    *os.File
-	size    int64 // when it was opened
+	size    int64 // of the file when it was opened
 	offset  int64 // of the next block
 	decoder *zstd.Decoder
 }
@@ -38,7 +38,7 @@
 
 func (s *segmentReader) atEnd() bool { return s.offset >= s.size }
 
-// checkHeader moves behind the segment's magic; ok is false if it is not there.
+// checkHeader positions the reader after the segment's magic. If the magic is missing or wrong, ok is false and damage says why.
 func (s *segmentReader) checkHeader() (damage Damage, ok bool) {
 	s.offset = segmentHeaderSize
 	head := make([]byte, segmentHeaderSize)
@@ -46,24 +46,24 @@
 		return Damage{}, true
 	}
 	if s.size < segmentHeaderSize {
-		return Damage{Segment: s.path, Bytes: s.size, Problem: "no head", Truncated: true}, false
+		return Damage{Segment: s.path, Bytes: s.size, Problem: "the segment ends within its header", Truncated: true}, false
 	}
-	return Damage{Segment: s.path, Bytes: segmentHeaderSize, Problem: "another head: no capture, or a damaged one"}, false
+	return Damage{Segment: s.path, Bytes: segmentHeaderSize, Problem: "wrong segment magic: not a capture, or a damaged one"}, false
 }
 
-// readBlock reads the block at an offset: its decompressed body and its size in the file. Its errors are of type
+// readBlock reads the block at an offset and returns its decompressed body and its size in the file. Its errors are of type
 // *[DamageError].
 func (s *segmentReader) readBlock(offset int64) (body []byte, size int64, err error) {
 	head := make([]byte, blockHeaderSize)
 	if _, err := s.file.ReadAt(head, offset); err != nil {
-		return nil, 0, &DamageError{Problem: "it ends within a block's head", Truncated: true, cause: err}
+		return nil, 0, &DamageError{Problem: "it ends within a block's header", Truncated: true, cause: err}
 	}
 	header, ok := parseBlockHeader(head)
 	if !ok {
 		return nil, 0, &DamageError{Problem: "no block begins here"}
 	}
 	if header.bodySize > maxBlockSize {
-		return nil, 0, &DamageError{Problem: fmt.Sprintf("a block of %d bytes", header.bodySize)}
+		return nil, 0, &DamageError{Problem: fmt.Sprintf("the length of a block, %d bytes, exceeds the limit", header.bodySize)}
 	}
 	size = blockHeaderSize + header.bodySize
 	if offset+size > s.size {
@@ -83,7 +83,8 @@
 	return body, size, nil
 }
 
-// skipDamage moves to the next intact block of the segment, or to its end, and returns what was skipped and why.
+// skipDamage moves to the next intact block of the segment, or to its end, and returns what was skipped
+// and the reason.
 func (s *segmentReader) skipDamage(reason error) Damage {
 	damage := Damage{Segment: s.path, Offset: s.offset, Problem: reason.Error()}
 	next, found := s.findBlock(s.offset + 1)
@@ -97,7 +98,7 @@
 	return damage
 }
 
-// findBlock searches for an intact block from an offset on.
+// findBlock returns the offset of the first intact block at or after an offset.
 func (s *segmentReader) findBlock(from int64) (offset int64, found bool) {
 	var magic [4]byte
 	binary.LittleEndian.PutUint32(magic[:], blockMagic)
@@ -118,7 +119,7 @@
 		if errors.Is(err, io.EOF) || n <= len(magic) {
 			return 0, false
 		}
-		from += int64(n - len(magic) + 1) // a magic may lie across the end of the buffer
+		from += int64(n - len(magic) + 1) // the magic of a block may cross the end of the buffer
 	}
 	return 0, false
 }
--- a/capture/segment_writer.go
+++ b/capture/segment_writer.go
@@ -20,22 +20,22 @@
 	// onRemove is called for each segment that is onRemove.
 	onRemove func()
 
-	file   *os.File // nil: the next block begins a segment
-	number int      // of the newest segment
-	size   int64    // bytes of file
-	opened time.Time
+	file   *os.File  // nil if the next block begins a new segment
+	number int       // number of the newest segment
+	size   int64     // bytes written to file
+	opened time.Time // when file was created
 }
 
 func newSegmentWriter(dir string, limits Limits, onRemove func()) *segmentWriter {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 	if err != nil {
-		panic(err) // only invalid options are errors
+		panic(err) // only invalid options cause an error
 	}
 	return &segmentWriter{dir: dir, limits: limits, encoder: encoder, onRemove: onRemove}
 }
 
-// append writes a block and returns its size in bytes. After an error no part of the block is left in the segment, or
-// the segment is given up.
+// append writes a block and returns its size in bytes. After an error no later block follows a part of this one: the part is
+// removed, or the segment is closed.
 func (s *segmentWriter) append(body *blockBody, firstRecord uint64) (int, error) {
 	if s.file != nil && s.segmentIsFull() {
 		s.close()
@@ -50,12 +50,12 @@
 	block = s.encoder.EncodeAll(data, block)
 	putBlockHeader(block, body.records, firstRecord)
 	if size := int64(len(block)); s.size+size > s.limits.SegmentBytes {
-		s.enforceLimit(size) // room for a segment was made when it began: this block takes more
+		s.enforceLimit(size) // open made room for a segment of SegmentBytes: this block exceeds it
 	}
 	n, err := s.file.Write(block)
 	if err != nil {
 		s.discardPartialBlock()
-		s.enforceLimit(s.limits.SegmentBytes) // removing old segments may free a full disk
+		s.enforceLimit(s.limits.SegmentBytes) // removing old segments may free space on a full disk
 		return 0, err
 	}
 	s.size += int64(n)
@@ -66,8 +66,8 @@
 	return s.size >= s.limits.SegmentBytes || time.Since(s.opened) >= s.limits.SegmentAge
 }
 
-// discardPartialBlock makes sure that the next block does not follow a part of one. Only a segment without blocks is
-// used again: one that can't grow any more is left for another.
+// discardPartialBlock ensures that the next block does not follow a part of one. The segment is reused only if it has no blocks;
+// otherwise the next block begins another one, since this one can't grow any more.
 func (s *segmentWriter) discardPartialBlock() {
 	err := s.file.Truncate(s.size)
 	if err == nil && s.size <= segmentHeaderSize {
@@ -79,7 +79,7 @@
 	s.close()
 }
 
-// close ends the segment; the next block begins another one.
+// close closes the segment, if one is open. The next block begins another one.
 func (s *segmentWriter) close() {
 	if s.file != nil {
 		_ = s.file.Close()
@@ -87,7 +87,7 @@
 	}
 }
 
-// open begins a segment, numbered after all that exist.
+// open begins a segment with a higher number than all existing ones.
 func (s *segmentWriter) open() error {
 	if err := os.MkdirAll(s.dir, 0o755); err != nil {
 		return err
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// createNext creates the file with the next free number.
+// createNext creates a segment's file with the next free number.
 func (s *segmentWriter) createNext() (*os.File, error) {
 	for {
 		s.number++
@@ -127,7 +127,8 @@
 	}
 }
 
-// enforceLimit removes the oldest segments, but not the newest, until the capture and some more bytes fit into the limit.
+// enforceLimit removes the oldest segments, but never the newest one, until the capture and the additional bytes fit into the
+// limit on all segments.
 func (s *segmentWriter) enforceLimit(additional int64) {
 	segments, err := Segments(s.dir)
 	if err != nil {
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Limits bound what a capture costs.
+// Limits bound the disk space and the memory that a capture takes.
 type Limits struct {
 	MaxBytes     int64         // bytes of all segments; the oldest are removed first
 	SegmentBytes int64         // bytes of one segment, approximately
 	SegmentAge   time.Duration // age at which a segment is closed
-	QueueLength  int           // records that wait to be written; what exceeds it becomes a gap
+	QueueLength  int           // records that may wait to be written; further ones become a gap
 }
 
 // WithDefaults returns the limits with zero fields set to their defaults.
@@ -31,7 +31,7 @@
 	return l
 }
 
-// Stats are a writer's counts since its start.
+// Stats holds the counts of a writer since its start.
 type Stats struct {
 	Records          int64  `json:"records"` // written to the file system
 	Bytes            int64  `json:"bytes"`
@@ -39,29 +39,30 @@
 	Gaps             int64  `json:"gaps"`
 	Failed           int64  `json:"failed"` // failed writes
 	Removed          int64  `json:"segments_removed"`
-	BusyMicroseconds int64  `json:"busy_us"` // microseconds spent on encoding and writing
-	LastError        string `json:"why,omitempty"`
+	BusyMicroseconds int64  `json:"busy_us"`       // microseconds spent on encoding and writing
+	LastError        string `json:"why,omitempty"` // of the last write; empty if it succeeded
 }
 
 const (
-	// maxBatchRecords and maxBatchWait bound a block: larger ones compress better, but a killed process loses more.
+	// maxBatchRecords and maxBatchWait limit the records of a block and how long they wait: larger blocks compress better, but
+	// a killed process loses more records.
 	maxBatchRecords = 128
 	maxBatchWait    = 50 * time.Millisecond
-	// writeRetryDelay is how long nothing is written after a failed write, so that a full disk is not hammered.
+	// writeRetryDelay is how long no write is tried after a failed one, so that a full disk is not retried continuously.
 	writeRetryDelay = time.Second
-	// queueOverflow is the reason of a gap that is not due to a failed write.
+	// queueOverflow is the reason of a gap that is not due to a failed write: the queue was full.
 	queueOverflow = "more came than could be written"
 )
 
-// Writer appends records to a directory of segments. It never blocks its caller: records that the disk can't keep up
-// with, or refuses, become a [Gap], which is written as soon as that is possible. Append, Written and Stats may be called
-// concurrently.
+// Writer appends records to a directory of segments. It never blocks its caller: records that come faster than the disk writes
+// them, or that can't be written, become a [Gap], which is recorded as soon as possible. Append, Written and Stats may be
+// called concurrently.
 type Writer struct {
 	queue     chan *Record
 	done      chan struct{} // closed when the writing goroutine has ended
 	closeOnce sync.Once
 	lastSeq   atomic.Uint64 // number of the last appended record
-	written   atomic.Uint64 // number of the last record that the file system has
+	written   atomic.Uint64 // number of the last record in the file system
 
 	mu    sync.Mutex // guards stats
 	stats Stats
@@ -72,14 +73,14 @@
 // outputState is the state of the writing goroutine.
 type outputState struct {
 	segments *segmentWriter
-	retryAt  time.Time // no writes until then
-	nextSeq  uint64    // number expected of the next batch
-	gapFrom  uint64    // first record of the gap that is not written yet; 0: there is none
+	retryAt  time.Time // no write is tried before this time
+	nextSeq  uint64    // number expected of the first record of the next batch
+	gapFrom  uint64    // first record of the gap that is not recorded yet; 0 if there is none
 }
 
-// NewWriter begins a new segment in a directory, beside those of earlier processes. If that fails it is tried again
-// with the next records, which become a gap until it succeeds. Close must be called: it ends the goroutine that NewWriter
-// starts.
+// NewWriter returns a writer that begins a new segment in a directory, beside those of earlier processes. If that fails, it is
+// tried again with the next records, which become a gap until it succeeds. Close must be called: it ends the goroutine that
+// NewWriter starts.
 func NewWriter(dir string, limits Limits) *Writer {
 	limits = limits.WithDefaults()
 	w := &Writer{queue: make(chan *Record, limits.QueueLength), done: make(chan struct{})}
@@ -92,34 +93,34 @@
 	return w
 }
 
-// Append queues a record and returns the number it gave it. It never blocks. What the record refers to must not be
+// Append numbers and queues a record and returns its number. It never blocks. The record and what it refers to must not be
 // changed afterwards. Append must not be called after Close.
 func (w *Writer) Append(r *Record) uint64 {
 	r.Seq = w.lastSeq.Add(1)
 	select {
 	case w.queue <- r:
-	default: // its number is missing in the next batch, which becomes a gap
+	default: // the queue is full: the missing number becomes a gap with a later batch
 	}
 	return r.Seq
 }
 
-// Written returns the number of the last record that the file system has: a killed process loses none up to it.
+// Written returns the number of the last record in the file system. A kill of the process loses no record up to it.
 func (w *Writer) Written() uint64 { return w.written.Load() }
 
-// Stats returns the counts.
+// Stats returns the writer's counts.
 func (w *Writer) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stats
 }
 
-// Close writes what is queued and ends the writing goroutine. It may be called more than once.
+// Close writes the queued records and ends the writing goroutine. It may be called more than once.
 func (w *Writer) Close() {
 	w.closeOnce.Do(func() { close(w.queue) })
 	<-w.done
 }
 
-// run writes what is queued. It is the goroutine of NewWriter and ends when Close has closed the queue.
+// run writes queued records in batches. It runs in the goroutine that NewWriter starts, until Close closes the queue.
 func (w *Writer) run() {
 	defer close(w.done)
 	defer w.output.segments.close()
@@ -131,7 +132,7 @@
 	}
 }
 
-// gather collects records until a batch is full, has waited long enough, or the queue is closed.
+// gather collects records until the batch is full, maxBatchWait has passed, or the queue is closed.
 func (w *Writer) gather(first *Record) []*Record {
 	batch := []*Record{first}
 	timer := time.NewTimer(maxBatchWait)
@@ -181,7 +182,7 @@
 	})
 }
 
-// extendGap makes a batch, named by its first record, part of the gap.
+// extendGap adds a batch that was not written to the gap. first is the number of the batch's first record.
 func (g *outputState) extendGap(first uint64) {
 	if g.gapFrom == 0 {
 		g.gapFrom = first
--- a/capture/writer_test.go
+++ b/capture/writer_test.go
@@ -11,7 +11,7 @@
 	"porthub/policyapi"
 )
 
-// Records that come faster than they can be written become gaps that cover every lost one; nobody waits.
+// Records that come faster than they can be written become gaps, which cover every lost record. Append does not wait.
 func TestQueueOverflowIsAGap(t *testing.T) {
 	dir := t.TempDir()
 	w := NewWriter(dir, Limits{QueueLength: 2})
@@ -26,7 +26,7 @@
 	lost := uint64(0)
 	for _, record := range got {
 		if record.Seq != next {
-			t.Fatalf("record %d after %d", record.Seq, next-1)
+			t.Fatalf("got record %d after %d, want no number left out", record.Seq, next-1)
 		}
 		next = record.Seq + 1
 		if record.Gap != nil {
@@ -35,11 +35,11 @@
 		}
 	}
 	if stats := w.Stats(); next != last+1 || lost == 0 || stats.Lost != int64(lost) {
-		t.Errorf("read up to %d of %d, %d lost, %+v", next-1, last, lost, stats)
+		t.Errorf("read up to record %d of %d, %d lost in gaps, writer counts %+v; want all records, some in gaps, and equal losses", next-1, last, lost, stats)
 	}
 }
 
-// The oldest segments are removed at the limit; what is left is read, and begins with a gap.
+// The oldest segments are removed at the limit. The rest can be read, and begins with a gap.
 func TestOldestSegmentsAreRemovedAtTheLimit(t *testing.T) {
 	dir := t.TempDir()
 	limits := Limits{SegmentBytes: 4 << 10, MaxBytes: 24 << 10}
@@ -57,15 +57,15 @@
 		total += segment.Bytes
 	}
 	if total > limits.MaxBytes || w.Stats().Removed == 0 {
-		t.Errorf("%d bytes in %d segments, %d removed", total, len(segments), w.Stats().Removed)
+		t.Errorf("got %d bytes in %d segments, %d removed; want at most the limit, and some removed", total, len(segments), w.Stats().Removed)
 	}
 	got, _ := readAll(t, dir)
 	if len(got) < 50 || got[0].Gap == nil {
-		t.Errorf("%d records, the first %+v", len(got), got[0])
+		t.Errorf("got %d records, the first %+v; want at least 50, the first a gap", len(got), got[0])
 	}
 }
 
-// A directory that can't be written costs a gap and nobody waits; once it can be, writing goes on.
+// While the directory can't be written, records become a gap and Append does not wait. Writing resumes once it can be written.
 func TestUnwritableDirectoryIsAGap(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "capture")
 	if err := os.WriteFile(dir, nil, 0o600); err != nil {
@@ -79,7 +79,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if stats := w.Stats(); stats.LastError == "" {
-		t.Errorf("no error is reported: %+v", stats)
+		t.Errorf("got counts %+v without an error, want the error of the last write", stats)
 	}
 	if err := os.Remove(dir); err != nil {
 		t.Fatal(err)
@@ -91,13 +91,13 @@
 	w.Close()
 	got, _ := readAll(t, dir)
 	if len(got) < 2 || got[0].Gap == nil || got[0].Gap.From != 1 || !strings.Contains(got[0].Gap.Reason, "not a directory") {
-		t.Errorf("%+v", got[0])
+		t.Errorf("the first record is %+v, want a gap from record 1 with the write error as its reason", got[0])
 	}
 }
 
-// However large the blocks are, the segments stay within the limit on their bytes. (Regression: a segment is ended by the block that
-// passes its size, and that block's rest came on top of the limit. Which blocks a busy machine makes is chance:
-// TestOldestSegmentsAreRemovedAtTheLimit once found 24,959 bytes of 24,576.)
+// The segments stay within the limit on their total bytes, whatever the size of the blocks. (Regression: a segment ends with the
+// block that exceeds the segment size, and the excess was not counted against the limit. Block sizes vary on a busy machine:
+// TestOldestSegmentsAreRemovedAtTheLimit once got 24,959 bytes with a limit of 24,576.)
 func TestLargeBlocksStayWithinTheLimit(t *testing.T) {
 	for blockBytes := 100; blockBytes <= 6000; blockBytes += 100 {
 		limits := Limits{SegmentBytes: 4 << 10, MaxBytes: 24 << 10, SegmentAge: time.Hour}
@@ -105,7 +105,7 @@
 		w := newSegmentWriter(dir, limits, func() {})
 		for block := range 40 {
 			body := &blockBody{records: 1}
-			for range blockBytes { // random bytes cannot be compressed
+			for range blockBytes { // random bytes can't be compressed
 				body.buffer.WriteByte(byte(random.IntN(256)))
 			}
 			if _, err := w.append(body, uint64(block)); err != nil {
@@ -116,7 +116,7 @@
 				total += segment.Bytes
 			}
 			if total > limits.MaxBytes {
-				t.Fatalf("blocks of %d bytes: %d bytes in all segments, limit %d", blockBytes, total, limits.MaxBytes)
+				t.Fatalf("blocks of %d bytes: got %d bytes in all segments, want at most %d", blockBytes, total, limits.MaxBytes)
 			}
 		}
 		w.close()
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -49,7 +49,7 @@
 	healthChecks *healthcheck.Checker
 	server       *server
 	state        *stateStore
-	// reportIntervalFactor is the number of report periods that gateways are asked to wait between two load reports.
+	// reportIntervalFactor is the interval between two load reports that is requested of gateways, in report periods.
 	reportIntervalFactor atomic.Int64
 
 	// The fields below are used only by the goroutine that runs Run.
