--- a/daemon/daemon_test.go
+++ b/daemon/daemon_test.go
@@ -57,7 +57,7 @@
 }
 
 // The inputs of a scenario that ran through the daemon, with real files and connections on loopback, give the same orders, one by
-// one, when they are passed to a core without the daemon.
+// one, when they are passed to a core that is used as a library, without the daemon.
 func TestSameOrdersThroughLibraryAndDaemon(t *testing.T) {
 	clock := &manualClock{now: 1_000_000_000_000, waiters: map[chan time.Time]policyapi.Microseconds{}}
 	r := startTestDaemon(t, clock)
@@ -96,11 +96,11 @@
 		}
 		core.Step(s.now, inputs)
 		if len(s.orders) != len(core.Orders()) {
-			t.Fatalf("step %d at %d: daemon %v, library %v", i, s.now, s.orders, core.Orders())
+			t.Fatalf("step %d at %d: got orders %v from the daemon, want %v as from the library", i, s.now, s.orders, core.Orders())
 		}
 		for j, o := range core.Orders() {
 			if !reflect.DeepEqual(o, s.orders[j]) {
-				t.Fatalf("step %d, order %d: daemon %#v, library %#v", i, j, s.orders[j], o)
+				t.Fatalf("step %d, order %d: got %#v from the daemon, want %#v as from the library", i, j, s.orders[j], o)
 			}
 			orders++
 			if _, is := o.(policyapi.SetWeight); is {
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -61,7 +61,7 @@
 		byAddress:   xsync.NewMap[string, *atomic.Int64](),
 		links:       xsync.NewMap[coordinator.Gateway, *connection](),
 	}
-	go func() { // ends with close
+	go func() { // ends when close stops the engine
 		s.stopped <- gnet.Run(s, "tcp://"+addr, gnet.WithMulticore(true), gnet.WithTicker(true), gnet.WithReuseAddr(true),
 			gnet.WithReadBufferCap(readBufferBytes), gnet.WithLogger(zap.NewNop().Sugar()))
 	}()
--- a/daemon/status.go
+++ b/daemon/status.go
@@ -25,8 +25,8 @@
 	Capture *capture.Stats `json:"capture,omitempty"`
 }
 
-// SamplingStatus is the response to GET /intake: how much of the load reports is used, and the
-// estimates based on them.
+// SamplingStatus is the response to GET /intake: how much of the load reports is used, and the estimates
+// based on them.
 type SamplingStatus struct {
 	Now           policyapi.Microseconds         `json:"now_us"`
 	Sampling      loadreport.Stats               `json:"intake"`
