--- a/chaos/checks.go
+++ b/chaos/checks.go
@@ -22,7 +22,7 @@
 )
 
 // runChecks evaluates the checks of a scenario, and that no read was incomplete.
-func runChecks(s Scenario, r Result, cells map[emulator.Cell]emulator.Sum) []CheckResult {
+func runChecks(s Scenario, r Result, cells map[emulator.ClassZone]emulator.Totals) []CheckResult {
 	var out []CheckResult
 	for _, check := range append([]Check{{Name: checkPartialReads}}, s.Checks...) {
 		figure, ok := checkFigure(check.Name, r, cells)
@@ -46,7 +46,7 @@
 }
 
 // checkFigure returns the figure of a check; ok is false if there is none. An unknown check's figure is 0.
-func checkFigure(name string, r Result, cells map[emulator.Cell]emulator.Sum) (figure float64, ok bool) {
+func checkFigure(name string, r Result, cells map[emulator.ClassZone]emulator.Totals) (figure float64, ok bool) {
 	if class, byClass := strings.CutPrefix(name, checkClassPrefix); byClass {
 		return classService(class, cells), true
 	}
@@ -74,8 +74,8 @@
 }
 
 // classService is the service of a class over all zones.
-func classService(class string, cells map[emulator.Cell]emulator.Sum) float64 {
-	var total emulator.Sum
+func classService(class string, cells map[emulator.ClassZone]emulator.Totals) float64 {
+	var total emulator.Totals
 	for cell, sum := range cells {
 		if cell.Class == class {
 			total = total.Add(sum)
--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -36,7 +36,7 @@
 	result.Steps = last.StepTimes
 	result.ResponseTime = latencyOf(f.tally.ResponseTimes().Latencies())
 	result.DrainTime = latencyOf(f.drainTimes.Latencies())
-	result.LateAnswers = f.tally.LateAnswers.Load()
+	result.LateAnswers = f.tally.LateResponses.Load()
 	result.Deferred = f.tally.Deferred.Load()
 	result.Disconnects = f.tally.Disconnects.Load()
 	result.Throttled = f.tally.Throttled.Load()
--- a/chaos/observe.go
+++ b/chaos/observe.go
@@ -118,7 +118,7 @@
 				active = append(active, fault.Name)
 			}
 		}
-		_, sum := f.tally.Sums()
+		_, sum := f.tally.Totals()
 		fmt.Fprintf(w, "\r%3.0f of %d s  %6d requests  service %.3f  endpoints up %d of %d  %-50s", now.Seconds(), f.scenario.Seconds, sum.Requests,
 			sum.Service(), running, len(f.endpoints), strings.Join(active, " "))
 	}
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -223,7 +223,7 @@
 	result.PeakLoadRatio = f.log.PeakLoadRatio()
 	cells := addTally(result, f.tally)
 	for _, baseline := range r.fleets[1:] {
-		_, sum := baseline.tally.Sums()
+		_, sum := baseline.tally.Totals()
 		result.Baselines[string(baseline.source)] = Baseline{
 			Service:  sum.Service(),
 			Worst10s: baseline.tally.WorstService(10),
@@ -235,14 +235,14 @@
 }
 
 // addTally adds the outcomes of the requests to a result, and returns the cells.
-func addTally(r *Result, tally *emulator.Tally) map[emulator.Cell]emulator.Sum {
-	cells, sum := tally.Sums()
+func addTally(r *Result, tally *emulator.Tally) map[emulator.ClassZone]emulator.Totals {
+	cells, sum := tally.Totals()
 	r.Requests = sum.Requests
 	r.Service = sum.Service()
 	r.Worst10s = tally.WorstService(10)
 	r.By5s = tally.ServiceByWindow(5)
 	r.ResponseTime = latencyOf(tally.Latencies())
-	classes := map[string]emulator.Sum{}
+	classes := map[string]emulator.Totals{}
 	for cell, sum := range cells {
 		r.Cells[cell.Class+"@"+cell.Zone] = sum.Service()
 		classes[cell.Class] = classes[cell.Class].Add(sum)
--- a/config/suite.go
+++ b/config/suite.go
@@ -104,20 +104,20 @@
 		return expectation.Suite{}, err
 	}
 	suite := decoded.suite(d.lineOf)
-	for _, f := range suite.Check(cfg.expectationSite()) {
+	for _, f := range suite.Check(cfg.knownNames()) {
 		d.report(f.Line, "expect", f.Problem, f.Remedy)
 	}
 	return suite, d.err()
 }
 
-// expectationSite returns the names that expectations may use.
-func (c Config) expectationSite() expectation.Site {
+// knownNames returns the names that expectations may use.
+func (c Config) knownNames() expectation.KnownNames {
 	settings, _ := c.DegradationSettings()
-	site := expectation.Site{Zones: settings.Zones, Classes: settings.Classes}
+	names := expectation.KnownNames{Zones: settings.Zones, Classes: settings.Classes}
 	for _, level := range settings.Levels {
-		site.Levels = append(site.Levels, level.Name)
+		names.Levels = append(names.Levels, level.Name)
 	}
-	return site
+	return names
 }
 
 // suite converts the file to the form of package expectation. lineOf returns the line of a key.
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -127,7 +127,7 @@
 // send takes one request through its attempts. It is retried if it did not run, or may run again.
 func (c *Client) send(at time.Duration, class Class, number uint64, work time.Duration) {
 	deadline := at + class.ClientTimeout
-	cell := Cell{Class: class.Name, Zone: c.Gateway.Zone}
+	cell := ClassZone{Class: class.Name, Zone: c.Gateway.Zone}
 	for attempt := range c.Retries + 1 {
 		left := deadline - c.world.Now()
 		if left <= 0 {
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -104,12 +104,12 @@
 func TestTallyCountsOnTimeLateAndLost(t *testing.T) {
 	class := Class{Name: "view", LatencyObjective: time.Second, PriorityWeight: 2, LateShare: 0.25}
 	tally := NewTally()
-	cell := Cell{Class: "view", Zone: "a"}
+	cell := ClassZone{Class: "view", Zone: "a"}
 	tally.record(cell, 0, class, true, time.Second)
 	tally.record(cell, 1500*time.Millisecond, class, true, 2*time.Second)
 	tally.record(cell, 2500*time.Millisecond, class, false, 0)
-	cells, total := tally.Sums()
-	want := Sum{Requests: 3, OnTime: 1, Late: 1, Demanded: 6, Earned: 2.5}
+	cells, total := tally.Totals()
+	want := Totals{Requests: 3, OnTime: 1, Late: 1, Demanded: 6, Earned: 2.5}
 	if total != want || cells[cell] != want {
 		t.Errorf("%+v, %+v, want %+v", total, cells, want)
 	}
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -37,7 +37,7 @@
 	Attempts, Failures, Rejected atomic.Int64 // attempts at endpoints; requests that were not admitted
 	Reports                      atomic.Int64 // that were accepted
 	Deferred                     atomic.Int64 // reports that were rejected
-	LateAnswers                  atomic.Int64 // to reports, after more than a period
+	LateResponses                atomic.Int64 // to reports, after more than a period
 	Throttled                    atomic.Int64 // reports after a longer interval that the coordinator requested
 	Disconnects                  atomic.Int64
 
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -103,7 +103,7 @@
 	g.Tally.Reports.Add(1)
 	g.Tally.responseTimes.RecordLatency(responseTime)
 	if responseTime > g.ReportPeriod {
-		g.Tally.LateAnswers.Add(1)
+		g.Tally.LateResponses.Add(1)
 	}
 	if l.requestedInterval > g.ReportPeriod {
 		g.Tally.Throttled.Add(1)
--- a/emulator/tally.go
+++ b/emulator/tally.go
@@ -8,18 +8,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Cell is a request class in a zone.
-type Cell struct{ Class, Zone string }
+// ClassZone is a request class in a zone.
+type ClassZone struct{ Class, Zone string }
 
-// Sum is the demand on a fleet and what it served.
-type Sum struct {
+// Totals is the demand on a fleet and what it served.
+type Totals struct {
 	Requests, OnTime, Late int
 	Demanded, Earned       float64 // priority weight
 }
 
 // Add returns the sum of both.
-func (s Sum) Add(o Sum) Sum {
-	return Sum{
+func (s Totals) Add(o Totals) Totals {
+	return Totals{
 		Requests: s.Requests + o.Requests,
 		OnTime:   s.OnTime + o.OnTime,
 		Late:     s.Late + o.Late,
@@ -29,7 +29,7 @@
 }
 
 // Service is the earned part of the demanded priority weight; 1 if nothing was demanded.
-func (s Sum) Service() float64 {
+func (s Totals) Service() float64 {
 	if s.Demanded == 0 {
 		return 1
 	}
@@ -37,7 +37,7 @@
 }
 
 // with returns the sum and the outcome of one more request.
-func (s Sum) with(class Class, answered bool, latency time.Duration) Sum {
+func (s Totals) with(class Class, answered bool, latency time.Duration) Totals {
 	s.Requests++
 	s.Demanded += class.PriorityWeight
 	if !answered {
@@ -56,24 +56,24 @@
 // Tally sums up the outcomes of the requests of a run. It is safe for concurrent use.
 type Tally struct {
 	mu        sync.Mutex // guards all below
-	cells     map[Cell]Sum
-	seconds   []Sum // by the second in which requests arrived
+	cells     map[ClassZone]Totals
+	seconds   []Totals // by the second in which requests arrived
 	latencies *hdrhistogram.Histogram
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
 	const maxLatency = 60_000_000 // microseconds
-	return &Tally{cells: map[Cell]Sum{}, latencies: hdrhistogram.New(1, maxLatency, 3)}
+	return &Tally{cells: map[ClassZone]Totals{}, latencies: hdrhistogram.New(1, maxLatency, 3)}
 }
 
 // record adds the outcome of a request that arrived at a time.
-func (t *Tally) record(cell Cell, at time.Duration, class Class, answered bool, latency time.Duration) {
+func (t *Tally) record(cell ClassZone, at time.Duration, class Class, answered bool, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	second := int(at / time.Second)
 	for len(t.seconds) <= second {
-		t.seconds = append(t.seconds, Sum{})
+		t.seconds = append(t.seconds, Totals{})
 	}
 	t.cells[cell] = t.cells[cell].with(class, answered, latency)
 	t.seconds[second] = t.seconds[second].with(class, answered, latency)
@@ -89,8 +89,8 @@
 	_ = t.latencies.RecordValue(max(1, d.Microseconds()))
 }
 
-// Sums returns the cells and their total.
-func (t *Tally) Sums() (cells map[Cell]Sum, total Sum) {
+// Totals returns the cells and their total.
+func (t *Tally) Totals() (cells map[ClassZone]Totals, total Totals) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, sum := range t.cells {
@@ -133,8 +133,8 @@
 	return out
 }
 
-func serviceOf(seconds []Sum) float64 {
-	var total Sum
+func serviceOf(seconds []Totals) float64 {
+	var total Totals
 	for _, s := range seconds {
 		total = total.Add(s)
 	}
--- a/expectation/case.go
+++ b/expectation/case.go
@@ -61,7 +61,7 @@
 		c = smaller
 	}
 	if c.Endpoints != original.Endpoints || c.Gateways != original.Gateways || len(c.Events) != len(original.Events) {
-		f.Small = c.String()
+		f.SmallestCase = c.String()
 	}
 	return f
 }
--- a/expectation/evaluator.go
+++ b/expectation/evaluator.go
@@ -65,20 +65,20 @@
 		return
 	}
 	c.failure = &Failure{
-		Name:   v.sim.expectation.Name,
-		Line:   c.assertion.Line,
-		What:   c.assertion.describe(),
-		Case:   v.sim.drawn.Number,
-		Seed:   v.sim.expectation.Seed,
-		Kind:   about.class,
-		At:     v.elapsed(),
-		Figure: fmt.Sprintf(figure, args...),
+		Name:      v.sim.expectation.Name,
+		Line:      c.assertion.Line,
+		Condition: c.assertion.describe(),
+		Case:      v.sim.drawn.Number,
+		Seed:      v.sim.expectation.Seed,
+		Class:     about.class,
+		At:        v.elapsed(),
+		Observed:  fmt.Sprintf(figure, args...),
 	}
 	if about.gateway != nil {
 		c.failure.Gateway = string(about.gateway.name)
 	}
 	if about.endpoint != nil {
-		c.failure.Node = string(about.endpoint.name)
+		c.failure.Endpoint = string(about.endpoint.name)
 	}
 }
 
--- a/expectation/expectation_test.go
+++ b/expectation/expectation_test.go
@@ -61,7 +61,7 @@
 	rules.Assertions[4].MaxMessages = 4
 	for i := range 3 {
 		for _, f := range rules.Run(tight, rules.Draw(i)) {
-			if strings.Contains(f.What, "lines in flight") || strings.Contains(f.What, "messages") {
+			if strings.Contains(f.Condition, "lines in flight") || strings.Contains(f.Condition, "messages") {
 				t.Errorf("the core must keep its limits: %v", f)
 			}
 		}
@@ -74,7 +74,7 @@
 			}
 			for i := range 12 {
 				for _, f := range rules.RunTampered(limits, rules.Draw(i), tamper.tables, tamper.settings) {
-					if strings.Contains(f.What, what) {
+					if strings.Contains(f.Condition, what) {
 						return
 					}
 				}
@@ -140,11 +140,11 @@
 	e.Assertions = []expectation.Assertion{{Class: "schedule", MinEndpoints: 1, From: 8_000_000, Line: 33}}
 	c := e.Draw(0)
 	found := e.Run(settings(cfg), c)
-	if len(found) != 1 || found[0].Gateway == "" || found[0].Kind != "schedule" || found[0].Line != 33 {
+	if len(found) != 1 || found[0].Gateway == "" || found[0].Class != "schedule" || found[0].Line != 33 {
 		t.Fatalf("%v", found)
 	}
 	small := e.Shrink(settings(cfg), c, found[0], 40)
-	if small.Small == "" || small.Line != 33 || !strings.Contains(small.String(), "gateway gw-") {
+	if small.SmallestCase == "" || small.Line != 33 || !strings.Contains(small.String(), "gateway gw-") {
 		t.Errorf("%v", small)
 	}
 }
@@ -156,7 +156,7 @@
 	e.Events, e.Assertions = nil, []expectation.Assertion{{MinZones: 2, Line: 4}}
 	for i := range 5 {
 		found := e.Run(settings(cfg), e.Draw(i))
-		if len(found) == 1 && found[0].Gateway != "" && found[0].Figure == "1 zones" {
+		if len(found) == 1 && found[0].Gateway != "" && found[0].Observed == "1 zones" {
 			return
 		}
 		if len(found) > 0 {
@@ -191,7 +191,7 @@
 		t.Errorf("%v", f)
 	}
 	e.Events = nil
-	if f := e.Run(set, e.Draw(0)); len(f) != 1 || f[0].Figure != "the level was not entered" {
+	if f := e.Run(set, e.Draw(0)); len(f) != 1 || f[0].Observed != "the level was not entered" {
 		t.Errorf("in normal operation: %v", f)
 	}
 	// Half the fleet is lost when the load doubles: the level is entered, and the rules hold then and after the recovery.
--- a/expectation/failure.go
+++ b/expectation/failure.go
@@ -9,34 +9,34 @@
 
 // Failure is an assertion that does not hold in one case.
 type Failure struct {
-	Name    string                 `cbor:"Name" json:"Name"` // of the expectation
-	Line    int                    `cbor:"Line" json:"Line"` // of the assertion
-	What    string                 `cbor:"What" json:"What"`
-	Case    int                    `cbor:"Case" json:"Case"`
-	Seed    uint64                 `cbor:"Seed" json:"Seed"`
-	Gateway string                 `cbor:"Gateway" json:"Gateway"` // empty: it concerns no single gateway
-	Node    string                 `cbor:"Node" json:"Node"`       // empty: it concerns no single endpoint
-	Kind    string                 `cbor:"Kind" json:"Kind"`       // empty: it concerns no single request class
-	At      policyapi.Microseconds `cbor:"At" json:"At"`           // since the events began
-	Figure  string                 `cbor:"Figure" json:"Figure"`   // the observed value
-	Small   string                 `cbor:"Small" json:"Small"`     // the smallest case that was found to fail as well
+	Name         string                 `cbor:"Name" json:"Name"` // of the expectation
+	Line         int                    `cbor:"Line" json:"Line"` // of the assertion
+	Condition    string                 `cbor:"What" json:"What"`
+	Case         int                    `cbor:"Case" json:"Case"`
+	Seed         uint64                 `cbor:"Seed" json:"Seed"`
+	Gateway      string                 `cbor:"Gateway" json:"Gateway"` // empty: it concerns no single gateway
+	Endpoint     string                 `cbor:"Node" json:"Node"`       // empty: it concerns no single endpoint
+	Class        string                 `cbor:"Kind" json:"Kind"`       // empty: it concerns no single request class
+	At           policyapi.Microseconds `cbor:"At" json:"At"`           // since the events began
+	Observed     string                 `cbor:"Figure" json:"Figure"`   // the observed value
+	SmallestCase string                 `cbor:"Small" json:"Small"`     // the smallest case that was found to fail as well
 }
 
 func (f Failure) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s: %s", f.Name, f.What)
+	fmt.Fprintf(&b, "%s: %s", f.Name, f.Condition)
 	if f.Gateway != "" {
 		fmt.Fprintf(&b, ": gateway %s", f.Gateway)
 	}
-	if f.Node != "" {
-		fmt.Fprintf(&b, ", endpoint %s", f.Node)
+	if f.Endpoint != "" {
+		fmt.Fprintf(&b, ", endpoint %s", f.Endpoint)
 	}
-	if f.Kind != "" {
-		fmt.Fprintf(&b, ", class %s", f.Kind)
+	if f.Class != "" {
+		fmt.Fprintf(&b, ", class %s", f.Class)
 	}
-	fmt.Fprintf(&b, " at %.2f s: %s (case %d, seed %d)", seconds(f.At), f.Figure, f.Case, f.Seed)
-	if f.Small != "" {
-		fmt.Fprintf(&b, "; also fails with %s", f.Small)
+	fmt.Fprintf(&b, " at %.2f s: %s (case %d, seed %d)", seconds(f.At), f.Observed, f.Case, f.Seed)
+	if f.SmallestCase != "" {
+		fmt.Fprintf(&b, "; also fails with %s", f.SmallestCase)
 	}
 	return b.String()
 }
--- a/expectation/validate.go
+++ b/expectation/validate.go
@@ -24,8 +24,8 @@
 	Remedy  string
 }
 
-// Site is what expectations may name.
-type Site struct {
+// KnownNames lists the zones, request classes and degradation levels that expectations may name.
+type KnownNames struct {
 	Zones   []policyapi.Zone
 	Classes []string
 	Levels  []string
@@ -33,7 +33,7 @@
 
 // checker collects findings.
 type checker struct {
-	site     Site
+	names    KnownNames
 	findings []Finding
 }
 
@@ -42,8 +42,8 @@
 }
 
 // Check finds expectations that name what does not exist, assert nothing, or contradict one another.
-func (s Suite) Check(site Site) []Finding {
-	c := &checker{site: site}
+func (s Suite) Check(names KnownNames) []Finding {
+	c := &checker{names: names}
 	lines := map[string]int{} // by name
 	for _, e := range s.Expectations {
 		first, duplicate := lines[e.Name]
@@ -92,9 +92,9 @@
 	case event.At < 0 || event.At > e.Length:
 		c.report(event.Line, "within the length", "it happens at %.1f s", seconds(event.At))
 	case !c.hasZone(event.Zone):
-		c.report(event.Line, fmt.Sprintf("one of %v", c.site.Zones), "there is no zone %q", event.Zone)
+		c.report(event.Line, fmt.Sprintf("one of %v", c.names.Zones), "there is no zone %q", event.Zone)
 	case !c.hasClass(event.Class):
-		c.report(event.Line, fmt.Sprintf("one of %v", c.site.Classes), "there is no request class %q", event.Class)
+		c.report(event.Line, fmt.Sprintf("one of %v", c.names.Classes), "there is no request class %q", event.Class)
 	case event.Fraction < 0 || event.Fraction > 1:
 		c.report(event.Line, "0 to 1", "part is %v", event.Fraction)
 	case event.Action == ScaleLoad && !(event.LoadFactor > 0):
@@ -108,13 +108,13 @@
 	case t.figureCount() != 1:
 		c.report(t.Line, "exactly one condition in each", "it has %d conditions", t.figureCount())
 	case !c.hasClass(t.Class):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Classes), "there is no request class %q", t.Class)
+		c.report(t.Line, fmt.Sprintf("one of %v", c.names.Classes), "there is no request class %q", t.Class)
 	case !c.hasZone(t.Zone):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Zones), "there is no zone %q", t.Zone)
-	case t.MinZones > len(c.site.Zones):
-		c.report(t.Line, fmt.Sprintf("at most %d", len(c.site.Zones)), "it expects %d zones", t.MinZones)
-	case level != "" && !slices.Contains(c.site.Levels, level):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.site.Levels), "there is no level %q", level)
+		c.report(t.Line, fmt.Sprintf("one of %v", c.names.Zones), "there is no zone %q", t.Zone)
+	case t.MinZones > len(c.names.Zones):
+		c.report(t.Line, fmt.Sprintf("at most %d", len(c.names.Zones)), "it expects %d zones", t.MinZones)
+	case level != "" && !slices.Contains(c.names.Levels, level):
+		c.report(t.Line, fmt.Sprintf("one of %v", c.names.Levels), "there is no level %q", level)
 	case t.To > 0 && t.To <= t.From:
 		c.report(t.Line, "to after from", "it counts from %.1f to %.1f s", seconds(t.From), seconds(t.To))
 	}
@@ -122,12 +122,12 @@
 
 // hasZone reports whether a zone exists; empty stands for all.
 func (c *checker) hasZone(zone policyapi.Zone) bool {
-	return zone == "" || slices.Contains(c.site.Zones, zone)
+	return zone == "" || slices.Contains(c.names.Zones, zone)
 }
 
 // hasClass reports whether a class exists; empty stands for all.
 func (c *checker) hasClass(class string) bool {
-	return class == "" || slices.Contains(c.site.Classes, class)
+	return class == "" || slices.Contains(c.names.Classes, class)
 }
 
 // conflicts returns pairs that no fleet can satisfy, of one expectation or of two with the same fleet and events.
