--- a/emulator/address.go
+++ b/emulator/address.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// Address is an address on loopback that a process keeps for its life, whether it listens or not. A socket that is bound
-// and does not listen holds it: connections are refused at once, and the kernel gives the port to nobody who asks for any.
-// Without it a stranger's process can take the port of a killed one, and gets its requests.
+// Address is a loopback address that stays reserved for an emulated process, whether or not the process listens on it. A
+// socket that is bound but does not listen holds the reservation: connections are refused at once, and the kernel does not
+// assign the port to a socket that binds to port 0. Without the reservation, an unrelated process could take the port of a
+// killed one and receive its requests.
 type Address struct {
 	text   string
-	holder *os.File // the socket; it is closed by Release, or when the Address is garbage
+	holder *os.File // the bound socket; closed by Release, or when the Address is garbage collected
 }
 
-// NewAddress reserves a free address.
+// NewAddress reserves a free loopback address.
 func NewAddress() (*Address, error) {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -29,7 +30,8 @@
 	return a, nil
 }
 
-// bindLoopback binds a socket to a free port, so that others can listen there while it does not, and returns the address.
+// bindLoopback binds a socket to a free port and returns the address. SO_REUSEADDR lets another socket listen on the same
+// address as long as this one does not listen.
 func bindLoopback(fd int) (string, error) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return "", os.NewSyscallError("setsockopt", err)
@@ -42,9 +44,9 @@
 	if err != nil {
 		return "", os.NewSyscallError("getsockname", err)
 	}
-	inet, is := bound.(*syscall.SockaddrInet4)
-	if !is {
-		return "", errors.New("getsockname: not an IPv4 address")
+	inet, ok := bound.(*syscall.SockaddrInet4)
+	if !ok {
+		return "", errors.New("getsockname: the bound address is not an IPv4 address")
 	}
 	return (&net.TCPAddr{IP: loopback[:], Port: inet.Port}).String(), nil
 }
@@ -52,8 +54,8 @@
 // String returns the address as host and port.
 func (a *Address) String() string { return a.text }
 
-// Listen listens at the address, which a killed process may still be closing. The address stays reserved when the listener is
-// closed.
+// Listen listens on the address. It retries, because the listener of a killed process may not be closed yet. The address
+// stays reserved after the listener is closed.
 func (a *Address) Listen() (listener net.Listener, err error) {
 	const (
 		attempts = 50
@@ -68,5 +70,5 @@
 	return nil, err
 }
 
-// Release gives the address up.
+// Release ends the reservation of the address.
 func (a *Address) Release() { _ = a.holder.Close() }
--- a/emulator/address_test.go
+++ b/emulator/address_test.go
@@ -5,44 +5,43 @@
 	"testing"
 )
 
-// An address without a listener refuses connections, and is given to nobody who asks for any port. Its owner can listen there
-// again and again.
+// An address without a listener must refuse connections, and the kernel must not assign it to a socket that binds to port 0.
 //
-// Eight processes of this package's tests beside each other failed 88 of 480 times: a killed endpoint's port went to another
-// process's endpoint, which answered its requests with 200 or 502.
+// Before addresses were reserved, eight parallel processes of this package's tests failed 88 of 480 times: the port of a
+// killed endpoint was assigned to an endpoint of another process, which answered its requests with 200 or 502.
 func TestAddressIsKeptWithoutListener(t *testing.T) {
-	kept := map[string]bool{}
+	reserved := map[string]bool{}
 	for range 200 {
 		a, err := NewAddress()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer a.Release()
-		if kept[a.String()] {
-			t.Fatalf("%s is reserved twice", a)
+		if reserved[a.String()] {
+			t.Fatalf("%s was reserved twice", a)
 		}
-		kept[a.String()] = true
+		reserved[a.String()] = true
 	}
-	for range 5000 { // a fifth of the ports that the kernel chooses from: some 35 hits if the addresses were free
+	for range 5000 { // a fifth of the kernel's port range: about 35 would match if the addresses were free
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken := l.Addr().String()
+		assigned := l.Addr().String()
 		_ = l.Close()
-		if kept[taken] {
-			t.Fatalf("%s was given away", taken)
+		if reserved[assigned] {
+			t.Fatalf("the kernel assigned the reserved address %s", assigned)
 		}
 	}
-	for address := range kept {
+	for address := range reserved {
 		if c, err := net.Dial("tcp", address); err == nil {
 			_ = c.Close()
-			t.Fatalf("%s accepts a connection", address)
+			t.Fatalf("%s accepted a connection, want it refused", address)
 		}
 	}
 }
 
-// A killed endpoint's process listens at its address again, each time.
+// A restarted process must be able to listen on its address again, any number of times.
 func TestAddressIsListenedAtAgain(t *testing.T) {
 	a, err := NewAddress()
 	if err != nil {
@@ -55,7 +54,7 @@
 			t.Fatal(err)
 		}
 		if l.Addr().String() != a.String() {
-			t.Fatalf("listens at %s, want %s", l.Addr(), a)
+			t.Fatalf("listening on %s, want %s", l.Addr(), a)
 		}
 		_ = l.Close()
 	}
--- a/emulator/balancer.go
+++ b/emulator/balancer.go
@@ -7,23 +7,24 @@
 	"porthub/routing"
 )
 
-// balancer picks endpoints by smooth weighted round robin, and passes over those that keep failing.
+// balancer selects endpoints by smooth weighted round robin and ejects endpoints that fail repeatedly.
 type balancer struct {
-	current   map[string]map[string]float64 // by class and endpoint
+	current   map[string]map[string]float64 // current weights, by class and endpoint
 	ejections map[string]*ejection          // by endpoint
 }
 
-// ejection is the record of an endpoint's recent failures with this gateway.
+// ejection tracks an endpoint's recent failures at this gateway.
 type ejection struct {
 	consecutiveFailures int
-	until               time.Duration // it is passed over until then
+	until               time.Duration // end of the ejection
 }
 
 func newBalancer() balancer {
 	return balancer{current: map[string]map[string]float64{}, ejections: map[string]*ejection{}}
 }
 
-// pick chooses an endpoint of a class other than the excluded one. An ejected one is chosen only if there is no other.
+// pick selects an endpoint of a class other than the excluded one. It selects an ejected endpoint only if there is no
+// other.
 func (b *balancer) pick(clusters []routing.Cluster, class, excluded string, now time.Duration, rng *rand.Rand) (endpoint routing.ClusterEndpoint, ok bool) {
 	current := b.current[class]
 	if current == nil {
@@ -38,7 +39,7 @@
 			ejected = candidate
 			continue
 		}
-		if _, known := current[name]; !known { // so that not all gateways begin with the same endpoint
+		if _, known := current[name]; !known { // a random start keeps gateways from all starting with the same endpoint
 			current[name] = rng.Float64() * candidate.Weight
 		}
 		current[name] += candidate.Weight
@@ -57,7 +58,7 @@
 	return routing.ClusterEndpoint{}, false
 }
 
-// candidates lists the endpoints of a class that may be sent requests, but for the excluded one.
+// candidates returns the endpoints of a class that are not withheld, without the excluded one.
 func candidates(clusters []routing.Cluster, class, excluded string) []*routing.ClusterEndpoint {
 	var out []*routing.ClusterEndpoint
 	for i := range clusters {
@@ -79,7 +80,8 @@
 	return e != nil && e.until > now
 }
 
-// record records the outcome of an attempt. After so many consecutive failures the endpoint is ejected for a while; 0: never.
+// record records the outcome of an attempt. After ejectAfter consecutive failures the endpoint is ejected until the given
+// time; with 0 it is never ejected.
 func (b *balancer) record(endpoint string, failed bool, ejectAfter int, until time.Duration) {
 	e := b.ejections[endpoint]
 	if e == nil {
@@ -97,13 +99,13 @@
 	}
 }
 
-// tokenBucket is a token bucket that holds the tokens of a quarter of a second, and at least one.
+// tokenBucket limits the rate of admitted requests. It holds up to a quarter of a second's tokens, and at least one.
 type tokenBucket struct {
 	tokens  float64
 	updated time.Duration
 }
 
-// take takes a token if there is one.
+// take adds the tokens since the last call and takes one. It reports whether there was one.
 func (b *tokenBucket) take(rate float64, now time.Duration) bool {
 	b.tokens = min(max(1, rate/4), b.tokens+rate*(now-b.updated).Seconds())
 	b.updated = now
--- a/emulator/client.go
+++ b/emulator/client.go
@@ -15,45 +15,46 @@
 	"porthub/xds"
 )
 
-// Class is a request class as clients know it.
+// Class describes the requests of a class that clients send.
 type Class struct {
 	Name             string
-	Share            float64       // of all requests
-	Work             time.Duration // mean core time
+	Share            float64       // fraction of all requests
+	Work             time.Duration // mean core time of a request
 	LatencyObjective time.Duration
 	ClientTimeout    time.Duration
 	PriorityWeight   float64
-	LateShare        float64 // part of the priority weight that a response after the objective earns
+	LateShare        float64 // fraction of the priority weight that a response after the objective earns
 	Idempotent       bool
 }
 
-// ClientOptions are those of a client process. It has a gateway of its own.
+// ClientOptions configure a client process and its gateway.
 type ClientOptions struct {
 	Name                string
 	Classes             []Class
 	Gateway             *Gateway
 	RequestRate         float64 // usual requests per second
 	Retries             int
-	AttemptTimeoutShare float64 // an attempt times out after this part of the client timeout
+	AttemptTimeoutShare float64 // timeout of an attempt as a fraction of the client timeout
 	Backoff             time.Duration
-	// TrafficFactor is the traffic at a time as a multiple of the usual, and MaxTrafficFactor the most that it ever is.
+	// TrafficFactor returns the traffic at a time as a multiple of the usual rate. It must never exceed MaxTrafficFactor
+	// or 1, whichever is larger.
 	TrafficFactor    func(at time.Duration) float64
 	MaxTrafficFactor float64
-	// WorkFactor is the work of a request as a multiple of the usual, by a draw of 0 to 1.
+	// WorkFactor returns the work of a request as a multiple of the usual work, given a random number from 0 to 1.
 	WorkFactor func(at time.Duration, class string, draw float64) float64
 }
 
-// Client sends requests at random times, whether or not earlier ones have a response.
+// Client sends requests at random times without waiting for the responses to earlier ones.
 type Client struct {
 	ClientOptions
 	world    *World
 	tally    *Tally
 	http     *http.Client
-	requests *atomic.Uint64 // numbers the requests of all clients of a fleet
+	requests *atomic.Uint64 // counter for request numbers, shared by all clients of a fleet
 	rng      *rand.Rand
 }
 
-// NewClient prepares a client; requests numbers the requests of all clients of a fleet.
+// NewClient returns a client. All clients of a fleet share the counter requests, from which they number their requests.
 func NewClient(w *World, o ClientOptions, tally *Tally, requests *atomic.Uint64) *Client {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 256,
@@ -63,13 +64,14 @@
 	return &Client{ClientOptions: o, world: w, tally: tally, http: &http.Client{Transport: transport}, requests: requests, rng: w.Rand("client " + o.Name)}
 }
 
-// Run sends requests until a time and waits for their responses.
+// Run sends requests until the given time and waits for their responses.
 func (c *Client) Run(until time.Duration) {
 	var inFlight sync.WaitGroup
 	at := c.world.Now()
 	maxFactor := max(1, c.MaxTrafficFactor)
 	for {
-		// Arrivals at the highest rate, thinned out to the present one: the draws are the same in each run.
+		// Arrivals are drawn at the highest rate and thinned out to the current rate, so that the sequence of random
+		// numbers is the same in each run.
 		at += time.Duration(c.rng.ExpFloat64() / (c.RequestRate * maxFactor) * float64(time.Second))
 		draws := c.draw()
 		if at >= until {
@@ -90,12 +92,12 @@
 	c.http.CloseIdleConnections()
 }
 
-// requestDraws are the random numbers of an arrival.
+// requestDraws holds the random numbers for one arrival.
 type requestDraws struct {
-	thinning float64
+	thinning float64 // decides whether the arrival is kept
 	class    float64
 	work     float64 // normally distributed
-	factor   float64
+	factor   float64 // passed to WorkFactor
 }
 
 func (c *Client) draw() requestDraws {
@@ -107,7 +109,7 @@
 	return d
 }
 
-// classFor picks a class by its share; what rounding leaves over is of the last one.
+// classFor selects a class by the shares. The last class gets the remainder if the shares sum up to less than 1.
 func (c *Client) classFor(draw float64) Class {
 	for _, class := range c.Classes {
 		draw -= class.Share
@@ -118,16 +120,18 @@
 	return c.Classes[len(c.Classes)-1]
 }
 
-// workFor draws a request's work: log-normal with the mean of its class.
+// workFor returns the work of a request. It follows a log-normal distribution with the mean of the class, times the work
+// factor.
 func (c *Client) workFor(class Class, at time.Duration, d requestDraws) time.Duration {
 	const sigma = 0.4
 	return time.Duration(float64(class.Work) * math.Exp(sigma*d.work-sigma*sigma/2) * c.WorkFactor(at, class.Name, d.factor))
 }
 
-// send takes one request through its attempts. It is retried if it did not run, or may run again.
+// send sends a request and records its outcome. A failed attempt is retried if it was rejected before execution or if the
+// class is idempotent.
 func (c *Client) send(at time.Duration, class Class, number uint64, work time.Duration) {
 	deadline := at + class.ClientTimeout
-	cell := ClassZone{Class: class.Name, Zone: c.Gateway.Zone}
+	key := ClassZone{Class: class.Name, Zone: c.Gateway.Zone}
 	for attempt := range c.Retries + 1 {
 		left := deadline - c.world.Now()
 		if left <= 0 {
@@ -137,7 +141,7 @@
 		request := workRequest{class: class.Name, number: number, clientAttempt: attempt, work: work}
 		answered, rejected := c.attempt(request, timeout)
 		if answered {
-			c.tally.record(cell, at, class, true, c.world.Now()-at)
+			c.tally.record(key, at, class, true, c.world.Now()-at)
 			return
 		}
 		if !rejected && !class.Idempotent {
@@ -145,10 +149,10 @@
 		}
 		time.Sleep(c.Backoff)
 	}
-	c.tally.record(cell, at, class, false, 0)
+	c.tally.record(key, at, class, false, 0)
 }
 
-// attempt sends a request once. Rejected means that it certainly did not run.
+// attempt sends a request once. The result rejected means that the request was certainly not executed.
 func (c *Client) attempt(request workRequest, timeout time.Duration) (answered, rejected bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -166,5 +170,5 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, err = io.Copy(io.Discard, response.Body)
-	return err == nil && response.StatusCode == http.StatusOK, response.Header.Get(headerDenied) != ""
+	return err == nil && response.StatusCode == http.StatusOK, response.Header.Get(headerRejected) != ""
 }
--- a/emulator/doc.go
+++ b/emulator/doc.go
@@ -1,8 +1,9 @@
-// Package emulator has small calculation endpoints, gateways and clients that serve real bytes in real time on loopback,
-// and the faults that can be injected into them. They take the place of a fleet in chaos scenarios and tests, and decide
-// nothing that the product decides.
+// Package emulator provides small endpoints, gateways and clients that exchange HTTP requests in real time on loopback,
+// and faults that can be injected into them. They stand in for a fleet in chaos scenarios and tests, and make none of
+// porthub's own decisions.
 //
-// Everything of one run shares a [World]: its clock, its seed and the audit's log. An [Endpoint], a [Gateway] and a
-// [Client] each serve or send real requests. A [LightEndpoint] and a [LightGateway] only count what they would send, so
-// that thousands fit into a process; tables, acknowledgements and reports pass over sockets for them too.
+// All processes of a run share a [World]: its clock, its seed and the audit log. An [Endpoint], a [Gateway] and a
+// [Client] serve or send real requests. A [LightEndpoint] and a [LightGateway] only count the requests that they would
+// exchange, so that thousands of them fit into one process; their tables, acknowledgements and reports still pass over
+// sockets.
 package emulator
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -12,40 +12,40 @@
 	"porthub/xds"
 )
 
-// EndpointOptions are the size and place of an endpoint.
+// EndpointOptions configure an endpoint.
 type EndpointOptions struct {
-	Name           string // for logs; its id is its address
+	Name           string // for logs; the endpoint is identified by its address
 	Zone           string
 	Machine        string
 	Pod            int
 	Weight         float64
 	Cores          int
-	QueueLength    int // requests that may wait for a core
+	QueueLength    int // maximum number of requests that wait for a core
 	MaxConnections int
 }
 
-// Endpoint is an HTTP server with cores, a queue and a limit on connections. Its process can be killed and restarted at
-// the same address; it warms up then. It is safe for concurrent use.
+// Endpoint is an HTTP server with a number of cores, a queue and a connection limit. Its process can be killed and
+// restarted at the same address; it then warms up. An Endpoint is safe for concurrent use.
 type Endpoint struct {
 	EndpointOptions
 	Addr    string
-	address *Address // held while the process is dead, too
+	address *Address // stays reserved while the process is not running
 	world   *World
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	rng     *rand.Rand
 	fault   Fault
 	resumed chan struct{} // closed unless the endpoint is paused
 
 	// The process.
 	server    *http.Server
-	kill      context.CancelFunc // ends the process's handlers
+	kill      context.CancelFunc // aborts the process's handlers
 	running   bool
-	startedAt time.Duration // since the world's start; below 0: long ago
+	startedAt time.Duration // since the start of the run; negative if it was never restarted
 	warmsUp   bool
-	collapsed bool // by overload while it warmed up: it rejects everything until it is restarted
+	collapsed bool // set by an overload during warm-up; all requests are rejected until the next restart
 
-	// Its load.
+	// The load.
 	cores       chan struct{} // holds a token for each busy core
 	queued      int
 	executing   int
@@ -54,18 +54,18 @@
 	utilization smoothedUtilization
 }
 
-// recentWork is the work that arrived within the overload window.
+// recentWork sums up the work that arrived within the overload window.
 type recentWork struct {
 	arrivals []workArrival
-	total    float64 // core seconds
+	total    float64 // in core seconds
 }
 
 type workArrival struct {
 	at   time.Duration
-	work float64 // core seconds
+	work float64 // in core seconds
 }
 
-// add adds work and drops what is older than the window.
+// add adds work and removes arrivals that are older than the window.
 func (r *recentWork) add(at time.Duration, work float64, window time.Duration) {
 	r.arrivals = append(r.arrivals, workArrival{at: at, work: work})
 	r.total += work
@@ -75,7 +75,7 @@
 	}
 }
 
-// smoothedUtilization is the busy part of the cores, smoothed over half a second.
+// smoothedUtilization is the fraction of busy cores, smoothed over half a second.
 type smoothedUtilization struct {
 	value   float64
 	updated time.Duration
@@ -92,7 +92,7 @@
 	u.updated = at
 }
 
-// NewEndpoint starts an endpoint that is warmed up.
+// NewEndpoint starts an endpoint that is already warmed up. Kill must be called to end it.
 func NewEndpoint(w *World, o EndpointOptions) (*Endpoint, error) {
 	e := &Endpoint{EndpointOptions: o, world: w, rng: w.Rand("node " + o.Name), startedAt: -time.Hour, resumed: make(chan struct{})}
 	close(e.resumed)
@@ -110,7 +110,7 @@
 	return e, nil
 }
 
-// serve starts a process on a listener. Its goroutine ends when Kill closes the server.
+// serve starts the process on a listener. Its goroutine ends when Kill closes the server.
 func (e *Endpoint) serve(listener net.Listener) {
 	process, kill := context.WithCancel(context.Background())
 	e.kill = kill
@@ -148,7 +148,8 @@
 	}
 }
 
-// Kill ends the process at once: connections break, work is lost. New connections are refused: the address stays its own.
+// Kill ends the process at once: its connections are closed and its pending work is lost. New connections are refused, as
+// the address stays reserved.
 func (e *Endpoint) Kill() {
 	e.mu.Lock()
 	running := e.running
@@ -159,19 +160,22 @@
 	}
 	e.mu.Unlock()
 	if running {
-		// Without the lock: Close waits for a connection that is being accepted, and trackConnection wants the lock.
+		// Close is called without the lock: it waits for a connection that is being accepted, and trackConnection takes
+		// the lock.
 		_ = server.Close()
 	}
 }
 
-// Running reports whether the process runs, and when it was started; below 0: long ago.
+// Running reports whether the process is running, and when it was started. The time is negative for an endpoint that has
+// not been restarted.
 func (e *Endpoint) Running() (running bool, startedAt time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running, e.startedAt
 }
 
-// Restart starts the process again at the same address, without faults; it has to warm up. A running process stays.
+// Restart starts a killed process again at the same address, without faults. The endpoint then warms up. Restart has no
+// effect on a running process.
 func (e *Endpoint) Restart() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,7 +184,7 @@
 	}
 	listener, err := e.address.Listen()
 	if err != nil {
-		return fmt.Errorf("endpoint %s: %w", e.Addr, err)
+		return fmt.Errorf("restart endpoint %s: %w", e.Addr, err)
 	}
 	e.startedAt = e.world.Now()
 	e.warmsUp = true
@@ -191,12 +195,12 @@
 	return nil
 }
 
-// warmingUp reports whether the endpoint is not at its full capacity yet.
+// warmingUp reports whether the endpoint has not reached its full capacity yet.
 func (e *Endpoint) warmingUp(at time.Duration) bool {
 	return e.warmsUp && at-e.startedAt < e.world.Rules.WarmUp
 }
 
-// capacity is the part of its full capacity that the endpoint has.
+// capacity returns the endpoint's capacity as a fraction of its full capacity.
 func (e *Endpoint) capacity(at time.Duration) float64 {
 	if !e.warmingUp(at) {
 		return 1
@@ -204,7 +208,7 @@
 	return e.world.Rules.capacity(at - e.startedAt)
 }
 
-// addWork counts work that arrives while the endpoint warms up: too much of it in a window and it collapses.
+// addWork counts work that arrives during warm-up. The endpoint collapses if there is too much of it in the overload window.
 func (e *Endpoint) addWork(at time.Duration, work float64) {
 	if !e.warmingUp(at) {
 		e.recent = recentWork{}
@@ -212,18 +216,19 @@
 	}
 	rules := e.world.Rules
 	e.recent.add(at, work, rules.OverloadWindow)
-	canDo := e.capacity(at) * float64(e.Cores) * rules.OverloadWindow.Seconds()
-	if e.recent.total > rules.OverloadFactor*canDo+4*work { // four requests are left to chance
+	windowCapacity := e.capacity(at) * float64(e.Cores) * rules.OverloadWindow.Seconds()
+	if e.recent.total > rules.OverloadFactor*windowCapacity+4*work { // allows four more requests, as arrivals are random
 		e.collapsed = true
 	}
 }
 
-// updateUtilization accounts for the time since the last change of executing. It must be called before each change.
+// updateUtilization updates the utilization for the time since the last change of executing. It must be called before each
+// change.
 func (e *Endpoint) updateUtilization(at time.Duration) {
 	e.utilization.update(at, float64(e.executing)/float64(e.Cores))
 }
 
-// loadHeader is the load that the endpoint reports of itself.
+// loadHeader returns the load report that the endpoint adds to its responses.
 func (e *Endpoint) loadHeader() string {
 	return xds.FormatORCA(min(1.2, e.utilization.value), float64(e.queued))
 }
--- a/emulator/endpoint_handler.go
+++ b/emulator/endpoint_handler.go
@@ -8,22 +8,22 @@
 	"porthub/xds"
 )
 
-// reception is how an endpoint treats a request that arrives.
-type reception int
+// requestDecision is how an endpoint handles an incoming request.
+type requestDecision int
 
 const (
-	queueRequest  reception = iota
-	rejectRequest           // with a response before it runs
-	ignoreRequest           // without a response
-	failRequest             // with an error response
+	queueRequest  requestDecision = iota
+	rejectRequest                 // respond that it was rejected before execution
+	ignoreRequest                 // send no response
+	failRequest                   // respond with an error
 )
 
-// handleWork executes a request on a core. The process ends the handler with it.
+// handleWork executes a request on a core. The end of the context process aborts the handler.
 func (e *Endpoint) handleWork(process context.Context, w http.ResponseWriter, r *http.Request) {
 	request := readWorkRequest(r)
 	now := e.world.Now()
 	e.world.Log.WorkArrived(now, e.Addr, request.gateway, request.work.Seconds())
-	decision, draw, cores := e.receive(request, now)
+	decision, draw, cores := e.decideRequest(request, now)
 	switch decision {
 	case rejectRequest:
 		reject(w)
@@ -56,8 +56,9 @@
 	_, _ = w.Write([]byte("done\n"))
 }
 
-// receive decides how a request is treated. The draw decides its later faults too.
-func (e *Endpoint) receive(request workRequest, now time.Duration) (decision reception, draw float64, cores chan struct{}) {
+// decideRequest decides how a request is handled. The random number draw also determines whether its response is lost
+// later.
+func (e *Endpoint) decideRequest(request workRequest, now time.Duration) (decision requestDecision, draw float64, cores chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.updateUtilization(now)
@@ -79,7 +80,7 @@
 	return queueRequest, draw, e.cores
 }
 
-// waitForCore takes a core; a request that is cancelled before is dropped.
+// waitForCore waits for a free core and takes it. It returns false if the request is cancelled or the process ends first.
 func (e *Endpoint) waitForCore(process context.Context, r *http.Request, cores chan struct{}) bool {
 	if !e.waitWhilePaused(process, r) {
 		return false
@@ -100,8 +101,8 @@
 	e.queued--
 }
 
-// execute does the work of a request; a cancellation no longer stops it. It reports whether the process has lived long
-// enough.
+// execute executes a request, which a cancellation no longer aborts. It returns false if the process ended before the
+// execution was completed.
 func (e *Endpoint) execute(process context.Context, request workRequest) bool {
 	timer := time.NewTimer(e.beginExecution(request.work))
 	defer timer.Stop()
@@ -114,7 +115,7 @@
 	}
 }
 
-// beginExecution moves a request from the queue to its core and returns how long its work takes.
+// beginExecution moves a request from the queue to its core and returns the duration of the execution.
 func (e *Endpoint) beginExecution(work time.Duration) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +125,7 @@
 	return time.Duration(float64(work) / e.capacity(e.world.Now()) * max(1, e.fault.Slowdown))
 }
 
-// finish ends the execution of a request and returns the load to report, and whether the response is lost.
+// finish ends the execution of a request. It returns the load to report, and whether an injected fault drops the response.
 func (e *Endpoint) finish(draw float64) (load string, lost bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -152,7 +153,8 @@
 	_, _ = w.Write([]byte("well\n"))
 }
 
-// waitWhilePaused waits out a pause and reports whether the request may continue.
+// waitWhilePaused waits until the endpoint is not paused. It returns false if the request is cancelled or the process ends
+// first.
 func (e *Endpoint) waitWhilePaused(process context.Context, r *http.Request) bool {
 	e.mu.Lock()
 	resumed := e.resumed
@@ -166,7 +168,7 @@
 	return false
 }
 
-// leaveUnanswered leaves a request without a response until the caller gives up or the process ends.
+// leaveUnanswered blocks without a response until the request is cancelled or the process ends.
 func leaveUnanswered(process context.Context, r *http.Request) {
 	select {
 	case <-process.Done():
--- a/emulator/eureka/doc.go
+++ b/emulator/eureka/doc.go
@@ -1,3 +1,3 @@
-// Package eureka emulates a registry that speaks Eureka's REST operations on loopback, with faults on demand. It is made
-// for chaos scenarios and tests and shares no code with the client that it tests.
+// Package eureka emulates a registry that serves Eureka's REST operations on loopback, with faults that can be injected. It
+// is for chaos scenarios and tests, and shares no code with the client under test.
 package eureka
--- a/emulator/eureka/encoding.go
+++ b/emulator/eureka/encoding.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// The JSON form of an instance. Keys stand in their alphabetical order.
+// The JSON representation of an instance. The keys are in alphabetical order.
 type (
 	instanceJSON struct {
 		Action         string            `json:"actionType,omitempty"`
@@ -42,27 +42,27 @@
 	}
 )
 
-// The lease that all instances have, seconds.
+// The lease of every instance, in seconds.
 const (
 	leaseDuration = 90
 	leaseRenewal  = 30
 )
 
-// milliseconds are since 1970 by the peer's clock; a zero time is 0.
-func (f Faults) milliseconds(t time.Time) int64 {
+// unixMilliseconds returns a time in milliseconds since 1970, by the peer's clock. The zero time is 0.
+func (f Faults) unixMilliseconds(t time.Time) int64 {
 	if t.IsZero() {
 		return 0
 	}
 	return t.Add(f.ClockSkew).UnixMilli()
 }
 
-// encodeInstance returns the JSON of an instance. The action is empty except in deltas.
+// encodeInstance returns the JSON of an instance. The action is set only in deltas.
 func encodeInstance(f activeFaults, i Instance, action string) string {
 	upSince := i.UpSince
 	if f.Reregistered {
 		upSince = f.since
 	}
-	lastChange := strconv.FormatInt(f.milliseconds(i.LastChange), 10)
+	lastChange := strconv.FormatInt(f.unixMilliseconds(i.LastChange), 10)
 	text, _ := json.Marshal(instanceJSON{
 		Action:         action,
 		App:            i.App,
@@ -77,12 +77,12 @@
 		Status:         i.Status,
 		Lease: leaseJSON{
 			Duration:     leaseDuration,
-			LastRenewal:  f.milliseconds(i.LastRenewal),
-			Registration: f.milliseconds(upSince),
+			LastRenewal:  f.unixMilliseconds(i.LastRenewal),
+			Registration: f.unixMilliseconds(upSince),
 			Renewal:      leaseRenewal,
-			ServiceUp:    f.milliseconds(upSince),
+			ServiceUp:    f.unixMilliseconds(upSince),
 		},
-	}) // strings and numbers always have a JSON form
+	}) // strings and numbers can always be encoded
 	return string(text)
 }
 
@@ -91,21 +91,21 @@
 	return fmt.Sprintf(`{"name": %q, "instance": [%s]}`, name, strings.Join(instances, ","))
 }
 
-// encodeApps returns the JSON of the applications, sorted by name.
+// encodeApps returns the JSON of each application, sorted by name.
 func encodeApps(f activeFaults, instances []Instance) []string {
 	byApp := map[string][]string{}
 	for _, i := range instances {
 		byApp[i.App] = append(byApp[i.App], encodeInstance(f, i, ""))
 	}
-	var out []string
+	var apps []string
 	for _, name := range slices.Sorted(maps.Keys(byApp)) {
-		out = append(out, encodeApp(name, byApp[name]...))
+		apps = append(apps, encodeApp(name, byApp[name]...))
 	}
-	return out
+	return apps
 }
 
-// hashOf is Eureka's hash of the instances: the count of each status.
-func hashOf(f activeFaults, instances []Instance) string {
+// appsHashCode returns Eureka's hash code of the instances, which consists of the number of instances in each status.
+func appsHashCode(f activeFaults, instances []Instance) string {
 	if f.WrongHash {
 		return "UP_99999_"
 	}
@@ -120,16 +120,16 @@
 	return hash
 }
 
-// respondAll responds with applications in the form that the request accepts.
+// respondAll responds with the applications of the instances, in XML if the request accepts it and in JSON otherwise.
 func (p *Peer) respondAll(w http.ResponseWriter, r *http.Request, f activeFaults, instances []Instance) {
 	if acceptsXML(r) {
 		p.respondXML(w, f, instances)
 		return
 	}
-	p.respondApps(w, f, hashOf(f, instances), encodeApps(f, instances))
+	p.respondApps(w, f, appsHashCode(f, instances), encodeApps(f, instances))
 }
 
-// respondApp responds with one application.
+// respondApp responds with a single application.
 func (p *Peer) respondApp(w http.ResponseWriter, r *http.Request, f activeFaults, instances []Instance) {
 	if acceptsXML(r) {
 		p.respondXML(w, f, instances)
@@ -138,7 +138,7 @@
 	p.respondJSON(w, f, fmt.Sprintf(`{"application": %s}`, encodeApps(f, instances)[0]))
 }
 
-// respondDelta responds with the recent changes, and the hash of all instances.
+// respondDelta responds with the recent changes and the hash code of all instances.
 func (p *Peer) respondDelta(w http.ResponseWriter, f activeFaults, instances []Instance) {
 	var changes []string
 	for _, c := range p.registry.recentChanges() {
@@ -147,7 +147,7 @@
 		}
 		changes = append(changes, encodeApp(c.instance.App, encodeInstance(f, c.instance, c.action)))
 	}
-	p.respondApps(w, f, hashOf(f, instances), changes)
+	p.respondApps(w, f, appsHashCode(f, instances), changes)
 }
 
 func acceptsXML(r *http.Request) bool { return strings.Contains(r.Header.Get("Accept"), "xml") }
@@ -166,7 +166,7 @@
 // respondXML responds with an application element for each instance.
 func (p *Peer) respondXML(w http.ResponseWriter, f activeFaults, instances []Instance) {
 	var b strings.Builder
-	fmt.Fprintf(&b, "<applications><versions__delta>1</versions__delta><apps__hashcode>%s</apps__hashcode>", hashOf(f, instances))
+	fmt.Fprintf(&b, "<applications><versions__delta>1</versions__delta><apps__hashcode>%s</apps__hashcode>", appsHashCode(f, instances))
 	for _, i := range instances {
 		writeInstanceXML(&b, i)
 	}
@@ -185,7 +185,7 @@
 	fmt.Fprintf(b, "</metadata><lastDirtyTimestamp>%d</lastDirtyTimestamp></instance></application>", i.LastChange.UnixMilli())
 }
 
-// write sends a body and counts its bytes.
+// write sends a response body and counts its bytes.
 func (p *Peer) write(w http.ResponseWriter, f activeFaults, contentType, text string) {
 	w.Header().Set("Content-Type", contentType)
 	if f.Truncated {
--- a/emulator/eureka/peer.go
+++ b/emulator/eureka/peer.go
@@ -11,43 +11,43 @@
 	"time"
 )
 
-// Faults are what a peer does wrong. The zero value does nothing wrong.
+// Faults are faults that are injected into a peer's responses. The zero value has none.
 type Faults struct {
-	Delay        time.Duration // before each response
-	StaleDelta   bool          // deltas stay as they were when the fault began
+	Delay        time.Duration // delay before each response
+	StaleDelta   bool          // deltas contain no changes made after the fault was set
 	WrongHash    bool
-	MissingShare float64       // this part of the instances is left out of full responses
-	ErrorStatus  int           // status code instead of a response
-	Truncated    bool          // bodies end in the middle
-	PaddingBytes int64         // bytes added to each JSON response
-	ClockSkew    time.Duration // of its clock
-	Lag          time.Duration // full responses are as old as that
-	Reregistered bool          // all instances were registered anew when the fault began
+	MissingShare float64       // fraction of the instances that is missing from responses other than deltas
+	ErrorStatus  int           // status code of all responses; 0: no error
+	Truncated    bool          // response bodies end in the middle
+	PaddingBytes int64         // bytes that are added to each JSON response
+	ClockSkew    time.Duration // offset of the peer's clock
+	Lag          time.Duration // age of the state in responses other than deltas
+	Reregistered bool          // all instances have been registered again at the time that the fault was set
 }
 
-// hidesNothing reports whether a full response with these faults says what the registry has at its revision.
-func (f Faults) hidesNothing() bool {
+// preservesContent reports whether a response with these faults shows all instances of its revision correctly.
+func (f Faults) preservesContent() bool {
 	return !f.WrongHash && f.MissingShare == 0 && !f.Truncated && f.PaddingBytes == 0
 }
 
-// Peer is a server of a registry. It is safe for concurrent use.
+// Peer is one of the servers of a registry. It is safe for concurrent use.
 type Peer struct {
 	Addr string // base URL
-	// OnRevision is called before each response that says what the instances were at a revision, without a fault that
-	// hides one. It must be set before the first request.
+	// OnRevision is called before each response from which a client learns all instances of a revision. It must be set
+	// before the first request.
 	OnRevision func(revision int)
 
 	registry *Registry
 	server   *http.Server
 
-	mu          sync.Mutex // guards all below
+	mu          sync.Mutex // guards the fields below
 	faults      Faults
 	faultsSince time.Time
 	calls       int
 	bytes       int64
 }
 
-// Listen opens a peer of the registry on loopback. Its goroutine ends with Close.
+// Listen starts a peer of the registry on loopback. Close ends its goroutine.
 func (r *Registry) Listen() (*Peer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,10 +59,10 @@
 	return p, nil
 }
 
-// Close ends the peer.
+// Close closes the peer's listener and connections.
 func (p *Peer) Close() { _ = p.server.Close() }
 
-// SetFaults sets what the peer does wrong from now on.
+// SetFaults replaces the injected faults.
 func (p *Peer) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,17 +70,17 @@
 	p.faultsSince = time.Now()
 }
 
-// Traffic returns how many requests the peer has had and how many bytes it has sent.
+// Traffic returns the number of requests that the peer received and the bytes that it sent in the bodies of query responses.
 func (p *Peer) Traffic() (calls int, bytes int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls, p.bytes
 }
 
-// activeFaults are the faults of one response.
+// activeFaults are the faults that apply to one response.
 type activeFaults struct {
 	Faults
-	since time.Time
+	since time.Time // when the faults were set
 }
 
 // countCall counts a request and returns the faults of its response.
@@ -112,17 +112,17 @@
 	p.handleWrite(w, r, path)
 }
 
-// handleRead answers the queries: all instances, the delta, those of an application or of a VIP address.
+// handleRead serves the queries for all instances, for the delta, and for the instances of an application or a VIP address.
 func (p *Peer) handleRead(w http.ResponseWriter, r *http.Request, path []string, faults activeFaults) {
 	switch {
 	case len(path) == 1 && path[0] == "apps":
 		instances, revision := p.view(faults)
-		p.announce(faults, revision)
+		p.notifyRevision(faults, revision)
 		p.respondAll(w, r, faults, instances)
 	case len(path) == 2 && path[0] == "apps" && path[1] == "delta":
 		instances, revision := p.view(faults)
 		if !faults.StaleDelta {
-			p.announce(faults, revision)
+			p.notifyRevision(faults, revision)
 		}
 		p.respondDelta(w, faults, instances)
 	case len(path) == 2 && path[0] == "apps":
@@ -135,7 +135,7 @@
 	}
 }
 
-// respondSome responds with the instances that match. Those of one application have a form of their own.
+// respondSome responds with the instances that match. A query for one application has a response format of its own.
 func (p *Peer) respondSome(w http.ResponseWriter, r *http.Request, faults activeFaults, oneApp bool, matches func(Instance) bool) {
 	var instances []Instance
 	all, _ := p.view(faults)
@@ -188,25 +188,26 @@
 	}
 }
 
-// announce calls OnRevision. It does so before the response: whoever acts on that must not be earlier.
-func (p *Peer) announce(faults activeFaults, revision int) {
-	if p.OnRevision != nil && faults.hidesNothing() {
+// notifyRevision calls OnRevision. It is called before the response is sent, so that the call precedes any reaction to the
+// response.
+func (p *Peer) notifyRevision(faults activeFaults, revision int) {
+	if p.OnRevision != nil && faults.preservesContent() {
 		p.OnRevision(revision)
 	}
 }
 
-// view is what the peer says of the instances, sorted by their ids.
+// view returns the instances that the peer's responses show, sorted by id, and their revision.
 func (p *Peer) view(faults activeFaults) (instances []Instance, revision int) {
 	instances, revision = p.registry.stateBefore(faults.Lag)
 	sort.Slice(instances, func(a, b int) bool { return instances[a].ID < instances[b].ID })
 	if faults.MissingShare == 0 {
 		return instances, revision
 	}
-	left := instances[:0]
+	visible := instances[:0]
 	for n, i := range instances {
-		if float64(n%10) >= 10*faults.MissingShare { // what is missing is spread over all
-			left = append(left, i)
+		if float64(n%10) >= 10*faults.MissingShare { // spreads the missing instances over the list
+			visible = append(visible, i)
 		}
 	}
-	return left, revision
+	return visible, revision
 }
--- a/emulator/eureka/registry.go
+++ b/emulator/eureka/registry.go
@@ -14,24 +14,26 @@
 )
 
 const (
-	// deltaRetention is how long a change stays in deltas, as with Eureka's own servers.
+	// deltaRetention is how long deltas contain a change, the same as in Eureka's own servers.
 	deltaRetention = 180 * time.Second
-	// maxRevisions and droppedRevisions bound the revisions that are kept for peers that lag behind.
+	// maxRevisions is the number of past revisions that are kept for lagging peers. Beyond it, the oldest droppedRevisions
+	// are discarded.
 	maxRevisions     = 400
 	droppedRevisions = 100
 )
 
-// Registry holds instances. Its peers share them but each have their own faults. It is safe for concurrent use.
+// Registry holds instances. Its peers share the instances, but each peer has its own faults. A Registry is safe for
+// concurrent use.
 type Registry struct {
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	instances map[string]*Instance
 	changes   []change
-	revisions []revision // the last ones, oldest first
-	revision  int        // counts changes
+	revisions []revision // the most recent ones, oldest first
+	revision  int        // number of changes so far
 	now       func() time.Time
 }
 
-// Instance is an instance as it is registered.
+// Instance is a registered instance.
 type Instance struct {
 	App, ID, IP string
 	Port        int
@@ -42,7 +44,7 @@
 	LastRenewal time.Time
 }
 
-// change is a change as deltas have it.
+// change is an entry of a delta.
 type change struct {
 	at       time.Time
 	action   string
@@ -61,7 +63,7 @@
 
 func key(app, id string) string { return app + "/" + id }
 
-// Put registers an instance or changes its status.
+// Put registers an instance or replaces its registration.
 func (r *Registry) Put(i Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,21 +101,21 @@
 	return r.instances[key(app, id)] != nil
 }
 
-// Revision counts the changes so far.
+// Revision returns the number of changes so far.
 func (r *Registry) Revision() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.revision
 }
 
-// DropDeltas removes all changes from deltas, as if they were long ago.
+// DropDeltas removes all changes from deltas, as if their retention time had passed.
 func (r *Registry) DropDeltas() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.changes = nil
 }
 
-// renew renews an instance's lease; it reports whether the instance is registered.
+// renew renews an instance's lease. It returns false if the instance is not registered.
 func (r *Registry) renew(app, id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,14 +136,15 @@
 }
 
 func (r *Registry) copyInstances() []Instance {
-	var out []Instance
+	var instances []Instance
 	for _, i := range r.instances {
-		out = append(out, *i)
+		instances = append(instances, *i)
 	}
-	return out
+	return instances
 }
 
-// stateBefore returns the instances and the revision as they were so long ago; 0: as they are.
+// stateBefore returns the instances and the revision as they were before the lag. With a lag of 0 it returns the current
+// state.
 func (r *Registry) stateBefore(lag time.Duration) (instances []Instance, number int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,15 +160,15 @@
 	return instances, number
 }
 
-// recentChanges returns the changes that are still in deltas.
+// recentChanges returns the changes within the retention time of deltas.
 func (r *Registry) recentChanges() []change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []change
+	var changes []change
 	for _, c := range r.changes {
 		if r.now().Sub(c.at) <= deltaRetention {
-			out = append(out, c)
+			changes = append(changes, c)
 		}
 	}
-	return out
+	return changes
 }
--- a/emulator/fault.go
+++ b/emulator/fault.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Fault is a state of an endpoint that makes it fail or slow. The zero value is that of a healthy one.
+// Fault describes how an endpoint misbehaves. The zero value is a healthy endpoint.
 type Fault struct {
-	Hang            bool    // it accepts requests and responds to none
-	ResponseLoss    float64 // part of the responses that never arrive
-	FailClass       string  // requests of this class fail ...
-	FailureRate     float64 // ... by this part, and the others don't
-	FailWithError   bool    // with an error response; otherwise without a response
-	Slowdown        float64 // work takes so many times longer; 0: as usual
-	ConnectionShare float64 // part of its connections that it accepts; 0: all
+	Hang            bool    // accepts requests and health checks but responds to none
+	ResponseLoss    float64 // fraction of the responses that are lost
+	FailClass       string  // request class that fails; empty: none
+	FailureRate     float64 // fraction of the requests of FailClass that fail
+	FailWithError   bool    // failing requests get an error response; otherwise they get no response
+	Slowdown        float64 // factor by which execution takes longer; values below 1 have no effect
+	ConnectionShare float64 // fraction of MaxConnections that is accepted; 0: all
 }
 
-// SetFault replaces the endpoint's fault.
+// SetFault applies a change to the endpoint's fault.
 func (e *Endpoint) SetFault(change func(*Fault)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change(&e.fault)
 }
 
-// Pause suspends the endpoint for a while, as a long garbage collection would: no request proceeds.
+// Pause suspends the endpoint for a duration, as a long garbage collection would: no request proceeds.
 func (e *Endpoint) Pause(d time.Duration) {
 	resumed := make(chan struct{})
 	e.mu.Lock()
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -12,54 +12,56 @@
 	"porthub/routing"
 )
 
-// GatewayOptions are how a gateway is set up.
+// GatewayOptions configure a gateway.
 type GatewayOptions struct {
 	Name, Zone   string
 	Classes      []string
 	TableDir     string
 	ReportPeriod time.Duration
-	Weight       float64
-	// Coordinator returns the address to dial, empty while there is none. Nil: the gateway has no coordinator at all.
+	Weight       float64 // usual requests per second, as announced to the coordinator
+	// Coordinator returns the address to dial, or an empty string while there is none. If it is nil, the gateway never
+	// connects to a coordinator.
 	Coordinator func() string
 	// List returns the endpoint list. It is read only for the initial table.
 	List             func() []ListEntry
-	InitialTableSize int  // endpoints of the initial table at most
-	UseAllEndpoints  bool // a baseline: one table of all listed endpoints, immediately and permanently
-	EjectAfter       int  // consecutive failures after which an endpoint is passed over; 0: never
+	InitialTableSize int  // maximum number of endpoints in the initial table
+	UseAllEndpoints  bool // baseline: the table always contains all listed endpoints
+	EjectAfter       int  // consecutive failures after which an endpoint is ejected; 0: never
 	EjectionTime     time.Duration
-	Polls            bool          // it polls for its tables, by deltas; otherwise it reads files
-	ReadChunk        int           // bytes that a slow reader reads at a time; 0: the file at once
-	ReadPause        time.Duration // between two chunks
+	Polls            bool          // polls for its tables, by deltas; otherwise reads files
+	ReadChunk        int           // bytes that a slow reader reads at a time; 0: the whole file
+	ReadPause        time.Duration // pause between two chunks
 }
 
-// ListEntry is an endpoint of the list.
+// ListEntry is an entry of the endpoint list.
 type ListEntry struct {
 	Addr, Zone string
 	Weight     float64
 	Draining   bool
 }
 
-// Gateway is a plain proxy: it looks up its table, admits what the route's rate allows, picks an endpoint by weighted
-// round robin and forwards. Its process can be killed and started again. It is safe for concurrent use.
+// Gateway is a simple proxy. For each request it looks up the route, applies its admission rate, selects an endpoint by
+// weighted round robin and forwards the request. Its process can be killed and started again. A Gateway is safe for
+// concurrent use.
 type Gateway struct {
 	GatewayOptions
 	Addr    string
-	address *Address // held while the process is dead, too; nil until the first start
+	address *Address // stays reserved while the process is not running; nil until the first start
 	world   *World
 	http    *http.Client
 
-	// Corrupt changes each table before it is used, and AlwaysRetry makes the gateway retry what must not be retried:
-	// so that tests can check that the audit detects it. Both must be set before Start.
+	// Corrupt changes each table before it is used, and AlwaysRetry makes the gateway retry requests that must not be
+	// retried. They let tests check that the audit detects such violations. Both must be set before Start.
 	Corrupt     func(*routing.Snapshot)
 	AlwaysRetry bool
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	rng      *rand.Rand
 	running  bool
-	isolated bool // it can't reach a coordinator
+	isolated bool // cannot reach a coordinator
 	ackFault ackFault
 	server   *http.Server
-	conns    map[net.Conn]bool // to the coordinator
+	conns    map[net.Conn]bool // open connections to the coordinator
 	stop     context.CancelFunc
 
 	tables      client.Tables
@@ -68,16 +70,16 @@
 	buckets     map[string]*tokenBucket // by class
 	stats       reportStats
 
-	goroutines sync.WaitGroup // of the running process; Kill waits for them
+	goroutines sync.WaitGroup // goroutines of the running process, for which Kill waits
 }
 
-// ackFault is a fault of a gateway's acknowledgements.
+// ackFault is a fault that is injected into a gateway's acknowledgements.
 type ackFault struct {
 	withhold bool
 	delay    time.Duration
 }
 
-// NewGateway prepares a gateway; Start starts it.
+// NewGateway returns a gateway that is not started yet.
 func NewGateway(w *World, o GatewayOptions) *Gateway {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost: 64,
@@ -88,7 +90,7 @@
 	return &Gateway{GatewayOptions: o, world: w, rng: w.Rand("gateway " + o.Name), conns: map[net.Conn]bool{}, http: &http.Client{Transport: transport}}
 }
 
-// Start starts the process with an initial table from the list. Kill must be called to end its goroutines.
+// Start starts the process with an initial table that is drawn from the list. Kill must be called to end its goroutines.
 func (g *Gateway) Start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -119,12 +121,12 @@
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	if g.Coordinator != nil {
-		g.goroutines.Go(func() { g.follow(ctx) })
+		g.goroutines.Go(func() { g.runLink(ctx) })
 	}
 	return nil
 }
 
-// Kill ends the process: all that it has is lost, except for its files.
+// Kill ends the process and waits for its goroutines. The state of the process is lost, except for its files.
 func (g *Gateway) Kill() {
 	if !g.closeAll() {
 		return
@@ -133,7 +135,7 @@
 	g.world.Log.GatewayConnected(g.world.Now(), g.Name, false)
 }
 
-// closeAll closes everything that the process has open; it returns false if it does not run.
+// closeAll closes the server and all connections. It returns false if the process is not running.
 func (g *Gateway) closeAll() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -153,7 +155,7 @@
 	}
 }
 
-// SetIsolated cuts the gateway off from the coordinator, or connects it again.
+// SetIsolated isolates the gateway from the coordinator, or lets it connect again.
 func (g *Gateway) SetIsolated(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,14 +165,14 @@
 	}
 }
 
-// SetAckFault makes the gateway acknowledge nothing, or only after a delay.
+// SetAckFault makes the gateway withhold all acknowledgements, or send them only after a delay.
 func (g *Gateway) SetAckFault(withhold bool, delay time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.ackFault = ackFault{withhold: withhold, delay: delay}
 }
 
-// randomFloat draws from the gateway's source.
+// randomFloat returns a random number from 0 to 1.
 func (g *Gateway) randomFloat() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/emulator/gateway_link.go
+++ b/emulator/gateway_link.go
@@ -12,7 +12,7 @@
 	"porthub/xds"
 )
 
-// The times of a gateway's link to the coordinator.
+// The timing of a gateway's link to the coordinator.
 const (
 	linkTick         = 10 * time.Millisecond
 	linkTimeout      = 2 * time.Second
@@ -23,10 +23,11 @@
 	longPollTimeout  = 5 * time.Second
 )
 
-var errIsolated = errors.New("the coordinator is unreachable (injected fault)")
+var errIsolated = errors.New("coordinator unreachable (injected fault)")
 
-// follow keeps the link to the coordinator, and reads files if the gateway does not poll. It ends with the process.
-func (g *Gateway) follow(ctx context.Context) {
+// runLink maintains the link to the coordinator, and starts the goroutine that reads files if the gateway does not poll. It
+// returns when the process ends.
+func (g *Gateway) runLink(ctx context.Context) {
 	acks := &ackQueue{}
 	if !g.Polls {
 		g.goroutines.Go(func() { g.readFiles(ctx, acks) })
@@ -45,19 +46,19 @@
 	}
 }
 
-// gatewayLink is a gateway's link to the coordinator. It belongs to the goroutine of follow.
+// gatewayLink is a gateway's link to the coordinator. Only the goroutine of runLink uses it.
 type gatewayLink struct {
 	gateway    *Gateway
 	acks       *ackQueue
-	link       *client.Link // nil while there is none
-	connected  bool         // the audit has been informed that it is connected
+	link       *client.Link // nil while disconnected
+	connected  bool         // the audit log has an open connection of this gateway
 	stopPolls  func()
 	backoff    time.Duration
 	nextDial   time.Time
 	nextReport time.Time
 }
 
-// tick does what is due: it dials, acknowledges or reports.
+// tick dials if there is no link, and otherwise sends the acknowledgements and the report that are due.
 func (l *gatewayLink) tick(ctx context.Context) {
 	if l.link == nil && time.Now().After(l.nextDial) {
 		l.connect(ctx)
@@ -77,7 +78,7 @@
 	}
 }
 
-// connect dials once. A failure delays the next attempt, longer each time.
+// connect dials once. Each failure increases the delay before the next attempt.
 func (l *gatewayLink) connect(ctx context.Context) {
 	g := l.gateway
 	if addr := g.Coordinator(); addr != "" {
@@ -91,9 +92,10 @@
 	}
 }
 
+// join joins the coordinator and starts polling if the gateway polls.
 func (l *gatewayLink) join(ctx context.Context, addr string) {
 	g := l.gateway
-	// Grace periods begin with the connection. The time before it makes the audit stricter, not looser.
+	// Grace periods begin with the connection. Recording the time before the join makes the audit stricter, never laxer.
 	at := g.world.Now()
 	if err := l.link.Join(ctx, g.currentTables()); err != nil {
 		l.disconnect()
@@ -107,7 +109,7 @@
 	}
 }
 
-// disconnect closes the link and ends its polls.
+// disconnect closes the link and stops the polls.
 func (l *gatewayLink) disconnect() {
 	if l.connected {
 		l.connected = false
@@ -120,7 +122,7 @@
 	}
 }
 
-// acknowledge sends what is to be acknowledged, unless a fault keeps it back.
+// acknowledge sends the pending acknowledgements, unless an injected fault withholds or delays them.
 func (l *gatewayLink) acknowledge(ctx context.Context, fault ackFault) {
 	g := l.gateway
 	for l.link != nil {
@@ -140,6 +142,7 @@
 	}
 }
 
+// report sends a load report and schedules the next one.
 func (l *gatewayLink) report(ctx context.Context) {
 	g := l.gateway
 	l.nextReport = l.nextReport.Add(g.ReportPeriod)
@@ -152,7 +155,7 @@
 	}
 }
 
-// dialCoordinator dials unless the gateway is isolated. The connection is closed when it becomes so.
+// dialCoordinator dials the coordinator unless the gateway is isolated. Isolating the gateway later closes the connection.
 func (g *Gateway) dialCoordinator(ctx context.Context, network, addr string) (net.Conn, error) {
 	g.mu.Lock()
 	isolated := g.isolated
@@ -170,18 +173,19 @@
 		_ = conn.Close()
 		return nil, errIsolated
 	}
-	tracked := &trackedConn{Conn: conn, onClose: g.forgetConnection}
+	tracked := &trackedConn{Conn: conn, onClose: g.untrackConnection}
 	g.conns[tracked] = true
 	return tracked, nil
 }
 
-func (g *Gateway) forgetConnection(c net.Conn) {
+func (g *Gateway) untrackConnection(c net.Conn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	delete(g.conns, c)
 }
 
-// trackedConn calls onClose once it is closed, on a goroutine of its own: Close may be called with the gateway locked.
+// trackedConn calls onClose when it is closed for the first time. The call runs on a goroutine of its own, as onClose takes
+// the gateway's lock and Close may be called with the lock held.
 type trackedConn struct {
 	net.Conn
 	once    sync.Once
@@ -194,13 +198,13 @@
 	return err
 }
 
-// readFiles reads the gateway's files whatever its link does: a coordinator that hangs must not keep a gateway from its
-// tables. It ends with the process.
+// readFiles reads and applies the gateway's table files until the process ends. It runs independently of the link, so that a
+// coordinator that hangs does not keep the gateway from applying its tables.
 func (g *Gateway) readFiles(ctx context.Context, acks *ackQueue) {
 	reader := client.NewReader(g.TableDir, g.Name)
 	reader.ChunkSize = g.ReadChunk
 	reader.ChunkDelay = g.ReadPause
-	reader.Poll() // the files of an earlier process are not used: the coordinator writes new ones
+	reader.Poll() // skips the files for an earlier process; the coordinator writes new ones
 	for ctx.Err() == nil {
 		for _, update := range reader.Poll() {
 			g.applyUpdate(update)
@@ -210,8 +214,8 @@
 	}
 }
 
-// startPolls keeps a poll for endpoints and one for routes open until stop is called, which waits for them. What arrives
-// is used at once, as with files.
+// startPolls polls for endpoints and for routes, each on a goroutine of its own, until stop is called. The function stop
+// waits for both goroutines. Documents are applied when they arrive, as with files.
 func (g *Gateway) startPolls(ctx context.Context, addr string, acks *ackQueue) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	node := xds.Node{Name: g.Name, Zone: g.Zone, UsualRate: g.Weight}
@@ -231,7 +235,7 @@
 	}
 }
 
-// ackQueue holds the updates that are still to be acknowledged. It is safe for concurrent use.
+// ackQueue holds the updates with a pending acknowledgement. It is safe for concurrent use.
 type ackQueue struct {
 	mu      sync.Mutex // guards updates
 	updates []client.Update
--- a/emulator/gateway_proxy.go
+++ b/emulator/gateway_proxy.go
@@ -14,15 +14,15 @@
 	"porthub/xds"
 )
 
-// attemptTimeout is how long an attempt may take that is followed by another one.
+// attemptTimeout limits an attempt that may be retried after any failure.
 const attemptTimeout = 600 * time.Millisecond
 
-// statusError is a response other than 200.
+// statusError reports a response with a status other than 200.
 type statusError int
 
-func (e statusError) Error() string { return fmt.Sprintf("answered %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("endpoint responded with status %d", int(e)) }
 
-// handle takes one request of a client through its attempts.
+// handle serves a client's request.
 func (g *Gateway) handle(w http.ResponseWriter, r *http.Request) {
 	class := r.Header.Get(xds.ClassHeader)
 	stats, route, admitted := g.admit(class)
@@ -49,13 +49,13 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// errNoEndpoint is a request for whose class the table has no endpoint.
-var errNoEndpoint = errors.New("no endpoint for the class")
+// errNoEndpoint reports that the table has no endpoint for the class of a request.
+var errNoEndpoint = errors.New("table has no endpoint for the request class")
 
-// forward attempts a request at one endpoint after the other, as its route allows. It returns the last attempt's error,
-// or errNoEndpoint if there was none.
+// forward sends a request to an endpoint and retries it as the route allows, each time at an endpoint other than the last
+// one. It returns the error of the last attempt, or errNoEndpoint if there was no attempt.
 func (g *Gateway) forward(r *http.Request, class string, route routing.Route) error {
-	attempts := g.attempts(route)
+	attempts := g.maxAttempts(route)
 	excluded := ""
 	var err error
 	for attempt := range attempts {
@@ -76,8 +76,8 @@
 	return err
 }
 
-// attempts is how often a request may be attempted by its route.
-func (g *Gateway) attempts(route routing.Route) int {
+// maxAttempts returns how many attempts the route allows.
+func (g *Gateway) maxAttempts(route routing.Route) int {
 	policy := route.RetryPolicy
 	switch {
 	case g.AlwaysRetry || policy == policyapi.RetryTwice:
@@ -89,7 +89,7 @@
 	}
 }
 
-// timeoutFor is how long an attempt may take; 0: as long as the client waits.
+// timeoutFor returns the timeout of an attempt, or 0 if only the client's timeout applies.
 func (g *Gateway) timeoutFor(route routing.Route, last bool) time.Duration {
 	retriesAnyFailure := g.AlwaysRetry || route.RetryPolicy >= policyapi.RetryOnce
 	if last || !retriesAnyFailure {
@@ -98,13 +98,13 @@
 	return attemptTimeout
 }
 
-// mayRetry reports whether a failed attempt may be followed by another one.
+// mayRetry reports whether the route allows a retry after the error.
 func (g *Gateway) mayRetry(route routing.Route, err error) bool {
 	onlyIfRejected := route.RetryPolicy == policyapi.RetryIfNotExecuted && !g.AlwaysRetry
 	return !onlyIfRejected || errors.Is(err, errRejected)
 }
 
-// admit counts a request of a class and takes a token of its route's rate.
+// admit counts a request and decides by the share and the rate of its route whether it is admitted.
 func (g *Gateway) admit(class string) (stats *classStats, route routing.Route, admitted bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -134,7 +134,8 @@
 	return bucket.take(route.Rate, now)
 }
 
-// route returns the route of a class, by its fallback if there was no contact with the coordinator for long.
+// route returns the route of a class as it applies after the time since the last contact with the coordinator. A class
+// without a route is admitted without limits.
 func (g *Gateway) route(class string) routing.Route {
 	for _, route := range g.tables.Snapshot.Routes {
 		if route.Class != class {
@@ -154,8 +155,8 @@
 	return g.balancer.pick(g.tables.Snapshot.Clusters, class, excluded, g.world.Now(), g.rng)
 }
 
-// attempt sends a request to an endpoint and counts the outcome. Its error is an errRejected where it is certain that
-// nothing ran. A timeout of 0 is none.
+// attempt sends a request to an endpoint and records the outcome. The error matches errRejected if the request was certainly
+// not executed. With a timeout of 0, only the client's timeout applies.
 func (g *Gateway) attempt(r *http.Request, class string, endpoint routing.ClusterEndpoint, timeout time.Duration) error {
 	ctx := r.Context()
 	if timeout > 0 {
@@ -171,7 +172,7 @@
 	stats := g.stats.class(class).endpoint(addr, zone)
 	stats.inFlight++
 	g.mu.Unlock()
-	load, err := g.exchange(ctx, addr, zone, r)
+	load, err := g.roundTrip(ctx, addr, zone, r)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	stats.inFlight--
@@ -189,8 +190,8 @@
 	return nil
 }
 
-// exchange sends a request to an endpoint and returns the load that the endpoint reports of itself.
-func (g *Gateway) exchange(ctx context.Context, addr, zone string, r *http.Request) (map[string]float64, error) {
+// roundTrip sends a request to an endpoint and returns the load that the endpoint reports with its response.
+func (g *Gateway) roundTrip(ctx context.Context, addr, zone string, r *http.Request) (map[string]float64, error) {
 	if err := g.waitIfBlocked(ctx, zone); err != nil {
 		return nil, err
 	}
@@ -217,7 +218,7 @@
 	switch {
 	case err != nil:
 		return nil, err
-	case response.Header.Get(headerDenied) != "":
+	case response.Header.Get(headerRejected) != "":
 		return nil, errRejected
 	case response.StatusCode != http.StatusOK:
 		return nil, statusError(response.StatusCode)
@@ -225,7 +226,8 @@
 	return xds.ParseORCA(response.Header.Get(xds.ORCAHeader)), nil
 }
 
-// waitIfBlocked waits for the end of a request that can't reach its zone: nothing comes back, not even a refusal.
+// waitIfBlocked blocks until the request ends if a partition separates the gateway from the zone: neither a response nor a
+// connection refusal arrives through a partition.
 func (g *Gateway) waitIfBlocked(ctx context.Context, zone string) error {
 	if !g.world.Blocked(g.Zone, zone) {
 		return nil
--- a/emulator/gateway_stats.go
+++ b/emulator/gateway_stats.go
@@ -8,7 +8,7 @@
 	"porthub/xds"
 )
 
-// reportStats is what a gateway counts for its next load report.
+// reportStats holds a gateway's counts for its next load report.
 type reportStats struct {
 	since   time.Time
 	classes map[string]*classStats
@@ -22,8 +22,8 @@
 type endpointStats struct {
 	zone                       string
 	attempts, failed, inFlight int
-	latency                    time.Duration // of all that succeeded
-	load                       map[string]float64
+	latency                    time.Duration      // sum over the successful attempts
+	load                       map[string]float64 // as last reported by the endpoint
 	loadReports                int
 }
 
@@ -49,7 +49,7 @@
 	return endpoint
 }
 
-// collectReport returns the counts since the last report and begins a new interval.
+// collectReport returns the counts since the last report and starts a new interval.
 func (g *Gateway) collectReport() (interval time.Duration, classes []xds.ClassReport) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,7 +66,7 @@
 	return interval, classes
 }
 
-// collect returns the counts and resets them; requests in flight stay.
+// collect returns the counts and resets them, except for the requests in flight.
 func (s *classStats) collect(name string) xds.ClassReport {
 	report := xds.ClassReport{Class: name, Arrived: s.arrived, Rejected: s.rejected, Failures: s.failed}
 	for _, addr := range slices.Sorted(maps.Keys(s.endpoints)) {
--- a/emulator/gateway_tables.go
+++ b/emulator/gateway_tables.go
@@ -6,14 +6,15 @@
 	"porthub/routing"
 )
 
-// minOwnZone is how many endpoints of its own zone a gateway needs for an initial table of that zone alone.
-const minOwnZone = 3
+// minOwnZoneEndpoints is the number of endpoints in a gateway's zone from which its initial table is restricted to that zone.
+const minOwnZoneEndpoints = 3
 
-// initialTable draws some endpoints of the list, of the gateway's own zone if it has enough.
+// initialTable returns a table of randomly selected endpoints, from the gateway's own zone if that has enough. With
+// UseAllEndpoints it contains all endpoints that are not draining.
 func (g *Gateway) initialTable() routing.Snapshot {
 	ready := withoutDraining(g.List())
 	if g.UseAllEndpoints {
-		return tableOf(g.Classes, ready)
+		return uniformTable(g.Classes, ready)
 	}
 	var chosen []ListEntry
 	for _, entry := range ready {
@@ -21,11 +22,11 @@
 			chosen = append(chosen, entry)
 		}
 	}
-	if len(chosen) < minOwnZone {
+	if len(chosen) < minOwnZoneEndpoints {
 		chosen = ready
 	}
 	g.rng.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-	return tableOf(g.Classes, chosen[:min(len(chosen), g.InitialTableSize)])
+	return uniformTable(g.Classes, chosen[:min(len(chosen), g.InitialTableSize)])
 }
 
 func withoutDraining(list []ListEntry) []ListEntry {
@@ -38,8 +39,8 @@
 	return ready
 }
 
-// tableOf has the same endpoints for each class, and admits everything.
-func tableOf(classes []string, list []ListEntry) routing.Snapshot {
+// uniformTable returns a table with the same endpoints for each class and without admission limits.
+func uniformTable(classes []string, list []ListEntry) routing.Snapshot {
 	var table routing.Snapshot
 	for _, class := range classes {
 		cluster := routing.Cluster{Class: class}
@@ -54,23 +55,23 @@
 }
 
 func clusterEndpoint(entry ListEntry) routing.ClusterEndpoint {
-	const minWeight = 1e-3 // an endpoint without a weight is still in the table
+	const minWeight = 1e-3 // keeps an endpoint without a weight in the table
 	return routing.ClusterEndpoint{Endpoint: policyapi.EndpointID(entry.Addr), Zone: policyapi.Zone(entry.Zone), Weight: max(entry.Weight, minWeight)}
 }
 
-// RefreshEndpoints passes the present list to a gateway that uses all endpoints.
+// RefreshEndpoints applies the current list if the gateway is running with UseAllEndpoints.
 func (g *Gateway) RefreshEndpoints() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.UseAllEndpoints || !g.running {
 		return
 	}
-	g.tables.Snapshot = tableOf(g.Classes, withoutDraining(g.List()))
+	g.tables.Snapshot = uniformTable(g.Classes, withoutDraining(g.List()))
 	now := g.world.Now()
 	g.world.Log.TableApplied(now, now, g.Name, "", g.tables.Snapshot)
 }
 
-// applyUpdate uses a document that was read.
+// applyUpdate applies a received document to the tables and records it in the audit log.
 func (g *Gateway) applyUpdate(u client.Update) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -89,7 +90,7 @@
 	g.world.Log.TableApplied(at, written, g.Name, u.Document.Version, g.tables.Snapshot)
 }
 
-// currentTables returns what the gateway has from the coordinator.
+// currentTables returns the gateway's tables.
 func (g *Gateway) currentTables() client.Tables {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -14,31 +14,31 @@
 // LightClass is a request class of a light gateway.
 type LightClass struct {
 	Name       string
-	Rate       float64 // requests per second that arrive
+	Rate       float64 // arriving requests per second
 	Idempotent bool
 }
 
-// LightGatewayOptions are how a light gateway is set up.
+// LightGatewayOptions configure a light gateway.
 type LightGatewayOptions struct {
 	Name, Zone   string
 	Classes      []LightClass
 	Endpoints    map[string]*LightEndpoint
-	Coordinator  func() string // returns its address; empty: there is none
+	Coordinator  func() string // returns the coordinator's address; empty: none
 	ReportPeriod time.Duration
 	Tally        *LightTally
-	// Corrupt changes each table before it is used, so that the audit can be seen to find it. It may be nil.
+	// Corrupt changes each table before it is used, to check that the audit detects the violation. It may be nil.
 	Corrupt func(*routing.Snapshot)
-	// OnTable is called with each table that is used from then on.
+	// OnTable is called with each table when it is put to use.
 	OnTable func(routing.Snapshot)
 }
 
 // LightTally sums up the outcomes of all light gateways of a run. It is safe for concurrent use.
 type LightTally struct {
-	Attempts, Failures, Rejected atomic.Int64 // attempts at endpoints; requests that were not admitted
-	Reports                      atomic.Int64 // that were accepted
-	Deferred                     atomic.Int64 // reports that were rejected
-	LateResponses                atomic.Int64 // to reports, after more than a period
-	Throttled                    atomic.Int64 // reports after a longer interval that the coordinator requested
+	Attempts, Failures, Rejected atomic.Int64 // attempts at endpoints, failed attempts, and requests that were not admitted
+	Reports                      atomic.Int64 // load reports that were accepted
+	Deferred                     atomic.Int64 // load reports that were rejected
+	LateResponses                atomic.Int64 // responses that arrived more than a report period after their report
+	Throttled                    atomic.Int64 // accepted reports for which the coordinator had requested a longer interval
 	Disconnects                  atomic.Int64
 
 	responseTimes *Tally
@@ -47,42 +47,43 @@
 // NewLightTally returns an empty tally.
 func NewLightTally() *LightTally { return &LightTally{responseTimes: NewTally()} }
 
-// ResponseTimes are the times from sending a report to its response.
+// ResponseTimes returns the tally of the times from sending a report to its response.
 func (t *LightTally) ResponseTimes() *Tally { return t.responseTimes }
 
-// LightGateway polls for its tables each period, acknowledges, reports, and counts at light endpoints what it would send.
+// LightGateway polls for its tables each period, acknowledges them and reports its load. It does not send requests, but
+// counts them at light endpoints.
 type LightGateway struct {
 	LightGatewayOptions
 	world *World
 
-	muted     atomic.Bool
-	connected atomic.Bool
-	reported  atomic.Bool
+	reportingStopped atomic.Bool
+	connected        atomic.Bool
+	reported         atomic.Bool
 
-	// All below belongs to the goroutine of Run.
+	// Only the goroutine of Run uses the fields below.
 	rng         *rand.Rand
 	table       routing.Snapshot
 	versions    [routing.DocumentCount]string
 	traffic     []lightTraffic // by class
-	sentUntil   time.Duration  // up to when requests have been counted
-	lastContact time.Duration  // when the coordinator last responded
+	sentUntil   time.Duration  // time up to which requests have been counted
+	lastContact time.Duration  // time of the coordinator's last response
 	reports     lightReports
 }
 
-// lightTraffic is what a gateway counts of a class for its next report.
+// lightTraffic holds a gateway's counts of a class for its next report.
 type lightTraffic struct {
 	arrived, rejected, failed int
 	endpoints                 map[string]*xds.EndpointReport
-	fraction                  float64 // of a request that has arrived
+	fraction                  float64 // remainder of the arrivals, below one request
 }
 
-// lightReports numbers reports and records where the next one begins.
+// lightReports tracks the load reports of a gateway.
 type lightReports struct {
-	since  time.Duration
-	number uint64
+	since  time.Duration // start of the next report's interval
+	number uint64        // number of the last report
 }
 
-// NewLightGateway prepares a gateway with an initial table.
+// NewLightGateway returns a gateway with a table of the initial endpoints. Run runs it.
 func NewLightGateway(w *World, o LightGatewayOptions, initial []ListEntry) *LightGateway {
 	g := &LightGateway{LightGatewayOptions: o, world: w, rng: w.Rand("light " + o.Name)}
 	var classes []string
@@ -90,7 +91,7 @@
 		classes = append(classes, class.Name)
 		g.traffic = append(g.traffic, lightTraffic{endpoints: map[string]*xds.EndpointReport{}, fraction: g.rng.Float64()})
 	}
-	g.table = tableOf(classes, initial)
+	g.table = uniformTable(classes, initial)
 	now := w.Now()
 	w.Log.TableApplied(now, now, o.Name, "", g.table)
 	g.sentUntil = now
@@ -98,21 +99,21 @@
 	return g
 }
 
-// StopReporting stops its reports; it stays connected.
-func (g *LightGateway) StopReporting() { g.muted.Store(true) }
+// StopReporting stops the load reports. The gateway stays connected.
+func (g *LightGateway) StopReporting() { g.reportingStopped.Store(true) }
 
-// Connected reports whether it is connected to the coordinator.
+// Connected reports whether the gateway is connected to the coordinator.
 func (g *LightGateway) Connected() bool { return g.connected.Load() }
 
-// Reported reports whether a load report of it has been accepted.
+// Reported reports whether the coordinator has accepted a load report of the gateway.
 func (g *LightGateway) Reported() bool { return g.reported.Load() }
 
-// Run goes on until the context ends; a broken connection is dialled again after a pause.
+// Run runs the gateway until the context ends. It reconnects with a randomized exponential backoff.
 func (g *LightGateway) Run(ctx context.Context) {
 	const (
 		minBackoff      = 100 * time.Millisecond
 		maxBackoff      = 2 * time.Second
-		stableAfter     = 2 * time.Second // a connection that lasted so long resets the backoff
+		stableAfter     = 2 * time.Second // a connection that lasts longer resets the backoff
 		randomizedShare = 0.5
 	)
 	backoff := minBackoff
@@ -141,7 +142,7 @@
 	}
 }
 
-// send counts what it has sent since the last time, by the table that it has had all the while.
+// send counts the requests since the last call, by the table that was in use during that time.
 func (g *LightGateway) send() {
 	now := g.world.Now()
 	elapsed := (now - g.sentUntil).Seconds()
@@ -159,7 +160,7 @@
 	}
 }
 
-// admit returns how many of the requests that arrived within a time its route admits.
+// admit returns how many of the requests that arrived within the elapsed seconds the route admits.
 func (g *LightGateway) admit(route routing.Route, requests int, elapsed float64, now time.Duration) int {
 	if g.lastContact > 0 {
 		route = route.WithoutCoordinator(policyapi.Microseconds((now - g.lastContact).Microseconds()))
@@ -171,8 +172,8 @@
 	return min(admitted, requests)
 }
 
-// distribute sends requests of a class to the endpoints by their weights. A draw decides which endpoints get what is left
-// of whole numbers.
+// distribute sends requests of a class to the endpoints in proportion to their weights. A random start position decides
+// which endpoints get the requests that remain after rounding down.
 func (g *LightGateway) distribute(class, requests int) {
 	endpoints := g.table.Clusters[class].Endpoints
 	total := 0.0
@@ -210,7 +211,7 @@
 		stats = &xds.EndpointReport{Address: name, Zone: string(to.Zone), MeanLatency: reportedLatency}
 		traffic.endpoints[name] = stats
 	}
-	failed := attempts // at an endpoint that is not there
+	failed := attempts // all attempts at an unknown endpoint fail
 	if endpoint := g.Endpoints[name]; endpoint != nil {
 		failed = endpoint.receive(g.Name, attempts)
 		utilization, queue := endpoint.Load()
@@ -224,7 +225,7 @@
 	g.Tally.Failures.Add(int64(failed))
 }
 
-// totalRate is the requests per second of all classes.
+// totalRate returns the arriving requests per second of all classes.
 func (g *LightGateway) totalRate() float64 {
 	sum := 0.0
 	for _, class := range g.Classes {
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -18,18 +18,18 @@
 	"porthub/xds"
 )
 
-// lightLink is a light gateway's connection to the coordinator. It belongs to the goroutine of Run.
+// lightLink is a light gateway's connection to the coordinator. Only the goroutine of Run uses it.
 type lightLink struct {
 	gateway *LightGateway
 	conn    net.Conn
 	reader  *bufio.Reader
 
 	nextReport        time.Time
-	interval          time.Duration // until the report after the next
-	requestedInterval time.Duration // interval that the coordinator requested
+	interval          time.Duration // between reports
+	requestedInterval time.Duration // as last requested by the coordinator
 }
 
-// runConnection dials the coordinator, then polls, reports and sends until the connection or the context ends.
+// runConnection dials the coordinator, then polls, reports and counts requests until the connection or the context ends.
 func (g *LightGateway) runConnection(ctx context.Context, addr string) error {
 	conn, err := (&net.Dialer{Timeout: 5 * time.Second}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -47,26 +47,27 @@
 	return ctx.Err()
 }
 
-// runPeriod polls for both documents, reports if that is due, and sends for the rest of the period.
+// runPeriod polls for both documents, sends a report if one is due, and counts requests for the rest of the period.
 func (l *lightLink) runPeriod(ctx context.Context) error {
 	g := l.gateway
 	next := time.Now().Add(g.ReportPeriod)
 	if g.versions[0] == "" {
-		next = l.nextReport // spreads the reports of gateways that connect at once, from the first one on
+		next = l.nextReport // a random end of the first period spreads the reports of gateways that connect at once
 	}
 	for document := range routing.DocumentCount {
 		if err := l.poll(document); err != nil {
 			return err
 		}
 	}
-	if time.Until(l.nextReport) < g.ReportPeriod/8 && !g.muted.Load() {
+	if time.Until(l.nextReport) < g.ReportPeriod/8 && !g.reportingStopped.Load() {
 		if err := l.report(); err != nil {
 			return err
 		}
 	}
-	// Requests are sent all the time: counted at once, those of a second would arrive at an endpoint at one moment.
-	const shortest = 10 * time.Millisecond
-	until := min(time.Until(next), max(time.Until(l.nextReport), shortest))
+	// Requests are counted in steps throughout the period. If they were counted once, the requests of a second would
+	// arrive at an endpoint at the same moment.
+	const minWait = 10 * time.Millisecond
+	until := min(time.Until(next), max(time.Until(l.nextReport), minWait))
 	for until > 0 && ctx.Err() == nil {
 		step := min(until, g.ReportPeriod/4)
 		until -= step
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// report sends a load report. If the coordinator rejects it, its counts go into the next one.
+// report sends a load report. If the coordinator rejects it, the next report includes its counts.
 func (l *lightLink) report() error {
 	g := l.gateway
 	message := g.loadReport()
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// reportAccepted counts an accepted report and takes the interval that the coordinator requests.
+// reportAccepted counts an accepted report and applies the interval that the coordinator requests.
 func (l *lightLink) reportAccepted(responseTime time.Duration, body []byte) {
 	g := l.gateway
 	g.Tally.Reports.Add(1)
@@ -108,15 +109,15 @@
 	if l.requestedInterval > g.ReportPeriod {
 		g.Tally.Throttled.Add(1)
 	}
-	answer := &loadv3.LoadStatsResponse{}
-	if err := xds.Decode(body, answer); err != nil {
+	response := &loadv3.LoadStatsResponse{}
+	if err := xds.Decode(body, response); err != nil {
 		return
 	}
-	l.interval = max(answer.GetLoadReportingInterval().AsDuration(), g.ReportPeriod)
+	l.interval = max(response.GetLoadReportingInterval().AsDuration(), g.ReportPeriod)
 	l.requestedInterval = l.interval
 }
 
-// loadReport reports what was sent since the last accepted report.
+// loadReport returns a report of the requests since the last accepted report.
 func (g *LightGateway) loadReport() *loadv3.LoadStatsRequest {
 	g.send()
 	interval := g.sentUntil - g.reports.since
@@ -132,7 +133,7 @@
 	return xds.NewLoadReport(xds.Node{Name: g.Name, Zone: g.Zone, ReportNumber: g.reports.number, Polls: true}, interval, classes)
 }
 
-// resetReport begins the next report where the accepted one ended.
+// resetReport resets the counts. The next report begins where the accepted one ended.
 func (g *LightGateway) resetReport() {
 	g.reports.since = g.sentUntil
 	for i := range g.traffic {
@@ -144,9 +145,9 @@
 	}
 }
 
-// poll requests a document until the gateway has the last version. A request acknowledges the version before.
+// poll requests a document until the gateway has its latest version. Each request acknowledges the previous version.
 func (l *lightLink) poll(document int) error {
-	const maxVersions = 10 // at once; the rest with the next period
+	const maxVersions = 10 // per period; the remaining versions follow in the next one
 	at := l.gateway.world.Now()
 	for range maxVersions {
 		more, err := l.pollOnce(document, at)
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// pollOnce requests a document once; more reports whether it was a new version. At is when the connection is taken to
-// have been made.
+// pollOnce requests a document once. The result more reports whether a new version arrived. If this is the first response
+// on the connection, the audit log gets at as the time of the connection.
 func (l *lightLink) pollOnce(document int, at time.Duration) (more bool, err error) {
 	g := l.gateway
 	path, resourceType := xds.EndpointPath, xds.EndpointType
@@ -192,16 +193,16 @@
 	return true, g.apply(document, message)
 }
 
-// routesDocument is the position of the routes among the documents; the endpoints are before them.
+// routesDocument is the index of the routes in versions. The endpoints have index 0.
 const routesDocument = 1
 
-// apply uses a document from now on.
+// apply applies a document to the table and records it in the audit log.
 func (g *LightGateway) apply(document int, message *discoveryv3.DiscoveryResponse) error {
 	received, err := xds.ParseResponse(message)
 	if err != nil {
 		return err
 	}
-	g.send() // by the table until now
+	g.send() // counts the requests up to now by the previous table
 	if document == routesDocument {
 		g.table.Routes = received.Routes
 	} else {
@@ -211,7 +212,7 @@
 		g.Corrupt(&g.table)
 	}
 	if document == routesDocument {
-		g.auditRetries(g.table.Routes)
+		g.recordForbiddenRetries(g.table.Routes)
 	}
 	g.versions[document] = message.VersionInfo
 	now := g.world.Now()
@@ -220,8 +221,9 @@
 	return nil
 }
 
-// auditRetries counts an order to retry what must not be executed twice as a request that was.
-func (g *LightGateway) auditRetries(routes []routing.Route) {
+// recordForbiddenRetries records a duplicate execution for each route that orders retries after any failure though its
+// class is not idempotent.
+func (g *LightGateway) recordForbiddenRetries(routes []routing.Route) {
 	for i, route := range routes {
 		if route.RetryPolicy < policyapi.RetryOnce || g.Classes[i].Idempotent {
 			continue
@@ -232,15 +234,16 @@
 	}
 }
 
-// sendRequest sends a message and reads the response. It writes HTTP by hand: thousands of gateways share the process.
+// sendRequest sends a message and reads the response. It writes the HTTP request itself, without an http.Client, because
+// thousands of gateways share the process.
 func (l *lightLink) sendRequest(path string, message proto.Message) (body []byte, status int, err error) {
-	text, err := proto.Marshal(message)
+	payload, err := proto.Marshal(message)
 	if err != nil {
 		return nil, 0, err
 	}
 	_ = l.conn.SetDeadline(time.Now().Add(20 * time.Second))
-	request := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: %d\r\n\r\n", path, len(text))
-	if _, err := l.conn.Write(append(request, text...)); err != nil {
+	request := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: %d\r\n\r\n", path, len(payload))
+	if _, err := l.conn.Write(append(request, payload...)); err != nil {
 		return nil, 0, err
 	}
 	response, err := http.ReadResponse(l.reader, nil)
--- a/emulator/request.go
+++ b/emulator/request.go
@@ -9,19 +9,19 @@
 	"porthub/xds"
 )
 
-// The headers of a request on its way.
+// The headers that describe a request and its outcome.
 const (
-	headerRequest = "x-req"        // its number
-	headerAttempt = "x-client-try" // the client's attempt, from 0
-	headerWork    = "x-work-us"    // core time that it takes at full capacity, microseconds
-	headerGateway = "x-gateway"
-	headerDenied  = "x-denied" // of a response: the request was rejected before it ran
+	headerRequest  = "x-req"        // number of the request
+	headerAttempt  = "x-client-try" // number of the client's attempt, from 0
+	headerWork     = "x-work-us"    // core time that the request takes at full capacity, in microseconds
+	headerGateway  = "x-gateway"    // name of the gateway that forwards the request
+	headerRejected = "x-denied"     // set on a response if the request was rejected before it was executed
 )
 
-// errRejected is a response that proves that the request never ran.
-var errRejected = errors.New("rejected before it ran")
+// errRejected reports that a request was certainly not executed.
+var errRejected = errors.New("request rejected before it was executed")
 
-// workRequest is a request as its headers describe it.
+// workRequest holds the properties of a request that its headers carry.
 type workRequest struct {
 	class         string
 	number        uint64
@@ -30,7 +30,7 @@
 	gateway       string
 }
 
-// readWorkRequest reads the headers; what is missing or malformed is zero.
+// readWorkRequest reads the headers. A missing or malformed value is zero.
 func readWorkRequest(r *http.Request) workRequest {
 	number, _ := strconv.ParseUint(r.Header.Get(headerRequest), 10, 64)
 	attempt, _ := strconv.Atoi(r.Header.Get(headerAttempt))
@@ -44,8 +44,8 @@
 	}
 }
 
-// reject responds that a request was rejected before it ran.
+// reject responds that a request was rejected before it was executed.
 func reject(w http.ResponseWriter) {
-	w.Header().Set(headerDenied, "1")
+	w.Header().Set(headerRejected, "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
--- a/emulator/tally.go
+++ b/emulator/tally.go
@@ -8,98 +8,98 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// ClassZone is a request class in a zone.
+// ClassZone identifies the requests of a class in a zone.
 type ClassZone struct{ Class, Zone string }
 
-// Totals is the demand on a fleet and what it served.
+// Totals sums up requests and their outcomes.
 type Totals struct {
 	Requests, OnTime, Late int
-	Demanded, Earned       float64 // priority weight
+	Demanded, Earned       float64 // priority weight of all requests, and the part that was earned by responses
 }
 
-// Add returns the sum of both.
-func (s Totals) Add(o Totals) Totals {
+// Add returns the sum of two totals.
+func (t Totals) Add(o Totals) Totals {
 	return Totals{
-		Requests: s.Requests + o.Requests,
-		OnTime:   s.OnTime + o.OnTime,
-		Late:     s.Late + o.Late,
-		Demanded: s.Demanded + o.Demanded,
-		Earned:   s.Earned + o.Earned,
+		Requests: t.Requests + o.Requests,
+		OnTime:   t.OnTime + o.OnTime,
+		Late:     t.Late + o.Late,
+		Demanded: t.Demanded + o.Demanded,
+		Earned:   t.Earned + o.Earned,
 	}
 }
 
-// Service is the earned part of the demanded priority weight; 1 if nothing was demanded.
-func (s Totals) Service() float64 {
-	if s.Demanded == 0 {
+// Service returns the fraction of the demanded priority weight that was earned, or 1 if there was no demand.
+func (t Totals) Service() float64 {
+	if t.Demanded == 0 {
 		return 1
 	}
-	return s.Earned / s.Demanded
+	return t.Earned / t.Demanded
 }
 
-// with returns the sum and the outcome of one more request.
-func (s Totals) with(class Class, answered bool, latency time.Duration) Totals {
-	s.Requests++
-	s.Demanded += class.PriorityWeight
+// with returns the totals with the outcome of one more request added.
+func (t Totals) with(class Class, answered bool, latency time.Duration) Totals {
+	t.Requests++
+	t.Demanded += class.PriorityWeight
 	if !answered {
-		return s
+		return t
 	}
 	if latency <= class.LatencyObjective {
-		s.OnTime++
-		s.Earned += class.PriorityWeight
-		return s
+		t.OnTime++
+		t.Earned += class.PriorityWeight
+		return t
 	}
-	s.Late++
-	s.Earned += class.PriorityWeight * class.LateShare
-	return s
+	t.Late++
+	t.Earned += class.PriorityWeight * class.LateShare
+	return t
 }
 
 // Tally sums up the outcomes of the requests of a run. It is safe for concurrent use.
 type Tally struct {
-	mu        sync.Mutex // guards all below
-	cells     map[ClassZone]Totals
+	mu        sync.Mutex // guards the fields below
+	totals    map[ClassZone]Totals
 	seconds   []Totals // by the second in which requests arrived
 	latencies *hdrhistogram.Histogram
 }
 
 // NewTally returns an empty tally.
 func NewTally() *Tally {
-	const maxLatency = 60_000_000 // microseconds
-	return &Tally{cells: map[ClassZone]Totals{}, latencies: hdrhistogram.New(1, maxLatency, 3)}
+	const maxLatency = 60_000_000 // in microseconds
+	return &Tally{totals: map[ClassZone]Totals{}, latencies: hdrhistogram.New(1, maxLatency, 3)}
 }
 
-// record adds the outcome of a request that arrived at a time.
-func (t *Tally) record(cell ClassZone, at time.Duration, class Class, answered bool, latency time.Duration) {
+// record adds the outcome of a request that arrived at the given time.
+func (t *Tally) record(key ClassZone, at time.Duration, class Class, answered bool, latency time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	second := int(at / time.Second)
 	for len(t.seconds) <= second {
 		t.seconds = append(t.seconds, Totals{})
 	}
-	t.cells[cell] = t.cells[cell].with(class, answered, latency)
+	t.totals[key] = t.totals[key].with(class, answered, latency)
 	t.seconds[second] = t.seconds[second].with(class, answered, latency)
 	if answered {
 		_ = t.latencies.RecordValue(max(1, latency.Microseconds()))
 	}
 }
 
-// RecordLatency adds the latency of a response alone.
+// RecordLatency adds a latency to the histogram without counting a request.
 func (t *Tally) RecordLatency(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_ = t.latencies.RecordValue(max(1, d.Microseconds()))
 }
 
-// Totals returns the cells and their total.
-func (t *Tally) Totals() (cells map[ClassZone]Totals, total Totals) {
+// Totals returns the totals of each class and zone, and their sum.
+func (t *Tally) Totals() (byClassZone map[ClassZone]Totals, total Totals) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, sum := range t.cells {
-		total = total.Add(sum)
+	for _, totals := range t.totals {
+		total = total.Add(totals)
 	}
-	return maps.Clone(t.cells), total
+	return maps.Clone(t.totals), total
 }
 
-// WorstService is the service of the worst window of so many seconds.
+// WorstService returns the lowest service in any window of the given number of seconds.
 func (t *Tally) WorstService(seconds int) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +110,7 @@
 	return worst
 }
 
-// ServiceBetween is the service of the requests that arrived in the whole seconds between two times.
+// ServiceBetween returns the service of the requests that arrived in the whole seconds between two times.
 func (t *Tally) ServiceBetween(from, to time.Duration) float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,15 +122,15 @@
 	return serviceOf(t.seconds[first:last])
 }
 
-// ServiceByWindow is the service of each window of so many seconds.
+// ServiceByWindow returns the service in consecutive windows of the given number of seconds. The last one may be shorter.
 func (t *Tally) ServiceByWindow(seconds int) []float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []float64
+	var services []float64
 	for i := 0; i < len(t.seconds); i += seconds {
-		out = append(out, serviceOf(t.seconds[i:min(len(t.seconds), i+seconds)]))
+		services = append(services, serviceOf(t.seconds[i:min(len(t.seconds), i+seconds)]))
 	}
-	return out
+	return services
 }
 
 func serviceOf(seconds []Totals) float64 {
@@ -141,7 +141,7 @@
 	return total.Service()
 }
 
-// Latencies returns the latencies of responses, in microseconds, retries included.
+// Latencies returns the histogram of response latencies in microseconds. They include the time of retries.
 func (t *Tally) Latencies() *hdrhistogram.Histogram {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/emulator/world.go
+++ b/emulator/world.go
@@ -9,7 +9,7 @@
 	"porthub/audit"
 )
 
-// World is what all emulated processes of one run share. It is safe for concurrent use.
+// World holds the state that all emulated processes of a run share. It is safe for concurrent use.
 type World struct {
 	Start time.Time
 	Log   *audit.Log
@@ -17,45 +17,46 @@
 	Seed  uint64
 
 	mu          sync.Mutex      // guards partitioned
-	partitioned map[string]bool // zones that are cut off from the others
+	partitioned map[string]bool // zones that are disconnected from all other zones
 }
 
-// WarmUpRules are how endpoints warm up and when they collapse. The zero value has no warm-up.
+// WarmUpRules define how endpoints warm up and when overload makes them collapse. With the zero value, endpoints have their
+// full capacity from the start.
 type WarmUpRules struct {
 	WarmUp          time.Duration
-	InitialCapacity float64 // at the beginning, as a part of the full capacity
-	OverloadFactor  float64 // work that an endpoint withstands while it warms up, as a multiple of its capacity
+	InitialCapacity float64 // at the start, as a fraction of the full capacity
+	OverloadFactor  float64 // work per overload window beyond which a warming endpoint collapses, as a multiple of its capacity
 	OverloadWindow  time.Duration
 }
 
-// capacity is the part of its full capacity that an endpoint has at an age: it grows linearly.
+// capacity returns the capacity of a warming endpoint as a fraction of its full capacity. It grows linearly with its age.
 func (r WarmUpRules) capacity(age time.Duration) float64 {
 	return r.InitialCapacity + (1-r.InitialCapacity)*float64(age)/float64(r.WarmUp)
 }
 
-// NewWorld starts the clock of a run.
+// NewWorld returns a World whose clock starts now.
 func NewWorld(log *audit.Log, rules WarmUpRules, seed uint64) *World {
 	return &World{Start: time.Now(), Log: log, Rules: rules, Seed: seed, partitioned: map[string]bool{}}
 }
 
-// Now is the time since the start.
+// Now returns the time since the start of the run.
 func (w *World) Now() time.Duration { return time.Since(w.Start) }
 
-// Rand returns a source of random numbers for a name. It is the same in each run with the same seed.
+// Rand returns a random number generator for a name. It yields the same sequence in each run with the same seed.
 func (w *World) Rand(name string) *rand.Rand {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return rand.New(rand.NewPCG(w.Seed, h.Sum64()))
 }
 
-// SetPartitioned cuts a zone off from the others, or connects it again.
+// SetPartitioned disconnects a zone from all other zones, or reconnects it.
 func (w *World) SetPartitioned(zone string, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.partitioned[zone] = on
 }
 
-// Blocked reports whether nothing passes between two zones.
+// Blocked reports whether a partition separates two zones.
 func (w *World) Blocked(a, b string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
