--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -12,8 +12,8 @@
 
 const s = time.Second
 
-// runEnd is how long the days of the tests last.
-const runEnd = 40 * s
+// runLength is the length of the runs in the tests.
+const runLength = 40 * s
 
 func testLimits() Limits {
 	return Limits{EmptyTableLimit: 5 * s, DrainGracePeriod: 3 * s, DrainAppliesToRemoved: true, WarmUp: 17 * s, InitialCapacity: 0.16,
@@ -21,24 +21,26 @@
 		Classes: []Class{{Name: "view", Idempotent: true}, {Name: "save"}}}
 }
 
-// longAgo is an endpoint that is warmed up.
-func longAgo(state EndpointState) ListedEndpoint {
+// warmEndpoint returns the list entry of a warmed-up endpoint.
+func warmEndpoint(state EndpointState) ListedEndpoint {
 	return ListedEndpoint{State: state, StartedAt: -time.Hour, Zone: "a"}
 }
 
-// unknownStart is an endpoint whose start is not in the list.
-func unknownStart(state EndpointState) ListedEndpoint { return ListedEndpoint{State: state} }
+// endpointWithoutStart returns a list entry without a start time.
+func endpointWithoutStart(state EndpointState) ListedEndpoint { return ListedEndpoint{State: state} }
 
+// startedAt returns the list entry of a ready endpoint that started at the given time.
 func startedAt(at time.Duration) ListedEndpoint { return ListedEndpoint{State: Ready, StartedAt: at} }
 
-// calmDay has one gateway connected from the start, one warmed-up endpoint and one that starts at 20 s.
-func calmDay() *Log {
+// normalRun returns the log of a run in which no rule is violated. One gateway is connected from 1 s on. Endpoint n1 is
+// warmed up, and endpoint n2 starts at 20 s.
+func normalRun() *Log {
 	l := NewLog(testLimits())
 	l.CoordinatorRunning(0, true)
 	l.EndpointStarted(0, "n1", 2, false)
 	l.EndpointStarted(20*s, "n2", 2, true)
 	l.GatewayConnected(s, "gw", true)
-	l.EndpointList(0, map[string]ListedEndpoint{"n1": longAgo(Ready)})
+	l.EndpointList(0, map[string]ListedEndpoint{"n1": warmEndpoint(Ready)})
 	l.EndpointList(21*s, map[string]ListedEndpoint{"n1": {State: Ready, StartedAt: -time.Hour}, "n2": startedAt(20 * s)})
 	l.TableApplied(s, s, "gw", "e.1", tableOf("n1"))
 	l.VersionAcknowledged(s+s/10, "gw", "e.1")
@@ -47,7 +49,7 @@
 	return l
 }
 
-// tableOf has the endpoints for both classes.
+// tableOf returns a table with the given endpoints for both classes.
 func tableOf(endpoints ...policyapi.EndpointID) routing.Snapshot {
 	var table routing.Snapshot
 	for _, class := range []string{"view", "save"} {
@@ -60,48 +62,48 @@
 	return table
 }
 
-// drainFirst lists n1 as draining.
-func drainFirst(l *Log, at time.Duration) {
-	l.EndpointList(at, map[string]ListedEndpoint{"n1": unknownStart(Draining), "n2": unknownStart(Ready)})
+// listN1Draining lists n1 as draining.
+func listN1Draining(l *Log, at time.Duration) {
+	l.EndpointList(at, map[string]ListedEndpoint{"n1": endpointWithoutStart(Draining), "n2": endpointWithoutStart(Ready)})
 }
 
-// evaluationCase is a course of events after a calm day, and what a rule's verdict must be.
+// evaluationCase adds events to a normal run and states the expected verdict of a rule.
 type evaluationCase struct {
 	name     string
 	rule     string
 	violated bool
-	usage    float64 // at least
+	usage    float64 // minimum peak usage
 	do       func(l *Log)
 }
 
-// Each rule is violated by what violates it and by nothing that comes near; a calm day violates none.
+// Each rule must detect its violations and accept runs that stay just within its limit. A normal run violates no rule.
 func TestEvaluate(t *testing.T) {
-	cases := slices.Concat([]evaluationCase{{"a calm day", "", false, 0, func(*Log) {}}},
+	cases := slices.Concat([]evaluationCase{{"normal run", "", false, 0, func(*Log) {}}},
 		emptyTableCases(), duplicateEffectCases(), drainCases(), warmUpCases(), queueCases())
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			l := calmDay()
+			l := normalRun()
 			test.do(l)
-			for rule, verdict := range l.Evaluate(runEnd) {
+			for rule, verdict := range l.Evaluate(runLength) {
 				violated := rule == test.rule && test.violated
 				if verdict.Satisfied == violated {
-					t.Errorf("%s: %+v", rule, verdict)
+					t.Errorf("rule %s: got verdict %+v, want satisfied %t", rule, verdict, !violated)
 				}
 				if rule == test.rule && verdict.PeakUsage < test.usage {
-					t.Errorf("%s: usage %.2f, want %.2f at least", rule, verdict.PeakUsage, test.usage)
+					t.Errorf("rule %s: peak usage %.2f, want at least %.2f", rule, verdict.PeakUsage, test.usage)
 				}
 			}
 		})
 	}
 }
 
-// emptyTableCases has tables without an endpoint for a class.
+// emptyTableCases returns cases with tables that have no endpoint for a class.
 func emptyTableCases() []evaluationCase {
 	return []evaluationCase{
-		{"class without an endpoint for too long", EmptyTable, true, 1.5, func(l *Log) {
+		{"no endpoint for a class for too long", EmptyTable, true, 1.5, func(l *Log) {
 			l.TableApplied(30*s, 30*s, "gw", "e.3", routing.Snapshot{Clusters: tableOf("n1").Clusters[:1]})
 		}},
-		{"empty table not for long", EmptyTable, false, 0.7, func(l *Log) {
+		{"empty table for a short time", EmptyTable, false, 0.7, func(l *Log) {
 			l.TableApplied(30*s, 30*s, "gw", "e.3", tableOf())
 			l.TableApplied(34*s, 34*s, "gw", "e.4", tableOf("n1"))
 		}},
@@ -110,13 +112,13 @@
 			l.TableApplied(30*s, 30*s, "gw", "", tableOf())
 		}},
 		{"empty table with no warm endpoint listed", EmptyTable, false, 0, func(l *Log) {
-			l.EndpointList(30*s, map[string]ListedEndpoint{"n1": unknownStart(Draining), "n2": startedAt(29 * s)})
+			l.EndpointList(30*s, map[string]ListedEndpoint{"n1": endpointWithoutStart(Draining), "n2": startedAt(29 * s)})
 			l.TableApplied(30*s, 30*s, "gw", "e.3", tableOf())
 		}},
 	}
 }
 
-// duplicateEffectCases has requests that are executed more than once.
+// duplicateEffectCases returns cases with requests that are executed more than once.
 func duplicateEffectCases() []evaluationCase {
 	return []evaluationCase{
 		{"executed twice in one attempt", DuplicateEffect, true, 2, func(l *Log) {
@@ -134,23 +136,23 @@
 	}
 }
 
-// drainCases has requests to endpoints that drain or were removed.
+// drainCases returns cases with requests to draining or removed endpoints.
 func drainCases() []evaluationCase {
 	return []evaluationCase{
 		{"sent after the grace period", Drain, true, 1.2, func(l *Log) {
-			drainFirst(l, 30*s)
+			listN1Draining(l, 30*s)
 			l.RequestSent(34*s, "gw", "n1")
 		}},
 		{"sent after removal from the list", Drain, true, 1.2, func(l *Log) {
-			l.EndpointList(30*s, map[string]ListedEndpoint{"n2": unknownStart(Ready)})
+			l.EndpointList(30*s, map[string]ListedEndpoint{"n2": endpointWithoutStart(Ready)})
 			l.RequestSent(34*s, "gw", "n1")
 		}},
 		{"sent within the grace period", Drain, false, 0.6, func(l *Log) {
-			drainFirst(l, 30*s)
+			listN1Draining(l, 30*s)
 			l.RequestSent(32*s, "gw", "n1")
 		}},
 		{"sent soon after connecting", Drain, false, 0.3, func(l *Log) {
-			drainFirst(l, 30*s)
+			listN1Draining(l, 30*s)
 			l.GatewayConnected(31*s, "gw", false)
 			l.GatewayConnected(35*s, "gw", true)
 			l.RequestSent(34*s, "gw", "n1")
@@ -158,18 +160,18 @@
 		}},
 		{"sent while no coordinator is running", Drain, false, 0, func(l *Log) {
 			l.CoordinatorRunning(29*s, false)
-			drainFirst(l, 30*s)
+			listN1Draining(l, 30*s)
 			l.RequestSent(36*s, "gw", "n1")
 		}},
 		{"sent to an endpoint that is ready again", Drain, false, 0, func(l *Log) {
-			drainFirst(l, 30*s)
-			l.EndpointList(33*s, map[string]ListedEndpoint{"n1": unknownStart(Ready), "n2": unknownStart(Ready)})
+			listN1Draining(l, 30*s)
+			l.EndpointList(33*s, map[string]ListedEndpoint{"n1": endpointWithoutStart(Ready), "n2": endpointWithoutStart(Ready)})
 			l.RequestSent(36*s, "gw", "n1")
 		}},
 	}
 }
 
-// warmUpCases has loads on the endpoint that starts at 20 s.
+// warmUpCases returns cases with load on the endpoint that starts at 20 s.
 func warmUpCases() []evaluationCase {
 	return []evaluationCase{
 		{"endpoint overloaded while warming up", WarmUp, true, 1.4, func(l *Log) { sendBurst(l, 23*s, 40) }},
@@ -179,30 +181,30 @@
 			}
 		}},
 		{"endpoint busy while warming up", WarmUp, false, 0.5, func(l *Log) { sendBurst(l, 23*s, 13) }},
-		{"the same load when it is warm", WarmUp, false, 0, func(l *Log) { sendBurst(l, 38*s, 40) }},
-		{"overloaded by a gateway that did not know", WarmUp, false, 0, func(l *Log) { sendBurst(l, 20*s+s/10, 12) }},
+		{"same load on the warm endpoint", WarmUp, false, 0, func(l *Log) { sendBurst(l, 38*s, 40) }},
+		{"overloaded by a gateway that was not informed of the start", WarmUp, false, 0, func(l *Log) { sendBurst(l, 20*s+s/10, 12) }},
 	}
 }
 
-// queueCases has messages and lines in flight to a gateway.
+// queueCases returns cases with messages and lines in flight to gateways.
 func queueCases() []evaluationCase {
 	return []evaluationCase{
 		{"too many messages", Queue, true, 1.05, func(l *Log) { sendMessages(l, 22) }},
 		{"as many messages as allowed", Queue, false, 0.9, func(l *Log) { sendMessages(l, 18) }},
-		{"overtaken messages count", Queue, true, 1.05, func(l *Log) { l.TableApplied(23*s, 23*s, "gw", "e.40", tableOf("n1")) }},
+		{"messages that were replaced before they were read count", Queue, true, 1.05, func(l *Log) { l.TableApplied(23*s, 23*s, "gw", "e.40", tableOf("n1")) }},
 		{"too many lines in flight", Queue, true, 1.1, func(l *Log) { publishWideTable(l, 60) }},
-		{"lines that fit", Queue, false, 0.5, func(l *Log) { publishWideTable(l, 30) }},
+		{"lines in flight within the limit", Queue, false, 0.5, func(l *Log) { publishWideTable(l, 30) }},
 	}
 }
 
-// sendBurst sends n requests to the endpoint that warms up, 20 per second.
+// sendBurst records n requests that arrive at the endpoint that starts at 20 s, at a rate of 20 per second.
 func sendBurst(l *Log, at time.Duration, n int) {
 	for i := range n {
 		l.WorkArrived(at+time.Duration(i)*s/20, "n2", "gw", 0.16)
 	}
 }
 
-// sendMessages sends n messages to the gateway, four per second.
+// sendMessages records n messages to the gateway, at a rate of four per second.
 func sendMessages(l *Log, n int) {
 	for i := range n {
 		at := 24*s + time.Duration(i)*s/4
@@ -212,7 +214,7 @@
 	}
 }
 
-// publishWideTable sends two gateways a table of n lines for one class that is not acknowledged for a while.
+// publishWideTable records that two gateways get a table with n lines for one class and acknowledge it after a delay.
 func publishWideTable(l *Log, n int) {
 	var endpoints []policyapi.EndpointID
 	for i := range n {
@@ -220,7 +222,7 @@
 	}
 	table := tableOf(endpoints...)
 	table.Clusters[1] = tableOf("n1", "n2").Clusters[1]
-	for i := range 2 { // the second acknowledges sooner
+	for i := range 2 { // the second gateway acknowledges sooner
 		gateway := fmt.Sprintf("gw%d", i)
 		l.GatewayConnected(0, gateway, true)
 		l.TableApplied(25*s, 25*s, gateway, "e.1", table)
--- a/audit/doc.go
+++ b/audit/doc.go
@@ -1,7 +1,6 @@
-// Package audit checks the five operating rules against what was observed from outside: which requests gateways sent,
-// what arrived and was executed at endpoints, which files gateways read and acknowledged, and what was in the
-// endpoint list. It never consults the coordinator.
+// Package audit checks the five operating rules against observations from outside the coordinator: the requests that
+// gateways sent, the work that arrived and was executed at endpoints, the files that gateways read and acknowledged, and the
+// contents of the endpoint list. It uses no information from the coordinator.
 //
-// Emulators and scenarios report their observations to a [Log]; [Log.Evaluate] returns the verdicts. A Log is safe for concurrent use; its
-// times are since the start of the run.
+// Emulators and scenarios report their observations to a [Log]. [Log.Evaluate] returns the verdicts.
 package audit
--- a/audit/drain.go
+++ b/audit/drain.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// evaluateDrains checks that nothing is sent to a draining or removed endpoint after the grace period. The period begins with the list's
-// change, the coordinator's start or the gateway's connection, whichever is latest.
+// evaluateDrains checks that gateways send no requests to a draining endpoint after the grace period, nor to a removed one
+// if the limits say so. The period begins with the change of the list, the start of the coordinator or the connection of the
+// gateway, whichever is latest.
 func (l *Log) evaluateDrains(end time.Duration) Verdict {
 	worst := &peak{}
 	connections := map[string][]interval{}
@@ -17,7 +18,7 @@
 	requests := slices.Clone(l.requests)
 	slices.SortStableFunc(requests, func(a, b sentRequest) int { return cmp.Compare(a.at, b.at) })
 	changes := l.drainChanges()
-	draining := map[string]time.Duration{} // since when, by endpoint
+	draining := map[string]time.Duration{} // start of the draining, by endpoint
 	for _, request := range requests {
 		for len(changes) > 0 && changes[0].at <= request.at {
 			changes[0].apply(draining)
@@ -36,15 +37,16 @@
 	return worst.verdict()
 }
 
+// checkDrain records the time from the start of the grace period to a request.
 func (l *Log) checkDrain(worst *peak, request sentRequest, since time.Duration, connection interval) {
 	late := request.at - max(since, connection.from)
 	worst.raise(float64(late)/float64(l.limits.DrainGracePeriod), func() string {
-		return request.gateway + " sent to " + request.endpoint + " " + milliseconds(late) + " after it was notified, at " +
-			milliseconds(request.at) + ", connected at " + milliseconds(connection.from)
+		return request.gateway + " sent a request to " + request.endpoint + " " + formatDuration(late) + " after the start of the grace period, at " +
+			formatDuration(request.at) + ", connected at " + formatDuration(connection.from)
 	})
 }
 
-// drainChange is an endpoint that begins or stops draining.
+// drainChange records that an endpoint starts or stops draining.
 type drainChange struct {
 	at       time.Duration
 	endpoint string
@@ -59,14 +61,15 @@
 	}
 }
 
-// drainChanges follows the lists. An endpoint that was never listed does not count as removed.
+// drainChanges returns the changes of draining states, in the order of the lists. An endpoint that was never listed does not
+// count as removed.
 func (l *Log) drainChanges() []drainChange {
 	var changes []drainChange
 	known := map[string]ListedEndpoint{}
 	for _, list := range l.lists {
 		for name := range allNames(known, list.endpoints) {
 			before, listedBefore := known[name]
-			current := list.endpoints[name] // absent if it is not there
+			current := list.endpoints[name] // the state is Absent if the list does not contain it
 			known[name] = current
 			if !listedBefore && current.State == Absent {
 				continue
--- a/audit/empty_table.go
+++ b/audit/empty_table.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// evaluateEmptyTables checks that no connected gateway stays without an endpoint for a class while the list has a ready
-// one that is warmed up.
+// evaluateEmptyTables checks how long a connected gateway has no endpoint for a class while the list contains a ready,
+// warmed-up endpoint that can serve the class.
 func (l *Log) evaluateEmptyTables(end time.Duration) Verdict {
 	worst := &peak{}
 	for _, name := range slices.Sorted(maps.Keys(l.gateways)) {
@@ -33,7 +33,7 @@
 	return worst.verdict()
 }
 
-// emptyTableCheck follows one class of a gateway.
+// emptyTableCheck tracks the table of a gateway for one class.
 type emptyTableCheck struct {
 	limit   time.Duration
 	gateway string
@@ -41,22 +41,24 @@
 	worst   *peak
 
 	empty bool
-	since time.Duration // if it is empty
+	since time.Duration // start of the empty period, if empty is set
 }
 
+// observe records whether the table is empty from the given time on.
 func (c *emptyTableCheck) observe(at time.Duration, empty bool) {
 	if empty && !c.empty {
 		c.since = at
 	}
-	if empty || c.empty { // a time that ends now counts too
+	if empty || c.empty { // includes an empty period that ends now
 		c.worst.raise(float64(at-c.since)/float64(c.limit), func() string {
-			return c.gateway + " had no line for " + c.class + " from " + milliseconds(c.since)
+			return c.gateway + " had no endpoint for class " + c.class + " from " + formatDuration(c.since)
 		})
 	}
 	c.empty = empty
 }
 
-// tableChanges returns when the gateway's table or the list changed, in order: only then can the rule's state change.
+// tableChanges returns the sorted times at which the gateway's table or the list changed. The result of the rule can change
+// only at these times.
 func (l *Log) tableChanges(g *gatewayLog) []time.Duration {
 	var times []time.Duration
 	for _, table := range g.tables {
@@ -69,8 +71,8 @@
 	return times
 }
 
-// endpointsAt returns how many endpoints the gateway could send requests of a class to; known is false before its first
-// table.
+// endpointsAt returns the number of endpoints to which the gateway could send requests of a class. The result known is false
+// before its first table.
 func (g *gatewayLog) endpointsAt(class string, at time.Duration) (count int, known bool) {
 	for _, table := range g.tables {
 		if table.at > at {
@@ -82,7 +84,7 @@
 	return count, known
 }
 
-// canBeServed reports whether the list has a warmed-up ready endpoint for a class.
+// canBeServed reports whether the list contains a ready, warmed-up endpoint that can serve a class.
 func (l *Log) canBeServed(class Class, at time.Duration) bool {
 	list := l.listAt(at)
 	if list == nil {
--- a/audit/interval.go
+++ b/audit/interval.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// interval is a time during which something was connected or running.
+// interval is a period in which a gateway was connected or the coordinator was running.
 type interval struct {
 	from time.Duration
-	to   time.Duration // if it has ended
-	open bool          // it has not ended
+	to   time.Duration // not set while the interval is open
+	open bool          // the interval has not ended
 }
 
-// end is when the interval ended; an open one ends with the run.
+// end returns the end of the interval. An open interval ends with the run.
 func (i interval) end(run time.Duration) time.Duration {
 	if i.open {
 		return run
@@ -17,7 +17,7 @@
 	return i.to
 }
 
-// setState begins or ends the last interval. A state that is repeated changes nothing.
+// setState starts a new interval or ends the last one. Setting the current state again has no effect.
 func setState(intervals []interval, at time.Duration, on bool) []interval {
 	last := len(intervals) - 1
 	running := last >= 0 && intervals[last].open
@@ -31,7 +31,7 @@
 	return intervals
 }
 
-// overlaps returns when both were on, up to the end of the run.
+// overlaps returns the periods that both a and b cover, up to the end of the run.
 func overlaps(a, b []interval, run time.Duration) []interval {
 	var both []interval
 	for _, x := range a {
--- a/audit/log.go
+++ b/audit/log.go
@@ -12,35 +12,35 @@
 	"porthub/routing"
 )
 
-// EndpointState is an endpoint's entry in the endpoint list.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState int
 
 // The states of an endpoint.
 const (
-	Absent EndpointState = iota
+	Absent EndpointState = iota // not in the list
 	Ready
 	Draining
 )
 
-// ListedEndpoint is an endpoint of the list.
+// ListedEndpoint is an entry of the endpoint list.
 type ListedEndpoint struct {
 	State     EndpointState
-	StartedAt time.Duration // according to the list; below 0: long ago
+	StartedAt time.Duration // according to the list; negative if the endpoint was started before the run
 	Zone      string
 }
 
-// Log records observations. Times are since the start of the run. It is safe for concurrent use.
+// Log records observations. All times are relative to the start of the run. A Log is safe for concurrent use.
 type Log struct {
 	limits Limits
 
-	mu             sync.Mutex // guards all below
+	mu             sync.Mutex // guards the fields below
 	requests       []sentRequest
 	executions     map[execution]int
-	repeated       []execution // executed more than once, in the order of their second time
+	repeated       []execution // executed more than once, in the order of the second execution
 	endpoints      map[string]*endpointLog
 	gateways       map[string]*gatewayLog
 	lists          []endpointList
-	coordinator    []interval // when it was running
+	coordinator    []interval // periods in which the coordinator was running
 	delivery       *hdrhistogram.Histogram
 	incompleteDocs int
 	completeDocs   int
@@ -52,7 +52,8 @@
 	endpoint string
 }
 
-// execution identifies what may be executed once: retries of a gateway share the attempt of the client.
+// execution identifies an execution that must not be repeated. A gateway's retries have the same client attempt; a client's
+// retry has a new one.
 type execution struct {
 	request       uint64
 	clientAttempt int
@@ -61,24 +62,24 @@
 
 type endpointLog struct {
 	cores    float64
-	starts   []time.Duration // that had to warm up
+	starts   []time.Duration // starts after which the endpoint had to warm up
 	arrivals []arrival
 }
 
 type arrival struct {
 	at      time.Duration
-	work    float64 // core seconds
+	work    float64 // in core seconds
 	gateway string
 }
 
 type gatewayLog struct {
-	connected []interval
-	tables    []appliedTable
-	current   routing.Snapshot
-	acks      []acknowledgement
+	connected    []interval
+	tables       []appliedTable
+	currentTable routing.Snapshot
+	acks         []acknowledgement
 }
 
-// connection returns when the gateway was connected to a running coordinator.
+// connection returns the periods in which the gateway was connected to a running coordinator.
 func (g *gatewayLog) connection(l *Log, run time.Duration) []interval {
 	return overlaps(g.connected, l.coordinator, run)
 }
@@ -87,12 +88,12 @@
 	at        time.Duration
 	written   time.Duration
 	version   version
-	lines     int            // that changed
-	endpoints map[string]int // that can be sent requests, by class
+	lines     int            // lines that differ from the previous table
+	endpoints map[string]int // number of endpoints that can be sent requests, by class
 }
 
-// version is a message's version: the epoch of the coordinator's start and the message's number in it. Tables from
-// elsewhere have no epoch.
+// version is the version of a message: the epoch, which identifies a start of the coordinator, and the number of the message
+// within the epoch. The version of a table that does not come from a coordinator has no epoch.
 type version struct {
 	epoch  string
 	number int
@@ -100,7 +101,7 @@
 
 func parseVersion(text string) version {
 	epoch, number, _ := strings.Cut(text, ".")
-	n, _ := strconv.Atoi(number) // 0 if there is none
+	n, _ := strconv.Atoi(number) // 0 if the text has no number
 	return version{epoch: epoch, number: n}
 }
 
@@ -116,7 +117,7 @@
 
 // NewLog returns an empty log.
 func NewLog(limits Limits) *Log {
-	const maxDelivery = 60_000_000 // microseconds
+	const maxDelivery = 60_000_000 // in microseconds
 	return &Log{
 		limits:     limits,
 		executions: map[execution]int{},
@@ -144,7 +145,7 @@
 	return g
 }
 
-// EndpointStarted records that an endpoint's process started, and whether it has to warm up.
+// EndpointStarted records that an endpoint's process started, and whether the endpoint has to warm up.
 func (l *Log) EndpointStarted(at time.Duration, endpoint string, cores int, warmsUp bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,8 +164,8 @@
 	e.arrivals = append(e.arrivals, arrival{at: at, work: work, gateway: gateway})
 }
 
-// RequestExecuted records that a request took effect at an endpoint. The number of the client's attempt distinguishes
-// the client's retries from those of the gateway.
+// RequestExecuted records that an endpoint executed a request. The number of the client's attempt distinguishes the client's
+// retries from those of the gateway.
 func (l *Log) RequestExecuted(class string, request uint64, clientAttempt int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,31 +198,31 @@
 	l.coordinator = setState(l.coordinator, at, running)
 }
 
-// TableApplied records that a gateway uses a table from a time on. Written is when its file was written; the version is
-// empty for a table that comes from elsewhere than the coordinator.
+// TableApplied records that a gateway uses a table from the time at on. The time written is when the table's file was
+// written. The version is empty for a table that does not come from the coordinator.
 func (l *Log) TableApplied(at, written time.Duration, gateway, versionText string, snapshot routing.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g := l.gateway(gateway)
 	table := appliedTable{at: at, written: written, version: parseVersion(versionText), endpoints: map[string]int{}}
-	before := g.current
+	before := g.currentTable
 	if n := len(g.tables); n == 0 || g.tables[n-1].version.epoch != table.version.epoch {
-		before = routing.Snapshot{} // the first message of a start contains all lines, and removes none
+		before = routing.Snapshot{} // the first message of an epoch contains all lines and removes none
 	}
 	table.lines = routing.ChangeCost(before, snapshot)
 	for _, class := range l.limits.Classes {
 		table.endpoints[class.Name] = snapshot.OpenEndpoints(class.Name)
 	}
 	l.completeDocs++
-	g.current = snapshot
+	g.currentTable = snapshot
 	g.tables = append(g.tables, table)
-	// Responses to polls have no time of writing: for them both times are about the same.
+	// Responses to polls have no time of writing. For them, both times are about the same, and no latency is recorded.
 	if versionText != "" && at > written+100*time.Microsecond {
 		_ = l.delivery.RecordValue(max(1, (at - written).Microseconds()))
 	}
 }
 
-// IncompleteDocument records that a gateway read a file that is no complete document.
+// IncompleteDocument records that a gateway read a file that is not a complete document.
 func (l *Log) IncompleteDocument() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,14 +237,14 @@
 	g.acks = append(g.acks, acknowledgement{at: at, version: parseVersion(versionText)})
 }
 
-// EndpointList records the endpoint list that is valid from a time on. The map must not be changed afterwards.
+// EndpointList records the endpoint list that is valid from the given time on. The caller must not change the map afterwards.
 func (l *Log) EndpointList(at time.Duration, endpoints map[string]ListedEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lists = append(l.lists, endpointList{at: at, endpoints: endpoints})
 }
 
-// listAt returns the list that was valid at a time; nil if there was none yet.
+// listAt returns the list that was valid at a time, or nil if there was none yet.
 func (l *Log) listAt(at time.Duration) *endpointList {
 	var last *endpointList
 	for i := range l.lists {
@@ -254,7 +255,7 @@
 	return last
 }
 
-// allNames returns the names in either list.
+// allNames returns a new map whose keys are the names in either list.
 func allNames(a, b map[string]ListedEndpoint) map[string]ListedEndpoint {
 	all := maps.Clone(a)
 	if all == nil {
--- a/audit/queue.go
+++ b/audit/queue.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// evaluateQueue checks that the messages to one gateway in a window, and the lines in flight to all, stay within their
-// limits.
+// evaluateQueue checks that the number of messages to a gateway within a window and the number of lines in flight to all
+// gateways stay within their limits.
 func (l *Log) evaluateQueue() Verdict {
 	worst := &peak{}
 	var events []queueEvent
@@ -26,13 +26,13 @@
 			continue
 		}
 		worst.raise(queue.lines/l.limits.QueueLimit, func() string {
-			return strconv.FormatFloat(queue.lines, 'f', 0, 64) + " lines in flight at " + milliseconds(event.at)
+			return strconv.FormatFloat(queue.lines, 'f', 0, 64) + " lines in flight at " + formatDuration(event.at)
 		})
 	}
 	return worst.verdict()
 }
 
-// checkMessageRate counts the messages to a gateway in the window before each.
+// checkMessageRate checks the number of messages to a gateway in the window that ends with each message.
 func (l *Log) checkMessageRate(worst *peak, name string, g *gatewayLog) {
 	if l.limits.MessageLimit == 0 {
 		return
@@ -43,13 +43,14 @@
 		}
 		count := messagesBefore(g.tables[:i+1], l.limits.MessageWindow)
 		worst.raise(float64(count)/float64(l.limits.MessageLimit), func() string {
-			return name + " was sent " + strconv.Itoa(count) + " messages by " + milliseconds(table.written)
+			return name + " was sent " + strconv.Itoa(count) + " messages in the window up to " + formatDuration(table.written)
 		})
 	}
 }
 
-// messagesBefore counts the messages in the window that ends with the last table. It does so by their numbers, which
-// count a gateway's messages, so that those are counted too that were overtaken before the gateway read them.
+// messagesBefore returns the number of messages in the window that ends with the last table. It is computed from the version
+// numbers, which count the messages to a gateway, so that it includes messages that were replaced by newer ones before the
+// gateway read them.
 func messagesBefore(tables []appliedTable, window time.Duration) int {
 	last := tables[len(tables)-1]
 	first := last.version.number
@@ -62,7 +63,7 @@
 			return last.version.number - max(first, table.version.number)
 		}
 	}
-	return last.version.number - first + 1 // the first is in the window itself
+	return last.version.number - first + 1 // the first message is within the window
 }
 
 type queueEventKind int
@@ -73,16 +74,16 @@
 	gatewayDisconnected
 )
 
-// queueEvent is what changes the lines in flight to a gateway.
+// queueEvent is an event that changes the number of lines in flight to a gateway.
 type queueEvent struct {
 	at      time.Duration
 	kind    queueEventKind
 	gateway string
 	version version
-	lines   float64 // of a message
+	lines   float64 // lines of a written message, with its overhead
 }
 
-// queueEvents returns the events of a gateway: its messages, acknowledgements and disconnections.
+// queueEvents returns the messages, acknowledgements and disconnections of a gateway.
 func (l *Log) queueEvents(name string, g *gatewayLog) []queueEvent {
 	var events []queueEvent
 	seen := map[version]bool{}
@@ -91,7 +92,7 @@
 			continue
 		}
 		lines := float64(table.lines)
-		if !seen[table.version] { // the overhead is of the message, however often it is read
+		if !seen[table.version] { // the overhead counts once per message, however often it is read
 			seen[table.version] = true
 			lines += l.limits.MessageOverhead
 		}
@@ -108,10 +109,10 @@
 	return events
 }
 
-// lineQueue is the messages that have not been acknowledged.
+// lineQueue holds the messages that have not been acknowledged.
 type lineQueue struct {
 	byGateway map[string][]queuedMessage
-	lines     float64 // of all
+	lines     float64 // total of all messages
 }
 
 type queuedMessage struct {
@@ -134,8 +135,8 @@
 	})
 }
 
-// removes reports whether a message is no longer in flight after the event. An acknowledgement covers the messages
-// before it too, and those of earlier starts.
+// removes reports whether an acknowledgement or a disconnection removes a message from the lines in flight. An
+// acknowledgement also covers earlier messages and those of other epochs.
 func (e queueEvent) removes(m queuedMessage) bool {
 	return e.kind == gatewayDisconnected || m.version.epoch != e.version.epoch || m.version.number <= e.version.number
 }
--- a/audit/rules.go
+++ b/audit/rules.go
@@ -5,52 +5,54 @@
 	"time"
 )
 
-// The names of the rules. They are part of command lines and output.
+// The names of the rules, as they appear on command lines and in output.
 const (
 	EmptyTable      = "bare"   // no connected gateway stays without an endpoint for a class
-	DuplicateEffect = "repeat" // no attempt of a gateway repeats an effect that must not be repeated
-	Drain           = "drain"  // nothing is sent to a draining endpoint after the grace period
-	WarmUp          = "cold"   // no endpoint that warms up is overloaded
-	Queue           = "queue"  // the messages to gateways stay within their limits
+	DuplicateEffect = "repeat" // no retry by a gateway executes a request again that is not idempotent
+	Drain           = "drain"  // no request is sent to a draining endpoint after the grace period
+	WarmUp          = "cold"   // no warming endpoint is overloaded
+	Queue           = "queue"  // the messages and lines sent to gateways stay within their limits
 )
 
-// Rules lists the names of the rules in order.
+// Rules lists the names of all rules.
 var Rules = []string{EmptyTable, DuplicateEffect, Drain, WarmUp, Queue}
 
-// Limits are the figures of the rules, and the request classes.
+// Limits are the parameters of the rules.
 type Limits struct {
-	EmptyTableLimit       time.Duration // how long a gateway may have no endpoint for a class
-	DrainGracePeriod      time.Duration // how long a draining endpoint may still be sent requests
+	EmptyTableLimit       time.Duration // longest time that a gateway may have no endpoint for a class
+	DrainGracePeriod      time.Duration // how long gateways may still send requests to a draining endpoint
 	DrainAppliesToRemoved bool          // an endpoint that leaves the list counts as draining
-	WarmUp                time.Duration // how long an endpoint warms up
-	InitialCapacity       float64       // capacity at the beginning of the warm-up, as a part of the full one
-	OverloadFactor        float64       // work that may come to an endpoint that warms up, as a multiple of its capacity
-	OverloadWindow        time.Duration // over which that is measured
-	QueueLimit            float64       // lines in flight to all gateways
-	MessageOverhead       float64       // lines that a message counts for in addition to its own
-	MessageLimit          int           // messages to one gateway in a window; 0: no limit
+	WarmUp                time.Duration // duration of an endpoint's warm-up
+	InitialCapacity       float64       // capacity at the start of the warm-up, as a fraction of the full capacity
+	OverloadFactor        float64       // permitted work at a warming endpoint, as a multiple of its capacity
+	OverloadWindow        time.Duration // window over which that work is measured
+	QueueLimit            float64       // maximum number of lines in flight to all gateways
+	MessageOverhead       float64       // lines that each message counts in addition to its own
+	MessageLimit          int           // maximum number of messages to one gateway within MessageWindow; 0: no limit
 	MessageWindow         time.Duration
 	Classes               []Class
-	// WithoutCoordinator is set for baselines: gateways have their tables from elsewhere, and count as informed by them.
+	// WithoutCoordinator is set for baselines, whose tables do not come from a coordinator. Their tables then inform a
+	// gateway of an endpoint's start in the same way as those of a coordinator.
 	WithoutCoordinator bool
 }
 
 // Class is a request class.
 type Class struct {
 	Name       string
-	Idempotent bool     // its requests may be executed again
-	Zones      []string // where it can be served; empty: everywhere
+	Idempotent bool     // a request may be executed more than once
+	Zones      []string // zones that can serve the class; empty: all
 }
 
-// Verdict is whether a rule was satisfied, and how nearly it was not.
+// Verdict is the result of the evaluation of a rule.
 type Verdict struct {
 	Satisfied bool `json:"kept"`
-	// PeakUsage is the part of the limit that was used at the worst moment.
+	// PeakUsage is the fraction of the limit that was used at the worst moment. If DuplicateEffect is violated, it is the
+	// number of executions of the request.
 	PeakUsage float64 `json:"nearest"`
-	Detail    string  `json:"where,omitempty"` // of the worst moment
+	Detail    string  `json:"where,omitempty"` // description of the worst moment
 }
 
-// Evaluate returns the verdict on each rule, by name, from what was observed up to the given time.
+// Evaluate evaluates the rules for a run that ended at the given time and returns the verdicts by rule name.
 func (l *Log) Evaluate(end time.Duration) map[string]Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,13 +65,13 @@
 	}
 }
 
-// peak is the worst moment found so far.
+// peak is the moment with the highest usage found so far.
 type peak struct {
 	usage  float64
 	detail string
 }
 
-// raise records a moment if it is worse than those before. Only then detail is called.
+// raise records a moment if its usage is higher than any before. It calls detail only in that case.
 func (p *peak) raise(usage float64, detail func() string) {
 	if usage > p.usage {
 		p.usage = usage
@@ -81,10 +83,11 @@
 	return Verdict{Satisfied: p.usage <= 1, PeakUsage: p.usage, Detail: p.detail}
 }
 
-// milliseconds shows a time to the millisecond.
-func milliseconds(d time.Duration) string { return d.Round(time.Millisecond).String() }
+// formatDuration formats a duration, rounded to milliseconds.
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-// evaluateDuplicateEffects checks that no request is executed twice by a gateway's own retry unless it is idempotent.
+// evaluateDuplicateEffects checks that no request of a class that is not idempotent was executed more than once within one
+// attempt of the client.
 func (l *Log) evaluateDuplicateEffects() Verdict {
 	idempotent := map[string]bool{}
 	for _, class := range l.limits.Classes {
@@ -96,7 +99,10 @@
 			continue
 		}
 		count := l.executions[execution]
-		return Verdict{PeakUsage: float64(count), Detail: "a " + execution.class + " was executed " + strconv.Itoa(count) + " times in one attempt of the client"}
+		return Verdict{
+			PeakUsage: float64(count),
+			Detail:    "a request of class " + execution.class + " was executed " + strconv.Itoa(count) + " times within one attempt of the client",
+		}
 	}
 	return Verdict{Satisfied: true}
 }
--- a/audit/statistics.go
+++ b/audit/statistics.go
@@ -6,22 +6,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// DeliveryLatency returns the times from the writing of a file to its use by a gateway, in microseconds.
+// DeliveryLatency returns the histogram of the times from the writing of a file to its use by a gateway, in microseconds.
 func (l *Log) DeliveryLatency() *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return hdrhistogram.Import(l.delivery.Export())
 }
 
-// DocumentCounts returns how many documents gateways read that were complete, and how many that were not.
+// DocumentCounts returns the numbers of complete and incomplete documents that gateways read.
 func (l *Log) DocumentCounts() (complete, incomplete int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.completeDocs, l.incompleteDocs
 }
 
-// PeakLoadRatio is the work that arrived at the busiest endpoint in its busiest second, as a multiple of the mean over
-// all endpoints and all seconds in which they had any.
+// PeakLoadRatio returns the work that arrived at the busiest endpoint in its busiest second, as a multiple of the mean over
+// all endpoints and all seconds in which work arrived at them.
 func (l *Log) PeakLoadRatio() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -42,23 +42,23 @@
 	return peak / max(total/max(seconds, 1), 1e-9)
 }
 
-// Restart is a start of the coordinator after its first.
+// Restart describes a restart of the coordinator.
 type Restart struct {
-	Down, Up time.Duration
-	// FirstTable and AllTables are when the first and the last gateway used a table of this start; 0: none did, or not
-	// all before its end.
+	Down, Up time.Duration // when the previous process ended, and when the new one started
+	// FirstTable and AllTables are the times at which the first and the last gateway applied a table of the new process.
+	// FirstTable is 0 if no gateway did so before the process ended, and AllTables is 0 if not all gateways did.
 	FirstTable, AllTables time.Duration
 }
 
-// Restarts lists the restarts of the coordinator.
+// Restarts returns the restarts of the coordinator in order.
 func (l *Log) Restarts() []Restart {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var out []Restart
+	var restarts []Restart
 	for i := 1; i < len(l.coordinator); i++ {
-		out = append(out, l.restart(l.coordinator[i-1], l.coordinator[i]))
+		restarts = append(restarts, l.restart(l.coordinator[i-1], l.coordinator[i]))
 	}
-	return out
+	return restarts
 }
 
 func (l *Log) restart(before, current interval) Restart {
@@ -81,9 +81,9 @@
 	return r
 }
 
-// firstTableOf returns when the gateway first used a table of a start of the coordinator.
+// firstTableOf returns when the gateway first applied a table of the coordinator process that ran in the given interval.
 func (g *gatewayLog) firstTableOf(start interval) (at time.Duration, ok bool) {
-	epochBefore := "" // of the table that it used when this start began
+	epochBefore := "" // epoch of the table that was in use when the process started
 	for _, table := range g.tables {
 		if table.at < start.from {
 			epochBefore = table.version.epoch
--- a/audit/warm_up.go
+++ b/audit/warm_up.go
@@ -7,10 +7,13 @@
 	"time"
 )
 
-// evaluateWarmUps checks that within any window the work that arrives at an endpoint that warms up stays below a multiple
-// of its capacity; the work of two requests is allowed on top, as requests arrive at random. All work counts if two thirds of it came from gateways that knew
-// of the start: whose last file was written after the list had named it, or whose coordinator had known of it for the
-// grace period. The others could not have known; what the knowing ones send must stay below the limit by itself too.
+// evaluateWarmUps checks that the work that arrives at a warming endpoint within any window stays below a multiple of its
+// capacity. The work of two requests is allowed in addition, as requests arrive at random.
+//
+// The rule distinguishes work from gateways that were informed of the start: those whose current table was written after the
+// list contained the start, or that had been connected to a running coordinator for longer than the grace period since then.
+// The other gateways could not account for the start. All work counts if at least two thirds of it came from informed
+// gateways. Otherwise, only the work from informed gateways counts, which must stay below the limit by itself.
 func (l *Log) evaluateWarmUps(end time.Duration) Verdict {
 	worst := &peak{}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
@@ -23,7 +26,7 @@
 	return worst.verdict()
 }
 
-// meanWork is the mean work of an endpoint's requests, in core seconds.
+// meanWork returns the mean work of the requests that arrived at an endpoint, in core seconds.
 func (e *endpointLog) meanWork() float64 {
 	mean := 0.0
 	for i, a := range e.arrivals {
@@ -32,6 +35,7 @@
 	return mean
 }
 
+// evaluateWarmUp evaluates the warm-up that follows one start of an endpoint.
 func (l *Log) evaluateWarmUp(worst *peak, name string, endpoint *endpointLog, start time.Duration, meanWork float64, end time.Duration) {
 	listedAt, listed := l.startListedAt(name, start)
 	window := overloadWindow{length: l.limits.OverloadWindow}
@@ -40,61 +44,62 @@
 		if age < 0 || age >= l.limits.WarmUp {
 			continue
 		}
-		window.add(a, listed && l.knowsOf(l.gateways[a.gateway], listedAt, a.at, end))
+		window.add(a, listed && l.wasInformed(l.gateways[a.gateway], listedAt, a.at, end))
 		allowed := l.limits.OverloadFactor * l.limits.slowStartFactor(age) * endpoint.cores * l.limits.OverloadWindow.Seconds()
-		worst.raise(window.counted()/(allowed+2*meanWork), func() string {
-			return name + " " + milliseconds(age) + " after its start: " + coreSeconds(window.work) + " of " + coreSeconds(allowed) +
-				" core seconds, " + coreSeconds(window.knowing) + " by gateways that knew of it"
+		worst.raise(window.attributedWork()/(allowed+2*meanWork), func() string {
+			return name + " " + formatDuration(age) + " after its start: " + formatCoreSeconds(window.work) + " of " +
+				formatCoreSeconds(allowed) + " permitted core seconds, " + formatCoreSeconds(window.informed) + " from gateways informed of the start"
 		})
 	}
 }
 
-// slowStartFactor is the part of its capacity that an endpoint has at an age: it grows linearly over the warm-up.
+// slowStartFactor returns the capacity of a warming endpoint as a fraction of its full capacity. It grows linearly with the
+// endpoint's age.
 func (l *Limits) slowStartFactor(age time.Duration) float64 {
 	return l.InitialCapacity + (1-l.InitialCapacity)*float64(age)/float64(l.WarmUp)
 }
 
-func coreSeconds(work float64) string { return strconv.FormatFloat(work, 'f', 2, 64) }
+func formatCoreSeconds(work float64) string { return strconv.FormatFloat(work, 'f', 2, 64) }
 
-// overloadWindow sums up the work of the last arrivals.
+// overloadWindow sums up the work that arrived within the overload window.
 type overloadWindow struct {
 	length   time.Duration
 	arrivals []windowArrival
-	work     float64 // of all, in core seconds
-	knowing  float64 // of those from gateways that knew of the start
+	work     float64 // work of all arrivals, in core seconds
+	informed float64 // work of the arrivals from gateways that were informed of the start
 }
 
 type windowArrival struct {
 	arrival
-	knowing bool
+	informed bool
 }
 
-// add adds an arrival and drops those that have left the window by then.
-func (w *overloadWindow) add(a arrival, knowing bool) {
-	w.arrivals = append(w.arrivals, windowArrival{arrival: a, knowing: knowing})
+// add adds an arrival and removes those that are no longer within the window.
+func (w *overloadWindow) add(a arrival, informed bool) {
+	w.arrivals = append(w.arrivals, windowArrival{arrival: a, informed: informed})
 	w.work += a.work
-	if knowing {
-		w.knowing += a.work
+	if informed {
+		w.informed += a.work
 	}
 	for a.at-w.arrivals[0].at > w.length {
 		oldest := w.arrivals[0]
 		w.arrivals = w.arrivals[1:]
 		w.work -= oldest.work
-		if oldest.knowing {
-			w.knowing -= oldest.work
+		if oldest.informed {
+			w.informed -= oldest.work
 		}
 	}
 }
 
-// counted is the work that the rule holds gateways responsible for.
-func (w *overloadWindow) counted() float64 {
-	if w.knowing >= 2*w.work/3 {
+// attributedWork returns the work that counts for the rule.
+func (w *overloadWindow) attributedWork() float64 {
+	if w.informed >= 2*w.work/3 {
 		return w.work
 	}
-	return w.knowing
+	return w.informed
 }
 
-// startListedAt returns when the list first named an endpoint with a start that is not older than the given one.
+// startListedAt returns when the list first contained an endpoint with a start that is not older than the given one.
 func (l *Log) startListedAt(name string, start time.Duration) (at time.Duration, ok bool) {
 	for _, list := range l.lists {
 		endpoint := list.endpoints[name]
@@ -105,8 +110,8 @@
 	return 0, false
 }
 
-// knowsOf reports whether a gateway, when it sends at a time, could know what the list has had since listedAt.
-func (l *Log) knowsOf(g *gatewayLog, listedAt, at, end time.Duration) bool {
+// wasInformed reports whether a gateway was informed, by the time at, of a start that the list has contained since listedAt.
+func (l *Log) wasInformed(g *gatewayLog, listedAt, at, end time.Duration) bool {
 	if g == nil {
 		return false
 	}
@@ -116,14 +121,14 @@
 			return true
 		}
 	}
-	knows := false
+	informed := false
 	for _, table := range g.tables {
 		if table.at > at {
 			break
 		}
 		if table.version.epoch != "" || l.limits.WithoutCoordinator {
-			knows = table.written > listedAt
+			informed = table.written > listedAt
 		}
 	}
-	return knows
+	return informed
 }
