--- a/audit/warm_up.go
+++ b/audit/warm_up.go
@@ -48,7 +48,8 @@
 		allowed := l.limits.OverloadFactor * l.limits.slowStartFactor(age) * endpoint.cores * l.limits.OverloadWindow.Seconds()
 		worst.raise(window.attributedWork()/(allowed+2*meanWork), func() string {
 			return name + " " + formatDuration(age) + " after its start: " + formatCoreSeconds(window.work) + " of " +
-				formatCoreSeconds(allowed) + " permitted core seconds, " + formatCoreSeconds(window.informed) + " from gateways informed of the start"
+				formatCoreSeconds(allowed) + " permitted core seconds, " + formatCoreSeconds(window.informed) +
+				" from gateways informed of the start"
 		})
 	}
 }
--- a/expectation/case.go
+++ b/expectation/case.go
@@ -7,7 +7,7 @@
 	"porthub/coordinator"
 )
 
-// Case is one drawn fleet with its events.
+// Case is a fleet that was drawn for an expectation, with the events.
 type Case struct {
 	Number    int
 	Seed      uint64
@@ -21,16 +21,16 @@
 	return fmt.Sprintf("%d endpoints, %d gateways, load %.2f and %d events", c.Endpoints, c.Gateways, c.Load, len(c.Events))
 }
 
-// seedStep separates the seeds of cases: 2^64 over the golden ratio.
+// seedStep is the distance between the seeds of consecutive cases: 2^64 divided by the golden ratio.
 const seedStep = 0x9e3779b97f4a7c15
 
-// Each use of randomness in a case has a PCG stream of its own.
+// The PCG streams of a case's seed, one for each use of random numbers.
 const (
 	drawStream       = 1
 	simulationStream = 2
 )
 
-// Draw draws a case. The same number and seed give the same case.
+// Draw returns the case with the given number. The same number and seed always give the same case.
 func (e Expectation) Draw(number int) Case {
 	seed := e.Seed + uint64(number)*seedStep
 	rng := rand.New(rand.NewPCG(seed, drawStream))
@@ -41,12 +41,14 @@
 	return c
 }
 
+// drawInteger returns a random integer of the range.
 func (r Range) drawInteger(rng *rand.Rand) int {
 	return int(r.From) + rng.IntN(int(r.To)-int(r.From)+1)
 }
 
-// Shrink searches for a smaller case that fails the same assertion: fewer endpoints, fewer gateways, one event less, as
-// long as it fails. It makes maxRuns runs at most, and returns the failure of the smallest case, which it names in Small.
+// Shrink searches for a smaller case that fails the same assertion. It reduces the endpoints, the gateways and the events
+// step by step as long as the assertion fails, with at most maxRuns runs. It returns the failure of the smallest case that it
+// found, described in SmallestCase.
 func (e Expectation) Shrink(settings coordinator.Settings, c Case, f Failure, maxRuns int) Failure {
 	original := c
 	runs := 0
@@ -66,8 +68,8 @@
 	return f
 }
 
-// firstFailing returns the first case that fails the assertion at a line. It reports false if there is none, or the runs
-// are used up.
+// firstFailing returns the first of the cases that fails the assertion at the given line, and its failure. It returns false
+// if there is none or maxRuns is reached.
 func (e Expectation) firstFailing(settings coordinator.Settings, cases []Case, line int, runs *int, maxRuns int) (Case, Failure, bool) {
 	for _, c := range cases {
 		if *runs >= maxRuns {
@@ -83,7 +85,7 @@
 	return Case{}, Failure{}, false
 }
 
-// smaller returns the next smaller cases: half or a quarter less of endpoints or gateways, or one event less.
+// smaller returns the next smaller cases: those with a half or a quarter fewer endpoints or gateways, or one event fewer.
 func (c Case) smaller(minEndpoints int) (cases []Case) {
 	for _, divisor := range []int{2, 4} {
 		if n := c.Endpoints - c.Endpoints/divisor; n < c.Endpoints && n >= minEndpoints {
--- a/expectation/endpoint.go
+++ b/expectation/endpoint.go
@@ -14,28 +14,28 @@
 	running   bool
 	draining  bool
 	failing   []bool                 // by class
-	startedAt policyapi.Microseconds // 0: long ago
+	startedAt policyapi.Microseconds // 0: before the simulation
 
 	listed  listing
 	traffic endpointTraffic
 }
 
-// listing is an endpoint's state by the last published list.
+// listing is an endpoint's state in the last published list.
 type listing struct {
 	status       policyapi.EndpointStatus
-	closedSince  policyapi.Microseconds // since when it is draining or removed; 0: it is not
+	closedSince  policyapi.Microseconds // when it was listed as draining or was removed; 0: neither
 	startedAt    policyapi.Microseconds
-	startedSince policyapi.Microseconds // since when the list has that start
+	startedSince policyapi.Microseconds // when the list first contained startedAt
 }
 
-// endpointTraffic is what gateways send to an endpoint.
+// endpointTraffic is the traffic that gateways send to an endpoint.
 type endpointTraffic struct {
-	offered     float64   // requests in this tick
-	window      []float64 // offered in the last ticks, as many as the overload window has
-	utilization float64   // moving average; above 1 when it is overloaded
+	offered     float64   // requests in the current tick
+	window      []float64 // requests in each of the last ticks, over the length of the overload window
+	utilization float64   // moving average; above 1 if the endpoint is overloaded
 }
 
-// capacityFactor is the fraction of its capacity that an endpoint has; below 1 it warms up.
+// capacityFactor returns the capacity of an endpoint as a fraction of its full capacity. It is below 1 during the warm-up.
 func (s *simulation) capacityFactor(e *endpoint) float64 {
 	rules := s.settings.Start.Rules
 	age := s.now - e.startedAt
@@ -45,19 +45,19 @@
 	return rules.InitialCapacity + (1-rules.InitialCapacity)*float64(age)/float64(rules.WarmUp)
 }
 
-// endpointList publishes the state of endpoints to the core.
+// endpointList is the state of the endpoint list, which publishes the endpoints to the core.
 type endpointList struct {
 	version policyapi.ListVersion
-	updates []policyapi.Microseconds // times of pending publications, sorted
+	updates []policyapi.Microseconds // sorted times of pending publications
 }
 
-// scheduleList makes the list follow a change after a delay.
+// scheduleList schedules a publication of the list after a delay.
 func (s *simulation) scheduleList(delay policyapi.Microseconds) {
 	s.list.updates = append(s.list.updates, s.now+delay)
 	slices.Sort(s.list.updates)
 }
 
-// publishList publishes the present state of all endpoints.
+// publishList publishes the current state of all endpoints to the core.
 func (s *simulation) publishList() {
 	s.list.version++
 	update := policyapi.EndpointUpdate{Version: s.list.version, Kind: policyapi.Snapshot}
@@ -78,7 +78,7 @@
 	s.inputs = append(s.inputs, coordinator.EndpointUpdate{EndpointUpdate: update})
 }
 
-// publish updates what the list says of the endpoint.
+// publish updates the endpoint's listing to its current state.
 func (e *endpoint) publish(now policyapi.Microseconds) {
 	before := e.listed.status
 	switch {
--- a/expectation/evaluator.go
+++ b/expectation/evaluator.go
@@ -8,16 +8,16 @@
 	"porthub/policyapi"
 )
 
-// evaluator watches a simulation and keeps the first failure of each assertion.
+// evaluator evaluates the assertions during a simulation and keeps the first failure of each.
 type evaluator struct {
 	sim    *simulation
-	checks []check // one for each assertion, in their order
+	checks []check // one for each assertion, in the same order
 }
 
-// check is an assertion with what is known of it.
+// check is an assertion and the state of its evaluation.
 type check struct {
 	assertion Assertion
-	failure   *Failure // nil: it holds so far
+	failure   *Failure // first failure; nil if there was none
 
 	// Sums for MinSuccessRatio, in requests.
 	requests  float64
@@ -26,11 +26,11 @@
 	level levelEntry // for EnteredLevel and AvoidedLevel
 }
 
-// levelEntry is the first time that a degradation level was entered.
+// levelEntry records when a degradation level was entered for the first time.
 type levelEntry struct {
 	entered bool
 	at      policyapi.Microseconds
-	text    string // of the log entry
+	text    string // text of the log entry
 }
 
 func newEvaluator(s *simulation) *evaluator {
@@ -41,7 +41,7 @@
 	return v
 }
 
-// elapsed returns the time since the events began; it is negative before.
+// elapsed returns the time since the start of the events. It is negative before that.
 func (v *evaluator) elapsed() policyapi.Microseconds { return v.sim.now - startTime - settleTime }
 
 // applies reports whether an assertion applies now.
@@ -49,18 +49,18 @@
 	return v.elapsed() >= t.From && (t.To == 0 || v.elapsed() <= t.To)
 }
 
-// appliesTo reports whether an assertion is about a zone's gateways.
+// appliesTo reports whether an assertion applies to the gateways of a zone.
 func (t Assertion) appliesTo(zone policyapi.Zone) bool { return t.Zone == "" || t.Zone == zone }
 
-// subject is what a failure is about; each part may be missing.
+// subject identifies the gateway, endpoint and request class that a failure concerns. Each field may be empty.
 type subject struct {
 	gateway  *gateway
 	endpoint *endpoint
 	class    string
 }
 
-// fail records the failure of a check unless it has one.
-func (v *evaluator) fail(c *check, about subject, figure string, args ...any) {
+// fail records the failure of a check unless it has failed before.
+func (v *evaluator) fail(c *check, about subject, observed string, args ...any) {
 	if c.failure != nil {
 		return
 	}
@@ -72,7 +72,7 @@
 		Seed:      v.sim.expectation.Seed,
 		Class:     about.class,
 		At:        v.elapsed(),
-		Observed:  fmt.Sprintf(figure, args...),
+		Observed:  fmt.Sprintf(observed, args...),
 	}
 	if about.gateway != nil {
 		c.failure.Gateway = string(about.gateway.name)
@@ -82,7 +82,7 @@
 	}
 }
 
-// evaluate evaluates the present moment.
+// evaluate evaluates the assertions that apply to the current state.
 func (v *evaluator) evaluate() {
 	if v.elapsed() < 0 {
 		return
@@ -96,11 +96,11 @@
 	}
 }
 
-// trackEmptyTables notes since when gateways have no endpoint for a class though a warm one is listed.
+// trackEmptyTables records since when gateways have had no endpoint for a class although a warm one is listed.
 func (v *evaluator) trackEmptyTables() {
 	s := v.sim
 	classes := s.settings.Start.Classes
-	hasWarm := map[policyapi.Zone][]bool{} // by class
+	hasWarm := map[policyapi.Zone][]bool{} // by the gateway's zone and class
 	for _, zone := range s.settings.Start.Zones {
 		for class := range classes {
 			hasWarm[zone] = append(hasWarm[zone], v.hasWarmEndpoint(classes[class], zone))
@@ -119,7 +119,8 @@
 	}
 }
 
-// hasWarmEndpoint reports whether a warm ready endpoint is listed that may serve a class for a zone's gateways.
+// hasWarmEndpoint reports whether the list contains a ready, warmed-up endpoint that may serve a class for the gateways of a
+// zone.
 func (v *evaluator) hasWarmEndpoint(class policyapi.ClassSettings, zone policyapi.Zone) bool {
 	return slices.ContainsFunc(v.sim.endpoints, func(e *endpoint) bool {
 		switch {
@@ -133,6 +134,7 @@
 	})
 }
 
+// evaluateCheck evaluates an assertion on the current state.
 func (v *evaluator) evaluateCheck(c *check) {
 	t := c.assertion
 	if t.MaxUtilization > 0 || t.MaxWarmUpLoad > 0 {
@@ -156,7 +158,7 @@
 	}
 }
 
-// evaluateTable evaluates one class of a gateway's tables.
+// evaluateTable evaluates an assertion on a gateway's table for one class.
 func (v *evaluator) evaluateTable(c *check, g *gateway, class int) {
 	t := c.assertion
 	about := subject{gateway: g, class: v.sim.settings.Start.Classes[class].Name}
@@ -185,8 +187,8 @@
 	return int(g.tables.snapshot.Routes[class].RetryPolicy)
 }
 
-// evaluateDrains finds draining or removed endpoints to which a gateway still sends. A gateway's time begins with its
-// connection.
+// evaluateDrains evaluates how long a gateway keeps sending requests to draining or removed endpoints. The time starts with
+// the change of the list or the connection of the gateway, whichever is later.
 func (v *evaluator) evaluateDrains(c *check, g *gateway, class int) {
 	for _, open := range g.tables.open[class] {
 		e := v.sim.endpoints[open.endpoint]
@@ -198,7 +200,7 @@
 	}
 }
 
-// evaluateLoads evaluates what endpoints are offered over the overload window.
+// evaluateLoads evaluates the load that is offered to endpoints over the overload window.
 func (v *evaluator) evaluateLoads(c *check) {
 	s := v.sim
 	t := c.assertion
@@ -208,8 +210,8 @@
 			continue
 		}
 		offered := 0.0
-		for _, x := range e.traffic.window {
-			offered += x
+		for _, requests := range e.traffic.window {
+			offered += requests
 		}
 		factor := s.capacityFactor(e)
 		capacity := warmCapacity * factor * tickSeconds * float64(len(e.traffic.window))
@@ -223,15 +225,15 @@
 	}
 }
 
-// startIsListed reports whether the list has had an endpoint's start for the grace period and an overload window since:
-// nobody could have prevented an overload before that.
+// startIsListed reports whether the list has contained an endpoint's start for longer than the grace period and an overload
+// window. An overload before that could not be prevented.
 func (v *evaluator) startIsListed(e *endpoint) bool {
 	rules := v.sim.settings.Start.Rules
 	return e.listed.startedAt == e.startedAt && v.sim.now-e.listed.startedSince > rules.DrainGracePeriod+rules.OverloadWindow
 }
 
-// messageSent evaluates a publication to a gateway.
-func (v *evaluator) messageSent(g *gateway) {
+// evaluateMessageCount evaluates the number of messages to a gateway after a publication.
+func (v *evaluator) evaluateMessageCount(g *gateway) {
 	window := v.sim.settings.Start.Rules.MessageWindow
 	messages := 0
 	for _, at := range g.link.sentAt {
@@ -248,7 +250,7 @@
 	}
 }
 
-// recordServed adds the requests of a class at a gateway.
+// recordServed adds the arrived and the served requests of a class at a gateway to the assertions on success ratios.
 func (v *evaluator) recordServed(g *gateway, class int, arrived, served float64) {
 	name := v.sim.settings.Start.Classes[class].Name
 	for i := range v.checks {
@@ -261,8 +263,8 @@
 	}
 }
 
-// logged notes degradation levels that are entered.
-func (v *evaluator) logged(entry coordinator.LogEntry) {
+// recordLevelEntry records the level that is entered if the log entry reports a change of the degradation level.
+func (v *evaluator) recordLevelEntry(entry coordinator.LogEntry) {
 	if entry.Event != "service_level" {
 		return
 	}
@@ -283,7 +285,7 @@
 	}
 }
 
-// finish evaluates what is known only at the end, and returns all failures.
+// finish evaluates the assertions that can be evaluated only at the end, and returns all failures.
 func (v *evaluator) finish() (failures []Failure) {
 	for i := range v.checks {
 		c := &v.checks[i]
--- a/expectation/events.go
+++ b/expectation/events.go
@@ -7,12 +7,12 @@
 	"porthub/policyapi"
 )
 
-// eventSchedule is the progress through a case's events.
+// eventSchedule tracks the progress through a case's events.
 type eventSchedule struct {
-	applied int
+	applied int // number of events that have been applied
 }
 
-// applyDueEvents applies the events whose time has come, and publishes due lists.
+// applyDueEvents applies the events that are due and publishes the list for each publication that is due.
 func (s *simulation) applyDueEvents() {
 	for ; s.events.applied < len(s.drawn.Events); s.events.applied++ {
 		event := s.drawn.Events[s.events.applied]
@@ -37,7 +37,7 @@
 		s.loadFactor = event.LoadFactor
 	case Drain:
 		s.drain(event)
-		s.scheduleList(0) // the list itself drains them
+		s.scheduleList(0) // the list is where endpoints are drained, so it changes without a delay
 	default:
 		s.changeEndpoints(event)
 		s.scheduleList(s.expectation.Fleet.ListDelay)
@@ -75,13 +75,14 @@
 
 func (e *endpoint) isReady() bool { return e.running && !e.draining }
 
-// fail makes an endpoint fail a class, or all if the class is empty.
+// fail makes an endpoint fail the requests of a class, or of all classes if the class is empty.
 func (s *simulation) fail(e *endpoint, class string) {
 	for i, settings := range s.settings.Start.Classes {
 		e.failing[i] = e.failing[i] || class == "" || class == settings.Name
 	}
 }
 
+// recover makes the endpoint ready and healthy. It warms up if it was not ready before.
 func (e *endpoint) recover(now policyapi.Microseconds) {
 	if !e.isReady() {
 		e.startedAt = now
@@ -91,7 +92,7 @@
 	clear(e.failing)
 }
 
-// chooseEndpoints draws the endpoints that an event affects.
+// chooseEndpoints randomly selects the endpoints that an event affects.
 func (s *simulation) chooseEndpoints(event Event, eligible func(*endpoint) bool) (chosen []*endpoint) {
 	for _, e := range s.endpoints {
 		if eligible(e) && (event.Zone == "" || e.zone == event.Zone) {
@@ -102,12 +103,13 @@
 	return chosen[:event.affectedCount(len(chosen))]
 }
 
-// affectedCount returns how many of so many an event affects: at least one, and all without a fraction.
-func (e Event) affectedCount(total int) int {
+// affectedCount returns how many of the eligible endpoints or gateways an event affects: the event's fraction of them, but at
+// least one, or all if there is no fraction.
+func (e Event) affectedCount(eligible int) int {
 	if e.Fraction == 0 {
-		return total
+		return eligible
 	}
-	return min(total, max(1, int(math.Ceil(e.Fraction*float64(total)))))
+	return min(eligible, max(1, int(math.Ceil(e.Fraction*float64(eligible)))))
 }
 
 func (s *simulation) disconnectGateways(event Event) {
@@ -124,7 +126,7 @@
 	}
 }
 
-// chooseGateways draws the gateways that an event affects.
+// chooseGateways randomly selects the gateways that an event affects.
 func (s *simulation) chooseGateways(event Event, disconnected bool) (chosen []*gateway) {
 	var eligible []*gateway
 	for _, g := range s.gateways {
--- a/expectation/export_test.go
+++ b/expectation/export_test.go
@@ -5,7 +5,9 @@
 	"porthub/routing"
 )
 
-// RunTampered runs a case with changed tables at gateways, or with other settings for the core than for the evaluator.
-func (e Expectation) RunTampered(set coordinator.Settings, c Case, tables func(*routing.Snapshot), changeSettings func(*coordinator.Settings)) []Failure {
-	return e.run(set, c, tampering{tables: tables, settings: changeSettings})
+// RunWithOverrides runs a case with changes to the tables of gateways or to the settings of the core, so that assertions fail.
+func (e Expectation) RunWithOverrides(
+	settings coordinator.Settings, c Case, tables func(*routing.Snapshot), changeSettings func(*coordinator.Settings),
+) []Failure {
+	return e.run(settings, c, testOverrides{tables: tables, settings: changeSettings})
 }
--- a/expectation/failure.go
+++ b/expectation/failure.go
@@ -7,19 +7,19 @@
 	"porthub/policyapi"
 )
 
-// Failure is an assertion that does not hold in one case.
+// Failure describes an assertion that does not hold in a case.
 type Failure struct {
-	Name         string                 `cbor:"Name" json:"Name"` // of the expectation
-	Line         int                    `cbor:"Line" json:"Line"` // of the assertion
+	Name         string                 `cbor:"Name" json:"Name"` // name of the expectation
+	Line         int                    `cbor:"Line" json:"Line"` // line of the assertion in its file
 	Condition    string                 `cbor:"What" json:"What"`
 	Case         int                    `cbor:"Case" json:"Case"`
 	Seed         uint64                 `cbor:"Seed" json:"Seed"`
-	Gateway      string                 `cbor:"Gateway" json:"Gateway"` // empty: it concerns no single gateway
-	Endpoint     string                 `cbor:"Node" json:"Node"`       // empty: it concerns no single endpoint
-	Class        string                 `cbor:"Kind" json:"Kind"`       // empty: it concerns no single request class
-	At           policyapi.Microseconds `cbor:"At" json:"At"`           // since the events began
+	Gateway      string                 `cbor:"Gateway" json:"Gateway"` // empty if it does not concern a single gateway
+	Endpoint     string                 `cbor:"Node" json:"Node"`       // empty if it does not concern a single endpoint
+	Class        string                 `cbor:"Kind" json:"Kind"`       // empty if it does not concern a single request class
+	At           policyapi.Microseconds `cbor:"At" json:"At"`           // time since the start of the events
 	Observed     string                 `cbor:"Figure" json:"Figure"`   // the observed value
-	SmallestCase string                 `cbor:"Small" json:"Small"`     // the smallest case that was found to fail as well
+	SmallestCase string                 `cbor:"Small" json:"Small"`     // smallest case for which the assertion was found to fail; empty if none is smaller
 }
 
 func (f Failure) String() string {
--- a/expectation/gateway.go
+++ b/expectation/gateway.go
@@ -15,12 +15,12 @@
 type gateway struct {
 	name   coordinator.Gateway
 	zone   policyapi.Zone
-	rates  []float64 // requests a second, by class
+	rates  []float64 // requests per second, by class
 	link   gatewayLink
 	tables gatewayTables
 	totals []classTotals // by class, since the last report
 
-	emptySince []policyapi.Microseconds // by class: since when its table is empty while it must not be; 0: it is not
+	emptySince []policyapi.Microseconds // by class: since when the table has been empty although a warm endpoint is listed; 0: it is not
 }
 
 // gatewayLink is a gateway's connection to the coordinator.
@@ -29,27 +29,27 @@
 	connectedAt    policyapi.Microseconds
 	disconnected   bool
 	reportNumber   uint64
-	published      routing.Snapshot // the last on this connection
+	published      routing.Snapshot // last published on this connection
 	unacknowledged []sentMessage
-	sentAt         []policyapi.Microseconds // of all messages
+	sentAt         []policyapi.Microseconds // times of all messages
 }
 
-// sentMessage is a publication that is not acknowledged yet.
+// sentMessage is a publication that has not been acknowledged yet.
 type sentMessage struct {
 	version string
 	lines   float64
 }
 
-// gatewayTables are the tables that a gateway applies.
+// gatewayTables are the tables that a gateway has applied.
 type gatewayTables struct {
 	snapshot   routing.Snapshot
 	appliedAt  policyapi.Microseconds
-	open       [][]weightedEndpoint // by class: the endpoints to which it sends
-	zoneCounts []int                // by class: zones with open endpoints
+	open       [][]weightedEndpoint // by class: endpoints that get requests
+	zoneCounts []int                // by class: number of zones with open endpoints
 }
 
 type weightedEndpoint struct {
-	endpoint int // index
+	endpoint int // index in simulation.endpoints
 	weight   float64
 }
 
@@ -58,7 +58,7 @@
 	arrived  float64
 	rejected float64
 	failures float64
-	attempts map[int]*attemptTotals // by endpoint
+	attempts map[int]*attemptTotals // by the index of the endpoint
 }
 
 type attemptTotals struct {
@@ -83,7 +83,7 @@
 	return g
 }
 
-// connect opens a gateway's connection anew.
+// connect opens a new connection for a gateway and announces the gateway to the core.
 func (s *simulation) connect(g *gateway) {
 	s.network.lastConn++
 	g.link = gatewayLink{
@@ -105,12 +105,12 @@
 	})
 }
 
-// applyTables makes a gateway use a snapshot.
+// applyTables applies a snapshot to a gateway's tables.
 func (s *simulation) applyTables(g *gateway, snapshot routing.Snapshot) {
-	if s.tamper != nil {
+	if s.alterTables != nil {
 		snapshot.Clusters = slices.Clone(snapshot.Clusters)
 		snapshot.Routes = slices.Clone(snapshot.Routes)
-		s.tamper(&snapshot)
+		s.alterTables(&snapshot)
 	}
 	g.tables.snapshot = snapshot
 	g.tables.appliedAt = s.now
@@ -119,8 +119,8 @@
 	}
 }
 
-// openEndpoints appends the endpoints of a cluster that take requests, and counts their zones; clusters are sorted by
-// zone.
+// openEndpoints appends the endpoints of a cluster that get requests to open, and returns the result with the number of their
+// zones. The endpoints of a cluster are sorted by zone.
 func (s *simulation) openEndpoints(cluster routing.Cluster, open []weightedEndpoint) ([]weightedEndpoint, int) {
 	zones := 0
 	var lastZone policyapi.Zone
@@ -138,7 +138,8 @@
 	return open, zones
 }
 
-// report sends the load reports that are due: each gateway reports once a period, spread over it.
+// report sends the load reports that are due. Each gateway reports once per period, and the gateways' reports are spread over
+// the period.
 func (s *simulation) report() {
 	ticksPerPeriod := max(1, int(s.settings.Start.Reports.Period/tick))
 	tickNumber := int((s.now - startTime) / tick)
@@ -149,6 +150,7 @@
 	}
 }
 
+// loadReport returns a gateway's load report and resets its counts.
 func (s *simulation) loadReport(g *gateway) coordinator.LoadReport {
 	g.link.reportNumber++
 	report := coordinator.LoadReport{
@@ -159,30 +161,30 @@
 	}
 	for class, settings := range s.settings.Start.Classes {
 		totals := &g.totals[class]
-		one := coordinator.ClassReport{
+		classReport := coordinator.ClassReport{
 			Class:    settings.Name,
 			Arrivals: int(math.Round(totals.arrived)),
 			Rejected: int(math.Round(totals.rejected)),
 			Failures: int(math.Round(totals.failures)),
 		}
 		for _, i := range slices.Sorted(maps.Keys(totals.attempts)) {
-			one.Endpoints = append(one.Endpoints, s.endpoints[i].report(totals.attempts[i]))
+			classReport.Endpoints = append(classReport.Endpoints, s.endpoints[i].report(totals.attempts[i]))
 		}
-		report.Classes = append(report.Classes, one)
+		report.Classes = append(report.Classes, classReport)
 		clear(totals.attempts)
 		*totals = classTotals{attempts: totals.attempts}
 	}
 	return report
 }
 
-// How an endpoint's metrics follow from its utilization.
+// Parameters of the metrics that are reported for an endpoint. The mean latency is idleLatency divided by the free capacity.
 const (
-	attemptRounding  = 1e-9    // sums of fractions of an attempt are rounded up, but for this error
-	idleLatency      = 160_000 // microseconds, divided by the free capacity
-	fullCapacity     = 1.1     // of which the free capacity is left ...
-	minFreeCapacity  = 0.2     // ... this at least
+	attemptRounding  = 1e-9    // rounding error that is ignored when a sum of fractional attempts is rounded up
+	idleLatency      = 160_000 // in microseconds, at a free capacity of 1
+	fullCapacity     = 1.1     // the free capacity is this minus the utilization ...
+	minFreeCapacity  = 0.2     // ... but at least this
 	queueAtOverload  = 10      // queue length at twice the capacity
-	utilizationLimit = 1
+	utilizationLimit = 1       // highest reported utilization
 )
 
 func (e *endpoint) report(totals *attemptTotals) coordinator.EndpointReport {
--- a/expectation/network.go
+++ b/expectation/network.go
@@ -9,22 +9,22 @@
 	"porthub/routing"
 )
 
-// network carries publications to gateways and acknowledgements back, each with the fleet's latency.
+// network delivers publications to gateways and acknowledgements to the core, each after the fleet's latency.
 type network struct {
 	lastConn    coordinator.ConnID
 	deliveries  []delivery
-	queuedLines float64 // unacknowledged, of all gateways
+	queuedLines float64 // unacknowledged lines of all gateways
 }
 
-// delivery is a message in flight. One of publish and ack is set.
+// delivery is a message in flight. Either publish or ack is set.
 type delivery struct {
 	at      policyapi.Microseconds
-	gateway int // index
+	gateway int // index in simulation.gateways
 	publish *coordinator.Publish
 	ack     *coordinator.DocumentAck
 }
 
-// send puts a publication on its way.
+// send sends a publication to its gateway.
 func (s *simulation) send(p coordinator.Publish) {
 	i := s.gatewayIndex[p.Gateway]
 	g := s.gateways[i]
@@ -33,11 +33,11 @@
 	s.network.queuedLines += lines
 	g.link.published = p.Snapshot
 	g.link.sentAt = append(g.link.sentAt, s.now)
-	s.evaluator.messageSent(g)
+	s.evaluator.evaluateMessageCount(g)
 	s.network.deliveries = append(s.network.deliveries, delivery{at: s.now + s.expectation.Fleet.Latency, gateway: i, publish: &p})
 }
 
-// deliver delivers the messages whose time has come. Those to and from disconnected gateways are lost.
+// deliver delivers the messages that are due. Messages to and from disconnected gateways are lost.
 func (s *simulation) deliver() {
 	slices.SortStableFunc(s.network.deliveries, func(a, b delivery) int { return cmp.Compare(a.at, b.at) })
 	n := 0
@@ -74,21 +74,21 @@
 	}
 }
 
-// acknowledge settles a message and those sent before it.
+// acknowledge removes a message and those sent before it from the unacknowledged messages.
 func (s *simulation) acknowledge(g *gateway, version string) {
 	for i, message := range g.link.unacknowledged {
 		if message.version != version {
 			continue
 		}
-		for _, settled := range g.link.unacknowledged[:i+1] {
-			s.network.queuedLines -= settled.lines
+		for _, acknowledged := range g.link.unacknowledged[:i+1] {
+			s.network.queuedLines -= acknowledged.lines
 		}
 		g.link.unacknowledged = g.link.unacknowledged[i+1:]
 		return
 	}
 }
 
-// dropUnacknowledged settles what was in flight to a gateway whose connection has ended.
+// dropUnacknowledged discards the unacknowledged messages to a gateway whose connection has ended.
 func (s *simulation) dropUnacknowledged(g *gateway) {
 	for _, message := range g.link.unacknowledged {
 		s.network.queuedLines -= message.lines
--- a/expectation/simulation.go
+++ b/expectation/simulation.go
@@ -13,15 +13,15 @@
 const (
 	// tick is the step of simulated time.
 	tick = second / 4
-	// settleTime passes before the events begin: gateways have joined, and the decision module has made its rounds.
+	// settleTime is the time before the events, in which gateways join and the decision module completes its first rounds.
 	settleTime = 9 * second
-	// startTime is well above 0, so that start times before it exist.
+	// startTime is well above 0, so that endpoints can have started before it.
 	startTime = 1_000_000 * second
-	// warmCapacity of an endpoint, in requests a second.
+	// warmCapacity is the capacity of a warmed-up endpoint, in requests per second.
 	warmCapacity = 20.0
 )
 
-// simulation runs a core on simulated time and stands in for its fleet. It belongs to one goroutine.
+// simulation runs a coordinator core on simulated time and simulates its fleet. It must be used by a single goroutine.
 type simulation struct {
 	expectation Expectation
 	drawn       Case
@@ -40,28 +40,28 @@
 	gateways      []*gateway
 	gatewayIndex  map[coordinator.Gateway]int
 	loadFactor    float64
-	tamper        func(*routing.Snapshot) // changes the tables that gateways apply; nil but in tests
+	alterTables   func(*routing.Snapshot) // changes the tables that gateways apply; nil except in tests
 }
 
-// Run simulates a case with a core of the settings given, and returns the first failure of each assertion.
+// Run simulates a case with a core that has the given settings, and returns the first failure of each assertion.
 func (e Expectation) Run(settings coordinator.Settings, c Case) []Failure {
-	return e.run(settings, c, tampering{})
+	return e.run(settings, c, testOverrides{})
 }
 
-// tampering is what tests put between the core and the evaluator: changes of the tables that gateways apply, and of the
-// settings that the core is given.
-type tampering struct {
+// testOverrides are changes by which tests make the simulation violate assertions: changes to the tables that gateways apply,
+// and changes to the settings of the core that the evaluator does not share. Both may be nil.
+type testOverrides struct {
 	tables   func(*routing.Snapshot)
 	settings func(*coordinator.Settings)
 }
 
-func (e Expectation) run(settings coordinator.Settings, c Case, by tampering) []Failure {
+func (e Expectation) run(settings coordinator.Settings, c Case, overrides testOverrides) []Failure {
 	settings.Epoch = "x"
 	settings.Start.Seed = c.Seed
 	settings.Start.ProxyCount = c.Gateways
 	coreSettings := settings
-	if by.settings != nil {
-		by.settings(&coreSettings)
+	if overrides.settings != nil {
+		overrides.settings(&coreSettings)
 	}
 	s := &simulation{
 		expectation:   e,
@@ -73,9 +73,9 @@
 		endpointIndex: map[policyapi.EndpointID]int{},
 		gatewayIndex:  map[coordinator.Gateway]int{},
 		loadFactor:    1,
-		tamper:        by.tables,
+		alterTables:   overrides.tables,
 	}
-	s.build()
+	s.buildFleet()
 	s.evaluator = newEvaluator(s)
 	s.publishList()
 	for end := startTime + settleTime + e.Length; s.now < end; s.now += tick {
@@ -84,19 +84,20 @@
 	return s.evaluator.finish()
 }
 
+// tick simulates one step of time.
 func (s *simulation) tick() {
 	s.applyDueEvents()
 	s.deliver()
 	s.report()
 	s.step()
-	s.serveDeadlines()
+	s.runDeadlines()
 	s.serveTraffic()
 	s.evaluator.evaluate()
 }
 
-// serveDeadlines steps the core at each of its deadlines within the tick. A deadline that a step does not move would be
-// met again and again: it waits for the next tick.
-func (s *simulation) serveDeadlines() {
+// runDeadlines steps the core at each of its deadlines within the tick. If a step does not advance the deadline, the deadline
+// waits for the next tick, as the loop would otherwise not end.
+func (s *simulation) runDeadlines() {
 	tickStart := s.now
 	for next := s.core.NextDeadline(); next < tickStart+tick; next = s.core.NextDeadline() {
 		s.now = max(tickStart, next)
@@ -108,8 +109,8 @@
 	}
 }
 
-// build creates the drawn fleet and connects its gateways.
-func (s *simulation) build() {
+// buildFleet creates the fleet of the case and connects its gateways.
+func (s *simulation) buildFleet() {
 	zones := s.settings.Start.Zones
 	classes := len(s.settings.Start.Classes)
 	for i := range s.drawn.Endpoints {
@@ -140,7 +141,7 @@
 	}
 }
 
-// step steps the core and carries its outputs out.
+// step passes the pending inputs to the core and applies its outputs.
 func (s *simulation) step() {
 	inputs := s.inputs
 	s.inputs = nil
@@ -153,14 +154,15 @@
 		case coordinator.CheckHealth:
 			s.checkHealth(o)
 		case coordinator.LogEntry:
-			s.evaluator.logged(o)
+			s.evaluator.recordLevelEntry(o)
 		}
 	}
 }
 
-// healthCheckTime is how long a health check takes, in microseconds.
+// healthCheckTime is the duration of a health check in microseconds.
 const healthCheckTime = 5000
 
+// checkHealth returns the result of a health check to the core. A running endpoint is healthy.
 func (s *simulation) checkHealth(o coordinator.CheckHealth) {
 	i, ok := s.endpointIndex[o.Endpoint]
 	if !ok {
--- a/expectation/suite.go
+++ b/expectation/suite.go
@@ -10,37 +10,38 @@
 
 func seconds(m policyapi.Microseconds) float64 { return float64(m) / float64(second) }
 
-// Suite is one expectation file.
+// Suite is the content of an expectation file.
 type Suite struct {
 	Expectations []Expectation
 }
 
-// Expectation is a set of drawn cases, the events of each, and what must hold in all of them.
+// Expectation describes a set of cases with the same events, and the assertions that must hold in all of them.
 type Expectation struct {
 	Name       string
 	Cases      int    // number of drawn cases; 1 if the fleet is fixed
-	Seed       uint64 // of every pseudorandom sequence
+	Seed       uint64 // seed of all random numbers
 	Length     policyapi.Microseconds
 	Fleet      Fleet
-	Events     []Event // by time
+	Events     []Event // sorted by time
 	Assertions []Assertion
-	Line       int // in its file
+	Line       int // line in its file
 }
 
-// Range is a number that each case draws, both ends included.
+// Range is a range of numbers, both ends included, from which each case draws one.
 type Range struct{ From, To float64 }
 
-// Fleet is what a case begins with: warm endpoints and gateways, both spread evenly over the zones.
+// Fleet describes the fleet at the start of a case. All endpoints are warmed up, and endpoints and gateways are spread evenly
+// over the zones.
 type Fleet struct {
 	Endpoints Range
 	Gateways  Range
-	Load      Range                  // fraction of the endpoints' total capacity
+	Load      Range                  // total traffic as a fraction of the endpoints' total capacity
 	Spread    float64                // standard deviation of the logarithm of gateways' traffic
-	Latency   policyapi.Microseconds // of a message to a gateway, and of its acknowledgement
-	ListDelay policyapi.Microseconds // from a change of an endpoint to the list with it
+	Latency   policyapi.Microseconds // latency of a message to a gateway, and of its acknowledgement
+	ListDelay policyapi.Microseconds // time from the change of an endpoint to the change of the list
 }
 
-// String has the file's words, in which findings show it.
+// String formats the fleet for findings, with names that correspond to the keys of the expectation file.
 func (f Fleet) String() string {
 	return fmt.Sprintf("{Nodes:%+v Gateways:%+v Load:%+v Spread:%v Transit:%v ListLate:%v}",
 		f.Endpoints, f.Gateways, f.Load, f.Spread, f.Latency, f.ListDelay)
@@ -48,55 +49,55 @@
 
 // The actions of events.
 const (
-	Lose       = "lose"    // endpoints stop; the list drops them after its delay
-	Drain      = "drain"   // endpoints drain; the list says so at once
+	Lose       = "lose"    // endpoints stop; the list removes them after its delay
+	Drain      = "drain"   // endpoints drain; the list changes at once
 	Restart    = "restart" // endpoints restart and warm up
-	Fail       = "fail"    // endpoints fail the requests of one class, or of all
-	Recover    = "back"    // all endpoints are as at the start again; those that were lost warm up
-	Disconnect = "away"    // gateways reach no coordinator
-	Reconnect  = "home"    // all gateways reach it again
-	ScaleLoad  = "load"    // the load is this multiple of the drawn one
+	Fail       = "fail"    // endpoints fail the requests of one class, or of all classes
+	Recover    = "back"    // all endpoints are ready and healthy again; those that were lost or draining warm up
+	Disconnect = "away"    // gateways lose their connection to the coordinator
+	Reconnect  = "home"    // disconnected gateways connect again
+	ScaleLoad  = "load"    // the load becomes a multiple of the drawn load
 )
 
-// Actions lists them.
+// Actions lists the actions of events.
 var Actions = []string{Lose, Drain, Restart, Fail, Recover, Disconnect, Reconnect, ScaleLoad}
 
-// Event is something that happens to the fleet.
+// Event is an event that affects the fleet.
 type Event struct {
 	At         policyapi.Microseconds
 	Action     string
-	Zone       policyapi.Zone // of the endpoints or gateways; empty: any
-	Fraction   float64        // of them, at least one; 0: all
-	Class      string         // of Fail; empty: all
-	LoadFactor float64        // of ScaleLoad
-	Line       int            // in its file
+	Zone       policyapi.Zone // zone of the affected endpoints or gateways; empty: any
+	Fraction   float64        // fraction of the endpoints or gateways, at least one; 0: all
+	Class      string         // class that endpoints fail, for Fail; empty: all
+	LoadFactor float64        // multiple of the drawn load, for ScaleLoad
+	Line       int            // line in its file
 }
 
-// Assertion is one statement that must hold at every moment, for every gateway, class and case. Exactly one of its
-// figures is set.
+// Assertion is a condition that must hold at all times, for every gateway, class and case. Class, Zone, From and To restrict
+// where and when it applies. Exactly one of the remaining fields other than Line is set.
 type Assertion struct {
-	Class string         // empty: each class
-	Zone  policyapi.Zone // of the gateways; empty: all
-	From  policyapi.Microseconds
-	To    policyapi.Microseconds // 0: to the end
-	Line  int                    // in its file
-
-	MaxEmptyTable   policyapi.Microseconds // longest time that a gateway has no endpoint while a warm ready one is listed
-	MinEndpoints    int                    // in each gateway's table
-	MaxEndpoints    int                    // in each gateway's table
-	MinZones        int                    // with endpoints in each gateway's table
-	MaxUtilization  float64                // offered load over capacity, of a warm endpoint
-	MaxWarmUpLoad   float64                // offered load over the overload limit, of an endpoint that warms up
+	Class string                 // empty: all
+	Zone  policyapi.Zone         // zone of the gateways; empty: all
+	From  policyapi.Microseconds // since the start of the events
+	To    policyapi.Microseconds // 0: the end of the case
+	Line  int                    // line in its file
+
+	MaxEmptyTable   policyapi.Microseconds // longest time without an endpoint in a gateway's table while a warm, ready one is listed
+	MinEndpoints    int                    // open endpoints in each gateway's table
+	MaxEndpoints    int                    // open endpoints in each gateway's table
+	MinZones        int                    // zones with open endpoints in each gateway's table
+	MaxUtilization  float64                // load offered to a warm endpoint, divided by its capacity
+	MaxWarmUpLoad   float64                // load offered to a warming endpoint, divided by its overload limit
 	MaxDrainDelay   policyapi.Microseconds // longest time that a gateway sends to a draining or removed endpoint
-	MaxMessages     int                    // to one gateway within the rules' message window
-	MaxQueued       float64                // lines in flight to all gateways over the rules' limit
-	MinSuccessRatio float64                // of the class's requests
-	MaxRetryPolicy  int
-	EnteredLevel    string // a degradation level that is entered
-	AvoidedLevel    string // a degradation level that is not entered
+	MaxMessages     int                    // messages to one gateway within the rules' message window
+	MaxQueued       float64                // lines in flight to all gateways, divided by the rules' limit
+	MinSuccessRatio float64                // fraction of the class's requests that succeed
+	MaxRetryPolicy  int                    // highest permitted policyapi.RetryPolicy
+	EnteredLevel    string                 // degradation level that must be entered
+	AvoidedLevel    string                 // degradation level that must not be entered
 }
 
-// describe returns the condition in words.
+// describe returns a description of the condition.
 func (t Assertion) describe() string {
 	switch {
 	case t.MaxEmptyTable > 0:
@@ -116,6 +117,7 @@
 	}
 }
 
+// describeDelivery returns the description of the conditions that describe does not cover.
 func (t Assertion) describeDelivery() string {
 	switch {
 	case t.MaxDrainDelay > 0:
@@ -136,8 +138,8 @@
 	return "nothing"
 }
 
-// figureCount returns how many figures are set.
-func (t Assertion) figureCount() (count int) {
+// conditionCount returns the number of conditions that are set.
+func (t Assertion) conditionCount() (count int) {
 	for _, set := range []bool{
 		t.MaxEmptyTable > 0,
 		t.MinEndpoints > 0,
--- a/expectation/traffic.go
+++ b/expectation/traffic.go
@@ -1,12 +1,13 @@
 package expectation
 
-// tickSeconds is the length of a tick in seconds.
+// tickSeconds is the duration of a tick in seconds.
 const tickSeconds = float64(tick) / float64(second)
 
-// utilizationGain is the weight of the present tick in an endpoint's utilization.
+// utilizationGain is the weight of the current tick in the moving average of an endpoint's utilization.
 const utilizationGain = 0.5
 
-// serveTraffic sends the requests of a tick to endpoints by the gateways' tables, and counts what is served.
+// serveTraffic distributes the requests of a tick to endpoints by the gateways' tables, and counts the served and the failed
+// requests.
 func (s *simulation) serveTraffic() {
 	s.offerTraffic()
 	for _, e := range s.endpoints {
@@ -19,7 +20,7 @@
 	}
 }
 
-// admitted returns the requests of a class that arrive at a gateway in a tick, and those that it admits.
+// admitted returns the number of requests of a class that arrive at a gateway in a tick, and how many of them it admits.
 func (s *simulation) admitted(g *gateway, class int) (arrived, admitted float64) {
 	arrived = g.rates[class] * s.loadFactor * tickSeconds
 	admitted = arrived
@@ -34,7 +35,7 @@
 	return arrived, admitted
 }
 
-// offerTraffic spreads all admitted requests over the endpoints.
+// offerTraffic distributes all admitted requests to the endpoints in proportion to the weights in the gateways' tables.
 func (s *simulation) offerTraffic() {
 	for _, e := range s.endpoints {
 		e.traffic.offered = 0
@@ -57,11 +58,12 @@
 	return total
 }
 
-// tickCapacity is the number of requests that an endpoint can serve in this tick.
+// tickCapacity returns the number of requests that an endpoint can serve in the current tick.
 func (s *simulation) tickCapacity(e *endpoint) float64 {
 	return warmCapacity * s.capacityFactor(e) * tickSeconds
 }
 
+// updateUtilization updates an endpoint's utilization and its overload window with the traffic of the current tick.
 func (s *simulation) updateUtilization(e *endpoint) {
 	t := &e.traffic
 	t.utilization = (1-utilizationGain)*t.utilization + utilizationGain*t.offered/s.tickCapacity(e)
@@ -71,7 +73,7 @@
 	}
 }
 
-// serveClass counts a gateway's requests of a class: those that arrive, are rejected, are served and fail.
+// serveClass counts the arrived, rejected, served and failed requests of a class at a gateway.
 func (s *simulation) serveClass(g *gateway, class int) {
 	arrived, admitted := s.admitted(g, class)
 	totals := &g.totals[class]
@@ -82,20 +84,21 @@
 	for _, open := range g.tables.open[class] {
 		attempts := admitted * open.weight / total
 		successes := s.successes(s.endpoints[open.endpoint], class, attempts)
-		at := totals.attempts[open.endpoint]
-		if at == nil {
-			at = &attemptTotals{}
-			totals.attempts[open.endpoint] = at
+		endpointTotals := totals.attempts[open.endpoint]
+		if endpointTotals == nil {
+			endpointTotals = &attemptTotals{}
+			totals.attempts[open.endpoint] = endpointTotals
 		}
-		at.attempts += attempts
-		at.failures = at.failures + attempts - successes
+		endpointTotals.attempts += attempts
+		endpointTotals.failures = endpointTotals.failures + attempts - successes
 		served += successes
 	}
 	totals.failures += admitted - served
 	s.evaluator.recordServed(g, class, arrived, served)
 }
 
-// successes returns how many attempts at an endpoint succeed: none where it fails, and a fraction where it is overloaded.
+// successes returns how many attempts at an endpoint succeed: none if the endpoint does not run or fails the class, and only a
+// fraction if it is overloaded.
 func (s *simulation) successes(e *endpoint, class int, attempts float64) float64 {
 	if !e.running || e.failing[class] {
 		return 0
--- a/expectation/validate.go
+++ b/expectation/validate.go
@@ -8,16 +8,16 @@
 	"porthub/policyapi"
 )
 
-// Bounds of what a case may be.
+// Limits on the length and the fleet of an expectation.
 const (
 	minLength    = 3 * second
 	maxLength    = 3600 * second
 	maxEndpoints = 5000
 	maxGateways  = 20000
-	maxLoad      = 10 // times the capacity
+	maxLoad      = 10 // as a multiple of the capacity
 )
 
-// Finding is a problem of an expectation itself.
+// Finding is a problem in an expectation file, with a remedy.
 type Finding struct {
 	Line    int
 	Problem string
@@ -41,14 +41,15 @@
 	c.findings = append(c.findings, Finding{Line: line, Problem: fmt.Sprintf(problem, args...), Remedy: remedy})
 }
 
-// Check finds expectations that name what does not exist, assert nothing, or contradict one another.
+// Check returns the problems of a suite: invalid values, names that are not known, expectations without assertions, and
+// assertions that contradict one another.
 func (s Suite) Check(names KnownNames) []Finding {
 	c := &checker{names: names}
 	lines := map[string]int{} // by name
 	for _, e := range s.Expectations {
 		first, duplicate := lines[e.Name]
 		if e.Name == "" || duplicate {
-			c.report(e.Line, "give each a unique name", "the name %q is empty or also used at line %d", e.Name, first)
+			c.report(e.Line, "give each expectation a unique name", "the name %q is empty or also used at line %d", e.Name, first)
 		}
 		lines[e.Name] = e.Line
 		c.checkExpectation(e)
@@ -62,13 +63,14 @@
 
 func (c *checker) checkExpectation(e Expectation) {
 	if e.Length < minLength || e.Length > maxLength {
-		c.report(e.Line, "3 s to 1 h", "%s lasts %.0f s", e.Name, seconds(e.Length))
+		c.report(e.Line, "the length must be 3 s to 1 h", "%s lasts %.0f s", e.Name, seconds(e.Length))
 	}
 	if !e.Fleet.valid() {
-		c.report(e.Line, "1 to 5000 endpoints, 1 to 20000 gateways, a load above 0 and at most 10, each range from low to high", "%s: its fleet is %v", e.Name, e.Fleet)
+		c.report(e.Line, "it must have 1 to 5000 endpoints, 1 to 20000 gateways and a load above 0 and at most 10, each range from low to high",
+			"%s: its fleet is %v", e.Name, e.Fleet)
 	}
 	if len(e.Assertions) == 0 {
-		c.report(e.Line, "state what must hold", "%s expects nothing", e.Name)
+		c.report(e.Line, "add at least one", "%s has no assertions", e.Name)
 	}
 	for _, event := range e.Events {
 		c.checkEvent(e, event)
@@ -88,53 +90,54 @@
 func (c *checker) checkEvent(e Expectation, event Event) {
 	switch {
 	case !slices.Contains(Actions, event.Action):
-		c.report(event.Line, "one of "+strings.Join(Actions, ", "), "there is no %q", event.Action)
+		c.report(event.Line, "the action must be one of "+strings.Join(Actions, ", "), "there is no %q", event.Action)
 	case event.At < 0 || event.At > e.Length:
-		c.report(event.Line, "within the length", "it happens at %.1f s", seconds(event.At))
+		c.report(event.Line, "events must be within the length of the expectation", "it happens at %.1f s", seconds(event.At))
 	case !c.hasZone(event.Zone):
-		c.report(event.Line, fmt.Sprintf("one of %v", c.names.Zones), "there is no zone %q", event.Zone)
+		c.report(event.Line, fmt.Sprintf("the zone must be one of %v", c.names.Zones), "there is no zone %q", event.Zone)
 	case !c.hasClass(event.Class):
-		c.report(event.Line, fmt.Sprintf("one of %v", c.names.Classes), "there is no request class %q", event.Class)
+		c.report(event.Line, fmt.Sprintf("the class must be one of %v", c.names.Classes), "there is no request class %q", event.Class)
 	case event.Fraction < 0 || event.Fraction > 1:
-		c.report(event.Line, "0 to 1", "part is %v", event.Fraction)
+		c.report(event.Line, "it must be from 0 to 1", "part is %v", event.Fraction)
 	case event.Action == ScaleLoad && !(event.LoadFactor > 0):
-		c.report(event.Line, "above 0", "size is %v", event.LoadFactor)
+		c.report(event.Line, "it must be above 0", "size is %v", event.LoadFactor)
 	}
 }
 
 func (c *checker) checkAssertion(t Assertion) {
 	level := t.EnteredLevel + t.AvoidedLevel // one is empty
 	switch {
-	case t.figureCount() != 1:
-		c.report(t.Line, "exactly one condition in each", "it has %d conditions", t.figureCount())
+	case t.conditionCount() != 1:
+		c.report(t.Line, "each assertion must have exactly one", "it has %d conditions", t.conditionCount())
 	case !c.hasClass(t.Class):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.names.Classes), "there is no request class %q", t.Class)
+		c.report(t.Line, fmt.Sprintf("the class must be one of %v", c.names.Classes), "there is no request class %q", t.Class)
 	case !c.hasZone(t.Zone):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.names.Zones), "there is no zone %q", t.Zone)
+		c.report(t.Line, fmt.Sprintf("the zone must be one of %v", c.names.Zones), "there is no zone %q", t.Zone)
 	case t.MinZones > len(c.names.Zones):
-		c.report(t.Line, fmt.Sprintf("at most %d", len(c.names.Zones)), "it expects %d zones", t.MinZones)
+		c.report(t.Line, fmt.Sprintf("there are only %d", len(c.names.Zones)), "it expects %d zones", t.MinZones)
 	case level != "" && !slices.Contains(c.names.Levels, level):
-		c.report(t.Line, fmt.Sprintf("one of %v", c.names.Levels), "there is no level %q", level)
+		c.report(t.Line, fmt.Sprintf("the level must be one of %v", c.names.Levels), "there is no level %q", level)
 	case t.To > 0 && t.To <= t.From:
-		c.report(t.Line, "to after from", "it counts from %.1f to %.1f s", seconds(t.From), seconds(t.To))
+		c.report(t.Line, "to must be later than from", "it counts from %.1f to %.1f s", seconds(t.From), seconds(t.To))
 	}
 }
 
-// hasZone reports whether a zone exists; empty stands for all.
+// hasZone reports whether a zone is known. The empty zone stands for all zones.
 func (c *checker) hasZone(zone policyapi.Zone) bool {
 	return zone == "" || slices.Contains(c.names.Zones, zone)
 }
 
-// hasClass reports whether a class exists; empty stands for all.
+// hasClass reports whether a request class is known. The empty class stands for all classes.
 func (c *checker) hasClass(class string) bool {
 	return class == "" || slices.Contains(c.names.Classes, class)
 }
 
-// conflicts returns pairs that no fleet can satisfy, of one expectation or of two with the same fleet and events.
+// conflicts returns the pairs of assertions that cannot both hold, within one expectation or in two expectations with the
+// same fleet and events.
 func (s Suite) conflicts() (pairs [][2]Assertion) {
 	for i, a := range s.Expectations {
 		for _, b := range s.Expectations[i:] {
-			if a.sameCourse(b) {
+			if a.sameScenario(b) {
 				pairs = append(pairs, conflictsBetween(a.Assertions, b.Assertions)...)
 			}
 		}
@@ -153,22 +156,22 @@
 	return pairs
 }
 
-// sameCourse reports whether two expectations have the same fleet and events.
-func (e Expectation) sameCourse(o Expectation) bool {
+// sameScenario reports whether two expectations have the same fleet and events, apart from the lines of the events.
+func (e Expectation) sameScenario(o Expectation) bool {
 	return e.Fleet == o.Fleet && slices.EqualFunc(e.Events, o.Events, func(a, b Event) bool {
 		a.Line = b.Line
 		return a == b
 	})
 }
 
-// overlaps reports whether two assertions have gateways, classes and moments in common.
+// overlaps reports whether there are gateways, classes and times to which both assertions apply.
 func (t Assertion) overlaps(o Assertion) bool {
 	classes := t.Class == "" || o.Class == "" || t.Class == o.Class
 	zones := t.Zone == "" || o.Zone == "" || t.Zone == o.Zone
 	return classes && zones && t.From < o.end() && o.From < t.end()
 }
 
-// end returns when the assertion ends to apply.
+// end returns the time until which the assertion applies.
 func (t Assertion) end() policyapi.Microseconds {
 	if t.To == 0 {
 		return 1 << 62
@@ -176,6 +179,8 @@
 	return t.To
 }
 
+// contradicts reports whether two overlapping assertions cannot both hold. It considers only one direction: a lower bound or
+// an entered level of t against an upper bound or an avoided level of o.
 func (t Assertion) contradicts(o Assertion) bool {
 	switch {
 	case t.MinEndpoints > 0 && o.MaxEndpoints > 0 && t.MinEndpoints > o.MaxEndpoints:
