--- a/cmd/porthub/node_test.go
+++ b/cmd/porthub/node_test.go
@@ -205,7 +205,7 @@
 		code           int
 	}{
 		"address in use": {config, "address already in use", exitEnvironment},
-		"not JSON":       {"{", "not the JSON", exitUsage},
+		"not JSON":       {"{", "invalid JSON configuration", exitUsage},
 		"no settings":    {`{"listen":"a:1","discovery":"b:2"}`, "settings", exitUsage},
 		"no address":     {`{"discovery":"b:2"}`, "listen", exitUsage},
 	} {
