--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -191,7 +191,7 @@
 	return []evaluationCase{
 		{"too many messages", Queue, true, 1.05, func(l *Log) { sendMessages(l, 22) }},
 		{"as many messages as allowed", Queue, false, 0.9, func(l *Log) { sendMessages(l, 18) }},
-		{"messages that were replaced before they were read count", Queue, true, 1.05, func(l *Log) { l.TableApplied(23*s, 23*s, "gw", "e.40", tableOf("n1")) }},
+		{"replaced messages count", Queue, true, 1.05, func(l *Log) { l.TableApplied(23*s, 23*s, "gw", "e.40", tableOf("n1")) }},
 		{"too many lines in flight", Queue, true, 1.1, func(l *Log) { publishWideTable(l, 60) }},
 		{"lines in flight within the limit", Queue, false, 0.5, func(l *Log) { publishWideTable(l, 30) }},
 	}
--- a/audit/drain.go
+++ b/audit/drain.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// evaluateDrains checks that gateways send no requests to a draining endpoint after the grace period, nor to a removed one
-// if the limits say so. The period begins with the change of the list, the start of the coordinator or the connection of the
-// gateway, whichever is latest.
+// evaluateDrains checks that gateways send no requests to a draining endpoint after the grace period. With
+// DrainAppliesToRemoved, endpoints that leave the list count as draining. The period begins with the change of the list, the
+// start of the coordinator or the connection of the gateway, whichever is latest.
 func (l *Log) evaluateDrains(end time.Duration) Verdict {
 	worst := &peak{}
 	connections := map[string][]interval{}
@@ -41,8 +41,8 @@
 func (l *Log) checkDrain(worst *peak, request sentRequest, since time.Duration, connection interval) {
 	late := request.at - max(since, connection.from)
 	worst.raise(float64(late)/float64(l.limits.DrainGracePeriod), func() string {
-		return request.gateway + " sent a request to " + request.endpoint + " " + formatDuration(late) + " after the start of the grace period, at " +
-			formatDuration(request.at) + ", connected at " + formatDuration(connection.from)
+		return request.gateway + " sent a request to " + request.endpoint + " " + formatDuration(late) +
+			" after the start of the grace period, at " + formatDuration(request.at) + ", connected at " + formatDuration(connection.from)
 	})
 }
 
--- a/audit/rules.go
+++ b/audit/rules.go
@@ -8,7 +8,7 @@
 // The names of the rules, as they appear on command lines and in output.
 const (
 	EmptyTable      = "bare"   // no connected gateway stays without an endpoint for a class
-	DuplicateEffect = "repeat" // no retry by a gateway executes a request again that is not idempotent
+	DuplicateEffect = "repeat" // no retry by a gateway executes a non-idempotent request again
 	Drain           = "drain"  // no request is sent to a draining endpoint after the grace period
 	WarmUp          = "cold"   // no warming endpoint is overloaded
 	Queue           = "queue"  // the messages and lines sent to gateways stay within their limits
@@ -101,7 +101,8 @@
 		count := l.executions[execution]
 		return Verdict{
 			PeakUsage: float64(count),
-			Detail:    "a request of class " + execution.class + " was executed " + strconv.Itoa(count) + " times within one attempt of the client",
+			Detail: "a request of class " + execution.class + " was executed " + strconv.Itoa(count) +
+				" times within one attempt of the client",
 		}
 	}
 	return Verdict{Satisfied: true}
--- a/emulator/emulator_test.go
+++ b/emulator/emulator_test.go
@@ -250,6 +250,7 @@
 	collapsedBySum := e.collapsed
 	e.mu.Unlock()
 	if collapsedByOne || !collapsedBySum {
-		t.Errorf("collapsed %t by one large request and %t by work above the overload limit, want false and true", collapsedByOne, collapsedBySum)
+		t.Errorf("collapsed %t by one large request and %t by work above the overload limit, want false and true",
+			collapsedByOne, collapsedBySum)
 	}
 }
--- a/emulator/eureka/registry.go
+++ b/emulator/eureka/registry.go
@@ -136,11 +136,11 @@
 }
 
 func (r *Registry) copyInstances() []Instance {
-	var instances []Instance
+	var copied []Instance
 	for _, i := range r.instances {
-		instances = append(instances, *i)
+		copied = append(copied, *i)
 	}
-	return instances
+	return copied
 }
 
 // stateBefore returns the instances and the revision as they were before the lag. With a lag of 0 it returns the current
@@ -164,11 +164,11 @@
 func (r *Registry) recentChanges() []change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var changes []change
+	var recent []change
 	for _, c := range r.changes {
 		if r.now().Sub(c.at) <= deltaRetention {
-			changes = append(changes, c)
+			recent = append(recent, c)
 		}
 	}
-	return changes
+	return recent
 }
--- a/emulator/gateway.go
+++ b/emulator/gateway.go
@@ -22,10 +22,10 @@
 	// Coordinator returns the address to dial, or an empty string while there is none. If it is nil, the gateway never
 	// connects to a coordinator.
 	Coordinator func() string
-	// List returns the endpoint list. It is read only for the initial table.
+	// List returns the endpoint list. It is used for the initial table, and by RefreshEndpoints.
 	List             func() []ListEntry
 	InitialTableSize int  // maximum number of endpoints in the initial table
-	UseAllEndpoints  bool // baseline: the table always contains all listed endpoints
+	UseAllEndpoints  bool // baseline: the table has all listed endpoints that are not draining
 	EjectAfter       int  // consecutive failures after which an endpoint is ejected; 0: never
 	EjectionTime     time.Duration
 	Polls            bool          // polls for its tables, by deltas; otherwise reads files
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -159,7 +159,7 @@
 }
 
 // pollOnce requests a document once. The result more reports whether a new version arrived. If this is the first response
-// on the connection, the audit log gets at as the time of the connection.
+// on the connection, the audit log records at as the time of the connection.
 func (l *lightLink) pollOnce(document int, at time.Duration) (more bool, err error) {
 	g := l.gateway
 	path, resourceType := xds.EndpointPath, xds.EndpointType
--- a/expectation/expectation_test.go
+++ b/expectation/expectation_test.go
@@ -69,7 +69,7 @@
 		}
 	}
 	for condition, violation := range violations() {
-		t.Run("violation of "+condition, func(t *testing.T) {
+		t.Run("violated condition: "+condition, func(t *testing.T) {
 			limits := tight
 			if violation.settings == nil {
 				limits = set
--- a/expectation/failure.go
+++ b/expectation/failure.go
@@ -19,7 +19,7 @@
 	Class        string                 `cbor:"Kind" json:"Kind"`       // empty if it does not concern a single request class
 	At           policyapi.Microseconds `cbor:"At" json:"At"`           // time since the start of the events
 	Observed     string                 `cbor:"Figure" json:"Figure"`   // the observed value
-	SmallestCase string                 `cbor:"Small" json:"Small"`     // smallest case for which the assertion was found to fail; empty if none is smaller
+	SmallestCase string                 `cbor:"Small" json:"Small"`     // smallest failing case that Shrink found; empty: none
 }
 
 func (f Failure) String() string {
--- a/expectation/gateway.go
+++ b/expectation/gateway.go
@@ -20,7 +20,7 @@
 	tables gatewayTables
 	totals []classTotals // by class, since the last report
 
-	emptySince []policyapi.Microseconds // by class: since when the table has been empty although a warm endpoint is listed; 0: it is not
+	emptySince []policyapi.Microseconds // by class: when the table became empty although a warm endpoint is listed; 0: not the case
 }
 
 // gatewayLink is a gateway's connection to the coordinator.
