--- a/audit/audit_test.go
+++ b/audit/audit_test.go
@@ -73,7 +73,7 @@
 	rule     string
 	violated bool
 	usage    float64 // minimum peak usage
-	do       func(l *Log)
+	record   func(l *Log)
 }
 
 // Each rule must detect its violations and accept runs that stay just within its limit. A normal run violates no rule.
@@ -83,7 +83,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			l := normalRun()
-			test.do(l)
+			test.record(l)
 			for rule, verdict := range l.Evaluate(runLength) {
 				violated := rule == test.rule && test.violated
 				if verdict.Satisfied == violated {
--- a/emulator/eureka/peer.go
+++ b/emulator/eureka/peer.go
@@ -20,9 +20,9 @@
 	ErrorStatus  int           // status code of all responses; 0: no error
 	Truncated    bool          // response bodies end in the middle
 	PaddingBytes int64         // bytes that are added to each JSON response
-	ClockSkew    time.Duration // offset of the peer's clock
+	ClockSkew    time.Duration // offset of the peer's clock in JSON responses
 	Lag          time.Duration // age of the state in responses other than deltas
-	Reregistered bool          // all instances have been registered again at the time that the fault was set
+	Reregistered bool          // JSON responses show all instances as registered when the fault was set
 }
 
 // preservesContent reports whether a response with these faults shows all instances of its revision correctly.
