--- a/degradation/controller_test.go
+++ b/degradation/controller_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestMain fixes the draws of property tests.
-func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
+func TestMain(m *testing.M) { testutil.RunWithFixedSeed(m, 400) }
 
 // testLevel returns a level by load; options add to it.
 func testLevel(name string, enter, leave float64, enterDelay, leaveDelay policyapi.Microseconds, options ...func(*Level)) Level {
--- a/solver/solve_test.go
+++ b/solver/solve_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestMain fixes the draws of property tests.
-func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
+func TestMain(m *testing.M) { testutil.RunWithFixedSeed(m, 400) }
 
 // On random fleets of all hard cases no endpoint is offered more than its limit, what fits is placed, and the placed
 // priority is near the exact optimum.
--- a/testutil/filled.go
+++ b/testutil/filled.go
@@ -13,7 +13,7 @@
 	var value T
 	f := &filler{t: t}
 	f.fill(reflect.ValueOf(&value).Elem(), reflect.TypeFor[T]().String())
-	RequireSet(t, value)
+	RequireNonZero(t, value)
 	return value
 }
 
@@ -96,14 +96,14 @@
 	}
 }
 
-// RequireSet fails the test where an exported field, at any depth, is zero: a field that was added and that a golden file
+// RequireNonZero fails the test where an exported field, at any depth, is zero: a field that was added and that a golden file
 // does not show yet.
-func RequireSet(t *testing.T, value any) {
+func RequireNonZero(t *testing.T, value any) {
 	t.Helper()
-	requireSet(t, reflect.ValueOf(value), reflect.TypeOf(value).String())
+	requireNonZero(t, reflect.ValueOf(value), reflect.TypeOf(value).String())
 }
 
-func requireSet(t *testing.T, v reflect.Value, path string) {
+func requireNonZero(t *testing.T, v reflect.Value, path string) {
 	t.Helper()
 	if v.IsZero() {
 		t.Errorf("%s is zero", path)
@@ -111,19 +111,19 @@
 	}
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		requireSet(t, v.Elem(), path)
+		requireNonZero(t, v.Elem(), path)
 	case reflect.Slice, reflect.Array:
 		for i := range v.Len() {
-			requireSet(t, v.Index(i), path+"["+strconv.Itoa(i)+"]")
+			requireNonZero(t, v.Index(i), path+"["+strconv.Itoa(i)+"]")
 		}
 	case reflect.Map:
 		for _, key := range v.MapKeys() {
-			requireSet(t, v.MapIndex(key), path+"["+key.String()+"]")
+			requireNonZero(t, v.MapIndex(key), path+"["+key.String()+"]")
 		}
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if field := v.Type().Field(i); field.IsExported() {
-				requireSet(t, v.Field(i), path+"."+field.Name)
+				requireNonZero(t, v.Field(i), path+"."+field.Name)
 			}
 		}
 	}
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestMain fixes the draws of property tests.
-func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 300) }
+func TestMain(m *testing.M) { testutil.RunWithFixedSeed(m, 300) }
 
 func publication(gw string, n int, lines ...int) coordinator.Publish {
 	c := routing.Cluster{Class: "view"}
