--- a/config/config.go
+++ b/config/config.go
@@ -25,10 +25,10 @@
 
 func (d Duration) microseconds() policyapi.Microseconds { return policyapi.Microseconds(d) }
 
-// Config is the whole configuration file. Default has the values of keys that are left out.
+// Config is the content of a configuration file. Default returns the values of keys that are left out.
 type Config struct {
 	Coordinator  Coordinator    `json:"coordinator"`
-	Listen       string         `json:"listen"`    // address and port for gateways and tools; port 0 takes a free one
+	Listen       string         `json:"listen"`    // address and port for gateways and tools; port 0 selects a free one
 	StateDir     string         `json:"state_dir"` // directory of the saved endpoint list, pins, snapshots and captures
 	LogLevel     string         `json:"log_level"` // debug, info, warn or error
 	Delivery     Delivery       `json:"front"`
@@ -49,7 +49,7 @@
 	Trace        Trace          `json:"trace"`
 }
 
-// Default returns a configuration with the value of every key that may be left out.
+// Default returns a configuration in which every key that may be left out has its default value.
 func Default() Config {
 	return Config{
 		Coordinator: Coordinator{Instances: 1, Seed: 1},
@@ -116,7 +116,7 @@
 	return text, nil
 }
 
-// Parse reads and validates the text of a configuration file; findings name the file given. The error is a
+// Parse reads and validates the text of a configuration file. The findings contain the file name given. The error is a
 // ValidationError.
 func Parse(file string, text []byte) (Config, error) {
 	cfg := Default()
@@ -129,8 +129,8 @@
 	return cfg, d.err()
 }
 
-// Decode reads any text of this form into a struct whose fields have json tags; values that the struct already has are
-// its defaults. The error is a ValidationError: unknown keys, duplicate keys and values of the wrong type.
+// Decode reads JSON with comments and trailing commas into a struct whose fields have json tags. A field whose key is left
+// out keeps its value. The error is a ValidationError that lists unknown keys, duplicate keys and values of the wrong type.
 func Decode(file string, text []byte, into any) error {
 	d := newDecoder(file, text)
 	d.document(into)
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -24,11 +24,11 @@
 	start := cfg.Start()
 	if start.Classes[0].LatencyObjective != 750_000 || start.Classes[0].Idempotency != policyapi.Idempotent || start.Rules.DrainGracePeriod != 3_000_000 ||
 		start.Admission != policyapi.AdmissionByRate || start.Rules.SoftRemoval || start.Reports.MetricNames[0] != "busy" {
-		t.Errorf("%+v", start)
+		t.Errorf("Start() is %+v, want the values of the configuration and the defaults", start)
 	}
 }
 
-// All findings come at once, each with its line, its key and what would be right.
+// Parse reports all findings at once, each with its line, its key and how to correct it.
 func TestParseReportsEveryFinding(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"unknown key":     {`"zones"`, `"zonen": 1, "zones"`, "x:3: zonen: is not known, did you mean zones?"},
@@ -42,32 +42,32 @@
 		"missing":         {`"path": "n.json"`, ``, "x:4: registry.file.path: is missing"},
 		"grace too short": {`"zones"`, `"rules": {"drain_grace": "100ms"}, "zones"`, "x:3: rules.drain_grace: is not longer than channel.worst_transit"},
 		"queue too short": {`"zones"`, `"gateways": {"expected": 900}, "zones"`, "below two message overheads (channel.envelope) for each of 900 gateways"},
-		"bad repeat":      {`"replayable"`, `"sometimes"`, `repeat: is "sometimes", it must be replayable, uniqued or non-replayable`},
-		"a list":          {`["a", "b"]`, `"a"`, `x:3: zones: is "a", it must be a list`},
-		"an object":       {`{"files": {"dir": "t"}}`, `[]`, "x:4: front: is [], it must be an object"},
-		"cut short":       {`"payoff": 1},],`, `"payoff": 1`, "the file must be JSON"},
-		"an array":        {validConfig, `[]`, "the file has no JSON object"},
+		"invalid repeat":  {`"replayable"`, `"sometimes"`, `repeat: is "sometimes", it must be replayable, uniqued or non-replayable`},
+		"not a list":      {`["a", "b"]`, `"a"`, `x:3: zones: is "a", it must be a list`},
+		"not an object":   {`{"files": {"dir": "t"}}`, `[]`, "x:4: front: is [], it must be an object"},
+		"truncated":       {`"payoff": 1},],`, `"payoff": 1`, "the file must be JSON"},
+		"top-level array": {validConfig, `[]`, "the file has no JSON object"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(validConfig, c.from, c.to, 1)
 			_, err := Parse("x", []byte(text))
 			var findings ValidationError
 			if !errors.As(err, &findings) || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("Parse returned %v, want findings with %q", err, c.want)
 			}
 		})
 	}
 	_, err := Parse("x", []byte(strings.NewReplacer(`"payoff": 1`, `"payoff": []`, `"dir": "t"`, `"dirt": 3`, `"750ms"`, `true`).Replace(validConfig)))
 	var findings ValidationError
 	if !errors.As(err, &findings) || len(findings) != 3 {
-		t.Errorf("%v, want three findings", err)
+		t.Errorf("Parse returned %v, want three findings", err)
 	}
 	if _, err := Load("no/such/file"); !errors.Is(err, ErrUnreadable) {
-		t.Errorf("%v for a missing file, want ErrUnreadable", err)
+		t.Errorf("Load returned %v for a missing file, want ErrUnreadable", err)
 	}
 }
 
-// The example is valid, and keys with a default can be left out.
+// The example configuration is valid, although it leaves out keys that have a default.
 func TestParseExample(t *testing.T) {
 	text, err := os.ReadFile("../examples/porthub.json")
 	if err != nil {
--- a/config/decode.go
+++ b/config/decode.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	maxQuoted   = 40             // bytes of a wrong value that a finding repeats
-	maxDuration = 24 * time.Hour // longer ones are mistakes of unit
-	maxInteger  = 1e15           // below 2^53: a float64 holds every integer up to it
+	maxQuoted   = 40             // bytes of an invalid value that a finding quotes
+	maxDuration = 24 * time.Hour // a longer duration most likely has the wrong unit
+	maxInteger  = 1e15           // below 2^53: a float64 represents every integer up to it exactly
 )
 
 // defaulter is implemented by list elements that have defaults of their own.
 type defaulter interface{ setDefaults() }
 
-// decoder fills a struct from a syntax tree in place of encoding/json, so that each finding has its line.
+// decoder fills a struct from a syntax tree. It is used in place of encoding/json so that each finding has a line number.
 type decoder struct {
 	file     string
 	text     []byte
 	findings []Finding
-	lines    map[string]int // by path of the key
+	lines    map[string]int // line of each key, by its path
 }
 
 func newDecoder(file string, text []byte) *decoder {
@@ -53,7 +53,7 @@
 	return 1 + bytes.Count(d.text[:min(offset, len(d.text))], []byte("\n"))
 }
 
-// lineOf returns the line of a key, or of its nearest parent in the file.
+// lineOf returns the line of a key, or of its nearest parent in the file, or 1 if the file has none of them.
 func (d *decoder) lineOf(key string) int {
 	for key != "" {
 		if line, ok := d.lines[key]; ok {
@@ -64,7 +64,7 @@
 	return 1
 }
 
-// syntaxErrorPosition matches the position in hujson's errors, which have no type.
+// syntaxErrorPosition matches the position in the text of hujson's errors, which provide it in no other form.
 var syntaxErrorPosition = regexp.MustCompile(`line (\d+), column (\d+)`)
 
 func (d *decoder) document(into any) {
@@ -99,7 +99,7 @@
 	case reflect.Struct:
 		object, ok := v.Value.(*hujson.Object)
 		if !ok {
-			d.wrongType(key, v, "an object")
+			d.reportInvalid(key, v, "an object")
 			return
 		}
 		d.object(key, object, into)
@@ -146,7 +146,7 @@
 	}
 	array, ok := v.Value.(*hujson.Array)
 	if !ok {
-		d.wrongType(key, v, "a list")
+		d.reportInvalid(key, v, "a list")
 		return
 	}
 	list := reflect.MakeSlice(into.Type(), len(array.Elements), len(array.Elements))
@@ -159,8 +159,8 @@
 	into.Set(list)
 }
 
-// wrongType reports a value of the wrong type.
-func (d *decoder) wrongType(key string, v hujson.Value, want string) {
+// reportInvalid reports a value that has the wrong type or is out of range.
+func (d *decoder) reportInvalid(key string, v hujson.Value, want string) {
 	text := string(bytes.TrimSpace(v.Pack()))
 	if len(text) > maxQuoted {
 		text = text[:maxQuoted] + "..."
@@ -168,12 +168,13 @@
 	d.report(d.lineAt(v.StartOffset), key, "is "+text, "it must be "+want)
 }
 
-// errWrongType is what a scalar parser returns; the finding has the details.
-var errWrongType = errors.New("wrong type")
+// errInvalidValue is returned by the functions that set a scalar. The caller reports the expected value and the one found.
+var errInvalidValue = errors.New("the value has the wrong type or is out of range")
 
-// scalar sets a field of a type without parts. Config and Suite have no others than these, so another is a bug.
+// scalar sets a field that is neither a struct nor a slice. The types below are all that configurations and suites use; it panics
+// on any other.
 func (d *decoder) scalar(key string, v hujson.Value, into reflect.Value) {
-	literal, _ := v.Value.(hujson.Literal) // of another kind it stays nil, which no parser takes
+	literal, _ := v.Value.(hujson.Literal) // nil for an object or a list, which no type of field accepts
 	var want string
 	var err error
 	switch {
@@ -188,20 +189,20 @@
 	case into.Kind() == reflect.Float64:
 		want, err = "a number", setFloat(literal, into)
 	default:
-		panic(fmt.Sprintf("config: %s has kind %s", key, into.Kind()))
+		panic(fmt.Sprintf("config: the field of key %s has the unsupported kind %s", key, into.Kind()))
 	}
 	if err != nil {
-		d.wrongType(key, v, want)
+		d.reportInvalid(key, v, want)
 	}
 }
 
 func setDuration(literal hujson.Literal, into reflect.Value) (want string, err error) {
 	if literal.Kind() != '"' {
-		return `a time with its unit, such as "750ms" or "2.5s"`, errWrongType
+		return `a time with its unit, such as "750ms" or "2.5s"`, errInvalidValue
 	}
 	duration, err := time.ParseDuration(literal.String())
 	if err != nil || duration < 0 || duration > maxDuration {
-		return `a time with its unit between "0s" and "24h", such as "750ms" or "2.5s"`, errWrongType
+		return `a time with its unit between "0s" and "24h", such as "750ms" or "2.5s"`, errInvalidValue
 	}
 	into.SetInt(duration.Microseconds())
 	return "", nil
@@ -209,7 +210,7 @@
 
 func setString(literal hujson.Literal, into reflect.Value) error {
 	if literal.Kind() != '"' {
-		return errWrongType
+		return errInvalidValue
 	}
 	into.SetString(literal.String())
 	return nil
@@ -218,7 +219,7 @@
 func setBool(literal hujson.Literal, into reflect.Value) error {
 	kind := literal.Kind()
 	if kind != 't' && kind != 'f' {
-		return errWrongType
+		return errInvalidValue
 	}
 	into.SetBool(kind == 't')
 	return nil
@@ -230,7 +231,7 @@
 		return err
 	}
 	if n != math.Trunc(n) || math.Abs(n) > maxInteger {
-		return errWrongType
+		return errInvalidValue
 	}
 	into.SetInt(int64(n))
 	return nil
@@ -247,7 +248,7 @@
 
 func number(literal hujson.Literal) (n float64, err error) {
 	if literal.Kind() != '0' {
-		return 0, errWrongType
+		return 0, errInvalidValue
 	}
 	err = json.Unmarshal(literal, &n)
 	return n, err
--- a/config/degradation.go
+++ b/config/degradation.go
@@ -5,34 +5,34 @@
 	"porthub/policyapi"
 )
 
-// Degradation configures the levels of reduced service, and what gateways do while they reach no coordinator.
+// Degradation configures the levels of reduced service, and the level of gateways that can reach no coordinator.
 type Degradation struct {
-	Levels   []DegradationLevel `json:"levels"` // by severity, the mildest first; empty: there are no levels
+	Levels   []DegradationLevel `json:"levels"` // by severity, the mildest first; empty: no levels
 	Fallback Fallback           `json:"fallback"`
 }
 
 // DegradationLevel is one level: the thresholds at which it is entered and left, and what it limits.
 type DegradationLevel struct {
 	Name       string   `json:"name"`
-	Enter      Triggers `json:"enter"` // entered when one figure is at or above its threshold; 0: not considered
-	Leave      Triggers `json:"leave"` // left when all figures are at or below
+	Enter      Triggers `json:"enter"` // entered when any signal is at or above its threshold; 0: the signal is ignored
+	Leave      Triggers `json:"leave"` // left when all signals are at or below their thresholds
 	EnterDelay Duration `json:"enter_held"`
 	LeaveDelay Duration `json:"leave_held"`
 
 	Classes              []ClassBounds `json:"kinds"`          // request classes with bounds of their own
 	RetryPolicy          int           `json:"second_try"`     // upper bound on the retry policy of all classes; 3: none
 	CrossZoneFactor      float64       `json:"cross"`          // factor on weights to other zones; 1: unchanged
-	MaxEndpoints         int           `json:"lines"`          // of a class in one gateway's table; 0: no bound
-	MaxHealthChecks      float64       `json:"probes_per_s"`   // 0: no bound
+	MaxEndpoints         int           `json:"lines"`          // endpoints of a class in one gateway's table; 0: no bound
+	MaxHealthChecks      float64       `json:"probes_per_s"`   // health checks per second; 0: no bound
 	ReportIntervalFactor int           `json:"report_stretch"` // multiple of the report period
 }
 
-// The defaults of a level, which limits nothing.
+// Defaults of a level. By default a level limits nothing.
 const (
 	defaultEnterDelay  = 2 * second
 	defaultLeaveDelay  = 15 * second
-	anyRetryPolicy     = 3  // the most that a retry policy can be
-	inheritRetryPolicy = -1 // a class takes its level's
+	anyRetryPolicy     = 3  // the highest retry policy, which limits nothing
+	inheritRetryPolicy = -1 // the class has the retry policy of its level
 )
 
 func (l *DegradationLevel) setDefaults() {
@@ -43,7 +43,7 @@
 	l.ReportIntervalFactor = 1
 }
 
-// Triggers are the thresholds of a level. docs/levels.md defines each figure.
+// Triggers holds the thresholds of a level. docs/levels.md defines each signal.
 type Triggers struct {
 	Load        float64 `json:"load"`
 	Lost        float64 `json:"lost"`
@@ -62,11 +62,11 @@
 	}
 }
 
-// ClassBounds are a level's bounds for one request class.
+// ClassBounds holds a level's bounds for one request class.
 type ClassBounds struct {
 	Name        string  `json:"name"`
-	Share       float64 `json:"share"`      // of the admitted work that the class may use; 1: all
-	RetryPolicy int     `json:"second_try"` // -1: the level's
+	Share       float64 `json:"share"`      // fraction of the admitted work that the class may use; 1: all
+	RetryPolicy int     `json:"second_try"` // -1: that of the level
 }
 
 func (b *ClassBounds) setDefaults() {
@@ -74,11 +74,11 @@
 	b.RetryPolicy = inheritRetryPolicy
 }
 
-// Fallback is the level at which a gateway serves while it reaches no coordinator. It is part of its tables.
+// Fallback configures the level at which a gateway serves while it can reach no coordinator. The gateway's tables include it.
 type Fallback struct {
-	Level    string   `json:"level"` // empty: the table applies unchanged
-	After    Duration `json:"after"` // since the last message of a coordinator
-	Duration Duration `json:"for"`   // afterwards the table applies unchanged again
+	Level    string   `json:"level"` // empty: none, the table applies unchanged
+	After    Duration `json:"after"` // time from the last message of a coordinator to the fallback
+	Duration Duration `json:"for"`   // duration of the fallback; afterwards the table applies unchanged again
 }
 
 // DegradationSettings returns the levels and the fallback in the form of package degradation.
@@ -98,7 +98,7 @@
 		Duration: c.Degradation.Fallback.Duration.microseconds(),
 	}
 	if c.Degradation.Fallback.Level != "" {
-		// An unknown name leaves level 0, which validation reports.
+		// An unknown name results in level 0, which the validator reports.
 		fallback.Level, _ = settings.LevelNamed(c.Degradation.Fallback.Level)
 	}
 	return settings, fallback
--- a/config/suggest.go
+++ b/config/suggest.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// nearest returns the candidate with the smallest edit distance to the name given, the first of several.
+// nearest returns the candidate with the smallest edit distance to a name, or the first one of several.
 func nearest(name string, candidates []string) string {
-	best, least := "", math.MaxInt
+	best, smallest := "", math.MaxInt
 	for _, candidate := range candidates {
-		if distance := editDistance(name, candidate); distance < least {
-			best, least = candidate, distance
+		if distance := editDistance(name, candidate); distance < smallest {
+			best, smallest = candidate, distance
 		}
 	}
 	return best
 }
 
-// editDistance is the Levenshtein distance in bytes.
+// editDistance returns the Levenshtein distance of two strings, in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/config/suite.go
+++ b/config/suite.go
@@ -8,12 +8,12 @@
 	"porthub/policyapi"
 )
 
-// Suite is an expectation file.
+// Suite is the content of an expectation file.
 type Suite struct {
 	Expectations []Expectation `json:"expect"`
 }
 
-// Expectation is one expectation of a file; docs/expectations.md defines each key.
+// Expectation is one expectation of a suite. docs/expectations.md defines each key.
 type Expectation struct {
 	Name       string          `json:"name"`
 	Cases      int             `json:"cases"`
@@ -24,7 +24,7 @@
 	Assertions []Assertion     `json:"that"`
 }
 
-// setDefaults gives an expectation one case of a small fleet at half its capacity.
+// setDefaults sets the default of every key: one case, with a small fleet at half of its capacity.
 func (e *Expectation) setDefaults() {
 	*e = Expectation{
 		Cases:  1,
@@ -41,8 +41,8 @@
 	}
 }
 
-// ExpectedFleet is the fleet that cases begin with. A list of two numbers is a range, both ends included, from which each
-// case draws.
+// ExpectedFleet describes the fleet at the start of each case. A list of two numbers is a range, both ends included, from
+// which each case draws a value.
 type ExpectedFleet struct {
 	Endpoints []float64 `json:"nodes"`
 	Gateways  []float64 `json:"gateways"`
@@ -62,8 +62,8 @@
 	LoadFactor float64  `json:"size"`
 }
 
-// Assertion is one statement that must hold. Exactly one of its figures is set; class, zone, from and to limit where it
-// applies.
+// Assertion is one statement that must hold. Exactly one of its conditions is set. Class, Zone, From and To limit where and
+// when it applies.
 type Assertion struct {
 	Class string   `json:"kind"`
 	Zone  string   `json:"zone"`
@@ -95,7 +95,7 @@
 	return ParseSuite(path, text, cfg)
 }
 
-// ParseSuite reads and validates the text of an expectation file; findings name the file given.
+// ParseSuite reads and validates the text of an expectation file. The findings contain the file name given.
 func ParseSuite(file string, text []byte, cfg Config) (expectation.Suite, error) {
 	var decoded Suite
 	d := newDecoder(file, text)
@@ -110,7 +110,7 @@
 	return suite, d.err()
 }
 
-// expectationSite returns the names that expectations may use.
+// expectationSite returns the names of zones, classes and levels that expectations may refer to.
 func (c Config) expectationSite() expectation.Site {
 	settings, _ := c.DegradationSettings()
 	site := expectation.Site{Zones: settings.Zones, Classes: settings.Classes}
@@ -120,7 +120,7 @@
 	return site
 }
 
-// suite converts the file to the form of package expectation. lineOf returns the line of a key.
+// suite converts the suite to the type of package expectation. lineOf returns the line of a key.
 func (s Suite) suite(lineOf func(key string) int) (suite expectation.Suite) {
 	for i, e := range s.Expectations {
 		suite.Expectations = append(suite.Expectations, e.expectation(fmt.Sprintf("expect[%d]", i), lineOf))
--- a/config/suite_test.go
+++ b/config/suite_test.go
@@ -47,7 +47,7 @@
 		{`"cases": 2`, `"case": 2`, `did you mean cases?`},
 		{`"never_without": "5s"`, `"never_without": 5`, `it must be a time with its unit`},
 		{`"that": [`, `"that": [], "thats": [`, `is not known`},
-		{`{"never_without": "5s", "kind": "view"},`, ``, ``}, // and one that is valid
+		{`{"never_without": "5s", "kind": "view"},`, ``, ``}, // leaves a valid file
 	} {
 		t.Run(c.new+" for "+c.old, func(t *testing.T) {
 			_, err := ParseSuite("s.json", []byte(strings.Replace(validSuite, c.old, c.new, 1)), cfg)
@@ -58,13 +58,13 @@
 				return
 			}
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("ParseSuite returned %v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-// Levels that can't be left are rejected with the line of the level.
+// Levels that can't be left, would oscillate, or have invalid bounds are rejected, with the line of the level.
 func TestParseRejectsInvalidLevels(t *testing.T) {
 	text := func(level string) []byte {
 		return []byte(`{
@@ -84,7 +84,7 @@
 		`{"name": "tight", "enter": {"load": 1}, "leave": {"load": 0.8}, "leave_held": "1s"}`:                        `below two report periods`,
 	} {
 		if _, err := Parse("c.json", text(level)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", level, err, want)
+			t.Errorf("%s: Parse returned %v, want %q", level, err, want)
 		}
 	}
 }
--- a/config/validate.go
+++ b/config/validate.go
@@ -8,19 +8,19 @@
 
 const (
 	maxClasses      = 64   // a class set is a 64-bit mask
-	maxWriters      = 64   // more files at once gain nothing on any disk
+	maxWriters      = 64   // more concurrent writes are no faster on any disk
 	minSegmentBytes = 4096 // a segment holds at least one block
-	// minMessageLimit leaves a gateway messages for a drain beside the regular updates.
+	// minMessageLimit allows the messages of a drain to a gateway in addition to its regular updates.
 	minMessageLimit = 4
 )
 
-// validator finds values out of range and contradictions in a configuration that was decoded without findings.
+// validator reports values out of range and contradictions in a configuration that was decoded without findings.
 type validator struct {
 	d   *decoder
 	cfg Config
 }
 
-// validate runs all checks. Findings on one line come in the order of the checks.
+// validate runs all checks. Findings for the same line are in the order of the checks.
 func (v validator) validate() {
 	v.listen()
 	v.require(v.cfg.Delivery.Files.Dir != "", "front.files.dir", "is missing", "specify the directory that gateways read")
--- a/config/validate_degradation.go
+++ b/config/validate_degradation.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// degradation finds levels that can't be left, would oscillate or limit nothing, by the rules of package degradation.
+// degradation reports levels that can't be left, would oscillate or limit nothing, by the rules of package degradation, and an
+// invalid fallback.
 func (v validator) degradation() {
 	settings, fallback := v.cfg.DegradationSettings()
 	for i, level := range v.cfg.Degradation.Levels {
--- a/config/validate_registry.go
+++ b/config/validate_registry.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// reservedSources are the names that the daemon gives to its own sources of endpoint states.
+// reservedSources are the names of the daemon's own sources of endpoint states, which no registry may have.
 var reservedSources = []string{"", "file", "operator", "gateways"}
 
 func (v validator) registries() {
