--- a/tui/detail.go
+++ b/tui/detail.go
@@ -6,7 +6,7 @@
 	"porthub/coordinator"
 )
 
-// drawDetail draws what is known of one endpoint or gateway, and the log records about it.
+// drawDetail draws the details of the selected endpoint or gateway, and the log records that mention it.
 func (m Model) drawDetail() []string {
 	block := &textBlock{width: m.width}
 	for _, e := range m.frame.Endpoints {
--- a/tui/doc.go
+++ b/tui/doc.go
@@ -1,5 +1,6 @@
-// Package tui is the operators' terminal view: what happens at a running coordinator, or what happened by a capture. It
-// needs 80 columns and 24 lines, with or without colour.
+// Package tui is the operators' terminal view of a running coordinator or of a capture. It is designed for 80 columns and
+// 24 lines, with or without colour.
 //
-// A Model is a bubbletea model. It is given frames by a Source; drawing one is pure and tested as text.
+// A Model is a bubbletea model that fetches frames from a Source. Drawing a frame has no side effects; tests compare drawn
+// screens as text.
 package tui
--- a/tui/fleet.go
+++ b/tui/fleet.go
@@ -6,13 +6,13 @@
 	"porthub/policyapi"
 )
 
-// zoneSummary sums up a zone for the fleet screen.
+// zoneSummary holds the totals of a zone for the fleet screen.
 type zoneSummary struct {
 	endpoints    int
 	warmingUp    int
-	closed       int // without a gateway that sends to them
-	reported     int // endpoints with a report
-	utilization  float64
+	closed       int     // endpoints to which no gateway sends
+	reported     int     // endpoints with a load report
+	utilization  float64 // sum over the endpoints with a load report
 	gateways     int
 	disconnected int
 }
@@ -57,7 +57,7 @@
 	return append(lines, m.drawTraffic()...)
 }
 
-// drawLevelBanners names the degradation levels in force, the last scope first.
+// drawLevelBanners draws a line for each scope that is at a degradation level, the last scope first.
 func (m Model) drawLevelBanners() (lines []string) {
 	for _, scope := range m.frame.Levels.Scopes {
 		if scope.Level <= 0 {
--- a/tui/keys.go
+++ b/tui/keys.go
@@ -2,7 +2,7 @@
 
 import tea "charm.land/bubbletea/v2"
 
-// seekSteps are the seconds by which keys move through a capture.
+// seekSteps contains the number of seconds by which each key moves through a capture.
 var seekSteps = map[string]int{"left": -1, "right": 1, "shift+left": -10, "shift+right": 10}
 
 // handleFilterKey handles a key while the filter is edited.
@@ -28,7 +28,7 @@
 	return m, nil
 }
 
-// handleKey handles a key otherwise.
+// handleKey handles a key while the filter is not edited.
 func (m Model) handleKey(key tea.KeyPressMsg) (tea.Model, tea.Cmd) {
 	text := key.String()
 	if step, ok := seekSteps[text]; ok {
@@ -69,7 +69,7 @@
 	return m
 }
 
-// back closes the details, or else clears the filter.
+// back closes the details. If none are shown, it clears the filter.
 func (m Model) back() Model {
 	if m.detail == "" {
 		m.filter = ""
@@ -93,7 +93,7 @@
 	return m
 }
 
-// scrolled keeps the selected row within the list and on the screen.
+// scrolled returns the model with the selected row within the list and visible on the screen.
 func (m Model) scrolled() Model {
 	list := &m.lists[m.screen]
 	list.selected = max(0, min(list.selected, m.listLength()-1))
@@ -104,8 +104,8 @@
 	return m
 }
 
-// frameLines are those around a list: title, tabs, state, column heads and help.
+// frameLines is the number of lines around a list: title, tabs, state, column heads and help.
 const frameLines = 5
 
-// visibleRows is the number of rows of a list that fit on the screen.
+// visibleRows returns the number of rows of a list that fit on the screen.
 func (m Model) visibleRows() int { return max(1, m.height-frameLines) }
--- a/tui/layout.go
+++ b/tui/layout.go
@@ -17,10 +17,10 @@
 	warn    = lipgloss.NewStyle().Foreground(lipgloss.Yellow)
 )
 
-// minFlexibleWidth of a column that takes the rest of the line.
+// minFlexibleWidth is the minimum width of a column that takes the rest of the line.
 const minFlexibleWidth = 8
 
-// fit cuts a text to a width in cells, or pads it. Control characters are shown as dots.
+// fit truncates or pads a text to a width in cells. It replaces control characters by dots.
 func fit(text string, width int) string {
 	text = strings.Map(func(r rune) rune {
 		if isControl(r) {
@@ -34,13 +34,13 @@
 	return text + strings.Repeat(" ", width-ansi.StringWidth(text))
 }
 
-// isControl reports whether a rune is of the C0 or C1 control characters.
+// isControl reports whether a rune is a C0 or C1 control character.
 func isControl(r rune) bool {
 	return r < ' ' || r == 0x7f || r >= 0x80 && r < 0xa0
 }
 
-// row lays cells out in columns, on a line one cell narrower than the screen. A width of 0 takes the rest of the line, a
-// negative one is right-aligned.
+// row lays out cells in columns, on a line one cell narrower than the screen. A column of width 0 takes the rest of the line; a
+// column of negative width is right-aligned.
 func (m Model) row(widths []int, cells ...string) string {
 	rest := m.width - 1
 	for _, width := range widths {
@@ -56,7 +56,7 @@
 func column(cell string, width, rest int) string {
 	switch {
 	case width == 0:
-		return fit(cell, max(minFlexibleWidth, rest+1)) // no space after the last column
+		return fit(cell, max(minFlexibleWidth, rest+1)) // rest includes a space after the last column, which has none
 	case width < 0:
 		padding := max(0, -width-ansi.StringWidth(cell))
 		return fit(strings.Repeat(" ", padding)+cell, -width)
@@ -65,8 +65,8 @@
 	}
 }
 
-// list draws the visible rows of a list, with the selected one marked.
-func (m Model) list(head string, length int, row func(i int) string) []string {
+// drawList draws the visible rows of a drawList, with the selected one marked.
+func (m Model) drawList(head string, length int, row func(i int) string) []string {
 	lines := []string{bold.Render(head)}
 	state := m.scrolled().lists[m.screen]
 	for i := state.firstRow; i < min(length, state.firstRow+m.visibleRows()); i++ {
@@ -90,7 +90,7 @@
 	b.lines = append(b.lines, fit(fmt.Sprintf(format, args...), b.width))
 }
 
-// age formats a length of time in few characters.
+// age formats a duration in a few characters.
 func age(d policyapi.Microseconds) string {
 	t := time.Duration(d) * time.Microsecond
 	switch {
--- a/tui/levels.go
+++ b/tui/levels.go
@@ -1,6 +1,6 @@
 package tui
 
-// drawLevels draws the degradation levels, and the state of solver, sampling and channel.
+// drawLevels draws the degradation levels, and the state of the weight solver, the sampling of load reports, and the channel.
 func (m Model) drawLevels() []string {
 	block := &textBlock{width: m.width}
 	m.addScopes(block)
--- a/tui/lists.go
+++ b/tui/lists.go
@@ -21,7 +21,7 @@
 	return gatewayOrders[m.lists[screenGateways].order%len(gatewayOrders)]
 }
 
-// listLength is the number of rows of the screen's list.
+// listLength returns the number of rows of the current screen's list.
 func (m Model) listLength() int {
 	switch m.screen {
 	case screenEndpoints:
@@ -35,7 +35,7 @@
 	}
 }
 
-// selectedName is the endpoint or gateway in the selected row.
+// selectedName returns the name of the endpoint or gateway in the selected row, or an empty string if there is none.
 func (m Model) selectedName() string {
 	i := m.lists[m.screen].selected
 	switch m.screen {
@@ -51,7 +51,7 @@
 	return ""
 }
 
-// matches reports whether the filter is in one of the texts, without regard to case.
+// matches reports whether the texts, joined by spaces, contain the filter. It ignores case. An empty filter matches all texts.
 func (m Model) matches(texts ...string) bool {
 	if m.filter == "" {
 		return true
@@ -84,7 +84,7 @@
 	}
 }
 
-// abnormality is how far an endpoint is from normal operation.
+// abnormality returns a score of how far an endpoint is from normal operation, by which endpoints are sorted.
 func abnormality(e coordinator.EndpointOverview) float64 {
 	score := 1 - e.WarmUpProgress + float64(len(e.FailingClasses))
 	if e.State != "ready" {
--- a/tui/live.go
+++ b/tui/live.go
@@ -10,7 +10,7 @@
 
 const fetchTimeout = 3 * time.Second
 
-// Live is the Source of a running coordinator.
+// Live is a Source that fetches frames from a running coordinator.
 type Live struct {
 	addr string
 	http http.Client
@@ -21,13 +21,13 @@
 	return &Live{addr: addr, http: http.Client{Timeout: fetchTimeout}}
 }
 
-// Name returns the address.
+// Name returns the address of the coordinator.
 func (l *Live) Name() string { return l.addr }
 
-// Seek reports false: the source is live.
+// Seek returns false, because the source is live.
 func (l *Live) Seek(int) bool { return false }
 
-// Fetch requests an overview.
+// Fetch requests an overview from the coordinator.
 func (l *Live) Fetch() (frame Frame, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
--- a/tui/model.go
+++ b/tui/model.go
@@ -9,17 +9,17 @@
 )
 
 type (
-	// Frame is what is shown at one moment.
+	// Frame is the state of the fleet at one moment, with the last log records.
 	Frame = coordinator.LoggedOverview
 	// Record is one record of a frame's log.
 	Record = coordinator.LogRecord
 )
 
-// Source provides frames: of a running coordinator, or of a capture.
+// Source provides the frames of a running coordinator or of a capture.
 type Source interface {
-	// Fetch returns the frame to show, or why there is none now.
+	// Fetch returns the frame to show, or an error if there is none.
 	Fetch() (Frame, error)
-	// Seek moves by seconds. It reports false if the source is live.
+	// Seek moves the position in a capture by a number of seconds. It returns false if the source is live.
 	Seek(seconds int) bool
 	// Name identifies the source to the operator.
 	Name() string
@@ -41,12 +41,12 @@
 
 // listState is the state of a screen's list.
 type listState struct {
-	order    int // selects the sort order, modulo their number
-	firstRow int // that is visible
+	order    int // index of the sort order, modulo the number of orders
+	firstRow int // first visible row
 	selected int
 }
 
-// The terminal's size until it is known, and the smallest that is drawn.
+// The size of the screen until that of the terminal is known, and the smallest size that is drawn.
 const (
 	defaultWidth  = 80
 	defaultHeight = 24
@@ -54,7 +54,7 @@
 	minHeight     = 10
 )
 
-// Model is the state of the view. Only Update changes it.
+// Model is the state of the view. Update returns the next state.
 type Model struct {
 	source   Source
 	interval time.Duration
@@ -71,26 +71,26 @@
 
 	frame      Frame
 	hasFrame   bool
-	receivedAt time.Time // of the frame
-	err        error     // of the last fetch
+	receivedAt time.Time // when the frame was received
+	err        error     // error of the last fetch
 }
 
-// New returns a model that fetches a frame from the source once an interval.
+// New returns a model that fetches a frame from the source after each interval.
 func New(source Source, interval time.Duration) Model {
 	return Model{source: source, interval: interval, width: defaultWidth, height: defaultHeight}
 }
 
-// frameMsg is the outcome of a fetch.
+// frameMsg is the result of a periodic fetch.
 type frameMsg struct {
 	frame Frame
 	err   error
 	at    time.Time
 }
 
-// seekMsg is the outcome of a fetch after a seek, beside the periodic ones.
+// seekMsg is the result of a fetch after a seek, which is in addition to the periodic ones.
 type seekMsg struct{ frameMsg }
 
-// tickMsg says that the next periodic fetch is due.
+// tickMsg signals that the next periodic fetch is due.
 type tickMsg struct{}
 
 // Init starts the periodic fetches.
@@ -101,7 +101,7 @@
 	return func() tea.Msg { return fetchFrom(source) }
 }
 
-// fetchOnce fetches a frame without starting another period.
+// fetchOnce fetches a frame without scheduling another periodic fetch.
 func (m Model) fetchOnce() tea.Cmd {
 	source := m.source
 	return func() tea.Msg { return seekMsg{fetchFrom(source)} }
@@ -116,7 +116,7 @@
 	return tea.Tick(m.interval, func(time.Time) tea.Msg { return tickMsg{} })
 }
 
-// Update handles a message.
+// Update handles a message. It returns the next state and the command to run, if any.
 func (m Model) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
 	switch msg := msg.(type) {
 	case tea.WindowSizeMsg:
@@ -140,7 +140,7 @@
 	return m, nil
 }
 
-// received takes the outcome of a fetch. After a failure the last frame stays.
+// received returns the model with the result of a fetch. If the fetch failed, the previous frame is kept.
 func (m Model) received(msg frameMsg) Model {
 	m.err = msg.err
 	if msg.err == nil {
--- a/tui/tables.go
+++ b/tui/tables.go
@@ -11,7 +11,7 @@
 	widths := []int{0, 10, 10, -4, -4, -5, -7, -6, -5}
 	head := m.row(widths, "ENDPOINT by "+m.endpointOrder(), "ZONE", "STATE", "WARM", "UTIL", "QUEUE", "ATT/S", "FAIL/S", "SEND")
 	endpoints := m.endpoints()
-	return m.list(" "+head, len(endpoints), func(i int) string {
+	return m.drawList(" "+head, len(endpoints), func(i int) string {
 		e := endpoints[i]
 		return m.row(widths,
 			string(e.Endpoint),
@@ -41,7 +41,7 @@
 	widths := []int{0, 10, 6, 14, -4, -5, -7, -5, 8}
 	head := m.row(widths, "GATEWAY by "+m.gatewayOrder(), "ZONE", "LINK", "CONFIRMED", "PEND", "LAG", "REQ/S", "OPEN", "LEVEL")
 	gateways := m.gateways()
-	return m.list(" "+head, len(gateways), func(i int) string {
+	return m.drawList(" "+head, len(gateways), func(i int) string {
 		g := gateways[i]
 		lag := "-"
 		if g.Unacknowledged > 0 {
@@ -63,7 +63,7 @@
 func (m Model) drawLog() []string {
 	widths := []int{9, 5, 18, 0}
 	log := m.log()
-	return m.list(" "+m.row(widths, "AGO", "", "EVENT", "TEXT"), len(log), func(i int) string {
+	return m.drawList(" "+m.row(widths, "AGO", "", "EVENT", "TEXT"), len(log), func(i int) string {
 		record := log[i]
 		text := record.Text
 		if record.Subject != "" {
--- a/tui/tui_test.go
+++ b/tui/tui_test.go
@@ -21,7 +21,7 @@
 
 var update = flag.Bool("update", false, "rewrite the recorded screens")
 
-// fixedSource is a source that gives one moment, or fails.
+// fixedSource is a source that always returns the same frame, or an error.
 type fixedSource struct {
 	frame Frame
 	err   error
@@ -33,8 +33,8 @@
 
 const second policyapi.Microseconds = 1_000_000
 
-// incidentFrame is a fleet in an incident: a zone lost, an endpoint that fails a class, a gateway disconnected, a level in
-// force.
+// incidentFrame returns a frame of a fleet in an incident: all endpoints of a zone are gone, an endpoint fails a class, a
+// gateway is disconnected, and the fleet is at a degradation level.
 func incidentFrame(nodes int) Frame {
 	zones := []policyapi.Zone{"hala-a", "hala-b", "hala-ż-北"}
 	m := Frame{Overview: coordinator.Overview{Now: 5000 * second, StartedAt: 1000 * second, Build: "test", Classes: []string{"schedule", "save-sim"}, LinesInFlight: 120, LineLimit: 8000,
@@ -75,7 +75,7 @@
 	return m
 }
 
-// pressKeys fetches a frame and presses the keys given.
+// pressKeys returns a model that has fetched a frame and handled the keys given.
 func pressKeys(source Source, keys ...string) Model {
 	var m tea.Model = New(source, time.Second)
 	m, _ = m.Update(m.(Model).Init()())
@@ -95,7 +95,7 @@
 	return m.(Model)
 }
 
-// Each screen at 80 by 24 without colour.
+// Each screen, at 80 columns and 24 lines without colour, is equal to the recorded one.
 func TestScreens(t *testing.T) {
 	for name, keys := range map[string][]string{
 		"fleet": nil, "nodes": {"2", "s"}, "node": {"2", "/", "0", ".", "3", ":", "enter", "enter"}, "gateways": {"3", "s", "s", "down"},
@@ -114,14 +114,14 @@
 				t.Fatal(err)
 			}
 			if got+"\n" != string(want) {
-				t.Errorf("not as recorded:\n%s", got)
+				t.Errorf("the screen differs from the recorded one:\n%s", got)
 			}
 		})
 	}
 }
 
-// Whatever the size and the number of endpoints, no line is wider than the terminal, there are as many as it has, and the
-// selected row is visible.
+// At every terminal size, with 1000 endpoints, the screen has as many lines as the terminal, no line is wider than the
+// terminal, and the selected row is visible.
 func TestEverySize(t *testing.T) {
 	source := &fixedSource{frame: incidentFrame(1000)}
 	for _, size := range [][2]int{{80, 24}, {40, 10}, {200, 60}, {81, 11}} {
@@ -131,21 +131,21 @@
 			text := ansi.Strip(next.(Model).Draw(time.Time{}))
 			lines := strings.Split(text, "\n")
 			if len(lines) != size[1] {
-				t.Errorf("%v %v: %d lines", size, keys, len(lines))
+				t.Errorf("size %v, keys %v: the screen has %d lines, want as many as the terminal", size, keys, len(lines))
 			}
 			for _, l := range lines {
 				if ansi.StringWidth(l) > size[0] {
-					t.Errorf("%v %v: %d wide: %q", size, keys, ansi.StringWidth(l), l)
+					t.Errorf("size %v, keys %v: a line is %d cells wide, want at most the width of the terminal: %q", size, keys, ansi.StringWidth(l), l)
 				}
 			}
 			if len(keys) > 1 && keys[1] == "pgdown" && !strings.Contains(text, "\n>") {
-				t.Errorf("%v: the selected row is not visible:\n%s", size, text)
+				t.Errorf("size %v: the selected row is not visible:\n%s", size, text)
 			}
 		}
 	}
 }
 
-// When a coordinator stops answering the last frame stays, and the screen says for how long.
+// When a coordinator stops answering, the last frame stays on the screen, which shows for how long there has been no answer.
 func TestUnreachableCoordinator(t *testing.T) {
 	source := &fixedSource{frame: incidentFrame(9)}
 	var m tea.Model = pressKeys(source)
@@ -153,24 +153,24 @@
 	m, _ = m.Update(m.(Model).fetch()())
 	text := m.(Model).Draw(m.(Model).receivedAt.Add(42 * time.Second))
 	if !strings.Contains(text, "NO ANSWER for 42s: connection refused") || !strings.Contains(text, "hala-a") {
-		t.Errorf("%s", text)
+		t.Errorf("want the last frame and the time without an answer, got\n%s", text)
 	}
 	if text := pressKeys(&fixedSource{err: errors.New("connection refused")}).Draw(time.Time{}); !strings.Contains(text, "NO ANSWER: connection refused") {
-		t.Errorf("%s", text)
+		t.Errorf("want the error of the source, got\n%s", text)
 	}
 	if text := pressKeys(NewLive("127.0.0.1:1")).Draw(time.Time{}); !strings.Contains(text, "NO ANSWER") {
-		t.Errorf("%s", text)
+		t.Errorf("want an error for an address without a listener, got\n%s", text)
 	}
 }
 
-// The keys move through a capture second by second, up to its ends.
+// The arrow keys move through a capture in steps of a second, but not beyond its ends.
 func TestRecordedSeek(t *testing.T) {
 	r := NewRecorded("capture", []Frame{incidentFrame(3), incidentFrame(6), incidentFrame(9)})
 	m := pressKeys(r, "right", "right", "right", "left")
 	if text := ansi.Strip(m.Draw(time.Time{})); !strings.Contains(text, "second 2 of 3") || !strings.Contains(text, "6 endpoints") {
-		t.Errorf("%s", text)
+		t.Errorf("want the second of three frames, got\n%s", text)
 	}
 	if text := pressKeys(NewRecorded("empty", nil)).Draw(time.Time{}); !strings.Contains(text, "has no recorded second") {
-		t.Errorf("%s", text)
+		t.Errorf("want an error for a capture without frames, got\n%s", text)
 	}
 }
--- a/tui/view.go
+++ b/tui/view.go
@@ -8,14 +8,14 @@
 	tea "charm.land/bubbletea/v2"
 )
 
-// View draws the screen.
+// View returns the screen at the current time.
 func (m Model) View() tea.View {
 	view := tea.NewView(m.Draw(time.Now()))
 	view.AltScreen = true
 	return view
 }
 
-// Draw returns the screen as text at a time. No information is in colour alone.
+// Draw returns the screen at a time as text. No information is conveyed by colour alone.
 func (m Model) Draw(now time.Time) string {
 	lines := []string{
 		bold.Render(fit(m.title(), m.width)),
