--- a/testutil/doc.go
+++ b/testutil/doc.go
@@ -1,3 +1,3 @@
-// Package testutil has helpers that tests of several packages share: golden files, values with every field set, and the check
-// that types which are stored or sent name their keys.
+// Package testutil provides helpers that the tests of several packages share: golden files, values with every field set, a check
+// that types which are stored or sent have explicit keys, and property tests with a fixed seed.
 package testutil
--- a/testutil/filled.go
+++ b/testutil/filled.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Filled returns a T in which every exported field, at any depth, has a value of its own that is not zero. Slices and maps have
-// one element. It fails the test on a type that it can't fill, and where a field is still zero.
+// Filled returns a T in which every exported field, at any depth, has a value other than zero. Fields of the same type have
+// different values, as far as the type allows. Slices and maps have one element. It fails the test if it can't fill a type, or
+// if a field is zero nevertheless.
 func Filled[T any](t *testing.T) T {
 	t.Helper()
 	var value T
@@ -17,7 +18,7 @@
 	return value
 }
 
-// filler sets fields; next numbers them, so that each has a value of its own.
+// filler sets fields. It derives their values from next, which counts the fields, so that the values differ.
 type filler struct {
 	t    *testing.T
 	next int64
@@ -36,7 +37,7 @@
 		v.SetString(f.text())
 	case reflect.Interface:
 		if v.NumMethod() > 0 {
-			f.t.Fatalf("%s: no value for a %s", path, v.Type())
+			f.t.Fatalf("%s: can't fill the interface type %s, which has methods", path, v.Type())
 		}
 		v.Set(reflect.ValueOf(f.text()))
 	default:
@@ -46,7 +47,7 @@
 
 func (f *filler) text() string { return "text " + strconv.FormatInt(f.next, 10) }
 
-// fillNumber sets a number and returns false for any other value.
+// fillNumber sets v if it is a number, and returns false otherwise.
 func (f *filler) fillNumber(v reflect.Value) bool {
 	switch v.Kind() {
 	case reflect.Int, reflect.Int64, reflect.Int32, reflect.Int16:
@@ -65,7 +66,7 @@
 	return true
 }
 
-// fillElements fills what a pointer, slice, array, map or struct holds.
+// fillElements fills the elements of a pointer, slice, array, map or struct.
 func (f *filler) fillElements(v reflect.Value, path string) {
 	f.t.Helper()
 	switch v.Kind() {
@@ -92,12 +93,12 @@
 			}
 		}
 	default:
-		f.t.Fatalf("%s: no value for a %s", path, v.Type())
+		f.t.Fatalf("%s: can't fill a value of type %s", path, v.Type())
 	}
 }
 
-// RequireNonZero fails the test where an exported field, at any depth, is zero: a field that was added and that a golden file
-// does not show yet.
+// RequireNonZero fails the test for each exported field, at any depth, that is zero, such as a new field that a golden file does
+// not contain yet.
 func RequireNonZero(t *testing.T, value any) {
 	t.Helper()
 	requireNonZero(t, reflect.ValueOf(value), reflect.TypeOf(value).String())
--- a/testutil/filled_test.go
+++ b/testutil/filled_test.go
@@ -22,24 +22,24 @@
 	hidden  int
 }
 
-// Every exported field is set, equal calls give equal values, and fields of one type differ.
+// Every exported field is set, equal calls return equal values, and fields of the same type have different values.
 func TestFilled(t *testing.T) {
 	value := Filled[outer](t)
 	if !reflect.DeepEqual(value, Filled[outer](t)) {
-		t.Error("two calls give different values")
+		t.Error("two calls returned different values")
 	}
 	if value.Pair[0] == value.Pair[1] || value.Pointer.Name == value.Slice[0].Name {
-		t.Errorf("two fields have one value: %+v", value)
+		t.Errorf("two fields have the same value: %+v", value)
 	}
 	if len(value.Slice) != 1 || len(value.Map) != 1 || value.Any == nil || value.Small <= 0 {
-		t.Errorf("%+v", value)
+		t.Errorf("got %+v, want slices and maps of one element and no zero field", value)
 	}
 	if value.hidden != 0 {
-		t.Error("an unexported field is set")
+		t.Error("an unexported field is set, want it to be zero")
 	}
 }
 
-// A type whose fields all name their keys is accepted for both encodings.
+// A type whose fields all have explicit keys is accepted for both encodings.
 func TestRequireKeys(t *testing.T) {
 	RequireKeys(t, "json", reflect.TypeFor[outer]())
 	RequireKeys(t, "cbor", reflect.TypeFor[[]*outer]())
--- a/testutil/golden.go
+++ b/testutil/golden.go
@@ -10,7 +10,7 @@
 
 var update = flag.Bool("update-golden", false, "write golden files instead of comparing with them")
 
-// Golden compares got with a file of testdata, or writes the file if the test runs with -update-golden.
+// Golden compares got with a golden file in testdata, or writes the file if the test runs with -update-golden.
 func Golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := goldenPath(name)
@@ -28,16 +28,17 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: got\n%s\nwant\n%s", path, got, want)
+		t.Errorf("content differs from %s: got\n%s\nwant\n%s", path, got, want)
 	}
 }
 
 func goldenPath(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// Updating reports whether golden files are being written. A test that needs an old file to read may not write one then.
+// Updating reports whether the test runs with -update-golden, for tests that write their golden files by other means than
+// Golden.
 func Updating() bool { return *update }
 
-// ReadGolden reads a golden file.
+// ReadGolden returns the content of a golden file.
 func ReadGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(goldenPath(name))
--- a/testutil/keys.go
+++ b/testutil/keys.go
@@ -6,37 +6,37 @@
 	"testing"
 )
 
-// modulePath is the prefix of the import paths whose types have to name their keys.
+// modulePath is the prefix of the import paths of this module, whose types must have explicit keys.
 const modulePath = "porthub"
 
-// RequireKeys fails the test where a struct of this module that a type holds, at any depth, has an exported field without an
-// explicit key: without one the Go name is the key, and renaming the field would make old documents unreadable. tag is
-// "json" or "cbor"; as the CBOR encoder does, a field without a cbor tag goes by its json tag.
+// RequireKeys fails the test for each exported field without an explicit key in the structs of this module that the types
+// contain, at any depth. Without a key the encoders use the Go name, so that renaming the field would make old documents
+// unreadable. tag is "json" or "cbor". A field without a cbor tag may have a json tag instead, which the CBOR encoder uses.
 func RequireKeys(t *testing.T, tag string, types ...reflect.Type) {
 	t.Helper()
 	seen := map[reflect.Type]bool{}
-	for _, one := range types {
-		requireKeys(t, tag, one, seen)
+	for _, typ := range types {
+		requireKeys(t, tag, typ, seen)
 	}
 }
 
-func requireKeys(t *testing.T, tag string, of reflect.Type, seen map[reflect.Type]bool) {
+func requireKeys(t *testing.T, tag string, typ reflect.Type, seen map[reflect.Type]bool) {
 	t.Helper()
-	if seen[of] {
+	if seen[typ] {
 		return
 	}
-	seen[of] = true
-	switch of.Kind() {
+	seen[typ] = true
+	switch typ.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array:
-		requireKeys(t, tag, of.Elem(), seen)
+		requireKeys(t, tag, typ.Elem(), seen)
 	case reflect.Map:
-		requireKeys(t, tag, of.Elem(), seen)
+		requireKeys(t, tag, typ.Elem(), seen)
 	case reflect.Struct:
-		if !strings.HasPrefix(of.PkgPath(), modulePath) {
+		if !strings.HasPrefix(typ.PkgPath(), modulePath) {
 			return
 		}
-		for i := range of.NumField() {
-			requireFieldKey(t, tag, of, of.Field(i), seen)
+		for i := range typ.NumField() {
+			requireFieldKey(t, tag, typ, typ.Field(i), seen)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 		has = true
 	}
 	if !has && !field.Anonymous {
-		t.Errorf("%s.%s has no %s key", of, field.Name, tag)
+		t.Errorf("%s.%s has no explicit %s key", of, field.Name, tag)
 	}
 	requireKeys(t, tag, field.Type, seen)
 }
