--- a/docs_test.go
+++ b/docs_test.go
@@ -15,8 +15,8 @@
 	"testing"
 )
 
-// history are pages that tell what was, with the names that the code had then.
-var history = []string{"docs/rounds.md", "docs/incidents", "CHANGELOG.md"}
+// historyPages are the paths of pages that describe earlier states of the project, with the names that the code had then.
+var historyPages = []string{"docs/rounds.md", "docs/incidents", "CHANGELOG.md"}
 
 var (
 	codeSpan   = regexp.MustCompile("`([^`\n]+)`")
@@ -24,14 +24,14 @@
 	testName   = regexp.MustCompile(`\b(Test|Fuzz|Benchmark)[A-Z]\w+`)
 	// goName is a package and a name in it, as in `coordinator.Core.Step`.
 	goName = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Z]\w*)(?:\.([A-Za-z]\w*))?(?:\(.*\))?$`)
-	// filePath is a path of this repository, with a folder or with the ending of a file.
+	// filePath is a relative path of a file or folder.
 	filePath = regexp.MustCompile(`^[\w.-]+(/[\w.-]+)*/?$`)
 )
 
-// formerPackages are names that packages had before they took the field's terms.
+// formerPackages matches files, identifiers and folders of packages by the names that these packages had before they were renamed.
 var formerPackages = regexp.MustCompile(`^(choice|control|wire|platform|platform/node|intake|service|tables|front/\w+|probe|outbound|inbox|standin|drill|desk|expect)(/\w+\.go|\.[A-Z]\w*.*|/)$`)
 
-// pages returns the text of each page, without the history if that is to be left out.
+// pages returns the text of each Markdown page by its path. Without withHistory it leaves out historyPages.
 func pages(t *testing.T, withHistory bool) map[string]string {
 	t.Helper()
 	texts := map[string]string{}
@@ -42,7 +42,7 @@
 		if entry.IsDir() && (name == "journal" || name == ".git" || name == "bin") {
 			return fs.SkipDir
 		}
-		isHistory := slices.ContainsFunc(history, func(h string) bool { return strings.HasPrefix(filepath.ToSlash(name), h) })
+		isHistory := slices.ContainsFunc(historyPages, func(h string) bool { return strings.HasPrefix(filepath.ToSlash(name), h) })
 		if filepath.Ext(name) != ".md" || isHistory && !withHistory {
 			return nil
 		}
@@ -54,12 +54,12 @@
 		t.Fatal(err)
 	}
 	if len(texts) < 10 {
-		t.Fatalf("only %d pages", len(texts))
+		t.Fatalf("found only %d pages, want at least 10", len(texts))
 	}
 	return texts
 }
 
-// packagePaths lists the folders of this module's packages.
+// packagePaths returns the folders of this module's packages, relative to the root.
 func packagePaths(t *testing.T) []string {
 	t.Helper()
 	out, err := exec.Command("go", "list", "./...").Output()
@@ -68,14 +68,14 @@
 	}
 	var paths []string
 	for _, p := range strings.Fields(string(out)) {
-		if below, is := strings.CutPrefix(p, "porthub/"); is {
+		if below, ok := strings.CutPrefix(p, "porthub/"); ok {
 			paths = append(paths, below)
 		}
 	}
 	return paths
 }
 
-// The architecture page's table of packages has each package of the module, and no other.
+// The table of packages on the architecture page lists every package of the module, and nothing else.
 func TestArchitecturePageNamesEveryPackage(t *testing.T) {
 	page, err := os.ReadFile("docs/architecture.md")
 	if err != nil {
@@ -104,12 +104,12 @@
 	}
 	for _, p := range named {
 		if !slices.Contains(packages, p) {
-			t.Errorf("the page names %s, which is no package", p)
+			t.Errorf("the page names %s, which is not a package of this module", p)
 		}
 	}
 }
 
-// Links and paths of files in the pages lead somewhere.
+// Links and file paths on the pages refer to files that exist.
 func TestPagesLinkToFilesThatExist(t *testing.T) {
 	for name, text := range pages(t, false) {
 		for _, link := range markupLink.FindAllStringSubmatch(text, -1) {
@@ -123,7 +123,7 @@
 		}
 		for _, span := range codeSpan.FindAllStringSubmatch(text, -1) {
 			if formerPackages.MatchString(span[1]) {
-				t.Errorf("%s names %s, of a package that has another name now", name, span[1])
+				t.Errorf("%s names %s, which belongs to a package that was renamed", name, span[1])
 				continue
 			}
 			if !isRepositoryPath(span[1]) {
@@ -136,7 +136,8 @@
 	}
 }
 
-// isRepositoryPath tells whether a code span is meant as a path from the root: its first folder exists here, or it is a file of Go or a page.
+// isRepositoryPath reports whether a code span is a path from the root of the repository. It must have a folder, and either the first
+// folder exists or the path ends in .go or .md.
 func isRepositoryPath(span string) bool {
 	if !filePath.MatchString(span) {
 		return false
@@ -150,8 +151,8 @@
 	return isFolder || strings.HasSuffix(span, ".go") || strings.HasSuffix(span, ".md")
 }
 
-// declared collects the names that the packages declare: "package.Name" and "package.Type.Member", with tests' functions by
-// their names alone.
+// declared returns the set of names that the packages declare: "package.Name" and "package.Type.Member", and the names of test
+// functions without their package.
 func declared(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -194,13 +195,13 @@
 		return
 	}
 	receiver := d.Recv.List[0].Type
-	if star, is := receiver.(*ast.StarExpr); is {
+	if star, ok := receiver.(*ast.StarExpr); ok {
 		receiver = star.X
 	}
-	if generic, is := receiver.(*ast.IndexExpr); is {
+	if generic, ok := receiver.(*ast.IndexExpr); ok {
 		receiver = generic.X
 	}
-	if id, is := receiver.(*ast.Ident); is {
+	if id, ok := receiver.(*ast.Ident); ok {
 		names[pkg+"."+id.Name+"."+d.Name.Name] = true
 	}
 }
@@ -213,7 +214,7 @@
 		}
 	case *ast.TypeSpec:
 		names[pkg+"."+s.Name.Name] = true
-		if body, is := s.Type.(*ast.StructType); is {
+		if body, ok := s.Type.(*ast.StructType); ok {
 			for _, field := range body.Fields.List {
 				for _, name := range field.Names {
 					names[pkg+"."+s.Name.Name+"."+name.Name] = true
@@ -223,7 +224,7 @@
 	}
 }
 
-// Names of Go that the pages have in code spans are declared: `package.Name`, `package.Type.Member`, and tests by their names.
+// Go names on the pages are declared: `package.Name` and `package.Type.Member` in code spans, and the names of tests anywhere.
 func TestPagesNameWhatTheCodeDeclares(t *testing.T) {
 	names := declared(t)
 	for name, text := range pages(t, false) {
--- a/imports_test.go
+++ b/imports_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// purePackages decide and do no I/O.
+// purePackages are the packages that make decisions and do no I/O.
 var purePackages = []string{"policyapi", "policylog", "policy", "routing", "coordinator", "solver", "recovery", "membership", "loadreport", "degradation",
 	"expectation", "resp", "proxyproto"}
 
-// The packages that decide are free of I/O and of what does I/O: an import of ours never points from them to a front,
-// a registry, the daemon or the network.
+// Packages that make decisions neither do I/O nor depend on a package that does: not on the network or other processes, and not on
+// the packages that deliver tables, read registries or run the daemon.
 func TestPurePackagesStayPure(t *testing.T) {
 	allowed := append([]string{"simwire"}, purePackages...)
 	for _, p := range purePackages {
@@ -24,14 +24,14 @@
 			for _, dep := range strings.Fields(string(out)) {
 				own, isOwn := strings.CutPrefix(dep, "porthub/")
 				if dep == "net" || dep == "os/exec" || dep == "net/http" || isOwn && !slices.Contains(allowed, own) {
-					t.Errorf("%s imports %s", p, dep)
+					t.Errorf("%s depends on %s, which does I/O or is not a pure package", p, dep)
 				}
 			}
 		})
 	}
 }
 
-// layers are the rows of the diagram in docs/architecture.md, the lowest first.
+// layers are the rows of the diagram in docs/architecture.md, with the lowest layer first.
 var layers = [][]string{
 	{"policyapi", "policylog", "resp", "http1", "mailbox", "httpclient", "clock", "testutil"},
 	{"policy", "routing", "membership", "recovery", "loadreport", "degradation", "solver", "simwire"},
@@ -42,7 +42,7 @@
 	{"cmd/porthub", "cmd/adapter"},
 }
 
-// An import of this module points to a lower layer or to a neighbour in its own.
+// A package imports packages of this module only from its own layer and from lower layers.
 func TestImportsPointDown(t *testing.T) {
 	layerOf := map[string]int{}
 	for layer, packages := range layers {
@@ -58,15 +58,15 @@
 		words := strings.Fields(line)
 		name, isOwn := strings.CutPrefix(words[0], "porthub/")
 		if !isOwn {
-			continue // the module's root has tests only
+			continue // the root of the module, which contains only tests
 		}
 		layer, known := layerOf[name]
 		if !known {
-			t.Errorf("%s is in no layer", name)
+			t.Errorf("%s is missing in layers", name)
 		}
 		for _, path := range words[1:] {
 			if imported, own := strings.CutPrefix(path, "porthub/"); own && layerOf[imported] > layer {
-				t.Errorf("%s imports %s of a higher layer", name, imported)
+				t.Errorf("%s imports %s, which is in a higher layer", name, imported)
 			}
 		}
 	}
