--- a/cmd/porthub/call.go
+++ b/cmd/porthub/call.go
@@ -15,35 +15,35 @@
 )
 
 const (
-	defaultAddr = "127.0.0.1:7070" // of a coordinator
+	defaultAddr = "127.0.0.1:7070" // address of a local coordinator
 	callTimeout = 5 * time.Second
 )
 
-// call requests a path of a coordinator's control API and decodes the response: a GET, or with a body a POST. A
-// coordinator that can't be reached is an environment error.
-func call(cmd *cobra.Command, addr, path string, body, response any) error {
+// call sends a request to a coordinator's control API and decodes the response into result. Without a body the request
+// is a GET, otherwise a POST. If the coordinator can't be reached, the error wraps daemon.ErrEnvironment.
+func call(cmd *cobra.Command, addr, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), callTimeout)
 	defer cancel()
-	request, err := newCall(ctx, "http://"+addr+path, body)
+	request, err := newRequest(ctx, "http://"+addr+path, body)
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fmt.Errorf("%w: is a coordinator running at %s? %w", daemon.ErrEnvironment, addr, err)
+		return fmt.Errorf("%w: can't reach a coordinator at %s: %w", daemon.ErrEnvironment, addr, err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	text, err := io.ReadAll(answer.Body)
+	defer func() { _ = response.Body.Close() }()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return err
 	}
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("the coordinator answered %s: %s", answer.Status, bytes.TrimSpace(text))
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("the coordinator answered %s: %s", response.Status, bytes.TrimSpace(text))
 	}
-	return json.Unmarshal(text, response)
+	return json.Unmarshal(text, result)
 }
 
-func newCall(ctx context.Context, url string, body any) (*http.Request, error) {
+func newRequest(ctx context.Context, url string, body any) (*http.Request, error) {
 	if body == nil {
 		return http.NewRequestWithContext(ctx, http.MethodGet, url, bytes.NewReader(nil))
 	}
--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -22,7 +22,7 @@
 	return cmd
 }
 
-// captureStatus is what `capture status --output json` prints, in the order of its keys.
+// captureStatus is the document that `capture status --output json` prints. Its fields are sorted by key.
 type captureStatus struct {
 	Bytes    int64                  `json:"bytes"`
 	Damages  []capture.Damage       `json:"damages"`
@@ -113,8 +113,8 @@
 	}
 }
 
-// forEachRecord calls visit for each record of a capture until that fails. The reader it returns is closed; its counts
-// and damages are those of the whole capture.
+// forEachRecord calls visit for each record of a capture and stops at the first error. The reader that it returns is
+// closed. Without an error its counts and damages cover the whole capture.
 func forEachRecord(path string, visit func(*capture.Record) error) (*capture.Reader, error) {
 	r, err := capture.Open(path)
 	if err != nil {
@@ -136,7 +136,8 @@
 	fmt.Fprintf(out, "records %d to %d are missing: %s\n", gap.From, gap.To, gap.Reason)
 }
 
-// printDamages lists damages; anything but the truncated end of a killed process is an error.
+// printDamages prints a line for each damage. It returns errCheckFailed if a completely written record is lost; a truncated
+// end, as a killed process leaves it, is no error.
 func printDamages(out io.Writer, damages []capture.Damage) error {
 	lost := false
 	for _, d := range damages {
@@ -206,7 +207,7 @@
 	if !result.SameBuild() {
 		fmt.Fprintf(out, "written by %s, replayed by %s: decisions may have changed\n", strings.Join(result.Builds, ", "), result.Build)
 	}
-	_ = printDamages(out, result.Damages) // the caller judges them by Incomplete
+	_ = printDamages(out, result.Damages) // the caller derives the exit code from Incomplete
 }
 
 func explainCommand() *cobra.Command {
@@ -217,7 +218,7 @@
 		Short: "Explain why an endpoint received traffic at a time, from the inputs to the gateways' tables",
 		Example: `  porthub explain var/state/capture --node 127.0.0.1:9001 --at 2026-12-01T21:14:05Z
   porthub explain var/state/capture --node 127.0.0.1:9001 --at +62.5s    # after the first record
-  porthub explain var/state/capture --node 127.0.0.1:9001 --at -10s      # before the last`,
+  porthub explain var/state/capture --node 127.0.0.1:9001 --at -10s      # before the last record`,
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			when, err := parseCaptureTime(args[0], at)
@@ -266,8 +267,8 @@
 	return table.Flush()
 }
 
-// parseCaptureTime reads a time as explain takes it; one with a sign is relative to the first or last step of the
-// capture.
+// parseCaptureTime parses the value of --at: a time, microseconds since 1970, or a duration relative to a step of the
+// capture. That is the last step if the duration begins with a minus sign, and otherwise the first.
 func parseCaptureTime(path, text string) (policyapi.Microseconds, error) {
 	if t, err := time.Parse(time.RFC3339Nano, text); err == nil {
 		return policyapi.Microseconds(t.UnixMicro()), nil
@@ -291,7 +292,7 @@
 	return base + policyapi.Microseconds(offset.Microseconds()), err
 }
 
-// formatTime shows a time of the core; 0 is no time.
+// formatTime formats a time of the core in UTC. 0 means that there is no time and is formatted as a dash.
 func formatTime(at policyapi.Microseconds) string {
 	if at == 0 {
 		return "-"
--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -15,13 +15,12 @@
 	"porthub/daemon"
 )
 
-// The scenario without an argument, and the one of light gateways, which is no file.
 const (
-	defaultScenario     = "bad-day"
-	loadReportsScenario = "intake"
+	defaultScenario     = "bad-day" // runs if no scenario is named
+	loadReportsScenario = "intake"  // the load reports of lightweight gateways; it has no scenario file
 )
 
-// chaosFlags are the flags of the command.
+// chaosFlags holds the flags of the chaos command.
 type chaosFlags struct {
 	options     chaos.Options
 	loadReports chaos.LoadReportOptions
@@ -106,7 +105,7 @@
 	return table.Flush()
 }
 
-// selfCommand is this program, which serves as the coordinator.
+// selfCommand returns the command line of this program, which chaos runs start as the coordinator.
 func selfCommand() ([]string, error) {
 	path, err := os.Executable()
 	if err != nil {
@@ -134,7 +133,7 @@
 	}
 	options := f.loadReports
 	if options.Gateways < 9 || options.Gateways > 15000 || options.MaxLinesPerSecond < 0 || options.CoordinatorCores < 0 || f.endpoints < 9 || f.endpoints > 2000 {
-		return errors.New("intake takes 9 to 15000 --gateways, 9 to 2000 --nodes, and --bound and --procs of 0 or more")
+		return errors.New("intake requires 9 to 15000 --gateways, 9 to 2000 --nodes, and --bound and --procs of 0 or more")
 	}
 	rule := f.options.BreakRule
 	if rule == audit.Queue || !isRule(rule) {
@@ -162,7 +161,7 @@
 	return nil
 }
 
-// isRule reports whether a rule can be broken; an empty one is none.
+// isRule reports whether a value of --break-rule is valid: the name of a rule, or empty to break none.
 func isRule(rule string) bool { return rule == "" || slices.Contains(audit.Rules, rule) }
 
 func (f *chaosFlags) runScenario(cmd *cobra.Command, name string) error {
@@ -202,7 +201,7 @@
 	return err
 }
 
-// validate checks the flags of scenarios.
+// validate checks the flags that apply to scenarios other than intake.
 func (f *chaosFlags) validate() error {
 	if !slices.Contains([]string{"files", "poll", "both"}, f.options.Front) {
 		return fmt.Errorf("--front %q: it must be files, poll or both", f.options.Front)
--- a/cmd/porthub/chaos_report.go
+++ b/cmd/porthub/chaos_report.go
@@ -33,7 +33,8 @@
 	return nil
 }
 
-// printCells prints the service by class and zone.
+// printCells prints the service of each request class in each zone: the fraction of the demanded priority weight that was
+// earned.
 func printCells(out io.Writer, s chaos.Scenario, r chaos.Result) {
 	fmt.Fprint(out, "service")
 	for _, zone := range s.Zones {
@@ -64,12 +65,12 @@
 	fmt.Fprintln(out, "\nbaseline\tservice\tworst 10 s\tviolated")
 	for _, name := range slices.Sorted(maps.Keys(baselines)) {
 		baseline := baselines[name]
-		var broken []string
+		var violated []string
 		for _, rule := range audit.Rules {
 			if !baseline.Rules[rule].Satisfied {
-				broken = append(broken, rule)
+				violated = append(violated, rule)
 			}
 		}
-		fmt.Fprintf(out, "%s\t%.3f\t%.3f\t%v\n", name, baseline.Service, baseline.Worst10s, broken)
+		fmt.Fprintf(out, "%s\t%.3f\t%.3f\t%v\n", name, baseline.Service, baseline.Worst10s, violated)
 	}
 }
--- a/cmd/porthub/chaos_test.go
+++ b/cmd/porthub/chaos_test.go
@@ -16,15 +16,15 @@
 	return out.String(), err
 }
 
-// The command's old name stays an alias of it.
+// The former name of the chaos command is still an alias.
 func TestDrillIsAnAliasOfChaos(t *testing.T) {
 	want, err := execute("chaos", "--list")
 	if err != nil || !strings.Contains(want, "only:zone_loss") || !strings.Contains(want, "bad-day") {
-		t.Fatalf("chaos --list: %v\n%s", err, want)
+		t.Fatalf("chaos --list: error %v, want the scenarios and faults, got\n%s", err, want)
 	}
 	got, err := execute("drill", "--list")
 	if err != nil || got != want {
-		t.Errorf("drill --list: %v\n%s\nwant\n%s", err, got, want)
+		t.Errorf("drill --list: error %v, got\n%s\nwant\n%s", err, got, want)
 	}
 }
 
@@ -34,7 +34,7 @@
 		args    []string
 		message string
 	}{
-		{"front", []string{"--front", "pigeon"}, "files, poll or both"},
+		{"front", []string{"--front", "mail"}, "files, poll or both"},
 		{"rule", []string{"--break-rule", "none"}, "it must be one of"},
 		{"source", []string{"--source", "dns"}, "file or eureka"},
 		{"levels", []string{"--levels", "high"}, "named, plain or off"},
@@ -45,7 +45,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := execute(append([]string{"chaos"}, test.args...)...)
 			if err == nil || !strings.Contains(err.Error(), test.message) || exitCode(err) != exitUsage {
-				t.Errorf("%v, want %q and a usage error", err, test.message)
+				t.Errorf("got error %v, want %q and the exit code of a usage error", err, test.message)
 			}
 		})
 	}
--- a/cmd/porthub/check.go
+++ b/cmd/porthub/check.go
@@ -24,7 +24,7 @@
 	return cmd
 }
 
-// check prints everything that is wrong with a configuration and its expectations.
+// check validates a configuration and the expectation files beside it, runs the expectations, and prints all problems.
 func check(out io.Writer, path string) error {
 	results, err := checkSuites(path)
 	var findings config.ValidationError
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// checkSuites runs all expectations beside a configuration. The findings of all files are returned together.
+// checkSuites runs the expectations in all files beside a configuration. If any of the files is invalid, it returns the
+// findings of all of them as one error.
 func checkSuites(path string) (results []expectationResult, err error) {
 	cfg, err := config.Load(path)
 	if err != nil {
--- a/cmd/porthub/deploy_test.go
+++ b/cmd/porthub/deploy_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The deploy file's build line builds a program that is linked dynamically, and its run line replaces the shell by that one process: the
-// platform loads a library of its own into it.
+// The build command in the deploy file must link the program dynamically, and the run command must replace the shell by that one process,
+// because the platform loads a library of its own into the process.
 func TestDeployFileBuildsDynamically(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -26,14 +26,14 @@
 		t.Helper()
 		match := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"$`).FindSubmatch(text)
 		if match == nil {
-			t.Fatalf("no %s in the deploy file", key)
+			t.Fatalf("the deploy file has no key %s", key)
 		}
 		return string(match[1])
 	}
 	if run := value("run"); run != "exec bin/porthub node" {
 		t.Errorf("run is %q: it must replace the shell by one process", run)
 	}
-	// Programs in bin may be in use: the test builds elsewhere.
+	// A program in bin may be in use, so the test builds in another directory.
 	dir := t.TempDir()
 	cmd := exec.Command("/bin/sh", "-c", strings.ReplaceAll(value("build"), "-o bin/", "-o "+dir+"/"))
 	cmd.Dir = root
@@ -46,10 +46,10 @@
 	}
 	defer func() { _ = program.Close() }()
 	if !slices.ContainsFunc(program.Progs, func(p *elf.Prog) bool { return p.Type == elf.PT_INTERP }) {
-		t.Error("the program has no dynamic loader")
+		t.Error("the program has no PT_INTERP segment: it is not linked dynamically")
 	}
 	libraries, err := program.ImportedLibraries()
 	if err != nil || !slices.ContainsFunc(libraries, func(l string) bool { return strings.HasPrefix(l, "libc.so") }) {
-		t.Errorf("the program is not linked against the C library: %v, %v", libraries, err)
+		t.Errorf("the program is not linked against the C library: libraries %v, error %v", libraries, err)
 	}
 }
--- a/cmd/porthub/exit.go
+++ b/cmd/porthub/exit.go
@@ -7,18 +7,18 @@
 	"porthub/daemon"
 )
 
-// Exit codes, for scripts.
+// Exit codes of all commands.
 const (
 	exitOK          = 0
 	exitCheckFailed = 1 // the command ran and a check failed
 	exitUsage       = 2 // bad usage or unreadable input
-	exitEnvironment = 3 // the machine failed: a port taken, a disk full
+	exitEnvironment = 3 // failure of the environment: a port in use, a full disk
 )
 
-// errCheckFailed ends a command that has printed its findings already.
+// errCheckFailed is the error of a command that has already printed what failed; nothing more is printed for it.
 var errCheckFailed = errors.New("a check failed")
 
-// exitCode returns the exit code that follows from an error's type.
+// exitCode returns the exit code for an error, by its type.
 func exitCode(err error) int {
 	var findings config.ValidationError
 	switch {
--- a/cmd/porthub/exit_test.go
+++ b/cmd/porthub/exit_test.go
@@ -9,6 +9,7 @@
 	"porthub/daemon"
 )
 
+// Scripts rely on the exit code for each type of error, also if it is wrapped.
 func TestExitCodeFollowsErrorType(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
@@ -20,7 +21,7 @@
 		"findings":            {config.ValidationError{{Key: "zones"}}, exitCheckFailed},
 		"wrapped findings":    {fmt.Errorf("suite: %w", config.ValidationError{{Key: "zones"}}), exitCheckFailed},
 		"environment":         {daemon.ErrEnvironment, exitEnvironment},
-		"wrapped environment": {fmt.Errorf("%w: port taken", daemon.ErrEnvironment), exitEnvironment},
+		"wrapped environment": {fmt.Errorf("%w: port in use", daemon.ErrEnvironment), exitEnvironment},
 		"unreadable file":     {config.ErrUnreadable, exitUsage},
 		"usage":               {errors.New("unknown flag"), exitUsage},
 	} {
--- a/cmd/porthub/expect.go
+++ b/cmd/porthub/expect.go
@@ -15,19 +15,19 @@
 	"porthub/config"
 )
 
-// suiteSuffix ends the names of expectation files beside a configuration.
+// suiteSuffix is the suffix of the names of expectation files beside a configuration.
 const suiteSuffix = ".expect.json"
 
-// allCases stands for the number of a case.
+// allCases in place of the number of a case selects all cases.
 const allCases = -1
 
-// expectFlags are the flags of the command.
+// expectFlags holds the flags of the expect command.
 type expectFlags struct {
-	config string
-	junit  string
-	asJSON bool
-	seed   int
-	number int
+	config     string
+	junit      string
+	asJSON     bool
+	seed       int
+	caseNumber int
 }
 
 func expectCommand() *cobra.Command {
@@ -44,7 +44,7 @@
 		RunE: func(cmd *cobra.Command, files []string) error { return flags.run(cmd, files) },
 	}
 	cmd.Flags().StringVarP(&flags.config, "config", "c", "", "configuration, JSON with comments")
-	cmd.Flags().IntVar(&flags.number, "case", allCases, "run only this case; -1: all")
+	cmd.Flags().IntVar(&flags.caseNumber, "case", allCases, "run only this case; -1: all")
 	cmd.Flags().IntVar(&flags.seed, "seed", 0, "seed that replaces the one in the files")
 	cmd.Flags().StringVar(&flags.junit, "junit", "", "write a JUnit report to this file")
 	outputFlag(cmd, &flags.asJSON)
@@ -63,7 +63,7 @@
 			return err
 		}
 		if len(files) == 0 {
-			return fmt.Errorf("no file beside %s ends in %s: specify one", f.config, suiteSuffix)
+			return fmt.Errorf("no file in the directory of %s ends in %s: specify an expectation file", f.config, suiteSuffix)
 		}
 	}
 	results, err := f.runFiles(cmd, cfg, files)
@@ -100,12 +100,12 @@
 				suite.Expectations[i].Seed = uint64(f.seed)
 			}
 		}
-		results = append(results, runSuite(cfg, file, suite, f.number)...)
+		results = append(results, runSuite(cfg, file, suite, f.caseNumber)...)
 	}
 	return results, nil
 }
 
-// findSuites lists the expectation files in a configuration's directory.
+// findSuites returns the paths of the expectation files in a configuration's directory.
 func findSuites(path string) (files []string, err error) {
 	dir := filepath.Dir(path)
 	entries, err := os.ReadDir(dir)
--- a/cmd/porthub/expect_run.go
+++ b/cmd/porthub/expect_run.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// maxShrinkRuns bounds the search for a smaller case of a failure.
+	// maxShrinkRuns bounds the number of runs that reduce a failing case to a smaller one.
 	maxShrinkRuns = 40
-	// caseGCPercent collects garbage less often than by default: a case lives for a tenth of a second, and collection
-	// would take a third of the time.
+	// caseGCPercent makes garbage collection rarer than the default of 100 does, at which it takes a third of the time: a
+	// case lives for only a tenth of a second.
 	caseGCPercent = 400
 )
 
@@ -27,19 +27,20 @@
 	Line     int                   `json:"line"`
 	Cases    int                   `json:"cases"`
 	Duration time.Duration         `json:"took_ns"`
-	Failures []expectation.Failure `json:"failures"` // the first of each assertion that does not hold
+	Failures []expectation.Failure `json:"failures"` // the first failure of each assertion that does not hold
 }
 
-// runSuite runs all cases of a suite, or the one of a number. Cases run concurrently; their results do not depend on it.
-func runSuite(cfg config.Config, file string, suite expectation.Suite, number int) (results []expectationResult) {
+// runSuite runs all cases of each expectation in a suite, or only the case with the number given if that is not negative.
+// Cases run concurrently, which does not affect their results.
+func runSuite(cfg config.Config, file string, suite expectation.Suite, caseNumber int) (results []expectationResult) {
 	defer debug.SetGCPercent(debug.SetGCPercent(caseGCPercent))
 	settings := coreSettings(cfg)
 	for _, e := range suite.Expectations {
 		start := time.Now()
 		result := expectationResult{File: file, Name: e.Name, Line: e.Line, Cases: max(1, e.Cases)}
 		first := 0
-		if number >= 0 {
-			first = number
+		if caseNumber >= 0 {
+			first = caseNumber
 			result.Cases = 1
 		}
 		result.Failures = runCases(settings, e, first, result.Cases)
@@ -49,7 +50,7 @@
 	return results
 }
 
-// coreSettings are those of a coordinator with the configuration.
+// coreSettings returns the settings of the core of a coordinator with this configuration.
 func coreSettings(cfg config.Config) coordinator.Settings {
 	settings := coordinator.Settings{
 		Start:          cfg.Start(),
@@ -61,11 +62,12 @@
 	return settings
 }
 
-// runCases runs cases and returns the first failure of each assertion, by the order of cases, shrunk.
+// runCases runs count cases, starting with the number first. For each assertion that does not hold it returns the failure
+// of the case with the lowest number, shrunk.
 func runCases(settings coordinator.Settings, e expectation.Expectation, first, count int) (failures []expectation.Failure) {
 	byCase := make([][]expectation.Failure, count)
 	var running sync.WaitGroup
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0)) // one for each case that runs
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0)) // limits the number of cases that run at once
 	for i := range count {
 		slots <- struct{}{}
 		running.Go(func() {
--- a/cmd/porthub/junit.go
+++ b/cmd/porthub/junit.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// The elements of a JUnit report, which CI systems read.
+// The elements of a JUnit XML report, the format of test results that CI systems read.
 type (
 	junitSuite struct {
 		XMLName  xml.Name    `xml:"testsuite"`
--- a/cmd/porthub/levels.go
+++ b/cmd/porthub/levels.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// scopeName names a zone, or the fleet.
+// scopeName returns the name of a scope, which is a zone or the fleet.
 func scopeName(zone policyapi.Zone) string {
 	if zone == degradation.FleetScope {
 		return "fleet"
--- a/cmd/porthub/levels_set.go
+++ b/cmd/porthub/levels_set.go
@@ -12,7 +12,7 @@
 	"porthub/policyapi"
 )
 
-// levelSetFlags are the flags of the command.
+// levelSetFlags holds the flags of the levels set command.
 type levelSetFlags struct {
 	zone     string
 	duration time.Duration
--- a/cmd/porthub/levels_simulate.go
+++ b/cmd/porthub/levels_simulate.go
@@ -49,7 +49,7 @@
 	return cmd
 }
 
-// signalLine is one line of recorded signals. What is left out is not known.
+// signalLine is one line of recorded signals. A signal that is left out is nil: its value is unknown.
 type signalLine struct {
 	At          float64  `json:"at_s"`
 	Zone        string   `json:"zone"` // empty: the fleet
@@ -67,7 +67,7 @@
 	return line, err
 }
 
-// values returns the figures by trigger.
+// values returns the signals of the line, indexed by trigger.
 func (l signalLine) values() [degradation.TriggerCount]*float64 {
 	return [degradation.TriggerCount]*float64{
 		degradation.TriggerLoad:           l.Load,
@@ -87,7 +87,7 @@
 
 	started bool
 	first   float64 // time of the first line, in seconds
-	last    float64 // time of the last line
+	last    float64 // time of the last line, in seconds
 	signals map[policyapi.Zone]degradation.Signals
 }
 
@@ -111,16 +111,17 @@
 	return nil
 }
 
-// length returns the time that the signals cover, and the number of changes that the settings allow in it.
+// length returns the number of seconds that the signals cover, and the number of changes of level that the settings allow in
+// one scope during that time.
 func (s *levelSimulation) length() (seconds float64, maxChanges int) {
 	seconds = s.last - s.first
 	if !s.started {
-		seconds = -1 // as if the last line were a second before the first
+		seconds = -1 // no line: a negative length, which allows no departure from a level
 	}
 	return max(0, seconds), s.settings.MaxChanges(policyapi.Microseconds(seconds * microsecondsPerSecond))
 }
 
-// read reads all lines. Errors name the file and line.
+// read adds all lines and evaluates the signals of the last moment. Errors name the file and the line number.
 func (s *levelSimulation) read(name string, in io.Reader) error {
 	lines := bufio.NewScanner(in)
 	for number := 1; lines.Scan(); number++ {
@@ -144,14 +145,15 @@
 	return nil
 }
 
-// add adds a line, after a step if it has a later time than the one before.
+// add merges a line into the signals of its moment. If the line is later than the previous one, it first evaluates the
+// signals of the previous moment.
 func (s *levelSimulation) add(line signalLine) error {
 	last := s.last
 	if !s.started {
 		last = -1
 	}
 	if line.At < last || line.At < 0 {
-		return fmt.Errorf("at_s is %v after %v: the lines must be ordered by time", line.At, last)
+		return fmt.Errorf("at_s is %v after %v: times must not be negative, and the lines must be ordered by time", line.At, last)
 	}
 	zone := policyapi.Zone(line.Zone)
 	if zone != "" && !slices.Contains(s.settings.Zones, zone) {
@@ -175,7 +177,7 @@
 	return nil
 }
 
-// step gives the controller the signals of one moment.
+// step evaluates the signals of one moment and prints the changes of level that follow from them.
 func (s *levelSimulation) step() {
 	for _, change := range s.controller.Step(policyapi.Microseconds(s.last*microsecondsPerSecond), s.signals) {
 		s.changes++
--- a/cmd/porthub/main.go
+++ b/cmd/porthub/main.go
@@ -1,4 +1,4 @@
-// Command porthub runs and examines coordinators.
+// Command porthub runs coordinators, and inspects and tests them.
 package main
 
 import (
--- a/cmd/porthub/node.go
+++ b/cmd/porthub/node.go
@@ -33,8 +33,8 @@
 }
 
 func runNode() error {
-	// Signals are handled before anything else: one without a handler ends the process. A SIGHUP that comes before the configuration has
-	// been read waits, and the file is read once more when the coordinator serves.
+	// The signal handlers are installed first, because a signal without a handler ends the process. A SIGHUP that arrives before the
+	// coordinator serves stays in the channel: the file is then read once more.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
@@ -54,13 +54,13 @@
 	if err != nil {
 		return wrapEnvironment(err)
 	}
-	go reloadOnSignal(ctx, hangups, coordinator, log) // ends with ctx, which Run outlives
+	go reloadOnSignal(ctx, hangups, coordinator, log) // returns when ctx ends, as Run does
 	log.Info("serving", zap.String("name", cfg.Name), zap.String("listen", coordinator.Addr()), zap.Any("limits", cfg.Limits))
 	return wrapEnvironment(coordinator.Run(ctx))
 }
 
-// reloadDelays are the delays before a configuration that could not be read is read again: a file that is being replaced is complete
-// before long.
+// reloadDelays are the delays before each retry if the configuration could not be read. A file that is being replaced is incomplete for a
+// short time only.
 var reloadDelays = []time.Duration{
 	50 * time.Millisecond,
 	100 * time.Millisecond,
@@ -69,7 +69,7 @@
 	800 * time.Millisecond,
 }
 
-// reloadOnSignal puts the configuration in force again with each signal, until the context ends.
+// reloadOnSignal reads the configuration after each signal and applies it, until the context ends.
 func reloadOnSignal(ctx context.Context, hangups <-chan os.Signal, coordinator *proxyserver.Coordinator, log *zap.Logger) {
 	for {
 		select {
@@ -89,8 +89,8 @@
 	}
 }
 
-// readNodeConfigWithRetries reads the configuration, after a failure again with reloadDelays. It returns the last error, or the context's
-// if that ends first.
+// readNodeConfigWithRetries reads the configuration and retries after each of reloadDelays if that fails. It returns the error of the last
+// attempt, or the context's error if the context ends first.
 func readNodeConfigWithRetries(ctx context.Context) (proxyproto.Config, error) {
 	for attempt := 0; ; attempt++ {
 		cfg, err := readNodeConfig()
@@ -105,7 +105,7 @@
 	}
 }
 
-// wrapEnvironment gives a failure of the machine the error, and so the exit code, that other commands have for it.
+// wrapEnvironment wraps an environment error of package proxyserver in daemon.ErrEnvironment too, which determines the exit code.
 func wrapEnvironment(err error) error {
 	if errors.Is(err, proxyserver.ErrEnvironment) {
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
@@ -113,10 +113,10 @@
 	return err
 }
 
-// errNoConfig is a start without NODE_CONFIG.
+// errNoConfig is returned if the environment variable NODE_CONFIG is not set.
 var errNoConfig = errors.New("NODE_CONFIG is not set: it must name the configuration file")
 
-// readNodeConfig reads the file that NODE_CONFIG names.
+// readNodeConfig reads the configuration file that NODE_CONFIG names.
 func readNodeConfig() (proxyproto.Config, error) {
 	path := os.Getenv("NODE_CONFIG")
 	if path == "" {
@@ -134,16 +134,17 @@
 }
 
 const (
-	// extraProcessors are for the event loop, which waits in the kernel most of the time and would hold the only core's place meanwhile.
+	// extraProcessors is added to GOMAXPROCS for the event loop, which waits in the kernel most of the time: with a limit of one core it
+	// would otherwise occupy the only processor while it waits.
 	extraProcessors = 1
-	// heapNumerator and heapDenominator are the part of the memory limit for the heap: a third is for what the garbage collector does not
-	// see.
+	// heapNumerator and heapDenominator define the fraction of the memory limit that is available to the heap. The remaining third is for
+	// memory that the garbage collector does not manage.
 	heapNumerator   = 2
 	heapDenominator = 3
 	bytesPerMB      = 1 << 20
 )
 
-// applyLimits keeps the process within its limits.
+// applyLimits applies the configured limits on cores and memory to the Go runtime. A limit of 0 leaves the runtime's default.
 func applyLimits(limits proxyproto.Limits) {
 	if limits.Cores > 0 {
 		runtime.GOMAXPROCS(extraProcessors + int(math.Ceil(limits.Cores)))
--- a/cmd/porthub/node_test.go
+++ b/cmd/porthub/node_test.go
@@ -17,7 +17,8 @@
 	"porthub/resp"
 )
 
-// The time from exec to the first answered PING, with a list of hundreds, does not depend on discovery.
+// With hundreds of endpoints in its cached list, the process answers its first PING within 2 s of its start, whether discovery hangs,
+// refuses connections, responds with an error, or sends no changes.
 func TestReadyWhateverDiscoveryDoes(t *testing.T) {
 	for name, discovery := range map[string]func() string{
 		"hangs":   func() string { address, _ := startDiscovery(t, hangUntilCanceled); return address },
@@ -26,7 +27,7 @@
 			address, _ := startDiscovery(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 			return address
 		},
-		"silent": func() string { // its watch opens and has no lines
+		"silent": func() string { // the watch opens, but no line follows
 			address, _ := startDiscovery(t, openAndHang)
 			return address
 		},
@@ -34,14 +35,14 @@
 		t.Run(name, func(t *testing.T) {
 			address := freeAddress(t)
 			text := nodeConfig(address, discovery(), 256, 600)
-			if _, err := program(); err != nil { // built before the clock runs
+			if _, err := program(); err != nil { // the build is not part of the time measured
 				t.Fatal(err)
 			}
 			began := time.Now()
 			node := startNode(t, address, text)
 			node.waitReady()
 			if took := time.Since(began); took > 2*time.Second {
-				t.Errorf("ready after %s", took)
+				t.Errorf("ready after %s, want at most 2 s", took)
 			} else {
 				t.Logf("ready after %s", took)
 			}
@@ -49,12 +50,12 @@
 	}
 }
 
-// SIGHUP comes while the first configuration is still being read: the process goes on, and reads again.
+// A SIGHUP that arrives while the first configuration is being read does not end the process, and the configuration is read again.
 func TestHangupBeforeReady(t *testing.T) {
 	address := freeAddress(t)
 	discovery, calls := startDiscovery(t, hangUntilCanceled)
 	node := startNode(t, address, "")
-	fifo, err := os.OpenFile(node.configFile, os.O_WRONLY, 0) // waits until the process reads
+	fifo, err := os.OpenFile(node.configFile, os.O_WRONLY, 0) // blocks until the process opens the file
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,13 +71,13 @@
 	_ = fifo.Close()
 	node.waitReady()
 	select {
-	case <-calls: // by the configuration that came with the signal
+	case <-calls: // to the address in the configuration that replaced the first
 	case <-time.After(20 * time.Second):
 		t.Fatalf("the configuration was not read again: %s", node.output())
 	}
 }
 
-// A configuration that is read while it is half written is read again, without another signal.
+// A configuration that is read while only half of it is written is read again without another signal.
 func TestReloadOfPartialConfiguration(t *testing.T) {
 	address := freeAddress(t)
 	first, _ := startDiscovery(t, hangUntilCanceled)
@@ -92,7 +93,7 @@
 	}
 	node.signal(syscall.SIGHUP)
 	text := nodeConfig(address, second, 512, 1)
-	half, err := os.OpenFile(node.configFile, os.O_WRONLY, 0) // waits until the process reads
+	half, err := os.OpenFile(node.configFile, os.O_WRONLY, 0) // blocks until the process opens the file
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -111,12 +112,12 @@
 		t.Fatalf("the configuration was not read again: %s", node.output())
 	}
 	if !strings.Contains(node.output(), `"ignored":["limits"]`) {
-		t.Errorf("the change of limits is not logged: %s", node.output())
+		t.Errorf("the log does not report that the change of limits is ignored: %s", node.output())
 	}
 }
 
-// With more connections than the limit, and a discovery that never responds and changes its address again and again, the descriptors stay
-// within the limit, and a connected proxy stays connected.
+// The number of descriptors stays within the limit, and a connected proxy stays connected, while more connections than the limit are
+// opened and discovery never responds and changes its address repeatedly.
 func TestDescriptorsStayWithinTheLimit(t *testing.T) {
 	const sockets = 64
 	address := freeAddress(t)
@@ -149,7 +150,7 @@
 	first.send("PING")
 	first.readUntil(func(received []byte) bool { return bytes.Contains(received, proxyproto.PongReply) })
 	if maxDescriptors > sockets || maxDescriptors < sockets/2 {
-		t.Errorf("%d descriptors, limit %d", maxDescriptors, sockets)
+		t.Errorf("at most %d descriptors were open, want no more than the limit of %d and at least half of it", maxDescriptors, sockets)
 	}
 	node.signal(syscall.SIGTERM)
 	if err := node.Wait(); err != nil {
@@ -157,8 +158,8 @@
 	}
 }
 
-// The built program, started as the platform starts it: it answers PING, sends a proxy its table, reads its configuration again, keeps the
-// current one if the new one is invalid, and ends on SIGTERM with 0.
+// A process that is started as the platform starts it answers PING, sends a proxy its table, reads its configuration again on SIGHUP, keeps
+// the current one if the new one is invalid, and exits on SIGTERM with code 0.
 func TestNodeLifecycle(t *testing.T) {
 	address := freeAddress(t)
 	discovery, calls := startDiscovery(t, openAndHang)
@@ -166,10 +167,10 @@
 	proxy := node.subscribeWhenListening()
 	received := proxy.readUntil(func(received []byte) bool { return bytes.Contains(received, []byte("s-1:")) })
 	if words, size, err := resp.Parse(received, proxyproto.IncomingLimits); err != nil || size == 0 || string(words[0]) != "PONG" {
-		t.Errorf("the first message is in %q", received)
+		t.Errorf("received %q, want PONG as the first message", received)
 	}
 	if uri := <-calls; uri != "/discovery/hosts?watch=1&from=7" {
-		t.Errorf("called discovery by %s", uri)
+		t.Errorf("discovery was requested with %s, want a watch from version 7", uri)
 	}
 	if err := os.WriteFile(node.configFile, []byte("{"), 0o644); err != nil {
 		t.Fatal(err)
@@ -188,14 +189,14 @@
 	began := time.Now()
 	node.signal(syscall.SIGTERM)
 	if code := node.exitCode(); code != exitOK || time.Since(began) > 5*time.Second {
-		t.Errorf("SIGTERM: %d after %s: %s", code, time.Since(began), node.output())
+		t.Errorf("SIGTERM: exit code %d after %s, want 0 within 5 s; output: %s", code, time.Since(began), node.output())
 	}
 	if _, err := io.ReadAll(proxy); err != nil && !errors.Is(err, syscall.ECONNRESET) {
 		t.Error(err)
 	}
 }
 
-// A start that fails says why in one line, and ends with the exit codes of all commands.
+// A start that fails prints the reason as one line and exits with the code that all commands have for such a failure.
 func TestNodeExitCodes(t *testing.T) {
 	address := freeAddress(t)
 	config := nodeConfig(address, freeAddress(t), 256, 1)
@@ -212,7 +213,7 @@
 		t.Run(name, func(t *testing.T) {
 			node := startNode(t, address, c.config)
 			if code := node.exitCode(); code != c.code || !strings.Contains(node.output(), c.output) || strings.Count(node.output(), "\n") != 1 {
-				t.Errorf("exit code %d, %s", code, node.output())
+				t.Errorf("exit code %d, want %d; output %q, want one line with %q", code, c.code, node.output(), c.output)
 			}
 		})
 	}
@@ -224,7 +225,7 @@
 		cmd := exec.Command(bin, "node")
 		cmd.Env = []string{}
 		if output, _ := cmd.CombinedOutput(); cmd.ProcessState.ExitCode() != exitUsage || !strings.Contains(string(output), "NODE_CONFIG") {
-			t.Errorf("exit code %d, %s", cmd.ProcessState.ExitCode(), output)
+			t.Errorf("exit code %d and output %s, want a usage error that names NODE_CONFIG", cmd.ProcessState.ExitCode(), output)
 		}
 	})
 }
--- a/cmd/porthub/nodeprocess_test.go
+++ b/cmd/porthub/nodeprocess_test.go
@@ -23,7 +23,7 @@
 	"porthub/resp"
 )
 
-// program returns the path of the built program, which is built once for all tests.
+// program returns the path of the porthub program, which is built once for all tests.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "porthub")
 	if err != nil {
@@ -44,7 +44,7 @@
 	os.Exit(code)
 }
 
-// nodeTimeout bounds the wait for what must come; no test waits for it to pass.
+// nodeTimeout bounds the wait for an event that must happen. No test waits for the timeout itself.
 const nodeTimeout = 20 * time.Second
 
 // nodeProcess is a running `porthub node`.
@@ -55,7 +55,7 @@
 	log                 *os.File
 }
 
-// freeAddress returns an address without a listener, which no other process is given until the test ends.
+// freeAddress returns an address without a listener that stays reserved until the test ends.
 func freeAddress(t *testing.T) string {
 	address, err := emulator.NewAddress()
 	if err != nil {
@@ -65,7 +65,7 @@
 	return address.String()
 }
 
-// hostEntries returns so many entries of an endpoint list: s-0, s-1 and so on.
+// hostEntries returns n entries of an endpoint list, with the hosts s-0, s-1 and so on.
 func hostEntries(n int) string {
 	var entries []string
 	for i := range n {
@@ -74,7 +74,7 @@
 	return strings.Join(entries, ",")
 }
 
-// nodeConfig returns a configuration with so many endpoints in its cached list.
+// nodeConfig returns a configuration with a limit on sockets and a number of endpoints in its cached list.
 func nodeConfig(listen, discovery string, sockets, endpoints int) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":0.25,"memory_mb":48,"sockets":%d},
 		"known":{"seq":7,"whole":true,"hosts":[%s]},"settings":{"localities":["a"],"resolution":4000,"discovery":"ask",
@@ -82,7 +82,7 @@
 		"profiles":[{"name":"view","effect":"repeatable","slo":750000,"points":1}]}}`, listen, discovery, sockets, hostEntries(endpoints))
 }
 
-// startNode starts the program with a configuration in a file; without one the file is a FIFO that the test writes to.
+// startNode starts the program with a text as its configuration file. With an empty text the file is a FIFO that the test writes to.
 func startNode(t *testing.T, address, text string) *nodeProcess {
 	bin, err := program()
 	if err != nil {
@@ -126,7 +126,7 @@
 	}
 }
 
-// waitReady dials until PING is answered.
+// waitReady connects repeatedly until the process answers PING.
 func (p *nodeProcess) waitReady() {
 	p.t.Helper()
 	for end := time.Now().Add(nodeTimeout); ; time.Sleep(time.Millisecond) {
@@ -140,12 +140,12 @@
 			}
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("PING is not answered: %s", p.output())
+			p.t.Fatalf("PING is not answered before the timeout: %s", p.output())
 		}
 	}
 }
 
-// exitCode waits for the process's end.
+// exitCode waits until the process has ended and returns its exit code.
 func (p *nodeProcess) exitCode() int {
 	p.t.Helper()
 	var failed *exec.ExitError
@@ -162,7 +162,7 @@
 	received []byte
 }
 
-// subscribe connects a proxy.
+// subscribe connects a proxy, which sends SUBSCRIBE.
 func (p *nodeProcess) subscribe(proxy int) *nodeStream {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.address)
@@ -188,15 +188,15 @@
 			return s
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("no listener: %v: %s", err, p.output())
+			p.t.Fatalf("the process does not listen before the timeout: %v: %s", err, p.output())
 		}
 	}
 }
 
-// send sends a message. A closed connection shows in readUntil.
+// send sends a message. It ignores errors: readUntil fails if the connection is closed.
 func (s *nodeStream) send(words ...string) { _, _ = s.Write(resp.Append(nil, words...)) }
 
-// readUntil reads until all that was received is as wanted, and returns it.
+// readUntil reads until isComplete accepts everything that was received, and returns that.
 func (s *nodeStream) readUntil(isComplete func(received []byte) bool) []byte {
 	s.node.t.Helper()
 	_ = s.SetReadDeadline(time.Now().Add(nodeTimeout))
@@ -205,13 +205,13 @@
 		n, err := s.Read(buf)
 		s.received = append(s.received, buf[:n]...)
 		if err != nil {
-			s.node.t.Fatalf("%v after %q: %s", err, s.received, s.node.output())
+			s.node.t.Fatalf("read failed with %v after %q; output of the process: %s", err, s.received, s.node.output())
 		}
 	}
 	return s.received
 }
 
-// startDiscovery starts a discovery that reports the URI of each call and responds as the test says.
+// startDiscovery starts a discovery service that sends the URI of each request to calls and leaves the response to respond.
 func startDiscovery(t *testing.T, respond http.HandlerFunc) (address string, calls chan string) {
 	calls = make(chan string, 64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
@@ -228,7 +228,7 @@
 // hangUntilCanceled never responds.
 func hangUntilCanceled(_ http.ResponseWriter, request *http.Request) { <-request.Context().Done() }
 
-// openAndHang responds with the header only.
+// openAndHang sends the response header and nothing else until the request is canceled.
 func openAndHang(w http.ResponseWriter, request *http.Request) {
 	w.(http.Flusher).Flush()
 	<-request.Context().Done()
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -36,7 +36,7 @@
 	return cmd
 }
 
-// printEndpoints prints the decisions about endpoints, or about the one named.
+// printEndpoints prints a row for each endpoint, or only the row of the endpoint that is named.
 func printEndpoints(out io.Writer, endpoints daemon.Endpoints, only string) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "ENDPOINT\tZONE\tSTATE\tSINCE\tSOURCES\tREASON")
@@ -64,8 +64,8 @@
 	return endpointCommand(cmd, "/nodes/undrain", "no longer drained; its state follows the sources again")
 }
 
-// endpointCommand makes a command post a request about one endpoint and print what was done.
-func endpointCommand(cmd *cobra.Command, path, done string) *cobra.Command {
+// endpointCommand completes a command that posts a request about one endpoint to a path and prints the outcome on success.
+func endpointCommand(cmd *cobra.Command, path, outcome string) *cobra.Command {
 	var addr, reason string
 	cmd.Args = cobra.ExactArgs(1)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
@@ -77,7 +77,7 @@
 		if answer.Error != "" {
 			return errors.New(answer.Error)
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], done)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], outcome)
 		return nil
 	}
 	cmd.Flags().StringVar(&addr, "addr", defaultAddr, "address of the coordinator")
--- a/cmd/porthub/output.go
+++ b/cmd/porthub/output.go
@@ -12,7 +12,7 @@
 	"porthub/policyapi"
 )
 
-// outputFormat is the value of --output: a table for people, or one JSON object.
+// outputFormat is the value of --output: a table, or one JSON document.
 type outputFormat struct{ json *bool }
 
 func (f outputFormat) String() string {
@@ -32,7 +32,7 @@
 
 func (f outputFormat) Type() string { return "table|json" }
 
-// outputFlag gives a command --output, and --json as its short form.
+// outputFlag adds the flag --output to a command, and --json as a short form of --output json.
 func outputFlag(cmd *cobra.Command, asJSON *bool) {
 	cmd.Flags().VarP(outputFormat{asJSON}, "output", "o", "output format: table, or json for one JSON object")
 	cmd.Flags().BoolVar(asJSON, "json", false, "the same as --output json")
@@ -45,10 +45,10 @@
 	return encoder.Encode(document)
 }
 
-// newTable returns a writer that aligns cells, which tabs separate. It is to be flushed.
+// newTable returns a writer that aligns cells separated by tabs. The caller must flush it.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 4, 2, ' ', 0) }
 
-// orDash shows an empty cell.
+// orDash returns a text, or a dash if it is empty.
 func orDash(s string) string {
 	if s == "" {
 		return "-"
@@ -56,7 +56,7 @@
 	return s
 }
 
-// age formats the time from one moment to another.
+// age formats the time from at to now, rounded to 100 ms.
 func age(now, at policyapi.Microseconds) string {
 	return (time.Duration(now-at) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
--- a/cmd/porthub/output_test.go
+++ b/cmd/porthub/output_test.go
@@ -15,7 +15,7 @@
 	"porthub/testutil"
 )
 
-// printedDocuments are what commands print with --output json, each with every field set.
+// printedDocuments returns the documents that commands print as JSON, each with every field set, by the name of its golden file.
 func printedDocuments(t *testing.T) map[string]any {
 	t.Helper()
 	failure := testutil.Filled[expectation.Failure](t)
@@ -28,7 +28,7 @@
 	}
 }
 
-// What commands print with --output json has the keys of the build before the renames.
+// The keys of the JSON documents that commands print do not change when a Go field is renamed: scripts depend on them.
 func TestPrintedKeysArePinned(t *testing.T) {
 	for name, document := range printedDocuments(t) {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// What the commands that read captures print of one that the build before the renames wrote.
+// The commands that read captures print the same output as before for a capture that an earlier build wrote.
 func TestCaptureCommandsArePinned(t *testing.T) {
 	dir := filepath.Join("..", "..", "capture", "testdata", "pinned")
 	for name, args := range map[string][]string{
@@ -57,7 +57,7 @@
 				t.Fatal(err)
 			}
 			text := got.Bytes()
-			if name == "capture-export" { // the first start's records are enough
+			if name == "capture-export" { // the records of the first start suffice
 				text = bytes.Join(bytes.SplitAfter(text, []byte("\n"))[:40], nil)
 			}
 			testutil.Golden(t, name+".json", text)
--- a/cmd/porthub/serve.go
+++ b/cmd/porthub/serve.go
@@ -16,7 +16,7 @@
 	"porthub/daemon"
 )
 
-// serveFlags are the flags of the command.
+// serveFlags holds the flags of the serve command.
 type serveFlags struct {
 	config   string
 	addrFile string
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// startProfile starts a CPU profile, which stop writes; without a path it does nothing.
+// startProfile starts a CPU profile. The returned function ends the profile and writes it to the path. Without a path there
+// is no profile.
 func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
--- a/cmd/porthub/soakclient_test.go
+++ b/cmd/porthub/soakclient_test.go
@@ -19,31 +19,33 @@
 	"porthub/resp"
 )
 
-// soakAnswerTime is how long a request on an open connection may stay without an answer.
+// soakAnswerTime is the time within which a request on an open connection must be answered.
 const soakAnswerTime = 3 * time.Second
 
-// soakClient is a proxy that keeps using its connection until that ends: it sends requests (PING), some in pieces, applies the tables
-// that it gets and acknowledges them. Requests after the end of the connection are not sent, as the platform's proxies go elsewhere.
+// soakClient is a proxy that uses its connection until it ends: it sends requests (PING), some of them in two pieces, and applies and
+// acknowledges the tables that it receives. After the end of the connection it sends no requests, because the platform's proxies then
+// connect elsewhere.
 type soakClient struct {
 	conn   net.Conn
 	proxy  int
 	random *rand.Rand
 
-	mu          sync.Mutex // guards all below
-	writing     sync.Mutex // one message at a time
-	pending     []time.Time
+	mu          sync.Mutex  // guards the fields below, except writing
+	writing     sync.Mutex  // held while a message is written
+	pending     []time.Time // when each unanswered request was sent
 	answered    int
 	ended       bool
-	failure     string // what the process did wrong, as text
-	table       map[string]bool
-	longestWait time.Duration
+	failure     string          // first violation by the process; empty: none
+	table       map[string]bool // hosts with a weight above 0
+	longestWait time.Duration   // longest time until an answer
 }
 
 func newSoakClient(conn net.Conn, proxy int, seed uint64) *soakClient {
 	return &soakClient{conn: conn, proxy: proxy, random: rand.New(rand.NewPCG(seed, uint64(proxy))), table: map[string]bool{}}
 }
 
-// run uses the connection until it ends. reset makes the client break it off with a message half sent after some requests; 0: never.
+// run uses the connection until it ends. If reset is above 0, the client sends part of a message and closes the connection in place of the
+// request of that number.
 func (c *soakClient) run(pause time.Duration, reset int) {
 	done := make(chan struct{})
 	go func() {
@@ -65,7 +67,7 @@
 	<-done
 }
 
-// request sends a request, one of four in two pieces. It returns false once the connection has ended.
+// request sends a request, in two pieces for one request in four. It returns false if the connection has ended.
 func (c *soakClient) request() bool {
 	message := resp.Append(nil, "PING")
 	c.mu.Lock()
@@ -103,7 +105,7 @@
 	_ = c.conn.Close()
 }
 
-// read reads until the connection ends, or a request has gone without an answer for too long.
+// read handles messages until the connection ends or a request is not answered in time.
 func (c *soakClient) read() {
 	defer c.close()
 	var received []byte
@@ -124,10 +126,10 @@
 	}
 }
 
-// isReset reports whether a peer has reset the connection.
+// isReset reports whether an error means that the peer has reset the connection.
 func isReset(err error) bool { return strings.Contains(err.Error(), "reset by peer") }
 
-// handle handles complete messages and returns the rest.
+// handle handles the complete messages in received and returns the rest.
 func (c *soakClient) handle(received []byte) []byte {
 	for len(received) > 0 {
 		words, size, err := resp.Parse(received, proxyproto.IncomingLimits)
@@ -163,7 +165,7 @@
 	c.answered++
 }
 
-// apply applies the fields of a CONFIG message and acknowledges its stamp.
+// apply applies the rows of a CONFIG message to the table and acknowledges its stamp.
 func (c *soakClient) apply(fields [][]byte) {
 	values := map[string]string{}
 	for i := 0; i+1 < len(fields); i += 2 {
@@ -187,16 +189,16 @@
 	}
 }
 
-func (c *soakClient) fail(what string) {
+func (c *soakClient) fail(failure string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.setFailure(what)
+	c.setFailure(failure)
 }
 
-// setFailure keeps the first failure. The caller holds the lock.
-func (c *soakClient) setFailure(what string) { c.failure = cmp.Or(c.failure, what) }
+// setFailure records a failure unless there is one already. The caller holds mu.
+func (c *soakClient) setFailure(failure string) { c.failure = cmp.Or(c.failure, failure) }
 
-// waitsTooLong reports, as a failure too, whether a request has no answer though the connection is open.
+// waitsTooLong reports whether a request has not been answered within soakAnswerTime, and records that as a failure.
 func (c *soakClient) waitsTooLong() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -207,7 +209,7 @@
 	return true
 }
 
-// hosts returns the table, sorted.
+// hosts returns the hosts in the table, sorted.
 func (c *soakClient) hosts() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/porthub/soakdiscovery_test.go
+++ b/cmd/porthub/soakdiscovery_test.go
@@ -12,17 +12,18 @@
 	"time"
 )
 
-// soakDiscovery is a stand-in for discovery: a list with versions, whole or as a watch with a line for each change. It can fall silent.
+// soakDiscovery emulates the discovery service: it serves a versioned list of hosts, either as a snapshot or as a watch that sends a line
+// after each change. Its watches can be made to send nothing.
 type soakDiscovery struct {
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	version int
-	hosts   []string // in the order of listing
-	health  map[string]string
-	changed map[string]int // the version of a host's last change
-	silent  bool
+	hosts   []string          // in the order of listing
+	health  map[string]string // by host
+	changed map[string]int    // version of the last change of each host
+	silent  bool              // whether the watches send nothing
 }
 
-// listLine is a line of the list, as discovery writes it.
+// listLine is a snapshot of the list, or a line of a watch, in the form that discovery sends.
 type listLine struct {
 	Version int         `json:"seq"`
 	Whole   bool        `json:"whole"`
@@ -49,7 +50,7 @@
 	return d
 }
 
-// listen serves at a new address until the test ends.
+// listen serves the list at a new address until the test ends, and returns the address.
 func (d *soakDiscovery) listen(t *testing.T) string {
 	s := httptest.NewServer(http.HandlerFunc(d.serve))
 	t.Cleanup(func() {
@@ -59,7 +60,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// setHealth changes a host.
+// setHealth sets the health of a host, as a new version of the list.
 func (d *soakDiscovery) setHealth(host, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,14 +69,14 @@
 	d.changed[host] = d.version
 }
 
-// setSilent makes the watches send nothing, or go on.
+// setSilent sets whether the watches send nothing, not even heartbeats.
 func (d *soakDiscovery) setSilent(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.silent = on
 }
 
-// changesSince returns a line with what has changed after a version, and whether lines are sent now.
+// changesSince returns the hosts that have changed after a version, or all hosts, and whether the watches are to send nothing.
 func (d *soakDiscovery) changesSince(version int, whole bool) (line listLine, silent bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/cmd/porthub/solve.go
+++ b/cmd/porthub/solve.go
@@ -15,16 +15,16 @@
 	"porthub/solver/fleets"
 )
 
-// What a solution must meet for the exit code 0.
+// Limits on a solution. If one is exceeded the exit code is 1.
 const (
-	maxOverload = 1.05 // load over limit of any endpoint
-	maxUnplaced = 1e-3 // fraction of the demand that would have fitted
+	maxOverload = 1.05 // ratio of load to limit of any endpoint
+	maxUnplaced = 1e-3 // fraction of the demand that is not placed although it fits
 )
 
-// minLimit replaces the limit of an endpoint without one in quotients.
+// minLimit is the smallest divisor of a load: an endpoint whose limit is 0 must not cause a division by zero.
 const minLimit = 1e-12
 
-// solveFlags are the flags of the command.
+// solveFlags holds the flags of the solve command.
 type solveFlags struct {
 	random  int
 	seed    uint64
@@ -146,7 +146,7 @@
 	}
 }
 
-// endpointNote says what is unusual about an endpoint.
+// endpointNote describes what is unusual about an endpoint; it is empty if nothing is.
 func endpointNote(fleet solver.Fleet, endpoint solver.Endpoint, guessedCapacity bool) (note string) {
 	switch {
 	case guessedCapacity:
--- a/cmd/porthub/tables.go
+++ b/cmd/porthub/tables.go
@@ -15,7 +15,7 @@
 	"porthub/policyapi"
 )
 
-// tablesFlags are the flags of the command.
+// tablesFlags holds the flags of the tables command.
 type tablesFlags struct {
 	addr    string
 	gateway string
@@ -53,7 +53,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", daemon.ErrEnvironment, err)
 	}
-	gateways := []coordinator.GatewayStatus{} // never null in JSON, whatever an older coordinator sends
+	gateways := []coordinator.GatewayStatus{} // not nil, so that JSON output is never null, even if an older coordinator sends null
 	for _, gateway := range status.Gateways {
 		if f.gateway == "" || string(gateway.Gateway) == f.gateway {
 			gateways = append(gateways, gateway)
@@ -86,7 +86,7 @@
 	return (time.Duration(int64(now)-at) * time.Microsecond).Round(100 * time.Millisecond).String()
 }
 
-// openEndpoints lists the number of open endpoints of each class.
+// openEndpoints formats the number of open endpoints of each class.
 func openEndpoints(g coordinator.GatewayStatus) string {
 	var counts []string
 	for _, cluster := range g.Snapshot.Clusters {
--- a/cmd/porthub/tables_pins.go
+++ b/cmd/porthub/tables_pins.go
@@ -12,7 +12,7 @@
 	"porthub/routing"
 )
 
-// pinScope are the flags that say what is pinned, and why.
+// pinScope holds the flags for the scope of a pin, and the reason for it.
 type pinScope struct {
 	table  int
 	zone   string
@@ -27,7 +27,7 @@
 	reasonFlag(cmd, &s.reason)
 }
 
-// request returns the request for the scope, of which exactly one part must be given.
+// request returns the request to pin the scope. Exactly one of --table, --zone and --fleet must be given.
 func (s *pinScope) request(cmd *cobra.Command) (daemon.PinRequest, error) {
 	request := daemon.PinRequest{Zone: policyapi.Zone(s.zone), Fleet: s.fleet, Reason: s.reason}
 	if cmd.Flags().Changed("table") {
@@ -46,7 +46,7 @@
 	return request, nil
 }
 
-// reasonFlag gives a command the required flag --reason.
+// reasonFlag adds the required flag --reason to a command.
 func reasonFlag(cmd *cobra.Command, reason *string) {
 	cmd.Flags().StringVar(reason, "reason", "", "reason, written to the log")
 	_ = cmd.MarkFlagRequired("reason")
@@ -108,7 +108,7 @@
 	}
 	scope.register(cmd)
 	cmd.Flags().Uint64Var(&version, "version", 0, "version of the table")
-	cmd.Flags().DurationVar(&ago, "ago", 0, "the state of this long ago")
+	cmd.Flags().DurationVar(&ago, "ago", 0, "pin the versions that were current this long ago")
 	return cmd
 }
 
--- a/cmd/porthub/tables_versions.go
+++ b/cmd/porthub/tables_versions.go
@@ -46,7 +46,7 @@
 	return table.Flush()
 }
 
-// findTable requests the versions of one table.
+// findTable requests the versions of all tables and also returns those of one table.
 func findTable(cmd *cobra.Command, addr string, table int) (daemon.Versions, daemon.TableVersions, error) {
 	var versions daemon.Versions
 	if err := call(cmd, addr, "/tables/versions", nil, &versions); err != nil {
@@ -60,7 +60,7 @@
 	return versions, daemon.TableVersions{}, fmt.Errorf("there is no table %d: porthub tables list shows the tables in use", table)
 }
 
-// findVersion returns a version of a table; 0 is the last.
+// findVersion returns a version of a table. 0 selects the last version.
 func findVersion(table daemon.TableVersions, version uint64) (daemon.TableVersion, error) {
 	if version == 0 && len(table.Versions) > 0 {
 		return table.Versions[len(table.Versions)-1], nil
@@ -146,8 +146,8 @@
 	return cmd
 }
 
-// printVersionDiff prints the differences of the tables, and of each class for which the solver had other weights in one
-// of them.
+// printVersionDiff prints the differences between two versions of a table, and those of each class whose weights the weight
+// solver overrode in at least one of them.
 func printVersionDiff(out io.Writer, before, after daemon.TableVersion) {
 	printDiff(out, before.Endpoints, after.Endpoints)
 	classes := map[string]bool{}
@@ -162,7 +162,7 @@
 	}
 }
 
-// classWeights returns the weights that a version had for a class.
+// classWeights returns the weights of a class in a version: the weight solver's overrides, or else the table's weights.
 func classWeights(v daemon.TableVersion, class string) []routing.EndpointWeight {
 	if weights, ok := v.Overrides[class]; ok {
 		return weights
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// maxFrames bounds what is kept of a capture: an hour, with a frame for each second.
+	// maxFrames bounds the number of frames that are kept of a capture: one hour, with one frame per second.
 	maxFrames                            = 3600
 	frameInterval policyapi.Microseconds = 1_000_000
-	// minFetchInterval spares the coordinator.
+	// minFetchInterval limits the load that a terminal causes at the coordinator.
 	minFetchInterval = 200 * time.Millisecond
 )
 
-// topFlags are the flags of the command.
+// topFlags holds the flags of the top command.
 type topFlags struct {
 	addr     string
 	capture  string
@@ -50,14 +50,14 @@
 	}
 	cmd.Flags().StringVar(&flags.addr, "addr", defaultAddr, "address of the coordinator")
 	cmd.Flags().StringVar(&flags.capture, "capture", "", "show this capture directory instead of a coordinator")
-	cmd.Flags().DurationVar(&flags.interval, "every", time.Second, "refresh interval, 200ms at least")
+	cmd.Flags().DurationVar(&flags.interval, "every", time.Second, "refresh interval, at least 200ms")
 	cmd.Flags().BoolVar(&flags.once, "once", false, "print the first screen as text and exit")
 	return cmd
 }
 
 func (f *topFlags) run(out io.Writer) error {
 	if f.interval < minFetchInterval {
-		return errors.New("--every: 200ms at least")
+		return errors.New("--every is too short: it must be at least 200ms")
 	}
 	source, err := f.source()
 	if err != nil {
@@ -84,18 +84,18 @@
 	return tui.NewRecorded(f.capture, frames), nil
 }
 
-// drawOnce prints the screen after the first fetch.
+// drawOnce prints the screen after the first fetch, as text without control sequences.
 func drawOnce(out io.Writer, model tui.Model) error {
 	next, _ := model.Update(model.Init()())
 	fetched, ok := next.(tui.Model)
 	if !ok {
-		return errors.New("the terminal view returned no screen")
+		return errors.New("the terminal view returned a model of an unexpected type")
 	}
 	_, err := fmt.Fprintln(out, ansi.Strip(fetched.Draw(time.Now())))
 	return err
 }
 
-// readFrames replays a capture and keeps a frame of each second.
+// readFrames replays a capture and returns one frame for each second, at most maxFrames.
 func readFrames(dir string) (frames []tui.Frame, err error) {
 	if _, err := os.Stat(dir); err != nil {
 		return nil, err
@@ -113,11 +113,11 @@
 // frameRecorder collects the frames of a replay.
 type frameRecorder struct {
 	frames []tui.Frame
-	log    []coordinator.LogRecord // the last records
+	log    []coordinator.LogRecord // the last records, of at least level info
 	last   policyapi.Microseconds  // time of the last frame
 }
 
-// step sees one record of the replay. It reports whether more are wanted.
+// step processes one record of the replay. It returns false, which ends the replay, once there are maxFrames frames.
 func (r *frameRecorder) step(record *capture.Record, core *coordinator.Core, outputs []coordinator.Output) bool {
 	if record.Step == nil || core == nil {
 		return true
--- a/cmd/porthub/version.go
+++ b/cmd/porthub/version.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// buildVersion returns the module's version and the revision; the revision may be empty.
+// buildVersion returns the module's version and the revision of the source, which is empty if it is unknown.
 func buildVersion() (version, revision string) {
 	version = "development"
 	info, ok := debug.ReadBuildInfo()
