--- a/cmd/porthub/capture.go
+++ b/cmd/porthub/capture.go
@@ -137,7 +137,7 @@
 }
 
 // printDamages prints a line for each damage. It returns errCheckFailed if a completely written record is lost; a truncated
-// end, as a killed process leaves it, is no error.
+// end, as a killed process leaves it, is not an error.
 func printDamages(out io.Writer, damages []capture.Damage) error {
 	lost := false
 	for _, d := range damages {
--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -70,7 +70,7 @@
 	set.BoolVar(&f.loadReports.NoFaults, "calm", false, "with intake: no faults")
 	set.StringVar(&f.loadReports.Profile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
 	set.IntVar(&f.endpoints, "nodes", 100, "with intake and --held-polls: number of endpoints")
-	set.IntVar(&f.openPolls, "held-polls", 0, "measure long polls instead: number of gateways, with two open polls each, that are answered at once")
+	set.IntVar(&f.openPolls, "held-polls", 0, "measure long polls in place of a scenario: number of gateways, each with two open polls, that are all answered at once")
 	set.StringVar(&f.options.Levels, "levels", "named", "service levels: named (as in the scenario), plain (the decision module's admission control only) or off")
 	set.StringVar(&f.options.Dir, "keep", "", "use this directory and keep files and logs in it")
 }
--- a/cmd/porthub/soakclient_test.go
+++ b/cmd/porthub/soakclient_test.go
@@ -189,14 +189,14 @@
 	}
 }
 
-func (c *soakClient) fail(failure string) {
+func (c *soakClient) fail(text string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.setFailure(failure)
+	c.setFailure(text)
 }
 
 // setFailure records a failure unless there is one already. The caller holds mu.
-func (c *soakClient) setFailure(failure string) { c.failure = cmp.Or(c.failure, failure) }
+func (c *soakClient) setFailure(text string) { c.failure = cmp.Or(c.failure, text) }
 
 // waitsTooLong reports whether a request has not been answered within soakAnswerTime, and records that as a failure.
 func (c *soakClient) waitsTooLong() bool {
--- a/config/degradation.go
+++ b/config/degradation.go
@@ -24,7 +24,7 @@
 	CrossZoneFactor      float64       `json:"cross"`          // factor on weights to other zones; 1: unchanged
 	MaxEndpoints         int           `json:"lines"`          // endpoints of a class in one gateway's table; 0: no bound
 	MaxHealthChecks      float64       `json:"probes_per_s"`   // health checks per second; 0: no bound
-	ReportIntervalFactor int           `json:"report_stretch"` // multiple of the report period
+	ReportIntervalFactor int           `json:"report_stretch"` // factor on the report period; 1: unchanged
 }
 
 // Defaults of a level. By default a level limits nothing.
@@ -81,7 +81,7 @@
 	Duration Duration `json:"for"`   // duration of the fallback; afterwards the table applies unchanged again
 }
 
-// DegradationSettings returns the levels and the fallback in the form of package degradation.
+// DegradationSettings returns the levels and the fallback as values of package degradation.
 func (c Config) DegradationSettings() (degradation.Settings, degradation.Fallback) {
 	settings := degradation.Settings{Period: c.Reports.Period.microseconds()}
 	for _, zone := range c.Zones {
--- a/config/sections.go
+++ b/config/sections.go
@@ -92,8 +92,8 @@
 	DrainGracePeriod Duration `json:"drain_grace"`   // after this time no request is sent to a draining endpoint
 	WarmUp           Duration `json:"cold"`          // time after its start by which an endpoint is warmed up at the latest
 	InitialCapacity  float64  `json:"cold_from"`     // fraction of the full capacity that an endpoint has at its start
-	OverloadFactor   float64  `json:"cold_multiple"` // ratio of load to capacity that overloads a warming endpoint ...
-	OverloadWindow   Duration `json:"cold_window"`   // ... if it persists for this long
+	OverloadFactor   float64  `json:"cold_multiple"` // ratio of load to capacity at which an endpoint that warms up is overloaded
+	OverloadWindow   Duration `json:"cold_window"`   // time for which the ratio must persist to count as overload
 	RemovalIsDrain   bool     `json:"gone_binds"`    // an endpoint removed from the list has the grace period of a drain
 	QueueLimit       float64  `json:"waiting_lines"` // lines in flight to all gateways together
 	MessageLimit     int      `json:"messages"`      // messages to one gateway within the window; 0: no limit
@@ -139,9 +139,9 @@
 
 // Limits bounds the connections and requests that peers may use.
 type Limits struct {
-	Connections int `json:"connections"` // in total, from all addresses
+	Connections int `json:"connections"` // connections from all addresses
 	PerAddress  int `json:"per_address"` // connections from one address
-	Requests    int `json:"requests"`    // on one connection; 0: no limit
+	Requests    int `json:"requests"`    // requests on one connection; 0: no limit
 }
 
 // Capture configures the recording of the core's inputs and orders.
--- a/config/suite.go
+++ b/config/suite.go
@@ -24,7 +24,7 @@
 	Assertions []Assertion     `json:"that"`
 }
 
-// setDefaults sets the default of every key: one case, with a small fleet at half of its capacity.
+// setDefaults sets the default values: one case, with a small fleet at half of its capacity.
 func (e *Expectation) setDefaults() {
 	*e = Expectation{
 		Cases:  1,
--- a/config/validate.go
+++ b/config/validate.go
@@ -88,12 +88,12 @@
 	v.oneOf("coordinator.zone", c.Zone, v.cfg.Zones, fmt.Sprintf("%q is not one of zones", c.Zone),
 		"name the zone of this coordinator")
 	v.require(c.Index >= 0 && c.Index < max(1, c.Instances), "coordinator.index",
-		fmt.Sprintf("is %d of %d", c.Index, c.Instances), "it must be 0 or more and below instances")
+		fmt.Sprintf("is %d with %d instances", c.Index, c.Instances), "it must be 0 or more and below instances")
 }
 
 func (v validator) classes() {
 	classes := v.cfg.Classes
-	v.require(len(classes) > 0 && len(classes) <= maxClasses, "request_kinds", fmt.Sprintf("has %d", len(classes)), "there must be 1 to 64")
+	v.require(len(classes) > 0 && len(classes) <= maxClasses, "request_kinds", fmt.Sprintf("has %d classes", len(classes)), "there must be 1 to 64")
 	names := map[string]bool{}
 	for i, class := range classes {
 		key := fmt.Sprintf("request_kinds[%d].", i)
--- a/config/validate_degradation.go
+++ b/config/validate_degradation.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// degradation reports levels that can't be left, would oscillate or limit nothing, by the rules of package degradation, and an
-// invalid fallback.
+// degradation reports levels that can't be left, would oscillate or limit nothing, as package degradation determines. It also
+// checks the fallback.
 func (v validator) degradation() {
 	settings, fallback := v.cfg.DegradationSettings()
 	for i, level := range v.cfg.Degradation.Levels {
--- a/tui/layout.go
+++ b/tui/layout.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// drawList draws the visible rows of a drawList, with the selected one marked.
+// drawList draws the visible rows of a list, with the selected one marked.
 func (m Model) drawList(head string, length int, row func(i int) string) []string {
 	lines := []string{bold.Render(head)}
 	state := m.scrolled().lists[m.screen]
