--- a/cmd/porthub/deploy_test.go
+++ b/cmd/porthub/deploy_test.go
@@ -38,7 +38,7 @@
 	cmd := exec.Command("/bin/sh", "-c", strings.ReplaceAll(value("build"), "-o bin/", "-o "+dir+"/"))
 	cmd.Dir = root
 	if out, err := cmd.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("the build command failed with %v: %s", err, out)
 	}
 	program, err := elf.Open(filepath.Join(dir, "porthub"))
 	if err != nil {
--- a/cmd/porthub/node_test.go
+++ b/cmd/porthub/node_test.go
@@ -128,7 +128,7 @@
 	count := func() {
 		names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", node.Process.Pid))
 		if err != nil {
-			t.Fatalf("%v: %s", err, node.output())
+			t.Fatalf("can't list the descriptors of the process: %v; output: %s", err, node.output())
 		}
 		maxDescriptors = max(maxDescriptors, len(names))
 	}
--- a/cmd/porthub/soak_test.go
+++ b/cmd/porthub/soak_test.go
@@ -51,7 +51,7 @@
 	seed     uint64
 	began    time.Time
 	address  string
-	timeline []string        // what happened, with times
+	timeline []string        // what the test did and found, with times
 	findings []string        // violations of what the process must do
 	ready    []time.Duration // time from each start to the first answer
 	answered int             // requests that were answered
@@ -384,7 +384,7 @@
 	s.checkDescriptors(node, 100)
 	want := []string{"descriptors:", "still runs", "the process has ended"}
 	if len(s.findings) != len(want) {
-		t.Fatalf("findings %v, want too many descriptors, a process that still runs, and one that has ended", s.findings)
+		t.Fatalf("findings %v, want one each of too many descriptors, a process that still runs, and a process that has ended", s.findings)
 	}
 	for i := range want {
 		if !strings.Contains(s.findings[i], want[i]) {
--- a/imports_test.go
+++ b/imports_test.go
@@ -19,7 +19,7 @@
 		t.Run(p, func(t *testing.T) {
 			out, err := exec.Command("go", "list", "-deps", "./"+p).CombinedOutput()
 			if err != nil {
-				t.Fatalf("%v: %s", err, out)
+				t.Fatalf("go list failed with %v: %s", err, out)
 			}
 			for _, dep := range strings.Fields(string(out)) {
 				own, isOwn := strings.CutPrefix(dep, "porthub/")
--- a/testutil/keys.go
+++ b/testutil/keys.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func requireFieldKey(t *testing.T, tag string, of reflect.Type, field reflect.StructField, seen map[reflect.Type]bool) {
+func requireFieldKey(t *testing.T, tag string, typ reflect.Type, field reflect.StructField, seen map[reflect.Type]bool) {
 	t.Helper()
 	if !field.IsExported() {
 		return
@@ -51,7 +51,7 @@
 		has = true
 	}
 	if !has && !field.Anonymous {
-		t.Errorf("%s.%s has no explicit %s key", of, field.Name, tag)
+		t.Errorf("%s.%s has no explicit %s key", typ, field.Name, tag)
 	}
 	requireKeys(t, tag, field.Type, seen)
 }
