--- a/config/validate.go
+++ b/config/validate.go
@@ -8,19 +8,19 @@
 
 const (
 	maxClasses      = 64   // a class set is a 64-bit mask
-	maxWriters      = 64   // more files at once gain nothing on any disk
+	maxWriters      = 64   // more concurrent writes are no faster on any disk
 	minSegmentBytes = 4096 // a segment holds at least one block
-	// minMessageLimit leaves a gateway messages for a drain beside the regular updates.
+	// minMessageLimit allows the messages of a drain to a gateway in addition to its regular updates.
 	minMessageLimit = 4
 )
 
-// validator finds values out of range and contradictions in a configuration that was decoded without findings.
+// validator reports values out of range and contradictions in a configuration that was decoded without findings.
 type validator struct {
 	d   *decoder
 	cfg Config
 }
 
-// validate runs all checks. Findings on one line come in the order of the checks.
+// validate runs all checks. Findings for the same line are in the order of the checks.
 func (v validator) validate() {
 	v.listen()
 	v.require(v.cfg.Delivery.Files.Dir != "", "front.files.dir", "is missing", "specify the directory that gateways read")
@@ -88,12 +88,12 @@
 	v.oneOf("coordinator.zone", c.Zone, v.cfg.Zones, fmt.Sprintf("%q is not one of zones", c.Zone),
 		"name the zone of this coordinator")
 	v.require(c.Index >= 0 && c.Index < max(1, c.Instances), "coordinator.index",
-		fmt.Sprintf("is %d of %d", c.Index, c.Instances), "it must be 0 or more and below instances")
+		fmt.Sprintf("is %d with %d instances", c.Index, c.Instances), "it must be 0 or more and below instances")
 }
 
 func (v validator) classes() {
 	classes := v.cfg.Classes
-	v.require(len(classes) > 0 && len(classes) <= maxClasses, "request_kinds", fmt.Sprintf("has %d", len(classes)), "there must be 1 to 64")
+	v.require(len(classes) > 0 && len(classes) <= maxClasses, "request_kinds", fmt.Sprintf("has %d classes", len(classes)), "there must be 1 to 64")
 	names := map[string]bool{}
 	for i, class := range classes {
 		key := fmt.Sprintf("request_kinds[%d].", i)
--- a/degradation/controller_test.go
+++ b/degradation/controller_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestMain runs the tests with fixed random draws for the property tests.
-func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
+func TestMain(m *testing.M) { testutil.RunWithFixedSeed(m, 400) }
 
 // testLevel returns a level that is triggered by load; options modify it.
 func testLevel(name string, enter, leave float64, enterDelay, leaveDelay policyapi.Microseconds, options ...func(*Level)) Level {
--- a/solver/solve_test.go
+++ b/solver/solve_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestMain runs the tests with fixed random draws for the property tests.
-func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 400) }
+func TestMain(m *testing.M) { testutil.RunWithFixedSeed(m, 400) }
 
 // On random fleets of all hard cases, no endpoint is offered more than 5 % above its limit, demand that fits is placed, and the
 // placed priority is near the exact optimum.
