--- a/policy/admission.go
+++ b/policy/admission.go
@@ -76,7 +76,7 @@
 	return capacities, limited
 }
 
-// ownCapacity is the part of an endpoint's capacity, in requests per second, that is available to this instance's
+// ownCapacity returns the part of an endpoint's capacity, in requests per second, that is available to this instance's
 // proxies, whose load on it is ownLoad.
 func (p *planner) ownCapacity(e fleetEndpoint, ownLoad float64) float64 {
 	capacity := e.available
@@ -119,7 +119,7 @@
 	return rates
 }
 
-// priceFloor is the price at which the proxy of the largest demand reaches its rate cap. A lower price admits no more, and
+// priceFloor returns the price at which the proxy of the largest demand reaches its rate cap. A lower price admits no more, and
 // with all rates at their caps the slope would be 0 and the price could not change.
 func (g *group) priceFloor() float64 {
 	floor := maxPriceFloor
--- a/policy/channel.go
+++ b/policy/channel.go
@@ -42,7 +42,7 @@
 // turnState is the channel's state that persists from turn to turn.
 type turnState struct {
 	deliveredAt micros            // when the last turn was
-	linesSentAt micros            // when lines of tables or levels last went out
+	linesSentAt micros            // when lines of tables or levels were last sent
 	retryAt     micros            // when pending changes are attempted again; 0: none are pending
 	queued      float64           // lines in the queue, updated during a turn
 	crowded     bool              // more new proxies wait than can get complete tables in time
--- a/policy/delivery.go
+++ b/policy/delivery.go
@@ -102,7 +102,7 @@
 	return t
 }
 
-// sendTableChanges sends the changes of tables without removals, including the tables' own levels, within the routine limit.
+// sendTableChanges sends the table changes that have no removals, including the tables' own levels, within the routine limit.
 // It reports whether any change has to wait because it does not fit, for example because half of the fleet changes at once.
 func (c *channel) sendTableChanges(t turn) (waiting bool) {
 	start, sets := c.turns.nextTable, len(c.classSets)
--- a/policy/delivery_test.go
+++ b/policy/delivery_test.go
@@ -25,7 +25,7 @@
 	c.acknowledgeAll()
 	c.deliverPlan(now+2*second, plan)
 	if lines := len(out.orders) - 1; lines != 97 {
-		t.Errorf("%d of 97 other lines follow", lines)
+		t.Errorf("%d of 97 other lines follow, want all", lines)
 	}
 }
 
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -119,8 +119,8 @@
 	}
 	a.load.lastRate = 0
 	a.load.lastBusy = 0
-	// Learn only when the endpoint is warm and all of its load is known: otherwise it would be considered slow for a long
-	// time.
+	// Learn only if the endpoint has warmed up and all of its load is known: otherwise it would be considered slow for a
+	// long time.
 	if metrics.busy > minLearnBusy && a.warmUpProgress(now) == 1 && hasRate {
 		a.load.lastRate = rate
 		a.load.lastBusy = metrics.busy
--- a/policy/endpoints.go
+++ b/policy/endpoints.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// apply updates the actors to the list.
+// apply applies an update of the list to the actors.
 func (l *endpointList) apply(now micros, update policyapi.EndpointUpdate) {
 	if update.Kind == policyapi.Failed {
 		l.retryPoll()
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -69,7 +69,7 @@
 // estimateFleet returns the endpoints with their capacities. A capacity is the number of requests that the endpoint
 // completed in a busy second, averaged with an estimate from its listed weight that counts as long as little has been
 // learned. A cause that slows all endpoints at once, or makes all requests more expensive, changes the fleet's speed
-// within a round, long before the figures of the single endpoints follow.
+// within a round, long before the figures of the individual endpoints follow.
 func (p *planner) estimateFleet() []fleetEndpoint {
 	fleet := p.listFleet()
 	totals := p.learnedTotals(fleet)
@@ -122,7 +122,7 @@
 }
 
 // estimateAvailable scales the capacities by the fleet's speed and derives the capacities that are available at present.
-// LocalCapacity is the capacity of the ready endpoints in local zones.
+// localCapacity is the capacity of the ready endpoints in local zones.
 func (p *planner) estimateAvailable(fleet []fleetEndpoint, localCapacity float64) {
 	latencies := latenciesByMachineType(fleet)
 	pressure := max(1, p.fleet.admittedUtilization) / (pressureCeiling - min(1, p.fleet.failureRate))
--- a/policy/groups.go
+++ b/policy/groups.go
@@ -124,8 +124,8 @@
 
 // divideZones divides the zones into groups, since a single table for a large zone costs lines, delay and connections.
 // Zones are not divided if all proxies together use less than a quarter of an endpoint's connections. Otherwise groups are
-// small, but the larger, the longer it takes to report all pairs of a proxy and an endpoint. The last group of a zone spans
-// the whole zone and is for the few proxies far above the mean demand. It is not for every proxy that is too large for a
+// small; their size grows with the time that it takes to report all pairs of a proxy and an endpoint. The last group of a
+// zone spans the whole zone and is for the few proxies far above the mean demand. It is not for every proxy that is too large for a
 // group: a traffic shift or retries would move all of those there when connections are scarcest.
 func (p *planner) divideZones(fleet []fleetEndpoint) {
 	s := p.settings
--- a/policy/health.go
+++ b/policy/health.go
@@ -85,7 +85,7 @@
 	h.served += step * (h.latestRate - h.served)
 }
 
-// detectOutlier evaluates the round of a zone and reports whether it ejected the endpoint. Expected is the number of
+// detectOutlier evaluates the round of a zone and reports whether it ejected the endpoint. expected is the number of
 // attempts that the endpoint's weights should have brought.
 func (a *endpointActor) detectOutlier(now micros, z int, expected, fleetFailureRate float64) (ejected bool) {
 	zone := &a.zones[z]
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -98,8 +98,9 @@
 	}
 }
 
-// The number of report lines is limited. In a round that reaches the limit, an endpoint without a report is not considered
-// silent, because the delivered lines are still older. In a round below the limit it is, and gets ejected.
+// The number of report lines is limited, and the oldest are delivered first. In a round that reaches the limit, an endpoint
+// without a report is not considered silent, because its report may still wait behind older lines. In a round below the limit
+// it is considered silent and is ejected.
 func TestUnreportedEndpointIsNotSilent(t *testing.T) {
 	for _, lineLimit := range []float64{8, 200} {
 		t.Run(fmt.Sprintf("%.0f lines per second", lineLimit), func(t *testing.T) {
@@ -118,8 +119,8 @@
 				return events
 			})
 			if _, has := h.tables[h.binds[0][0]]["a1"]; has != (lineLimit < 20) {
-				t.Errorf("with %.0f report lines per second at most, the unreported endpoint has a line: %t, want the opposite",
-					lineLimit, has)
+				t.Errorf("with %.0f report lines per second at most, the unreported endpoint has a line: %t, want %t",
+					lineLimit, has, lineLimit < 20)
 			}
 		})
 	}
--- a/policy/host_test.go
+++ b/policy/host_test.go
@@ -40,7 +40,7 @@
 // hostClasses is the number of request classes in the settings of newHost.
 const hostClasses policyapi.RequestClass = 2
 
-// newHost returns a host of an instance in a fleet of three zones. Change modifies the settings unless it is nil.
+// newHost returns a host of an instance in a fleet of three zones. change modifies the settings unless it is nil.
 func newHost(t *testing.T, change func(*policyapi.Start)) *host {
 	t.Helper()
 	start := policyapi.Start{
--- a/policy/instance.go
+++ b/policy/instance.go
@@ -133,7 +133,7 @@
 	lineLimit     float64 // most lines per second; 0: no limit
 	closedAt      micros  // when the last round with reports ended
 	lines         int
-	longestPeriod micros // the longest that a line of this round covers
+	longestPeriod micros // longest period that a line of this round covers
 }
 
 // observe counts a report line that covers a period.
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	if s := h.instance.channel.streams[2]; len(s.unacknowledged) > maxUnacknowledged || len(s.unacknowledged) < 10 {
-		t.Errorf("%d messages to the unresponsive proxy are retained, want at least 10 and at most maxUnacknowledged",
-			len(s.unacknowledged))
+		t.Errorf("%d messages to the unresponsive proxy are retained, want at least 10 and at most %d",
+			len(s.unacknowledged), maxUnacknowledged)
 	}
 }
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -57,7 +57,7 @@
 			h.step(policyapi.EndpointUpdate{Kind: policyapi.Snapshot, Endpoints: readyEndpoints("a", "a2")})
 			h.advance(5*second, h.steadyReports(20, 0.4, 200_000))
 			if w := h.tables[h.binds[0][0]]["a1"]; (w > 0) != softRemoval {
-				t.Errorf("the removal from the list should remove the lines: %t, but the weight is %.2f", !softRemoval, w)
+				t.Errorf("after the removal from the list the weight is %.2f, want it above 0: %t", w, softRemoval)
 			}
 			h.advance(20*second, h.steadyReports(20, 0.4, 200_000, "a1"))
 			if w := h.tables[h.binds[0][0]]["a1"]; w > 0 {
--- a/policy/messages.go
+++ b/policy/messages.go
@@ -91,7 +91,7 @@
 func (boundGroups) isMessage()     {}
 func (retryDelivery) isMessage()   {}
 
-// groupID names a group of endpoints. It stays unique when the zones are divided again.
+// groupID identifies a group of endpoints. It stays unique when the zones are divided again.
 type groupID int
 
 // tablePlan is the planned content of a table. A plan without lines means an empty table.
--- a/policy/planner.go
+++ b/policy/planner.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// plan computes the target state from scratch and sends it to the channel, which orders the differences to the state of the
-// proxies.
+// plan computes the target state from scratch and sends it to the channel, which orders the differences from the current
+// state of the proxies.
 func (p *planner) plan() {
 	clear(p.zoneDemand)
 	for _, proxy := range p.proxies {
--- a/policy/rebalance.go
+++ b/policy/rebalance.go
@@ -8,7 +8,7 @@
 const (
 	// endpointMovesPerPlan is the most endpoints of a zone that change their group in one plan.
 	endpointMovesPerPlan = 3
-	// maxEndpointImbalance is the multiple of the poorest group's capacity that the richest may have.
+	// maxEndpointImbalance is the multiple of the least group capacity below which the greatest must stay.
 	maxEndpointImbalance = 2
 	// maxMovedCapacity is the fraction of the difference in capacity below which a moved endpoint's capacity must be, so
 	// that the move reduces the difference.
@@ -21,7 +21,7 @@
 	maxMovedDemand = 1.5
 	// minFullUtilization is the utilization below which no proxy is moved out of a group.
 	minFullUtilization = 0.9
-	// maxProxyImbalance is the multiple of the least group utilization that the greatest may have.
+	// maxProxyImbalance is the multiple of the least group utilization below which the greatest must stay.
 	maxProxyImbalance = 1.25
 )
 
@@ -29,16 +29,16 @@
 // failures have made them unequal.
 func (p *planner) rebalanceEndpoints(fleet []fleetEndpoint, zone int) {
 	for range endpointMovesPerPlan {
-		poorest, richest := p.groups.extremes(zone, groupCapacity)
-		from, to := &p.groups.list[richest], &p.groups.list[poorest]
+		least, greatest := p.groups.extremes(zone, groupCapacity)
+		from, to := &p.groups.list[greatest], &p.groups.list[least]
 		i := slices.IndexFunc(fleet, func(e fleetEndpoint) bool {
-			return e.zone == zone && p.groups.ofEndpoint[e.id] == richest && p.isUsable(e, zone) &&
+			return e.zone == zone && p.groups.ofEndpoint[e.id] == greatest && p.isUsable(e, zone) &&
 				e.capacity < maxMovedCapacity*(from.capacity-to.capacity)
 		})
 		if i < 0 || from.capacity < maxEndpointImbalance*to.capacity {
 			return
 		}
-		p.groups.ofEndpoint[fleet[i].id] = poorest
+		p.groups.ofEndpoint[fleet[i].id] = least
 		to.capacity += fleet[i].capacity
 		from.capacity -= fleet[i].capacity
 	}
@@ -49,15 +49,15 @@
 // moved for rebindInterval.
 func (p *planner) rebalanceProxies(zone int) {
 	for range 1 + len(p.proxies)/proxiesPerMove {
-		emptiest, fullest := p.groups.extremes(zone, groupUtilization)
-		from, to := &p.groups.list[fullest], &p.groups.list[emptiest]
+		least, greatest := p.groups.extremes(zone, groupUtilization)
+		from, to := &p.groups.list[greatest], &p.groups.list[least]
 		best := p.proxyToMove(from, to)
 		balanced := from.load*to.available < maxProxyImbalance*to.load*from.available
 		if best < 0 || from.load < minFullUtilization*from.available || balanced {
 			return
 		}
 		proxy := from.proxies[best]
-		p.groups.ofProxy[proxy.proxy] = emptiest
+		p.groups.ofProxy[proxy.proxy] = least
 		p.groups.movedAt[proxy.proxy] = p.round.clock
 		to.proxies = append(to.proxies, proxy)
 		from.load -= proxy.total
--- a/policy/removal_test.go
+++ b/policy/removal_test.go
@@ -74,7 +74,7 @@
 		h.advance(second/10, nil)
 	}
 	if groups.ofProxy[0] == old || h.channel().streams[0].replica.group != groups.list[old].id {
-		t.Fatal("the proxy is not bound to its previous group and planned for another one")
+		t.Fatal("the proxy is not bound to its previous group any more, or is not assigned to another one, as the test needs")
 	}
 	if h.offers(0, 0, offered) {
 		t.Errorf("a second after the drain the proxy is still offered %s", offered)
@@ -128,7 +128,7 @@
 	}
 	for p, s := range h.channel().streams {
 		if s.replica.group != before[p] {
-			t.Fatalf("proxy %d has moved to another group, so the test shows nothing", p)
+			t.Fatalf("proxy %d has moved to another group, but the test needs it in its first one", p)
 		}
 		for _, id := range ids[:4] {
 			if h.offers(p, 0, id) {
@@ -264,8 +264,8 @@
 }
 
 // If only a cached list is available after a start, the endpoints that it contains as draining are out of all tables within
-// the grace period, even if the report period is longer. An empty list is used if it has arrived, but not if the list is
-// missing.
+// the grace period, even if the report period is longer. An empty list that has arrived is used, but a missing list is
+// not taken for an empty one.
 func TestCachedListAfterStart(t *testing.T) {
 	cached := readyEndpoints("a", "a1", "a2")
 	cached[1].Status = policyapi.Draining
@@ -288,7 +288,7 @@
 			h.step(policyapi.ProxyConnected{Proxy: 0, Zone: "a"})
 			h.advance(2*second, nil)
 			if bound := h.binds[0] != nil; bound != c.bound {
-				t.Fatalf("the proxy is bound: %t, want the opposite", bound)
+				t.Fatalf("the proxy is bound: %t, want %t", bound, c.bound)
 			}
 			if !c.bound {
 				return
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -32,7 +32,7 @@
 	return lines*float64(second) > c.linesPerSecond*float64(c.drainGracePeriod/crowdGraceDivisor) && c.linesPerSecond > 0
 }
 
-// planCost is the cost of binding a proxy to complete tables of a group, without the message overhead.
+// planCost returns the cost of binding a proxy to complete tables of a group, without the message overhead.
 func (c *channel) planCost(group groupID) (lines float64) {
 	for _, plan := range c.target.tables[group] {
 		lines += float64(len(plan.lines)+len(c.admissions)) + bindLines
@@ -87,7 +87,7 @@
 }
 
 // subsetReplicaFor returns the replica of a group's subset tables to bind another proxy to: the one with the fewest proxies,
-// or a new one if some subset has no replica yet or the replica is full.
+// or a new one if some subset has no replica yet or that one is full.
 func (c *channel) subsetReplicaFor(group groupID) *replica {
 	var least *replica
 	highest := 0
@@ -113,7 +113,7 @@
 	})
 }
 
-// widenSubsets binds proxies with subset tables to complete ones once the crowd has passed.
+// widenSubsets binds proxies with subset tables to complete ones once the new proxies are no longer a crowd.
 func (c *channel) widenSubsets(t turn) {
 	if c.turns.crowded {
 		return
--- a/policy/weights_test.go
+++ b/policy/weights_test.go
@@ -107,7 +107,7 @@
 	h.extraRate = 60
 	h.advance(8*second, h.steadyReports(20, 0.9, 400_000))
 	if lines := h.tables[h.binds[0][0]]; len(lines) < 4 {
-		t.Errorf("the busy zone has lines %v, want at least 4, and so some of other zones", lines)
+		t.Errorf("the busy zone has lines %v, want at least 4, which includes endpoints of other zones", lines)
 	}
 }
 
--- a/policy/window.go
+++ b/policy/window.go
@@ -16,7 +16,7 @@
 	replicaWindowShare = 0.125
 )
 
-// windowLines is the number of lines in the queue that keep the channel busy until acknowledgements make room for more.
+// windowLines returns the number of lines in the queue that keep the channel busy until acknowledgements make room for more.
 // Lines beyond it would arrive late, could not be overtaken by more urgent ones, and would be lost if their proxy
 // disconnects. The window is unlimited if the channel's throughput is unknown.
 func (c *channel) windowLines() float64 {
@@ -26,10 +26,10 @@
 	return c.linesPerSecond * float64(windowLatencies*c.maxLatency+windowSlack) / float64(second)
 }
 
-// routineLimit is the number of lines in the queue up to which routine changes may fill it.
+// routineLimit returns the number of lines in the queue up to which routine changes may fill it.
 func (c *channel) routineLimit() float64 { return min(routineShare*c.queueLimit, c.windowLines()) }
 
-// requiredLimit is the number of lines in the queue up to which a change that the rules require may fill it: a number of
+// requiredLimit returns the number of lines in the queue up to which a change that the rules require may fill it: a number of
 // windows, or a share of the queue limit once the change has waited for a part of the grace period. That happens if the
 // channel is slower than configured.
 func (c *channel) requiredLimit(now, since micros, windows, share float64) float64 {
--- a/policy/window_test.go
+++ b/policy/window_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("the removal was sent to %d of 400 proxies, want at least 100", sent)
 	}
 	if queued := c.queuedLines(now); queued > removalWindows*c.windowLines() {
-		t.Errorf("%.0f lines wait after the removal, want removalWindows windows at most", queued)
+		t.Errorf("%.0f lines wait after the removal, want %.0f at most", queued, removalWindows*c.windowLines())
 	}
 }
 
@@ -86,6 +86,6 @@
 		t.Errorf("%d proxies are bound after the wait, want at least twice the %d within the window", bound, within)
 	}
 	if queued := c.queuedLines(now); queued > bindShare*c.queueLimit {
-		t.Errorf("%.0f lines wait, want at most the share bindShare of %.0f", queued, c.queueLimit)
+		t.Errorf("%.0f lines wait, want at most %.0f", queued, bindShare*c.queueLimit)
 	}
 }
