--- a/policyapi/doc.go
+++ b/policyapi/doc.go
@@ -8,5 +8,5 @@
 // comment says otherwise. The cbor and json keys are part of the format of captures and saved lists: a field may be
 // renamed, but its keys must never change.
 //
-// Start with [Start] and the other events in events.go, then the orders in orders.go.
+// Start reading with [Start] and the other events in events.go, then the orders in orders.go.
 package policyapi
--- a/policylog/policylog.go
+++ b/policylog/policylog.go
@@ -16,7 +16,7 @@
 	EventOther           = "policy"           // a line in an unknown format
 )
 
-// Admission returns the line that reports whether admission is limited from now on. Demand and capacity are in requests
+// Admission returns the line that reports whether admission is limited from now on. demand and capacity are in requests
 // per second.
 func Admission(limited bool, demand, capacity float64) string {
 	return fmt.Sprintf("levels on: %t, %.1f reqs a second asked, %.1f can be done", limited, demand, capacity)
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("%s sick from %s: of about %.0f tries in a row none was done", endpoint, zone, attempts)
 }
 
-// PanicThreshold returns the line that reports whether a zone's ejections are ignored from now on. Healthy is the capacity
+// PanicThreshold returns the line that reports whether a zone's ejections are ignored from now on. healthy is the capacity
 // of the endpoints that are not ejected and total that of all endpoints, in requests per second.
 func PanicThreshold(zone policyapi.Zone, active bool, healthy, total float64) string {
 	return fmt.Sprintf("sick marks of %s passed over: %t, %.0f of %.0f reqs a second well", zone, active, healthy, total)
@@ -49,10 +49,10 @@
 
 // lineFormat specifies how the lines of one event are parsed: the keys of their parts and the message for operators.
 type lineFormat struct {
-	event    string
-	line     *regexp.Regexp
-	keys     []string
-	sentence func(parts []string) string
+	event   string
+	line    *regexp.Regexp
+	keys    []string
+	message func(parts []string) string
 }
 
 var lineFormats = []lineFormat{
@@ -60,7 +60,7 @@
 		event: EventAdmission,
 		line:  regexp.MustCompile(`^levels on: (true|false), ([\d.]+) reqs a second asked, ([\d.]+) can be done$`),
 		keys:  []string{"limited", "demand", "capacity"},
-		sentence: func(parts []string) string {
+		message: func(parts []string) string {
 			if parts[0] == "true" {
 				return fmt.Sprintf("admission is limited: demand %s requests/s, capacity %s requests/s", parts[1], parts[2])
 			}
@@ -71,7 +71,7 @@
 		event: EventEndpointEjected,
 		line:  regexp.MustCompile(`^(\S+) sick from (\S+): of about (\d+) tries in a row none was done$`),
 		keys:  []string{"endpoint", "zone", "attempts"},
-		sentence: func(parts []string) string {
+		message: func(parts []string) string {
 			return fmt.Sprintf("endpoint %s ejected from zone %s: about %s consecutive attempts failed", parts[0], parts[1], parts[2])
 		},
 	},
@@ -79,7 +79,7 @@
 		event: EventPanicThreshold,
 		line:  regexp.MustCompile(`^sick marks of (\S+) passed over: (true|false), (\d+) of (\d+) reqs a second well$`),
 		keys:  []string{"zone", "active", "healthy", "total"},
-		sentence: func(parts []string) string {
+		message: func(parts []string) string {
 			if parts[1] == "true" {
 				return fmt.Sprintf("ejections from zone %s ignored: only %s of %s requests/s look healthy", parts[0], parts[2], parts[3])
 			}
@@ -96,7 +96,7 @@
 			continue
 		}
 		parts := match[1:]
-		entry := Entry{Event: f.event, Text: f.sentence(parts)}
+		entry := Entry{Event: f.event, Text: f.message(parts)}
 		for i, key := range f.keys {
 			entry.Fields = append(entry.Fields, Field{key, parseValue(parts[i])})
 		}
--- a/simwire/writer.go
+++ b/simwire/writer.go
@@ -93,5 +93,5 @@
 	return "0"
 }
 
-// oneLine replaces line ends and tabs, which the protocol reserves, with spaces.
+// oneLine replaces each sequence of white space with one space, because the protocol reserves line ends and tabs.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
--- a/simwire/writer_test.go
+++ b/simwire/writer_test.go
@@ -8,8 +8,8 @@
 	"porthub/policyapi"
 )
 
-// A reply consists of one line for each order and exception, from whose texts line ends and tabs are removed, and a last
-// line.
+// A reply consists of one line for each order and exception and a last line. Line ends and tabs in texts are replaced by
+// spaces.
 func TestOrdersAreWritten(t *testing.T) {
 	var out strings.Builder
 	w := NewWriter(&out)
