--- a/solver/activation.go
+++ b/solver/activation.go
@@ -78,7 +78,7 @@
 }
 
 // countRounds updates the numbers of consecutive rounds over and within the limits.
-func (a *Activation) countRounds(desired desiredLoad, keepActive bool) {
+func (a *Activation) countRounds(desired loadSummary, keepActive bool) {
 	if desired.worst > enterOverload {
 		a.overLimitRounds++
 	} else {
@@ -108,14 +108,15 @@
 	return solution
 }
 
-// desiredLoad summarizes the load that the desired weights put on endpoints.
-type desiredLoad struct {
+// loadSummary describes the load that the desired weights put on endpoints.
+type loadSummary struct {
 	worst         float64 // largest load, as a fraction of the endpoint's limit
 	worstEndpoint string
 	urgentReason  string // why solutions must apply at once; empty if they need not
 }
 
-func computeDesiredLoad(f Fleet) (desired desiredLoad) {
+// computeDesiredLoad computes the load of the desired weights and whether solutions must apply at once.
+func computeDesiredLoad(f Fleet) (desired loadSummary) {
 	load := make([]float64, len(f.Endpoints))
 	for i := range f.Consumers {
 		consumer := &f.Consumers[i]
@@ -157,13 +158,13 @@
 
 // addEndpoint adds the load of an endpoint, as a fraction of its limit. It sets urgentReason if the endpoint is warming up and would
 // be offered more than its capacity.
-func (w *desiredLoad) addEndpoint(e *Endpoint, utilization float64) {
-	if utilization > w.worst {
-		w.worst = utilization
-		w.worstEndpoint = e.Name
+func (s *loadSummary) addEndpoint(e *Endpoint, utilization float64) {
+	if utilization > s.worst {
+		s.worst = utilization
+		s.worstEndpoint = e.Name
 	}
 	warmingUp := e.Limit > 0 && e.Limit < 1
-	if warmingUp && utilization > 1/e.Limit && w.urgentReason == "" {
-		w.urgentReason = fmt.Sprintf("%s is warming up and would be offered %.2f of its limit", e.Name, utilization)
+	if warmingUp && utilization > 1/e.Limit && s.urgentReason == "" {
+		s.urgentReason = fmt.Sprintf("%s is warming up and would be offered %.2f of its limit", e.Name, utilization)
 	}
 }
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -13,7 +13,7 @@
 	minBusySeconds = 3.0
 	// maxCostResponses is the number of responses above which the latency sums of a class are halved.
 	maxCostResponses = 400.0
-	// priorResponses is the number of responses that the mean latency of all classes counts for in the cost of each class.
+	// priorResponses is the weight, in responses, of the mean latency of all classes in the cost of each class.
 	priorResponses = 30
 	// queueingUtilization is the utilization below which requests are assumed not to have queued, so that their latency
 	// reflects their cost.
--- a/solver/check.go
+++ b/solver/check.go
@@ -47,7 +47,9 @@
 func (f Fleet) checkConsumer(i int) error {
 	c := &f.Consumers[i]
 	if len(c.Demand) != len(f.Classes) || len(c.Desired) > len(f.Classes) || len(c.Pod) != 0 && len(c.Pod) != len(f.Classes) {
-		return fmt.Errorf("%w: users[%d] %s: demand and pod need one entry for each kind, want at most one", ErrInvalidFleet, i, c.Name)
+		return fmt.Errorf("%w: users[%d] %s: demand has %d, want has %d and pod has %d entries for %d kinds; "+
+			"demand needs one for each kind, want may have fewer, and pod may be empty",
+			ErrInvalidFleet, i, c.Name, len(c.Demand), len(c.Desired), len(c.Pod), len(f.Classes))
 	}
 	for class, rate := range c.Demand {
 		if !isAmount(rate) {
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -90,7 +90,7 @@
 	return &ClassHealth{classes: classes, records: map[recordKey]*record{}, panicking: make([]bool, classes)}
 }
 
-// EndRound ends a round and updates the statuses. loads are the attempts and failures that gateways observed in the round, ready
+// EndRound ends a round and updates the statuses. loads are the attempts and failures that gateways observed in the round; ready
 // lists the endpoints that are ready. It returns log lines that state, with the reason, which endpoints start to fail a class or
 // serve it again, and for which classes ejections start or stop being ignored.
 func (h *ClassHealth) EndRound(now policyapi.Microseconds, loads []policyapi.EndpointClassLoad, ready []policyapi.EndpointID) (notes []string) {
@@ -197,7 +197,8 @@
 	}
 }
 
-// evaluateTrial ends a trial that has enough attempts or failures: the pair becomes healthy or is ejected again.
+// evaluateTrial ends a trial that has enough attempts or failures: the pair becomes healthy or is ejected again. It returns a log
+// line if the pair becomes healthy, otherwise "".
 func (r *record) evaluateTrial(now policyapi.Microseconds, key recordKey, peerRate float64) (note string) {
 	if r.trial.attempts < trialAttempts && r.trial.failures < minFailures {
 		return ""
@@ -211,7 +212,8 @@
 	return fmt.Sprintf("%s serves class %d again: %.0f of %.0f attempts failed", key.endpoint, key.class, r.trial.failures, r.trial.attempts)
 }
 
-// evaluateHealthy ejects a pair that is an outlier and resets the backoff of one that has been healthy for maxBackoff.
+// evaluateHealthy ejects a pair that is an outlier and resets the backoff of one that has been healthy for maxBackoff. It returns a
+// log line if it ejects the pair, otherwise "".
 func (h *ClassHealth) evaluateHealthy(now policyapi.Microseconds, key recordKey, r *record, peerRate float64) (note string) {
 	if r.attempts >= 1 && r.isOutlier(max(minBaseline, peerRate, h.otherClassFailureRate(key))) {
 		r.eject(now)
@@ -232,7 +234,8 @@
 	return r.logOdds(baseline) > minLogOdds
 }
 
-// logOdds returns the logarithm of the likelihood ratio of the counts: at their own failure rate over at the baseline rate.
+// logOdds returns the natural logarithm of a likelihood ratio: the likelihood of the counts at their own failure rate, divided by
+// their likelihood at the baseline rate.
 func (c *counts) logOdds(baseline float64) float64 {
 	rate := min(maxFailureRate, c.failures/c.attempts)
 	return c.failures*math.Log(rate/baseline) + (c.attempts-c.failures)*math.Log((1-rate)/(1-baseline))
@@ -246,8 +249,8 @@
 	r.retryAt = now + r.backoff
 }
 
-// updatePanic makes the ejections of a class ignored while too few endpoints are healthy for it: a common cause is then likelier
-// than a fault of each endpoint. It returns a log line if that changes, otherwise "".
+// updatePanic updates whether the ejections of a class are ignored. They are while too few endpoints are healthy for the class: a
+// common cause is then likelier than a fault of each endpoint. It returns a log line if that changes, otherwise "".
 func (h *ClassHealth) updatePanic(class int, ready []policyapi.EndpointID) (note string) {
 	healthy := 0
 	for _, endpoint := range ready {
--- a/solver/doc.go
+++ b/solver/doc.go
@@ -1,6 +1,6 @@
 // Package solver computes weights and admission limits with which no endpoint is offered more work than it can do. It applies
-// the price mechanism of the paper on Newton-Exact-Diagonal (NED) rate allocation to single endpoints and request classes: each
-// endpoint has a price, NED steps adjust the prices, and F-NORM removes the remaining overload. The package is pure: it does no
+// the price mechanism of the Flowtune paper to single endpoints and request classes: each endpoint has a price,
+// Newton-Exact-Diagonal (NED) steps adjust the prices, and F-NORM removes the remaining overload. The package is pure: it does no
 // I/O, reads no clock, and keeps no state except in the values that callers hold.
 //
 // Solve takes the weights that the decision module desires. If they respect every limit, Solve returns them unchanged.
--- a/solver/fill.go
+++ b/solver/fill.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// negligibleFraction is the fraction of a demand that is too small to be placed.
+// negligibleFraction is the fraction of a demand up to which an unplaced rate is too small to be placed.
 const negligibleFraction = 1e-9
 
 // filler places unplaced demand on free capacity.
@@ -29,7 +29,8 @@
 	}
 }
 
-// fillOrder returns the indexes of the demands, ordered by the priority of their class and by their number of open endpoints.
+// fillOrder returns the indexes of the demands, ordered by the priority of their class, highest first, and within a class by their
+// number of open endpoints, fewest first.
 func (p *problem) fillOrder() []int {
 	rank := make([]int, len(p.fleet.Classes))
 	for i, class := range p.fleet.byPriority() {
--- a/solver/fleets/cases.go
+++ b/solver/fleets/cases.go
@@ -191,7 +191,7 @@
 	}
 }
 
-// scaleDemand scales the demand so that a random placement of it loads the fullest endpoint to the utilization that the case
+// scaleDemand scales the demand so that a random placement of it loads the most utilized endpoint to the utilization that the case
 // requires. The fleet does not fit if a demand has no open endpoint or if that utilization is above 1.
 func (g *fleetGenerator) scaleDemand() {
 	maxUtilization, allServable := g.drawPlacement()
--- a/solver/fleets/scale.go
+++ b/solver/fleets/scale.go
@@ -15,7 +15,7 @@
 	Consumers   int     `json:"users"`
 	Classes     int     `json:"kinds"`
 	Utilization float64 `json:"use"` // ratio of the demanded work to the total capacity
-	// Cold is a solution without earlier prices, warm is one with the prices of the cold solution after one endpoint was closed.
+	// Cold is a solution without earlier prices. Warm is a solution after one endpoint was closed, with the prices of the cold one.
 	ColdMilliseconds float64 `json:"cold_ms"`
 	ColdSteps        int     `json:"cold_steps"`
 	WarmMilliseconds float64 `json:"warm_ms"`
--- a/solver/place.go
+++ b/solver/place.go
@@ -117,7 +117,7 @@
 	return placements
 }
 
-// normalize applies the paper's F-NORM: it divides the placements on an overloaded endpoint by the ratio of load to limit.
+// normalize applies F-NORM of the Flowtune paper: it divides the placements on an overloaded endpoint by the ratio of load to limit.
 func (p *problem) normalize(placements [][]placement, load []float64) {
 	for i := range placements {
 		for n := range placements[i] {
--- a/solver/prices.go
+++ b/solver/prices.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	// gamma is the step size of the paper.
+	// gamma is the step size of the Flowtune paper.
 	gamma = 0.4
 	// maxStep bounds the change of a weight's exponent in one price step, which then changes a weight by a factor of at most
 	// about e. Without a bound, prices oscillate while capacities fall.
@@ -100,7 +100,7 @@
 	return worst
 }
 
-// step applies the paper's price step, p = max(0, p - γ·G/H), to every endpoint, bounded by maxStep. The price of an endpoint
+// step applies the Flowtune paper's price step, p = max(0, p - γ·G/H), to every endpoint, bounded by maxStep. The price of an endpoint
 // whose load has no slope does not change.
 func (p *problem) step(beta float64) {
 	for i := range p.price {
--- a/solver/problem.go
+++ b/solver/problem.go
@@ -22,7 +22,7 @@
 	demands  []demand
 	targets  []target
 
-	price  []float64
+	price  []float64   // by endpoint: priority weight per unit of work
 	factor [][]float64 // by class and endpoint: exp(-β·cost·price)
 	load   []float64   // work per second by endpoint at the current prices
 	slope  []float64   // by endpoint: decrease of load per increase of the endpoint's own price, divided by β
--- a/solver/solve_test.go
+++ b/solver/solve_test.go
@@ -67,7 +67,7 @@
 		}
 		c := solution.Certificate
 		if math.Abs(priority-c.PlacedPriority) > 1e-6*(1+priority) || c.PlacedPriority > c.Bound*1.03+1e-9 {
-			t.Fatalf("placed priority %v by admissions, %v in the certificate, want equal; bound %v, want at most 3 %% less than the placed priority",
+			t.Fatalf("placed priority %v by admissions, %v in the certificate, want equal; bound %v, want at least the placed priority divided by 1.03",
 				priority, c.PlacedPriority, c.Bound)
 		}
 		for j, p := range c.Prices {
