--- a/degradation/controller.go
+++ b/degradation/controller.go
@@ -9,7 +9,7 @@
 
 const (
 	// unknownTimeout is how long an unknown value of a trigger prevents leaving a level. Without the timeout, a trigger whose
-	// value never becomes known would keep the level for ever.
+	// value never becomes known would keep the level forever.
 	unknownTimeout = 60 * second
 	// reentryFactor is the multiple of a level's current leave delay within which entering the level again doubles the delay.
 	reentryFactor = 10
--- a/degradation/override.go
+++ b/degradation/override.go
@@ -15,7 +15,7 @@
 const (
 	ForceLevel  Action = "force"  // sets the level
 	ForbidLevel Action = "forbid" // forbids the level and all severer ones
-	HoldLevel   Action = "hold"   // keeps the level in force when the override is set
+	HoldLevel   Action = "hold"   // keeps the level that is in force when the override is set
 )
 
 // Override is an operator's override of the level of a scope until a given time.
--- a/degradation/settings.go
+++ b/degradation/settings.go
@@ -58,10 +58,10 @@
 	Period  policyapi.Microseconds `cbor:"Period" json:"Period"` // period of load reports
 }
 
-// Fallback is the level that gateways apply to their tables while they have no contact to a coordinator.
+// Fallback is the level that gateways apply to their tables while they have no contact with a coordinator.
 type Fallback struct {
 	Level    int                    `cbor:"Level" json:"Level"` // 0: no fallback
-	After    policyapi.Microseconds `cbor:"After" json:"After"` // time without contact to a coordinator until the fallback applies
+	After    policyapi.Microseconds `cbor:"After" json:"After"` // time without contact with a coordinator until the fallback applies
 	Duration policyapi.Microseconds `cbor:"For" json:"For"`     // how long it applies; then the table applies unchanged again
 }
 
--- a/routing/acknowledge.go
+++ b/routing/acknowledge.go
@@ -42,8 +42,8 @@
 
 // VerifyChecksum compares the checksum that a gateway reports with the expected one, unless messages are in flight or a full resync
 // is scheduled. If they differ, ok is false and a full resync is scheduled, after a longer time with each consecutive mismatch.
-// versions are the versions of the documents that the checksum covers, empty if the gateway does not report them. A checksum of
-// earlier versions is ignored: it arrives late over another connection of the gateway.
+// versions are the versions of the documents that the checksum covers, empty if the gateway does not report them. A sum of 0 is
+// ignored, and so is a checksum of earlier versions: it arrives late over another connection of the gateway.
 func (d *Delivery) VerifyChecksum(now policyapi.Microseconds, sum uint64, versions [DocumentCount]string) (want uint64, ok bool) {
 	outdated := versions != [DocumentCount]string{} && versions != d.lastVersions
 	if sum == 0 || outdated || len(d.inFlight) > 0 || d.resyncAt > 0 || len(d.sent.Clusters) == 0 {
--- a/routing/delivery.go
+++ b/routing/delivery.go
@@ -28,7 +28,7 @@
 	Changed      [DocumentCount]bool    `json:"changed"` // the documents in the message
 	Acknowledged [DocumentCount]bool    `json:"acked"`   // the documents that the gateway has acknowledged
 	AckID        policyapi.AckID        `json:"mark"`    // reported once the message is acknowledged, or NoAckID
-	SentAt       policyapi.Microseconds `json:"at_us"`   // in the result of Delivery.Confirmed, when it was acknowledged
+	SentAt       policyapi.Microseconds `json:"at_us"`   // when it was sent; in the result of Delivery.Confirmed, when it was acknowledged
 	Lines        int                    `json:"lines"`   // number of changed endpoints and routes
 	Level        int                    `json:"level"`   // degradation level of the snapshot
 }
--- a/routing/snapshot.go
+++ b/routing/snapshot.go
@@ -35,11 +35,11 @@
 	// RetryPolicy is the retry policy of policyapi.SetAdmission, 0 to 3.
 	RetryPolicy policyapi.RetryPolicy  `json:"second_try"`
 	Timeout     policyapi.Microseconds `json:"timeout_us"` // for all attempts of a request together
-	// Fallback applies while the gateway has no contact to a coordinator.
+	// Fallback applies while the gateway has no contact with a coordinator.
 	Fallback Fallback `json:"fallback,omitzero"`
 }
 
-// Fallback limits a route while the gateway has no contact to a coordinator. It applies once the time without contact reaches After,
+// Fallback limits a route while the gateway has no contact with a coordinator. It applies once the time without contact reaches After,
 // for Duration; then the route applies unchanged again. The zero Fallback limits nothing.
 type Fallback struct {
 	After       policyapi.Microseconds `json:"after_us"`
@@ -48,12 +48,12 @@
 	RetryPolicy policyapi.RetryPolicy  `json:"second_try"` // upper bound on the retry policy of the route
 }
 
-// activeAt reports whether the fallback applies after the given time without contact to a coordinator.
+// activeAt reports whether the fallback applies after the given time without contact with a coordinator.
 func (f Fallback) activeAt(elapsed policyapi.Microseconds) bool {
 	return f.Duration > 0 && elapsed >= f.After && elapsed < f.After+f.Duration
 }
 
-// WithoutCoordinator returns the route as it applies after the given time without contact to a coordinator.
+// WithoutCoordinator returns the route as it applies after the given time without contact with a coordinator.
 func (r Route) WithoutCoordinator(elapsed policyapi.Microseconds) Route {
 	if !r.Fallback.activeAt(elapsed) {
 		return r
