--- a/degradation/controller.go
+++ b/degradation/controller.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// updateLevels updates the conditions of all levels of a scope. It returns the severest level to enter and the reason, or the current
-// level if none is severer.
+// updateLevels updates the conditions of all levels of a scope. It returns the most severe level to enter and the reason, or the
+// current level if no level to enter is more severe.
 func (c *Controller) updateLevels(now policyapi.Microseconds, s *scope) (level int, reason string) {
 	level = s.level
 	for i, settings := range c.settings.Levels {
@@ -217,7 +217,7 @@
 	return max(state.clear.since+leaveDelay, s.since+c.settings.reportTime(i)), true
 }
 
-// Level returns the level of the gateways in a zone, which is the severer of the zone's and the fleet's.
+// Level returns the level of the gateways in a zone, which is the more severe of the zone's and the fleet's.
 func (c *Controller) Level(zone policyapi.Zone) int {
 	level := c.scopes[FleetScope].effectiveLevel
 	if s := c.scopes[zone]; s != nil {
--- a/degradation/controller_test.go
+++ b/degradation/controller_test.go
@@ -55,7 +55,7 @@
 	return levels, changes
 }
 
-// The severest triggered level is entered without passing through those between, and levels are left one at a time.
+// The most severe triggered level is entered without passing through those between, and levels are left one at a time.
 func TestEnterAndLeave(t *testing.T) {
 	levels, _ := runLoad(NewController(twoLevels()), 60, func(s int) float64 {
 		if s >= 5 && s < 15 {
@@ -139,7 +139,7 @@
 	}
 }
 
-// The level of a gateway is the severer of its zone's and the fleet's.
+// The level of a gateway is the more severe of its zone's and the fleet's.
 func TestLevelOfZoneAndFleet(t *testing.T) {
 	controller := NewController(twoLevels())
 	for s := range 5 {
--- a/degradation/override.go
+++ b/degradation/override.go
@@ -14,7 +14,7 @@
 // The values of Action.
 const (
 	ForceLevel  Action = "force"  // sets the level
-	ForbidLevel Action = "forbid" // forbids the level and all severer ones
+	ForbidLevel Action = "forbid" // forbids the level and all more severe ones
 	HoldLevel   Action = "hold"   // keeps the level that is in force when the override is set
 )
 
--- a/degradation/status.go
+++ b/degradation/status.go
@@ -23,7 +23,7 @@
 	Trigger string  `json:"reason"`
 	Value   float64 `json:"value"`
 	Known   bool    `json:"known"`
-	Enter   float64 `json:"enter"` // threshold of the next severer level; 0: the trigger does not apply, or there is no such level
+	Enter   float64 `json:"enter"` // threshold of the next more severe level; 0: the trigger does not apply, or there is no such level
 	Leave   float64 `json:"leave"` // threshold of the current level; 0 at normal service
 }
 
--- a/degradation/trigger.go
+++ b/degradation/trigger.go
@@ -17,6 +17,7 @@
 
 var triggerNames = [TriggerCount]string{"load", "lost", "unreachable", "shed", "behind"}
 
+// String returns the name of the trigger in configurations.
 func (t Trigger) String() string { return triggerNames[t] }
 
 // ParseTrigger returns the trigger with the given name. ok is false if there is none.
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -19,7 +19,7 @@
 
 	entry              policyapi.Endpoint
 	unconfirmedRemoval bool // missing from the list without having been listed as draining
-	dropped            bool
+	dropped            bool // endpointDropped was received: no more states are sent to the planner
 
 	zones       []zoneHealth // by zone of the proxies
 	recoveredAt micros       // when an ejection last ended; 0: none has ended since the process started
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -105,6 +105,8 @@
 	return fleet
 }
 
+// learnedTotals sums what has been learned about the endpoints of local zones. The requests include the prior for a fleet of
+// which nothing has been learned.
 func (p *planner) learnedTotals(fleet []fleetEndpoint) learnedTotals {
 	totals := learnedTotals{weightedBusySeconds: epsilon}
 	for _, e := range fleet {
--- a/policy/weights.go
+++ b/policy/weights.go
@@ -174,11 +174,11 @@
 }
 
 // warmUpAdmission returns the requests per second that each proxy of a group may admit of each class while a warming
-// endpoint is in the group's table. A proxy's demand can rise a hundredfold before the first report of it arrives. As a
-// group has few endpoints, such a rise overloads the warming ones, the more so the larger the fleet is relative to its
-// groups. With all classes at this level, one proxy in addition to the present load brings a warming endpoint to
-// slowStartMargin of the load at which it fails; the rest is reserved for random variation and for requests in flight.
-// Zone-wide groups need no such limit.
+// endpoint is in the group's table, and unlimitedLevel otherwise. A proxy's demand can rise a hundredfold before the first
+// report of it arrives. As a group has few endpoints, such a rise overloads the warming ones, the more so the larger the
+// fleet is relative to its groups. With all classes at this level, one proxy in addition to the present load brings a
+// warming endpoint to slowStartMargin of the load at which it fails; the rest is reserved for random variation and for
+// requests in flight. Zone-wide groups need no such limit.
 func (p *planner) warmUpAdmission(g group, placement classPlacement, lines []tableLine) float64 {
 	warming, carried := false, 0.0
 	for _, line := range lines {
--- a/routing/pins.go
+++ b/routing/pins.go
@@ -25,6 +25,7 @@
 // AnyTable is the Scope.Table of a pin of all tables of a zone or of the fleet.
 const AnyTable policyapi.TableID = -1
 
+// String describes the scope for messages.
 func (s Scope) String() string {
 	switch {
 	case s.Table != AnyTable:
--- a/simwire/settings.go
+++ b/simwire/settings.go
@@ -21,6 +21,7 @@
 	Classes       []classSettings    `json:"profiles"`
 }
 
+// permissions states which optional orders are allowed.
 type permissions struct {
 	PeerMessages bool `json:"peers"`
 	HealthChecks bool `json:"probes"`
@@ -45,6 +46,7 @@
 	AdmissionMode       string                 `json:"levelKind"`
 }
 
+// ruleSettings contains the rules for endpoints and the endpoint list. The other rules are in deploymentSettings.
 type ruleSettings struct {
 	PollInterval     policyapi.Microseconds `json:"askWithin"`
 	WarmUp           policyapi.Microseconds `json:"cold"`
@@ -55,11 +57,13 @@
 	SoftRemoval      bool                   `json:"softRemoval"`
 }
 
+// loadInfoSettings states which metrics endpoints report and where.
 type loadInfoSettings struct {
 	Metrics []string `json:"fields"`
 	Source  string   `json:"source"`
 }
 
+// classSettings describes one request class.
 type classSettings struct {
 	Name               string                 `json:"name"`
 	Effect             string                 `json:"effect"`
--- a/solver/capacity.go
+++ b/solver/capacity.go
@@ -33,6 +33,7 @@
 // weightedSum is a sum of weighted values, with the sum of their weights.
 type weightedSum struct{ weight, sum float64 }
 
+// add adds a value that is already multiplied by its weight.
 func (s *weightedSum) add(weight, value float64) {
 	s.weight += weight
 	s.sum += value
@@ -44,6 +45,7 @@
 	s.sum /= 2
 }
 
+// total returns the total weight and the total sum of several weighted sums.
 func total(sums []weightedSum) (total weightedSum) {
 	for _, s := range sums {
 		total.add(s.weight, s.sum)
@@ -135,6 +137,7 @@
 	return costs
 }
 
+// cost returns the cost of a request of a class relative to the mean of all classes, or 1 without observations.
 func (e *CapacityEstimator) cost(class int) float64 {
 	all := total(e.latencies)
 	if all.weight == 0 || all.sum == 0 {
--- a/solver/classhealth.go
+++ b/solver/classhealth.go
@@ -15,8 +15,8 @@
 	minLogOdds = 7
 	// minFailures is the number of failures below which no endpoint is ejected.
 	minFailures = 4
-	// minBaseline is the lowest failure rate that counts as normal. If the baseline reaches maxBaseline, too much fails
-	// elsewhere to single out an endpoint.
+	// minBaseline is the lowest baseline: a failure rate up to it always counts as normal. If the baseline reaches maxBaseline,
+	// too much fails elsewhere to single out an endpoint.
 	minBaseline = 0.03
 	maxBaseline = 0.5
 	// maxFailureRate bounds the failure rate from which the odds are computed, so that they stay finite.
