--- a/degradation/override.go
+++ b/degradation/override.go
@@ -14,8 +14,8 @@
 // The values of Action.
 const (
 	ForceLevel  Action = "force"  // sets the level
-	ForbidLevel Action = "forbid" // forbids the level and all severer ones
-	HoldLevel   Action = "hold"   // keeps the level in force when the override is set
+	ForbidLevel Action = "forbid" // forbids the level and all more severe ones
+	HoldLevel   Action = "hold"   // keeps the level that is in force when the override is set
 )
 
 // Override is an operator's override of the level of a scope until a given time.
--- a/policy/endpoint.go
+++ b/policy/endpoint.go
@@ -19,7 +19,7 @@
 
 	entry              policyapi.Endpoint
 	unconfirmedRemoval bool // missing from the list without having been listed as draining
-	dropped            bool
+	dropped            bool // endpointDropped was received: no more states are sent to the planner
 
 	zones       []zoneHealth // by zone of the proxies
 	recoveredAt micros       // when an ejection last ended; 0: none has ended since the process started
@@ -119,8 +119,8 @@
 	}
 	a.load.lastRate = 0
 	a.load.lastBusy = 0
-	// Learn only when the endpoint is warm and all of its load is known: otherwise it would be considered slow for a long
-	// time.
+	// Learn only if the endpoint has warmed up and all of its load is known: otherwise it would be considered slow for a
+	// long time.
 	if metrics.busy > minLearnBusy && a.warmUpProgress(now) == 1 && hasRate {
 		a.load.lastRate = rate
 		a.load.lastBusy = metrics.busy
