--- a/coordinator/admission.go
+++ b/coordinator/admission.go
@@ -6,8 +6,8 @@
 	"porthub/routing"
 )
 
-// unlimitedAdmission is the ordered rate, in requests per second, from which there is no limit: no gateway receives nearly
-// as many.
+// unlimitedAdmission is the rate, in requests per second, from which an order sets no limit: no gateway receives nearly as many
+// requests.
 const unlimitedAdmission = 1e6
 
 // minAdmittedRate is the lowest rate, in requests per second, that the solver or a level sets for a gateway: the rate is computed
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -124,7 +124,7 @@
 			return []policyapi.Event{in.HealthCheckResult}
 		}
 	case PeerRejected:
-		entry := LogEntry{Level: LogWarn, Event: eventInvalidInput, Text: fmt.Sprintf("request of %s rejected: %s", in.From, in.Reason)}
+		entry := LogEntry{Level: LogWarn, Event: eventInvalidInput, Text: fmt.Sprintf("%s rejected: %s", in.From, in.Reason)}
 		c.warnings.add(entry, in.Count)
 	case PublishFailed:
 		c.warn(eventPublishFailed, in.Gateway, "%s", in.Reason)
--- a/coordinator/core_test.go
+++ b/coordinator/core_test.go
@@ -8,7 +8,7 @@
 	"porthub/policyapi"
 )
 
-// After the clock has been set back, the core's time stays and its gateways stay connected.
+// When the clock is set back, the core's time does not go back, and its gateways stay connected.
 func TestClockSteppingBack(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
--- a/coordinator/degradation_test.go
+++ b/coordinator/degradation_test.go
@@ -105,8 +105,8 @@
 		if len(open) != 3 {
 			t.Errorf("%s may send to %v, want 3 endpoints", g, open)
 		}
-		for _, b := range open {
-			all[b] = true
+		for _, id := range open {
+			all[id] = true
 		}
 	}
 	if len(all) < 5 {
@@ -120,8 +120,8 @@
 	}
 	h.setEndpoints(e...)
 	h.advance(2*second, "g1", "g2", "g3")
-	for _, b := range h.openEndpoints("g1", "view") {
-		if b == drained {
+	for _, id := range h.openEndpoints("g1", "view") {
+		if id == drained {
 			t.Error("a draining endpoint is offered")
 		}
 	}
@@ -130,8 +130,8 @@
 	}
 }
 
-// A gateway that reaches no coordinator applies the fallback of its routes. A level survives a restart, and a gateway that connects
-// again gets the current level.
+// A gateway that reaches no coordinator applies the fallback of its routes. A level survives a restart, and a gateway that
+// connects again with an old level gets the current one.
 func TestLevelFallbackAndRestart(t *testing.T) {
 	h := newHarness(t, withLevels)
 	h.startFleet()
--- a/coordinator/gatewaychecks.go
+++ b/coordinator/gatewaychecks.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// republishDue reports whether a joined gateway's snapshot must be offered again without an order: because a retry, a check
+// republishDue reports whether a joined gateway's snapshot must be offered again without an order, because a retry, a check
 // against the endpoint list or a deferred message is due.
 func (c *Core) republishDue(g *gateway) bool {
 	if g.delivery.StartRetry(c.now) || c.listCheckDue(g) {
@@ -78,8 +78,8 @@
 }
 
 // expelGateway reports a gateway as disconnected to the decision module while its connection stays open: the gateway acknowledges
-// nothing, and its unacknowledged lines would delay the orders to all others. It can join again later, after each expulsion in a
-// row after a longer time.
+// nothing, and its unacknowledged lines would delay the orders to all others. It can join again after a time that grows with each
+// consecutive expulsion.
 func (c *Core) expelGateway(g *gateway, oldest routing.Message) []policyapi.Event {
 	g.expulsions++
 	pause := min(expulsionBase<<min(g.expulsions, maxExpulsionDoublings), maxExpulsion)
--- a/coordinator/gateways.go
+++ b/coordinator/gateways.go
@@ -40,8 +40,10 @@
 	publishedRates map[rateKey]float64
 }
 
+// unboundTable stands for the table of a class that is not bound to one yet.
 const unboundTable policyapi.TableID = -1
 
+// bound reports whether the gateway has a table for every class.
 func (g *gateway) bound() bool {
 	return len(g.tables) > 0 && !slices.Contains(g.tables, unboundTable)
 }
--- a/coordinator/healthchecks.go
+++ b/coordinator/healthchecks.go
@@ -19,8 +19,8 @@
 	return bounds.MaxHealthChecks
 }
 
-// checkHealth emits a health check, or queues it while a level limits their rate. No health check is
-// dropped, and no endpoint is queued twice.
+// checkHealth emits a health check, or queues it while a level limits their rate. No health check is dropped, and no endpoint is
+// queued twice.
 func (c *Core) checkHealth(endpoint policyapi.EndpointID) {
 	d := c.degradation
 	if d == nil || d.healthCheckRate() == 0 && len(d.healthChecks.pending) == 0 {
--- a/coordinator/inputs.go
+++ b/coordinator/inputs.go
@@ -73,8 +73,9 @@
 	}
 	// HealthCheckResult is the result of a health check.
 	HealthCheckResult struct{ policyapi.HealthCheckResult }
-	// PeerRejected reports that peers received error responses, Count of them since the last PeerRejected. From and Reason
-	// describe the latest one.
+	// PeerRejected reports that requests or connections of peers were rejected, Count of them since the last PeerRejected. From
+	// and Reason describe the latest one: From is the method and path of its request, or the peer's address if there was no
+	// complete request.
 	PeerRejected struct {
 		From   string `cbor:"From" json:"From"`
 		Reason string `cbor:"Why" json:"Why"`
@@ -115,6 +116,7 @@
 	EndpointsDocument Document = iota
 	// RoutesDocument contains the admission rates and retry policies.
 	RoutesDocument
+	// documentCount is the number of documents.
 	documentCount
 )
 
--- a/coordinator/loadsignals.go
+++ b/coordinator/loadsignals.go
@@ -12,7 +12,8 @@
 // minWeight is the weight of an endpoint that has no weight, and the least divisor for sums of weights.
 const minWeight = 1e-9
 
-// minLearningUtilization is the utilization up to which it is too inaccurate to estimate an endpoint's capacity from.
+// minLearningUtilization is the utilization up to which no capacity is estimated from an endpoint's utilization: the estimate
+// would be too inaccurate.
 const minLearningUtilization = 0.1
 
 // scopeCounts are the counts from which the degradation signals of a zone, or of the fleet, are computed.
--- a/coordinator/outputs.go
+++ b/coordinator/outputs.go
@@ -31,7 +31,7 @@
 	}
 	// CheckHealth requests a health check of an endpoint.
 	CheckHealth struct{ Endpoint policyapi.EndpointID }
-	// WatchEndpoints starts or ends the watch of the endpoint list. Its results, failures included, are EndpointUpdates.
+	// WatchEndpoints starts or ends the watch of the endpoint list. Its results and failures arrive as inputs of type EndpointUpdate.
 	WatchEndpoints struct{ Enabled bool }
 	// Resync requests the complete endpoint list once.
 	Resync struct{}
--- a/coordinator/recovery_test.go
+++ b/coordinator/recovery_test.go
@@ -10,8 +10,8 @@
 	"porthub/solver"
 )
 
-// Endpoints that were draining before a restart keep draining until a fresh list shows otherwise, and those that have started since
-// warm up.
+// Endpoints that were draining before a restart keep draining until a fresh list shows otherwise, and those that have started
+// since warm up.
 func TestRestartKeepsDrainsAndWarmUp(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
--- a/coordinator/reportcheck.go
+++ b/coordinator/reportcheck.go
@@ -49,7 +49,7 @@
 func (r ClassReport) validate() error {
 	for _, n := range []int{r.Arrivals, r.Rejected, r.Failures} {
 		if n < 0 || n > maxReportCount {
-			return fmt.Errorf("%w: cluster %q has a count of %d requests, which is out of range", errReportInvalid, r.Class, n)
+			return fmt.Errorf("%w: cluster %q has a count of %d requests, want 0 to %d", errReportInvalid, r.Class, n, maxReportCount)
 		}
 	}
 	for _, line := range r.Endpoints {
@@ -67,7 +67,7 @@
 	}
 	for name, v := range r.Metrics {
 		if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 || v > maxMetric {
-			return fmt.Errorf("metric %q is out of range: %v", name, v)
+			return fmt.Errorf("metric %q is %v, want 0 to %.0f", name, v, maxMetric)
 		}
 	}
 	return nil
--- a/coordinator/reports.go
+++ b/coordinator/reports.go
@@ -94,8 +94,8 @@
 		if _, ok := c.endpoints.entries[line.Endpoint]; !ok || line.Attempts == 0 {
 			continue // a gateway's default table may name endpoints that are in no list
 		}
-		weight, taken := c.reports.sampler.Sample(decision, loadreport.EndpointLine{Endpoint: line.Endpoint, Attempts: line.Attempts, Failures: line.Failures})
-		if taken {
+		weight, accepted := c.reports.sampler.Sample(decision, loadreport.EndpointLine{Endpoint: line.Endpoint, Attempts: line.Attempts, Failures: line.Failures})
+		if accepted {
 			c.addEndpointReport(g.zone, class, line, interval, weight)
 		}
 	}
--- a/coordinator/settings.go
+++ b/coordinator/settings.go
@@ -17,13 +17,13 @@
 	Start policyapi.Start `cbor:"Up" json:"Up"`
 	// Epoch is unique to this start. Versions begin with it, so that those of two starts differ.
 	Epoch          string                 `cbor:"Epoch" json:"Epoch"`
-	SilenceTimeout policyapi.Microseconds `cbor:"SilentAfter" json:"SilentAfter"` // until a gateway without a message is disconnected
+	SilenceTimeout policyapi.Microseconds `cbor:"SilentAfter" json:"SilentAfter"` // a gateway that sends nothing for longer is disconnected
 	AllowEmptyList bool                   `cbor:"AllowEmpty" json:"AllowEmpty"`   // accept an empty list after a non-empty one
 	SolverEnabled  bool                   `cbor:"Solver" json:"Solver"`           // replace tables that exceed limits by the solver's
-	MaxReportLines float64                `cbor:"Intake" json:"Intake"`           // accepted from load reports per second; 0: no limit
+	MaxReportLines float64                `cbor:"Intake" json:"Intake"`           // maximum lines of load reports accepted per second; 0: no limit
 	Sources        []string               `cbor:"Sources" json:"Sources"`         // registries besides the file, the most trusted first
 	Build          string                 `cbor:"Build" json:"Build"`             // identifies the build in snapshots and captures
-	SyncDocuments  bool                   `cbor:"Sync" json:"Sync"`               // sync documents while the disk is fast enough
+	SyncDocuments  bool                   `cbor:"Sync" json:"Sync"`               // sync documents to disk while the disk is fast enough
 	Degradation    degradation.Settings   `cbor:"Service" json:"Service"`         // levels of reduced service; there may be none
 	Fallback       degradation.Fallback   `cbor:"Fallback" json:"Fallback"`
 }
--- a/coordinator/solver.go
+++ b/coordinator/solver.go
@@ -120,7 +120,7 @@
 	WorstUtilization float64             `json:"worst"` // largest load by the module's tables, divided by the endpoint's limit
 	WorstEndpoint    string              `json:"at"`
 	Tables           int                 `json:"tables"`          // number of tables that replace the module's
-	Moved            int                 `json:"moved"`           // tables that changed in the last round
+	Moved            int                 `json:"moved"`           // number of tables that changed in the last round
 	Endpoints        []string            `json:"nodes,omitempty"` // IDs of the listed endpoints
 	Certificate      *solver.Certificate `json:"certificate,omitempty"`
 	Failing          []string            `json:"failing,omitempty"` // pairs of an endpoint and the class that it is failing
--- a/coordinator/solverfleet.go
+++ b/coordinator/solverfleet.go
@@ -109,7 +109,7 @@
 		Desired: make([][]solver.Share, classes),
 	}
 	for class := range classes {
-		consumer.Desired[class] = c.wantedShares(table, class, index, endpoints)
+		consumer.Desired[class] = c.desiredShares(table, class, index, endpoints)
 	}
 	return consumer
 }
@@ -117,9 +117,9 @@
 // consumerName returns the name of a table in the solver's input.
 func consumerName(table policyapi.TableID) string { return strconv.Itoa(int(table)) }
 
-// wantedShares converts the module's table for the solver: without closed endpoints, and with a reduced weight for those on trial
+// desiredShares converts the module's table for the solver: without closed endpoints, and with a reduced weight for those on trial
 // for the class.
-func (c *Core) wantedShares(table policyapi.TableID, class int, index map[policyapi.EndpointID]int, endpoints []solver.Endpoint) (shares []solver.Share) {
+func (c *Core) desiredShares(table policyapi.TableID, class int, index map[policyapi.EndpointID]int, endpoints []solver.Endpoint) (shares []solver.Share) {
 	for _, id := range slices.Sorted(maps.Keys(c.tables.weights[table])) {
 		i, listed := index[id]
 		weight := c.tables.weights[table][id]
--- a/coordinator/solvertables.go
+++ b/coordinator/solvertables.go
@@ -24,9 +24,9 @@
 	s.tables = maps.Clone(s.round.Tables)
 	changed := map[policyapi.TableID]bool{}
 	for key := range union(before, s.tables) {
-		last, was := before[key]
-		now, is := s.tables[key]
-		if was == is && maps.Equal(last.Weights, now.Weights) && last.Admit == now.Admit {
+		last, hadTable := before[key]
+		current, hasTable := s.tables[key]
+		if hadTable == hasTable && maps.Equal(last.Weights, current.Weights) && last.Admit == current.Admit {
 			continue
 		}
 		if table, err := strconv.Atoi(key.Consumer); err == nil {
--- a/coordinator/status.go
+++ b/coordinator/status.go
@@ -38,8 +38,7 @@
 	Estimates []EndpointEstimate     `json:"heard"`
 }
 
-// EndpointEstimate is the load of an endpoint as estimated from reports. Its error fields bound the error in 19 of 20
-// cases.
+// EndpointEstimate is the load of an endpoint as estimated from reports. Its error fields bound the errors in 19 of 20 cases.
 type EndpointEstimate struct {
 	Endpoint policyapi.EndpointID `json:"node"`
 	loadreport.Estimate
--- a/coordinator/status_test.go
+++ b/coordinator/status_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// A gateway that names an unknown zone is rejected and does not count against the limit on gateways. (Regression: such gateways were
-// stored, and after 60,000 connections under different names every new gateway was rejected.)
+// A gateway that names an unknown zone is rejected and does not count against the limit on gateways. (Regression: such gateways
+// were stored, and after 60,000 connections under different names every new gateway was rejected.)
 func TestGatewayOfUnknownZoneIsNotStored(t *testing.T) {
 	h := newHarness(t, nil)
 	h.step(GatewayConnected{Gateway: "g-lost", Conn: 1, Zone: "nowhere"})
--- a/coordinator/versions_test.go
+++ b/coordinator/versions_test.go
@@ -8,8 +8,8 @@
 	"porthub/routing"
 )
 
-// A pinned table stays unchanged while the decision module changes its own, but a draining endpoint is still withheld. After the pin
-// is removed, the module's table applies.
+// A pinned table stays unchanged while the decision module changes its own, but a draining endpoint is still withheld. After the
+// pin is removed, the module's table applies.
 func TestPinnedTables(t *testing.T) {
 	h := newHarness(t, nil)
 	h.startFleet()
