--- a/loadreport/comparison_test.go
+++ b/loadreport/comparison_test.go
@@ -56,7 +56,7 @@
 	fleet     *fleet
 	sampler   *Sampler
 	queue     []gatewayReport // reports that acceptOldestFirst has not processed yet
-	estimates int             // compared with the true load
+	estimates int             // number of estimates compared with the true load
 	outcome   overloadOutcome
 }
 
--- a/loadreport/gateway.go
+++ b/loadreport/gateway.go
@@ -81,8 +81,8 @@
 }
 
 // sampled reports whether the routine lines of the current report are accepted, given the fraction of all routine lines that
-// is accepted. The rotation advances with the gateway's own reports and not with rounds: otherwise a gateway that reports in every fourth
-// round would always be at the same position.
+// is accepted. The rotation advances with the gateway's own reports and not with rounds: otherwise a gateway that reports in
+// every fourth round would always be at the same position.
 func (g *gateway) sampled(fraction float64) bool {
 	_, position := math.Modf(g.phase + float64(g.reports)*fraction)
 	return fraction >= 1 || position < fraction
--- a/loadreport/sampler.go
+++ b/loadreport/sampler.go
@@ -26,7 +26,7 @@
 	Failures int
 }
 
-// SamplingDecision is the decision how the lines of one report are sampled.
+// SamplingDecision describes how the lines of one report are sampled.
 type SamplingDecision struct {
 	IncludeRoutine bool    // routine lines are accepted
 	Weight         float64 // number of lines that an accepted routine line counts for
--- a/loadreport/sampler_test.go
+++ b/loadreport/sampler_test.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// When reports overload the sampler, the sampled fraction falls within a round and gateways get a longer interval. Both recover when
-// the overload is over.
+// When reports overload the sampler, the sampled fraction falls within a round and gateways get a longer interval. Both recover
+// when the overload is over.
 func TestReportOverload(t *testing.T) {
 	f, sampler := newFleet(2000, 50), New(Settings{MaxLinesPerSecond: 2000, Period: second})
 	calm := newFleet(100, 50)
--- a/membership/apply.go
+++ b/membership/apply.go
@@ -192,8 +192,8 @@
 }
 
 // isMassDrop reports whether a source that is not authoritative has dropped so many endpoints within massDropWindow that
-// the source must have lost them. At least one endpoint dropped by this poll must still answer gateways. Among those that this poll drops,
-// endpoints that were not up at the source or that an operator has drained do not count.
+// the source must have lost them. At least one endpoint dropped by this poll must still answer gateways. Among those that
+// this poll drops, endpoints that were not up at the source or that an operator has drained do not count.
 func (m *Membership) isMassDrop(name string, s *source, reported map[policyapi.EndpointID]Observation) bool {
 	missing, answering := 0, 0
 	for id := range s.reported {
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -106,14 +106,14 @@
 	return slices.Sorted(maps.Keys(m.endpoints))
 }
 
-// ReportTraffic records that, of a gateway's requests to an endpoint, done were answered and failed were not.
-func (m *Membership) ReportTraffic(now policyapi.Microseconds, id policyapi.EndpointID, done, failed int) {
+// ReportTraffic records how many of a gateway's requests to an endpoint were answered and how many failed.
+func (m *Membership) ReportTraffic(now policyapi.Microseconds, id policyapi.EndpointID, answered, failed int) {
 	m.now = max(m.now, now)
 	e := m.endpoints[id]
 	if e == nil {
 		return // no source has listed it
 	}
-	if done > 0 {
+	if answered > 0 {
 		e.lastAnswer = m.now
 		e.failing = false
 		return
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -49,10 +49,10 @@
 	}
 	s.report("eureka", allUp...)
 	s.requireList("a1+", "a2+", "a3o", "b1+", "b2+", "b3+")
-	again := newFixture(t)
-	again.membership.Restore(again.now, s.membership.Drains(), s.list)
-	again.report("eureka", allUp...)
-	again.requireList("a1+", "a2+", "a3o", "b1+", "b2+", "b3+")
+	restarted := newFixture(t)
+	restarted.membership.Restore(restarted.now, s.membership.Drains(), s.list)
+	restarted.report("eureka", allUp...)
+	restarted.requireList("a1+", "a2+", "a3o", "b1+", "b2+", "b3+")
 	if err := s.membership.Undrain(s.now, "a3"); err != nil {
 		t.Error(err)
 	}
--- a/recovery/restore_test.go
+++ b/recovery/restore_test.go
@@ -18,8 +18,8 @@
 
 const snapshotAt = 1000 * second
 
-// testSnapshot returns a snapshot with three endpoints, one of them draining, one connected gateway and one that has not
-// reported for five minutes.
+// testSnapshot returns a snapshot with three endpoints, one of them draining, one connected gateway and one without a
+// message for five minutes.
 func testSnapshot() Snapshot {
 	return Snapshot{
 		Format:  Format,
