--- a/http1/http1.go
+++ b/http1/http1.go
@@ -42,7 +42,7 @@
 	headSize := i + len(headTerminator)
 	request, parseErr := http.ReadRequest(bufio.NewReader(bytes.NewReader(buf[:headSize])))
 	if parseErr != nil {
-		return nil, nil, 0, &Error{Code: http.StatusBadRequest, Reason: "no HTTP/1.1 request: " + parseErr.Error(), Err: parseErr}
+		return nil, nil, 0, &Error{Code: http.StatusBadRequest, Reason: "not a valid HTTP/1.1 request: " + parseErr.Error(), Err: parseErr}
 	}
 	if len(request.TransferEncoding) > 0 || request.ContentLength < 0 {
 		return nil, nil, 0, &Error{Code: http.StatusLengthRequired, Reason: "a body needs its Content-Length"}
--- a/registry/eureka/client.go
+++ b/registry/eureka/client.go
@@ -19,7 +19,7 @@
 
 const (
 	maxBackoff = 30 * time.Second
-	// maxBackoffDoublings is how often the backoff is doubled at most. It starts with one poll interval.
+	// maxBackoffDoublings is the maximum number of doublings of the backoff, which starts with one poll interval.
 	maxBackoffDoublings = 5
 	// jitterDivisor limits the jitter of a poll to a tenth of the poll interval. The jitter makes the polls of several
 	// coordinators drift apart.
--- a/registry/file/parse.go
+++ b/registry/file/parse.go
@@ -18,7 +18,7 @@
 // maxBytes is the maximum size of a file. A list of ten thousand endpoints has about two million bytes.
 const maxBytes = 64 << 20
 
-// ErrInvalidList is wrapped by every error about a list that cannot be read or is invalid.
+// ErrInvalidList is wrapped by every error of Load and Parse.
 var ErrInvalidList = errors.New("invalid endpoint list")
 
 var errInvalidAddress = errors.New("expected address:port with a port from 1 to 65535")
