--- a/capture/crash_test.go
+++ b/capture/crash_test.go
@@ -19,7 +19,7 @@
 // Environment variables of a child process, see TestChildProcess.
 const (
 	childDirVariable   = "PORTHUB_CAPTURE_CHILD" // directory of the capture
-	childSeedVariable  = "PORTHUB_CAPTURE_SEED"  // of the scenario
+	childSeedVariable  = "PORTHUB_CAPTURE_SEED"  // seed of the scenario
 	childLimitVariable = "PORTHUB_CAPTURE_LIMIT" // limit on a file's size in bytes; unset: no limit
 )
 
--- a/capture/errors.go
+++ b/capture/errors.go
@@ -17,7 +17,7 @@
 
 // NewerFormatError reports a capture in a newer format than this build reads. It matches [ErrFormat].
 type NewerFormatError struct {
-	Format int    // of the capture
+	Format int    // format of the capture
 	Build  string // build that wrote the capture
 }
 
--- a/capture/helpers_test.go
+++ b/capture/helpers_test.go
@@ -37,8 +37,8 @@
 type scenario struct {
 	rng       *rand.Rand
 	core      *coordinator.Core
-	acks      []coordinator.Input // of publications of the previous step
-	sequences map[int]uint64      // of the last report, by gateway
+	acks      []coordinator.Input // acknowledgements of the previous step's publications
+	sequences map[int]uint64      // sequence number of the last report, by gateway
 }
 
 // runScenario runs a scenario and passes each record to record. Every 40 steps an operator pins the tables.
--- a/capture/history.go
+++ b/capture/history.go
@@ -75,7 +75,7 @@
 	return g
 }
 
-// observe adds a record and the outputs that the core made for it.
+// observe adds a record and the outputs that the core returned for it.
 func (h *endpointHistory) observe(record *Record, outputs []coordinator.Output) {
 	switch {
 	case record.Start != nil:
--- a/capture/reader.go
+++ b/capture/reader.go
@@ -26,7 +26,7 @@
 // Reader reads a capture block by block, since a capture may be larger than memory. It is not safe for concurrent use.
 type Reader struct {
 	segments []Segment
-	index    int // of the segment being read
+	index    int // index of the segment being read
 	segment  *segmentReader
 	decoder  *zstd.Decoder
 
--- a/capture/reader_test.go
+++ b/capture/reader_test.go
@@ -53,7 +53,7 @@
 		writeFile(t, path, damaged)
 		got, r := readAll(t, path)
 		if len(r.Damages) != 1 || r.Damages[0].Truncated && len(got) < len(all)-1 {
-			t.Fatalf("bit at %d: got damages %v, want one", position, r.Damages)
+			t.Fatalf("bit at %d: got damages %v, want one, and a truncated end only if it loses at most one record", position, r.Damages)
 		}
 		missing := uint64(0)
 		for _, record := range got {
--- a/capture/segment_reader.go
+++ b/capture/segment_reader.go
@@ -16,8 +16,8 @@
 type segmentReader struct {
 	path    string
 	file    *os.File
-	size    int64 // of the file when it was opened
-	offset  int64 // of the next block
+	size    int64 // size of the file when it was opened
+	offset  int64 // offset of the next block
 	decoder *zstd.Decoder
 }
 
@@ -41,8 +41,8 @@
 // checkHeader positions the reader after the segment's magic. If the magic is missing or wrong, ok is false and damage says why.
 func (s *segmentReader) checkHeader() (damage Damage, ok bool) {
 	s.offset = segmentHeaderSize
-	head := make([]byte, segmentHeaderSize)
-	if _, err := s.file.ReadAt(head, 0); err == nil && string(head) == segmentMagic {
+	magic := make([]byte, segmentHeaderSize)
+	if _, err := s.file.ReadAt(magic, 0); err == nil && string(magic) == segmentMagic {
 		return Damage{}, true
 	}
 	if s.size < segmentHeaderSize {
@@ -54,16 +54,16 @@
 // readBlock reads the block at an offset and returns its decompressed body and its size in the file. Its errors are of type
 // *[DamageError].
 func (s *segmentReader) readBlock(offset int64) (body []byte, size int64, err error) {
-	head := make([]byte, blockHeaderSize)
-	if _, err := s.file.ReadAt(head, offset); err != nil {
+	headerData := make([]byte, blockHeaderSize)
+	if _, err := s.file.ReadAt(headerData, offset); err != nil {
 		return nil, 0, &DamageError{Problem: "it ends within a block's header", Truncated: true, cause: err}
 	}
-	header, ok := parseBlockHeader(head)
+	header, ok := parseBlockHeader(headerData)
 	if !ok {
 		return nil, 0, &DamageError{Problem: "no block begins here"}
 	}
 	if header.bodySize > maxBlockSize {
-		return nil, 0, &DamageError{Problem: fmt.Sprintf("the length of a block, %d bytes, exceeds the limit", header.bodySize)}
+		return nil, 0, &DamageError{Problem: fmt.Sprintf("the length of a block is %d bytes, want at most %d", header.bodySize, maxBlockSize)}
 	}
 	size = blockHeaderSize + header.bodySize
 	if offset+size > s.size {
--- a/capture/segment_writer.go
+++ b/capture/segment_writer.go
@@ -17,7 +17,7 @@
 	dir     string
 	limits  Limits
 	encoder *zstd.Encoder
-	// onRemove is called for each segment that is onRemove.
+	// onRemove is called after each removal of a segment by enforceLimit.
 	onRemove func()
 
 	file   *os.File  // nil if the next block begins a new segment
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -40,7 +40,7 @@
 	Failed           int64  `json:"failed"` // failed writes
 	Removed          int64  `json:"segments_removed"`
 	BusyMicroseconds int64  `json:"busy_us"`       // microseconds spent on encoding and writing
-	LastError        string `json:"why,omitempty"` // of the last write; empty if it succeeded
+	LastError        string `json:"why,omitempty"` // error of the last write; empty if it succeeded
 }
 
 const (
@@ -202,6 +202,7 @@
 	return nil
 }
 
+// encodeBatch encodes a batch as the body of a block, with gaps in place of missing records.
 func (w *Writer) encodeBatch(batch []*Record) (*blockBody, error) {
 	body := &blockBody{}
 	expected := batch[0].Seq
