--- a/daemon/control.go
+++ b/daemon/control.go
@@ -73,7 +73,7 @@
 // TableVersions lists the versions of one table.
 type TableVersions struct {
 	Table    policyapi.TableID `json:"table"`
-	Zone     policyapi.Zone    `json:"zone,omitempty"` // of the connected gateways that use the table
+	Zone     policyapi.Zone    `json:"zone,omitempty"` // zone of the connected gateways that use the table
 	Gateways int               `json:"gateways"`       // number of connected gateways that use the table
 	Versions []TableVersion    `json:"versions"`
 }
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -37,7 +37,7 @@
 }
 
 // serve handles one request. The response is sent at once, after the core has processed the input or, for a poll, when the hub
-// has something to deliver.
+// has something to deliver or the poll's wait is over.
 func (s *server) serve(conn *connection, request *http.Request, body []byte) {
 	conn.busy.Store(true)
 	x := &exchange{server: s, connection: conn, request: request, body: body}
--- a/daemon/pinned_test.go
+++ b/daemon/pinned_test.go
@@ -13,7 +13,7 @@
 	"porthub/testutil"
 )
 
-// documents returns the request and response types of the control API, each with every field set.
+// documents returns a value of each request and response type of the control API, with every field set.
 func documents(t *testing.T) map[string]any {
 	t.Helper()
 	return map[string]any{
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -40,7 +40,7 @@
 	booted  chan struct{} // closed when the listener is open
 	stopped chan error    // gets the error that gnet.Run returned
 
-	lastID      atomic.Uint64 // of the last connection
+	lastID      atomic.Uint64 // ID of the last connection
 	connections *xsync.Map[coordinator.ConnID, *connection]
 	byAddress   *xsync.Map[string, *atomic.Int64] // number of open connections by remote host
 	// links holds the connection that is each gateway's link. A gateway that polls may have further connections, which carry
--- a/xds/codec.go
+++ b/xds/codec.go
@@ -9,7 +9,7 @@
 )
 
 // ErrInvalidMessage is wrapped by every error for malformed text or an invalid message.
-var ErrInvalidMessage = errors.New("no xDS message")
+var ErrInvalidMessage = errors.New("invalid xDS message")
 
 // Encode returns a message as protobuf JSON, with the field names of the .proto files.
 func Encode(m proto.Message) ([]byte, error) {
--- a/xds/endpoint_delta_test.go
+++ b/xds/endpoint_delta_test.go
@@ -8,8 +8,8 @@
 	"porthub/xds"
 )
 
-// Removed resources are sorted by name, so that the same change always gives the same message. They used to be in the
-// random order of a map.
+// Removed resources are sorted by name, so that the same change always gives the same message. (Regression: they were in
+// the random order of a map.)
 func TestEndpointDeltaRemovesInOrder(t *testing.T) {
 	from := map[string]string{}
 	for _, name := range []string{"view/a", "view/b", "view/c", "save/a", "save/b", "save/c", "save/d"} {
--- a/xds/endpoints.go
+++ b/xds/endpoints.go
@@ -72,6 +72,7 @@
 	}, nil
 }
 
+// publishedWeight returns the weight that is published for an endpoint, an integer from 1 to maxWeight.
 func publishedWeight(endpoint routing.ClusterEndpoint) uint32 {
 	return uint32(min(max(1, math.Round(endpoint.Weight*WeightScale)), maxWeight))
 }
