--- a/client/poller.go
+++ b/client/poller.go
@@ -40,7 +40,7 @@
 	httpClient   *http.Client
 	snapshot     routing.Snapshot // result of all deltas applied
 	nonce        string           // nonce of the last delta applied
-	sendVersions bool             // send the versions of all resources, since the coordinator does not know the nonce
+	sendVersions bool             // send the versions of all resources, since the nonce is unknown to the coordinator
 }
 
 // resourceNames holds the paths and type URLs of a document.
@@ -131,7 +131,7 @@
 		return Update{}, false, err
 	}
 	if statusCode == http.StatusConflict && !state.sendVersions {
-		state.sendVersions = true // the coordinator does not know the nonce
+		state.sendVersions = true // the nonce is unknown to the coordinator
 		return Update{}, false, nil
 	}
 	if changed, err := isChanged(statusCode, body); !changed {
@@ -183,7 +183,7 @@
 	if !state.sendVersions {
 		return request
 	}
-	// The nonce may be that of an earlier coordinator process, which the current one does not know.
+	// The nonce may be that of an earlier coordinator process, and unknown to the current one.
 	request.ResponseNonce = ""
 	request.InitialResourceVersions = xds.EndpointVersions(state.snapshot)
 	if document == coordinator.RoutesDocument {
--- a/proxyproto/oracle_test.go
+++ b/proxyproto/oracle_test.go
@@ -29,7 +29,9 @@
 // listedEndpoint is an endpoint as last delivered to the coordinator.
 type listedEndpoint struct {
 	endpoint policyapi.Endpoint
-	since    policyapi.Microseconds // when the endpoint last became ready, stopped being ready, or began to drain
+	// since is when the endpoint was first listed, or last became ready or stopped being ready. With soft removal, it is also when
+	// the endpoint began to drain.
+	since policyapi.Microseconds
 	// drained is set once the endpoint is listed as draining. With soft removal, only a drain withdraws an endpoint.
 	drained bool
 }
--- a/proxyproto/session.go
+++ b/proxyproto/session.go
@@ -219,7 +219,7 @@
 		m.fail("window", "must be greater than 0")
 	}
 	if !v.IsKnown(load.Endpoint) {
-		m.fail("host", fmt.Sprintf("%q is not in the endpoint list", shorten(string(load.Endpoint))))
+		m.fail("host", fmt.Sprintf("%q is not in a recent endpoint list", shorten(string(load.Endpoint))))
 	}
 	// If all attempts failed there is no latency to average, and avg is optional.
 	if load.Failures < load.Attempts || m.has("avg") {
--- a/proxyserver/coordinator_test.go
+++ b/proxyserver/coordinator_test.go
@@ -181,7 +181,7 @@
 			t.Fatal(err)
 		}
 		for range cap(results) {
-			if err := receive(t, "answer", results); err != nil {
+			if err := receive(t, "reply", results); err != nil {
 				t.Errorf("start %d: got error %v, want PONG", start, err)
 			}
 		}
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -62,7 +62,7 @@
 type counters struct {
 	open        atomic.Int64 // open connections
 	rejected    atomic.Int64 // rejected connections
-	evicted     atomic.Int64 // connections closed in favour of a new one
+	evicted     atomic.Int64 // connections closed in favor of a new one
 	stalled     atomic.Int64 // connections closed because the peer did not read
 	malformed   atomic.Int64 // malformed messages that were ignored
 	lostReports atomic.Int64 // load reports dropped because the owner's lane was full
@@ -77,7 +77,7 @@
 	return gnet.None
 }
 
-// OnTick checks timeouts. gnet calls it in a separate goroutine, so that it passes the work to the event loop.
+// OnTick checks timeouts. gnet calls it in a separate goroutine, so it passes the work to the event loop.
 func (s *server) OnTick() (time.Duration, gnet.Action) {
 	if loop := s.loop.Load(); loop != nil {
 		_ = (*loop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
--- a/proxyserver/server_test.go
+++ b/proxyserver/server_test.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// If all connections are identified, a stream that is silent while an acknowledgement is pending is closed in favour of a new
+// If all connections are identified, a stream that is silent while an acknowledgement is pending is closed in favor of a new
 // connection. Other streams are not closed.
 func TestSilentStreamIsEvicted(t *testing.T) {
 	const maxConnections = 2
--- a/xdspoll/gateway.go
+++ b/xdspoll/gateway.go
@@ -30,7 +30,7 @@
 type waiter struct {
 	request Request
 	timer   *time.Timer
-	done    bool // no longer pending: answered, expired or cancelled
+	done    bool // no longer pending: answered, expired or canceled
 }
 
 func newGatewayState() *gatewayState {
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -37,7 +37,7 @@
 func NewHub(maxPending, deltaBases int) *Hub {
 	responses, err := lru.New[string, *sharedEntry](maxSharedEntries)
 	if err != nil {
-		panic(err) // New fails only for a size below 1
+		panic(err) // lru.New fails only for a size below 1
 	}
 	return &Hub{
 		deltaBases: deltaBases,
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -95,7 +95,7 @@
 	hub.Publish(publication("gw", 2, 1))
 	select {
 	case r := <-responses:
-		t.Errorf("received %v for a cancelled poll, want no response", r)
+		t.Errorf("received %v for a canceled poll, want no response", r)
 	case <-time.After(20 * time.Millisecond):
 	}
 	// Routes have not changed since the first publication, so the poll for them gets an empty response.
--- a/xdspoll/model_test.go
+++ b/xdspoll/model_test.go
@@ -183,7 +183,8 @@
 const sequenceLength = 5
 
 // After every sequence of five steps, the gateways converge to the published tables, and they never send requests to an
-// endpoint that was closed when the response was built. The search finds gateways that ignore removed endpoints.
+// endpoint that was closed when the response was built. To check
+// the search itself, it is repeated with gateways that ignore removed endpoints, and must find a failure.
 func TestEveryOrderOfSteps(t *testing.T) {
 	search := func(ignoreRemovals bool) (sequences, failures int) {
 		var sequence [sequenceLength]int
--- a/xdspoll/request.go
+++ b/xdspoll/request.go
@@ -25,7 +25,7 @@
 	Delta    bool
 	Nonce    string
 	Versions map[string]string
-	// Respond is called once, from any goroutine, unless the poll is rejected or cancelled. Both arguments are nil if there
+	// Respond is called once, from any goroutine, unless the poll is rejected or canceled. Both arguments are nil if there
 	// is nothing new.
 	Respond func(response *Response, err error)
 }
