--- a/client/errors.go
+++ b/client/errors.go
@@ -8,8 +8,8 @@
 // ErrRejected matches every RejectedError in errors.Is.
 var ErrRejected = errors.New("rejected by the coordinator")
 
-// RejectedError is the error for a coordinator's response with an HTTP status of 400 or above. The message had no
-// effect, but the acknowledgement in a rejected poll may have been processed.
+// RejectedError is the error for a coordinator's response with an HTTP status of 400 or above, or with another status that the
+// request does not allow. The message had no effect, but the acknowledgement in a rejected poll may have been processed.
 type RejectedError struct {
 	StatusCode int
 	Message    string // body of the response
--- a/daemon/recorder.go
+++ b/daemon/recorder.go
@@ -70,7 +70,7 @@
 	}
 	r.gaps = stats.Gaps
 	r.failing = failing
-	r.log.Warn("capture", zap.String("text", "records were lost, or can't be written"), zap.Int64("gaps", stats.Gaps), zap.Int64("lost", stats.Lost),
+	r.log.Warn("capture", zap.String("text", "records were lost, or writes have begun to fail or to succeed again"), zap.Int64("gaps", stats.Gaps), zap.Int64("lost", stats.Lost),
 		zap.String("error", stats.LastError))
 }
 
--- a/proxyserver/connections.go
+++ b/proxyserver/connections.go
@@ -14,7 +14,8 @@
 // report in that time. The decision module also expires messages after a minute.
 const silenceTimeout = time.Minute
 
-// connection is a peer's connection. It is used by the event loop only, except for the field connected.
+// connection is a peer's connection. The event loop owns its fields, except for connected and for conn, whose
+// AsyncWrite and Close may be called by any goroutine.
 type connection struct {
 	conn            gnet.Conn
 	session         proxyproto.Session
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -119,8 +119,8 @@
 )
 
 // Poll responds at once if there is something new. Otherwise the poll is pending until something new is published or MaxWait
-// has passed. A pending poll gets no response after cancel is called. If too many polls are pending already, Poll returns
-// false and does not respond.
+// has passed. cancel removes a poll that is still pending, which then gets no response. If too many polls are pending already,
+// Poll returns false and does not respond.
 func (h *Hub) Poll(r Request) (cancel func(), ok bool) {
 	result, cancel := h.admit(r)
 	switch result {
