--- a/chaos/checks.go
+++ b/chaos/checks.go
@@ -42,7 +42,7 @@
 func (c Check) evaluate(figure float64) CheckResult {
 	hasUpperBound := c.AtMost != 0 || c.AtLeast <= 0
 	ok := figure >= c.AtLeast && (!hasUpperBound || figure <= c.AtMost)
-	return CheckResult{Name: c.Name, OK: ok, Figure: figure}
+	return CheckResult{Name: c.Name, OK: ok, Value: figure}
 }
 
 // checkFigure returns the figure of a check; ok is false if there is none. An unknown check's figure is 0.
@@ -54,7 +54,7 @@
 	case checkService:
 		return r.Service, true
 	case checkWorst10s:
-		return r.Worst10s, true
+		return r.WorstService10s, true
 	case checkPartialReads:
 		return float64(r.IncompleteReads), true
 	case checkDeliveryP99:
--- a/chaos/fault_registry.go
+++ b/chaos/fault_registry.go
@@ -58,6 +58,6 @@
 		{Name: "crash", At: 6e6, Duration: 5e6, Share: 0.12},
 		{Name: "shrink", At: 9e6, Duration: 8e6, Size: 1.2, Extra: 3},
 	}
-	base.About = fmt.Sprintf("%s, while endpoints crash, are restarted and drain", r.about)
+	base.Description = fmt.Sprintf("%s, while endpoints crash, are restarted and drain", r.about)
 	return base
 }
--- a/chaos/faults.go
+++ b/chaos/faults.go
@@ -27,8 +27,8 @@
 // FaultNames lists the names of the faults.
 func FaultNames() []string { return slices.Sorted(maps.Keys(faultTypes)) }
 
-// About describes what a fault does and what its values mean; empty for an unknown name.
-func About(name string) string { return faultTypes[name].about }
+// DescribeFault describes what a fault does and what its values mean; empty for an unknown name.
+func DescribeFault(name string) string { return faultTypes[name].about }
 
 // faultTypes are all faults by their names, which scenario files use. It is set by init, as the faults refer to it.
 var faultTypes map[string]faultType
--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -36,7 +36,7 @@
 	result.Steps = last.StepTimes
 	result.ResponseTime = latencyOf(f.tally.ResponseTimes().Latencies())
 	result.DrainTime = latencyOf(f.drainTimes.Latencies())
-	result.LateAnswers = f.tally.LateAnswers.Load()
+	result.LateResponses = f.tally.LateAnswers.Load()
 	result.Deferred = f.tally.Deferred.Load()
 	result.Disconnects = f.tally.Disconnects.Load()
 	result.Throttled = f.tally.Throttled.Load()
@@ -55,7 +55,7 @@
 // compareEstimates compares the coordinator's estimates with the endpoints' load.
 func (f *lightFleet) compareEstimates(answer daemon.SamplingStatus, result *LoadReportResult) {
 	now := f.world.Now()
-	views := []*View{&result.Overall}
+	views := []*EstimateAccuracy{&result.Overall}
 	if f.isSteady(now) {
 		views = append(views, &result.Steady)
 	}
@@ -72,7 +72,7 @@
 		for _, view := range views {
 			view.Cases++
 			if !seen {
-				view.Unseen++
+				view.Missing++
 				continue
 			}
 			estimate := answer.Endpoints[i]
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -20,7 +20,7 @@
 	CoordinatorCores  int             // cores of the coordinator; 0: all
 	NoFaults          bool            // no faults are injected
 	BreakRule         string          // bare, drain, repeat or cold, to violate on purpose; empty: none
-	Profile           string          // file for the coordinator's CPU profile; empty: none
+	CPUProfile        string          // file for the coordinator's CPU profile; empty: none
 	Dir               string          // kept if given
 	GracePeriod       config.Duration // of drains and empty tables; 0: as in other scenarios
 }
@@ -45,18 +45,18 @@
 	LinesAccepted    float64   `json:"lines_taken_per_s"`
 	ResponseTime     Latency   `json:"answer_ms"` // from sending a report to its response
 	DrainTime        Latency   `json:"drain_ms"`  // from an endpoint's draining in the list to a gateway's table without it
-	LateAnswers      int64     `json:"late"`      // to reports, after more than a period
+	LateResponses    int64     `json:"late"`      // to reports, after more than a period
 	Deferred         int64     `json:"deferred"`  // reports that were rejected with 429 and 503
 	Throttled        int64     `json:"longer"`    // reports after a longer interval that the coordinator requested
 	Disconnects      int64     `json:"broke"`
 	// Steady and Overall compare the coordinator's estimates with the endpoints' load: while nothing had changed for some
 	// seconds, and at all times.
-	Steady  View `json:"view_steady"`
-	Overall View `json:"view_always"`
+	Steady  EstimateAccuracy `json:"view_steady"`
+	Overall EstimateAccuracy `json:"view_always"`
 
 	MaxMailbox int              `json:"inbox_most"`
 	Steps      daemon.Latencies `json:"step_us"`
-	CPU        float64          `json:"cpu_s"`
+	CPUSeconds float64          `json:"cpu_s"`
 	PeakKiB    int64            `json:"peak_kib"`
 }
 
@@ -70,37 +70,37 @@
 		maxSeconds = 30  // for all gateways to connect
 	)
 	within := func(name string, a Agreement) CheckResult {
-		return CheckResult{Name: name, OK: a.Within >= minWithin, Figure: a.Within}
+		return CheckResult{Name: name, OK: a.Within >= minWithin, Value: a.Within}
 	}
 	checks := []CheckResult{
 		within("tries_within", r.Steady.Attempts),
 		within("util_within", r.Steady.Utilization),
 		within("queue_within", r.Steady.Queue),
-		{Name: "joined_s", OK: r.ConnectSeconds <= maxSeconds, Figure: r.ConnectSeconds},
+		{Name: "joined_s", OK: r.ConnectSeconds <= maxSeconds, Value: r.ConnectSeconds},
 	}
 	for i, s := range r.ReconnectSeconds {
-		checks = append(checks, CheckResult{Name: fmt.Sprintf("again_%d_s", i+1), OK: s >= 0 && s <= maxSeconds, Figure: s})
+		checks = append(checks, CheckResult{Name: fmt.Sprintf("again_%d_s", i+1), OK: s >= 0 && s <= maxSeconds, Value: s})
 	}
 	return checks
 }
 
-// View is how well the coordinator's estimates of endpoints agree with their load: attempts per second, and their own
-// utilization and queue.
-type View struct {
+// EstimateAccuracy compares the coordinator's estimates of the endpoints' load with the actual load: attempts per second,
+// utilization and queue length.
+type EstimateAccuracy struct {
 	Cases       int       `json:"cases"`
 	Attempts    Agreement `json:"tries"`
 	Utilization Agreement `json:"util"`
 	Queue       Agreement `json:"queue"`
-	Unseen      float64   `json:"unseen"` // part of the cases without an estimate
+	Missing     float64   `json:"unseen"` // part of the cases without an estimate
 }
 
 // finish turns sums into means.
-func (v *View) finish() {
+func (v *EstimateAccuracy) finish() {
 	cases := float64(v.Cases)
 	v.Attempts.finish(cases)
 	v.Utilization.finish(cases)
 	v.Queue.finish(cases)
-	v.Unseen /= max(1, cases)
+	v.Missing /= max(1, cases)
 }
 
 // Agreement is the part of the cases within the stated error and a twentieth, the mean error, and the mean of the stated
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -83,7 +83,7 @@
 		hasDrained: make([]bool, o.Gateways),
 	}
 	f.coordinator = &coordinatorProcess{command: o.Command, dir: dir, world: f.world, log: log, output: output, config: configuration,
-		profile: o.Profile, cores: o.CoordinatorCores}
+		profile: o.CPUProfile, cores: o.CoordinatorCores}
 	f.build()
 	return f
 }
@@ -243,7 +243,7 @@
 	cancel()
 	f.coordinator.end(syscall.SIGTERM)
 	cpu, peak := f.coordinator.usage()
-	result.CPU = cpu.Seconds()
+	result.CPUSeconds = cpu.Seconds()
 	result.PeakKiB = peak
 	if err := f.coordinator.failure(); err != nil {
 		return err
--- a/chaos/observe.go
+++ b/chaos/observe.go
@@ -46,12 +46,12 @@
 }
 
 // writtenBy requests what the coordinator has written since its last start; the zero value if it does not respond.
-func writtenBy(f *fleet) Written {
+func writtenBy(f *fleet) CoordinatorStats {
 	var status daemon.Status
 	if err := getJSON("http://"+f.address()+"/tables", &status); err != nil {
-		return Written{}
+		return CoordinatorStats{}
 	}
-	written := Written{Files: status.FileDelivery.Files, Bytes: status.FileDelivery.Bytes, Polls: status.PollDelivery, Steps: status.StepTimes}
+	written := CoordinatorStats{Files: status.FileDelivery.Files, Bytes: status.FileDelivery.Bytes, Polls: status.PollDelivery, Steps: status.StepTimes}
 	for _, g := range status.Gateways {
 		written.Messages += g.Published
 	}
--- a/chaos/poll_watch.go
+++ b/chaos/poll_watch.go
@@ -82,12 +82,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	times := slices.Sorted(maps.Values(w.wakes))
-	result.Woken = len(times)
+	result.UpdatedGateways = len(times)
 	if len(times) == 0 {
 		return errors.Join(errNoPollAnswered, w.err)
 	}
-	result.Wake = Latency{P50: milliseconds(times[len(times)/2]), P99: milliseconds(times[len(times)*99/100])}
-	result.MaxWake = milliseconds(times[len(times)-1])
+	result.DrainTime = Latency{P50: milliseconds(times[len(times)/2]), P99: milliseconds(times[len(times)*99/100])}
+	result.MaxDrainTime = milliseconds(times[len(times)-1])
 	result.Disconnects = w.disconnects
 	return nil
 }
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -34,13 +34,14 @@
 	ConnectSeconds float64 `json:"joined_s"`
 	// KiBPerPoll is the coordinator's memory for each waiting poll, in KiB: its growth from before the first until all wait.
 	KiBPerPoll float64 `json:"kib_per_poll"`
-	// Holders are the gateways with the endpoint that is drained in their tables, and Wake the times from its draining in
-	// the list to their tables without it.
-	Holders     int     `json:"holders"`
-	Wake        Latency `json:"wake_ms"`
-	MaxWake     float64 `json:"wake_most_ms"`
-	Woken       int     `json:"woken"`
-	Disconnects int     `json:"broke"` // connections that broke and were dialled again
+	// AffectedGateways counts the gateways whose tables contained the drained endpoint before it was drained. DrainTime is the
+	// time from the draining entry in the list until such a gateway has received a table without the endpoint, and
+	// UpdatedGateways counts those that received one.
+	AffectedGateways int     `json:"holders"`
+	DrainTime        Latency `json:"wake_ms"`
+	MaxDrainTime     float64 `json:"wake_most_ms"`
+	UpdatedGateways  int     `json:"woken"`
+	Disconnects      int     `json:"broke"` // connections that broke and were dialled again
 }
 
 // RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains an endpoint once all polls
@@ -127,11 +128,11 @@
 	const settling = 3 * time.Second // until the updates that follow the connections have arrived
 	time.Sleep(settling)
 	result.KiBPerPoll = float64(currentResident(m.coordinator.pid())-memoryBefore) / float64(result.Polls)
-	result.Holders = m.watch.begin(time.Now())
+	result.AffectedGateways = m.watch.begin(time.Now())
 	if err := m.writeList(statusDraining); err != nil {
 		return err
 	}
-	m.waitForWakes(result.Holders)
+	m.waitForWakes(result.AffectedGateways)
 	if err := m.watch.fill(result); err != nil {
 		return err
 	}
--- a/chaos/result.go
+++ b/chaos/result.go
@@ -17,14 +17,14 @@
 	Seed             uint64                   `json:"seed"`
 	Requests         int                      `json:"requests"`
 	Service          float64                  `json:"service"` // earned part of the demanded priority weight
-	Worst10s         float64                  `json:"worst_10s"`
+	WorstService10s  float64                  `json:"worst_10s"`
 	Rules            map[string]audit.Verdict `json:"rules"`
 	DeliveryTime     Latency                  `json:"latency_ms"` // from the writing of a file to its use
 	ResponseTime     Latency                  `json:"answers_ms"` // of responses, retries included
 	DocumentsRead    int                      `json:"reads"`
 	IncompleteReads  int                      `json:"partial_reads"`
-	Written          Written                  `json:"written"`
-	CPU              float64                  `json:"cpu_s"` // of the coordinator's processes
+	Coordinator      CoordinatorStats         `json:"written"`
+	CPUSeconds       float64                  `json:"cpu_s"` // of the coordinator's processes
 	PeakKiB          int64                    `json:"peak_kib"`
 	StopMilliseconds float64                  `json:"stop_ms"` // from SIGTERM to the end
 	ConvergedSeconds float64                  `json:"converged_s,omitempty"`
@@ -32,9 +32,9 @@
 	Registry         *RegistryTraffic         `json:"registry,omitempty"`
 	Baselines        map[string]Baseline      `json:"baselines"`
 	Checks           []CheckResult            `json:"checks"`
-	Cells            map[string]float64       `json:"cells"`   // service by class@zone
-	Classes          map[string]float64       `json:"kinds"`   // service by class
-	By5s             []float64                `json:"by_5s"`   // service of each 5 s
+	ServiceByCell    map[string]float64       `json:"cells"`   // service by class@zone
+	ServiceByClass   map[string]float64       `json:"kinds"`   // service by class
+	ServiceBy5s      []float64                `json:"by_5s"`   // service of each 5 s
 	PeakLoadRatio    float64                  `json:"busiest"` // of the busiest endpoint, by the work that arrived
 	// LevelChanges counts how often the service level changed in the scope in which it did most.
 	LevelChanges int `json:"level_changes"`
@@ -80,8 +80,8 @@
 // milliseconds converts a duration, to the microsecond.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// Written is what the coordinator did since its last start by its own count. Nothing is judged by it.
-type Written struct {
+// CoordinatorStats are the coordinator's own counters since its last start. No rule or check uses them.
+type CoordinatorStats struct {
 	Messages int              `json:"messages"`
 	Files    int              `json:"files"`
 	Bytes    int64            `json:"bytes"`
@@ -92,15 +92,15 @@
 
 // Baseline is the outcome of another source of tables with the same seed.
 type Baseline struct {
-	Service  float64                  `json:"service"`
-	Worst10s float64                  `json:"worst_10s"`
-	Rules    map[string]audit.Verdict `json:"rules"`
-	By5s     []float64                `json:"by_5s"`
+	Service         float64                  `json:"service"`
+	WorstService10s float64                  `json:"worst_10s"`
+	Rules           map[string]audit.Verdict `json:"rules"`
+	ServiceBy5s     []float64                `json:"by_5s"`
 }
 
 // CheckResult is the outcome of a check.
 type CheckResult struct {
-	Name   string  `json:"name"`
-	OK     bool    `json:"ok"`
-	Figure float64 `json:"figure"`
+	Name  string  `json:"name"`
+	OK    bool    `json:"ok"`
+	Value float64 `json:"figure"`
 }
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -17,7 +17,7 @@
 type Options struct {
 	Seed       uint64
 	Command    []string // that serves as the coordinator, usually porthub itself
-	Front      string   // how tables reach gateways: files, poll, or both, by turns
+	Delivery   string   // how tables reach gateways: files, poll, or both, by turns
 	BreakRule  string   // rule to violate on purpose; empty: none
 	Baselines  bool     // run the baselines too
 	NoSolver   bool     // the decision module's tables pass unchanged
@@ -30,7 +30,7 @@
 // Run runs a scenario. An error means that the run could not be carried out (files, processes); violated rules
 // and failed checks are in the result.
 func Run(s Scenario, o Options) (Result, error) {
-	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, Cells: map[string]float64{}, Classes: map[string]float64{}}
+	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, ServiceByCell: map[string]float64{}, ServiceByClass: map[string]float64{}}
 	dir, remove, err := workDir(o.Dir, "porthub-drill-")
 	if err != nil {
 		return result, err
@@ -132,7 +132,7 @@
 	r.coordinator = &coordinatorProcess{command: r.options.Command, dir: f.dir, world: f.world, log: f.log, output: output, config: r.configuration()}
 	f.coordinator = r.coordinator
 	for i, g := range f.gateways {
-		g.Polls = r.options.Front == "poll" || r.options.Front == "both" && i%2 == 1
+		g.Polls = r.options.Delivery == "poll" || r.options.Delivery == "both" && i%2 == 1
 	}
 	f.breakRule(r.options.BreakRule)
 	return nil
@@ -206,11 +206,11 @@
 			result.ConvergedSeconds = waitForConvergence(f)
 		}
 	}
-	result.Written = writtenBy(f)
+	result.Coordinator = writtenBy(f)
 	result.Rules = f.log.Evaluate(end)
 	result.StopMilliseconds = milliseconds(r.coordinator.end(syscall.SIGTERM))
 	cpu, peak := r.coordinator.usage()
-	result.CPU = cpu.Seconds()
+	result.CPUSeconds = cpu.Seconds()
 	result.PeakKiB = peak
 	result.LevelChanges = countLevelChanges(r.output.Name())
 	if f.registry != nil {
@@ -225,10 +225,10 @@
 	for _, baseline := range r.fleets[1:] {
 		_, sum := baseline.tally.Sums()
 		result.Baselines[string(baseline.source)] = Baseline{
-			Service:  sum.Service(),
-			Worst10s: baseline.tally.WorstService(10),
-			Rules:    baseline.log.Evaluate(baseline.world.Now()),
-			By5s:     baseline.tally.ServiceByWindow(5),
+			Service:         sum.Service(),
+			WorstService10s: baseline.tally.WorstService(10),
+			Rules:           baseline.log.Evaluate(baseline.world.Now()),
+			ServiceBy5s:     baseline.tally.ServiceByWindow(5),
 		}
 	}
 	result.Checks = runChecks(r.scenario, *result, cells)
@@ -239,16 +239,16 @@
 	cells, sum := tally.Sums()
 	r.Requests = sum.Requests
 	r.Service = sum.Service()
-	r.Worst10s = tally.WorstService(10)
-	r.By5s = tally.ServiceByWindow(5)
+	r.WorstService10s = tally.WorstService(10)
+	r.ServiceBy5s = tally.ServiceByWindow(5)
 	r.ResponseTime = latencyOf(tally.Latencies())
 	classes := map[string]emulator.Sum{}
 	for cell, sum := range cells {
-		r.Cells[cell.Class+"@"+cell.Zone] = sum.Service()
+		r.ServiceByCell[cell.Class+"@"+cell.Zone] = sum.Service()
 		classes[cell.Class] = classes[cell.Class].Add(sum)
 	}
 	for class, sum := range classes {
-		r.Classes[class] = sum.Service()
+		r.ServiceByClass[class] = sum.Service()
 	}
 	return cells
 }
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -16,7 +16,7 @@
 // Scenario is a fleet and the faults that are injected into it.
 type Scenario struct {
 	Name           string             `json:"name"`
-	About          string             `json:"about"`
+	Description    string             `json:"about"`
 	Seconds        int                `json:"seconds"`
 	Zones          []string           `json:"zones"`
 	EndpointCount  int                `json:"nodes"`
@@ -43,16 +43,16 @@
 	Name             string          `json:"name"`
 	Share            float64         `json:"share"` // of all requests
 	Work             config.Duration `json:"work"`  // mean core time
-	Repeat           string          `json:"repeat"`
+	Idempotency      string          `json:"repeat"`
 	LatencyObjective config.Duration `json:"response_target"`
 	ClientTimeout    config.Duration `json:"client_timeout"`
 	PriorityWeight   float64         `json:"payoff"`
 }
 
 // idempotent reports whether requests may be executed again.
-func (c Class) idempotent() bool { return c.Repeat == "replayable" }
+func (c Class) idempotent() bool { return c.Idempotency == "replayable" }
 
-// Fault is a fault that is injected at a time. What Share, Size and Extra mean depends on the fault: see [About].
+// Fault is a fault that is injected at a time. What Share, Size and Extra mean depends on the fault: see [DescribeFault].
 type Fault struct {
 	Name     string          `json:"what"`
 	At       config.Duration `json:"at"`
@@ -81,8 +81,8 @@
 //go:embed scenarios/*.json
 var builtIn embed.FS
 
-// ErrScenario is a scenario that can't be read or is not valid.
-var ErrScenario = errors.New("scenario")
+// ErrInvalidScenario is returned for a scenario that can't be read or is not valid.
+var ErrInvalidScenario = errors.New("invalid scenario")
 
 // aloneBy is the prefix of scenarios with a single fault.
 const aloneBy = "only:"
@@ -97,7 +97,7 @@
 			continue
 		}
 		names = append(names, name)
-		about = append(about, scenario.About)
+		about = append(about, scenario.Description)
 	}
 	return names, about
 }
@@ -119,15 +119,15 @@
 		QueueLength:    30,
 		MaxConnections: 200,
 		Classes: []Class{
-			{Name: "schedule", Share: 0.39, Work: 160_000, Repeat: "replayable", LatencyObjective: 750_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
-			{Name: "capacity", Share: 0.32, Work: 160_000, Repeat: "replayable", LatencyObjective: 800_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
-			{Name: "save-sim", Share: 0.29, Work: 160_000, Repeat: "non-replayable", LatencyObjective: 750_000, ClientTimeout: 2_000_000, PriorityWeight: 2},
+			{Name: "schedule", Share: 0.39, Work: 160_000, Idempotency: "replayable", LatencyObjective: 750_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
+			{Name: "capacity", Share: 0.32, Work: 160_000, Idempotency: "replayable", LatencyObjective: 800_000, ClientTimeout: 2_500_000, PriorityWeight: 1},
+			{Name: "save-sim", Share: 0.29, Work: 160_000, Idempotency: "non-replayable", LatencyObjective: 750_000, ClientTimeout: 2_000_000, PriorityWeight: 2},
 		},
 	}
 }
 
 // Load returns a scenario: a built-in one by its name, only:FAULT for a single fault in the middle of a short run, or one
-// from a file. Its errors are [ErrScenario].
+// from a file. Its errors are [ErrInvalidScenario].
 func Load(name string) (Scenario, error) {
 	if fault, alone := strings.CutPrefix(name, aloneBy); alone {
 		return singleFault(name, fault)
@@ -138,7 +138,7 @@
 		return scenario, err
 	}
 	if err := config.Decode(name, text, &scenario); err != nil {
-		return scenario, fmt.Errorf("%w: %w", ErrScenario, err)
+		return scenario, fmt.Errorf("%w: %w", ErrInvalidScenario, err)
 	}
 	if scenario.Name == "" {
 		scenario.Name = name
@@ -153,7 +153,7 @@
 	text, err := os.ReadFile(name)
 	if err != nil {
 		names, _ := List()
-		return nil, fmt.Errorf("%w: %q is no built-in one (%s), no only:FAULT and no file: %w", ErrScenario, name, strings.Join(names, ", "), err)
+		return nil, fmt.Errorf("%w: %q is no built-in one (%s), no only:FAULT and no file: %w", ErrInvalidScenario, name, strings.Join(names, ", "), err)
 	}
 	return text, nil
 }
@@ -163,11 +163,11 @@
 	scenario := defaultScenario()
 	known, ok := faultTypes[fault]
 	if !ok {
-		return scenario, fmt.Errorf("%w: there is no fault %q, but %s", ErrScenario, fault, strings.Join(FaultNames(), ", "))
+		return scenario, fmt.Errorf("%w: there is no fault %q, but %s", ErrInvalidScenario, fault, strings.Join(FaultNames(), ", "))
 	}
 	scenario.Name = name
 	scenario.Seconds = 24
-	scenario.About = "that fault alone"
+	scenario.Description = "that fault alone"
 	single := known.defaults
 	single.Name = fault
 	single.At = 4_000_000
@@ -178,7 +178,7 @@
 	return scenario, nil
 }
 
-// validate returns an [ErrScenario] that names the first thing that is wrong.
+// validate returns an [ErrInvalidScenario] that names the first thing that is wrong.
 func (s Scenario) validate() error {
 	if !s.plausibleSize() {
 		return s.invalid("it needs 3 to 3600 seconds, 1 to 2000 endpoints and gateways, cores, requests, zones and classes")
@@ -218,7 +218,7 @@
 }
 
 func (s Scenario) invalid(format string, args ...any) error {
-	return fmt.Errorf("%w: %s: %s", ErrScenario, s.Name, fmt.Sprintf(format, args...))
+	return fmt.Errorf("%w: %s: %s", ErrInvalidScenario, s.Name, fmt.Sprintf(format, args...))
 }
 
 // length is how long the scenario runs.
@@ -248,7 +248,7 @@
 	c.Gateways.SilenceTimeout = max(minSilence, 3*s.ReportPeriod)
 	c.Channel.EndpointConnections = s.MaxConnections
 	for _, class := range s.Classes {
-		c.Classes = append(c.Classes, config.RequestClass{Name: class.Name, Idempotency: class.Repeat, LatencyObjective: class.LatencyObjective,
+		c.Classes = append(c.Classes, config.RequestClass{Name: class.Name, Idempotency: class.Idempotency, LatencyObjective: class.LatencyObjective,
 			ClientTimeout: class.ClientTimeout, PriorityWeight: class.PriorityWeight, AllowedZones: []string{}})
 	}
 	return c
--- a/chaos/scenario_test.go
+++ b/chaos/scenario_test.go
@@ -19,7 +19,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := Load("only:storm"); !errors.Is(err, ErrScenario) {
+	if _, err := Load("only:storm"); !errors.Is(err, ErrInvalidScenario) {
 		t.Error(err)
 	}
 	for _, test := range []struct{ name, text, message string }{
@@ -34,7 +34,7 @@
 			if err := os.WriteFile(path, []byte(test.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if _, err := Load(path); !errors.Is(err, ErrScenario) || !strings.Contains(err.Error(), test.message) {
+			if _, err := Load(path); !errors.Is(err, ErrInvalidScenario) || !strings.Contains(err.Error(), test.message) {
 				t.Errorf("%s: %v", test.text, err)
 			}
 		})
--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -57,7 +57,7 @@
 	set := cmd.Flags()
 	set.Uint64Var(&f.options.Seed, "seed", 1, "seed of all random draws")
 	set.IntVar(&f.seconds, "seconds", 0, "duration in seconds; 0: the scenario's own")
-	set.StringVar(&f.options.Front, "front", "files", "delivery of tables to gateways: files, poll (long polls with deltas) or both (gateways alternate)")
+	set.StringVar(&f.options.Delivery, "front", "files", "delivery of tables to gateways: files, poll (long polls with deltas) or both (gateways alternate)")
 	set.StringVar(&f.options.BreakRule, "break-rule", "", "inject a violation of this rule, which the audit must report")
 	outputFlag(cmd, &f.asJSON)
 	set.BoolVar(&f.list, "list", false, "list scenarios and faults")
@@ -69,7 +69,7 @@
 	set.IntVar(&f.loadReports.MaxLinesPerSecond, "bound", 300000, "with intake: load report lines accepted per second; 0: unlimited")
 	set.IntVar(&f.loadReports.CoordinatorCores, "procs", 0, "with intake: number of cores the coordinator may use; 0: all")
 	set.BoolVar(&f.loadReports.NoFaults, "calm", false, "with intake: no faults")
-	set.StringVar(&f.loadReports.Profile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
+	set.StringVar(&f.loadReports.CPUProfile, "cpu-profile", "", "with intake: write the coordinator's CPU profile to this file")
 	set.IntVar(&f.endpoints, "nodes", 100, "with intake and --held-polls: number of endpoints")
 	set.IntVar(&f.openPolls, "held-polls", 0, "measure long polls instead: number of gateways, with two open polls each, that are answered at once")
 	set.StringVar(&f.options.Levels, "levels", "named", "service levels: named (as in the scenario), plain (the decision module's admission control only) or off")
@@ -100,7 +100,7 @@
 		fmt.Fprintf(table, "%s\t%s\n", name, about[i])
 	}
 	for _, fault := range chaos.FaultNames() {
-		fmt.Fprintf(table, "only:%s\t%s\n", fault, chaos.About(fault))
+		fmt.Fprintf(table, "only:%s\t%s\n", fault, chaos.DescribeFault(fault))
 	}
 	fmt.Fprintf(table, "%s\tload reports of thousands of lightweight gateways while faults are injected: --gateways, --bound, --procs, --calm\n", loadReportsScenario)
 	return table.Flush()
@@ -204,8 +204,8 @@
 
 // validate checks the flags of scenarios.
 func (f *chaosFlags) validate() error {
-	if !slices.Contains([]string{"files", "poll", "both"}, f.options.Front) {
-		return fmt.Errorf("--front %q: it must be files, poll or both", f.options.Front)
+	if !slices.Contains([]string{"files", "poll", "both"}, f.options.Delivery) {
+		return fmt.Errorf("--front %q: it must be files, poll or both", f.options.Delivery)
 	}
 	if !isRule(f.options.BreakRule) {
 		return fmt.Errorf("--break-rule %q: it must be one of %v", f.options.BreakRule, audit.Rules)
