--- a/chaos/checks.go
+++ b/chaos/checks.go
@@ -7,7 +7,7 @@
 	"porthub/policyapi"
 )
 
-// The names of checks, as scenarios and results have them.
+// The names of checks in scenarios and results.
 const (
 	checkService       = "service"
 	checkWorst10s      = "worst_10s"
@@ -18,35 +18,36 @@
 	checkLevelChanges  = "level_changes"
 	checkOverInitial   = "over_standing" // service above that of the baseline with initial tables
 	checkClassPrefix   = "kind:"
-	levelChangesMargin = 10 // seconds around the scenario in which levels may change too
+	levelChangesMargin = 10 // seconds added to the scenario's length, as levels may also change before and after it
 )
 
-// runChecks evaluates the checks of a scenario, and that no read was incomplete.
+// runChecks evaluates the checks of a scenario. It also checks that no gateway read an incomplete document.
 func runChecks(s Scenario, r Result, cells map[emulator.Cell]emulator.Sum) []CheckResult {
 	var out []CheckResult
 	for _, check := range append([]Check{{Name: checkPartialReads}}, s.Checks...) {
-		figure, ok := checkFigure(check.Name, r, cells)
+		value, ok := checkedValue(check.Name, r, cells)
 		if !ok {
 			continue
 		}
-		if check.Name == checkLevelChanges { // no more than the settings allow
-			levels, _ := s.Config("", "127.0.0.1:0", 1).DegradationSettings() // valid: the coordinator has run with them
+		if check.Name == checkLevelChanges { // the upper bound follows from the level settings
+			// The settings are valid, as the coordinator has run with them.
+			levels, _ := s.Config("", "127.0.0.1:0", 1).DegradationSettings()
 			check.AtMost = float64(levels.MaxChanges(policyapi.Microseconds(s.Seconds+levelChangesMargin) * 1_000_000))
 		}
-		out = append(out, check.evaluate(figure))
+		out = append(out, check.evaluate(value))
 	}
 	return out
 }
 
-// evaluate compares a figure with the check's bounds.
-func (c Check) evaluate(figure float64) CheckResult {
+// evaluate compares a value with the check's bounds.
+func (c Check) evaluate(value float64) CheckResult {
 	hasUpperBound := c.AtMost != 0 || c.AtLeast <= 0
-	ok := figure >= c.AtLeast && (!hasUpperBound || figure <= c.AtMost)
-	return CheckResult{Name: c.Name, OK: ok, Value: figure}
+	ok := value >= c.AtLeast && (!hasUpperBound || value <= c.AtMost)
+	return CheckResult{Name: c.Name, OK: ok, Value: value}
 }
 
-// checkFigure returns the figure of a check; ok is false if there is none. An unknown check's figure is 0.
-func checkFigure(name string, r Result, cells map[emulator.Cell]emulator.Sum) (figure float64, ok bool) {
+// checkedValue returns the value that a check bounds, 0 for an unknown check. ok is false if the run has no such value.
+func checkedValue(name string, r Result, cells map[emulator.Cell]emulator.Sum) (value float64, ok bool) {
 	if class, byClass := strings.CutPrefix(name, checkClassPrefix); byClass {
 		return classService(class, cells), true
 	}
@@ -73,7 +74,7 @@
 	}
 }
 
-// classService is the service of a class over all zones.
+// classService returns the service of a class in all zones.
 func classService(class string, cells map[emulator.Cell]emulator.Sum) float64 {
 	var total emulator.Sum
 	for cell, sum := range cells {
--- a/chaos/corruption.go
+++ b/chaos/corruption.go
@@ -13,8 +13,8 @@
 	"porthub/routing"
 )
 
-// breakRule spoils one thing on the way to the gateways, so that the audit must find that rule violated: an audit that
-// can't fail would show nothing. An empty rule spoils nothing.
+// breakRule corrupts tables on their way to the gateways, or the gateways' retries, so that the given rule is violated. It
+// verifies that the audit detects violations. An empty rule changes nothing.
 func (f *fleet) breakRule(rule string) {
 	switch rule {
 	case audit.EmptyTable:
@@ -30,11 +30,11 @@
 			g.Corrupt = f.preferRestarted
 		}
 	case audit.Queue:
-		go f.rewriteTables() // ends with the scenario
+		go f.rewriteTables() // returns when the scenario ends
 	}
 }
 
-// emptyFirstClass removes all endpoints of a class after a while.
+// emptyFirstClass removes all endpoints of the first class after a sixth of the scenario.
 func (f *fleet) emptyFirstClass(s *routing.Snapshot) {
 	if f.world.Now() > f.scenario.length()/3/2 {
 		emptyFirstCluster(s)
@@ -46,7 +46,7 @@
 	s.Clusters[0].Endpoints = nil
 }
 
-// keepAllEndpoints keeps every endpoint that was ever in a table.
+// keepAllEndpoints returns a function that adds all endpoints of earlier tables to each table, as if none were ever removed.
 func keepAllEndpoints() func(*routing.Snapshot) {
 	seen := map[string]map[string]routing.ClusterEndpoint{} // by class and endpoint
 	return func(s *routing.Snapshot) {
@@ -66,9 +66,9 @@
 	}
 }
 
-// preferRestarted sends nearly everything to endpoints that have been restarted.
+// preferRestarted raises the weights of restarted endpoints so far that they receive nearly all requests.
 func (f *fleet) preferRestarted(s *routing.Snapshot) {
-	const overwhelming = 1000
+	const dominantWeight = 1000
 	restarted := map[string]bool{}
 	for _, e := range f.endpoints {
 		running, startedAt := e.Running()
@@ -79,29 +79,30 @@
 		endpoints := slices.Clone(s.Clusters[i].Endpoints)
 		for j := range endpoints {
 			if restarted[string(endpoints[j].Endpoint)] {
-				endpoints[j].Weight = overwhelming
+				endpoints[j].Weight = dominantWeight
 			}
 		}
 		s.Clusters[i].Endpoints = endpoints
 	}
 }
 
-// rewriteTables rewrites a gateway's file over and over, each time as a new message.
+// rewriteTables rewrites a gateway's table file repeatedly, each time with a new message number, from a third of the scenario
+// on.
 func (f *fleet) rewriteTables() {
 	const (
-		firstNumber = 100_000 // beyond the coordinator's own
-		interval    = 200 * time.Millisecond
+		firstMessageNumber = 100_000 // above the coordinator's numbers
+		interval           = 200 * time.Millisecond
 	)
 	path := filepath.Join(tableDir(f.dir), f.gateways[0].Name, "eds.json")
-	for number := firstNumber; f.world.Now() < f.scenario.length(); number++ {
+	for number := firstMessageNumber; f.world.Now() < f.scenario.length(); number++ {
 		if f.world.Now() > f.scenario.length()/3 {
-			_ = renumberFile(path, number) // a file that is not there yet comes later
+			_ = renumberFile(path, number) // retried if the file does not exist yet
 		}
 		time.Sleep(interval)
 	}
 }
 
-// renumberFile replaces the number in the version of a document, and the file at once.
+// renumberFile replaces the message number in a document's version. It replaces the file atomically.
 func renumberFile(path string, number int) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -116,7 +117,8 @@
 	return os.Rename(path+".spoilt", path)
 }
 
-// versionSpan finds the version in a document, with or without a space before it; 0, 0 if there is none.
+// versionSpan returns the position of the version in a JSON document, with or without a space after the colon; 0, 0 if there
+// is none.
 func versionSpan(text string) (start, end int) {
 	for _, key := range []string{`"version_info":"`, `"version_info": "`} {
 		at := strings.Index(text, key)
--- a/chaos/doc.go
+++ b/chaos/doc.go
@@ -1,6 +1,7 @@
-// Package chaos stages fault-injection scenarios on loopback and checks the operating rules from outside.
+// Package chaos runs fault-injection scenarios on loopback and audits the operating rules from observed traffic.
 //
-// A [Scenario] describes an emulated fleet and the [Fault]s that are injected into it. [Run] runs it against a coordinator in a
-// process of its own and judges the rules by package audit. [RunLoadReports] has thousands of light gateways report while
-// faults are injected, and [RunPolls] measures how quickly many waiting polls are woken. Package emulator provides the fleet.
+// A [Scenario] describes an emulated fleet and the [Fault]s that are injected into it. [Run] runs it against a coordinator in
+// a separate process and has package audit evaluate the rules. [RunLoadReports] has thousands of lightweight gateways report
+// their load while faults are injected, and [RunPolls] measures how quickly a drain reaches many gateways through long polls.
+// Package emulator provides the fleet.
 package chaos
--- a/chaos/endpoint_list.go
+++ b/chaos/endpoint_list.go
@@ -10,7 +10,7 @@
 	"porthub/emulator"
 )
 
-// targetGroup is an entry of the endpoint list in the form of file_sd.
+// targetGroup is an entry of the endpoint list in the Prometheus file_sd format.
 type targetGroup struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
@@ -25,22 +25,23 @@
 	labelStatus   = "status"
 	labelLaunched = "launched"
 
-	statusDraining = "draining"
-	machineType    = "std"
-	launchedLong   = "0" // long ago
+	statusDraining  = "draining"
+	machineType     = "std"
+	launchedLongAgo = "0" // start time of an endpoint that has warmed up
 )
 
-// launchedLabel is a start as the list has it: microseconds since 1970. A start below 0 is long ago.
+// launchedLabel returns the label of a start time, in microseconds since 1970. A negative start time stands for an endpoint that
+// has warmed up.
 func launchedLabel(worldStart time.Time, startedAt time.Duration) string {
 	if startedAt < 0 {
-		return launchedLong
+		return launchedLongAgo
 	}
 	return strconv.FormatInt(worldStart.Add(startedAt).UnixMicro(), 10)
 }
 
 func formatWeight(weight float64) string { return strconv.FormatFloat(weight, 'g', -1, 64) }
 
-// writeListFile replaces the list's file at once: readers never see a part of it.
+// writeListFile replaces the list's file atomically, so that readers never see an incomplete list.
 func writeListFile(path string, groups []targetGroup) error {
 	if groups == nil {
 		groups = []targetGroup{}
@@ -55,7 +56,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// endpointLabels are the labels of an endpoint that never change.
+// endpointLabels returns the labels of an endpoint that do not change.
 func endpointLabels(e *emulator.Endpoint) map[string]string {
 	return map[string]string{
 		labelZone:    e.Zone,
@@ -65,7 +66,7 @@
 	}
 }
 
-// listEntries is the endpoint list as it is now.
+// listEntries returns the entries of the current endpoint list.
 func (f *fleet) listEntries() []emulator.ListEntry {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -80,7 +81,7 @@
 	return out
 }
 
-// setListed changes an endpoint's entry in the list, after a delay.
+// setListed changes an endpoint's entry in the list after a delay.
 func (f *fleet) setListed(e *emulator.Endpoint, state audit.EndpointState, delay time.Duration) {
 	_, startedAt := e.Running()
 	f.pending.Add(1)
@@ -90,7 +91,7 @@
 		f.listed[e.Addr].state = state
 		f.listed[e.Addr].startedAt = startedAt
 		f.mu.Unlock()
-		_ = f.writeList() // a list that can't be written stays as it is, as in production
+		_ = f.writeList() // after an error the previous list stays in place, as in production
 		if f.source == allEndpoints {
 			for _, g := range f.gateways {
 				g.RefreshEndpoints()
@@ -99,7 +100,7 @@
 	})
 }
 
-// writeList writes the endpoint list to its file or registry, and records it in the audit.
+// writeList writes the endpoint list to its file or registry, and records it in the audit log.
 func (f *fleet) writeList() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/chaos/fault_endpoints.go
+++ b/chaos/fault_endpoints.go
@@ -10,23 +10,23 @@
 	"porthub/emulator"
 )
 
-// during does something to endpoints, and undoes it when the fault is over.
-func (in injection) during(endpoints []*emulator.Endpoint, do, undo func(*emulator.Endpoint)) {
+// applyAndRevert calls apply for each endpoint and, when the fault ends, revert.
+func (in injection) applyAndRevert(endpoints []*emulator.Endpoint, apply, revert func(*emulator.Endpoint)) {
 	for _, e := range endpoints {
-		do(e)
+		apply(e)
 	}
 	in.fleet.sleep(duration(in.Duration))
 	for _, e := range endpoints {
-		undo(e)
+		revert(e)
 	}
 }
 
-// withFault injects a fault into endpoints and ends it after its duration.
+// withFault sets a fault of the endpoints and resets it when the fault ends.
 func (in injection) withFault(endpoints []*emulator.Endpoint, set, reset func(*emulator.Fault)) {
-	in.during(endpoints, func(e *emulator.Endpoint) { e.SetFault(set) }, func(e *emulator.Endpoint) { e.SetFault(reset) })
+	in.applyAndRevert(endpoints, func(e *emulator.Endpoint) { e.SetFault(set) }, func(e *emulator.Endpoint) { e.SetFault(reset) })
 }
 
-// chooseEndpoints draws the endpoints that the fault affects: running and listed ones, of its zone if it names one.
+// chooseEndpoints draws the affected endpoints from those that are running and ready, in the fault's zone if it has one.
 func (in injection) chooseEndpoints() []*emulator.Endpoint {
 	var eligible []*emulator.Endpoint
 	for _, e := range in.fleet.endpoints {
@@ -39,7 +39,7 @@
 	return eligible[:shareOf(in.Share, len(eligible))]
 }
 
-// shareOf is a part of a number, rounded up.
+// shareOf returns the given fraction of n, rounded up.
 func shareOf(share float64, n int) int { return min(n, int(math.Ceil(share*float64(n)))) }
 
 func (f *fleet) isReady(e *emulator.Endpoint) bool {
@@ -48,7 +48,7 @@
 	return f.listed[e.Addr].state == audit.Ready
 }
 
-// chooseZone returns the fault's zone, or draws one.
+// chooseZone returns the fault's zone, or a random zone if it has none.
 func (in injection) chooseZone() string {
 	if in.Zone != "" {
 		return in.Zone
@@ -57,7 +57,7 @@
 	return zones[in.rng.IntN(len(zones))]
 }
 
-// crashEndpoint ends an endpoint's process. The list drops it late, unless it is back by then.
+// crashEndpoint kills an endpoint. After the list delay it is removed from the list, unless it is running again by then.
 func (f *fleet) crashEndpoint(e *emulator.Endpoint) {
 	e.Kill()
 	f.pending.Add(1)
@@ -69,7 +69,7 @@
 	})
 }
 
-// restartEndpoint starts an endpoint's process again. The list has its new start a little late.
+// restartEndpoint restarts an endpoint. After half the list delay the list contains its new start time.
 func (f *fleet) restartEndpoint(e *emulator.Endpoint) {
 	if err := e.Restart(); err == nil {
 		f.setListed(e, audit.Ready, duration(f.scenario.ListDelay)/2)
@@ -77,12 +77,12 @@
 }
 
 func (in injection) crash() {
-	in.during(in.chooseEndpoints(), in.fleet.crashEndpoint, in.fleet.restartEndpoint)
+	in.applyAndRevert(in.chooseEndpoints(), in.fleet.crashEndpoint, in.fleet.restartEndpoint)
 }
 
 func (in injection) vanish() {
 	f := in.fleet
-	in.during(in.chooseEndpoints(), func(e *emulator.Endpoint) {
+	in.applyAndRevert(in.chooseEndpoints(), func(e *emulator.Endpoint) {
 		e.SetFault(func(x *emulator.Fault) { x.Hang = true })
 		f.setListed(e, audit.Absent, 4*duration(f.scenario.ListDelay))
 	}, func(e *emulator.Endpoint) {
@@ -114,9 +114,9 @@
 	for in.fleet.world.Now() < in.end() {
 		cycle := max(0.5, in.Size) * (0.7 + 0.6*in.rng.Float64()) // seconds
 		down := seconds(cycle * min(0.9, max(0.1, in.Extra)))
-		once := in
-		once.Duration = config.Duration(down.Microseconds())
-		once.during(endpoints, in.fleet.crashEndpoint, in.fleet.restartEndpoint)
+		crash := in
+		crash.Duration = config.Duration(down.Microseconds())
+		crash.applyAndRevert(endpoints, in.fleet.crashEndpoint, in.fleet.restartEndpoint)
 		if !in.fleet.sleep(seconds(cycle) - down) {
 			return
 		}
@@ -141,7 +141,7 @@
 }
 
 func (in injection) limitConnections() {
-	const minShare = 1e-3 // 0 would be no limit
+	const minShare = 1e-3 // 0 would mean no limit
 	in.withFault(in.fleet.endpoints, func(x *emulator.Fault) { x.ConnectionShare = max(in.Size, minShare) },
 		func(x *emulator.Fault) { x.ConnectionShare = 0 })
 }
@@ -162,7 +162,7 @@
 			endpoints = append(endpoints, e)
 		}
 	}
-	in.during(endpoints, f.crashEndpoint, f.restartEndpoint)
+	in.applyAndRevert(endpoints, f.crashEndpoint, f.restartEndpoint)
 }
 
 func (in injection) partitionZone() {
@@ -187,14 +187,14 @@
 	all := in
 	all.Fault = Fault{Share: 1}
 	running := all.chooseEndpoints()
-	stay := int(math.Ceil(float64(len(running)) / max(1, in.Size)))
-	leaving := running[:len(running)-stay]
+	remaining := int(math.Ceil(float64(len(running)) / max(1, in.Size)))
+	removed := running[:len(running)-remaining]
 	drain := seconds(in.Extra)
-	interval := time.Duration(float64(duration(in.Duration)) / float64(len(leaving)))
-	for _, e := range leaving {
+	interval := time.Duration(float64(duration(in.Duration)) / float64(len(removed)))
+	for _, e := range removed {
 		f.setListed(e, audit.Draining, 0)
 		f.setListed(e, audit.Absent, drain)
-		// Twice the grace period later: what is sent within it is still served.
+		// The endpoint keeps running for twice the grace period, so that requests sent within that period are still served.
 		time.AfterFunc(drain+2*duration(f.scenario.Rules.DrainGracePeriod), e.Kill)
 		if !f.sleep(interval) {
 			return
@@ -204,6 +204,6 @@
 
 func (in injection) dropFromList() {
 	f := in.fleet
-	in.during(in.chooseEndpoints(), func(e *emulator.Endpoint) { f.setListed(e, audit.Absent, 0) },
+	in.applyAndRevert(in.chooseEndpoints(), func(e *emulator.Endpoint) { f.setListed(e, audit.Absent, 0) },
 		func(e *emulator.Endpoint) { f.setListed(e, audit.Ready, 0) })
 }
--- a/chaos/fault_gateways.go
+++ b/chaos/fault_gateways.go
@@ -13,7 +13,7 @@
 	"porthub/policyapi"
 )
 
-// chooseGateways draws the gateways that a fault affects, of its zone if it names one.
+// chooseGateways draws the gateways that a fault affects, from the fault's zone if it has one.
 func (f *fleet) chooseGateways(fault Fault, rng *rand.Rand) []int {
 	var eligible []int
 	for i, g := range f.gateways {
@@ -25,7 +25,7 @@
 	return eligible[:shareOf(fault.Share, len(eligible))]
 }
 
-// restartGateway kills a gateway and starts it again after a while, unless the run has ended by then.
+// restartGateway kills a gateway and starts it again after the given time, unless the run has ended by then.
 func (f *fleet) restartGateway(i int, after time.Duration) {
 	g := f.gateways[i]
 	g.Kill()
@@ -36,7 +36,7 @@
 	})
 }
 
-// crashGateways crashes gateways, or the coordinator if the size is over 0.5.
+// crashGateways crashes and restarts the gateways, or the coordinator if Size is above 0.5.
 func (in injection) crashGateways() {
 	f := in.fleet
 	if in.Size <= 0.5 {
@@ -50,7 +50,7 @@
 	}
 	f.coordinator.kill()
 	f.sleep(duration(in.Duration))
-	_ = f.coordinator.start() // failures to start are recorded by the process
+	_ = f.coordinator.start() // the process records the error
 }
 
 func (in injection) isolateGateways() {
@@ -83,24 +83,25 @@
 	}
 }
 
-// rollBack pins the tables to an earlier version for a while, as an operator would.
+// rollBack pins the tables to an earlier version until the fault ends, as an operator would.
 func (in injection) rollBack() {
 	const reason = "drill"
 	f := in.fleet
-	if f.source != byCoordinator {
+	if f.source != coordinatorTables {
 		return
 	}
 	var answer daemon.PinResponse
 	pin := daemon.PinRequest{Fleet: true, Ago: policyapi.Microseconds(in.Size * 1e6), Reason: reason}
-	if err := f.operate("/tables/pin", pin, &answer); err != nil || answer.Error != "" {
-		return // no coordinator, or no version so old: there is nothing to roll back
+	if err := f.sendOperatorRequest("/tables/pin", pin, &answer); err != nil || answer.Error != "" {
+		return // the coordinator is down or no version is that old
 	}
 	f.sleep(duration(in.Duration))
-	_ = f.operate("/tables/unpin", daemon.UnpinRequest{ID: answer.Pin.ID, Reason: reason}, &answer) // it may be down
+	// The error is ignored, as the coordinator may be down.
+	_ = f.sendOperatorRequest("/tables/unpin", daemon.UnpinRequest{ID: answer.Pin.ID, Reason: reason}, &answer)
 }
 
-// operate sends an operator's request to the coordinator and decodes the response.
-func (f *fleet) operate(path string, body, into any) error {
+// sendOperatorRequest sends an operator's request to the coordinator and decodes the response.
+func (f *fleet) sendOperatorRequest(path string, body, answer any) error {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -110,21 +111,21 @@
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
-	return json.NewDecoder(response.Body).Decode(into)
+	return json.NewDecoder(response.Body).Decode(answer)
 }
 
-// breakList makes the list's file invalid in three ways, for a third of the time each.
+// breakList truncates, empties and removes the list's file, each for a third of the fault's duration.
 func (in injection) breakList() {
 	f := in.fleet
 	path := listPath(f.dir)
 	f.setListFrozen(true)
-	complete, _ := os.ReadFile(path) // a file that is not there is empty
-	for _, spoil := range []func(){
+	complete, _ := os.ReadFile(path) // a missing file counts as empty
+	for _, corrupt := range []func(){
 		func() { _ = os.WriteFile(path, complete[:len(complete)/2], 0o644) },
 		func() { _ = os.WriteFile(path, nil, 0o644) },
 		func() { _ = os.Remove(path) },
 	} {
-		spoil()
+		corrupt()
 		f.sleep(duration(in.Duration) / 3)
 	}
 	f.setListFrozen(false)
--- a/chaos/fault_registry.go
+++ b/chaos/fault_registry.go
@@ -8,30 +8,31 @@
 	"porthub/emulator/eureka"
 )
 
-// registryFault is a fault of the registry, by its peers.
+// registryFault is a fault of the registry's two peers.
 type registryFault struct {
-	about  string
-	first  eureka.Faults
-	second *eureka.Faults // of the other peer; nil: the same
+	description string
+	first       eureka.Faults
+	second      *eureka.Faults // of the second peer; nil: the same as the first
 }
 
-// registryFaults are the faults of the registry by their names.
+// registryFaults holds the registry's faults by name.
 var registryFaults = map[string]registryFault{
-	"registry_slow":     {"the registry takes 400 ms for each response", eureka.Faults{Delay: 400 * time.Millisecond}, nil},
-	"registry_late":     {"the registry takes longer than its client waits", eureka.Faults{Delay: 3 * time.Second}, nil},
-	"registry_stale":    {"deltas stand still", eureka.Faults{StaleDelta: true}, nil},
-	"registry_hash":     {"the registry's hash is wrong", eureka.Faults{WrongHash: true}, nil},
-	"registry_half":     {"half of the fleet is missing from responses", eureka.Faults{MissingShare: 0.5}, nil},
-	"registry_empty":    {"responses name no endpoint", eureka.Faults{MissingShare: 1}, nil},
-	"registry_down":     {"the registry answers 503", eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, nil},
-	"registry_cut":      {"responses end in the middle", eureka.Faults{Truncated: true}, nil},
-	"registry_huge":     {"responses are larger than allowed", eureka.Faults{PaddingBytes: 2 << 20}, nil},
-	"registry_skew":     {"the registry's clock is an hour ahead", eureka.Faults{ClockSkew: time.Hour}, nil},
-	"registry_restart":  {"every instance is registered again at once", eureka.Faults{Reregistered: true}, nil},
-	"registry_failover": {"one peer answers 503, the other is 1.5 s behind", eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, &eureka.Faults{Lag: 1500 * time.Millisecond}},
+	"registry_slow":    {"the registry delays each response by 400 ms", eureka.Faults{Delay: 400 * time.Millisecond}, nil},
+	"registry_late":    {"the registry responds after the client's timeout", eureka.Faults{Delay: 3 * time.Second}, nil},
+	"registry_stale":   {"the registry's deltas no longer change", eureka.Faults{StaleDelta: true}, nil},
+	"registry_hash":    {"the registry's hash code is wrong", eureka.Faults{WrongHash: true}, nil},
+	"registry_half":    {"half of the endpoints are missing from the registry's full responses", eureka.Faults{MissingShare: 0.5}, nil},
+	"registry_empty":   {"the registry's full responses contain no endpoint", eureka.Faults{MissingShare: 1}, nil},
+	"registry_down":    {"the registry responds with 503", eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, nil},
+	"registry_cut":     {"the registry's responses are truncated", eureka.Faults{Truncated: true}, nil},
+	"registry_huge":    {"the registry's responses exceed the size limit", eureka.Faults{PaddingBytes: 2 << 20}, nil},
+	"registry_skew":    {"the registry's clock is an hour ahead", eureka.Faults{ClockSkew: time.Hour}, nil},
+	"registry_restart": {"all instances are registered again at the same time", eureka.Faults{Reregistered: true}, nil},
+	"registry_failover": {"one peer responds with 503, the other lags 1.5 s behind",
+		eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, &eureka.Faults{Lag: 1500 * time.Millisecond}},
 }
 
-// inject injects the faults into the peers for their duration. A fleet whose list is a file is not affected.
+// inject injects the faults into the peers and removes them when the fault ends. It does nothing if the fleet has no registry.
 func (r registryFault) inject(in injection) {
 	registry := in.fleet.registry
 	if registry == nil {
@@ -49,7 +50,7 @@
 	}
 }
 
-// scenario is a short run with the fault in which endpoints crash, return and drain while it lasts.
+// scenario returns a short run with the fault, during which endpoints crash, are restarted and drain.
 func (r registryFault) scenario(base Scenario, name string) Scenario {
 	base.Registry = "eureka"
 	base.Seconds = 24
@@ -58,6 +59,6 @@
 		{Name: "crash", At: 6e6, Duration: 5e6, Share: 0.12},
 		{Name: "shrink", At: 9e6, Duration: 8e6, Size: 1.2, Extra: 3},
 	}
-	base.Description = fmt.Sprintf("%s, while endpoints crash, are restarted and drain", r.about)
+	base.Description = fmt.Sprintf("%s, while endpoints crash, are restarted and drain", r.description)
 	return base
 }
--- a/chaos/fault_traffic.go
+++ b/chaos/fault_traffic.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// ramp is how far a fault of the traffic has come at a time, 0 to 1: it rises and falls within Extra seconds.
+// ramp returns the strength of a traffic fault at the given time, 0 to 1. It rises to 1 over the first Extra seconds of the
+// fault and falls to 0 over the last.
 func (f Fault) ramp(at time.Duration) float64 {
 	const minRamp = 1e-3 // seconds
 	start := duration(f.At)
@@ -17,42 +18,42 @@
 	return min(1, float64(at-start)/length, float64(f.end()-at)/length)
 }
 
-// trafficFactor is the traffic of a gateway at a time, as a multiple of its usual one.
+// trafficFactor returns a gateway's traffic at the given time, as a multiple of its usual rate.
 func (f *fleet) trafficFactor(gateway int, at time.Duration) float64 {
 	factor := 1.0
-	added := 0.0
+	addedFactor := 0.0
 	for i, fault := range f.scenario.Faults {
 		switch fault.Name {
 		case "burst":
 			factor *= 1 + (fault.Size-1)*fault.ramp(at)
 		case "hot_caller":
-			if hot := f.affected[i]; slices.Contains(hot, gateway) {
-				added += fault.ramp(at) * fault.Size * f.scenario.RequestRate / float64(len(hot)) / f.rate(gateway)
+			if callers := f.affectedGateways[i]; slices.Contains(callers, gateway) {
+				addedFactor += fault.ramp(at) * fault.Size * f.scenario.RequestRate / float64(len(callers)) / f.rate(gateway)
 			}
 		case "shift":
 			factor *= f.shiftFactor(fault, gateway, at)
 		}
 	}
-	return factor + added
+	return factor + addedFactor
 }
 
-// shiftFactor moves a part of the traffic of the other zones to one zone.
+// shiftFactor returns a gateway's traffic factor while a fraction of the other zones' traffic moves to one zone.
 func (f *fleet) shiftFactor(fault Fault, gateway int, at time.Duration) float64 {
 	zone := cmp.Or(fault.Zone, f.scenario.Zones[len(f.scenario.Zones)-1])
-	inside := 0.0
+	zoneRate := 0.0
 	for i, g := range f.gateways {
 		if g.Zone == zone {
-			inside += f.rate(i)
+			zoneRate += f.rate(i)
 		}
 	}
-	moved := fault.Size * min(1, 4*fault.ramp(at))
+	movedShare := fault.Size * min(1, 4*fault.ramp(at))
 	if f.gateways[gateway].Zone != zone {
-		return 1 - moved
+		return 1 - movedShare
 	}
-	return 1 + moved*(f.scenario.RequestRate-inside)/max(inside, 1e-9)
+	return 1 + movedShare*(f.scenario.RequestRate-zoneRate)/max(zoneRate, 1e-9)
 }
 
-// workFactor is the work of a request as a multiple of the usual.
+// workFactor returns the work of a request as a multiple of the class's usual work; draw is a random number from 0 to 1.
 func (f *fleet) workFactor(at time.Duration, class string, draw float64) float64 {
 	for _, fault := range f.scenario.Faults {
 		if fault.Name != "heavy_tail" || !fault.active(at) {
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -12,16 +12,16 @@
 	"porthub/emulator"
 )
 
-// tableSource is how a fleet's gateways get their tables. Its values are the names of baselines in results.
+// tableSource is the origin of the tables of a fleet's gateways. Its values are the names of baselines in results.
 type tableSource string
 
 const (
-	byCoordinator tableSource = "porthub"
-	initialTables tableSource = "standing tables only"
-	allEndpoints  tableSource = "one table of all nodes"
+	coordinatorTables tableSource = "porthub"
+	initialTables     tableSource = "standing tables only"
+	allEndpoints      tableSource = "one table of all nodes"
 )
 
-// fleet is an emulated fleet in a world of its own.
+// fleet is an emulated fleet with its clients. Each fleet of a run has its own world.
 type fleet struct {
 	scenario Scenario
 	source   tableSource
@@ -29,32 +29,32 @@
 	world    *emulator.World
 	log      *audit.Log
 	tally    *emulator.Tally
-	requests atomic.Uint64 // numbers the requests of all clients
+	requests atomic.Uint64 // request counter of all clients, which numbers the requests
 	rng      *rand.Rand
 
-	endpoints   []*emulator.Endpoint
-	gateways    []*emulator.Gateway
-	weights     []float64 // of the gateways, mean 1
-	clients     []*emulator.Client
-	affected    [][]int // gateways that fault i affects, if it affects any
-	coordinator *coordinatorProcess
-	registry    *eurekaRegistry // in place of the list's file; nil: the file
+	endpoints        []*emulator.Endpoint
+	gateways         []*emulator.Gateway
+	relativeRates    []float64 // request rates of the gateways as multiples of their mean
+	clients          []*emulator.Client
+	affectedGateways [][]int // by fault: the gateways that it affects, if it affects gateways
+	coordinator      *coordinatorProcess
+	registry         *eurekaRegistry // source of the endpoint list; nil: the list's file
 
-	pending sync.WaitGroup // changes that are still to happen
-	ended   chan struct{}  // closed at the end of the run
+	pending sync.WaitGroup // scheduled list changes and gateway restarts
+	ended   chan struct{}  // closed when all clients have finished
 
 	mu         sync.Mutex // guards all below
 	listed     map[string]*listedEndpoint
-	listFrozen bool // a fault spoils the list's file
+	listFrozen bool // a fault has corrupted the list's file, which must not be rewritten
 }
 
 // listedEndpoint is an endpoint's entry in the endpoint list.
 type listedEndpoint struct {
 	state     audit.EndpointState
-	startedAt time.Duration // below 0: long ago
+	startedAt time.Duration // negative: so early that the endpoint has warmed up
 }
 
-// auditLimits are the limits of a scenario's rules.
+// auditLimits returns the limits by which the audit evaluates a scenario's rules.
 func auditLimits(s Scenario) audit.Limits {
 	const messageOverhead = 6 // lines
 	limits := audit.Limits{
@@ -76,16 +76,17 @@
 	return limits
 }
 
-// warmUpRules are how the endpoints of a fleet with these limits warm up.
+// warmUpRules returns the warm-up rules of the endpoints of a fleet with these limits.
 func warmUpRules(limits audit.Limits) emulator.WarmUpRules {
 	return emulator.WarmUpRules{WarmUp: limits.WarmUp, InitialCapacity: limits.InitialCapacity, OverloadFactor: limits.OverloadFactor,
 		OverloadWindow: limits.OverloadWindow}
 }
 
-// newFleet starts the endpoints of a fleet. Its caller must call stop, also after an error of a later step.
+// newFleet starts the endpoints of a fleet and prepares its gateways. After success the caller must call stop, even if a
+// later step fails.
 func newFleet(s Scenario, source tableSource, dir string, seed uint64) (*fleet, error) {
 	limits := auditLimits(s)
-	limits.WithoutCoordinator = source != byCoordinator
+	limits.WithoutCoordinator = source != coordinatorTables
 	log := audit.NewLog(limits)
 	f := &fleet{
 		scenario: s,
@@ -98,7 +99,7 @@
 		ended:    make(chan struct{}),
 	}
 	f.rng = f.world.Rand("fleet")
-	if s.Registry == "eureka" && source == byCoordinator {
+	if s.Registry == "eureka" && source == coordinatorTables {
 		registry, err := newEurekaRegistry()
 		if err != nil {
 			return nil, err
@@ -111,7 +112,7 @@
 	}
 	f.prepareGateways()
 	for i, fault := range s.Faults {
-		f.affected = append(f.affected, f.chooseGateways(fault, f.world.Rand(fmt.Sprint("struck ", i))))
+		f.affectedGateways = append(f.affectedGateways, f.chooseGateways(fault, f.world.Rand(fmt.Sprint("struck ", i))))
 	}
 	return f, nil
 }
@@ -141,7 +142,7 @@
 
 func (f *fleet) prepareGateways() {
 	s := f.scenario
-	f.weights = gatewayWeights(s, f.rng)
+	f.relativeRates = drawRelativeRates(s, f.rng)
 	var classes []string
 	for _, class := range s.Classes {
 		classes = append(classes, class.Name)
@@ -162,33 +163,33 @@
 			ReadChunk:        s.ReadChunk,
 			ReadPause:        time.Millisecond,
 		}
-		if f.source == byCoordinator {
+		if f.source == coordinatorTables {
 			options.Coordinator = f.address
 		}
 		f.gateways = append(f.gateways, emulator.NewGateway(f.world, options))
 	}
 }
 
-// gatewayWeights draws the sizes of the gateways, with a mean of 1.
-func gatewayWeights(s Scenario, rng *rand.Rand) []float64 {
-	weights := make([]float64, s.GatewayCount)
+// drawRelativeRates draws the gateways' relative request rates from a log-normal distribution and scales them to a mean of 1.
+func drawRelativeRates(s Scenario, rng *rand.Rand) []float64 {
+	rates := make([]float64, s.GatewayCount)
 	total := 0.0
-	for i := range weights {
-		weights[i] = math.Exp(s.GatewaySpread*rng.NormFloat64() - s.GatewaySpread*s.GatewaySpread/2)
-		total += weights[i]
+	for i := range rates {
+		rates[i] = math.Exp(s.GatewaySpread*rng.NormFloat64() - s.GatewaySpread*s.GatewaySpread/2)
+		total += rates[i]
 	}
-	for i := range weights {
-		weights[i] *= float64(s.GatewayCount) / total
+	for i := range rates {
+		rates[i] *= float64(s.GatewayCount) / total
 	}
-	return weights
+	return rates
 }
 
-// rate is a gateway's usual requests per second.
+// rate returns a gateway's requests per second without faults.
 func (f *fleet) rate(i int) float64 {
-	return f.weights[i] * f.scenario.RequestRate / float64(f.scenario.GatewayCount)
+	return f.relativeRates[i] * f.scenario.RequestRate / float64(f.scenario.GatewayCount)
 }
 
-// start starts the gateways and prepares the clients, which begin with run.
+// start starts the gateways and prepares the clients, which send requests once run is called.
 func (f *fleet) start() error {
 	if err := f.writeList(); err != nil {
 		return err
@@ -205,7 +206,7 @@
 }
 
 func (f *fleet) clientOptions(i int, g *emulator.Gateway) emulator.ClientOptions {
-	const lateShare = 0.15 // what a late response is still worth
+	const lateResponseShare = 0.15 // value of a response after its latency objective, as a fraction of the priority weight
 	options := emulator.ClientOptions{
 		Name:                g.Name,
 		Gateway:             g,
@@ -227,21 +228,22 @@
 			LatencyObjective: duration(class.LatencyObjective),
 			ClientTimeout:    duration(class.ClientTimeout),
 			PriorityWeight:   class.PriorityWeight,
-			LateShare:        lateShare,
+			LateShare:        lateResponseShare,
 			Idempotent:       class.idempotent(),
 		})
 	}
 	return options
 }
 
-// run has clients send and faults injected until the end of the scenario. It returns when all goroutines have ended.
+// run sends the clients' requests and injects the faults until the end of the scenario. It returns when all clients and faults
+// have ended.
 func (f *fleet) run() {
 	var faults sync.WaitGroup
 	for i, fault := range f.scenario.Faults {
 		faults.Go(func() {
 			f.sleep(duration(fault.At) - f.world.Now())
 			if inject := faultTypes[fault.Name].inject; inject != nil {
-				inject(injection{Fault: fault, fleet: f, rng: f.world.Rand(fmt.Sprint("trouble ", i)), gateways: f.affected[i]})
+				inject(injection{Fault: fault, fleet: f, rng: f.world.Rand(fmt.Sprint("trouble ", i)), gateways: f.affectedGateways[i]})
 			}
 		})
 	}
@@ -254,7 +256,7 @@
 	faults.Wait()
 }
 
-// stop ends gateways, endpoints and the registry.
+// stop terminates the gateways, the endpoints and the registry.
 func (f *fleet) stop() {
 	for _, g := range f.gateways {
 		g.Kill()
@@ -267,7 +269,7 @@
 	}
 }
 
-// sleep waits for a length of time or the end of the run; it reports whether the run continues.
+// sleep waits until d has elapsed or the run ends, and reports whether the run continues.
 func (f *fleet) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -277,7 +279,7 @@
 	}
 }
 
-// address returns where the coordinator listens; empty if there is none.
+// address returns the coordinator's address; empty if the fleet has no coordinator.
 func (f *fleet) address() string {
 	if f.coordinator == nil {
 		return ""
--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -8,10 +8,11 @@
 	"porthub/emulator"
 )
 
-// measure requests the coordinator's estimates each second until the end, and fills in the rates and latencies.
+// measure compares the coordinator's estimates with the actual load each second until the end of the run, and fills in the
+// rates and latencies.
 func (f *lightFleet) measure(start time.Duration, result *LoadReportResult) {
 	var last daemon.SamplingStatus
-	_ = f.readEstimates(&last) // an unanswered first question leaves zeros
+	_ = f.readEstimates(&last) // without a response the first counters are 0
 	reportsBefore := f.tally.Reports.Load()
 	offered := int64(0)
 	accepted := int64(0)
@@ -20,9 +21,9 @@
 		time.Sleep(time.Second)
 		before := last
 		if err := f.readEstimates(&last); err != nil {
-			continue // it is down, or behind
+			continue // the coordinator is down or overloaded
 		}
-		if last.Sampling.Reports >= before.Sampling.Reports { // it was not restarted
+		if last.Sampling.Reports >= before.Sampling.Reports { // the counters have not been reset by a restart
 			offered += last.Sampling.Lines - before.Sampling.Lines
 			accepted += last.Sampling.AcceptedLines - before.Sampling.AcceptedLines
 		}
@@ -42,25 +43,26 @@
 	result.Throttled = f.tally.Throttled.Load()
 }
 
-// readEstimates requests the coordinator's estimates. They stay as they were if it does not respond.
+// readEstimates requests the coordinator's estimates. It leaves them unchanged if the request fails.
 func (f *lightFleet) readEstimates(into *daemon.SamplingStatus) error {
-	var fresh daemon.SamplingStatus
-	if err := getJSON("http://"+f.coordinator.address()+"/intake", &fresh); err != nil {
+	var response daemon.SamplingStatus
+	if err := getJSON("http://"+f.coordinator.address()+"/intake", &response); err != nil {
 		return err
 	}
-	*into = fresh
+	*into = response
 	return nil
 }
 
-// compareEstimates compares the coordinator's estimates with the endpoints' load.
-func (f *lightFleet) compareEstimates(answer daemon.SamplingStatus, result *LoadReportResult) {
+// compareEstimates adds a comparison of the coordinator's estimates with the actual load of the endpoints to the result.
+// Draining endpoints are left out.
+func (f *lightFleet) compareEstimates(status daemon.SamplingStatus, result *LoadReportResult) {
 	now := f.world.Now()
-	views := []*EstimateAccuracy{&result.Overall}
+	accuracies := []*EstimateAccuracy{&result.Overall}
 	if f.isSteady(now) {
-		views = append(views, &result.Steady)
+		accuracies = append(accuracies, &result.Steady)
 	}
 	positions := map[string]int{}
-	for i, estimate := range answer.Endpoints {
+	for i, estimate := range status.Endpoints {
 		positions[string(estimate.Endpoint)] = i
 	}
 	period := duration(f.scenario.ReportPeriod)
@@ -68,31 +70,31 @@
 		if f.stateOf(e) == audit.Draining {
 			continue
 		}
-		i, seen := positions[e.Name]
-		for _, view := range views {
-			view.Cases++
-			if !seen {
-				view.Missing++
+		i, found := positions[e.Name]
+		for _, accuracy := range accuracies {
+			accuracy.Cases++
+			if !found {
+				accuracy.Missing++
 				continue
 			}
-			estimate := answer.Endpoints[i]
-			reportedAt := now - time.Duration(answer.Now-estimate.At)*time.Microsecond
-			attempts := e.AttemptRate(reportedAt-3*period/2, reportedAt-period/2) // a report is on the period before it
+			estimate := status.Endpoints[i]
+			reportedAt := now - time.Duration(status.Now-estimate.At)*time.Microsecond
+			attempts := e.AttemptRate(reportedAt-3*period/2, reportedAt-period/2) // a report covers the period before it
 			utilization, queue := e.MeanLoad(reportedAt-period, reportedAt)
-			view.Attempts.add(estimate.Attempts, attempts, estimate.AttemptsError, max(attempts, 1))
-			view.Utilization.add(estimate.Utilization, utilization, estimate.UtilizationError, 1)
-			view.Queue.add(estimate.Queue, queue, estimate.QueueError, 10)
+			accuracy.Attempts.add(estimate.Attempts, attempts, estimate.AttemptsError, max(attempts, 1))
+			accuracy.Utilization.add(estimate.Utilization, utilization, estimate.UtilizationError, 1)
+			accuracy.Queue.add(estimate.Queue, queue, estimate.QueueError, 10)
 		}
 	}
 }
 
-// isSteady reports whether no fault has affected the fleet for some seconds.
+// isSteady reports whether no fault has affected the fleet for the settle time.
 func (f *lightFleet) isSteady(now time.Duration) bool {
-	const settling = 6 * time.Second
+	const settleTime = 6 * time.Second
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, at := range f.changes {
-		if now-at <= settling {
+		if now-at <= settleTime {
 			return false
 		}
 	}
--- a/chaos/load_report_faults.go
+++ b/chaos/load_report_faults.go
@@ -15,10 +15,10 @@
 	"porthub/routing"
 )
 
-// lightFault is a fault of a light fleet, at a part of the run's length.
+// lightFault is a fault of a light fleet.
 type lightFault struct {
-	at     float64
-	inject func()
+	position float64 // when it is injected, as a fraction of the run's length
+	inject   func()
 }
 
 // injectFaults injects the faults one after the other until the context ends.
@@ -26,22 +26,22 @@
 	failing := f.readyEndpoints(0, max(1, f.options.Endpoints/33))
 	length := float64(f.options.Seconds) * float64(time.Second)
 	for _, fault := range []lightFault{
-		{0.12, func() { setFailing(failing, true) }}, // every gateway that sends there reports it at once
+		{0.12, func() { setFailing(failing, true) }}, // all gateways that use these endpoints report failures at once
 		{0.24, func() { setFailing(failing, false) }},
 		{0.36, f.drainEndpoints},
 		{0.46, f.restartEndpoints},
 		{0.6, func() { f.restartCoordinator(ctx, result) }},
 		{0.8, f.stopSomeReports},
-		{0.88, func() { f.coordinator.pause(500 * time.Millisecond); f.noteChange() }},
+		{0.88, func() { f.coordinator.pause(500 * time.Millisecond); f.recordChange() }},
 	} {
-		sleepContext(ctx, start+time.Duration(fault.at*length)-f.world.Now())
-		f.noteChange()
+		sleepContext(ctx, start+time.Duration(fault.position*length)-f.world.Now())
+		f.recordChange()
 		if ctx.Err() != nil {
 			return
 		}
 		fault.inject()
 		if f.coordinator.failure() != nil {
-			return // the coordinator did not come back
+			return // the coordinator could not be restarted
 		}
 	}
 }
@@ -53,13 +53,13 @@
 	}
 }
 
-func (f *lightFleet) noteChange() {
+func (f *lightFleet) recordChange() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changes = append(f.changes, f.world.Now())
 }
 
-// readyEndpoints returns n ready endpoints from a position on. Neighbours are of different zones.
+// readyEndpoints returns up to n ready endpoints, beginning at an index. Adjacent endpoints of the fleet are in different zones.
 func (f *lightFleet) readyEndpoints(from, n int) []*emulator.LightEndpoint {
 	var ready []*emulator.LightEndpoint
 	for _, e := range f.endpoints[min(from, len(f.endpoints)):] {
@@ -79,7 +79,7 @@
 	}
 }
 
-// drainEndpoints drains two endpoints, one of which is measured.
+// drainEndpoints drains two endpoints. The drain of the first of them is measured.
 func (f *lightFleet) drainEndpoints() {
 	draining := f.readyEndpoints(f.options.Endpoints/4, 2)
 	f.mu.Lock()
@@ -87,13 +87,13 @@
 		f.states[e.Name] = audit.Draining
 	}
 	f.mu.Unlock()
-	_ = f.writeList() // an unwritten list shows in the result
+	_ = f.writeList() // a failed write shows in the result, as late or missing drain times
 	f.mu.Lock()
 	f.drainedAt = f.world.Now()
 	f.mu.Unlock()
 }
 
-// restartEndpoints restarts a tenth of the endpoints at once. The list has their starts late.
+// restartEndpoints restarts a tenth of the endpoints at the same time. The list contains their start times after a delay.
 func (f *lightFleet) restartEndpoints() {
 	const (
 		downTime  = 700 * time.Millisecond
@@ -110,18 +110,18 @@
 		e.SetFailing(false)
 	}
 	time.Sleep(listDelay)
-	_ = f.writeList() // an unwritten list shows in the result
+	_ = f.writeList() // a failed write shows in the result, as the list lacks the start times
 }
 
-// restartCoordinator kills the coordinator, starts it again and waits until all gateways are connected.
+// restartCoordinator kills the coordinator, restarts it and records how long it takes until all gateways are connected again.
 func (f *lightFleet) restartCoordinator(ctx context.Context, result *LoadReportResult) {
 	f.coordinator.kill()
 	time.Sleep(2 * time.Second)
 	if err := f.coordinator.start(); err != nil {
-		return // injectFaults ends
+		return // injectFaults returns too
 	}
 	start := f.world.Now()
-	time.Sleep(500 * time.Millisecond) // the gateways notice that their connections have broken
+	time.Sleep(500 * time.Millisecond) // time for the gateways to detect the broken connections
 	for ctx.Err() == nil && f.countGateways((*emulator.LightGateway).Connected) < len(f.gateways) {
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -130,18 +130,18 @@
 		reconnected = -1
 	}
 	result.ReconnectSeconds = append(result.ReconnectSeconds, reconnected)
-	f.noteChange()
+	f.recordChange()
 }
 
-// stopSomeReports has every twentieth gateway stop reporting while it stays connected.
+// stopSomeReports makes every twentieth gateway stop reporting; it stays connected.
 func (f *lightFleet) stopSomeReports() {
 	for i := range len(f.gateways) / 20 {
 		f.gateways[20*i].StopReporting()
 	}
 }
 
-// startHostilePeers starts two peers that send garbage as fast as it is accepted, and twenty that send a byte per second.
-// They end with the context.
+// startHostilePeers starts two peers that send random bytes as fast as the coordinator accepts it, and twenty that send one byte per
+// second. They stop when the context ends.
 func (f *lightFleet) startHostilePeers(ctx context.Context, goroutines *sync.WaitGroup) {
 	garbage := make([]byte, 4096)
 	rng := f.world.Rand("garbage")
@@ -165,7 +165,7 @@
 	}
 }
 
-// runHostilePeer connects again and again, and sends until the connection breaks or the context ends.
+// runHostilePeer connects to the coordinator, sends until the connection breaks, and reconnects, until the context ends.
 func (f *lightFleet) runHostilePeer(ctx context.Context, send func(net.Conn) error) {
 	dialer := &net.Dialer{Timeout: time.Second}
 	for ctx.Err() == nil {
@@ -181,7 +181,8 @@
 	}
 }
 
-// corruption returns what corrupts the tables of a gateway so that the audit must find a rule violated; nil: nothing.
+// corruption returns the function that corrupts a gateway's tables so that the audit must report a violated rule; nil if the
+// gateway's tables are not corrupted.
 func (f *lightFleet) corruption(gateway int) func(*routing.Snapshot) {
 	switch f.options.BreakRule {
 	case audit.EmptyTable:
@@ -190,7 +191,7 @@
 		}
 	case audit.DuplicateEffect:
 		if gateway == 0 {
-			return retryEverything
+			return retryAllClasses
 		}
 	case audit.Drain:
 		return keepLightEndpoints()
@@ -200,14 +201,14 @@
 	return nil
 }
 
-func retryEverything(s *routing.Snapshot) {
+func retryAllClasses(s *routing.Snapshot) {
 	s.Routes = slices.Clone(s.Routes)
 	for i := range s.Routes {
 		s.Routes[i].RetryPolicy = policyapi.RetryTwice
 	}
 }
 
-// keepLightEndpoints keeps every endpoint that was ever in a table of the gateway.
+// keepLightEndpoints returns a function that adds all endpoints of a gateway's earlier tables to each table.
 func keepLightEndpoints() func(*routing.Snapshot) {
 	seen := map[string]routing.ClusterEndpoint{} // by cluster and endpoint
 	return func(s *routing.Snapshot) {
@@ -221,7 +222,7 @@
 	}
 }
 
-// sendAllToRestarted sends everything to an endpoint that has just been restarted.
+// sendAllToRestarted reduces each cluster to a single endpoint that has been restarted, if there is one.
 func (f *lightFleet) sendAllToRestarted(s *routing.Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,7 +231,8 @@
 			continue
 		}
 		for i := range s.Clusters {
-			s.Clusters[i].Endpoints = []routing.ClusterEndpoint{{Endpoint: policyapi.EndpointID(e.Name), Zone: policyapi.Zone(e.Zone), Weight: 1}}
+			s.Clusters[i].Endpoints = []routing.ClusterEndpoint{
+				{Endpoint: policyapi.EndpointID(e.Name), Zone: policyapi.Zone(e.Zone), Weight: 1}}
 		}
 	}
 }
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -9,20 +9,20 @@
 	"porthub/daemon"
 )
 
-// LoadReportOptions are how [RunLoadReports] is run.
+// LoadReportOptions configure [RunLoadReports].
 type LoadReportOptions struct {
-	Command           []string // as in Options
+	Command           []string // see [Options]
 	Seed              uint64
 	Gateways          int
 	Endpoints         int
-	MaxLinesPerSecond int // lines of reports that the coordinator accepts per second; 0: all
+	MaxLinesPerSecond int // lines of load reports that the coordinator accepts per second; 0: unlimited
 	Seconds           int
-	CoordinatorCores  int             // cores of the coordinator; 0: all
-	NoFaults          bool            // no faults are injected
-	BreakRule         string          // bare, drain, repeat or cold, to violate on purpose; empty: none
+	CoordinatorCores  int             // number of cores that the coordinator may use; 0: all
+	NoFaults          bool            // inject no faults
+	BreakRule         string          // rule to violate deliberately: bare, drain, repeat or cold; empty: none
 	CPUProfile        string          // file for the coordinator's CPU profile; empty: none
-	Dir               string          // kept if given
-	GracePeriod       config.Duration // of drains and empty tables; 0: as in other scenarios
+	Dir               string          // see [Options]
+	GracePeriod       config.Duration // drain grace period and limit of empty tables; 0: the defaults
 }
 
 // LoadReportResult is the outcome of [RunLoadReports].
@@ -33,41 +33,41 @@
 	Endpoints         int                      `json:"nodes"`
 	MaxLinesPerSecond int                      `json:"bound_lines_per_s"` // 0: none
 	CoordinatorCores  int                      `json:"coordinator_procs"` // 0: all
-	Requests          int64                    `json:"requests"`          // counted at light endpoints, none of them sent
-	Service           float64                  `json:"service"`           // part that succeeded
+	Requests          int64                    `json:"requests"`          // counted at the light endpoints without being sent
+	Service           float64                  `json:"service"`           // fraction of the requests that succeeded
 	Rules             map[string]audit.Verdict `json:"rules"`
 	Checks            []CheckResult            `json:"checks"`
 
-	ConnectSeconds   float64   `json:"joined_s"` // until every gateway's first report was accepted
-	ReconnectSeconds []float64 `json:"again_s"`  // until all were connected after each restart of the coordinator; -1: not before the end
+	ConnectSeconds   float64   `json:"joined_s"` // until the first report of each gateway was accepted
+	ReconnectSeconds []float64 `json:"again_s"`  // by restart: until all gateways were connected again; -1: not before the end
 	Reports          float64   `json:"reports_per_s"`
 	Lines            float64   `json:"lines_per_s"`
 	LinesAccepted    float64   `json:"lines_taken_per_s"`
-	ResponseTime     Latency   `json:"answer_ms"` // from sending a report to its response
-	DrainTime        Latency   `json:"drain_ms"`  // from an endpoint's draining in the list to a gateway's table without it
-	LateResponses    int64     `json:"late"`      // to reports, after more than a period
-	Deferred         int64     `json:"deferred"`  // reports that were rejected with 429 and 503
-	Throttled        int64     `json:"longer"`    // reports after a longer interval that the coordinator requested
+	ResponseTime     Latency   `json:"answer_ms"` // from a gateway's report to the response
+	DrainTime        Latency   `json:"drain_ms"`  // from a draining entry in the list to a gateway's table without the endpoint
+	LateResponses    int64     `json:"late"`      // responses to reports after more than a report period
+	Deferred         int64     `json:"deferred"`  // reports that were rejected with 429 or 503
+	Throttled        int64     `json:"longer"`    // reports sent after a longer interval that the coordinator requested
 	Disconnects      int64     `json:"broke"`
-	// Steady and Overall compare the coordinator's estimates with the endpoints' load: while nothing had changed for some
-	// seconds, and at all times.
+	// Steady and Overall compare the coordinator's estimates with the endpoints' load: Steady only while no fault had affected
+	// the fleet for some seconds, Overall at all times.
 	Steady  EstimateAccuracy `json:"view_steady"`
 	Overall EstimateAccuracy `json:"view_always"`
 
-	MaxMailbox int              `json:"inbox_most"`
+	MaxMailbox int              `json:"inbox_most"` // largest number of items in the coordinator's inbox
 	Steps      daemon.Latencies `json:"step_us"`
 	CPUSeconds float64          `json:"cpu_s"`
 	PeakKiB    int64            `json:"peak_kib"`
 }
 
-// Passed reports whether all rules were satisfied and all checks are ok.
+// Passed reports whether all rules were satisfied and all checks passed.
 func (r LoadReportResult) Passed() bool { return passed(r.Rules, r.Checks) }
 
-// runChecks compares the figures with what they have to be.
+// runChecks compares values of the result with their limits.
 func (r LoadReportResult) runChecks() []CheckResult {
 	const (
-		minWithin  = 0.9 // part of the estimates that has to be within its stated error
-		maxSeconds = 30  // for all gateways to connect
+		minWithin  = 0.9 // fraction of the estimates that must be within their stated error
+		maxSeconds = 30  // until all gateways are connected
 	)
 	within := func(name string, a Agreement) CheckResult {
 		return CheckResult{Name: name, OK: a.Within >= minWithin, Value: a.Within}
@@ -91,27 +91,27 @@
 	Attempts    Agreement `json:"tries"`
 	Utilization Agreement `json:"util"`
 	Queue       Agreement `json:"queue"`
-	Missing     float64   `json:"unseen"` // part of the cases without an estimate
+	Missing     float64   `json:"unseen"` // fraction of the cases without an estimate
 }
 
-// finish turns sums into means.
-func (v *EstimateAccuracy) finish() {
+// computeMeans divides the sums by the number of cases.
+func (v *EstimateAccuracy) computeMeans() {
 	cases := float64(v.Cases)
-	v.Attempts.finish(cases)
-	v.Utilization.finish(cases)
-	v.Queue.finish(cases)
+	v.Attempts.computeMeans(cases)
+	v.Utilization.computeMeans(cases)
+	v.Queue.computeMeans(cases)
 	v.Missing /= max(1, cases)
 }
 
-// Agreement is the part of the cases within the stated error and a twentieth, the mean error, and the mean of the stated
-// ones: relative for attempts, otherwise absolute.
+// Agreement summarizes the errors of estimates. Errors are relative for attempts, in units of 10 requests for queues, and
+// absolute for utilizations.
 type Agreement struct {
-	Within      float64 `json:"within"`
-	MeanError   float64 `json:"mean_error"`
-	StatedError float64 `json:"stated"`
+	Within      float64 `json:"within"`     // fraction of the cases within the stated error plus 5% of the actual value
+	MeanError   float64 `json:"mean_error"` // mean of the actual errors
+	StatedError float64 `json:"stated"`     // mean of the errors that the coordinator stated
 }
 
-// add adds a case; errors are counted in units of scale.
+// add adds a case. Errors are divided by scale.
 func (a *Agreement) add(estimate, actual, stated, scale float64) {
 	const tolerance = 0.05
 	difference := math.Abs(estimate - actual)
@@ -122,7 +122,7 @@
 	a.StatedError += stated / scale
 }
 
-func (a *Agreement) finish(cases float64) {
+func (a *Agreement) computeMeans(cases float64) {
 	if cases > 0 {
 		a.Within /= cases
 		a.MeanError /= cases
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -16,7 +16,7 @@
 	"porthub/routing"
 )
 
-// lightFleet is a fleet of light endpoints and gateways with its coordinator.
+// lightFleet is a fleet of light endpoints and gateways, with the coordinator to which they report.
 type lightFleet struct {
 	options     LoadReportOptions
 	scenario    Scenario
@@ -27,21 +27,22 @@
 	endpoints   []*emulator.LightEndpoint
 	gateways    []*emulator.LightGateway
 	tally       *emulator.LightTally
-	drained     string          // the endpoint whose draining is measured
-	drainTimes  *emulator.Tally // from its draining to a gateway's table without it
+	drainTarget string          // endpoint whose drain is measured
+	drainTimes  *emulator.Tally // from its draining entry in the list to a gateway's table without it
 
-	mu         sync.Mutex // guards all below
-	states     map[string]audit.EndpointState
-	startedAt  map[string]time.Duration // below 0: long ago
-	changes    []time.Duration          // when something affected the fleet
-	drainedAt  time.Duration            // 0: not yet
-	hasDrained []bool                   // by gateway: whether its table has the drained endpoint
+	mu             sync.Mutex // guards all below
+	states         map[string]audit.EndpointState
+	startedAt      map[string]time.Duration // negative: so early that the endpoint has warmed up
+	changes        []time.Duration          // times at which a fault affected the fleet
+	drainedAt      time.Duration            // 0: not drained yet
+	hasDrainTarget []bool                   // by gateway: whether its table contains the drain target
 }
 
-// RunLoadReports starts a coordinator and has light gateways report to it while faults are injected: endpoints that fail
-// everywhere at once, drains, a mass restart, the coordinator's own restart, gateways that stop reporting, and peers that
-// send garbage or a byte per second. An error means that the run could not be carried out (files, processes); violated rules
-// and failed checks are in the result.
+// RunLoadReports starts a coordinator and light gateways that report to it while faults are injected: endpoints that fail for
+// all gateways at the same time, drains, a mass restart of endpoints, a restart and a pause of the coordinator, gateways that
+// stop reporting, and peers that send garbage or one byte per second. It returns an error if the run could not be carried out,
+// for example because a file could not be written or a process could not be started. Violated rules and failed checks are part
+// of the result instead.
 func RunLoadReports(o LoadReportOptions) (LoadReportResult, error) {
 	result := LoadReportResult{Scenario: "intake", Seed: o.Seed, Gateways: o.Gateways, Endpoints: o.Endpoints,
 		MaxLinesPerSecond: o.MaxLinesPerSecond, CoordinatorCores: o.CoordinatorCores}
@@ -57,7 +58,7 @@
 	if err := f.coordinator.start(); err != nil {
 		return result, err
 	}
-	defer f.coordinator.end(syscall.SIGTERM)
+	defer f.coordinator.terminate(syscall.SIGTERM)
 	err = f.run(&result)
 	return result, err
 }
@@ -71,24 +72,24 @@
 	limits := auditLimits(scenario)
 	log := audit.NewLog(limits)
 	f := &lightFleet{
-		options:    o,
-		scenario:   scenario,
-		dir:        dir,
-		log:        log,
-		world:      emulator.NewWorld(log, warmUpRules(limits), o.Seed),
-		tally:      emulator.NewLightTally(),
-		drainTimes: emulator.NewTally(),
-		states:     map[string]audit.EndpointState{},
-		startedAt:  map[string]time.Duration{},
-		hasDrained: make([]bool, o.Gateways),
+		options:        o,
+		scenario:       scenario,
+		dir:            dir,
+		log:            log,
+		world:          emulator.NewWorld(log, warmUpRules(limits), o.Seed),
+		tally:          emulator.NewLightTally(),
+		drainTimes:     emulator.NewTally(),
+		states:         map[string]audit.EndpointState{},
+		startedAt:      map[string]time.Duration{},
+		hasDrainTarget: make([]bool, o.Gateways),
 	}
 	f.coordinator = &coordinatorProcess{command: o.Command, dir: dir, world: f.world, log: log, output: output, config: configuration,
-		profile: o.CPUProfile, cores: o.CoordinatorCores}
-	f.build()
+		cpuProfile: o.CPUProfile, cores: o.CoordinatorCores}
+	f.populate()
 	return f
 }
 
-// lightConfiguration is the coordinator's configuration, with limits that suit the number of gateways.
+// lightConfiguration returns the coordinator's configuration, with limits that depend on the number of gateways.
 func lightConfiguration(o LoadReportOptions, scenario Scenario, dir string) config.Config {
 	const linesPerGateway = 40
 	c := scenario.Config(dir, "127.0.0.1:0", 1)
@@ -97,7 +98,7 @@
 		c.Rules.DrainGracePeriod = o.GracePeriod
 		c.Rules.EmptyTableLimit = o.GracePeriod
 	}
-	connections := 2*o.Gateways + 200 // all of them, twice while they reconnect, and the hostile peers
+	connections := 2*o.Gateways + 200 // two for each gateway while it reconnects, and the hostile peers
 	c.Limits = config.Limits{Connections: connections, PerAddress: connections}
 	c.Gateways.SilenceTimeout = 10_000_000
 	c.Reports.SamplingLimit = o.MaxLinesPerSecond
@@ -106,18 +107,18 @@
 	return c
 }
 
-// The sizes of light fleets.
+// The dimensions of light fleets.
 const (
-	lightRequestRate   = 8.0 // mean requests per second of a gateway
-	lightCores         = 4.0 // of an endpoint
-	lightUtilization   = 0.5 // of the endpoints
-	lightInitialTable  = 6   // endpoints
-	lightSizeSigma     = 0.7 // of the gateways' log-normal sizes
-	lightSizeLogOffset = 0.245
+	lightRequestRate      = 8.0   // mean requests per second of a gateway
+	lightCores            = 4.0   // CPU cores of an endpoint
+	lightUtilization      = 0.5   // mean utilization of the endpoints
+	lightInitialTableSize = 6     // endpoints in a gateway's initial table
+	lightRateSigma        = 0.7   // of the gateways' log-normal request rates
+	lightRateLogOffset    = 0.245 // lightRateSigma squared / 2, for a mean factor of 1
 )
 
-// build makes the endpoints, and gateways of different sizes.
-func (f *lightFleet) build() {
+// populate creates the endpoints, and the gateways with their different request rates.
+func (f *lightFleet) populate() {
 	work := lightUtilization * lightCores * float64(f.options.Endpoints) / (lightRequestRate * float64(f.options.Gateways))
 	zones := f.scenario.Zones
 	byName := map[string]*emulator.LightEndpoint{}
@@ -130,10 +131,10 @@
 		f.startedAt[e.Name] = -time.Hour
 		entries = append(entries, emulator.ListEntry{Addr: e.Name, Zone: e.Zone, Weight: lightCores})
 	}
-	f.drained = f.endpoints[f.options.Endpoints/4].Name
+	f.drainTarget = f.endpoints[f.options.Endpoints/4].Name
 	rng := f.world.Rand("storm")
 	for i := range f.options.Gateways {
-		size := lightRequestRate * math.Exp(lightSizeSigma*rng.NormFloat64()-lightSizeLogOffset)
+		rate := lightRequestRate * math.Exp(lightRateSigma*rng.NormFloat64()-lightRateLogOffset)
 		zone := zones[i%len(zones)]
 		initial := drawInitialTable(entries, zone, rng)
 		options := emulator.LightGatewayOptions{
@@ -147,47 +148,48 @@
 			OnTable:      func(s routing.Snapshot) { f.observeTable(i, s) },
 		}
 		for _, class := range f.scenario.Classes {
-			options.Classes = append(options.Classes, emulator.LightClass{Name: class.Name, Rate: size * class.Share, Idempotent: class.idempotent()})
+			options.Classes = append(options.Classes,
+				emulator.LightClass{Name: class.Name, Rate: rate * class.Share, Idempotent: class.idempotent()})
 		}
 		f.gateways = append(f.gateways, emulator.NewLightGateway(f.world, options, initial))
 	}
 }
 
-// drawInitialTable draws a few endpoints of a zone: the first ones, some of which later ones replace.
+// drawInitialTable draws a few endpoints of a zone. It starts with the first endpoints, which later ones replace at random.
 func drawInitialTable(entries []emulator.ListEntry, zone string, rng *rand.Rand) []emulator.ListEntry {
 	var table []emulator.ListEntry
 	for _, entry := range entries {
 		if entry.Zone != zone {
 			continue
 		}
-		if len(table) < lightInitialTable {
+		if len(table) < lightInitialTableSize {
 			table = append(table, entry)
 			continue
 		}
 		if rng.IntN(3) == 0 {
-			table[rng.IntN(lightInitialTable)] = entry
+			table[rng.IntN(lightInitialTableSize)] = entry
 		}
 	}
 	return table
 }
 
-// observeTable records when a gateway's table no longer has the drained endpoint.
+// observeTable records the time from the drain to a gateway's first table without the drain target.
 func (f *lightFleet) observeTable(gateway int, s routing.Snapshot) {
-	has := false
+	hasTarget := false
 	for _, cluster := range s.Clusters {
 		for _, endpoint := range cluster.Endpoints {
-			has = has || !endpoint.Withheld && string(endpoint.Endpoint) == f.drained
+			hasTarget = hasTarget || !endpoint.Withheld && string(endpoint.Endpoint) == f.drainTarget
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.hasDrained[gateway] && !has && f.drainedAt > 0 {
+	if f.hasDrainTarget[gateway] && !hasTarget && f.drainedAt > 0 {
 		f.drainTimes.RecordLatency(f.world.Now() - f.drainedAt)
 	}
-	f.hasDrained[gateway] = has
+	f.hasDrainTarget[gateway] = hasTarget
 }
 
-// writeList writes the endpoint list, and records it in the audit and at the endpoints.
+// writeList writes the endpoint list, records it in the audit log and sets the endpoints' listed states.
 func (f *lightFleet) writeList() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -216,7 +218,7 @@
 	return nil
 }
 
-// run runs the gateways and fills the result. All goroutines have ended when it returns.
+// run runs the gateways and fills in the result. All goroutines have ended when it returns.
 func (f *lightFleet) run(result *LoadReportResult) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	var goroutines sync.WaitGroup
@@ -224,15 +226,15 @@
 	defer cancel()
 	goroutines.Go(func() { f.updateEndpoints(ctx) })
 	connectingSince := f.world.Now()
-	for _, g := range f.gateways { // all at once
+	for _, g := range f.gateways { // all connect at the same time
 		goroutines.Go(func() { g.Run(ctx) })
 	}
 	if err := f.waitForReports(connectingSince); err != nil {
 		return err
 	}
 	result.ConnectSeconds = (f.world.Now() - connectingSince).Seconds()
-	const settling = 5 * time.Second // the decision module finds its tables, and sampling its part
-	time.Sleep(settling)
+	const settleTime = 5 * time.Second // until the decision module's tables and the sampling rate have settled
+	time.Sleep(settleTime)
 	start := f.world.Now()
 	if !f.options.NoFaults {
 		f.startHostilePeers(ctx, &goroutines)
@@ -241,7 +243,7 @@
 	f.measure(start, result)
 	stop := f.world.Now()
 	cancel()
-	f.coordinator.end(syscall.SIGTERM)
+	f.coordinator.terminate(syscall.SIGTERM)
 	cpu, peak := f.coordinator.usage()
 	result.CPUSeconds = cpu.Seconds()
 	result.PeakKiB = peak
@@ -251,14 +253,14 @@
 	goroutines.Wait()
 	result.Requests = f.tally.Attempts.Load() + f.tally.Rejected.Load()
 	result.Service = 1 - float64(f.tally.Failures.Load()+f.tally.Rejected.Load())/float64(max(1, result.Requests))
-	result.Steady.finish()
-	result.Overall.finish()
+	result.Steady.computeMeans()
+	result.Overall.computeMeans()
 	result.Rules = f.log.Evaluate(stop)
 	result.Checks = result.runChecks()
 	return nil
 }
 
-// updateEndpoints keeps the endpoints' load up to date until the context ends.
+// updateEndpoints updates the endpoints' load periodically until the context ends.
 func (f *lightFleet) updateEndpoints(ctx context.Context) {
 	const interval = 250 * time.Millisecond
 	last := time.Now()
@@ -272,7 +274,7 @@
 	}
 }
 
-// waitForReports waits until a report of each gateway has been accepted.
+// waitForReports waits until each gateway has had a report accepted.
 func (f *lightFleet) waitForReports(since time.Duration) error {
 	const limit = time.Minute
 	for {
@@ -281,16 +283,17 @@
 			return nil
 		}
 		if f.world.Now()-since > limit {
-			return fmt.Errorf("after a minute %d of %d gateways have reported, links broke %d times", reported, len(f.gateways), f.tally.Disconnects.Load())
+			return fmt.Errorf("after one minute %d of %d gateways have had a report accepted; gateways disconnected %d times",
+				reported, len(f.gateways), f.tally.Disconnects.Load())
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func (f *lightFleet) countGateways(is func(*emulator.LightGateway) bool) int {
+func (f *lightFleet) countGateways(matches func(*emulator.LightGateway) bool) int {
 	n := 0
 	for _, g := range f.gateways {
-		if is(g) {
+		if matches(g) {
 			n++
 		}
 	}
--- a/chaos/main_test.go
+++ b/chaos/main_test.go
@@ -15,7 +15,7 @@
 	"porthub/daemon"
 )
 
-// TestMain lets this binary serve as the coordinator's process: it is started again with the arguments of serve.
+// TestMain runs the tests or, in a process that a scenario starts with the arguments of serve, the coordinator.
 func TestMain(m *testing.M) {
 	variable, _, _ := strings.Cut(processEnvironment, "=")
 	if os.Getenv(variable) == "" {
@@ -44,10 +44,10 @@
 	return d.Run(ctx)
 }
 
-// testCommand is this binary as the coordinator's command.
+// testCommand returns the coordinator command, which is the test binary itself.
 func testCommand() []string { return []string{os.Args[0]} }
 
-// runAll runs a subtest for each rule, all at once however many tests may run in parallel: they mostly wait.
+// runAll runs a subtest for each rule. All run concurrently, regardless of the -parallel flag, because they mostly wait.
 func runAll(t *testing.T, rules []string, test func(t *testing.T, rule string)) {
 	t.Helper()
 	var all sync.WaitGroup
--- a/chaos/observe.go
+++ b/chaos/observe.go
@@ -14,11 +14,11 @@
 	"porthub/daemon"
 )
 
-// maxConvergence is how long waitForConvergence waits.
+// maxConvergence is the longest time that waitForConvergence waits.
 const maxConvergence = 10 * time.Second
 
-// waitForConvergence returns how many seconds after the last request every connected gateway has what it was last sent;
-// 10 if it takes longer.
+// waitForConvergence waits until all gateways are connected and have acknowledged their last tables, and returns how many
+// seconds that took; 10 if it took longer.
 func waitForConvergence(f *fleet) float64 {
 	start := time.Now()
 	for time.Since(start) < maxConvergence {
@@ -45,23 +45,24 @@
 	return true
 }
 
-// writtenBy requests what the coordinator has written since its last start; the zero value if it does not respond.
-func writtenBy(f *fleet) CoordinatorStats {
+// readCoordinatorStats requests the coordinator's counters. It returns the zero value if the coordinator does not respond.
+func readCoordinatorStats(f *fleet) CoordinatorStats {
 	var status daemon.Status
 	if err := getJSON("http://"+f.address()+"/tables", &status); err != nil {
 		return CoordinatorStats{}
 	}
-	written := CoordinatorStats{Files: status.FileDelivery.Files, Bytes: status.FileDelivery.Bytes, Polls: status.PollDelivery, Steps: status.StepTimes}
+	stats := CoordinatorStats{Files: status.FileDelivery.Files, Bytes: status.FileDelivery.Bytes, Polls: status.PollDelivery,
+		Steps: status.StepTimes}
 	for _, g := range status.Gateways {
-		written.Messages += g.Published
+		stats.Messages += g.Published
 	}
 	if status.Capture != nil {
-		written.Capture = *status.Capture
+		stats.Capture = *status.Capture
 	}
-	return written
+	return stats
 }
 
-// getJSON decodes the response to a request of the control API.
+// getJSON sends a GET request to the control API and decodes the response.
 func getJSON(url string, into any) error {
 	response, err := (&http.Client{Timeout: 5 * time.Second}).Get(url)
 	if err != nil {
@@ -70,12 +71,13 @@
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, response.Body)
-		return fmt.Errorf("%s: %s", url, response.Status)
+		return fmt.Errorf("GET %s: unexpected status %s", url, response.Status)
 	}
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// countLevelChanges counts the changes of the service level in a coordinator's log, in the scope that has most.
+// countLevelChanges counts the changes of the service level in a coordinator's log and returns the count of the scope with the
+// most changes.
 func countLevelChanges(path string) int {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -96,7 +98,7 @@
 	return highest
 }
 
-// showProgress writes a line each second until done is closed.
+// showProgress writes a status line each second until done is closed.
 func showProgress(f *fleet, w io.Writer, done <-chan struct{}) {
 	for {
 		select {
--- a/chaos/pinned_test.go
+++ b/chaos/pinned_test.go
@@ -7,7 +7,7 @@
 	"porthub/testutil"
 )
 
-// What the command prints as JSON, and what scenario files are read from, has the keys of the build before the renames.
+// The keys of printed JSON documents and of scenario files must not change when Go fields are renamed.
 func TestPrintedKeysArePinned(t *testing.T) {
 	for name, value := range map[string]any{
 		"result":   testutil.Filled[Result](t),
--- a/chaos/poll_watch.go
+++ b/chaos/poll_watch.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// pollWatch collects which gateways have tables and when each was sent the drain. It is safe for concurrent use.
+// pollWatch records which gateways have received tables, and when each received the drain. It is safe for concurrent use.
 type pollWatch struct {
-	mu          sync.Mutex   // guards all below
-	hasFirst    map[int]bool // by gateway with a table: whether it has the first endpoint
-	drainedAt   time.Time
-	wakes       map[int]time.Duration // by gateway, since the drain; nil before it
-	err         error                 // the last one
-	disconnects int
+	mu             sync.Mutex   // guards all below
+	hasDrainTarget map[int]bool // by gateway with a table: whether that contains the drain target
+	drainedAt      time.Time
+	drainTimes     map[int]time.Duration // by gateway: from the drain to a table without the target; nil before the drain
+	err            error                 // most recent error of a connection
+	disconnects    int
 }
 
-// errNoPollAnswered is returned if a drain reached no gateway.
-var errNoPollAnswered = errors.New("no poll was answered with the drain")
+// errDrainNotReceived is returned if no gateway received the drain.
+var errDrainNotReceived = errors.New("no gateway received a table without the drained endpoint")
 
-// noteDisconnect records why a connection ended.
-func (w *pollWatch) noteDisconnect(err error) {
+// recordDisconnect counts a broken connection and records its error. It ignores the end of the run.
+func (w *pollWatch) recordDisconnect(err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
@@ -33,42 +33,42 @@
 	w.disconnects++
 }
 
-// begin begins the measurement and returns how many gateways have the endpoint that is drained.
-func (w *pollWatch) begin(at time.Time) (holders int) {
+// startDrain begins the measurement of the drain and returns the number of gateways whose tables contain the drain target.
+func (w *pollWatch) startDrain(at time.Time) (affected int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, has := range w.hasFirst {
+	for _, has := range w.hasDrainTarget {
 		if has {
-			holders++
+			affected++
 		}
 	}
 	w.drainedAt = at
-	w.wakes = map[int]time.Duration{}
-	return holders
+	w.drainTimes = map[int]time.Duration{}
+	return affected
 }
 
-// observe records a gateway's endpoints: whether the first one is among them, and how many there are.
-func (w *pollWatch) observe(gateway int, hasFirst bool, endpoints int) {
+// observe records whether a gateway's new table contains the drain target, and how many endpoints it contains.
+func (w *pollWatch) observe(gateway int, hasDrainTarget bool, endpoints int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, woken := w.wakes[gateway]; w.wakes != nil && !woken && w.hasFirst[gateway] && !hasFirst {
-		w.wakes[gateway] = time.Since(w.drainedAt)
+	if _, updated := w.drainTimes[gateway]; w.drainTimes != nil && !updated && w.hasDrainTarget[gateway] && !hasDrainTarget {
+		w.drainTimes[gateway] = time.Since(w.drainedAt)
 	}
 	if endpoints > 0 {
-		w.hasFirst[gateway] = hasFirst
+		w.hasDrainTarget[gateway] = hasDrainTarget
 	}
 }
 
 func (w *pollWatch) countTables() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.hasFirst)
+	return len(w.hasDrainTarget)
 }
 
-func (w *pollWatch) countWoken() int {
+func (w *pollWatch) countUpdated() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.wakes)
+	return len(w.drainTimes)
 }
 
 func (w *pollWatch) lastError() error {
@@ -77,14 +77,14 @@
 	return w.err
 }
 
-// fill fills in what was measured. It is an error if no gateway was woken.
-func (w *pollWatch) fill(result *PollResult) error {
+// fillResult fills in the measured times. It returns an error if no gateway received the drain.
+func (w *pollWatch) fillResult(result *PollResult) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	times := slices.Sorted(maps.Values(w.wakes))
+	times := slices.Sorted(maps.Values(w.drainTimes))
 	result.UpdatedGateways = len(times)
 	if len(times) == 0 {
-		return errors.Join(errNoPollAnswered, w.err)
+		return errors.Join(errDrainNotReceived, w.err)
 	}
 	result.DrainTime = Latency{P50: milliseconds(times[len(times)/2]), P99: milliseconds(times[len(times)*99/100])}
 	result.MaxDrainTime = milliseconds(times[len(times)-1])
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -29,10 +29,11 @@
 type PollResult struct {
 	Gateways  int `json:"gateways"`
 	Endpoints int `json:"nodes"`
-	Polls     int `json:"polls"` // two for each gateway, a connection each
-	// ConnectSeconds is how long it took until every gateway had its tables.
+	Polls     int `json:"polls"` // two for each gateway, each on its own connection
+	// ConnectSeconds is the time until every gateway had received its first table.
 	ConnectSeconds float64 `json:"joined_s"`
-	// KiBPerPoll is the coordinator's memory for each waiting poll, in KiB: its growth from before the first until all wait.
+	// KiBPerPoll is the growth of the coordinator's resident set, from before the first poll until all polls are pending, divided
+	// by the number of polls.
 	KiBPerPoll float64 `json:"kib_per_poll"`
 	// AffectedGateways counts the gateways whose tables contained the drained endpoint before it was drained. DrainTime is the
 	// time from the draining entry in the list until such a gateway has received a table without the endpoint, and
@@ -41,11 +42,11 @@
 	DrainTime        Latency `json:"wake_ms"`
 	MaxDrainTime     float64 `json:"wake_most_ms"`
 	UpdatedGateways  int     `json:"woken"`
-	Disconnects      int     `json:"broke"` // connections that broke and were dialled again
+	Disconnects      int     `json:"broke"` // connections that broke and were established again
 }
 
-// RunPolls starts a coordinator, has gateways poll for endpoints and routes, and drains an endpoint once all polls
-// wait.
+// RunPolls starts a coordinator and gateways that poll it for endpoints and routes, and drains an endpoint once all polls are
+// pending.
 func RunPolls(command []string, gateways, endpoints int) (PollResult, error) {
 	result := PollResult{Gateways: gateways, Endpoints: endpoints, Polls: 2 * gateways}
 	dir, output, remove, err := workDirWithLog("", "porthub-polls-")
@@ -60,7 +61,7 @@
 	if err := m.coordinator.start(); err != nil {
 		return result, err
 	}
-	defer m.coordinator.end(syscall.SIGTERM)
+	defer m.coordinator.terminate(syscall.SIGTERM)
 	err = m.run(&result)
 	return result, err
 }
@@ -90,29 +91,29 @@
 		dir:         dir,
 		endpoints:   endpoints,
 		coordinator: &coordinatorProcess{command: command, dir: dir, world: world, log: log, output: output, config: c},
-		watch:       &pollWatch{hasFirst: map[int]bool{}},
+		watch:       &pollWatch{hasDrainTarget: map[int]bool{}},
 	}
 }
 
-// writeList writes the list, with a status for its first endpoint: that is the one that is drained.
-func (m *pollMeasurement) writeList(firstStatus string) error {
+// writeList writes the endpoint list with the given status of its first endpoint, which is the drain target.
+func (m *pollMeasurement) writeList(drainTargetStatus string) error {
 	var groups []targetGroup
 	for i := range m.endpoints {
-		labels := map[string]string{labelZone: m.zone(i), labelMachine: machineType, labelLaunched: launchedLong}
+		labels := map[string]string{labelZone: m.zone(i), labelMachine: machineType, labelLaunched: launchedLongAgo}
 		if i == 0 {
-			labels[labelStatus] = firstStatus
+			labels[labelStatus] = drainTargetStatus
 		}
 		groups = append(groups, targetGroup{Targets: []string{fmt.Sprintf("127.0.0.1:%d", firstPort+i)}, Labels: labels})
 	}
 	return writeListFile(listPath(m.dir), groups)
 }
 
-// firstPort is the port of the first endpoint. Nothing listens there.
+// firstPort is the port of the first endpoint, which is the drain target. No process listens on the endpoints' ports.
 const firstPort = 1
 
 func (m *pollMeasurement) zone(i int) string { return m.scenario.Zones[i%len(m.scenario.Zones)] }
 
-// run measures. All goroutines have ended when it returns.
+// run fills in the result. All goroutines have ended when it returns.
 func (m *pollMeasurement) run(result *PollResult) error {
 	memoryBefore := currentResident(m.coordinator.pid())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -125,31 +126,31 @@
 		return err
 	}
 	result.ConnectSeconds = time.Since(start).Seconds()
-	const settling = 3 * time.Second // until the updates that follow the connections have arrived
-	time.Sleep(settling)
+	const settleTime = 3 * time.Second // until the gateways have received the updates that their connections cause
+	time.Sleep(settleTime)
 	result.KiBPerPoll = float64(currentResident(m.coordinator.pid())-memoryBefore) / float64(result.Polls)
-	result.AffectedGateways = m.watch.begin(time.Now())
+	result.AffectedGateways = m.watch.startDrain(time.Now())
 	if err := m.writeList(statusDraining); err != nil {
 		return err
 	}
-	m.waitForWakes(result.AffectedGateways)
-	if err := m.watch.fill(result); err != nil {
+	m.waitForUpdates(result.AffectedGateways)
+	if err := m.watch.fillResult(result); err != nil {
 		return err
 	}
 	cancel()
-	m.coordinator.end(syscall.SIGTERM)
+	m.coordinator.terminate(syscall.SIGTERM)
 	return nil
 }
 
-// startPolls starts two polls for each gateway, which end with the context.
+// startPolls starts two polls for each gateway, which stop when the context ends.
 func (m *pollMeasurement) startPolls(ctx context.Context, polls *sync.WaitGroup) {
-	const batch = 50 // connections arrive over seconds, as after a restart
+	const batchSize = 50 // spreads the connections over time, as after a restart
 	for i := range m.scenario.GatewayCount {
 		for _, routes := range []bool{false, true} {
 			p := poller{measurement: m, gateway: i, routes: routes}
 			polls.Go(func() { p.run(ctx) })
 		}
-		if i%batch == batch-1 {
+		if i%batchSize == batchSize-1 {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
@@ -159,34 +160,35 @@
 	gateways := m.scenario.GatewayCount
 	for deadline := time.Now().Add(2 * time.Minute); m.watch.countTables() < gateways; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			return errors.Join(fmt.Errorf("after two minutes %d of %d gateways have their tables", m.watch.countTables(), gateways), m.watch.lastError())
+			return errors.Join(fmt.Errorf("after two minutes %d of %d gateways have received a table", m.watch.countTables(), gateways),
+				m.watch.lastError())
 		}
 	}
 	return nil
 }
 
-func (m *pollMeasurement) waitForWakes(holders int) {
-	for deadline := time.Now().Add(time.Minute); m.watch.countWoken() < holders && time.Now().Before(deadline); {
+func (m *pollMeasurement) waitForUpdates(affected int) {
+	for deadline := time.Now().Add(time.Minute); m.watch.countUpdated() < affected && time.Now().Before(deadline); {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// poller polls for one document of one gateway.
+// poller polls for one document, the endpoints or the routes, on behalf of one gateway.
 type poller struct {
 	measurement *pollMeasurement
 	gateway     int
 	routes      bool
 }
 
-// run dials again and again until the context ends.
+// run polls on one connection after the other until the context ends.
 func (p poller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.measurement.watch.noteDisconnect(p.runConnection(ctx))
+		p.measurement.watch.recordDisconnect(p.runConnection(ctx))
 		time.Sleep(200 * time.Millisecond)
 	}
 }
 
-// runConnection polls on a connection until that or the context ends.
+// runConnection polls on a new connection until the connection breaks or the context ends.
 func (p poller) runConnection(ctx context.Context) error {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.measurement.coordinator.address())
 	if err != nil {
@@ -202,34 +204,37 @@
 			return err
 		}
 		if message == nil {
-			continue // nothing new
+			continue // no new version
 		}
 		version = message.VersionInfo
 		if p.routes {
 			continue
 		}
-		hasFirst, endpoints, err := findFirstEndpoint(message)
+		hasDrainTarget, endpoints, err := inspectEndpoints(message)
 		if err != nil {
 			return err
 		}
-		p.measurement.watch.observe(p.gateway, hasFirst, endpoints)
+		p.measurement.watch.observe(p.gateway, hasDrainTarget, endpoints)
 	}
 	return ctx.Err()
 }
 
-// poll sends a request and returns the response; nil if it has nothing new. It uses the binary form: what is measured is
-// the coordinator, and the gateways share its cores.
+// poll sends a request and returns the response. The response is nil if the document has not changed, or if the coordinator
+// rejects the poll with 503. poll uses the binary encoding to save CPU time, as the gateways share the cores with the
+// coordinator, whose latency is measured.
 func (p poller) poll(conn net.Conn, reader *bufio.Reader, version string) (*discoveryv3.DiscoveryResponse, error) {
 	path, resourceType := xds.EndpointPath, xds.EndpointType
 	if p.routes {
 		path, resourceType = xds.RoutePath, xds.RouteType
 	}
-	node := xds.Node{Name: fmt.Sprintf("gw-%d", p.gateway), Zone: p.measurement.zone(p.gateway), UsualRate: 1, Polls: true, MaxWait: time.Minute}
+	node := xds.Node{Name: fmt.Sprintf("gw-%d", p.gateway), Zone: p.measurement.zone(p.gateway), UsualRate: 1, Polls: true,
+		MaxWait: time.Minute}
 	text, err := proto.Marshal(xds.NewAcknowledgement(node, resourceType, version, "", ""))
 	if err != nil {
 		return nil, err
 	}
-	request := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: %d\r\n\r\n", path, len(text))
+	request := fmt.Appendf(nil, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/x-protobuf\r\nContent-Length: %d\r\n\r\n",
+		path, len(text))
 	if _, err := conn.Write(append(request, text...)); err != nil {
 		return nil, err
 	}
@@ -247,7 +252,7 @@
 		time.Sleep(time.Second)
 		return nil, nil
 	case response.StatusCode >= http.StatusBadRequest:
-		return nil, fmt.Errorf("%s: %s", response.Status, bytes.TrimSpace(body))
+		return nil, fmt.Errorf("poll failed with status %s: %s", response.Status, bytes.TrimSpace(body))
 	case response.StatusCode != http.StatusOK:
 		return nil, nil
 	}
@@ -258,9 +263,9 @@
 	return message, nil
 }
 
-// findFirstEndpoint reports whether the first endpoint can be sent requests by any cluster, and how many endpoints there
-// are in all clusters.
-func findFirstEndpoint(message *discoveryv3.DiscoveryResponse) (found bool, endpoints int, err error) {
+// inspectEndpoints reports whether any cluster contains the drain target without marking it as draining, and how many endpoints
+// all clusters contain.
+func inspectEndpoints(message *discoveryv3.DiscoveryResponse) (found bool, endpoints int, err error) {
 	for _, resource := range message.Resources {
 		cluster := &endpointv3.ClusterLoadAssignment{}
 		if err := resource.UnmarshalTo(cluster); err != nil {
--- a/chaos/process.go
+++ b/chaos/process.go
@@ -19,37 +19,37 @@
 	"porthub/emulator"
 )
 
-// processEnvironment marks the coordinator's process, so that a test binary can take that part.
+// processEnvironment is set in the environment of the coordinator's process, so that a test binary can act as the coordinator.
 const processEnvironment = "PORTHUB_DRILL=1"
 
 const (
-	startTimeout  = 15 * time.Second
-	startPollTime = 5 * time.Millisecond
+	startTimeout      = 15 * time.Second
+	startPollInterval = 5 * time.Millisecond
 )
 
-// coordinatorProcess is a coordinator in a process of its own that can be killed and started again. It is safe for
-// concurrent use.
+// coordinatorProcess is a coordinator in a separate process that can be killed and started again. It is safe for concurrent
+// use.
 type coordinatorProcess struct {
-	command []string // to which the arguments of serve are added
-	dir     string
-	world   *emulator.World
-	log     *audit.Log
-	output  *os.File // of the process
-	profile string   // file for a CPU profile; empty: none
-	cores   int      // that the process may use; 0: all
-
-	addr atomic.Pointer[string] // where it listens; nil before the first start
-
-	mu     sync.Mutex // guards all below; held while the process starts or ends
-	config config.Config
-	cmd    *exec.Cmd     // nil: it does not run
-	ended  chan struct{} // closed when cmd has ended
-	cpu    time.Duration // of ended processes
-	peak   int64         // largest resident set, KiB
-	err    error         // of all starts
+	command    []string // the arguments of serve are appended to it
+	dir        string
+	world      *emulator.World
+	log        *audit.Log
+	output     *os.File // standard output and error of the process
+	cpuProfile string   // file for a CPU profile; empty: none
+	cores      int      // number of cores that the process may use; 0: all
+
+	addr atomic.Pointer[string] // address of the last start; nil before the first start
+
+	mu      sync.Mutex // guards all below; held while the process starts or ends
+	config  config.Config
+	cmd     *exec.Cmd     // nil while no process is running
+	ended   chan struct{} // closed when cmd has exited
+	cpuTime time.Duration // total of the exited processes
+	peakKiB int64         // largest resident set so far
+	err     error         // joined errors of all starts
 }
 
-// address returns where the coordinator listens, or last listened; empty before its first start.
+// address returns the address at which the coordinator listens or last listened; empty before its first start.
 func (p *coordinatorProcess) address() string {
 	if addr := p.addr.Load(); addr != nil {
 		return *addr
@@ -57,8 +57,8 @@
 	return ""
 }
 
-// start runs the process and waits until it listens. The port of the first start stays. Errors are collected for
-// failure: a scenario whose coordinator did not come back has shown nothing.
+// start starts the process and waits until it listens. Later starts reuse the address of the first. Errors are also recorded
+// for failure, because the results of a scenario whose coordinator failed to restart are meaningless.
 func (p *coordinatorProcess) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,8 +79,8 @@
 	}
 	_ = os.Remove(addrPath)
 	args := slices.Concat(p.command[1:], []string{"serve", "-c", configPath, "--addr-file", addrPath})
-	if p.profile != "" {
-		args = append(args, "--cpu-profile", p.profile)
+	if p.cpuProfile != "" {
+		args = append(args, "--cpu-profile", p.cpuProfile)
 	}
 	cmd := exec.Command(p.command[0], args...)
 	cmd.Stdout = p.output
@@ -89,14 +89,14 @@
 	if p.cores > 0 {
 		cmd.Env = append(cmd.Env, fmt.Sprintf("GOMAXPROCS=%d", p.cores))
 	}
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it never outlives this process
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills it if this process dies
 	startedAt := p.world.Now()
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	ended := make(chan struct{})
 	go func() {
-		_ = cmd.Wait() // how it ended is seen from its state
+		_ = cmd.Wait() // terminate reads the process state
 		close(ended)
 	}()
 	addr, err := p.waitForAddress(cmd, ended, addrPath)
@@ -111,33 +111,33 @@
 	return nil
 }
 
-// waitForAddress waits until the process has written its address. On an error the process has ended.
+// waitForAddress waits until the process has written its address to a file. If it returns an error, the process has exited.
 func (p *coordinatorProcess) waitForAddress(cmd *exec.Cmd, ended <-chan struct{}, path string) (string, error) {
-	for deadline := time.Now().Add(startTimeout); ; time.Sleep(startPollTime) {
+	for deadline := time.Now().Add(startTimeout); ; time.Sleep(startPollInterval) {
 		if addr, err := os.ReadFile(path); err == nil && strings.Contains(string(addr), ":") {
 			return string(addr), nil
 		}
 		select {
 		case <-ended:
-			return "", fmt.Errorf("the coordinator ended at its start: %s", lastLine(p.output.Name()))
+			return "", fmt.Errorf("coordinator process exited during startup: last log line: %s", lastLine(p.output.Name()))
 		default:
 		}
 		if time.Now().After(deadline) {
 			_ = cmd.Process.Kill()
 			<-ended
-			return "", fmt.Errorf("the coordinator is not up after %v: see %s", startTimeout, p.output.Name())
+			return "", fmt.Errorf("coordinator process did not listen within %v: see %s", startTimeout, p.output.Name())
 		}
 	}
 }
 
-// failure returns the errors of all starts.
+// failure returns the joined errors of all starts.
 func (p *coordinatorProcess) failure() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// pid returns the process's id; 0 if it does not run.
+// pid returns the process ID; 0 if no process is running.
 func (p *coordinatorProcess) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -147,18 +147,18 @@
 	return p.cmd.Process.Pid
 }
 
-// kill ends the process outright.
-func (p *coordinatorProcess) kill() { p.end(syscall.SIGKILL) }
+// kill kills the process with SIGKILL.
+func (p *coordinatorProcess) kill() { p.terminate(syscall.SIGKILL) }
 
-// end ends the process by a signal and returns how long that took; 0 if it did not run.
-func (p *coordinatorProcess) end(signal syscall.Signal) time.Duration {
+// terminate sends a signal to the process and waits for its exit. It returns how long that took; 0 if no process was running.
+func (p *coordinatorProcess) terminate(signal syscall.Signal) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd == nil {
 		return 0
 	}
 	start := time.Now()
-	p.peak = max(p.peak, peakResident(p.cmd.Process.Pid))
+	p.peakKiB = max(p.peakKiB, peakResident(p.cmd.Process.Pid))
 	_ = p.cmd.Process.Signal(signal)
 	if signal == syscall.SIGKILL {
 		p.log.CoordinatorRunning(p.world.Now(), false)
@@ -166,7 +166,7 @@
 	<-p.ended
 	p.log.CoordinatorRunning(p.world.Now(), false)
 	if state := p.cmd.ProcessState; state != nil {
-		p.cpu += state.UserTime() + state.SystemTime()
+		p.cpuTime += state.UserTime() + state.SystemTime()
 	}
 	p.cmd = nil
 	return time.Since(start)
@@ -183,14 +183,14 @@
 	_ = syscall.Kill(pid, syscall.SIGCONT)
 }
 
-// usage returns the CPU time and the largest resident set of all ended processes.
+// usage returns the total CPU time and the largest resident set of all exited processes.
 func (p *coordinatorProcess) usage() (cpu time.Duration, peakKiB int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cpu, p.peak
+	return p.cpuTime, p.peakKiB
 }
 
-// lastLine is the last line of a log file, or why it can't be read.
+// lastLine returns the last line of a log file, or the error if the file can't be read.
 func lastLine(path string) string {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -200,13 +200,14 @@
 	return lines[len(lines)-1]
 }
 
-// peakResident is the largest resident set that a process has had, KiB. What Wait reports counts the parent's before exec.
+// peakResident returns the peak resident set of a process in KiB. The peak that Wait reports is not used, because it includes
+// the memory of the parent between fork and exec.
 func peakResident(pid int) int64 { return readStatus(pid, "VmHWM:") }
 
-// currentResident is a process's resident set, KiB.
+// currentResident returns the resident set of a process in KiB.
 func currentResident(pid int) int64 { return readStatus(pid, "VmRSS:") }
 
-// readStatus reads a size in KiB of a process's status; 0 if it can't be read.
+// readStatus returns a size in KiB from /proc/PID/status; 0 if it can't be read.
 func readStatus(pid int, field string) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/chaos/registry.go
+++ b/chaos/registry.go
@@ -14,12 +14,12 @@
 	"porthub/emulator/eureka"
 )
 
-// registryApp is the application of all endpoints at the registry.
+// registryApp is the application name of all endpoints in the registry.
 const registryApp = "CALC"
 
-// eurekaRegistry is an emulated Eureka registry with two peers that the coordinator reads in place of the list's file.
-// The audit takes an endpoint to be draining or removed from the moment when a peer has first published it without a fault
-// that hides it: no coordinator can know it sooner. It is safe for concurrent use.
+// eurekaRegistry is an emulated Eureka registry with two peers that replaces the list's file as the coordinator's source. The
+// audit considers an endpoint draining or removed from the time when a peer first published the change, without a fault that
+// hides it, because the coordinator cannot observe it earlier. It is safe for concurrent use.
 type eurekaRegistry struct {
 	registry *eureka.Registry
 	peers    []*eureka.Peer
@@ -27,22 +27,23 @@
 	mu          sync.Mutex // guards all below
 	pending     []pendingList
 	registered  map[string]eureka.Instance // by address
-	propagation *hdrhistogram.Histogram    // from a change until a peer has published it, microseconds
+	propagation *hdrhistogram.Histogram    // from a change until a peer has published it, in microseconds
 }
 
-// pendingList is a state of the list that no peer has published yet.
+// pendingList is a version of the list that no peer has published yet.
 type pendingList struct {
 	revision int
 	at       time.Time
-	record   func()
+	record   func() // records the list in the audit log
 }
 
-// RegistryTraffic is what a registry saw of the coordinator.
+// RegistryTraffic summarizes the coordinator's requests to a registry.
 type RegistryTraffic struct {
 	Calls   int   `json:"calls"`
 	Bytes   int64 `json:"bytes"`
 	Changes int64 `json:"changes"`
-	// PropagationTime is from a change at the registry until a peer has published it; from there on see latency_ms.
+	// PropagationTime is the time from a change in the registry until a peer has published it. For the delivery time of
+	// tables see latency_ms.
 	PropagationTime Latency `json:"told_ms"`
 }
 
@@ -51,7 +52,8 @@
 		peerCount      = 2
 		maxPropagation = 60_000_000 // microseconds
 	)
-	r := &eurekaRegistry{registry: eureka.New(), registered: map[string]eureka.Instance{}, propagation: hdrhistogram.New(1, maxPropagation, 3)}
+	r := &eurekaRegistry{registry: eureka.New(), registered: map[string]eureka.Instance{},
+		propagation: hdrhistogram.New(1, maxPropagation, 3)}
 	for range peerCount {
 		peer, err := r.registry.Listen()
 		if err != nil {
@@ -70,7 +72,7 @@
 	}
 }
 
-// recordRevision records the lists that a peer has published with a revision.
+// recordRevision records the pending lists up to a revision that a peer has published.
 func (r *eurekaRegistry) recordRevision(revision int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// update brings the registry to the list; record is called once a peer has published it.
+// update updates the registry's instances to the list. It calls record once a peer has published the list.
 func (r *eurekaRegistry) update(worldStart time.Time, endpoints []*emulator.Endpoint, listed map[string]*listedEndpoint, record func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +111,7 @@
 }
 
 func instanceOf(e *emulator.Endpoint, listed *listedEndpoint, worldStart time.Time) eureka.Instance {
-	host, port, _ := net.SplitHostPort(e.Addr) // it is the address of a listener
+	host, port, _ := net.SplitHostPort(e.Addr) // a listener's address is always valid
 	number, _ := strconv.Atoi(port)
 	instance := eureka.Instance{App: registryApp, ID: e.Addr, IP: host, Port: number, Status: "UP", UpSince: worldStart.Add(listed.startedAt),
 		Metadata: endpointLabels(e)}
@@ -119,7 +121,7 @@
 	return instance
 }
 
-// configure makes the registry the coordinator's source of the list.
+// configure makes the registry the coordinator's source of the endpoint list.
 func (r *eurekaRegistry) configure(c *config.Config) {
 	const maxResponse = 1 << 20 // bytes
 	source := config.EurekaRegistry{Name: "eureka", Deltas: true, PollInterval: 300_000, Timeout: 500_000, MaxResponseBytes: maxResponse}
@@ -130,7 +132,7 @@
 	c.Registry.Eureka = []config.EurekaRegistry{source}
 }
 
-// traffic sums up what the registry saw.
+// traffic returns the totals of all peers.
 func (r *eurekaRegistry) traffic() RegistryTraffic {
 	var out RegistryTraffic
 	for _, peer := range r.peers {
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -13,24 +13,25 @@
 	"porthub/emulator"
 )
 
-// Options are how a scenario is run.
+// Options configure a run of a scenario.
 type Options struct {
 	Seed       uint64
-	Command    []string // that serves as the coordinator, usually porthub itself
-	Delivery   string   // how tables reach gateways: files, poll, or both, by turns
-	BreakRule  string   // rule to violate on purpose; empty: none
-	Baselines  bool     // run the baselines too
-	NoSolver   bool     // the decision module's tables pass unchanged
-	NoRecovery bool     // a restarted coordinator restores nothing but the list
-	Levels     string   // of service; named: the scenario's, plain: the decision module's admission alone, off: none
-	Progress   io.Writer
-	Dir        string // kept if given; otherwise a directory of its own, removed at the end
+	Command    []string  // coordinator command, to which the arguments of serve are appended; usually porthub itself
+	Delivery   string    // delivery of tables to gateways: files, poll, or both, which alternates by gateway
+	BreakRule  string    // rule to violate deliberately, which the audit must report; empty: none
+	Baselines  bool      // also run the baselines
+	NoSolver   bool      // publish the decision module's tables without the weight solver
+	NoRecovery bool      // a restarted coordinator restores only the endpoint list
+	Levels     string    // service levels; named: the scenario's, plain: only the decision module's admission control, off: neither
+	Progress   io.Writer // receives a status line each second; nil: none
+	Dir        string    // working directory, which is kept; empty: a new directory that is removed at the end
 }
 
-// Run runs a scenario. An error means that the run could not be carried out (files, processes); violated rules
-// and failed checks are in the result.
+// Run runs a scenario. It returns an error if the run could not be carried out, for example because a file could not be
+// written or a process could not be started. Violated rules and failed checks are part of the result instead.
 func Run(s Scenario, o Options) (Result, error) {
-	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, ServiceByCell: map[string]float64{}, ServiceByClass: map[string]float64{}}
+	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, ServiceByCell: map[string]float64{},
+		ServiceByClass: map[string]float64{}}
 	dir, remove, err := workDir(o.Dir, "porthub-drill-")
 	if err != nil {
 		return result, err
@@ -44,7 +45,7 @@
 	if err := r.start(); err != nil {
 		return result, err
 	}
-	end := r.wait()
+	end := r.runFleets()
 	if err := r.coordinator.failure(); err != nil {
 		return result, err
 	}
@@ -52,17 +53,17 @@
 	return result, nil
 }
 
-// workDir returns a given directory, or a new one that remove removes.
+// workDir returns the requested directory or, if none is requested, a new one that the function remove removes.
 func workDir(requested, prefix string) (dir string, remove func(), err error) {
 	if requested != "" {
 		return requested, func() {}, nil
 	}
-	dir, err = os.MkdirTemp(scratch(), prefix)
+	dir, err = os.MkdirTemp(scratchDir(), prefix)
 	return dir, func() { _ = os.RemoveAll(dir) }, err
 }
 
-// workDirWithLog returns a directory as [workDir] does, with a file in it for what the coordinator prints. The function remove
-// closes the file.
+// workDirWithLog returns a directory as [workDir] does, and a new file in it for the coordinator's output. The function remove
+// also closes the file.
 func workDirWithLog(requested, prefix string) (dir string, output *os.File, remove func(), err error) {
 	dir, removeDir, err := workDir(requested, prefix)
 	if err != nil {
@@ -79,33 +80,34 @@
 	}, nil
 }
 
-// scratch is where a run's files are: in memory if the machine has such a directory, as operators' tables are. Otherwise
-// a disk that others keep busy would be judged in place of the coordinator.
-func scratch() string {
-	const memory = "/dev/shm"
-	probe, err := os.MkdirTemp(memory, "porthub-probe-")
+// scratchDir returns the parent of working directories: /dev/shm if it is writable, as operators keep tables in memory too, or
+// an empty string for the default directory of temporary files. On a disk that other processes keep busy, a run would measure
+// the disk instead of the coordinator.
+func scratchDir() string {
+	const sharedMemory = "/dev/shm"
+	probeDir, err := os.MkdirTemp(sharedMemory, "porthub-probe-")
 	if err != nil {
 		return ""
 	}
-	_ = os.Remove(probe)
-	return memory
+	_ = os.Remove(probeDir)
+	return sharedMemory
 }
 
-// run is a run of a scenario: the fleet of the coordinator and those of the baselines.
+// run is a run of a scenario, with the coordinator's fleet and those of the baselines.
 type run struct {
 	scenario    Scenario
 	options     Options
 	dir         string
 	fleets      []*fleet // the first is the coordinator's
 	coordinator *coordinatorProcess
-	output      *os.File // of the coordinator
+	output      *os.File // the coordinator's output
 }
 
 func (r *run) fleet() *fleet { return r.fleets[0] }
 
-// prepare starts the endpoints of the fleets and prepares the coordinator. stop must be called after an error too.
+// prepare starts the endpoints of the fleets and prepares the coordinator. The caller must call stop, even after an error.
 func (r *run) prepare() error {
-	sources := []tableSource{byCoordinator}
+	sources := []tableSource{coordinatorTables}
 	if r.options.Baselines {
 		sources = append(sources, initialTables, allEndpoints)
 	}
@@ -168,8 +170,8 @@
 	return nil
 }
 
-// wait runs the fleets until the end of the scenario, which it returns.
-func (r *run) wait() time.Duration {
+// runFleets runs the fleets until the scenario has ended and returns the time of its end.
+func (r *run) runFleets() time.Duration {
 	done := make(chan struct{})
 	var progress sync.WaitGroup
 	if r.options.Progress != nil {
@@ -185,7 +187,7 @@
 	return r.fleet().world.Now()
 }
 
-// stop ends everything that prepare and start have begun.
+// stop terminates everything that prepare and start have started.
 func (r *run) stop() {
 	if r.coordinator != nil {
 		r.coordinator.kill()
@@ -198,7 +200,7 @@
 	}
 }
 
-// collect fills the result and ends the coordinator.
+// collect fills in the result and terminates the coordinator.
 func (r *run) collect(result *Result, end time.Duration) {
 	f := r.fleet()
 	for _, check := range r.scenario.Checks {
@@ -206,9 +208,9 @@
 			result.ConvergedSeconds = waitForConvergence(f)
 		}
 	}
-	result.Coordinator = writtenBy(f)
+	result.Coordinator = readCoordinatorStats(f)
 	result.Rules = f.log.Evaluate(end)
-	result.StopMilliseconds = milliseconds(r.coordinator.end(syscall.SIGTERM))
+	result.StopMilliseconds = milliseconds(r.coordinator.terminate(syscall.SIGTERM))
 	cpu, peak := r.coordinator.usage()
 	result.CPUSeconds = cpu.Seconds()
 	result.PeakKiB = peak
@@ -217,7 +219,7 @@
 		traffic := f.registry.traffic()
 		result.Registry = &traffic
 	}
-	result.Restarts = restartsOf(f)
+	result.Restarts = collectRestarts(f)
 	result.DeliveryTime = latencyOf(f.log.DeliveryLatency())
 	result.DocumentsRead, result.IncompleteReads = f.log.DocumentCounts()
 	result.PeakLoadRatio = f.log.PeakLoadRatio()
@@ -234,7 +236,7 @@
 	result.Checks = runChecks(r.scenario, *result, cells)
 }
 
-// addTally adds the outcomes of the requests to a result, and returns the cells.
+// addTally adds the outcomes of the requests to a result and returns them by class and zone.
 func addTally(r *Result, tally *emulator.Tally) map[emulator.Cell]emulator.Sum {
 	cells, sum := tally.Sums()
 	r.Requests = sum.Requests
@@ -253,7 +255,7 @@
 	return cells
 }
 
-func restartsOf(f *fleet) []Restart {
+func collectRestarts(f *fleet) []Restart {
 	var out []Restart
 	for _, restart := range f.log.Restarts() {
 		r := Restart{
--- a/chaos/run_test.go
+++ b/chaos/run_test.go
@@ -7,8 +7,8 @@
 	"porthub/audit"
 )
 
-// shortDay is a small fleet's short day with several overlapping faults, the coordinator killed once.
-func shortDay() Scenario {
+// shortScenario returns a short scenario of a small fleet with several overlapping faults, one of which kills the coordinator.
+func shortScenario() Scenario {
 	s := defaultScenario()
 	s.Name = "short"
 	s.Seconds = 18
@@ -16,8 +16,8 @@
 	s.GatewayCount = 6
 	s.RequestRate = 50
 	s.Rules.WarmUp = 6_000_000
-	// On a machine that is busy with other things a real-time test must not judge tightly: a drain usually takes under a
-	// second.
+	// The limits are relaxed, because the test runs in real time and a busy machine delays the coordinator. A drain usually takes
+	// less than a second.
 	s.Rules.DrainGracePeriod = 10_000_000
 	s.Rules.EmptyTableLimit = 10_000_000
 	s.Faults = []Fault{
@@ -32,42 +32,44 @@
 	return s
 }
 
-// The short day satisfies all rules, no gateway reads half a file, and SIGTERM is obeyed.
-func TestShortDaySatisfiesTheRules(t *testing.T) {
+// Overlapping faults must neither lead to a violated rule nor to an incompletely read table, and the coordinator must exit on
+// SIGTERM.
+func TestShortScenarioSatisfiesAllRules(t *testing.T) {
 	t.Parallel()
-	result, err := Run(shortDay(), Options{Seed: 5, Command: testCommand()})
+	result, err := Run(shortScenario(), Options{Seed: 5, Command: testCommand()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for rule, verdict := range result.Rules {
 		if !verdict.Satisfied {
-			t.Errorf("%s violated: %+v", rule, verdict)
+			t.Errorf("rule %s is violated, want it satisfied: %+v", rule, verdict)
 		}
 	}
-	if result.IncompleteReads != 0 || result.DocumentsRead < 30 || result.Requests < 500 || result.Service < 0.3 || result.StopMilliseconds > 10_000 {
-		t.Errorf("%+v", result)
+	if result.IncompleteReads != 0 || result.DocumentsRead < 30 || result.Requests < 500 || result.Service < 0.3 ||
+		result.StopMilliseconds > 10_000 {
+		t.Errorf("got %+v, want no incomplete reads, at least 30 documents, 500 requests and service 0.3, and exit within 10 s", result)
 	}
 }
 
-// What is spoilt on the way is found, rule by rule: an audit that can't fail would show nothing.
+// The audit must report each rule that is violated deliberately, as otherwise it would pass any coordinator.
 func TestEachBrokenRuleIsFound(t *testing.T) {
 	t.Parallel()
 	runAll(t, audit.Rules, func(t *testing.T, rule string) {
-		s := shortDay()
+		s := shortScenario()
 		s.Rules.DrainGracePeriod = 3_000_000
 		s.Rules.EmptyTableLimit = 5_000_000
 		s.Faults = slices.DeleteFunc(s.Faults, func(f Fault) bool {
 			return f.Name != "crash" && f.Name != "answer_lost" && f.Name != "shrink"
 		})
 		if rule == audit.WarmUp {
-			s.RequestRate = 90 // at 50 the load is so near the limit that a busy machine keeps below it
+			s.RequestRate = 90 // at 50 requests/s the load is so close to the limit that it may stay below it on a busy machine
 		}
 		result, err := Run(s, Options{Seed: 5, BreakRule: rule, Command: testCommand()})
 		if err != nil {
 			t.Fatal(err)
 		}
 		if result.Rules[rule].Satisfied || result.Passed() {
-			t.Errorf("%s was violated and passes: %+v", rule, result.Rules)
+			t.Errorf("rule %s is satisfied, want the injected violation in %+v", rule, result.Rules)
 		}
 	})
 }
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -13,7 +13,7 @@
 	"porthub/config"
 )
 
-// Scenario is a fleet and the faults that are injected into it.
+// Scenario describes an emulated fleet, the faults that are injected into it and the checks of the result.
 type Scenario struct {
 	Name           string             `json:"name"`
 	Description    string             `json:"about"`
@@ -22,40 +22,40 @@
 	EndpointCount  int                `json:"nodes"`
 	EndpointCores  int                `json:"cores"`
 	GatewayCount   int                `json:"gateways"`
-	RequestRate    float64            `json:"reqs_per_s"`     // of all gateways together
-	GatewaySpread  float64            `json:"gateway_spread"` // sigma of the gateways' log-normal sizes; 0: all the same
+	RequestRate    float64            `json:"reqs_per_s"`     // total of all gateways
+	GatewaySpread  float64            `json:"gateway_spread"` // sigma of the gateways' log-normal request rates; 0: equal rates
 	Classes        []Class            `json:"request_kinds"`
 	Rules          config.Rules       `json:"rules"`
 	ReportPeriod   config.Duration    `json:"report_period"`
-	ListDelay      config.Duration    `json:"list_late"` // from a change to its being in the endpoint list
+	ListDelay      config.Duration    `json:"list_late"` // delay until a change appears in the endpoint list
 	Retries        int                `json:"client_retries"`
 	QueueLength    int                `json:"node_queue"`
 	MaxConnections int                `json:"node_connections"`
-	ReadChunk      int                `json:"read_chunk"` // bytes that gateways read of a file at a time; 0: all at once
-	Registry       string             `json:"registry"`   // file or eureka; empty: file
+	ReadChunk      int                `json:"read_chunk"` // bytes of a table file that gateways read at a time; 0: the whole file
+	Registry       string             `json:"registry"`   // source of the endpoint list, file or eureka; empty: file
 	Faults         []Fault            `json:"troubles"`
 	Checks         []Check            `json:"checks"`
-	Service        config.Degradation `json:"service"` // the coordinator's levels of reduced service
+	Service        config.Degradation `json:"service"` // the coordinator's service levels
 }
 
 // Class is a request class of a scenario.
 type Class struct {
 	Name             string          `json:"name"`
-	Share            float64         `json:"share"` // of all requests
-	Work             config.Duration `json:"work"`  // mean core time
+	Share            float64         `json:"share"` // fraction of all requests
+	Work             config.Duration `json:"work"`  // mean CPU time of a request
 	Idempotency      string          `json:"repeat"`
 	LatencyObjective config.Duration `json:"response_target"`
 	ClientTimeout    config.Duration `json:"client_timeout"`
 	PriorityWeight   float64         `json:"payoff"`
 }
 
-// idempotent reports whether requests may be executed again.
+// idempotent reports whether requests of the class may be executed more than once.
 func (c Class) idempotent() bool { return c.Idempotency == "replayable" }
 
-// Fault is a fault that is injected at a time. What Share, Size and Extra mean depends on the fault: see [DescribeFault].
+// Fault schedules the injection of a fault. The meaning of Share, Size and Extra depends on the fault: see [DescribeFault].
 type Fault struct {
 	Name     string          `json:"what"`
-	At       config.Duration `json:"at"`
+	At       config.Duration `json:"at"` // since the start of the run
 	Duration config.Duration `json:"for"`
 	Share    float64         `json:"part"`
 	Size     float64         `json:"size"`
@@ -64,18 +64,18 @@
 	Class    string          `json:"kind"`
 }
 
-// end is when the fault ends.
+// end returns the time at which the fault ends.
 func (f Fault) end() time.Duration { return duration(f.At + f.Duration) }
 
-// active reports whether the fault is active at a time.
+// active reports whether the fault is active at the given time.
 func (f Fault) active(at time.Duration) bool { return at >= duration(f.At) && at < f.end() }
 
-// Check is a figure that a scenario has to reach.
+// Check bounds a value of the result of a scenario.
 type Check struct {
-	// Name is one of the check names, or kind:CLASS for the service of a class.
+	// Name is the name of a checked value, such as service, or kind:CLASS for the service of a class.
 	Name    string  `json:"name"`
 	AtLeast float64 `json:"at_least"`
-	AtMost  float64 `json:"at_most"` // checked if it is above 0 or AtLeast is 0
+	AtMost  float64 `json:"at_most"` // applies if it is not 0, or if AtLeast is 0 or less
 }
 
 //go:embed scenarios/*.json
@@ -84,12 +84,12 @@
 // ErrInvalidScenario is returned for a scenario that can't be read or is not valid.
 var ErrInvalidScenario = errors.New("invalid scenario")
 
-// aloneBy is the prefix of scenarios with a single fault.
-const aloneBy = "only:"
+// singleFaultPrefix begins the names of scenarios with a single fault.
+const singleFaultPrefix = "only:"
 
-// List names the built-in scenarios and says what they are about.
-func List() (names, about []string) {
-	entries, _ := builtIn.ReadDir("scenarios") // embedded: it is there
+// List returns the names and descriptions of the built-in scenarios.
+func List() (names, descriptions []string) {
+	entries, _ := builtIn.ReadDir("scenarios") // it can't fail, as the directory is embedded
 	for _, entry := range entries {
 		name := strings.TrimSuffix(entry.Name(), ".json")
 		scenario, err := Load(name)
@@ -97,12 +97,12 @@
 			continue
 		}
 		names = append(names, name)
-		about = append(about, scenario.Description)
+		descriptions = append(descriptions, scenario.Description)
 	}
-	return names, about
+	return names, descriptions
 }
 
-// defaultScenario has the values that a scenario's file leaves out.
+// defaultScenario returns the defaults of keys that a scenario file leaves out.
 func defaultScenario() Scenario {
 	return Scenario{
 		Seconds:        60,
@@ -126,10 +126,10 @@
 	}
 }
 
-// Load returns a scenario: a built-in one by its name, only:FAULT for a single fault in the middle of a short run, or one
-// from a file. Its errors are [ErrInvalidScenario].
+// Load returns the scenario with the given name, which is that of a built-in scenario, only:FAULT for a short run with a
+// single fault, or the path of a scenario file. Its errors wrap [ErrInvalidScenario].
 func Load(name string) (Scenario, error) {
-	if fault, alone := strings.CutPrefix(name, aloneBy); alone {
+	if fault, isSingle := strings.CutPrefix(name, singleFaultPrefix); isSingle {
 		return singleFault(name, fault)
 	}
 	scenario := defaultScenario()
@@ -153,35 +153,38 @@
 	text, err := os.ReadFile(name)
 	if err != nil {
 		names, _ := List()
-		return nil, fmt.Errorf("%w: %q is no built-in one (%s), no only:FAULT and no file: %w", ErrInvalidScenario, name, strings.Join(names, ", "), err)
+		return nil, fmt.Errorf("%w: %q is neither a built-in scenario (%s) nor only:FAULT nor a readable file: %w",
+			ErrInvalidScenario, name, strings.Join(names, ", "), err)
 	}
 	return text, nil
 }
 
-// singleFault is a short scenario with one fault.
+// singleFault returns a short scenario with one fault.
 func singleFault(name, fault string) (Scenario, error) {
 	scenario := defaultScenario()
 	known, ok := faultTypes[fault]
 	if !ok {
-		return scenario, fmt.Errorf("%w: there is no fault %q, but %s", ErrInvalidScenario, fault, strings.Join(FaultNames(), ", "))
+		return scenario, fmt.Errorf("%w: unknown fault %q: it must be one of %s",
+			ErrInvalidScenario, fault, strings.Join(FaultNames(), ", "))
 	}
 	scenario.Name = name
 	scenario.Seconds = 24
-	scenario.Description = "that fault alone"
-	single := known.defaults
-	single.Name = fault
-	single.At = 4_000_000
-	scenario.Faults = []Fault{single}
+	scenario.Description = "a short run with a single fault"
+	scheduled := known.defaults
+	scheduled.Name = fault
+	scheduled.At = 4_000_000
+	scenario.Faults = []Fault{scheduled}
 	if registryFault, ok := registryFaults[fault]; ok {
 		scenario = registryFault.scenario(scenario, fault)
 	}
 	return scenario, nil
 }
 
-// validate returns an [ErrInvalidScenario] that names the first thing that is wrong.
+// validate returns an [ErrInvalidScenario] that describes the first invalid value.
 func (s Scenario) validate() error {
-	if !s.plausibleSize() {
-		return s.invalid("it needs 3 to 3600 seconds, 1 to 2000 endpoints and gateways, cores, requests, zones and classes")
+	if !s.hasValidSize() {
+		return s.invalid(
+			"seconds must be 3 to 3600, nodes and gateways 1 to 2000, cores and reqs_per_s above 0, zones and request_kinds not empty")
 	}
 	if s.Registry != "" && s.Registry != "file" && s.Registry != "eureka" {
 		return s.invalid("registry is %q: it must be file or eureka", s.Registry)
@@ -194,7 +197,7 @@
 	return nil
 }
 
-func (s Scenario) plausibleSize() bool {
+func (s Scenario) hasValidSize() bool {
 	return s.Seconds >= 3 && s.Seconds <= 3600 &&
 		s.EndpointCount >= 1 && s.EndpointCount <= 2000 &&
 		s.GatewayCount >= 1 && s.GatewayCount <= 2000 &&
@@ -203,13 +206,14 @@
 
 func (s Scenario) validateFault(i int, fault Fault) error {
 	if _, known := faultTypes[fault.Name]; !known {
-		return s.invalid("troubles[%d]: there is no %q, but %s", i, fault.Name, strings.Join(FaultNames(), ", "))
+		return s.invalid("troubles[%d]: unknown fault %q: it must be one of %s",
+			i, fault.Name, strings.Join(FaultNames(), ", "))
 	}
 	if fault.Zone != "" && !slices.Contains(s.Zones, fault.Zone) {
-		return s.invalid("troubles[%d]: %q is not one of %v", i, fault.Zone, s.Zones)
+		return s.invalid("troubles[%d]: unknown zone %q: it must be one of %v", i, fault.Zone, s.Zones)
 	}
 	if fault.Class != "" && !slices.ContainsFunc(s.Classes, func(c Class) bool { return c.Name == fault.Class }) {
-		return s.invalid("troubles[%d]: there is no request class %q", i, fault.Class)
+		return s.invalid("troubles[%d]: the scenario has no request class %q", i, fault.Class)
 	}
 	if fault.Share < 0 || fault.Share > 1 || fault.Size < 0 {
 		return s.invalid("troubles[%d]: part must be 0 to 1 and size 0 or more", i)
@@ -221,17 +225,17 @@
 	return fmt.Errorf("%w: %s: %s", ErrInvalidScenario, s.Name, fmt.Sprintf(format, args...))
 }
 
-// length is how long the scenario runs.
+// length returns the duration of the run.
 func (s Scenario) length() time.Duration { return time.Duration(s.Seconds) * time.Second }
 
 func duration(d config.Duration) time.Duration { return time.Duration(d) * time.Microsecond }
 
-// Config is the coordinator's configuration for the scenario, with its files in a directory.
+// Config returns the coordinator's configuration for the scenario, with all files below dir.
 func (s Scenario) Config(dir, listen string, seed uint64) config.Config {
 	const (
-		listPoll     = 100_000   // microseconds
-		minSilence   = 3_000_000 // microseconds
-		maxSeedValue = 1 << 31
+		listPollInterval  = 100_000   // microseconds
+		minSilenceTimeout = 3_000_000 // microseconds
+		maxSeedValue      = 1 << 31
 	)
 	c := config.Default()
 	c.Coordinator = config.Coordinator{Zone: s.Zones[0], Instances: 1, Seed: int(seed % maxSeedValue)}
@@ -239,13 +243,13 @@
 	c.StateDir = path.Join(dir, "state")
 	c.Delivery.Files.Dir = tableDir(dir)
 	c.Registry.File.Path = listPath(dir)
-	c.Registry.File.PollInterval = listPoll
+	c.Registry.File.PollInterval = listPollInterval
 	c.Zones = s.Zones
 	c.Rules = s.Rules
 	c.Degradation = s.Service
 	c.Reports.Period = s.ReportPeriod
 	c.Gateways.ExpectedCount = s.GatewayCount
-	c.Gateways.SilenceTimeout = max(minSilence, 3*s.ReportPeriod)
+	c.Gateways.SilenceTimeout = max(minSilenceTimeout, 3*s.ReportPeriod)
 	c.Channel.EndpointConnections = s.MaxConnections
 	for _, class := range s.Classes {
 		c.Classes = append(c.Classes, config.RequestClass{Name: class.Name, Idempotency: class.Idempotency, LatencyObjective: class.LatencyObjective,
@@ -254,8 +258,8 @@
 	return c
 }
 
-// tableDir is where the coordinator writes the gateways' tables.
+// tableDir returns the directory to which the coordinator writes the gateways' tables.
 func tableDir(dir string) string { return path.Join(dir, "tables") }
 
-// listPath is the file of the endpoint list.
+// listPath returns the path of the endpoint list's file.
 func listPath(dir string) string { return path.Join(dir, "nodes.json") }
