--- a/chaos/checks.go
+++ b/chaos/checks.go
@@ -22,7 +22,7 @@
 )
 
 // runChecks evaluates the checks of a scenario. It also checks that no gateway read an incomplete document.
-func runChecks(s Scenario, r Result, cells map[emulator.Cell]emulator.Sum) []CheckResult {
+func runChecks(s Scenario, r Result, cells map[emulator.ClassZone]emulator.Totals) []CheckResult {
 	var out []CheckResult
 	for _, check := range append([]Check{{Name: checkPartialReads}}, s.Checks...) {
 		value, ok := checkedValue(check.Name, r, cells)
@@ -47,7 +47,7 @@
 }
 
 // checkedValue returns the value that a check bounds, 0 for an unknown check. ok is false if the run has no such value.
-func checkedValue(name string, r Result, cells map[emulator.Cell]emulator.Sum) (value float64, ok bool) {
+func checkedValue(name string, r Result, cells map[emulator.ClassZone]emulator.Totals) (value float64, ok bool) {
 	if class, byClass := strings.CutPrefix(name, checkClassPrefix); byClass {
 		return classService(class, cells), true
 	}
@@ -75,8 +75,8 @@
 }
 
 // classService returns the service of a class in all zones.
-func classService(class string, cells map[emulator.Cell]emulator.Sum) float64 {
-	var total emulator.Sum
+func classService(class string, cells map[emulator.ClassZone]emulator.Totals) float64 {
+	var total emulator.Totals
 	for cell, sum := range cells {
 		if cell.Class == class {
 			total = total.Add(sum)
--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -27,7 +27,7 @@
 			offered += last.Sampling.Lines - before.Sampling.Lines
 			accepted += last.Sampling.AcceptedLines - before.Sampling.AcceptedLines
 		}
-		result.MaxMailbox = max(result.MaxMailbox, last.Inbox)
+		result.MaxMailbox = max(result.MaxMailbox, last.MailboxLength)
 		f.compareEstimates(last, result)
 	}
 	elapsed := (f.world.Now() - start).Seconds()
@@ -37,7 +37,7 @@
 	result.Steps = last.StepTimes
 	result.ResponseTime = latencyOf(f.tally.ResponseTimes().Latencies())
 	result.DrainTime = latencyOf(f.drainTimes.Latencies())
-	result.LateResponses = f.tally.LateAnswers.Load()
+	result.LateResponses = f.tally.LateResponses.Load()
 	result.Deferred = f.tally.Deferred.Load()
 	result.Disconnects = f.tally.Disconnects.Load()
 	result.Throttled = f.tally.Throttled.Load()
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -225,7 +225,7 @@
 	result.PeakLoadRatio = f.log.PeakLoadRatio()
 	cells := addTally(result, f.tally)
 	for _, baseline := range r.fleets[1:] {
-		_, sum := baseline.tally.Sums()
+		_, sum := baseline.tally.Totals()
 		result.Baselines[string(baseline.source)] = Baseline{
 			Service:         sum.Service(),
 			WorstService10s: baseline.tally.WorstService(10),
@@ -237,14 +237,14 @@
 }
 
 // addTally adds the outcomes of the requests to a result and returns them by class and zone.
-func addTally(r *Result, tally *emulator.Tally) map[emulator.Cell]emulator.Sum {
-	cells, sum := tally.Sums()
+func addTally(r *Result, tally *emulator.Tally) map[emulator.ClassZone]emulator.Totals {
+	cells, sum := tally.Totals()
 	r.Requests = sum.Requests
 	r.Service = sum.Service()
 	r.WorstService10s = tally.WorstService(10)
 	r.ServiceBy5s = tally.ServiceByWindow(5)
 	r.ResponseTime = latencyOf(tally.Latencies())
-	classes := map[string]emulator.Sum{}
+	classes := map[string]emulator.Totals{}
 	for cell, sum := range cells {
 		r.ServiceByCell[cell.Class+"@"+cell.Zone] = sum.Service()
 		classes[cell.Class] = classes[cell.Class].Add(sum)
