--- a/chaos/checks.go
+++ b/chaos/checks.go
@@ -22,10 +22,10 @@
 )
 
 // runChecks evaluates the checks of a scenario. It also checks that no gateway read an incomplete document.
-func runChecks(s Scenario, r Result, cells map[emulator.ClassZone]emulator.Totals) []CheckResult {
+func runChecks(s Scenario, r Result, totals map[emulator.ClassZone]emulator.Totals) []CheckResult {
 	var out []CheckResult
 	for _, check := range append([]Check{{Name: checkPartialReads}}, s.Checks...) {
-		value, ok := checkedValue(check.Name, r, cells)
+		value, ok := checkedValue(check.Name, r, totals)
 		if !ok {
 			continue
 		}
@@ -47,9 +47,9 @@
 }
 
 // checkedValue returns the value that a check bounds, 0 for an unknown check. ok is false if the run has no such value.
-func checkedValue(name string, r Result, cells map[emulator.ClassZone]emulator.Totals) (value float64, ok bool) {
+func checkedValue(name string, r Result, totals map[emulator.ClassZone]emulator.Totals) (value float64, ok bool) {
 	if class, byClass := strings.CutPrefix(name, checkClassPrefix); byClass {
-		return classService(class, cells), true
+		return classService(class, totals), true
 	}
 	switch name {
 	case checkService:
@@ -75,11 +75,11 @@
 }
 
 // classService returns the service of a class in all zones.
-func classService(class string, cells map[emulator.ClassZone]emulator.Totals) float64 {
+func classService(class string, totals map[emulator.ClassZone]emulator.Totals) float64 {
 	var total emulator.Totals
-	for cell, sum := range cells {
-		if cell.Class == class {
-			total = total.Add(sum)
+	for key, classTotal := range totals {
+		if key.Class == class {
+			total = total.Add(classTotal)
 		}
 	}
 	return total.Earned / max(total.Demanded, 1e-9)
--- a/chaos/load_report_estimates.go
+++ b/chaos/load_report_estimates.go
@@ -27,7 +27,7 @@
 			offered += last.Sampling.Lines - before.Sampling.Lines
 			accepted += last.Sampling.AcceptedLines - before.Sampling.AcceptedLines
 		}
-		result.MaxMailbox = max(result.MaxMailbox, last.MailboxLength)
+		result.MaxMailboxLength = max(result.MaxMailboxLength, last.MailboxLength)
 		f.compareEstimates(last, result)
 	}
 	elapsed := (f.world.Now() - start).Seconds()
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -54,10 +54,10 @@
 	Steady  EstimateAccuracy `json:"view_steady"`
 	Overall EstimateAccuracy `json:"view_always"`
 
-	MaxMailbox int              `json:"inbox_most"` // largest number of items in the coordinator's inbox
-	Steps      daemon.Latencies `json:"step_us"`
-	CPUSeconds float64          `json:"cpu_s"`
-	PeakKiB    int64            `json:"peak_kib"`
+	MaxMailboxLength int              `json:"inbox_most"` // largest number of items in the coordinator's mailbox
+	Steps            daemon.Latencies `json:"step_us"`
+	CPUSeconds       float64          `json:"cpu_s"`
+	PeakKiB          int64            `json:"peak_kib"`
 }
 
 // Passed reports whether all rules were satisfied and all checks passed.
--- a/chaos/result.go
+++ b/chaos/result.go
@@ -13,29 +13,29 @@
 
 // Result is the outcome of a scenario.
 type Result struct {
-	Scenario         string                   `json:"scenario"`
-	Seed             uint64                   `json:"seed"`
-	Requests         int                      `json:"requests"`
-	Service          float64                  `json:"service"`   // fraction of the demanded priority weight that was earned
-	WorstService10s  float64                  `json:"worst_10s"` // lowest service of any 10 s
-	Rules            map[string]audit.Verdict `json:"rules"`
-	DeliveryTime     Latency                  `json:"latency_ms"` // from writing a table file to a gateway using it
-	ResponseTime     Latency                  `json:"answers_ms"` // of requests that were answered, including retries
-	DocumentsRead    int                      `json:"reads"`
-	IncompleteReads  int                      `json:"partial_reads"`
-	Coordinator      CoordinatorStats         `json:"written"`
-	CPUSeconds       float64                  `json:"cpu_s"` // of all coordinator processes
-	PeakKiB          int64                    `json:"peak_kib"`
-	StopMilliseconds float64                  `json:"stop_ms"`               // from SIGTERM to the coordinator's exit
-	ConvergedSeconds float64                  `json:"converged_s,omitempty"` // until all gateways had acknowledged their last tables
-	Restarts         []Restart                `json:"restarts,omitempty"`
-	Registry         *RegistryTraffic         `json:"registry,omitempty"`
-	Baselines        map[string]Baseline      `json:"baselines"`
-	Checks           []CheckResult            `json:"checks"`
-	ServiceByCell    map[string]float64       `json:"cells"`   // service by class@zone
-	ServiceByClass   map[string]float64       `json:"kinds"`   // service by class
-	ServiceBy5s      []float64                `json:"by_5s"`   // service in each 5 s
-	PeakLoadRatio    float64                  `json:"busiest"` // work in the busiest endpoint's busiest second, as a multiple of the mean
+	Scenario           string                   `json:"scenario"`
+	Seed               uint64                   `json:"seed"`
+	Requests           int                      `json:"requests"`
+	Service            float64                  `json:"service"`   // fraction of the demanded priority weight that was earned
+	WorstService10s    float64                  `json:"worst_10s"` // lowest service of any 10 s
+	Rules              map[string]audit.Verdict `json:"rules"`
+	DeliveryTime       Latency                  `json:"latency_ms"` // from writing a table file to a gateway using it
+	ResponseTime       Latency                  `json:"answers_ms"` // of requests that were answered, including retries
+	DocumentsRead      int                      `json:"reads"`
+	IncompleteReads    int                      `json:"partial_reads"`
+	Coordinator        CoordinatorStats         `json:"written"`
+	CPUSeconds         float64                  `json:"cpu_s"` // of all coordinator processes
+	PeakKiB            int64                    `json:"peak_kib"`
+	StopMilliseconds   float64                  `json:"stop_ms"`               // from SIGTERM to the coordinator's exit
+	ConvergedSeconds   float64                  `json:"converged_s,omitempty"` // until all gateways had acknowledged their last tables
+	Restarts           []Restart                `json:"restarts,omitempty"`
+	Registry           *RegistryTraffic         `json:"registry,omitempty"`
+	Baselines          map[string]Baseline      `json:"baselines"`
+	Checks             []CheckResult            `json:"checks"`
+	ServiceByClassZone map[string]float64       `json:"cells"`   // service by class@zone
+	ServiceByClass     map[string]float64       `json:"kinds"`   // service by class
+	ServiceBy5s        []float64                `json:"by_5s"`   // service in each 5 s
+	PeakLoadRatio      float64                  `json:"busiest"` // work in the busiest endpoint's busiest second, as a multiple of the mean
 	// LevelChanges counts the changes of the service level in the scope with the most changes.
 	LevelChanges int `json:"level_changes"`
 }
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -30,7 +30,7 @@
 // Run runs a scenario. It returns an error if the run could not be carried out, for example because a file could not be
 // written or a process could not be started. Violated rules and failed checks are part of the result instead.
 func Run(s Scenario, o Options) (Result, error) {
-	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, ServiceByCell: map[string]float64{},
+	result := Result{Scenario: s.Name, Seed: o.Seed, Baselines: map[string]Baseline{}, ServiceByClassZone: map[string]float64{},
 		ServiceByClass: map[string]float64{}}
 	dir, remove, err := workDir(o.Dir, "porthub-drill-")
 	if err != nil {
@@ -223,7 +223,7 @@
 	result.DeliveryTime = latencyOf(f.log.DeliveryLatency())
 	result.DocumentsRead, result.IncompleteReads = f.log.DocumentCounts()
 	result.PeakLoadRatio = f.log.PeakLoadRatio()
-	cells := addTally(result, f.tally)
+	totals := addTally(result, f.tally)
 	for _, baseline := range r.fleets[1:] {
 		_, sum := baseline.tally.Totals()
 		result.Baselines[string(baseline.source)] = Baseline{
@@ -233,26 +233,26 @@
 			ServiceBy5s:     baseline.tally.ServiceByWindow(5),
 		}
 	}
-	result.Checks = runChecks(r.scenario, *result, cells)
+	result.Checks = runChecks(r.scenario, *result, totals)
 }
 
 // addTally adds the outcomes of the requests to a result and returns them by class and zone.
 func addTally(r *Result, tally *emulator.Tally) map[emulator.ClassZone]emulator.Totals {
-	cells, sum := tally.Totals()
-	r.Requests = sum.Requests
-	r.Service = sum.Service()
+	totals, overall := tally.Totals()
+	r.Requests = overall.Requests
+	r.Service = overall.Service()
 	r.WorstService10s = tally.WorstService(10)
 	r.ServiceBy5s = tally.ServiceByWindow(5)
 	r.ResponseTime = latencyOf(tally.Latencies())
 	classes := map[string]emulator.Totals{}
-	for cell, sum := range cells {
-		r.ServiceByCell[cell.Class+"@"+cell.Zone] = sum.Service()
-		classes[cell.Class] = classes[cell.Class].Add(sum)
+	for key, total := range totals {
+		r.ServiceByClassZone[key.Class+"@"+key.Zone] = total.Service()
+		classes[key.Class] = classes[key.Class].Add(total)
 	}
 	for class, sum := range classes {
 		r.ServiceByClass[class] = sum.Service()
 	}
-	return cells
+	return totals
 }
 
 func collectRestarts(f *fleet) []Restart {
--- a/cmd/porthub/chaos_report.go
+++ b/cmd/porthub/chaos_report.go
@@ -43,7 +43,7 @@
 	for _, class := range s.Classes {
 		fmt.Fprint(out, class.Name)
 		for _, zone := range s.Zones {
-			fmt.Fprintf(out, "\t%.3f", r.ServiceByCell[class.Name+"@"+zone])
+			fmt.Fprintf(out, "\t%.3f", r.ServiceByClassZone[class.Name+"@"+zone])
 		}
 		fmt.Fprintln(out)
 	}
