--- a/chaos/corruption.go
+++ b/chaos/corruption.go
@@ -13,8 +13,8 @@
 	"porthub/routing"
 )
 
-// breakRule corrupts tables on their way to the gateways, or the gateways' retries, so that the given rule is violated. It
-// verifies that the audit detects violations. An empty rule changes nothing.
+// breakRule changes the tables or the retries of gateways so that the given rule is violated, to verify that the audit detects
+// the violation. An empty rule changes nothing.
 func (f *fleet) breakRule(rule string) {
 	switch rule {
 	case audit.EmptyTable:
@@ -46,7 +46,8 @@
 	s.Clusters[0].Endpoints = nil
 }
 
-// keepAllEndpoints returns a function that adds all endpoints of earlier tables to each table, as if none were ever removed.
+// keepAllEndpoints returns a function that adds all endpoints of earlier tables to each table, as if none were ever removed
+// or withheld.
 func keepAllEndpoints() func(*routing.Snapshot) {
 	seen := map[string]map[string]routing.ClusterEndpoint{} // by class and endpoint
 	return func(s *routing.Snapshot) {
