--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestMain runs the property tests with fixed random draws.
-func TestMain(m *testing.M) { testutil.RunWithFixedDraws(m, 300) }
+func TestMain(m *testing.M) { testutil.RunWithFixedSeed(m, 300) }
 
 // publication returns the nth publication to a gateway, with endpoints on the given ports. Only the first one changes the
 // routes.
