--- a/config/sections.go
+++ b/config/sections.go
@@ -93,7 +93,7 @@
 	WarmUp           Duration `json:"cold"`          // time after its start by which an endpoint is warmed up at the latest
 	InitialCapacity  float64  `json:"cold_from"`     // fraction of the full capacity that an endpoint has at its start
 	OverloadFactor   float64  `json:"cold_multiple"` // ratio of load to capacity at which an endpoint that warms up is overloaded
-	OverloadWindow   Duration `json:"cold_window"`   // time for which the ratio must persist to count as overload
+	OverloadWindow   Duration `json:"cold_window"`   // window over which that load is summed up
 	RemovalIsDrain   bool     `json:"gone_binds"`    // an endpoint removed from the list has the grace period of a drain
 	QueueLimit       float64  `json:"waiting_lines"` // lines in flight to all gateways together
 	MessageLimit     int      `json:"messages"`      // messages to one gateway within the window; 0: no limit
--- a/emulator/endpoint.go
+++ b/emulator/endpoint.go
@@ -14,7 +14,7 @@
 
 // EndpointOptions configure an endpoint.
 type EndpointOptions struct {
-	Name           string // for logs; the endpoint is identified by its address
+	Name           string // selects the sequence of random numbers; the endpoint is identified by its address
 	Zone           string
 	Machine        string
 	Pod            int
--- a/emulator/gateway_tables.go
+++ b/emulator/gateway_tables.go
@@ -6,7 +6,8 @@
 	"porthub/routing"
 )
 
-// minOwnZoneEndpoints is the number of endpoints in a gateway's zone from which its initial table is restricted to that zone.
+// minOwnZoneEndpoints is the smallest number of endpoints in a gateway's own zone for which its initial table is restricted to
+// that zone.
 const minOwnZoneEndpoints = 3
 
 // initialTable returns a table of randomly selected endpoints, from the gateway's own zone if that has enough. With
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -67,10 +67,10 @@
 	// Requests are counted in steps throughout the period. If they were counted once, the requests of a second would
 	// arrive at an endpoint at the same moment.
 	const minWait = 10 * time.Millisecond
-	until := min(time.Until(next), max(time.Until(l.nextReport), minWait))
-	for until > 0 && ctx.Err() == nil {
-		step := min(until, g.ReportPeriod/4)
-		until -= step
+	remaining := min(time.Until(next), max(time.Until(l.nextReport), minWait))
+	for remaining > 0 && ctx.Err() == nil {
+		step := min(remaining, g.ReportPeriod/4)
+		remaining -= step
 		sleepContext(ctx, step)
 		g.send()
 	}
--- a/expectation/expectation_test.go
+++ b/expectation/expectation_test.go
@@ -92,7 +92,7 @@
 	settings func(*coordinator.Settings)
 }
 
-// violations returns violations by a part of the condition that each of them must make fail.
+// violations returns the violations, each by a part of the text of the condition that it must make fail.
 func violations() map[string]violation {
 	return map[string]violation{
 		"no empty table":             {tables: func(s *routing.Snapshot) { s.Clusters[0].Endpoints = nil }},
--- a/imports_test.go
+++ b/imports_test.go
@@ -62,7 +62,7 @@
 		}
 		layer, known := layerOf[name]
 		if !known {
-			t.Errorf("%s is missing in layers", name)
+			t.Errorf("%s is missing from layers", name)
 		}
 		for _, path := range words[1:] {
 			if imported, own := strings.CutPrefix(path, "porthub/"); own && layerOf[imported] > layer {
