--- a/cmd/porthub/chaos.go
+++ b/cmd/porthub/chaos.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -133,7 +132,8 @@
 	}
 	options := f.loadReports
 	if options.Gateways < 9 || options.Gateways > 15000 || options.MaxLinesPerSecond < 0 || options.CoordinatorCores < 0 || f.endpoints < 9 || f.endpoints > 2000 {
-		return errors.New("intake requires 9 to 15000 --gateways, 9 to 2000 --nodes, and --bound and --procs of 0 or more")
+		return fmt.Errorf("intake requires 9 to 15000 --gateways, 9 to 2000 --nodes, and --bound and --procs of 0 or more: got %d, %d, %d and %d",
+			options.Gateways, f.endpoints, options.MaxLinesPerSecond, options.CoordinatorCores)
 	}
 	rule := f.options.BreakRule
 	if rule == audit.Queue || !isRule(rule) {
--- a/cmd/porthub/levels_set.go
+++ b/cmd/porthub/levels_set.go
@@ -89,14 +89,14 @@
 }
 
 func sendLevel(cmd *cobra.Command, addr, path string, request any) error {
-	var answer daemon.LevelResponse
-	if err := call(cmd, addr, path, request, &answer); err != nil {
+	var response daemon.LevelResponse
+	if err := call(cmd, addr, path, request, &response); err != nil {
 		return err
 	}
-	if answer.Error != "" {
-		return errors.New(answer.Error)
+	if response.Error != "" {
+		return errors.New(response.Error)
 	}
-	override := answer.Override
+	override := response.Override
 	fmt.Fprintf(cmd.OutOrStdout(), "override %d: %s in %q: %s\n", override.ID, override.Action, override.Zone, override.Reason)
 	return nil
 }
--- a/cmd/porthub/node.go
+++ b/cmd/porthub/node.go
@@ -34,7 +34,7 @@
 
 func runNode() error {
 	// The signal handlers are installed first, because a signal without a handler ends the process. A SIGHUP that arrives before the
-	// coordinator serves stays in the channel: the file is then read once more.
+	// coordinator serves stays in the channel, and the file is read once more when it serves.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangups := make(chan os.Signal, 1)
--- a/cmd/porthub/nodes.go
+++ b/cmd/porthub/nodes.go
@@ -69,13 +69,13 @@
 	var addr, reason string
 	cmd.Args = cobra.ExactArgs(1)
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		var answer daemon.EndpointResponse
+		var response daemon.EndpointResponse
 		request := daemon.EndpointRequest{Endpoint: policyapi.EndpointID(args[0]), Reason: reason}
-		if err := call(cmd, addr, path, request, &answer); err != nil {
+		if err := call(cmd, addr, path, request, &response); err != nil {
 			return err
 		}
-		if answer.Error != "" {
-			return errors.New(answer.Error)
+		if response.Error != "" {
+			return errors.New(response.Error)
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", args[0], outcome)
 		return nil
--- a/cmd/porthub/soak_test.go
+++ b/cmd/porthub/soak_test.go
@@ -27,7 +27,7 @@
 const (
 	soakRounds     = 4                      // starts of the process for each seed
 	soakKillAfter  = 700 * time.Millisecond // delay from SIGTERM to SIGKILL, the shortest that the platform allows
-	soakReadyLimit = 10 * time.Second       // 90th percentile of the time from a start to the first answer
+	soakReadyLimit = 10 * time.Second       // limit on the 90th percentile of the time from a start to the first answer
 	soakHosts      = 12                     // endpoints in the list
 	soakBurst      = 300                    // proxies that connect at once
 	soakSockets    = 512                    // configured limit on sockets
@@ -113,7 +113,7 @@
 	}
 }
 
-// runRound starts the process, uses it under faults, ends it, and checks what its clients have seen.
+// runRound starts the process, uses it under faults, ends it, and checks the results of its clients.
 func (s *soak) runRound(round int) {
 	discovery := newSoakDiscovery(soakHosts)
 	first, second := discovery.listen(s.t), discovery.listen(s.t)
--- a/cmd/porthub/tables_pins.go
+++ b/cmd/porthub/tables_pins.go
@@ -53,14 +53,14 @@
 }
 
 func sendPin(cmd *cobra.Command, addr, path string, body any) error {
-	var answer daemon.PinResponse
-	if err := call(cmd, addr, path, body, &answer); err != nil {
+	var response daemon.PinResponse
+	if err := call(cmd, addr, path, body, &response); err != nil {
 		return err
 	}
-	if answer.Error != "" {
-		return errors.New(answer.Error)
+	if response.Error != "" {
+		return errors.New(response.Error)
 	}
-	fmt.Fprintf(cmd.OutOrStdout(), "pin %d of %s: %s\n", answer.Pin.ID, answer.Pin.Scope, answer.Pin.Reason)
+	fmt.Fprintf(cmd.OutOrStdout(), "pin %d of %s: %s\n", response.Pin.ID, response.Pin.Scope, response.Pin.Reason)
 	return nil
 }
 
--- a/cmd/porthub/top.go
+++ b/cmd/porthub/top.go
@@ -57,7 +57,7 @@
 
 func (f *topFlags) run(out io.Writer) error {
 	if f.interval < minFetchInterval {
-		return errors.New("--every is too short: it must be at least 200ms")
+		return fmt.Errorf("--every %v: it must be at least %v", f.interval, minFetchInterval)
 	}
 	source, err := f.source()
 	if err != nil {
--- a/tui/detail.go
+++ b/tui/detail.go
@@ -48,7 +48,7 @@
 }
 
 func (m Model) addGateway(block *textBlock, g coordinator.GatewayOverview) {
-	block.addf("gateway %s in %s, connected %t, last report %s ago", g.Gateway, g.Zone, g.Connected, age(m.frame.Now-g.LastMessageAt))
+	block.addf("gateway %s in %s, connected %t, last message %s ago", g.Gateway, g.Zone, g.Connected, age(m.frame.Now-g.LastMessageAt))
 	block.addf("confirmed %s, %d unacknowledged messages, the oldest for %s", g.Version, g.Unacknowledged, age(g.OldestUnacknowledged))
 	block.addf("demand %.1f requests/s, %d open endpoints, level %s", g.Demand, g.OpenEndpoints, g.Level)
 }
--- a/tui/layout.go
+++ b/tui/layout.go
@@ -56,7 +56,7 @@
 func column(cell string, width, rest int) string {
 	switch {
 	case width == 0:
-		return fit(cell, max(minFlexibleWidth, rest+1)) // rest includes a space after the last column, which has none
+		return fit(cell, max(minFlexibleWidth, rest+1)) // rest allows for a space after each column, but the last one has none
 	case width < 0:
 		padding := max(0, -width-ansi.StringWidth(cell))
 		return fit(strings.Repeat(" ", padding)+cell, -width)
