--- a/chaos/endpoint_list.go
+++ b/chaos/endpoint_list.go
@@ -30,8 +30,8 @@
 	launchedLongAgo = "0" // start time of an endpoint that has warmed up
 )
 
-// launchedLabel returns the label of a start time, in microseconds since 1970. A negative start time stands for an endpoint that
-// has warmed up.
+// launchedLabel returns the label of a start time, in microseconds since 1970. A negative start time stands for an endpoint
+// that has warmed up.
 func launchedLabel(worldStart time.Time, startedAt time.Duration) string {
 	if startedAt < 0 {
 		return launchedLongAgo
@@ -100,7 +100,8 @@
 	})
 }
 
-// writeList writes the endpoint list to its file or registry, and records it in the audit log.
+// writeList writes the endpoint list to its file or registry, and records it in the audit log: a file at once, a registry when
+// a peer has published the list.
 func (f *fleet) writeList() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/chaos/fault_endpoints.go
+++ b/chaos/fault_endpoints.go
@@ -26,7 +26,8 @@
 	in.applyAndRevert(endpoints, func(e *emulator.Endpoint) { e.SetFault(set) }, func(e *emulator.Endpoint) { e.SetFault(reset) })
 }
 
-// chooseEndpoints draws the affected endpoints from those that are running and ready, in the fault's zone if it has one.
+// chooseEndpoints draws the fraction Share of the endpoints that are running and ready in the list, from the fault's zone if it
+// has one.
 func (in injection) chooseEndpoints() []*emulator.Endpoint {
 	var eligible []*emulator.Endpoint
 	for _, e := range in.fleet.endpoints {
@@ -141,7 +142,7 @@
 }
 
 func (in injection) limitConnections() {
-	const minShare = 1e-3 // 0 would mean no limit
+	const minShare = 1e-3 // 0 would mean the full limit
 	in.withFault(in.fleet.endpoints, func(x *emulator.Fault) { x.ConnectionShare = max(in.Size, minShare) },
 		func(x *emulator.Fault) { x.ConnectionShare = 0 })
 }
@@ -194,7 +195,8 @@
 	for _, e := range removed {
 		f.setListed(e, audit.Draining, 0)
 		f.setListed(e, audit.Absent, drain)
-		// The endpoint keeps running for twice the grace period, so that requests sent within that period are still served.
+		// The endpoint keeps running for twice the grace period after its removal, so that requests sent within that period are
+		// still served.
 		time.AfterFunc(drain+2*duration(f.scenario.Rules.DrainGracePeriod), e.Kill)
 		if !f.sleep(interval) {
 			return
--- a/chaos/fault_gateways.go
+++ b/chaos/fault_gateways.go
@@ -13,7 +13,7 @@
 	"porthub/policyapi"
 )
 
-// chooseGateways draws the gateways that a fault affects, from the fault's zone if it has one.
+// chooseGateways draws the fraction Share of the gateways, from the fault's zone if it has one.
 func (f *fleet) chooseGateways(fault Fault, rng *rand.Rand) []int {
 	var eligible []int
 	for i, g := range f.gateways {
--- a/chaos/fault_registry.go
+++ b/chaos/fault_registry.go
@@ -18,16 +18,16 @@
 // registryFaults holds the registry's faults by name.
 var registryFaults = map[string]registryFault{
 	"registry_slow":    {"the registry delays each response by 400 ms", eureka.Faults{Delay: 400 * time.Millisecond}, nil},
-	"registry_late":    {"the registry responds after the client's timeout", eureka.Faults{Delay: 3 * time.Second}, nil},
-	"registry_stale":   {"the registry's deltas no longer change", eureka.Faults{StaleDelta: true}, nil},
+	"registry_late":    {"the registry responds after 3 s, which exceeds the client's timeout", eureka.Faults{Delay: 3 * time.Second}, nil},
+	"registry_stale":   {"the registry's deltas contain no new changes", eureka.Faults{StaleDelta: true}, nil},
 	"registry_hash":    {"the registry's hash code is wrong", eureka.Faults{WrongHash: true}, nil},
 	"registry_half":    {"half of the endpoints are missing from the registry's full responses", eureka.Faults{MissingShare: 0.5}, nil},
 	"registry_empty":   {"the registry's full responses contain no endpoint", eureka.Faults{MissingShare: 1}, nil},
 	"registry_down":    {"the registry responds with 503", eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, nil},
 	"registry_cut":     {"the registry's responses are truncated", eureka.Faults{Truncated: true}, nil},
-	"registry_huge":    {"the registry's responses exceed the size limit", eureka.Faults{PaddingBytes: 2 << 20}, nil},
+	"registry_huge":    {"the registry's responses are padded by 2 MiB and exceed the size limit", eureka.Faults{PaddingBytes: 2 << 20}, nil},
 	"registry_skew":    {"the registry's clock is an hour ahead", eureka.Faults{ClockSkew: time.Hour}, nil},
-	"registry_restart": {"all instances are registered again at the same time", eureka.Faults{Reregistered: true}, nil},
+	"registry_restart": {"the registry shows all instances as registered when the fault began", eureka.Faults{Reregistered: true}, nil},
 	"registry_failover": {"one peer responds with 503, the other lags 1.5 s behind",
 		eureka.Faults{ErrorStatus: http.StatusServiceUnavailable}, &eureka.Faults{Lag: 1500 * time.Millisecond}},
 }
--- a/chaos/fault_traffic.go
+++ b/chaos/fault_traffic.go
@@ -37,7 +37,8 @@
 	return factor + addedFactor
 }
 
-// shiftFactor returns a gateway's traffic factor while a fraction of the other zones' traffic moves to one zone.
+// shiftFactor returns a gateway's traffic factor while a fraction of the other zones' traffic moves to one zone. The move is
+// complete after a quarter of Extra seconds.
 func (f *fleet) shiftFactor(fault Fault, gateway int, at time.Duration) float64 {
 	zone := cmp.Or(fault.Zone, f.scenario.Zones[len(f.scenario.Zones)-1])
 	zoneRate := 0.0
--- a/chaos/fleet.go
+++ b/chaos/fleet.go
@@ -29,7 +29,7 @@
 	world    *emulator.World
 	log      *audit.Log
 	tally    *emulator.Tally
-	requests atomic.Uint64 // request counter of all clients, which numbers the requests
+	requests atomic.Uint64 // counter for request numbers, shared by all clients
 	rng      *rand.Rand
 
 	endpoints        []*emulator.Endpoint
@@ -45,7 +45,7 @@
 
 	mu         sync.Mutex // guards all below
 	listed     map[string]*listedEndpoint
-	listFrozen bool // a fault has corrupted the list's file, which must not be rewritten
+	listFrozen bool // while a fault corrupts the list's file, which must not be rewritten
 }
 
 // listedEndpoint is an endpoint's entry in the endpoint list.
--- a/chaos/load_report_faults.go
+++ b/chaos/load_report_faults.go
@@ -113,7 +113,8 @@
 	_ = f.writeList() // a failed write shows in the result, as the list lacks the start times
 }
 
-// restartCoordinator kills the coordinator, restarts it and records how long it takes until all gateways are connected again.
+// restartCoordinator kills the coordinator, restarts it and records the time from when it listens again until all gateways are
+// connected.
 func (f *lightFleet) restartCoordinator(ctx context.Context, result *LoadReportResult) {
 	f.coordinator.kill()
 	time.Sleep(2 * time.Second)
@@ -140,8 +141,8 @@
 	}
 }
 
-// startHostilePeers starts two peers that send random bytes as fast as the coordinator accepts it, and twenty that send one byte per
-// second. They stop when the context ends.
+// startHostilePeers starts two peers that send random bytes as fast as the coordinator accepts them, and twenty that send one
+// byte per second. They stop when the context ends.
 func (f *lightFleet) startHostilePeers(ctx context.Context, goroutines *sync.WaitGroup) {
 	garbage := make([]byte, 4096)
 	rng := f.world.Rand("garbage")
--- a/chaos/load_report_result.go
+++ b/chaos/load_report_result.go
@@ -31,23 +31,23 @@
 	Seed              uint64                   `json:"seed"`
 	Gateways          int                      `json:"gateways"`
 	Endpoints         int                      `json:"nodes"`
-	MaxLinesPerSecond int                      `json:"bound_lines_per_s"` // 0: none
+	MaxLinesPerSecond int                      `json:"bound_lines_per_s"` // 0: unlimited
 	CoordinatorCores  int                      `json:"coordinator_procs"` // 0: all
-	Requests          int64                    `json:"requests"`          // counted at the light endpoints without being sent
+	Requests          int64                    `json:"requests"`          // attempts, counted without being sent, and rejected requests
 	Service           float64                  `json:"service"`           // fraction of the requests that succeeded
 	Rules             map[string]audit.Verdict `json:"rules"`
 	Checks            []CheckResult            `json:"checks"`
 
-	ConnectSeconds   float64   `json:"joined_s"` // until the first report of each gateway was accepted
-	ReconnectSeconds []float64 `json:"again_s"`  // by restart: until all gateways were connected again; -1: not before the end
-	Reports          float64   `json:"reports_per_s"`
-	Lines            float64   `json:"lines_per_s"`
-	LinesAccepted    float64   `json:"lines_taken_per_s"`
-	ResponseTime     Latency   `json:"answer_ms"` // from a gateway's report to the response
-	DrainTime        Latency   `json:"drain_ms"`  // from a draining entry in the list to a gateway's table without the endpoint
-	LateResponses    int64     `json:"late"`      // responses to reports after more than a report period
-	Deferred         int64     `json:"deferred"`  // reports that were rejected with 429 or 503
-	Throttled        int64     `json:"longer"`    // reports sent after a longer interval that the coordinator requested
+	ConnectSeconds   float64   `json:"joined_s"`          // until the first report of each gateway was accepted
+	ReconnectSeconds []float64 `json:"again_s"`           // by restart: from listening until all gateways were connected; -1: not before the end
+	Reports          float64   `json:"reports_per_s"`     // accepted reports
+	Lines            float64   `json:"lines_per_s"`       // lines of load reports that the coordinator received
+	LinesAccepted    float64   `json:"lines_taken_per_s"` // lines of load reports that the coordinator accepted
+	ResponseTime     Latency   `json:"answer_ms"`         // from a gateway's report to the response
+	DrainTime        Latency   `json:"drain_ms"`          // from a draining entry in the list to a gateway's table without the endpoint
+	LateResponses    int64     `json:"late"`              // responses to reports after more than a report period
+	Deferred         int64     `json:"deferred"`          // reports that were rejected with 429 or 503
+	Throttled        int64     `json:"longer"`            // reports sent after a longer interval that the coordinator requested
 	Disconnects      int64     `json:"broke"`
 	// Steady and Overall compare the coordinator's estimates with the endpoints' load: Steady only while no fault had affected
 	// the fleet for some seconds, Overall at all times.
@@ -55,9 +55,9 @@
 	Overall EstimateAccuracy `json:"view_always"`
 
 	MaxMailboxLength int              `json:"inbox_most"` // largest number of items in the coordinator's mailbox
-	Steps            daemon.Latencies `json:"step_us"`
-	CPUSeconds       float64          `json:"cpu_s"`
-	PeakKiB          int64            `json:"peak_kib"`
+	Steps            daemon.Latencies `json:"step_us"`    // of the coordinator's steps since its last start
+	CPUSeconds       float64          `json:"cpu_s"`      // of all coordinator processes
+	PeakKiB          int64            `json:"peak_kib"`   // largest resident set of a coordinator process
 }
 
 // Passed reports whether all rules were satisfied and all checks passed.
@@ -66,7 +66,7 @@
 // runChecks compares values of the result with their limits.
 func (r LoadReportResult) runChecks() []CheckResult {
 	const (
-		minWithin  = 0.9 // fraction of the estimates that must be within their stated error
+		minWithin  = 0.9 // smallest allowed value of Agreement.Within
 		maxSeconds = 30  // until all gateways are connected
 	)
 	within := func(name string, a Agreement) CheckResult {
@@ -95,23 +95,25 @@
 }
 
 // computeMeans divides the sums by the number of cases.
-func (v *EstimateAccuracy) computeMeans() {
-	cases := float64(v.Cases)
-	v.Attempts.computeMeans(cases)
-	v.Utilization.computeMeans(cases)
-	v.Queue.computeMeans(cases)
-	v.Missing /= max(1, cases)
+func (a *EstimateAccuracy) computeMeans() {
+	cases := float64(a.Cases)
+	a.Attempts.computeMeans(cases)
+	a.Utilization.computeMeans(cases)
+	a.Queue.computeMeans(cases)
+	a.Missing /= max(1, cases)
 }
 
-// Agreement summarizes the errors of estimates. Errors are relative for attempts, in units of 10 requests for queues, and
-// absolute for utilizations.
+// Agreement summarizes the errors of estimates. The unit of errors is the actual value, or 1 if that is larger, for attempts,
+// 10 requests for queues, and 1 for utilizations.
 type Agreement struct {
-	Within      float64 `json:"within"`     // fraction of the cases within the stated error plus 5% of the actual value
+	// Within is the fraction of the cases whose error is at most the stated error plus 5% of the actual value or of the unit,
+	// whichever is larger.
+	Within      float64 `json:"within"`
 	MeanError   float64 `json:"mean_error"` // mean of the actual errors
 	StatedError float64 `json:"stated"`     // mean of the errors that the coordinator stated
 }
 
-// add adds a case. Errors are divided by scale.
+// add adds a case. The scale is the unit of its errors.
 func (a *Agreement) add(estimate, actual, stated, scale float64) {
 	const tolerance = 0.05
 	difference := math.Abs(estimate - actual)
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -35,7 +35,7 @@
 	startedAt      map[string]time.Duration // negative: so early that the endpoint has warmed up
 	changes        []time.Duration          // times at which a fault affected the fleet
 	drainedAt      time.Duration            // 0: not drained yet
-	hasDrainTarget []bool                   // by gateway: whether its table contains the drain target
+	hasDrainTarget []bool                   // by gateway: whether its table contains the drain target, not withheld
 }
 
 // RunLoadReports starts a coordinator and light gateways that report to it while faults are injected: endpoints that fail for
@@ -173,7 +173,8 @@
 	return table
 }
 
-// observeTable records the time from the drain to a gateway's first table without the drain target.
+// observeTable records the time from the drain to a gateway's first table without the drain target. A table that withholds the
+// target counts as one without it.
 func (f *lightFleet) observeTable(gateway int, s routing.Snapshot) {
 	hasTarget := false
 	for _, cluster := range s.Clusters {
--- a/chaos/load_reports_test.go
+++ b/chaos/load_reports_test.go
@@ -38,6 +38,6 @@
 	}
 	if result.Requests < 10000 || len(result.ReconnectSeconds) != 1 || result.LinesAccepted > 600 || result.Throttled == 0 ||
 		result.Overall.Cases < 100 {
-		t.Errorf("got %+v, want at least 10000 requests and 100 cases, one reconnect time, at most 600 lines/s, throttled reports", result)
+		t.Errorf("got %+v, want at least 10000 requests and 100 cases, one reconnect time, at most 600 accepted lines/s, throttled reports", result)
 	}
 }
--- a/chaos/poll_watch.go
+++ b/chaos/poll_watch.go
@@ -12,7 +12,7 @@
 // pollWatch records which gateways have received tables, and when each received the drain. It is safe for concurrent use.
 type pollWatch struct {
 	mu             sync.Mutex   // guards all below
-	hasDrainTarget map[int]bool // by gateway with a table: whether that contains the drain target
+	hasDrainTarget map[int]bool // by gateway with a table: whether that contains the drain target, not marked as draining
 	drainedAt      time.Time
 	drainTimes     map[int]time.Duration // by gateway: from the drain to a table without the target; nil before the drain
 	err            error                 // most recent error of a connection
@@ -22,7 +22,8 @@
 // errDrainNotReceived is returned if no gateway received the drain.
 var errDrainNotReceived = errors.New("no gateway received a table without the drained endpoint")
 
-// recordDisconnect counts a broken connection and records its error. It ignores the end of the run.
+// recordDisconnect counts a connection that failed or could not be established, and records its error. It ignores the end of
+// the run.
 func (w *pollWatch) recordDisconnect(err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
@@ -47,7 +48,8 @@
 	return affected
 }
 
-// observe records whether a gateway's new table contains the drain target, and how many endpoints it contains.
+// observe records the drain time if a gateway's new table is its first without the drain target after the drain. It also records
+// whether the table contains the target, unless the table has no endpoints.
 func (w *pollWatch) observe(gateway int, hasDrainTarget bool, endpoints int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/chaos/polls.go
+++ b/chaos/polls.go
@@ -36,13 +36,13 @@
 	// by the number of polls.
 	KiBPerPoll float64 `json:"kib_per_poll"`
 	// AffectedGateways counts the gateways whose tables contained the drained endpoint before it was drained. DrainTime is the
-	// time from the draining entry in the list until such a gateway has received a table without the endpoint, and
-	// UpdatedGateways counts those that received one.
+	// time from writing the draining entry to the list until such a gateway has received a table that omits the endpoint or marks
+	// it as draining, and UpdatedGateways counts those that received one.
 	AffectedGateways int     `json:"holders"`
 	DrainTime        Latency `json:"wake_ms"`
 	MaxDrainTime     float64 `json:"wake_most_ms"`
 	UpdatedGateways  int     `json:"woken"`
-	Disconnects      int     `json:"broke"` // connections that broke and were established again
+	Disconnects      int     `json:"broke"` // connections that failed or could not be established
 }
 
 // RunPolls starts a coordinator and gateways that poll it for endpoints and routes, and drains an endpoint once all polls are
@@ -144,7 +144,7 @@
 
 // startPolls starts two polls for each gateway, which stop when the context ends.
 func (m *pollMeasurement) startPolls(ctx context.Context, polls *sync.WaitGroup) {
-	const batchSize = 50 // spreads the connections over time, as after a restart
+	const batchSize = 50 // gateways between pauses, which spread the connections over time, as after a restart
 	for i := range m.scenario.GatewayCount {
 		for _, routes := range []bool{false, true} {
 			p := poller{measurement: m, gateway: i, routes: routes}
--- a/chaos/process.go
+++ b/chaos/process.go
@@ -172,7 +172,7 @@
 	return time.Since(start)
 }
 
-// pause stops all threads of the process for a while, as a long garbage collection would.
+// pause stops all threads of the process for the given time, as a long garbage collection would.
 func (p *coordinatorProcess) pause(d time.Duration) {
 	pid := p.pid()
 	if pid == 0 {
--- a/chaos/registry.go
+++ b/chaos/registry.go
@@ -40,8 +40,8 @@
 // RegistryTraffic summarizes the coordinator's requests to a registry.
 type RegistryTraffic struct {
 	Calls   int   `json:"calls"`
-	Bytes   int64 `json:"bytes"`
-	Changes int64 `json:"changes"`
+	Bytes   int64 `json:"bytes"`   // of response bodies
+	Changes int64 `json:"changes"` // versions of the list that a peer has published
 	// PropagationTime is the time from a change in the registry until a peer has published it. For the delivery time of
 	// tables see latency_ms.
 	PropagationTime Latency `json:"told_ms"`
@@ -84,7 +84,7 @@
 	}
 }
 
-// update updates the registry's instances to the list. It calls record once a peer has published the list.
+// update makes the registry's instances match the list. It calls record once a peer has published the list.
 func (r *eurekaRegistry) update(worldStart time.Time, endpoints []*emulator.Endpoint, listed map[string]*listedEndpoint, record func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/chaos/result.go
+++ b/chaos/result.go
@@ -19,7 +19,7 @@
 	Service            float64                  `json:"service"`   // fraction of the demanded priority weight that was earned
 	WorstService10s    float64                  `json:"worst_10s"` // lowest service of any 10 s
 	Rules              map[string]audit.Verdict `json:"rules"`
-	DeliveryTime       Latency                  `json:"latency_ms"` // from writing a table file to a gateway using it
+	DeliveryTime       Latency                  `json:"latency_ms"` // from writing a table file or receiving a poll's response to its use
 	ResponseTime       Latency                  `json:"answers_ms"` // of requests that were answered, including retries
 	DocumentsRead      int                      `json:"reads"`
 	IncompleteReads    int                      `json:"partial_reads"`
@@ -27,7 +27,7 @@
 	CPUSeconds         float64                  `json:"cpu_s"` // of all coordinator processes
 	PeakKiB            int64                    `json:"peak_kib"`
 	StopMilliseconds   float64                  `json:"stop_ms"`               // from SIGTERM to the coordinator's exit
-	ConvergedSeconds   float64                  `json:"converged_s,omitempty"` // until all gateways had acknowledged their last tables
+	ConvergedSeconds   float64                  `json:"converged_s,omitempty"` // until all gateways had acknowledged their last tables; at most 10
 	Restarts           []Restart                `json:"restarts,omitempty"`
 	Registry           *RegistryTraffic         `json:"registry,omitempty"`
 	Baselines          map[string]Baseline      `json:"baselines"`
@@ -61,7 +61,7 @@
 type Restart struct {
 	At         float64 `json:"at_s"` // when the coordinator was killed
 	Down       float64 `json:"down_s"`
-	FirstTable float64 `json:"first_table_s"` // from the restart until the first gateway used a new table
+	FirstTable float64 `json:"first_table_s"` // from the restart until the first gateway used a new table; 0: never
 	AllTables  float64 `json:"all_tables_s"`  // from the restart until all gateways used a new table; 0: never
 	Service    float64 `json:"service_10s"`   // of the requests in the 10 s after the kill
 }
--- a/chaos/run_test.go
+++ b/chaos/run_test.go
@@ -32,7 +32,7 @@
 	return s
 }
 
-// Overlapping faults must neither lead to a violated rule nor to an incompletely read table, and the coordinator must exit on
+// Overlapping faults must lead neither to a violated rule nor to an incompletely read table, and the coordinator must exit on
 // SIGTERM.
 func TestShortScenarioSatisfiesAllRules(t *testing.T) {
 	t.Parallel()
--- a/chaos/scenario.go
+++ b/chaos/scenario.go
@@ -183,8 +183,9 @@
 // validate returns an [ErrInvalidScenario] that describes the first invalid value.
 func (s Scenario) validate() error {
 	if !s.hasValidSize() {
-		return s.invalid(
-			"seconds must be 3 to 3600, nodes and gateways 1 to 2000, cores and reqs_per_s above 0, zones and request_kinds not empty")
+		return s.invalid("seconds must be 3 to 3600, nodes and gateways 1 to 2000, cores and reqs_per_s above 0, "+
+			"zones and request_kinds not empty: got %d seconds, %d nodes, %d gateways, %d cores, %g reqs_per_s, %d zones, %d request_kinds",
+			s.Seconds, s.EndpointCount, s.GatewayCount, s.EndpointCores, s.RequestRate, len(s.Zones), len(s.Classes))
 	}
 	if s.Registry != "" && s.Registry != "file" && s.Registry != "eureka" {
 		return s.invalid("registry is %q: it must be file or eureka", s.Registry)
@@ -216,7 +217,7 @@
 		return s.invalid("troubles[%d]: the scenario has no request class %q", i, fault.Class)
 	}
 	if fault.Share < 0 || fault.Share > 1 || fault.Size < 0 {
-		return s.invalid("troubles[%d]: part must be 0 to 1 and size 0 or more", i)
+		return s.invalid("troubles[%d]: part must be 0 to 1 and size 0 or more: got %g and %g", i, fault.Share, fault.Size)
 	}
 	return nil
 }
