--- a/loadreport/sampler_test.go
+++ b/loadreport/sampler_test.go
@@ -114,7 +114,7 @@
 
 // Health signals are accepted even if routine lines are not: the estimate shows all failures of an endpoint in the round in
 // which it fails.
-func TestHealthSignalsAreAlwaysTaken(t *testing.T) {
+func TestHealthSignalsAreAlwaysAccepted(t *testing.T) {
 	f, sampler := newFleet(1000, 100), New(Settings{MaxLinesPerSecond: 1500, Period: second})
 	for r := range 10 {
 		now := policyapi.Microseconds(r+1) * second
--- a/solver/activation_test.go
+++ b/solver/activation_test.go
@@ -71,7 +71,7 @@
 
 // A consumer may have demand for a class without a desired table; the solution then gives it one. Comparing that table with the
 // missing desired one used to panic once solutions were active.
-func TestActivationWithoutWantedTable(t *testing.T) {
+func TestActivationWithoutDesiredTable(t *testing.T) {
 	f := evenFleet([]float64{10, 10, 4}, 8, 8)
 	f.Consumers[1].Desired = nil
 	if err := f.Check(); err != nil {
