--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -102,9 +102,10 @@
 }
 
 // newMailbox creates the mailbox of the core. Its normal lane has room for one request of each connection. A connection has at
-// most one request in flight, so polls and acknowledgements are never rejected because of other gateways' requests. (With a
-// capacity of 8,192 and ten thousand gateways, a step of half a second filled the lane, rejected gateways retried a second
-// later, and drains took 171% of the grace period.) Reports are deferred well before that, by package loadreport.
+// most one request in flight, so polls and acknowledgements are never rejected because other gateways' requests fill the lane,
+// only if another goroutine takes their place in it (see [mailbox.Mailbox.TryPut]). (With a capacity of 8,192 and ten thousand
+// gateways, a step of half a second filled the lane, rejected gateways retried a second later, and drains took 171% of the grace
+// period.) Reports are deferred well before that, by package loadreport.
 func newMailbox(c config.Config) *mailbox.Mailbox[mailboxItem] {
 	var stamp func(mailboxItem) mailboxItem
 	if tracingEnabled(c.Trace) {
--- a/daemon/doc.go
+++ b/daemon/doc.go
@@ -4,8 +4,8 @@
 // which never block the core.
 //
 // All queues and buffers are bounded: a connection's buffer by the maximum request size, the mailbox by its capacity (a request
-// that does not fit is rejected with 503 and may be retried), the publications to a gateway by one pending publication, and
-// health checks by the number of concurrent checks.
+// is rejected with 503 and may be retried if its lane is full, or if another goroutine takes its place in the lane at the same
+// moment), the publications to a gateway by one pending publication, and health checks by the number of concurrent checks.
 //
 // The files by concern:
 //
--- a/daemon/exchange.go
+++ b/daemon/exchange.go
@@ -25,7 +25,8 @@
 	protobufType = "application/x-protobuf"
 )
 
-// busyReason is the text of the response to a request that does not fit into the mailbox.
+// busyReason is the text of the response to a request that the mailbox rejects: the request's lane is full, or another goroutine
+// has taken its place in the lane (see TryPut of package mailbox).
 const busyReason = "busy"
 
 // exchange is one request and its response.
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -29,7 +29,7 @@
 	normalCapacity = 8192
 )
 
-// submit queues inputs that must not be lost. It waits while the mailbox's urgent lane is full.
+// submit queues inputs that must not be lost. It retries until the mailbox's urgent lane accepts them.
 func (d *Daemon) submit(inputs ...coordinator.Input) {
 	d.mailbox.PutUrgent(mailboxItem{inputs: inputs})
 }
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -129,8 +129,8 @@
 	return nil, gnet.None
 }
 
-// OnClose releases a connection and, if it was a gateway's link, disconnects the gateway. If the mailbox is full, that input is
-// dropped and the core detects that the gateway is silent.
+// OnClose releases a connection and, if it was a gateway's link, disconnects the gateway. If the mailbox rejects that input,
+// it is dropped and the core detects that the gateway is silent.
 func (s *server) OnClose(c gnet.Conn, _ error) gnet.Action {
 	conn, ok := c.Context().(*connection)
 	if !ok {
@@ -164,7 +164,7 @@
 	}
 }
 
-// offerInput queues an input for the core, or drops it if the mailbox is full.
+// offerInput queues an input for the core, or drops it if the mailbox rejects it.
 func (s *server) offerInput(in coordinator.Input) {
 	s.daemon.mailbox.TryPut(mailboxItem{inputs: []coordinator.Input{in}})
 }
--- a/mailbox/mailbox.go
+++ b/mailbox/mailbox.go
@@ -23,7 +23,7 @@
 const (
 	// MaxBatch is the maximum number of events that Next returns.
 	MaxBatch = 4096
-	// retryInterval is the time between two attempts of PutUrgent while its lane is full.
+	// retryInterval is the time between two attempts of PutUrgent.
 	retryInterval = time.Millisecond
 )
 
@@ -45,7 +45,9 @@
 	return e
 }
 
-// TryPut puts an event into the normal lane without waiting. It returns false if the lane is full.
+// TryPut puts an event into the normal lane without waiting. It returns false if the event was not put in: the lane is full, or
+// another producer has taken the place between the queue's load of its head and its compare-and-swap. The latter can happen in a
+// lane with free places, and only if several goroutines put events into it.
 func (m *Mailbox[T]) TryPut(e T) bool {
 	if !m.normal.TryEnqueue(m.stamped(e)) {
 		return false
@@ -55,7 +57,8 @@
 	return true
 }
 
-// TryPutUrgent puts an event into the urgent lane without waiting. It returns false if the lane is full.
+// TryPutUrgent puts an event into the urgent lane without waiting. It returns false in the same cases as TryPut: the lane is full,
+// or another producer has taken the place, even if other places are free.
 func (m *Mailbox[T]) TryPutUrgent(e T) bool {
 	if !m.urgent.TryEnqueue(m.stamped(e)) {
 		return false
@@ -64,8 +67,8 @@
 	return true
 }
 
-// PutUrgent puts an event into the urgent lane, waiting while the lane is full. If the mailbox is closed while the lane is full, it
-// returns without waiting and the event is lost.
+// PutUrgent puts an event into the urgent lane. It retries every retryInterval while TryPutUrgent returns false. If the mailbox is
+// closed, it returns after an attempt that fails, and the event is lost.
 func (m *Mailbox[T]) PutUrgent(e T) {
 	for !m.TryPutUrgent(e) && !m.closed.Load() {
 		time.Sleep(retryInterval)
@@ -130,5 +133,5 @@
 	return events
 }
 
-// Close releases the goroutines that wait in PutUrgent.
+// Close releases the goroutines that retry in PutUrgent.
 func (m *Mailbox[T]) Close() { m.closed.Store(true) }
--- a/mailbox/mailbox_test.go
+++ b/mailbox/mailbox_test.go
@@ -26,7 +26,7 @@
 			}
 			for i := range eventsOfEach {
 				for !put([2]int{producer, i}) {
-					runtime.Gosched() // the lane is full
+					runtime.Gosched() // the lane is full, or another producer has taken the place
 				}
 				if i%64 == 0 {
 					time.Sleep(time.Microsecond) // lets the owner empty the lanes and wait
--- a/proxyserver/handover.go
+++ b/proxyserver/handover.go
@@ -2,12 +2,12 @@
 
 import "porthub/policyapi"
 
-// maxBacklog bounds the inputs that wait in the event loop while the owner's lane is full: connects, disconnects and
-// acknowledgements. When it is exceeded the loop blocks, so that connections can't add more.
+// maxBacklog bounds the inputs that wait in the event loop after the owner's urgent lane has rejected one: connects, disconnects
+// and acknowledgements. When it is exceeded the loop blocks, so that connections can't add more.
 const maxBacklog = laneCapacity
 
-// deliver sends a peer's event to the owner. Load reports are dropped while the owner's lane is full; other events are never
-// dropped.
+// deliver sends a peer's event to the owner. Load reports are dropped while the owner's normal lane is full, which is the only case
+// in which TryPut returns false here: the event loop is the lane's only producer. Other events are never dropped.
 func (s *server) deliver(c *connection, event policyapi.Event) {
 	switch event.(type) {
 	case policyapi.EndpointLoad, policyapi.ProxyLoad:
@@ -22,8 +22,9 @@
 	}
 }
 
-// enqueue sends the owner an input that must not be lost. While the owner's lane is full, inputs wait in the backlog and are sent
-// later, in order; the event loop continues to answer PING, to close connections and to check timeouts.
+// enqueue sends the owner an input that must not be lost. If the urgent lane rejects it, because the lane is full or because
+// another goroutine has taken the place, it and later inputs wait in the backlog and are sent later, in order; the event loop
+// continues to answer PING, to close connections and to check timeouts.
 func (s *server) enqueue(in input) {
 	if len(s.backlog) == 0 && s.mailbox.TryPutUrgent(in) {
 		return
@@ -36,7 +37,7 @@
 	}
 }
 
-// flushBacklog sends the owner as much of the backlog as fits into its lane.
+// flushBacklog sends the owner the backlog, up to the first input that its urgent lane rejects.
 func (s *server) flushBacklog() {
 	for len(s.backlog) > 0 && s.mailbox.TryPutUrgent(s.backlog[0]) {
 		s.backlog[0] = input{}
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -52,7 +52,7 @@
 	connections       int
 	unidentified      []*connection // oldest first; may include connections that are identified or closed by now
 	streams           map[*connection]bool
-	backlog           []input // inputs for the owner that did not fit into its lane
+	backlog           []input // inputs for the owner that its urgent lane has not accepted yet
 	malformedLoggedAt time.Time
 
 	counters counters
