--- a/chaos/load_report_faults.go
+++ b/chaos/load_report_faults.go
@@ -15,7 +15,7 @@
 	"porthub/routing"
 )
 
-// lightFault is a fault of a light fleet.
+// lightFault is a fault of a lightweight fleet.
 type lightFault struct {
 	position float64 // when it is injected, as a fraction of the run's length
 	inject   func()
--- a/chaos/load_reports.go
+++ b/chaos/load_reports.go
@@ -16,7 +16,7 @@
 	"porthub/routing"
 )
 
-// lightFleet is a fleet of light endpoints and gateways, with the coordinator to which they report.
+// lightFleet is a fleet of lightweight endpoints and gateways, with the coordinator to which they report.
 type lightFleet struct {
 	options     LoadReportOptions
 	scenario    Scenario
@@ -38,7 +38,7 @@
 	hasDrainTarget []bool                   // by gateway: whether its table contains the drain target, not withheld
 }
 
-// RunLoadReports starts a coordinator and light gateways that report to it while faults are injected: endpoints that fail for
+// RunLoadReports starts a coordinator and lightweight gateways that report to it while faults are injected: endpoints that fail for
 // all gateways at the same time, drains, a mass restart of endpoints, a restart and a pause of the coordinator, gateways that
 // stop reporting, and peers that send garbage or one byte per second. It returns an error if the run could not be carried out,
 // for example because a file could not be written or a process could not be started. Violated rules and failed checks are part
@@ -107,7 +107,7 @@
 	return c
 }
 
-// The dimensions of light fleets.
+// The dimensions of lightweight fleets.
 const (
 	lightRequestRate      = 8.0   // mean requests per second of a gateway
 	lightCores            = 4.0   // CPU cores of an endpoint
--- a/emulator/light_endpoint.go
+++ b/emulator/light_endpoint.go
@@ -10,7 +10,7 @@
 	"porthub/audit"
 )
 
-// LightEndpoint counts the attempts of light gateways without receiving requests. Work that exceeds the time of its cores
+// LightEndpoint counts the attempts of lightweight gateways without receiving requests. Work that exceeds the time of its cores
 // is queued. It is safe for concurrent use.
 type LightEndpoint struct {
 	Name, Zone string
--- a/emulator/light_gateway.go
+++ b/emulator/light_gateway.go
@@ -11,14 +11,14 @@
 	"porthub/xds"
 )
 
-// LightClass is a request class of a light gateway.
+// LightClass is a request class of a lightweight gateway.
 type LightClass struct {
 	Name       string
 	Rate       float64 // arriving requests per second
 	Idempotent bool
 }
 
-// LightGatewayOptions configure a light gateway.
+// LightGatewayOptions configure a lightweight gateway.
 type LightGatewayOptions struct {
 	Name, Zone   string
 	Classes      []LightClass
@@ -32,7 +32,7 @@
 	OnTable func(routing.Snapshot)
 }
 
-// LightTally sums up the outcomes of all light gateways of a run. It is safe for concurrent use.
+// LightTally sums up the outcomes of all lightweight gateways of a run. It is safe for concurrent use.
 type LightTally struct {
 	Attempts, Failures, Rejected atomic.Int64 // attempts at endpoints, failed attempts, and requests that were not admitted
 	Reports                      atomic.Int64 // load reports that were accepted
@@ -51,7 +51,7 @@
 func (t *LightTally) ResponseTimes() *Tally { return t.responseTimes }
 
 // LightGateway polls for its tables each period, acknowledges them and reports its load. It does not send requests, but
-// counts them at light endpoints.
+// counts them at lightweight endpoints.
 type LightGateway struct {
 	LightGatewayOptions
 	world *World
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -18,7 +18,7 @@
 	"porthub/xds"
 )
 
-// lightLink is a light gateway's connection to the coordinator. Only the goroutine of Run uses it.
+// lightLink is a lightweight gateway's connection to the coordinator. Only the goroutine of Run uses it.
 type lightLink struct {
 	gateway *LightGateway
 	conn    net.Conn
