--- a/expectation/validate.go
+++ b/expectation/validate.go
@@ -90,17 +90,17 @@
 func (c *checker) checkEvent(e Expectation, event Event) {
 	switch {
 	case !slices.Contains(Actions, event.Action):
-		c.report(event.Line, "the action must be one of "+strings.Join(Actions, ", "), "there is no %q", event.Action)
+		c.report(event.Line, "it must be one of "+strings.Join(Actions, ", "), "the event's action is %q", event.Action)
 	case event.At < 0 || event.At > e.Length:
-		c.report(event.Line, "events must be within the length of the expectation", "it happens at %.1f s", seconds(event.At))
+		c.report(event.Line, "it must be from 0 s to the length of the expectation", "the event's time is %.1f s", seconds(event.At))
 	case !c.hasZone(event.Zone):
-		c.report(event.Line, fmt.Sprintf("the zone must be one of %v", c.names.Zones), "there is no zone %q", event.Zone)
+		c.report(event.Line, fmt.Sprintf("it must be one of %v", c.names.Zones), "the event's zone is %q", event.Zone)
 	case !c.hasClass(event.Class):
-		c.report(event.Line, fmt.Sprintf("the class must be one of %v", c.names.Classes), "there is no request class %q", event.Class)
+		c.report(event.Line, fmt.Sprintf("it must be one of %v", c.names.Classes), "the event's request class is %q", event.Class)
 	case event.Fraction < 0 || event.Fraction > 1:
-		c.report(event.Line, "it must be from 0 to 1", "part is %v", event.Fraction)
+		c.report(event.Line, "it must be from 0 to 1", "the event's part of the endpoints or gateways is %v", event.Fraction)
 	case event.Action == ScaleLoad && !(event.LoadFactor > 0):
-		c.report(event.Line, "it must be above 0", "size is %v", event.LoadFactor)
+		c.report(event.Line, "it must be above 0", "the event's size, the multiple of the load, is %v", event.LoadFactor)
 	}
 }
 
@@ -108,17 +108,17 @@
 	level := t.EnteredLevel + t.AvoidedLevel // one is empty
 	switch {
 	case t.conditionCount() != 1:
-		c.report(t.Line, "each assertion must have exactly one", "it has %d conditions", t.conditionCount())
+		c.report(t.Line, "it must have exactly one", "the assertion has %d conditions", t.conditionCount())
 	case !c.hasClass(t.Class):
-		c.report(t.Line, fmt.Sprintf("the class must be one of %v", c.names.Classes), "there is no request class %q", t.Class)
+		c.report(t.Line, fmt.Sprintf("it must be one of %v", c.names.Classes), "the assertion's request class is %q", t.Class)
 	case !c.hasZone(t.Zone):
-		c.report(t.Line, fmt.Sprintf("the zone must be one of %v", c.names.Zones), "there is no zone %q", t.Zone)
+		c.report(t.Line, fmt.Sprintf("it must be one of %v", c.names.Zones), "the assertion's zone is %q", t.Zone)
 	case t.MinZones > len(c.names.Zones):
-		c.report(t.Line, fmt.Sprintf("there are only %d", len(c.names.Zones)), "it expects %d zones", t.MinZones)
+		c.report(t.Line, fmt.Sprintf("the configuration has only %d", len(c.names.Zones)), "the assertion expects at least %d zones", t.MinZones)
 	case level != "" && !slices.Contains(c.names.Levels, level):
-		c.report(t.Line, fmt.Sprintf("the level must be one of %v", c.names.Levels), "there is no level %q", level)
+		c.report(t.Line, fmt.Sprintf("it must be one of %v", c.names.Levels), "the assertion's level is %q", level)
 	case t.To > 0 && t.To <= t.From:
-		c.report(t.Line, "to must be later than from", "it counts from %.1f to %.1f s", seconds(t.From), seconds(t.To))
+		c.report(t.Line, "to must be later than from", "the assertion applies from %.1f to %.1f s", seconds(t.From), seconds(t.To))
 	}
 }
 
