--- a/audit/log.go
+++ b/audit/log.go
@@ -237,7 +237,7 @@
 	g.acks = append(g.acks, acknowledgement{at: at, version: parseVersion(versionText)})
 }
 
-// EndpointList records the endpoint list that is valid from the given time on. The caller must not change the map afterwards.
+// EndpointList records the endpoint list that is valid from the given time on. The caller must not change the map afterward.
 func (l *Log) EndpointList(at time.Duration, endpoints map[string]ListedEndpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/capture/doc.go
+++ b/capture/doc.go
@@ -1,5 +1,5 @@
 // Package capture records what goes into a coordinator's core and what comes out of it, so that a production incident
-// can be replayed to the same decisions and explained afterwards.
+// can be replayed to the same decisions and explained afterward.
 //
 // A [Writer] appends records to a directory of segments without ever blocking the caller. A [Reader] iterates over such
 // a directory and reports damaged and missing parts. [Replay] runs a capture through the core of this build and compares
--- a/capture/writer.go
+++ b/capture/writer.go
@@ -94,7 +94,7 @@
 }
 
 // Append numbers and queues a record and returns its number. It never blocks. The record and what it refers to must not be
-// changed afterwards. Append must not be called after Close.
+// changed afterward. Append must not be called after Close.
 func (w *Writer) Append(r *Record) uint64 {
 	r.Seq = w.lastSeq.Add(1)
 	select {
--- a/config/degradation.go
+++ b/config/degradation.go
@@ -78,7 +78,7 @@
 type Fallback struct {
 	Level    string   `json:"level"` // empty: none, the table applies unchanged
 	After    Duration `json:"after"` // time from the last message of a coordinator to the fallback
-	Duration Duration `json:"for"`   // duration of the fallback; afterwards the table applies unchanged again
+	Duration Duration `json:"for"`   // duration of the fallback; afterward the table applies unchanged again
 }
 
 // DegradationSettings returns the levels and the fallback as values of package degradation.
--- a/coordinator/acks.go
+++ b/coordinator/acks.go
@@ -72,7 +72,7 @@
 }
 
 // syncAllowed reports whether documents are synced to disk before they are moved into place, which the settings must enable. On a
-// disk that other processes keep busy, a sync takes a second and can't be cancelled once it has begun: drains reached gateways
+// disk that other processes keep busy, a sync takes a second and can't be canceled once it has begun: drains reached gateways
 // up to 11 s late. Syncs are therefore suspended when acknowledgements are late on average or late at more than half of the
 // gateways, and resumed when they are fast again.
 func (c *Core) syncAllowed() bool {
--- a/coordinator/core.go
+++ b/coordinator/core.go
@@ -60,7 +60,7 @@
 }
 
 // Step applies the inputs that have arrived by now, in microseconds, and returns the outputs for the caller to carry out, in
-// order. Time does not go backwards: a now that is earlier than in the last step is replaced by the last one, so a clock that
+// order. Time does not go backward: a now that is earlier than in the last step is replaced by the last one, so a clock that
 // is set back can't undo a decision.
 func (c *Core) Step(now policyapi.Microseconds, inputs []Input) []Output {
 	c.now = max(c.now, now)
--- a/emulator/endpoint_handler.go
+++ b/emulator/endpoint_handler.go
@@ -80,7 +80,7 @@
 	return queueRequest, draw, e.cores
 }
 
-// waitForCore waits for a free core and takes it. It returns false if the request is cancelled or the process ends first.
+// waitForCore waits for a free core and takes it. It returns false if the request is canceled or the process ends first.
 func (e *Endpoint) waitForCore(process context.Context, r *http.Request, cores chan struct{}) bool {
 	if !e.waitWhilePaused(process, r) {
 		return false
@@ -153,7 +153,7 @@
 	_, _ = w.Write([]byte("well\n"))
 }
 
-// waitWhilePaused waits until the endpoint is not paused. It returns false if the request is cancelled or the process ends
+// waitWhilePaused waits until the endpoint is not paused. It returns false if the request is canceled or the process ends
 // first.
 func (e *Endpoint) waitWhilePaused(process context.Context, r *http.Request) bool {
 	e.mu.Lock()
@@ -168,7 +168,7 @@
 	return false
 }
 
-// leaveUnanswered blocks without a response until the request is cancelled or the process ends.
+// leaveUnanswered blocks without a response until the request is canceled or the process ends.
 func leaveUnanswered(process context.Context, r *http.Request) {
 	select {
 	case <-process.Done():
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -223,7 +223,7 @@
 	}
 }
 
-// An endpoint that repeatedly goes up and down is excluded for longer each time and goes through slow start afterwards.
+// An endpoint that repeatedly goes up and down is excluded for longer each time and goes through slow start afterward.
 // Without the exclusion the list would change 120 times in ten minutes.
 func TestFlappingIsDamped(t *testing.T) {
 	s := newFixture(t)
--- a/tui/tui_test.go
+++ b/tui/tui_test.go
@@ -95,7 +95,7 @@
 	return m.(Model)
 }
 
-// Each screen, at 80 columns and 24 lines without colour, is equal to the recorded one.
+// Each screen, at 80 columns and 24 lines without color, is equal to the recorded one.
 func TestScreens(t *testing.T) {
 	for name, keys := range map[string][]string{
 		"fleet": nil, "nodes": {"2", "s"}, "node": {"2", "/", "0", ".", "3", ":", "enter", "enter"}, "gateways": {"3", "s", "s", "down"},
--- a/tui/view.go
+++ b/tui/view.go
@@ -15,7 +15,7 @@
 	return view
 }
 
-// Draw returns the screen at a time as text. No information is conveyed by colour alone.
+// Draw returns the screen at a time as text. No information is conveyed by color alone.
 func (m Model) Draw(now time.Time) string {
 	lines := []string{
 		bold.Render(fit(m.title(), m.width)),
