--- a/audit/warm_up.go
+++ b/audit/warm_up.go
@@ -13,7 +13,7 @@
 // The rule distinguishes work from gateways that were informed of the start: those whose current table was written after the
 // list contained the start, or that had been connected to a running coordinator for longer than the grace period since then.
 // The other gateways could not account for the start. All work counts if at least two thirds of it came from informed
-// gateways. Otherwise, only the work from informed gateways counts, which must stay below the limit by itself.
+// gateways. Otherwise, only the work from informed gateways counts, and that work alone must stay below the limit.
 func (l *Log) evaluateWarmUps(end time.Duration) Verdict {
 	worst := &peak{}
 	for _, name := range slices.Sorted(maps.Keys(l.endpoints)) {
--- a/capture/cases_test.go
+++ b/capture/cases_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// firstRemovedEndpoint returns the endpoint that is removed from the list first, and when. If several are removed at once, it
+// firstRemovedEndpoint returns the endpoint that is removed from the list first, and when. If several are removed at the same time, it
 // returns the one with the lowest ID.
 func firstRemovedEndpoint(t *testing.T, path string) (endpoint policyapi.EndpointID, at policyapi.Microseconds) {
 	t.Helper()
--- a/chaos/load_report_faults.go
+++ b/chaos/load_report_faults.go
@@ -26,7 +26,7 @@
 	failing := f.readyEndpoints(0, max(1, f.options.Endpoints/33))
 	length := float64(f.options.Seconds) * float64(time.Second)
 	for _, fault := range []lightFault{
-		{0.12, func() { setFailing(failing, true) }}, // all gateways that use these endpoints report failures at once
+		{0.12, func() { setFailing(failing, true) }}, // all gateways that use these endpoints report failures at the same time
 		{0.24, func() { setFailing(failing, false) }},
 		{0.36, f.drainEndpoints},
 		{0.46, f.restartEndpoints},
--- a/client/reader.go
+++ b/client/reader.go
@@ -19,8 +19,8 @@
 // Reader reads a gateway's tables from its directory. It is not safe for concurrent use.
 type Reader struct {
 	dir string
-	// ChunkSize is the number of bytes read at once, and ChunkDelay the wait after each chunk. If ChunkSize is 0, files are
-	// read at once. A slow reader still gets one complete document, because it reads the file that it opened even if another
+	// ChunkSize is the number of bytes per read, and ChunkDelay the wait after each chunk. If ChunkSize is 0, a file is
+	// read in one piece. A slow reader still gets one complete document, because it reads the file that it opened even if another
 	// one is renamed over it.
 	ChunkSize  int
 	ChunkDelay time.Duration
--- a/cmd/porthub/expect_run.go
+++ b/cmd/porthub/expect_run.go
@@ -67,7 +67,7 @@
 func runCases(settings coordinator.Settings, e expectation.Expectation, first, count int) (failures []expectation.Failure) {
 	byCase := make([][]expectation.Failure, count)
 	var running sync.WaitGroup
-	slots := make(chan struct{}, runtime.GOMAXPROCS(0)) // limits the number of cases that run at once
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0)) // limits the number of concurrent cases
 	for i := range count {
 		slots <- struct{}{}
 		running.Go(func() {
--- a/cmd/porthub/soak_test.go
+++ b/cmd/porthub/soak_test.go
@@ -29,7 +29,7 @@
 	soakKillAfter  = 700 * time.Millisecond // delay from SIGTERM to SIGKILL, the shortest that the platform allows
 	soakReadyLimit = 10 * time.Second       // limit on the 90th percentile of the time from a start to the first answer
 	soakHosts      = 12                     // endpoints in the list
-	soakBurst      = 300                    // proxies that connect at once
+	soakBurst      = 300                    // proxies that connect at the same time
 	soakSockets    = 512                    // configured limit on sockets
 	soakGrace      = 3 * time.Second        // configured drain grace period
 	soakSlack      = 300 * time.Millisecond // tolerance for delays of the machine
@@ -70,9 +70,9 @@
 
 // The test runs `porthub node` under the signals and the load of the platform: SIGTERM, followed after 0.7 s by SIGKILL, while proxies
 // still use their connections; several SIGHUPs in succession; discovery that stops sending changes; connections that are closed in the
-// middle of a message; many connections at once; SIGKILL without SIGTERM. It verifies that each request on an open connection is
+// middle of a message; many simultaneous connections; SIGKILL without SIGTERM. It verifies that each request on an open connection is
 // answered or its connection ends, that a drained endpoint is removed from every table within the grace period, that nine of ten starts
-// are ready within 10 s, that the process exits by itself with code 0, and that it opens no more descriptors than its limit.
+// are ready within 10 s, that the process exits with code 0 within 0.7 s of SIGTERM, and that it opens no more descriptors than its limit.
 //
 // To run it for longer: go test ./cmd/porthub -run TestSoakOfStartsSignalsAndEnds -soak-seeds 50 -timeout 60m -v
 func TestSoakOfStartsSignalsAndEnds(t *testing.T) {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Parse reports all findings at once, each with its line, its key and how to correct it.
+// Parse reports all findings in one error, each with its line, its key and how to correct it.
 func TestParseReportsEveryFinding(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
 		"unknown key":     {`"zones"`, `"zonen": 1, "zones"`, "x:3: zonen: is not known, did you mean zones?"},
--- a/daemon/server.go
+++ b/daemon/server.go
@@ -24,7 +24,7 @@
 	stopTimeout   = 700 * time.Millisecond
 )
 
-// readBufferBytes is the maximum number of bytes read from a connection at once.
+// readBufferBytes is the maximum number of bytes that one read of a connection returns.
 const readBufferBytes = 64 << 10
 
 // rejectionInterval is the minimum time between two reports of rejections to the core.
--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -52,7 +52,7 @@
 	g := l.gateway
 	next := time.Now().Add(g.ReportPeriod)
 	if g.versions[0] == "" {
-		next = l.nextReport // a random end of the first period spreads the reports of gateways that connect at once
+		next = l.nextReport // a random end of the first period spreads the reports of gateways that connect at the same time
 	}
 	for document := range routing.DocumentCount {
 		if err := l.poll(document); err != nil {
--- a/healthcheck/checker.go
+++ b/healthcheck/checker.go
@@ -49,7 +49,7 @@
 	cancel  context.CancelFunc
 }
 
-// New starts a Checker. It calls report once for each check, from several goroutines at once.
+// New starts a Checker. It calls report once for each check, concurrently from several goroutines.
 func New(options Options, report func(policyapi.HealthCheckResult)) *Checker {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Checker{
--- a/healthcheck/checker_test.go
+++ b/healthcheck/checker_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// When the queue is full, further checks are reported at once and not run.
+// When the queue is full, further checks are reported immediately and not run.
 func TestFullQueue(t *testing.T) {
 	checker, results := startChecker(t, 0) // no workers, so queued checks stay in the queue
 	for range maxQueuedChecks {
--- a/mailbox/mailbox_test.go
+++ b/mailbox/mailbox_test.go
@@ -10,8 +10,8 @@
 
 const normalCapacity = 8192
 
-// With eight producers, one of which uses the urgent lane, no event is lost, the events of each producer come in order, and a
-// waiting owner is woken.
+// With eight producers, one of which uses the urgent lane, no event is lost, the events of each producer are returned in order, and
+// a waiting owner is woken.
 func TestMailboxLosesNothing(t *testing.T) {
 	const producers, eventsOfEach = 8, 20000
 	m := New[[2]int](normalCapacity, normalCapacity, nil)
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -64,7 +64,7 @@
 }
 
 // If a registry drops half of the fleet or all of it at once, the endpoints that answer gateways are retained. An endpoint
-// that leaves alone is removed at once although it answers, and drops by an authoritative source are always applied.
+// that is dropped alone is removed immediately although it answers, and drops by an authoritative source are always applied.
 func TestMassDropRetainsAnsweringEndpoints(t *testing.T) {
 	s := newFixture(t)
 	s.report("eureka", allUp...)
--- a/policy/delivery_test.go
+++ b/policy/delivery_test.go
@@ -6,8 +6,8 @@
 	"porthub/policyapi"
 )
 
-// If the queue is nearly full when a drain changes all other lines as well, the removals are sent at once without the other
-// changes, which would not fit. These follow when they fit into the queue.
+// If the queue is nearly full when a drain changes all other lines as well, the removals are sent immediately, without the
+// other changes, which would not fit. These follow when they fit into the queue.
 func TestRemovalIsSentWithNearlyFullQueue(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -68,7 +68,7 @@
 
 // estimateFleet returns the endpoints with their capacities. A capacity is the number of requests that the endpoint
 // completed in a busy second, averaged with an estimate from its listed weight that counts as long as little has been
-// learned. A cause that slows all endpoints at once, or makes all requests more expensive, changes the fleet's speed
+// learned. A cause that slows all endpoints together, or makes all requests more expensive, changes the fleet's speed
 // within a round, long before the figures of the individual endpoints follow.
 func (p *planner) estimateFleet() []fleetEndpoint {
 	fleet := p.listFleet()
@@ -156,7 +156,7 @@
 }
 
 // latenciesByMachineType returns the known mean latencies by machine type. An endpoint is compared with its machine type,
-// so that one that stalls or is overloaded gets less load at once.
+// so that one that stalls or is overloaded gets less load immediately.
 func latenciesByMachineType(fleet []fleetEndpoint) map[policyapi.MachineType][]float64 {
 	latencies := map[policyapi.MachineType][]float64{}
 	for _, e := range fleet {
--- a/policy/groups_test.go
+++ b/policy/groups_test.go
@@ -10,7 +10,7 @@
 )
 
 // In a large fleet, a proxy's table has only a few lines: those of its group and of the corresponding groups in other zones.
-// However many proxies connect at once, even if none acknowledges, the queue does not exceed its limit.
+// However many proxies connect at the same time, even if none acknowledges, the queue does not exceed its limit.
 func TestLargeFleetIsPackedIntoGroups(t *testing.T) {
 	for _, neverAcknowledge := range []bool{true, false} {
 		t.Run(fmt.Sprintf("never acknowledged %t", neverAcknowledge), func(t *testing.T) {
--- a/policy/health_test.go
+++ b/policy/health_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// If most endpoints stop responding at once, the fault is more likely in the network, and the tables must not be emptied.
+// If most endpoints stop responding at the same time, the fault is more likely in the network, and the tables must not be emptied.
 func TestPanicThresholdKeepsLines(t *testing.T) {
 	h := newHost(t, nil)
 	h.startFleet()
--- a/policy/removal_test.go
+++ b/policy/removal_test.go
@@ -373,8 +373,8 @@
 	}
 }
 
-// If many proxies connect at once and have to wait for the queue, removals of withdrawn endpoints at other proxies are sent
-// first, since they take less of the queue.
+// If many proxies connect at the same time and have to wait for the queue, removals of withdrawn endpoints at other proxies are
+// sent first, since they take less of the queue.
 func TestDrainGoesBeforeNewProxies(t *testing.T) {
 	c, out, plan := newBoundChannel(t, 500)
 	now := 200 * second
--- a/proxyserver/fleet_test.go
+++ b/proxyserver/fleet_test.go
@@ -94,8 +94,8 @@
 }
 
 // Forty coordinators with three proxies each follow one discovery: the proxies' old tables are replaced, and a drain reaches
-// every proxy within the grace period. The same holds for a drain and a removal after all watches have ended at once and the next
-// calls were refused.
+// every proxy within the grace period. The same holds for a drain and a removal after all watches have ended at the same time and
+// the next calls were refused.
 func TestDrainReachesAllProxiesOfManyCoordinators(t *testing.T) {
 	discovery := newFakeDiscovery(t)
 	discovery.calls = make(chan string, 100*coordinatorCount)
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -226,8 +226,8 @@
 	return s.validator.Apply(update)
 }
 
-// close writes as much as the sockets accept at once, closes all connections and waits for the end of the event loop, for at most
-// shutdownTimeout. It does not wait for gnet's Stop, which polls for the end only every half second.
+// close writes as much as the sockets accept without blocking, closes all connections and waits for the end of the event loop, for
+// at most shutdownTimeout. It does not wait for gnet's Stop, which polls for the end only every half second.
 func (s *server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
--- a/proxyserver/watcher.go
+++ b/proxyserver/watcher.go
@@ -29,9 +29,9 @@
 	client    *discoveryClient
 	endpoints *endpointStore
 	// If settings.PollsList is set, the decision module requests changes and receives an event for each failure. Otherwise the
-	// watcher follows discovery from the start and retries by itself.
+	// watcher follows discovery from the start and retries without being requested to.
 	settings *policyapi.Start
-	random   *rand.Rand // source of the jitter that keeps many coordinators from calling at once
+	random   *rand.Rand // source of the jitter that keeps many coordinators from calling at the same time
 	// applyList applies a list and returns the update for the decision module.
 	applyList func(proxyproto.EndpointList) policyapi.EndpointUpdate
 
--- a/proxyserver/watcher_test.go
+++ b/proxyserver/watcher_test.go
@@ -38,7 +38,7 @@
 	proxy.receiveUntil(1, "s-3:0")
 }
 
-// If the decision module does not poll, the watcher starts the watch by itself, retries after a delay when the watch fails, and
+// If the decision module does not poll, the watcher starts the watch on its own, retries after a delay when the watch fails, and
 // continues after a panic of the module.
 func TestWatchWithoutPolling(t *testing.T) {
 	srv := startServer(t, 256, func(c *Coordinator) { c.cfg.Start.PollsList, c.module.instance = false, nil })
--- a/routing/budget.go
+++ b/routing/budget.go
@@ -35,8 +35,8 @@
 	return len(l.sentAt)
 }
 
-// nextAt returns when the next message may be sent; a time that is not after now means at once. Urgent messages may use the whole
-// budget. Routine messages may not use the reserve and, once half of the budget is used, are spaced by an interval, so that one
+// nextAt returns when the next message may be sent; a time that is not after now means immediately. Urgent messages may use the
+// whole budget. Routine messages may not use the reserve and, once half of the budget is used, are spaced by an interval, so that one
 // burst does not use the rest. urgent is called only if at least half of the budget is used.
 func (l *messageLimiter) nextAt(now policyapi.Microseconds, urgent func() bool) policyapi.Microseconds {
 	used := l.used(now)
--- a/solver/doc.go
+++ b/solver/doc.go
@@ -10,7 +10,7 @@
 //
 // ClassHealth decides which endpoints fail which request classes. CapacityEstimator estimates the capacity of endpoints, and
 // OvershootEstimator how far their load exceeds the plan. Activation decides when a solution replaces the module's weights, so
-// that weights neither oscillate nor all move at once.
+// that weights neither oscillate nor all move at the same time.
 //
 // Start reading with [Solve]. Its input, [Fleet], must pass [Fleet.Check]. Solve may be called concurrently for different
 // fleets; the stateful types are not safe for concurrent use.
--- a/xdspoll/bench_test.go
+++ b/xdspoll/bench_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkWake has ten thousand pending polls and answers all of them at once. It measures the memory of each poll and the
+// BenchmarkWake has ten thousand pending polls and answers all of them together. It measures the memory of each poll and the
 // time until its response.
 func BenchmarkWake(b *testing.B) {
 	const polls = 10_000
--- a/xdspoll/hub.go
+++ b/xdspoll/hub.go
@@ -32,7 +32,7 @@
 	Rejected  int   `json:"full"`   // polls rejected because too many were pending
 }
 
-// NewHub returns a hub that allows maxPending polls to be pending at once and keeps deltaBases earlier publications of each
+// NewHub returns a hub that allows up to maxPending pending polls and keeps deltaBases earlier publications of each
 // gateway as bases for deltas.
 func NewHub(maxPending, deltaBases int) *Hub {
 	responses, err := lru.New[string, *sharedEntry](maxSharedEntries)
--- a/xdspoll/hub_test.go
+++ b/xdspoll/hub_test.go
@@ -187,7 +187,7 @@
 	g.requirePublished(p)
 }
 
-// Ten thousand pending polls are answered at once, each of them once. A poll over the limit is rejected.
+// Ten thousand pending polls are answered together, each of them once. A poll over the limit is rejected.
 func TestManyPendingPolls(t *testing.T) {
 	const polls = 10_000
 	hub := NewHub(polls, 2)
