--- a/emulator/light_link.go
+++ b/emulator/light_link.go
@@ -18,7 +18,7 @@
 	"porthub/xds"
 )
 
-// lightLink is a light gateway's connection to the coordinator. Only the goroutine of Run uses it.
+// lightLink is a lightweight gateway's connection to the coordinator. Only the goroutine of Run uses it.
 type lightLink struct {
 	gateway *LightGateway
 	conn    net.Conn
@@ -52,7 +52,7 @@
 	g := l.gateway
 	next := time.Now().Add(g.ReportPeriod)
 	if g.versions[0] == "" {
-		next = l.nextReport // a random end of the first period spreads the reports of gateways that connect at once
+		next = l.nextReport // a random end of the first period spreads the reports of gateways that connect at the same time
 	}
 	for document := range routing.DocumentCount {
 		if err := l.poll(document); err != nil {
--- a/proxyserver/server.go
+++ b/proxyserver/server.go
@@ -52,7 +52,7 @@
 	connections       int
 	unidentified      []*connection // oldest first; may include connections that are identified or closed by now
 	streams           map[*connection]bool
-	backlog           []input // inputs for the owner that did not fit into its lane
+	backlog           []input // inputs for the owner that its urgent lane has not accepted yet
 	malformedLoggedAt time.Time
 
 	counters counters
@@ -226,8 +226,8 @@
 	return s.validator.Apply(update)
 }
 
-// close writes as much as the sockets accept at once, closes all connections and waits for the end of the event loop, for at most
-// shutdownTimeout. It does not wait for gnet's Stop, which polls for the end only every half second.
+// close writes as much as the sockets accept without blocking, closes all connections and waits for the end of the event loop, for
+// at most shutdownTimeout. It does not wait for gnet's Stop, which polls for the end only every half second.
 func (s *server) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
